--- /dev/null
+++ b/tests/formats.rs
@@ -0,0 +1,446 @@
+//! What the controllers store and send one another, byte for byte: the texts
+//! below were written by the version that names and modules were last changed
+//! from. Versions serve side by side and read what older ones stored, so that no
+//! change of the sources may alter a byte here.
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::json;
+use shelfhoist::machines::home_of;
+use shelfhoist::mesh::{Gossip, decode, encode};
+use shelfhoist::model::{
+    Amount, Arrivals, Final, Formats, Group, Hire, Job, Life, Machine, Part, Ranges, Renter, Room,
+    Run, Slot, Spec, Team, Types,
+};
+use shelfhoist::view::{self, View};
+use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
+
+// --- values ---------------------------------------------------------------------
+
+fn room(cpus: i64, gpus: i64, ram: i64) -> Room {
+    Room {
+        cpus: Amount(cpus),
+        gpus: Amount(gpus),
+        ram: Amount(ram),
+    }
+}
+
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| name.to_string()).collect()
+}
+
+/// Every field is set.
+fn full_spec() -> Spec {
+    Spec {
+        class: "train".into(),
+        team: "vision".into(),
+        kind: Kind::Array,
+        priority: Priority::Normal,
+        tasks: 1800,
+        need: room(2000, 500, 1800),
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(names(&["g8", "g16"])),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        estimate_s: 25.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.5),
+        awaits: names(&["job-000398", "job-000405"]),
+    }
+}
+
+/// What may be left out is.
+fn bare_spec(kind: Kind, priority: Priority) -> Spec {
+    Spec {
+        kind,
+        priority,
+        tasks: 4,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        deadline_s: None,
+        awaits: Vec::new(),
+        ..full_spec()
+    }
+}
+
+fn run(machine: &str, attempt: u64, tasks: &[(u32, u32)], stop: bool) -> Run {
+    Run {
+        machine: machine.into(),
+        zone: "a".into(),
+        attempt,
+        tasks: Ranges(tasks.to_vec()),
+        stop,
+    }
+}
+
+fn waiting_job() -> Job {
+    Job::new(bare_spec(Kind::Gang, Priority::High), 9)
+}
+
+fn dependent_job() -> Job {
+    Job::new(full_spec(), 412)
+}
+
+/// Some tasks run, some are stopped, some failed, some wait for another try.
+fn running_job() -> Job {
+    Job {
+        attempt: 300,
+        next: 40,
+        retry: Ranges(vec![(0, 4), (7, 7)]),
+        runs: vec![
+            run("host-000231", 1, &[(10, 19), (21, 22)], false),
+            run("host-000231", 300, &[(30, 30)], true),
+            run("gpu-box", 2, &[(31, 33)], false),
+        ],
+        cleared: true,
+        errors: 2,
+        failed_attempt: 290,
+        failed_on: names(&["host-000007", "host-000008"]),
+        ..dependent_job()
+    }
+}
+
+/// Its tasks are told to stop.
+fn cancelled_job() -> Job {
+    Job {
+        fin: Final::Cancelled,
+        runs: vec![run("host-000231", 1, &[(0, 3)], true)],
+        attempt: 1,
+        next: 4,
+        ..Job::new(bare_spec(Kind::Service, Priority::Production), 77)
+    }
+}
+
+fn final_job(fin: Final) -> Job {
+    Job {
+        fin,
+        spec: None,
+        attempt: 3,
+        next: 40,
+        ..dependent_job()
+    }
+}
+
+fn arrivals() -> Arrivals {
+    Arrivals {
+        born: 7,
+        jobs: BTreeMap::from([
+            ("job-000001".into(), full_spec()),
+            ("job-000002".into(), bare_spec(Kind::Array, Priority::Low)),
+        ]),
+    }
+}
+
+fn part() -> Part {
+    let slot = |kind: &str, spot, free, unbooked| Slot {
+        kind: kind.into(),
+        spot,
+        free,
+        unbooked,
+    };
+    let none = Room::default();
+    Part {
+        machines: BTreeMap::from([
+            ("gpu-box".into(), slot("g16", false, none, none)),
+            (
+                "host-000231".into(),
+                slot("g8", true, none, room(2000, 0, 1800)),
+            ),
+            ("host-000232".into(), slot("g8", true, none, none)),
+            ("host-000234".into(), slot("g8", true, none, none)),
+        ]),
+    }
+}
+
+fn part_with_free_room() -> Part {
+    let mut part = part();
+    for slot in part.machines.values_mut() {
+        slot.free = room(6000, 1000, 12000);
+    }
+    part
+}
+
+fn group() -> Group {
+    let machine = |holder: &str, number: u64, life| Machine {
+        holder: holder.into(),
+        incarnation: 4_000_000_000 * number.min(1),
+        token: number * 41,
+        seen: (number, number * 88),
+        life,
+        spot: number == 1,
+        ..Machine::new("g8", "")
+    };
+    Group {
+        machines: BTreeMap::from([
+            ("gpu-box".into(), machine("bay-2", 6, Life::Active)),
+            ("host-000231".into(), machine("bay-1", 1, Life::Active)),
+            ("host-000232".into(), machine("", 0, Life::Booting)),
+            ("host-000233".into(), machine("bay-2", 2, Life::Draining)),
+            ("host-000234".into(), machine("bay-1", 3, Life::Returning)),
+            ("host-000235".into(), machine("bay-1", 4, Life::Gone)),
+            ("host-000236".into(), machine("bay-2", 5, Life::Active)),
+        ]),
+    }
+}
+
+fn hire(spot: bool, machines: &[&str]) -> Hire {
+    Hire {
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot,
+        count: 3,
+        machines: names(machines),
+    }
+}
+
+fn types() -> Types {
+    let machine_type: MachineType = serde_json::from_value(json!({
+        "label": "g8", "vcpus": 8.0, "cards": 1.0, "ram_gb": 64.0, "local_gb": 50.0,
+        "pull_gb_per_s": 1.5, "hourly": 0.14, "spot_price": 0.04, "ready_s": 20.0,
+        "yards": ["a", "b"]
+    }))
+    .expect("a machine type");
+    Types {
+        types: vec![machine_type],
+    }
+}
+
+fn renter(formats: u32) -> Renter {
+    Renter {
+        node: "bay-1".into(),
+        incarnation: 4_000_000_000,
+        formats,
+    }
+}
+
+fn formats() -> Formats {
+    Formats {
+        nodes: BTreeMap::from([("bay-1".into(), 2), ("bay-2".into(), 2)]),
+        all: 2,
+    }
+}
+
+fn gossip() -> Gossip {
+    Gossip {
+        node: "bay-1".into(),
+        incarnation: 4_000_000_000,
+        horizon_ms: Some(1250),
+        machines: 300,
+        silent: 7,
+        writes: 12.5,
+        refused: names(&["g8/a/spot", "g16/b"]),
+    }
+}
+
+// --- comparison -----------------------------------------------------------------
+
+/// The value is written as this text, and the text read as this value.
+fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+    assert_eq!(serde_json::to_string(value).expect("text"), text);
+    reads(value, text);
+}
+
+fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+    let read: T = serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"));
+    assert_eq!(&read, value, "{text}");
+}
+
+/// A replica that writes the plain texts, or the short ones.
+fn replica(short: bool) -> View {
+    let mut replica = View::shrinking(Some(2048));
+    let all = if short { 2 } else { 0 };
+    let formats = json!({"n": {}, "a": all});
+    replica.advance(vec![Event::put("sh/formats".into(), &formats, 1)], 1);
+    assert_eq!(replica.is_short(), short);
+    replica
+}
+
+/// The commit writes this text under this key.
+fn writes(write: &Write, expected_key: &str, text: &str) {
+    let Write::Put { key, value, lease } = write else {
+        panic!("{write:?}")
+    };
+    assert_eq!(key, expected_key);
+    assert_eq!(value.get(), text);
+    assert_eq!(*lease, None);
+}
+
+/// A job is stored as either text, and each is read with nothing lost; written
+/// back by the other kind of replica it is that one's text.
+fn job_texts(job: &Job, plain: &str, short: &str) {
+    same(job, plain);
+    reads(job, short);
+    for text in [plain, short] {
+        let job: Job = serde_json::from_str(text).expect("a job");
+        let key = "sh/job/job-000412";
+        writes(&replica(false).put_job("job-000412", &job), key, plain);
+        writes(&replica(true).put_job("job-000412", &job), key, short);
+    }
+}
+
+// --- records ----------------------------------------------------------------------
+
+const WAITING_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"gang","p":"urgent","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":9,"a":0,"x":0}"#;
+const DEPENDENT_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":0,"x":0}"#;
+const RUNNING_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":300,"x":40,"q":"0-4,7","r":[{"m":"host-000231","z":"a","a":1,"t":"10-19,21-22"},{"m":"host-000231","z":"a","a":300,"t":"30","x":true},{"m":"gpu-box","z":"a","a":2,"t":"31-33"}],"c":true,"e":2,"ea":290,"em":["host-000007","host-000008"]}"#;
+const RUNNING_JOB_SHORT: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":300,"x":40,"c":true,"e":2,"ea":290,"em":["host-000007","host-000008"],"q":".200-0407","r":{"k":[["host-",6,"a"],["gpu-box",0,"a"]],"t":"2 03d.1:0A-0J0L0M 03d.4i!0U 10.2:0V-0X"}}"#;
+const CANCELLED_JOB: &str = r#"{"f":"c","s":{"l":"train","w":"vision","k":"daemon","p":"prod","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":77,"a":1,"x":4,"r":[{"m":"host-000231","z":"a","a":1,"t":"0-3","x":true}]}"#;
+const CANCELLED_JOB_SHORT: &str = r#"{"f":"c","s":{"l":"train","w":"vision","k":"daemon","p":"prod","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":77,"a":1,"x":4,"r":{"k":[["host-",6,"a"]],"t":"2 03d.1!00-03"}}"#;
+const DONE_JOB: &str = r#"{"f":"d","n":1800,"b":412,"a":3,"x":40}"#;
+const ABORTED_JOB: &str = r#"{"f":"c","n":1800,"b":412,"a":3,"x":40}"#;
+const ARRIVALS: &str = r#"{"b":7,"j":{"job-000001":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"job-000002":{"l":"train","w":"vision","k":"batch","p":"low","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0}}}"#;
+const TEAM: &str = r#"{"u":{"c":3000,"g":1000,"m":2000}}"#;
+const SPOT_HIRE: &str = r#"{"t":"g8","z":"a","l":true,"n":3,"m":["host-000236","host-000237"]}"#;
+const OPEN_HIRE: &str = r#"{"t":"g8","z":"a","l":false,"n":3}"#;
+const TYPES: &str = r#"{"types":[{"label":"g8","vcpus":8.0,"cards":1.0,"ram_gb":64.0,"local_gb":50.0,"pull_gb_per_s":1.5,"hourly":0.14,"spot_price":0.04,"ready_s":20.0,"yards":["a","b"]}]}"#;
+const OLDER_RENTER: &str = r#"{"h":"bay-1","i":4000000000}"#;
+const RENTER: &str = r#"{"h":"bay-1","i":4000000000,"v":2}"#;
+const FORMATS_RECORD: &str = r#"{"n":{"bay-1":2,"bay-2":2},"a":2}"#;
+const PART: &str = r#"{"m":{"gpu-box":{"t":"g16","f":{"c":6000,"g":1000,"m":12000}},"host-000231":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000},"o":{"c":2000,"g":0,"m":1800}},"host-000232":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}},"host-000234":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}}}}"#;
+const PART_SHORT: &str = r#"{"m":[["g16",0,[],["gpu-box"],{}],["g8",1,[["host-",6,"231-232,234"]],[],{"host-000231":[2000,0,1800]}]]}"#;
+const GROUP: &str = r#"{"m":{"gpu-box":{"h":"bay-2","i":4000000000,"k":246,"s":[6,528],"f":"a","t":"g8"},"host-000231":{"h":"bay-1","i":4000000000,"k":41,"s":[1,88],"f":"a","t":"g8","l":true},"host-000232":{"h":"","i":0,"k":0,"s":[0,0],"f":"b","t":"g8"},"host-000233":{"h":"bay-2","i":4000000000,"k":82,"s":[2,176],"f":"d","t":"g8"},"host-000234":{"h":"bay-1","i":4000000000,"k":123,"s":[3,264],"f":"r","t":"g8"},"host-000235":{"h":"bay-1","i":4000000000,"k":164,"s":[4,352],"f":"g","t":"g8"},"host-000236":{"h":"bay-2","i":4000000000,"k":205,"s":[5,440],"f":"a","t":"g8"}}}"#;
+const GROUP_SHORT: &str = r#"{"m":[["",0,"b","g8",0,[["host-",6,"3e.0.0.0"]]],["bay-1",4000000000,"a","g8",1,[["host-",6,"3d.f.1.1O"]]],["bay-1",4000000000,"r","g8",0,[["host-",6,"3g.1x.3.48"]]],["bay-1",4000000000,"g","g8",0,[["host-",6,"3h.2a.4.5W"]]],["bay-2",4000000000,"a","g8",0,[["gpu-box",0,"0.3s.6.8G"],["host-",6,"3i.3D.5.6u"]]],["bay-2",4000000000,"d","g8",0,[["host-",6,"3f.1I.2.2m"]]]]}"#;
+const FRAME: &[u8] = b"\x00\x00\x00,\x05bay-1\xfc\x00(k\xee\x01\xfb\xe2\x04\xfb,\x01\x07\x00\x00\x00\x00\x00\x00)@\x02\x09g8/a/spot\x05g16/b";
+const EARLY_FRAME: &[u8] =
+    b"\x00\x00\x00\x19\x05bay-1\xfc\x00(k\xee\x00\xfb,\x01\x07\x00\x00\x00\x00\x00\x00)@\x00";
+
+#[test]
+fn jobs_are_stored_byte_for_byte() {
+    job_texts(&waiting_job(), WAITING_JOB, WAITING_JOB);
+    job_texts(&dependent_job(), DEPENDENT_JOB, DEPENDENT_JOB);
+    job_texts(&running_job(), RUNNING_JOB, RUNNING_JOB_SHORT);
+    job_texts(&cancelled_job(), CANCELLED_JOB, CANCELLED_JOB_SHORT);
+    job_texts(&final_job(Final::Done), DONE_JOB, DONE_JOB);
+    job_texts(&final_job(Final::Cancelled), ABORTED_JOB, ABORTED_JOB);
+}
+
+/// What may be left out has its value of old.
+#[test]
+fn records_are_read_without_their_optional_fields() {
+    let job = Job {
+        spec: None,
+        tasks: 0,
+        ..Job::new(bare_spec(Kind::Gang, Priority::High), 0)
+    };
+    reads(&job, "{}");
+    reads(&job, r#"{"s":null,"field of a later version":[1]}"#);
+    reads(&Part::default(), "{}");
+    reads(&Group::default(), "{}");
+    reads(&Formats::default(), "{}");
+}
+
+#[test]
+fn arrivals_teams_and_rentals_are_stored_byte_for_byte() {
+    same(&arrivals(), ARRIVALS);
+    same(
+        &Team {
+            used: room(3000, 1000, 2000),
+        },
+        TEAM,
+    );
+    same(&hire(true, &["host-000236", "host-000237"]), SPOT_HIRE);
+    same(&hire(false, &[]), OPEN_HIRE);
+    same(&types(), TYPES);
+    same(&renter(0), OLDER_RENTER);
+    same(&renter(2), RENTER);
+    same(&formats(), FORMATS_RECORD);
+}
+
+/// Of the short text what is free is left out: nobody reads it.
+#[test]
+fn parts_are_stored_byte_for_byte() {
+    same(&part_with_free_room(), PART);
+    reads(&part(), PART_SHORT);
+    let key = "sh/zone/a/bay-1.0";
+    let (plain, short) = (replica(false), replica(true));
+    writes(
+        &plain.put_part("a/bay-1.0", &part_with_free_room()),
+        key,
+        PART,
+    );
+    writes(
+        &short.put_part("a/bay-1.0", &part_with_free_room()),
+        key,
+        PART_SHORT,
+    );
+    writes(&short.put_part("a/bay-1.0", &part()), key, PART_SHORT);
+    writes(
+        &short.put_part("a/bay-1.0", &Part::default()),
+        key,
+        r#"{"m":[]}"#,
+    );
+    writes(
+        &plain.put_part("a/bay-1.0", &Part::default()),
+        key,
+        r#"{"m":{}}"#,
+    );
+}
+
+#[test]
+fn groups_are_stored_byte_for_byte() {
+    same(&group(), GROUP);
+    reads(&group(), GROUP_SHORT);
+    let key = "sh/machine/a/bay-1.0";
+    for text in [GROUP, GROUP_SHORT] {
+        let group: Group = serde_json::from_str(text).expect("a group");
+        writes(&replica(false).put_group("a/bay-1.0", &group), key, GROUP);
+        writes(
+            &replica(true).put_group("a/bay-1.0", &group),
+            key,
+            GROUP_SHORT,
+        );
+    }
+}
+
+#[test]
+fn keys_are_the_same() {
+    for (key, text) in [
+        (view::job_key("job-000412"), "sh/job/job-000412"),
+        (view::team_key("vision"), "sh/team/vision"),
+        (view::part_id("a", "bay-1.0"), "a/bay-1.0"),
+        (view::part_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
+        (view::group_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
+        (view::node_key("bay-1"), "sh/node/bay-1"),
+        (view::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
+        (view::hire_key("r-17"), "sh/hire/r-17"),
+        (view::PREFIX.into(), "sh/"),
+        (view::BARRIER_KEY.into(), "sh-barrier"),
+        (view::FLEET_KEY.into(), "sh/fleet"),
+        (view::TYPES_KEY.into(), "sh/types"),
+        (view::FORMATS_KEY.into(), "sh/formats"),
+        (home_of("bay-1.0").into(), "bay-1"),
+    ] {
+        assert_eq!(key, text);
+    }
+}
+
+// --- the mesh ---------------------------------------------------------------------
+
+/// A length of four bytes, then the fields in their order.
+#[test]
+fn mesh_frames_are_sent_byte_for_byte() {
+    let before_its_first_barrier = Gossip {
+        horizon_ms: None,
+        refused: Vec::new(),
+        ..gossip()
+    };
+    for (gossip, frame) in [(gossip(), FRAME), (before_its_first_barrier, EARLY_FRAME)] {
+        assert_eq!(encode(&gossip).expect("a frame"), frame);
+        let length = u32::from_be_bytes(frame[..4].try_into().expect("a length"));
+        assert_eq!(length as usize, frame.len() - 4);
+        let read = decode(&frame[4..]).expect("gossip");
+        assert_eq!(format!("{read:?}"), format!("{gossip:?}"));
+        assert_eq!(encode(&read).expect("a frame"), frame);
+    }
+    assert!(decode(&FRAME[4..FRAME.len() - 1]).is_none());
+}
