--- a/src/cli.rs
+++ b/src/cli.rs
@@ -396,8 +396,8 @@
         out += &match rule.range {
             Some(r) => format!(
                 "  a number from {} to {}, for each {}\n",
-                r.least,
-                r.most,
+                r.min,
+                r.max,
                 subject(rule.subject)
             ),
             None => format!(
@@ -424,7 +424,7 @@
 
 fn range_text(v: &Variable) -> String {
     match v.range {
-        Some(r) => format!(" ({} to {})", r.least, r.most),
+        Some(r) => format!(" ({} to {})", r.min, r.max),
         None => " (true or false)".into(),
     }
 }
