--- a/src/http.rs
+++ b/src/http.rs
@@ -27,24 +27,34 @@
 /// a broken peer can make us hold.
 const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
 
+/// A request that the server has read.
 #[derive(Debug, Clone)]
 pub struct Request {
+    /// The method, as it was sent.
     pub method: String,
+    /// The path, without the query.
     pub path: String,
+    /// What follows the `?` of the path; empty if nothing does.
     pub query: String,
+    /// The body, 64 KiB at most.
     pub body: Vec<u8>,
 }
 
+/// A response, of this server or to this client.
 #[derive(Debug, Clone)]
 pub struct Response {
+    /// The HTTP status code.
     pub status: u16,
+    /// The body: JSON, unless `text` is set.
     pub body: Vec<u8>,
     /// Whole seconds after which the client may come back.
     pub retry_after: Option<u32>,
+    /// Whether the body is plain text for people to read.
     pub text: bool,
 }
 
 impl Response {
+    /// A response whose body is an empty JSON object.
     pub fn empty(status: u16) -> Self {
         Response {
             status,
@@ -53,6 +63,7 @@
             text: false,
         }
     }
+    /// A response with `value` as JSON.
     pub fn json<T: Serialize>(status: u16, value: &T) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Response {
@@ -62,15 +73,18 @@
             Err(_) => Response::error(500, "answer could not be written"),
         }
     }
+    /// A JSON response that names a problem in its field `error`.
     pub fn error(status: u16, problem: &str) -> Self {
         Response::json(status, &serde_json::json!({ "error": problem }))
     }
+    /// A 503 response that asks the client to come back after so many seconds.
     pub fn unavailable(problem: &str, retry_after: u32) -> Self {
         Response {
             retry_after: Some(retry_after),
             ..Response::error(503, problem)
         }
     }
+    /// Reads the body as JSON.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|e| CallError::Malformed(e.to_string()))
     }
@@ -190,12 +204,15 @@
     out
 }
 
+/// What a handler returns: the response, once it is ready.
 pub type Answer = Pin<Box<dyn Future<Output = Response>>>;
+/// Responds to the requests of all connections.
 pub type Handler = Rc<dyn Fn(Request) -> Answer>;
 
 /// Bounds on what the server's connections may take.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
+    /// The most connections; further ones are closed at once.
     pub connections: usize,
     /// An idle connection may wait this long for its next request.
     pub idle: Duration,
@@ -289,6 +306,7 @@
     }
 }
 
+/// Why a call has no response that can be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing left this process: surely not executed.
@@ -297,8 +315,10 @@
     /// Sent, at least in part: executed or not, now or later.
     #[error("no answer: {0}")]
     NoAnswer(String),
+    /// The response is not HTTP, or its body is not what was expected.
     #[error("malformed answer: {0}")]
     Malformed(String),
+    /// The response is longer than the client may read.
     #[error("answer too large")]
     TooLarge,
 }
@@ -345,6 +365,8 @@
 const IDLE_PER_ADDRESS: usize = 4;
 
 impl Client {
+    /// A client that trusts idle connections for the time `keep`, with no bound
+    /// on their number.
     pub fn new(net: Net, keep: Duration) -> Self {
         Client {
             net,
@@ -406,6 +428,7 @@
         })
     }
 
+    /// Sends a request and reads the response, within `limit` from now on.
     pub async fn call(
         &self,
         addr: SocketAddrV4,
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -15,7 +15,9 @@
 /// One controller's word on itself, sent a few times in a lease.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct Gossip {
+    /// The sender's name.
     pub node: String,
+    /// Which of the sender's starts it is from.
     pub incarnation: u64,
     /// How old its horizon is; `None` before its first barrier.
     pub horizon_ms: Option<u64>,
@@ -34,17 +36,27 @@
 
 const FRAME_LIMIT: usize = 256 * 1024;
 
+/// What another controller has last told of itself.
 #[derive(Debug)]
 pub struct Peer {
+    /// When that arrived here.
     pub at: Instant,
+    /// Which of its starts it was from.
     pub incarnation: u64,
+    /// How far its replica of the state was behind, in milliseconds; `None`
+    /// before its first full read.
     pub horizon_ms: Option<u64>,
+    /// How many machines report to it.
     pub machines: u32,
+    /// How many of them have missed two report intervals.
     pub silent: u32,
+    /// How many keys it would write a second.
     pub writes: f64,
+    /// Offers that the cloud has refused it of late.
     pub refused: Vec<String>,
 }
 
+/// The other controllers that have been heard of, by their names.
 #[derive(Debug, Default)]
 pub struct Peers(HashMap<String, Peer>);
 
@@ -53,6 +65,8 @@
 }
 
 impl Peers {
+    /// Stores what a controller tells of itself, in place of what it told
+    /// before.
     pub fn take(&mut self, gossip: Gossip, now: Instant) {
         self.0.insert(
             gossip.node,
@@ -119,6 +133,7 @@
     }
 }
 
+/// The frame that carries a message: its length in four bytes, then bincode.
 pub fn encode(gossip: &Gossip) -> Option<Vec<u8>> {
     let body = bincode::encode_to_vec(gossip, bincode::config::standard()).ok()?;
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
@@ -126,6 +141,7 @@
     Some(frame)
 }
 
+/// Reads a frame's body; `None` if it is malformed.
 pub fn decode(body: &[u8]) -> Option<Gossip> {
     let config = bincode::config::standard().with_limit::<FRAME_LIMIT>();
     bincode::decode_from_slice(body, config)
@@ -133,6 +149,7 @@
         .map(|(g, _)| g)
 }
 
+/// Accepts connections of other controllers until it is dropped.
 pub async fn listen(node: Rc<Node>, mut listener: Listener) {
     loop {
         match listener.accept().await {
@@ -203,6 +220,7 @@
     }
 }
 
+/// Sends this controller's message to each other one at a steady interval.
 pub async fn speak(node: Rc<Node>) {
     for peer in node.settings.others.clone() {
         let node = node.clone();
--- a/src/store.rs
+++ b/src/store.rs
@@ -18,13 +18,18 @@
 /// Who goes first when the budget is short: the earlier, the sooner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
+    /// Accepting and cancelling jobs, reading the revision, watching.
     Accept,
+    /// The state lease, rentals, and reading pages of the state.
     Lease,
     /// Claims and rounds wait with `Store::ready` before they decide, then go
     /// at once, into debt if need be: a commit that waits goes stale.
     Claim,
+    /// Commits of placement rounds.
     Round,
+    /// Machines that start, drain, are returned or are gone.
     Life,
+    /// What can wait: publishing free room, moving services, removing records.
     Room,
 }
 
@@ -57,6 +62,7 @@
 }
 
 impl Bucket {
+    /// A full bucket; `rate` is a second's, `burst` the most that it holds.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         Bucket {
             rate,
@@ -134,6 +140,7 @@
 }
 
 impl Budget {
+    /// A full budget of requests and written keys a second.
     pub fn new(rps: f64, write_rps: f64, now: Instant) -> Self {
         Budget {
             requests: Bucket::new(rps, rps, now),
@@ -179,6 +186,7 @@
     }
 }
 
+/// Why the state service did not do as asked.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A guard did not hold: nothing was written.
@@ -196,8 +204,10 @@
     /// Surely not executed, nor ever as it is; the longest record's key.
     #[error("a commit beyond the state service's limits: {0}")]
     Limits(String),
+    /// The state lease has expired: its keys are gone.
     #[error("state lease is over")]
     NoLease,
+    /// The service no longer has the changes since then: read the state anew.
     #[error("the watched revision is too old")]
     TooOld,
     /// A watch that holds more than this controller can take at once.
@@ -234,6 +244,7 @@
     }
 }
 
+/// The client of the state service, with this controller's budget.
 pub struct Store {
     /// How many of each class wait to write.
     waiting: RefCell<[usize; CLASSES]>,
@@ -265,6 +276,8 @@
 const LOWERED: u32 = 32;
 
 impl Store {
+    /// A client of the service at `addr` that counts a request as unanswered
+    /// after `patience`.
     pub fn new(
         client: Rc<Client>,
         addr: SocketAddrV4,
@@ -451,6 +464,7 @@
         }
     }
 
+    /// Sends a transaction, and returns the revision of its changes.
     pub async fn commit(&self, class: Class, commit: &Commit) -> Result<u64, StoreError> {
         let body = encode(commit)?;
         if body.len() > crate::http::BODY_LIMIT {
@@ -514,6 +528,7 @@
         }
     }
 
+    /// Reads records in the order of their keys, beginning after a key.
     pub async fn page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
         let mut path = format!("/store?prefix={prefix}&limit=500");
         if !after.is_empty() {
@@ -528,6 +543,7 @@
         }
     }
 
+    /// Waits up to `block` for changes after a revision, and returns them.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -550,6 +566,7 @@
         }
     }
 
+    /// Takes a state lease that ends if it is not renewed in time.
     pub async fn hold(&self, ttl: Duration) -> Result<u64, StoreError> {
         let body = encode(&HoldRequest {
             ttl_ms: ttl.as_millis() as u64,
@@ -563,6 +580,7 @@
         }
     }
 
+    /// Renews a state lease.
     pub async fn extend(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/extend");
         let body = Some(b"{}".to_vec());
--- a/src/view.rs
+++ b/src/view.rs
@@ -25,13 +25,18 @@
 /// A key that never exists: reading it tells the current revision.
 pub const BARRIER_KEY: &str = "sh-barrier";
 
+/// The key of the controller that rents machines.
 pub const FLEET_KEY: &str = "sh/fleet";
+/// The key of the cloud's machine types.
 pub const TYPES_KEY: &str = "sh/types";
+/// The key of the record formats that all controllers can read.
 pub const FORMATS_KEY: &str = "sh/formats";
 
+/// The key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("{PREFIX}job/{id}")
 }
+/// The key of a team's record.
 pub fn team_key(name: &str) -> String {
     format!("{PREFIX}team/{name}")
 }
@@ -39,6 +44,7 @@
 pub fn part_id(zone: &str, part: &str) -> String {
     format!("{zone}/{part}")
 }
+/// The key of a zone shard's record, by its id.
 pub fn part_key(id: &str) -> String {
     format!("{PREFIX}zone/{id}")
 }
@@ -46,12 +52,15 @@
 pub fn group_key(id: &str) -> String {
     format!("{PREFIX}machine/{id}")
 }
+/// The key that exists while a controller's state lease stands.
 pub fn node_key(name: &str) -> String {
     format!("{PREFIX}node/{name}")
 }
+/// The key of jobs that were accepted together.
 pub fn arrivals_key(id: &str) -> String {
     format!("{PREFIX}new/{id}")
 }
+/// The key of a rental.
 pub fn hire_key(id: &str) -> String {
     format!("{PREFIX}hire/{id}")
 }
@@ -59,7 +68,9 @@
 /// A record with the revision of its last change.
 #[derive(Debug, Clone, Default)]
 pub struct Entry<T> {
+    /// The revision of the record's last change; 0 if it has none of its own.
     pub version: u64,
+    /// The record.
     pub value: T,
 }
 
@@ -68,6 +79,7 @@
 /// What has changed since it was last asked.
 #[derive(Debug, Default)]
 pub struct Changes {
+    /// Machines whose record or whose jobs have changed.
     pub machines: BTreeSet<String>,
 }
 
@@ -79,6 +91,7 @@
 }
 
 impl Names {
+    /// The number of a name, which is given one if it has none.
     pub fn number(&mut self, name: &str) -> u32 {
         if let Some(n) = self.numbers.get(name) {
             return *n;
@@ -89,21 +102,26 @@
         self.names.push(name);
         n
     }
+    /// The number of a name, if it has one.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
+    /// The name with this number; empty if there is none.
     pub fn name(&self, number: u32) -> Rc<str> {
         self.names
             .get(number as usize)
             .cloned()
             .unwrap_or_else(|| "".into())
     }
+    /// All names in the order of their numbers.
     pub fn all(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(|n| &**n)
     }
+    /// How many names there are.
     pub fn len(&self) -> usize {
         self.names.len()
     }
+    /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
@@ -112,10 +130,13 @@
 /// Machines of one type, zone and kind: what a job may or may not run on.
 #[derive(Debug, Clone)]
 pub struct Class {
+    /// The machine type.
     pub kind: String,
+    /// The zone.
     pub zone: Rc<str>,
     /// The zone's number among `View::zone_names`.
     pub zone_at: usize,
+    /// Whether they are spot machines.
     pub spot: bool,
     /// Where its type stands in the types' record, if it does.
     pub kind_at: Option<usize>,
@@ -128,17 +149,22 @@
     pub machine: u32,
     /// The number of its part's key among `View::part_names`.
     pub part: u32,
+    /// The number of its class among `View::classes`.
     pub class: u32,
     /// In a plan: what is free. In the view: what unbooked tasks take.
     pub free: Room,
 }
 
+/// This controller's replica of the state, with the indexes that planning uses.
 #[derive(Debug, Default)]
 pub struct View {
     /// Complete up to here; 0 until the first full read.
     pub revision: u64,
+    /// Whether the first full read is complete.
     pub loaded: bool,
+    /// Jobs by their ids.
     pub jobs: HashMap<String, Entry<Job>>,
+    /// What the teams' bookings take, by the teams' names.
     pub teams: Table<Team>,
     /// The zones' records, by `zone/part`.
     pub parts: Table<Part>,
@@ -146,9 +172,13 @@
     pub machines: Table<Machine>,
     /// The records that they stand in, by `zone/part`.
     pub groups: Table<Group>,
+    /// Rentals by the names of their requests.
     pub hires: Table<Hire>,
+    /// Jobs that were accepted together, by the names of those writes.
     pub arrivals: Table<Arrivals>,
+    /// The cloud's machine types as last read.
     pub types: Entry<Types>,
+    /// The controller that rents machines, if there is one.
     pub fleet: Option<Entry<Renter>>,
     /// Which controllers know the newer formats.
     pub formats: Entry<Formats>,
@@ -168,9 +198,13 @@
     /// a hint for placing, rebuilt as bookings are seen.
     images: HashMap<u32, Vec<u32>>,
     image_names: Names,
+    /// The numbers of machines.
     pub machine_names: Names,
+    /// The numbers of zone shards.
     pub part_names: Names,
+    /// The numbers of zones.
     pub zone_names: Names,
+    /// The classes of machines, by their numbers.
     pub classes: Vec<Class>,
     class_numbers: HashMap<(String, String, bool), u32>,
     /// The parts' machines, ready for planning.
@@ -186,6 +220,7 @@
     /// The latest job that needs accelerators: what machines with accelerators
     /// are kept free for. A hint, too.
     pub gpu_spec: Option<Spec>,
+    /// What has changed since it was last taken.
     pub changes: Changes,
     /// What follows from jobs that await others, see there.
     pub(crate) pipelines: Pipelines,
@@ -437,6 +472,7 @@
         }
     }
 
+    /// The version of a group's record, 0 if there is none.
     pub fn group_version(&self, id: &str) -> u64 {
         self.groups.get(id).map_or(0, |e| e.version)
     }
@@ -575,11 +611,13 @@
         n
     }
 
+    /// The number of a class of machines, if it has one.
     pub fn find_class(&self, kind: &str, zone: &str, spot: bool) -> Option<u32> {
         let key = (kind.to_string(), zone.to_string(), spot);
         self.class_numbers.get(&key).copied()
     }
 
+    /// The machine type of a class, if the cloud still offers it.
     pub fn class_type(&self, class: &Class) -> Option<&crate::wire::MachineType> {
         self.types.value.types.get(class.kind_at?)
     }
@@ -630,6 +668,7 @@
         }
     }
 
+    /// The machine type of this name, if the cloud offers it.
     pub fn type_of(&self, kind: &str) -> Option<&crate::wire::MachineType> {
         self.types.value.types.iter().find(|t| t.name == kind)
     }
@@ -686,16 +725,19 @@
         text.is_some_and(|t| t.len() <= most)
     }
 
+    /// The write of a job's record, in the encoding in force.
     pub fn put_job(&self, id: &str, job: &Job) -> Write {
         let short = || crate::text::short_job(job);
         self.put(job_key(id), job, short)
     }
 
+    /// The write of a zone shard's record, in the encoding in force.
     pub fn put_part(&self, id: &str, part: &Part) -> Write {
         let short = || crate::text::short_part(part);
         self.put(part_key(id), part, short)
     }
 
+    /// The write of a machine group's record, in the encoding in force.
     pub fn put_group(&self, id: &str, group: &Group) -> Write {
         let short = || crate::text::short_group(group);
         self.put(group_key(id), group, short)
@@ -724,9 +766,11 @@
         self.formats.value.all >= FORMATS
     }
 
+    /// The version of a zone shard's record, 0 if there is none.
     pub fn part_version(&self, id: &str) -> u64 {
         self.parts.get(id).map_or(0, |e| e.version)
     }
+    /// The version of a team's record, 0 if there is none.
     pub fn team_version(&self, team: &str) -> u64 {
         self.teams.get(team).map_or(0, |e| e.version)
     }
@@ -735,9 +779,11 @@
     pub fn team_used(&self, team: &str) -> Room {
         self.team_booked.get(team).copied().unwrap_or_default()
     }
+    /// What the bookings of every team take, by the teams' names.
     pub fn teams_used(&self) -> &HashMap<String, Room> {
         &self.team_booked
     }
+    /// The version of a job's record, 0 if it has none of its own.
     pub fn job_version(&self, id: &str) -> u64 {
         self.jobs.get(id).map_or(0, |e| e.version)
     }
