--- a/src/model.rs
+++ b/src/model.rs
@@ -27,22 +27,28 @@
     pub fn room(x: f64) -> Self {
         Amount((x * 1000.0 + 1e-6).floor().max(0.0) as i64)
     }
+    /// The amount in whole units, as people write it.
     pub fn units(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
+/// Resources of a machine: what a task needs, what is free, or what is used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Room {
+    /// CPUs.
     #[serde(rename = "c")]
     pub cpus: Amount,
+    /// Accelerators.
     #[serde(rename = "g")]
     pub gpus: Amount,
+    /// Memory, in GB.
     #[serde(rename = "m")]
     pub ram: Amount,
 }
 
 impl Room {
+    /// All that a machine of this type has.
     pub fn of_type(t: &MachineType) -> Self {
         Room {
             cpus: Amount::room(t.cpus),
@@ -51,18 +57,22 @@
         }
     }
 
+    /// Whether it is nothing at all.
     pub fn is_empty(&self) -> bool {
         *self == Room::default()
     }
 
+    /// Whether a task that needs this much fits into it.
     pub fn fits(&self, need: &Room) -> bool {
         need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
     }
 
+    /// The resources of so many equal tasks.
     pub fn times(&self, n: usize) -> Room {
         self.scaled(n as i64)
     }
 
+    /// As `times`, with a sign.
     pub fn scaled(&self, n: i64) -> Room {
         Room {
             cpus: Amount(self.cpus.0.saturating_mul(n)),
@@ -157,21 +167,27 @@
 }
 
 impl Ranges {
+    /// The set of a single number.
     pub fn one(n: u32) -> Self {
         Ranges(vec![(n, n)])
     }
+    /// How many numbers the set has.
     pub fn len(&self) -> usize {
         self.0.iter().map(|(a, b)| (b - a + 1) as usize).sum()
     }
+    /// Whether it has none.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
+    /// Whether a number is in the set.
     pub fn contains(&self, n: u32) -> bool {
         self.0.iter().any(|&(a, b)| a <= n && n <= b)
     }
+    /// The numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|&(a, b)| a..=b)
     }
+    /// Adds a number, which may be there already.
     pub fn insert(&mut self, n: u32) {
         if self.contains(n) {
             return;
@@ -188,6 +204,7 @@
             self.0.remove(at);
         }
     }
+    /// Removes a number; false if it was not there.
     pub fn remove(&mut self, n: u32) -> bool {
         let Some(at) = self.0.iter().position(|&(a, b)| a <= n && n <= b) else {
             return false;
@@ -201,6 +218,7 @@
         }
         true
     }
+    /// Removes the lowest number and returns it.
     pub fn pop_first(&mut self) -> Option<u32> {
         let n = self.0.first()?.0;
         self.remove(n);
@@ -211,38 +229,55 @@
 /// The part of a submission that placing needs, kept with the job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
+    /// The class of jobs that objectives refer to.
     #[serde(rename = "l")]
     pub class: String,
+    /// The team whose guarantee and limit apply.
     #[serde(rename = "w")]
     pub team: String,
+    /// How the tasks belong together.
     #[serde(rename = "k")]
     pub kind: Kind,
+    /// What it may preempt and be preempted by.
     #[serde(rename = "p")]
     pub priority: Priority,
+    /// The number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
+    /// What each task takes of its machine.
     #[serde(rename = "r")]
     pub need: Room,
+    /// The image that a machine needs before a task starts.
     #[serde(rename = "i")]
     pub image: String,
+    /// The size of the image, in GB.
     #[serde(rename = "ig")]
     pub image_gb: f64,
+    /// The allowed machine types, `None` for any.
     #[serde(rename = "ty", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The only allowed zone, `None` for any.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks must be in the same zone.
     #[serde(rename = "oz", default, skip_serializing_if = "is_false")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "sp", default, skip_serializing_if = "is_false")]
     pub spread: bool,
+    /// The job may use spot machines.
     #[serde(rename = "lo", default, skip_serializing_if = "is_false")]
     pub spot: bool,
+    /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "e")]
     pub estimate_s: f64,
+    /// Seconds of progress between checkpoints, 0 if tasks never save.
     #[serde(rename = "cs")]
     pub checkpoint_s: f64,
+    /// Seconds that a task takes to save when it is stopped.
     #[serde(rename = "ss")]
     pub save_s: f64,
+    /// Seconds from the submission to the deadline, if there is one.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts; those that
@@ -293,6 +328,7 @@
 }
 
 impl Spec {
+    /// Whether tasks may run on machines of this type.
     pub fn allows_type(&self, t: &str) -> bool {
         self.types
             .as_ref()
@@ -315,6 +351,7 @@
         }
     }
 
+    /// Whether all tasks have to run at the same time.
     pub fn is_gang(&self) -> bool {
         self.kind == Kind::Gang
     }
@@ -330,13 +367,16 @@
 /// Tasks of one attempt booked on one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
+    /// The machine.
     #[serde(rename = "m")]
     pub machine: String,
     /// Kept with the booking, so that a zone's count needs no machine record.
     #[serde(rename = "z")]
     pub zone: String,
+    /// The attempt; the tasks of a gang find each other through it.
     #[serde(rename = "a")]
     pub attempt: u64,
+    /// The numbers of the tasks.
     #[serde(rename = "t")]
     pub tasks: Ranges,
     /// The run is wanted gone: preempted, drained, or of a broken gang.
@@ -344,13 +384,17 @@
     pub stop: bool,
 }
 
+/// Whether a job has reached its final state, and which.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Final {
+    /// It has not: tasks run, wait, or are still to start.
     #[default]
     #[serde(rename = "o")]
     Open,
+    /// All tasks are done.
     #[serde(rename = "d")]
     Done,
+    /// Its user cancelled it.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -359,8 +403,10 @@
 /// progress are dropped; the final state stays for good.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
+    /// Whether it is over, and how it ended.
     #[serde(rename = "f", default)]
     pub fin: Final,
+    /// What placing needs to know of it, while it is needed.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Spec>,
     /// The number of tasks, kept for display when the spec is gone.
@@ -375,8 +421,10 @@
     /// The next task that was never started.
     #[serde(rename = "x", default)]
     pub next: u32,
+    /// Tasks that were started before and have to be started again.
     #[serde(rename = "q", default, skip_serializing_if = "Ranges::is_empty")]
     pub retry: Ranges,
+    /// What is booked on machines.
     #[serde(
         rename = "r",
         default,
@@ -416,6 +464,7 @@
 }
 
 impl Job {
+    /// A job that was just accepted; `born` is the revision at that time.
     pub fn new(spec: Spec, born: u64) -> Self {
         Job {
             fin: Final::Open,
@@ -433,6 +482,7 @@
         }
     }
 
+    /// Whether it is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.fin == Final::Open
     }
@@ -461,6 +511,7 @@
         self.failed_on.clear();
     }
 
+    /// How many tasks are booked on machines.
     pub fn booked(&self) -> usize {
         self.runs.iter().map(|r| r.tasks.len()).sum()
     }
@@ -479,6 +530,7 @@
         }
     }
 
+    /// How many tasks are done.
     pub fn done_count(&self) -> u32 {
         match self.fin {
             Final::Done => self.tasks,
@@ -486,6 +538,7 @@
         }
     }
 
+    /// The run that has this task on this machine in this attempt.
     pub fn find(&self, machine: &str, attempt: u64, task: u32) -> Option<&Run> {
         self.runs
             .iter()
@@ -636,6 +689,7 @@
         }
     }
 
+    /// Makes the job cancelled, unless it is over already.
     pub fn cancel(&mut self) {
         if self.is_open() {
             self.fin = Final::Cancelled;
@@ -648,8 +702,10 @@
 /// its own record until that is first written; from then on that one counts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Arrivals {
+    /// The revision at which they were accepted.
     #[serde(rename = "b")]
     pub born: u64,
+    /// The jobs by their ids.
     #[serde(rename = "j")]
     pub jobs: BTreeMap<String, Spec>,
 }
@@ -657,6 +713,7 @@
 /// How a task's time on a machine came to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
+    /// It is complete.
     Done,
     /// It failed by itself: counts towards the back-off.
     Failed,
@@ -667,14 +724,18 @@
 /// `team/T`: what the team's bookings take.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Team {
+    /// The resources of all booked tasks.
     #[serde(rename = "u")]
     pub used: Room,
 }
 
+/// A machine that takes work, as its zone shard lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Slot {
+    /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub spot: bool,
     /// When the record was last written. What has ended since is free, too:
@@ -691,6 +752,7 @@
 /// controllers at once; a machine stays in its part.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
+    /// The machines by their ids.
     #[serde(rename = "m", default, deserialize_with = "crate::text::slots")]
     pub machines: BTreeMap<String, Slot>,
 }
@@ -701,11 +763,13 @@
     machine.len() + kind.len() + 130
 }
 
+/// How far a rented machine has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Life {
     /// Rented, not yet heard from.
     #[serde(rename = "b")]
     Booting,
+    /// Takes work.
     #[serde(rename = "a")]
     Active,
     /// Takes no new work.
@@ -723,6 +787,7 @@
 /// a return of dozens costs a few writes. Each has a token of its own.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Group {
+    /// The machines by their ids.
     #[serde(rename = "m", default, deserialize_with = "crate::text::members")]
     pub machines: BTreeMap<String, Machine>,
 }
@@ -736,25 +801,30 @@
 /// One machine, as its group has it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
+    /// The controller that commands it; empty if none has claimed it.
     #[serde(rename = "h", default)]
     pub holder: String,
     /// The incarnation of the holder that bumped the token: after a restart
     /// the same node must bump it again before it gives orders.
     #[serde(rename = "i", default)]
     pub incarnation: u64,
+    /// The fencing token of the holder's commands.
     #[serde(rename = "k", default)]
     pub token: u64,
     /// Session and number of the report that it was last claimed on: one that
     /// is no newer is a late copy, whoever it comes to.
     #[serde(rename = "s", default)]
     pub seen: (u64, u64),
+    /// How far it has come.
     #[serde(rename = "f")]
     pub life: Life,
+    /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
     /// Zone and part are the record's key: not written again.
     #[serde(skip)]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub spot: bool,
     /// The part of its zone's record that it belongs to, from its first record
@@ -783,12 +853,16 @@
 /// `hire/ID`: a rental that is or may be under way, or whose machines are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hire {
+    /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
+    /// The zone.
     #[serde(rename = "z")]
     pub zone: String,
+    /// Whether spot machines are rented.
     #[serde(rename = "l", default)]
     pub spot: bool,
+    /// How many machines were requested.
     #[serde(rename = "n")]
     pub count: u32,
     /// What the cloud has answered; empty until then. One write records all
@@ -800,6 +874,7 @@
 /// `types`: the cloud's machine types as last read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Types {
+    /// All machine types.
     pub types: Vec<MachineType>,
 }
 
@@ -807,8 +882,10 @@
 /// controller's state lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Renter {
+    /// The controller's name.
     #[serde(rename = "h")]
     pub node: String,
+    /// Which of the controller's starts it is from.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// The newest formats that its program knows. Programs from before there
@@ -828,8 +905,10 @@
 /// stands here; that is for good.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Formats {
+    /// The newest format that each controller can read, by their names.
     #[serde(rename = "n", default)]
     pub nodes: BTreeMap<String, u32>,
+    /// The newest format that every controller can read.
     #[serde(rename = "a", default)]
     pub all: u32,
 }
