--- /dev/null
+++ b/src/cloud/mod.rs
@@ -0,0 +1,37 @@
+//! The rented machines: who rents, what is rented, what goes back.
+//!
+//! One controller at a time rents, the one whose name stands under `fleet`,
+//! tied to a state lease. That alone makes nothing safe, and need not: every
+//! rental is committed before the call under a name that is never used again,
+//! and whatever turns up unexpectedly is used or returned.
+
+mod blame;
+mod boots;
+mod client;
+mod consolidation;
+mod demand;
+mod draining;
+mod headroom;
+mod idle;
+mod leases;
+mod life;
+mod list;
+mod offers;
+mod removal;
+mod rentals;
+mod returns;
+mod rounds;
+mod settling;
+mod silent;
+mod state;
+mod summary;
+mod types;
+
+pub use blame::{Blame, Judgement, blame, suspects};
+pub use boots::Boots;
+pub use leases::keep_leases;
+pub use rentals::keep_renting;
+pub use rounds::keep_fleet;
+pub use state::FleetState;
+pub use summary::census;
+pub use types::keep_types;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod admission;
 pub mod api;
 pub mod cli;
+pub mod cloud;
 pub mod draft;
-pub mod fleet;
 pub mod http;
 pub mod machines;
 pub mod mesh;
@@ -25,3 +25,6 @@
 pub mod text;
 pub mod view;
 pub mod wire;
+
+// The name under which other modules still use it.
+pub use cloud as fleet;
