--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -7,22 +7,28 @@
 use crate::node::Node;
 use crate::view::View;
 
+/// One of so many machines held may be suspect at once.
+const SUSPECT_FRACTION: usize = 4;
+
 /// What a machine's failures say of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub(super) enum Health {
     /// Nothing, or the jobs fail on others as well.
-    Fine,
+    Good,
     /// Several jobs failed there, and nobody knows yet whose fault it is.
     Suspect,
     /// A job that failed there has succeeded elsewhere since.
-    Sick,
+    Faulty,
 }
 
 /// What the failure of one job on a machine says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Blame {
+    /// The job fails on other machines, too, or is cancelled.
     Job,
+    /// The job has succeeded elsewhere since.
     Machine,
+    /// The job has not been tried again yet.
     Unknown,
 }
 
@@ -41,36 +47,42 @@
 
 /// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
 /// on all machines alike, and would send one after another away.
-pub(super) fn judgement(node: &Node, view: &View, machine: &str, hand: &Hand) -> Judgement {
-    let ends = node.ends.borrow();
+pub(super) fn health(node: &Node, view: &View, machine: &str, hand: &Hand) -> Health {
     let mut unknown = 0;
     for id in &hand.failed_jobs {
-        let first = EndKey {
-            job: id.clone(),
-            machine: machine.to_string(),
-            attempt: 0,
-            task: 0,
-        };
-        let mut waiting = ends.range(first..);
-        let waits = waiting
-            .next()
-            .is_some_and(|(k, _)| k.job == *id && k.machine == machine);
         let Some(job) = view.jobs.get(id) else {
             continue;
         };
+        if has_unrecorded_end(node, id, machine) {
+            unknown += 1;
+            continue;
+        }
         match blame(&job.value, machine) {
-            _ if waits => unknown += 1,
-            Blame::Machine => return Judgement::Sick,
+            Blame::Machine => return Health::Faulty,
             Blame::Unknown => unknown += 1,
             Blame::Job => {}
         }
     }
     match unknown {
-        0 | 1 => Judgement::Fine,
-        _ => Judgement::Suspect,
+        0 | 1 => Health::Good,
+        _ => Health::Suspect,
     }
 }
 
+/// Whether the end of a job's task on a machine is still to be recorded: the
+/// job's record does not hold that failure yet.
+fn has_unrecorded_end(node: &Node, job: &str, machine: &str) -> bool {
+    let first = EndKey {
+        job: job.to_string(),
+        machine: machine.to_string(),
+        attempt: 0,
+        task: 0,
+    };
+    let ends = node.ends.borrow();
+    let next = ends.range(first..).next();
+    next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
+}
+
 /// Machines that take no new work until it is known whose fault the failures
 /// there are: a quarter of those held at most, or many jobs with a mistake
 /// would leave no room to tell.
@@ -78,11 +90,11 @@
     let mut found: Vec<(usize, &String)> = hands
         .iter()
         .filter(|(_, hand)| hand.failed_jobs.len() > 1)
-        .filter(|(id, hand)| judgement(node, view, id, hand) == Judgement::Suspect)
+        .filter(|(id, hand)| health(node, view, id, hand) == Health::Suspect)
         .map(|(id, hand)| (hand.failed_jobs.len(), id))
         .collect();
     found.sort_by(|a, b| b.cmp(a));
-    let most = (hands.len() / 4).max(1);
-    let found = found.into_iter().take(most);
+    let limit = (hands.len() / SUSPECT_FRACTION).max(1);
+    let found = found.into_iter().take(limit);
     found.map(|(_, id)| id.clone()).collect()
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -8,16 +8,23 @@
 use crate::node::Node;
 use crate::store::Bucket;
 
+/// How long the cloud is left alone when it refuses calls.
+const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
+
+/// The part of the cloud's rate limit that is used.
+const USED_RATE: f64 = 0.9;
+
 impl Node {
+    /// Whether this controller rents: the record says so, and its state lease
+    /// stands as far as is known.
     pub fn is_renter(&self) -> bool {
-        self.view
-            .borrow()
-            .fleet
-            .as_ref()
-            .is_some_and(|f| f.value.incarnation == self.incarnation)
+        let view = self.view.borrow();
+        let renter = view.fleet.as_ref();
+        renter.is_some_and(|entry| entry.value.incarnation == self.incarnation)
             && self.fleet.borrow().lease.is_some()
     }
 
+    /// Calls the cloud, if this controller rents.
     pub(super) async fn cloud(
         &self,
         method: &str,
@@ -34,29 +41,14 @@
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        wanted: impl Fn() -> bool,
+        is_wanted: impl Fn() -> bool,
     ) -> Option<Response> {
         let pause = self.fleet.borrow().cloud_pause;
-        if pause.is_some_and(|t| t > Instant::now()) {
+        if pause.is_some_and(|until| until > Instant::now()) {
             return None;
         }
-        // The renter alone calls; rentals call at once, inside the limit.
-        loop {
-            let now = Instant::now();
-            let taken = {
-                let rps = self.settings.deployment.cloud.rps;
-                let mut fleet = self.fleet.borrow_mut();
-                let bucket = fleet
-                    .cloud_calls
-                    .get_or_insert_with(|| Bucket::new(rps * 0.9, rps, now));
-                bucket.take_one(now)
-            };
-            match taken {
-                Ok(()) => break,
-                Err(wait) => sleep(wait).await,
-            }
-        }
-        if !wanted() || !self.is_renter() || !self.has_state() {
+        self.cloud_turn().await;
+        if !is_wanted() || !self.is_renter() || !self.has_state() {
             return None;
         }
         let limit = self.settings.lease() / 3;
@@ -65,21 +57,47 @@
             .call(self.settings.external.cloud, method, path, body, limit)
             .await;
         match answer {
-            Ok(r) if r.status == 429 || (r.status >= 500 && !is_no_capacity(&r)) => {
-                tracing::debug!(status = r.status, path, "cloud refuses");
-                let pause = self.store.jitter(Duration::from_secs(1));
+            Ok(response) if is_overloaded(&response) => {
+                tracing::debug!(status = response.status, path, "cloud refuses");
+                let pause = self.store.jitter(OVERLOAD_PAUSE);
                 self.fleet.borrow_mut().cloud_pause = Some(Instant::now() + pause);
                 None
             }
-            Ok(r) => Some(r),
+            Ok(response) => Some(response),
             Err(error) => {
                 tracing::debug!(%error, path, "cloud does not answer");
                 None
             }
         }
     }
+
+    /// Waits until the cloud's limit allows one more call. The renter alone
+    /// calls; rentals call at once, inside the limit.
+    async fn cloud_turn(&self) {
+        loop {
+            let now = Instant::now();
+            let taken = {
+                let rps = self.settings.deployment.cloud.rps;
+                let mut fleet = self.fleet.borrow_mut();
+                let bucket = fleet
+                    .cloud_calls
+                    .get_or_insert_with(|| Bucket::new(rps * USED_RATE, rps, now));
+                bucket.take_one(now)
+            };
+            match taken {
+                Ok(()) => return,
+                Err(wait) => sleep(wait).await,
+            }
+        }
+    }
+}
+
+/// Whether the cloud takes no calls now; an answer that it has no capacity is
+/// one like any other.
+fn is_overloaded(response: &Response) -> bool {
+    response.status == 429 || (response.status >= 500 && !is_no_capacity(response))
 }
 
-fn is_no_capacity(r: &Response) -> bool {
-    String::from_utf8_lossy(&r.body).contains("no capacity")
+fn is_no_capacity(response: &Response) -> bool {
+    String::from_utf8_lossy(&response.body).contains("no capacity")
 }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -1,188 +1,328 @@
 //! What to rent: the work that fits neither the free room nor what is coming.
 
-use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::collections::{BTreeSet, HashSet};
 
 use tokio::time::Instant;
 
-use super::boots::Offer;
+use super::boots::booting;
 use super::headroom::{headroom, spare_places};
-use super::offers::{Bounds, RENT_MOST, best_offer, rent_one};
-use super::rentals::booting;
-use crate::admission::{self, Care, Hints, Plan};
+use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedRentals};
+use crate::admission::{self, Ages, Care, Hints, Plan, Wait};
 use crate::model::{DOUBT, Hire, Job, Room, Spec};
 use crate::node::Node;
+use crate::policy::JobFacts;
 use crate::view::View;
-use crate::wire::Kind;
+use crate::wire::{Kind, MachineType};
 
-/// Room that is on its way: booting machines and recorded rentals. Not those
-/// that are late: another is rented in their stead, and they are used if they
-/// come all the same.
-fn add_coming(plan: &mut Plan, view: &View, late: &HashSet<String>) {
-    let mut add = |kind: &str, zone: &str, spot: bool| {
-        if let Some(t) = view.type_of(kind)
-            && let Some(class) = view.find_class(kind, zone, spot)
-        {
-            plan.add(class, Room::of_type(t));
-        }
-    };
-    for (_, kind, zone, spot) in booting(view).filter(|b| !late.contains(b.0)) {
-        add(kind, zone, spot);
-    }
-    for e in view.hires.values().filter(|e| e.value.machines.is_empty()) {
-        for _ in 0..e.value.count {
-            add(&e.value.kind, &e.value.zone, e.value.spot);
-        }
-    }
-}
+/// A fraction of a task below which what is still missing rents nothing.
+const LEAST_SHORTFALL: f64 = 0.5;
 
 /// What to rent: room for the jobs, in queue order, whose tasks fit neither
-/// the free room nor what is coming. Offers that are asked for more than once
-/// become one rental.
+/// the free room nor what is coming, and for the next gang on accelerators.
 pub(super) fn demand(node: &Node) -> Vec<Hire> {
-    let settings = &node.settings;
-    name_offers(node);
+    register_offers(node);
     let view = node.view.borrow();
-    let mut hires: BTreeMap<Offer, (usize, Hire)> = BTreeMap::new();
     if view.types.value.types.is_empty() {
         return Vec::new();
     }
     let now = Instant::now();
-    let mut plan = Plan::of(&view);
-    add_coming(&mut plan, &view, &node.fleet.borrow().boots.late);
-    let home = "";
-    let hints = Hints::new(&view, home);
-    // The work that running independent tasks leave room for soon.
-    let mut turnover = running_cpus(&view);
-    let most = settings.txn_ops().saturating_sub(2).max(1);
+    // The rentals are committed together, beside the renter's own key.
+    let max_rentals = node.settings.txn_ops().saturating_sub(2).max(1);
     let ages = node.ages.borrow();
-    let queue = admission::queue(&view, &plan, settings, &ages, now);
-    let soon = about_to_start(&view);
-    let first_soon = soon.first().map(|s| s.0);
-    let ahead = soon.iter().map(|(id, _)| *id);
-    for id in queue.into_iter().chain(ahead) {
-        if Some(id) == first_soon {
-            // What they await ends before they begin: its room is theirs.
-            let before: BTreeSet<&String> = soon.iter().flat_map(|(_, left)| *left).collect();
-            for awaited in before {
-                let Some(job) = view.jobs.get(awaited).map(|e| &e.value) else {
-                    continue;
-                };
-                let Some(spec) = &job.spec else { continue };
-                for run in &job.runs {
-                    let room = spec.need.times(run.tasks.len());
-                    plan.give(&view, &run.machine, &spec.team, room);
-                }
+    let mut planner = Planner::new(node, &view, &ages, now);
+    let queue = admission::queue(&view, &planner.plan, &node.settings, &ages, now);
+    for id in queue {
+        planner.plan_job(id);
+    }
+    let starting = about_to_start(&view);
+    planner.release_awaited(&starting);
+    for (id, _) in starting {
+        planner.plan_job(id);
+    }
+    planner.plan_headroom(max_rentals);
+    planner.rentals.into_records(max_rentals)
+}
+
+/// Plans rentals for one job after another, each with what is left of the room
+/// by those before it.
+struct Planner<'a> {
+    node: &'a Node,
+    view: &'a View,
+    ages: &'a Ages,
+    hints: Hints<'a>,
+    now: Instant,
+    /// The free room, what is on its way, and what is planned to be rented.
+    plan: Plan,
+    /// CPUs of independent tasks that run: the room that they leave soon is not
+    /// yet counted on by any job.
+    turnover_cpus: f64,
+    rentals: PlannedRentals,
+}
+
+/// A job for which room is planned.
+struct JobDemand<'a> {
+    id: &'a str,
+    spec: &'a Spec,
+    facts: JobFacts,
+    /// The most that a task's place may cost, over the cheapest one.
+    max_price_ratio: f64,
+    /// The job as it would be with the places planned so far, so that its
+    /// zones' shares are kept.
+    planned: Job,
+    /// Zones where more room would not help.
+    excluded_zones: HashSet<String>,
+    /// The zone of the machine that was planned last.
+    last_zone: Option<String>,
+    care: Care,
+}
+
+/// Whether a job may need more than has been planned for it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Step {
+    Again,
+    Done,
+}
+
+impl<'a> Planner<'a> {
+    fn new(node: &'a Node, view: &'a View, ages: &'a Ages, now: Instant) -> Self {
+        let mut plan = Plan::of(view);
+        add_coming_room(&mut plan, node, view);
+        Planner {
+            node,
+            view,
+            ages,
+            hints: Hints::new(view, ""),
+            now,
+            plan,
+            turnover_cpus: running_array_cpus(view),
+            rentals: PlannedRentals::default(),
+        }
+    }
+
+    /// What the jobs that are about to start await ends before they begin: its
+    /// room is theirs.
+    fn release_awaited(&mut self, starting: &[(&str, &[String])]) {
+        let awaited: BTreeSet<&String> = starting.iter().flat_map(|(_, left)| *left).collect();
+        for id in awaited {
+            let Some(job) = self.view.jobs.get(id).map(|entry| &entry.value) else {
+                continue;
+            };
+            let Some(spec) = &job.spec else { continue };
+            for run in &job.runs {
+                let room = spec.need.times(run.tasks.len());
+                self.plan.give(self.view, &run.machine, &spec.team, room);
             }
         }
-        let Some(job) = view.jobs.get(id).map(|e| &e.value) else {
-            continue;
+    }
+
+    /// Plans what one job needs: by turns, rents a machine and fills it, as what
+    /// is rented for one task serves others.
+    fn plan_job(&mut self, id: &'a str) {
+        let Some(mut demand) = self.demand_of(id) else {
+            return;
         };
-        let Some(spec) = &job.spec else { continue };
-        if job.is_doubtful() && !may_rent_once_more(&view, job, spec) {
-            continue;
+        for attempt in 0..=MAX_RENTAL_SIZE {
+            self.place(&mut demand);
+            let unplaced = self.unplaced(&demand);
+            if unplaced == 0 || attempt == MAX_RENTAL_SIZE {
+                return;
+            }
+            if self.rent_for(&mut demand, unplaced) == Step::Done {
+                return;
+            }
         }
-        let age = ages
-            .get(id)
-            .map_or(0.0, |t| now.saturating_duration_since(*t).as_secs_f64());
-        let standing = view.standing(id, spec, now);
-        let facts = admission::facts(job, spec, &plan, settings, &view, age, &standing);
-        let policy = &settings.policy;
-        let dearest = policy.rent_price_ratio(&facts);
-        // The job as it would be with the places planned so far, so that its
-        // zones' shares are kept.
-        let mut planned = job.clone();
-        let mut barred: HashSet<String> = HashSet::new();
-        let mut rented: Option<String> = None;
-        // Rent and fill by turns: what is rented for one task serves others.
-        let mut tries = 0u32;
-        let mut care = Care::Strict;
-        loop {
-            match admission::fit(&planned, spec, &plan, &hints, settings, care) {
-                Ok(places) => {
-                    for p in &places {
-                        plan.take(p, &spec.team, spec.need);
-                    }
-                    let places: Vec<_> = places.iter().collect();
-                    crate::draft::book(&mut planned, spec, &places);
+    }
+
+    /// The job with what the policy says of it; none if it rents nothing.
+    fn demand_of(&self, id: &'a str) -> Option<JobDemand<'a>> {
+        let job = self.view.jobs.get(id).map(|entry| &entry.value)?;
+        let spec = job.spec.as_ref()?;
+        if job.is_doubtful() && !may_rent_for_doubtful(self.view, job, spec) {
+            return None;
+        }
+        let seen = self.ages.get(id);
+        let age = seen.map_or(0.0, |first| {
+            self.now.saturating_duration_since(*first).as_secs_f64()
+        });
+        let standing = self.view.standing(id, spec, self.now);
+        let settings = &self.node.settings;
+        let facts = admission::facts(job, spec, &self.plan, settings, self.view, age, &standing);
+        Some(JobDemand {
+            id,
+            spec,
+            max_price_ratio: settings.policy.rent_price_ratio(&facts),
+            facts,
+            planned: job.clone(),
+            excluded_zones: HashSet::new(),
+            last_zone: None,
+            care: Care::Strict,
+        })
+    }
+
+    /// Gives the job's tasks places in the planned room, as many as fit.
+    fn place(&mut self, demand: &mut JobDemand) {
+        let settings = &self.node.settings;
+        let spec = demand.spec;
+        match admission::fit(
+            &demand.planned,
+            spec,
+            &self.plan,
+            &self.hints,
+            settings,
+            demand.care,
+        ) {
+            Ok(places) => {
+                for place in &places {
+                    self.plan.take(place, &spec.team, spec.need);
                 }
-                // More room there does not help: it has its share already.
-                Err(_) if spec.spread => barred.extend(rented.take()),
-                Err(_) => {}
+                let places: Vec<_> = places.iter().collect();
+                crate::draft::book(&mut demand.planned, spec, &places);
             }
-            let mut left = planned.waiting();
-            if let Some(terms) = settings.team(&spec.team) {
-                let slots = admission::team_slots(terms, &plan.used(&spec.team), &spec.need);
-                left = left.min(slots);
+            // More room there does not help: it has its share already.
+            Err(_) if spec.spread => demand.excluded_zones.extend(demand.last_zone.take()),
+            Err(_) => {}
+        }
+    }
+
+    /// How many tasks have no place yet, of those that the team's limit allows.
+    fn unplaced(&self, demand: &JobDemand) -> usize {
+        let spec = demand.spec;
+        let waiting = demand.planned.waiting();
+        match self.node.settings.team(&spec.team) {
+            Some(terms) => {
+                let used = self.plan.used(&spec.team);
+                waiting.min(admission::team_slots(terms, &used, &spec.need))
             }
-            tries += 1;
-            if left == 0 || tries > RENT_MOST {
-                break;
+            None => waiting,
+        }
+    }
+
+    /// Plans one more machine for the job's tasks that have no place.
+    fn rent_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> Step {
+        let Some(wanted) = self.wanted_slots(demand, unplaced) else {
+            return Step::Done;
+        };
+        let bounds = OfferBounds {
+            care: demand.care,
+            max_price_ratio: demand.max_price_ratio,
+            excluded_zones: &demand.excluded_zones,
+        };
+        let Some((kind, offer)) = self.best_offer(demand.spec, wanted, &bounds) else {
+            if demand.care != Care::Lax {
+                demand.care = Care::Lax;
+                return Step::Again;
             }
-            let mut wanted = left as f64;
-            if spec.kind == Kind::Array {
-                // Tasks that run one after another in the window need less
-                // room at once; what others free in that time serves too.
-                let window = policy.rent_window_s(&facts);
-                let cpus = spec.need.cpus.units().max(0.001);
-                wanted = wanted * spec.estimate_s.max(1.0) / window;
-                let covered = wanted.min(turnover * policy.rent_turnover(&facts) / cpus);
-                turnover -= covered * cpus / policy.rent_turnover(&facts).max(0.01);
-                wanted -= covered;
-                // So little follows in the room of what runs; but what has no
-                // place at all, and none to follow, would wait for ever.
-                if wanted < 0.5 && (planned.booked() > 0 || covered > 0.0) {
-                    break;
-                }
+            // What does not wait for room yet is not told so.
+            if self.view.awaited(demand.id).is_empty() {
+                crate::placement::note(self.node, demand.id, Wait::Refused, self.now);
             }
-            let wanted = wanted.ceil().max(1.0) as usize;
-            let bounds = Bounds {
-                care,
-                dearest,
-                barred: &barred,
-            };
-            let Some((t, offer)) = best_offer(node, &view, &hires, spec, wanted, &bounds) else {
-                if care == Care::Lax {
-                    // What does not wait for room yet is not told so.
-                    if !view.awaited(id).is_empty() {
-                        break;
-                    }
-                    crate::placement::note(node, id, admission::Wait::Refused, now);
-                    break;
-                }
-                care = Care::Lax;
-                continue;
-            };
-            rented = Some(offer.1.clone());
-            rent_one(&view, &mut hires, &mut plan, t, offer);
-            if spec.kind == Kind::Array {
-                // The rest of its tasks follow one another in that room.
-                let room = Room::of_type(t).slots(&spec.need);
-                if room >= wanted {
-                    break;
-                }
+            return Step::Done;
+        };
+        demand.last_zone = Some(offer.zone.clone());
+        self.rent(kind, offer);
+        // The rest of an array's tasks follow one another in that room.
+        let holds_all = Room::of_type(kind).slots(&demand.spec.need) >= wanted;
+        match demand.spec.kind == Kind::Array && holds_all {
+            true => Step::Done,
+            false => Step::Again,
+        }
+    }
+
+    /// How many slots the job needs more; none if what others leave is enough.
+    fn wanted_slots(&mut self, demand: &JobDemand, unplaced: usize) -> Option<usize> {
+        let spec = demand.spec;
+        let policy = &self.node.settings.policy;
+        let mut wanted = unplaced as f64;
+        if spec.kind == Kind::Array {
+            // Tasks that run one after another in the window need less
+            // room at once; what others free in that time serves too.
+            let window = policy.rent_window_s(&demand.facts);
+            let cpus = spec.need.cpus.units().max(0.001);
+            wanted = wanted * spec.estimate_s.max(1.0) / window;
+            let turnover = policy.rent_turnover(&demand.facts);
+            let covered = wanted.min(self.turnover_cpus * turnover / cpus);
+            self.turnover_cpus -= covered * cpus / turnover.max(0.01);
+            wanted -= covered;
+            // So little follows in the room of what runs; but what has no
+            // place at all, and none to follow, would wait for ever.
+            if wanted < LEAST_SHORTFALL && (demand.planned.booked() > 0 || covered > 0.0) {
+                return None;
             }
         }
+        Some(wanted.ceil().max(1.0) as usize)
     }
-    // Places that stand ready for the next gang.
-    if let Some(gpu) = &view.gpu_spec {
-        let wanted = headroom(node, &view, &plan);
+
+    /// Plans machines until enough places stand ready for the next gang.
+    fn plan_headroom(&mut self, max_rentals: usize) {
+        let Some(gpu) = &self.view.gpu_spec else {
+            return;
+        };
+        let wanted = headroom(self.node, self.view, &self.plan);
+        let excluded_zones = HashSet::new();
+        let bounds = OfferBounds {
+            care: Care::Lax,
+            max_price_ratio: f64::INFINITY,
+            excluded_zones: &excluded_zones,
+        };
         let mut tries = 0;
-        while spare_places(&view, &plan, None) < wanted && tries < most {
+        while spare_places(self.view, &self.plan, None) < wanted && tries < max_rentals {
             tries += 1;
-            let bounds = Bounds {
-                care: Care::Lax,
-                dearest: f64::INFINITY,
-                barred: &HashSet::new(),
+            let Some((kind, offer)) = self.best_offer(gpu, 1, &bounds) else {
+                return;
             };
-            let found = best_offer(node, &view, &hires, gpu, 1, &bounds);
-            let Some((t, offer)) = found else { break };
-            rent_one(&view, &mut hires, &mut plan, t, offer);
+            self.rent(kind, offer);
+        }
+    }
+
+    fn best_offer(
+        &self,
+        spec: &Spec,
+        wanted: usize,
+        bounds: &OfferBounds,
+    ) -> Option<(&'a MachineType, Offer)> {
+        let fleet = self.node.fleet.borrow();
+        let search = OfferSearch {
+            view: self.view,
+            fleet: &fleet,
+            rentals: &self.rentals,
+            now: self.now,
+        };
+        search.best(spec, wanted, bounds)
+    }
+
+    /// Plans one more machine of an offer, with its room.
+    fn rent(&mut self, kind: &MachineType, offer: Offer) {
+        add_room(&mut self.plan, self.view, kind, &offer.zone, offer.spot);
+        self.rentals.add(offer);
+    }
+}
+
+/// Adds the room of one machine of an offer to the plan.
+fn add_room(plan: &mut Plan, view: &View, kind: &MachineType, zone: &str, spot: bool) {
+    if let Some(class) = view.find_class(&kind.name, zone, spot) {
+        plan.add(class, Room::of_type(kind));
+    }
+}
+
+/// Room that is on its way: booting machines and recorded rentals. Not those
+/// that are late: another is rented in their stead, and they are used if they
+/// come all the same.
+fn add_coming_room(plan: &mut Plan, node: &Node, view: &View) {
+    let boots = &node.fleet.borrow().boots;
+    let mut add = |kind: &str, zone: &str, spot: bool| {
+        if let Some(kind) = view.type_of(kind) {
+            add_room(plan, view, kind, zone, spot);
+        }
+    };
+    for machine in booting(view).filter(|machine| !boots.is_late(machine.id)) {
+        add(machine.kind, machine.zone, machine.spot);
+    }
+    let rentals = view.hires.values().map(|entry| &entry.value);
+    for rental in rentals.filter(|rental| rental.machines.is_empty()) {
+        for _ in 0..rental.count {
+            add(&rental.kind, &rental.zone, rental.spot);
         }
     }
-    // The first in the queue were asked for first.
-    let mut hires: Vec<(usize, Hire)> = hires.into_values().collect();
-    hires.sort_by_key(|h| h.0);
-    hires.into_iter().map(|h| h.1).take(most).collect()
 }
 
 /// Jobs that wait for others which are about to end, and what those are: all
@@ -191,10 +331,10 @@
 fn about_to_start(view: &View) -> Vec<(&str, &[String])> {
     let boot_s = view.least_boot_s();
     let ends_soon = |id: &String| {
-        let job = view.jobs.get(id).map(|e| &e.value);
-        let job = job.filter(|j| j.booked() > 0 && j.waiting() == 0);
-        let spec = job.and_then(|j| j.spec.as_ref());
-        spec.is_some_and(|s| s.kind != Kind::Service && s.estimate_s <= boot_s)
+        let job = view.jobs.get(id).map(|entry| &entry.value);
+        let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
+        let spec = job.and_then(|job| job.spec.as_ref());
+        spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
     };
     let held = view.held();
     held.filter(|(_, left)| left.iter().all(ends_soon))
@@ -203,36 +343,37 @@
 
 /// A job that fails wherever it runs rents nothing: it is tried on what others
 /// have. Where nothing is there that could hold it, it may a few times more, or
-/// three sick machines in a row would be the end of a job in order.
-fn may_rent_once_more(view: &View, job: &Job, spec: &Spec) -> bool {
+/// three faulty machines in a row would be the end of a job in order.
+fn may_rent_for_doubtful(view: &View, job: &Job, spec: &Spec) -> bool {
     let holds = |class: &crate::view::Class| {
         let room = view.class_type(class).map(Room::of_type);
         spec.allows(&class.kind, &class.zone, class.spot)
-            && room.is_some_and(|r| r.fits(&spec.need))
+            && room.is_some_and(|room| room.fits(&spec.need))
     };
-    let tries = DOUBT as u32 * 2;
+    let max_errors = DOUBT as u32 * 2;
     let mut spots = view.spots();
     job.booked() == 0
-        && job.errors <= tries
-        && !spots.any(|s| holds(&view.classes[s.class as usize]))
+        && job.errors <= max_errors
+        && !spots.any(|spot| holds(&view.classes[spot.class as usize]))
 }
 
 /// Every offer is known as a class of machines before the plan counts on it.
-fn name_offers(node: &Node) {
+fn register_offers(node: &Node) {
     let mut view = node.view.borrow_mut();
-    for t in view.types.value.types.clone() {
-        for zone in &t.zones {
+    for kind in view.types.value.types.clone() {
+        for zone in &kind.zones {
             for spot in [true, false] {
-                view.class(&t.name, zone, spot);
+                view.class(&kind.name, zone, spot);
             }
         }
     }
 }
 
-fn running_cpus(view: &View) -> f64 {
+/// CPUs of all independent tasks that run.
+fn running_array_cpus(view: &View) -> f64 {
     let mut cpus = 0.0;
     for (_, id) in &view.open {
-        if let Some(job) = view.jobs.get(id).map(|e| &e.value)
+        if let Some(job) = view.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
             && spec.kind == Kind::Array
         {
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -1,8 +1,9 @@
-//! Draining of machines that the cloud takes back.
+//! Draining of machines that the cloud takes back: no new work goes there, and
+//! what runs there saves its progress while there is time.
 
 use super::life::set_life;
 use crate::draft::COMMIT_BYTES;
-use crate::model::{Life, Spec};
+use crate::model::{Job, Life, Spec};
 use crate::node::{Node, guard};
 use crate::store::Class;
 use crate::view::job_key;
@@ -13,8 +14,7 @@
 pub(super) async fn drain_recalled(node: &Node) {
     let ids: Vec<String> = node.fleet.borrow_mut().recalled.drain().collect();
     for id in ids {
-        let life = node.view.borrow().machines.get(&id).map(|m| m.value.life);
-        if life == Some(Life::Active) && node.holds(&id) {
+        if is_active_here(node, &id) {
             tracing::info!(machine = id, "is being taken back: draining");
             if !set_life(node, &id, Life::Draining).await {
                 node.fleet.borrow_mut().recalled.insert(id.clone());
@@ -30,40 +30,54 @@
     }
 }
 
+/// Whether a machine takes work and is held by this controller.
+fn is_active_here(node: &Node, id: &str) -> bool {
+    let view = node.view.borrow();
+    let machine = view.machines.get(id).map(|entry| &entry.value);
+    machine.is_some_and(|machine| machine.life == Life::Active) && node.holds(id)
+}
+
+/// The commit that stops the work on a machine that can save its progress; as
+/// much of it as one commit holds.
 fn stops_for_drain(node: &Node, machine: &str) -> (Vec<Guard>, Vec<Write>) {
     let view = node.view.borrow();
-    let ops = node.settings.txn_ops();
+    let max_writes = node.settings.txn_ops();
     let mut guards = Vec::new();
     let mut writes = Vec::new();
     let mut bytes = 0;
     for (id, entry) in view.jobs_on(machine) {
-        let saves = entry
-            .value
-            .spec
-            .as_ref()
-            .is_some_and(|s| s.checkpoint_s > 0.0 || s.kind == Kind::Service);
-        let told = entry
-            .value
-            .runs
-            .iter()
-            .all(|r| r.machine != machine || r.stop);
-        let full = writes.len() == ops || bytes > COMMIT_BYTES / 2;
-        if !saves || told || !entry.value.is_open() || full {
+        let is_full = writes.len() == max_writes || bytes > COMMIT_BYTES / 2;
+        if is_full || !is_to_stop(&entry.value, machine) {
             continue;
         }
-        let mut job = entry.value.clone();
-        let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-        for run in &mut job.runs {
-            if gang || run.machine == machine {
-                run.stop = true;
-            }
-        }
-        guards.push(guard(job_key(id), entry.version));
-        let write = view.put_job(id, &job);
+        let write = view.put_job(id, &stopped(&entry.value, machine));
         if let Write::Put { value, .. } = &write {
             bytes += value.get().len();
         }
+        guards.push(guard(job_key(id), entry.version));
         writes.push(write);
     }
     (guards, writes)
 }
+
+/// Whether a job loses nothing by a stop, and has not been told yet.
+fn is_to_stop(job: &Job, machine: &str) -> bool {
+    let saves = job
+        .spec
+        .as_ref()
+        .is_some_and(|spec| spec.checkpoint_s > 0.0 || spec.kind == Kind::Service);
+    let mut here = job.runs.iter().filter(|run| run.machine == machine);
+    saves && job.is_open() && here.any(|run| !run.stop)
+}
+
+/// The job with its tasks on the machine told to stop; all of a gang's.
+fn stopped(job: &Job, machine: &str) -> Job {
+    let mut job = job.clone();
+    let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+    for run in &mut job.runs {
+        if is_gang || run.machine == machine {
+            run.stop = true;
+        }
+    }
+    job
+}
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -12,13 +12,13 @@
     let Some(gpu) = &view.gpu_spec else {
         return 0;
     };
-    let open = view.open.iter().any(|(_, id)| {
-        let job = view.jobs.get(id).map(|e| &e.value);
-        let job = job.filter(|j| !j.is_doubtful());
-        let spec = job.and_then(|j| j.spec.as_ref());
-        spec.is_some_and(|s| s.need.gpus.0 > 0)
+    let has_gpu_jobs = view.open.iter().any(|(_, id)| {
+        let job = view.jobs.get(id).map(|entry| &entry.value);
+        let job = job.filter(|job| !job.is_doubtful());
+        let spec = job.and_then(|job| job.spec.as_ref());
+        spec.is_some_and(|spec| spec.need.gpus.0 > 0)
     });
-    if !open {
+    if !has_gpu_jobs {
         return 0;
     }
     let next = Job::new(gpu.clone(), 0);
@@ -28,7 +28,7 @@
     (jobs * f64::from(gpu.tasks)).round() as usize
 }
 
-/// Free places of the accelerators' usual shape.
+/// Free places of the accelerators' usual shape, in one zone or in all.
 pub(super) fn spare_places(view: &View, plan: &Plan, zone: Option<&str>) -> usize {
     let Some(gpu) = &view.gpu_spec else {
         return 0;
@@ -36,11 +36,14 @@
     let allowed: Vec<bool> = view
         .classes
         .iter()
-        .map(|c| gpu.allows(&c.kind, &c.zone, c.spot) && zone.is_none_or(|z| z == &*c.zone))
+        .map(|class| {
+            gpu.allows(&class.kind, &class.zone, class.spot)
+                && zone.is_none_or(|zone| zone == &*class.zone)
+        })
         .collect();
     plan.spots
         .iter()
-        .filter(|s| allowed[s.class as usize])
-        .map(|s| s.free.slots(&gpu.need))
+        .filter(|spot| allowed[spot.class as usize])
+        .map(|spot| spot.free.slots(&gpu.need))
         .sum()
 }
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -1,152 +1,221 @@
-//! Machines that the renter sends away.
+//! Machines that the renter sends away: without a holder, without work that is
+//! worth their price, drained, or not up in time.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
+use tokio::time::Instant;
+
+use super::boots::booting;
 use super::headroom::{headroom, spare_places};
-use super::offers::{cheapest_of, cost, machine_facts};
-use super::removal::Leaving;
-use super::rentals::booting;
+use super::offers::{cheapest_place, machine_facts, price_of};
+use super::removal::{Reason, Removal};
+use super::state::FleetState;
 use crate::admission::{self, Plan};
-use crate::model::{Life, Room};
+use crate::model::{Life, Machine, Room};
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::view::View;
 use crate::wire::MachineType;
 
+/// How many times the cheapest price a machine may cost that is kept for work
+/// that only fills idle time.
+const MAX_FILLER_PRICE_RATIO: f64 = 4.0;
+
+/// Machines without a live holder are returned after so many leases. A zone
+/// that is partitioned off has all its machines held by controllers that are
+/// partitioned off with it: they come back together, and to return them would
+/// be to rent a third of the fleet anew.
+const ORPHANED_LEASES: u32 = 3;
+
+/// Machines that the renter sends away, and why.
+pub(super) fn unneeded_machines(node: &Node) -> Vec<Removal> {
+    let now = node.pulse();
+    let view = node.view.borrow();
+    let mut fleet = node.fleet.borrow_mut();
+    let mut review = Review::new(node, &view, now);
+    let mut removals = Vec::new();
+    for (id, entry) in &view.machines {
+        let machine = &entry.value;
+        if matches!(machine.life, Life::Active | Life::Draining)
+            && let Some(kind) = view.type_of(&machine.kind)
+        {
+            removals.extend(review.removal_of(&mut fleet, id, machine, kind));
+        }
+    }
+    removals.extend(overdue_boots(node, &view, &mut fleet, now));
+    forget_unknown(&view, &mut fleet);
+    removals
+}
+
+/// One pass over the machines that are up.
+struct Review<'a> {
+    node: &'a Node,
+    view: &'a View,
+    now: Instant,
+    /// Places that stay ready for the next gang on accelerators.
+    headroom: usize,
+    /// Free places for such work, less those on machines sent away so far.
+    spare: usize,
+}
+
+impl<'a> Review<'a> {
+    fn new(node: &'a Node, view: &'a View, now: Instant) -> Self {
+        let plan = Plan::of(view);
+        Review {
+            node,
+            view,
+            now,
+            headroom: headroom(node, view, &plan),
+            spare: spare_places(view, &plan, None),
+        }
+    }
+
+    /// Whether an active or draining machine should leave.
+    fn removal_of(
+        &mut self,
+        fleet: &mut FleetState,
+        id: &str,
+        machine: &Machine,
+        kind: &MachineType,
+    ) -> Option<Removal> {
+        if self.is_orphaned(fleet, id, machine) {
+            return Some(Removal::new(id, Life::Returning, Reason::Orphaned));
+        }
+        let booked = self.view.bookings.contains_key(id);
+        if booked && self.stays_for_work(fleet, id, machine, kind) {
+            fleet.empty_since.remove(id);
+            return None;
+        }
+        let since = *fleet.empty_since.entry(id.to_string()).or_insert(self.now);
+        if machine.life == Life::Draining {
+            return Some(Removal::new(id, Life::Returning, Reason::Drained));
+        }
+        let idle = self.now.saturating_duration_since(since);
+        let facts = machine_facts(kind, machine.spot);
+        let idle_limit = Duration::from_secs_f64(self.node.settings.policy.idle_s(&facts));
+        if idle <= idle_limit || self.is_headroom(machine, kind) {
+            return None;
+        }
+        Some(match booked {
+            true => Removal::new(id, Life::Draining, Reason::OnlyFillers),
+            false => Removal::new(id, Life::Returning, Reason::Idle),
+        })
+    }
+
+    /// A worker whose controller is gone reports to another one soon, and is
+    /// claimed by it; if not, it is gone, too.
+    fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
+        let holder = self.view.nodes.get(&machine.holder);
+        if holder.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
+            fleet.first_seen.remove(id);
+            return false;
+        }
+        let first = *fleet.first_seen.entry(id.to_string()).or_insert(self.now);
+        let limit = self.node.settings.lease() * ORPHANED_LEASES;
+        self.now.saturating_duration_since(first) > limit
+    }
+
+    /// Whether a machine's work keeps it rented. Work that fills what stands
+    /// idle does not keep one that costs more than such work may: it is drained,
+    /// so that the work saves its progress and goes elsewhere.
+    fn stays_for_work(
+        &self,
+        fleet: &mut FleetState,
+        id: &str,
+        machine: &Machine,
+        kind: &MachineType,
+    ) -> bool {
+        if !only_costly_fillers(self.view, &self.node.settings, id, kind, machine.spot) {
+            return true;
+        }
+        let draining = machine.life == Life::Draining;
+        if draining {
+            fleet.recalled.insert(id.to_string());
+        }
+        draining
+    }
+
+    /// Whether an idle machine is kept for the next gang on accelerators.
+    fn is_headroom(&mut self, machine: &Machine, kind: &MachineType) -> bool {
+        if kind.gpus <= 0.0 {
+            return false;
+        }
+        let Some(gpu) = &self.view.gpu_spec else {
+            return false;
+        };
+        if !gpu.allows(&machine.kind, &machine.zone, machine.spot) {
+            return false;
+        }
+        let places = Room::of_type(kind).slots(&gpu.need);
+        if places > 0 && self.spare < self.headroom + places {
+            return true;
+        }
+        self.spare -= places.min(self.spare);
+        false
+    }
+}
+
 /// Whether all that a machine runs fills idle time, at a price that such work
 /// is not worth.
-fn only_fillers(
+fn only_costly_fillers(
     view: &View,
     settings: &Settings,
     machine: &str,
     kind: &MachineType,
     spot: bool,
 ) -> bool {
-    view.jobs_on(machine).all(|(id, e)| {
-        let spec = e.value.spec.as_ref().filter(|_| e.value.is_open());
+    view.jobs_on(machine).all(|(id, entry)| {
+        let job = &entry.value;
+        let spec = job.spec.as_ref().filter(|_| job.is_open());
         !view.is_needed(id)
-            && spec.is_some_and(|s| {
-                let slots = Room::of_type(kind).slots(&s.need).max(1) as f64;
-                let worth = cheapest_of(view, s) * FILLER_PRICE;
-                admission::is_filler(s, settings) && cost(kind, spot) / slots > worth
+            && spec.is_some_and(|spec| {
+                let slots = Room::of_type(kind).slots(&spec.need).max(1) as f64;
+                let max_price = cheapest_place(view, spec) * MAX_FILLER_PRICE_RATIO;
+                admission::is_filler(spec, settings) && price_of(kind, spot) / slots > max_price
             })
     })
 }
 
-/// How many times the cheapest price a machine may cost that is kept for work
-/// that only fills idle time.
-const FILLER_PRICE: f64 = 4.0;
-
-/// Machines that the renter sends away, and why.
-pub(super) fn judge(node: &Node) -> Leaving {
-    let now = node.pulse();
-    let view = node.view.borrow();
-    let mut fleet = node.fleet.borrow_mut();
-    // A zone that is cut off has all its machines held by controllers that are
-    // cut off with it: they come back together, and to return them would be to
-    // rent a third of the fleet anew.
-    let orphaned = node.settings.lease() * 3;
-    let settings = &node.settings;
-    let plan = Plan::of(&view);
-    let kept = headroom(node, &view, &plan);
-    let mut spare = spare_places(&view, &plan, None);
-    let mut leaving = Vec::new();
-    for (id, entry) in &view.machines {
-        let m = &entry.value;
-        let Some(kind) = view.type_of(&m.kind) else {
-            continue;
-        };
-        let facts = machine_facts(kind, m.spot);
-        let policy = &node.settings.policy;
-        match m.life {
-            Life::Booting => {}
-            Life::Active | Life::Draining => {
-                // A worker whose controller is gone reports to another one
-                // soon, and is claimed by it; if not, it is gone, too.
-                let held = view
-                    .nodes
-                    .get(&m.holder)
-                    .is_some_and(|n| n.value.incarnation == m.incarnation);
-                if held {
-                    fleet.first_seen.remove(id);
-                } else {
-                    let first = *fleet.first_seen.entry(id.clone()).or_insert(now);
-                    if now.saturating_duration_since(first) > orphaned {
-                        leaving.push((id.clone(), Life::Returning, "reports to nobody"));
-                        continue;
-                    }
-                }
-                // Work that fills what stands idle does not keep a machine that
-                // costs more than such work may: it saves, and goes elsewhere.
-                let booked = view.bookings.contains_key(id);
-                let pinned = booked && !only_fillers(&view, settings, id, kind, m.spot);
-                if pinned || (booked && m.life == Life::Draining) {
-                    if !pinned {
-                        fleet.recalled.insert(id.clone());
-                    }
-                    fleet.empty_since.remove(id);
-                    continue;
-                }
-                let since = *fleet.empty_since.entry(id.clone()).or_insert(now);
-                let idle = now.saturating_duration_since(since);
-                if m.life == Life::Draining {
-                    leaving.push((id.clone(), Life::Returning, "drained"));
-                } else if idle > Duration::from_secs_f64(policy.idle_s(&facts)) {
-                    // What stands ready for the next gang stays.
-                    if kind.gpus > 0.0
-                        && let Some(gpu) = &view.gpu_spec
-                        && gpu.allows(&m.kind, &m.zone, m.spot)
-                    {
-                        let here = Room::of_type(kind).slots(&gpu.need);
-                        if here > 0 && spare < kept + here {
-                            continue;
-                        }
-                        spare -= here.min(spare);
-                    }
-                    leaving.push(match booked {
-                        true => (id.clone(), Life::Draining, "holds up fillers alone"),
-                        false => (id.clone(), Life::Returning, "idle"),
-                    });
-                }
-            }
-            Life::Returning | Life::Gone => {}
-        }
-    }
-    let up = |id: &str| {
-        let machine = view.machines.get(id).map(|m| &m.value);
-        machine.is_some_and(|m| m.life == Life::Active)
+/// Machines that should have come up by now; notes those that are late.
+fn overdue_boots(node: &Node, view: &View, fleet: &mut FleetState, now: Instant) -> Vec<Removal> {
+    let is_up = |id: &str| {
+        let machine = view.machines.get(id).map(|entry| &entry.value);
+        machine.is_some_and(|machine| machine.life == Life::Active)
     };
-    let boots = &mut fleet.boots;
-    boots.see(booting(&view), up, now);
-    for (id, kind, zone, spot) in booting(&view) {
-        let Some(kind) = view.type_of(kind) else {
+    fleet.boots.observe(booting(view), is_up, now);
+    let mut removals = Vec::new();
+    for machine in booting(view) {
+        let Some(kind) = view.type_of(machine.kind) else {
             continue;
         };
+        let (id, zone) = (machine.id, machine.zone);
         let first = *fleet.first_seen.entry(id.to_string()).or_insert(now);
-        let limit = node
-            .settings
-            .policy
-            .boot_limit_s(&machine_facts(kind, spot));
-        let age = now.saturating_duration_since(first).as_secs_f64();
-        let late_s = fleet.boots.late_s(kind, zone, limit);
+        let facts = machine_facts(kind, machine.spot);
+        let limit_s = node.settings.policy.boot_limit_s(&facts);
+        let age_s = now.saturating_duration_since(first).as_secs_f64();
+        let late_s = fleet.boots.late_after_s(kind, zone, limit_s);
         let pause = Duration::from_secs_f64(late_s);
-        if age > late_s && fleet.boots.late.insert(id.to_string()) {
+        if age_s > late_s && fleet.boots.mark_late(id) {
             tracing::info!(machine = id, kind = kind.name, zone, late_s, "is late");
-            fleet.boots.fails(id, pause, now);
+            fleet.boots.note_failure(id, pause, now);
         }
-        if age > limit {
-            leaving.push((id.to_string(), Life::Returning, "never came up"));
-            fleet.boots.fails(id, pause * 2, now);
+        if age_s > limit_s {
+            removals.push(Removal::new(id, Life::Returning, Reason::NeverCameUp));
+            fleet.boots.note_failure(id, pause * 2, now);
         }
     }
+    removals
+}
+
+/// Drops what is remembered of machines that are neither recorded nor rented.
+fn forget_unknown(view: &View, fleet: &mut FleetState) {
     let mut known: HashSet<&str> = view.machines.keys().map(String::as_str).collect();
-    known.extend(booting(&view).map(|(id, _, _, _)| id));
+    known.extend(booting(view).map(|machine| machine.id));
     fleet.first_seen.retain(|id, _| known.contains(id.as_str()));
     fleet.sent_home.retain(|id, _| known.contains(id.as_str()));
     fleet.kept.retain(|id, _| known.contains(id.as_str()));
     fleet
         .empty_since
         .retain(|id, _| known.contains(id.as_str()));
-    leaving
 }
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -1,44 +1,108 @@
-//! The state lease of this controller and the keys that are tied to it.
+//! The state lease of this controller and the keys that are tied to it: the one
+//! that says that it is up, and the one that says which controller rents.
 
 use std::rc::Rc;
+use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
 use crate::model::{FORMATS, Renter};
 use crate::node::{Node, guard, put};
 use crate::store::{Class, StoreError};
-use crate::view::{FLEET_KEY, FORMATS_KEY, node_key};
-use crate::wire::{Write, raw};
+use crate::view::{FLEET_KEY, FORMATS_KEY, View, node_key};
+use crate::wire::{Guard, Write, raw};
+
+/// Keeps the state lease by a loop of its own: the cloud's answers and the
+/// budget may hold up the rest for longer than it lasts.
+pub async fn keep_leases(node: Rc<Node>) {
+    let tick = node.settings.lease() / 16;
+    let retry = tick / 16;
+    loop {
+        if !node.view.borrow().loaded {
+            sleep(retry).await;
+            continue;
+        }
+        match keep_lease(&node).await {
+            Ok(Progress::NewLease) => continue,
+            Ok(Progress::Kept) => {}
+            Err(error) => tracing::debug!(%error, "state lease"),
+        }
+        sleep(node.store.jitter(tick)).await;
+    }
+}
+
+/// What one pass has done.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    /// A lease that is new: the keys are to be tied to it at once.
+    NewLease,
+    /// All that could be done now is done.
+    Kept,
+}
 
 /// Keeps this controller's state lease, the key that says it is up, and, when
-/// nobody has it, the key that says who rents. True when there is more to do
-/// at once.
-async fn keep_lease(node: &Node) -> Result<bool, StoreError> {
+/// nobody has it, the key that says who rents.
+async fn keep_lease(node: &Node) -> Result<Progress, StoreError> {
     let ttl = node.settings.lease() / 2;
     let held = node.fleet.borrow().lease;
     let Some(lease) = held else {
         let lease = node.store.hold(ttl).await?;
         let mut fleet = node.fleet.borrow_mut();
         fleet.lease = Some(lease);
-        fleet.extended = Some(Instant::now());
-        return Ok(true);
+        fleet.lease_extended_at = Some(Instant::now());
+        return Ok(Progress::NewLease);
     };
-    let due = node
-        .fleet
-        .borrow()
-        .extended
-        .is_none_or(|t| t.elapsed() > ttl / 4);
-    if due {
-        match node.store.extend(lease).await {
-            Ok(()) => node.fleet.borrow_mut().extended = Some(Instant::now()),
-            Err(StoreError::NoLease) => {
-                tracing::info!("the state lease has run out");
-                node.fleet.borrow_mut().lease = None;
-                return Ok(false);
+    if extend_if_due(node, lease, ttl).await? {
+        sign_keys(node, lease).await?;
+    }
+    Ok(Progress::Kept)
+}
+
+/// Whether the lease still stands.
+async fn extend_if_due(node: &Node, lease: u64, ttl: Duration) -> Result<bool, StoreError> {
+    let extended_at = node.fleet.borrow().lease_extended_at;
+    if extended_at.is_some_and(|extended| extended.elapsed() <= ttl / 4) {
+        return Ok(true);
+    }
+    match node.store.extend(lease).await {
+        Ok(()) => {
+            node.fleet.borrow_mut().lease_extended_at = Some(Instant::now());
+            Ok(true)
+        }
+        Err(StoreError::NoLease) => {
+            tracing::info!("the state lease has run out");
+            node.fleet.borrow_mut().lease = None;
+            Ok(false)
+        }
+        Err(error) => Err(error),
+    }
+}
+
+/// Writes the keys that do not say yet what they should.
+async fn sign_keys(node: &Node, lease: u64) -> Result<(), StoreError> {
+    let (guards, writes) = missing_keys(node, &node.view.borrow(), lease);
+    if writes.is_empty() {
+        return Ok(());
+    }
+    let rents = guards.iter().any(|guard| guard.key == FLEET_KEY);
+    match node.commit(Class::Lease, guards, writes).await {
+        Ok(_) => {
+            if rents {
+                tracing::info!("renting from now on");
             }
-            Err(e) => return Err(e),
+            Ok(())
         }
+        Err(StoreError::NoLease) => {
+            node.fleet.borrow_mut().lease = None;
+            Ok(())
+        }
+        Err(error) => Err(error),
     }
+}
+
+/// The commit that ties to the lease what is not tied to it, and that adds the
+/// formats which other controllers have been seen to know.
+fn missing_keys(node: &Node, view: &View, lease: u64) -> (Vec<Guard>, Vec<Write>) {
     let me = Renter {
         node: node.name().to_string(),
         incarnation: node.incarnation,
@@ -54,68 +118,32 @@
             lease: Some(lease),
         });
     };
-    {
-        let view = node.view.borrow();
-        match view.nodes.get(node.name()) {
-            Some(e) if e.value == me => {}
-            other => sign(node_key(node.name()), other.map_or(0, |e| e.version)),
-        }
-        match &view.fleet {
-            None => sign(FLEET_KEY.to_string(), 0),
-            // An earlier run of this process rented, and its state lease still
-            // stands: it is surely over, and nobody else may rent till then.
-            Some(e) if e.value.node == me.node && e.value != me => {
-                sign(FLEET_KEY.to_string(), e.version);
-            }
-            Some(_) => {}
-        }
-        // It stands with no lease: what it says is for good.
-        let known = &view.formats;
-        let seen = view
-            .nodes
-            .iter()
-            .map(|(n, e)| (n.as_str(), e.value.formats));
-        let next = known.value.with(seen, &node.settings.controllers());
-        if view.nodes.contains_key(node.name()) && next != known.value {
-            guards.push(guard(FORMATS_KEY.to_string(), known.version));
-            writes.push(put(FORMATS_KEY.to_string(), &next));
-        }
-    }
-    if writes.is_empty() {
-        return Ok(false);
+    match view.nodes.get(node.name()) {
+        Some(entry) if entry.value == me => {}
+        other => sign(
+            node_key(node.name()),
+            other.map_or(0, |entry| entry.version),
+        ),
     }
-    let rents = guards.iter().any(|g| g.key == FLEET_KEY);
-    match node.commit(Class::Lease, guards, writes).await {
-        Ok(_) => {
-            if rents {
-                tracing::info!("renting from now on");
-            }
-            Ok(false)
+    match &view.fleet {
+        None => sign(FLEET_KEY.to_string(), 0),
+        // An earlier run of this process rented, and its state lease still
+        // stands: it is surely over, and nobody else may rent till then.
+        Some(entry) if entry.value.node == me.node && entry.value != me => {
+            sign(FLEET_KEY.to_string(), entry.version);
         }
-        Err(StoreError::NoLease) => {
-            node.fleet.borrow_mut().lease = None;
-            Ok(false)
-        }
-        Err(e) => Err(e),
+        Some(_) => {}
     }
-}
-
-/// Keeps the state lease by a loop of its own: the cloud's answers and the
-/// budget may hold up the rest for longer than it lasts.
-pub async fn keep_leases(node: Rc<Node>) {
-    let tick = node.settings.lease() / 16;
-    let soon = tick / 16;
-    loop {
-        if !node.view.borrow().loaded {
-            sleep(soon).await;
-            continue;
-        }
-        match keep_lease(&node).await {
-            // A lease that is new signs for this controller at once.
-            Ok(true) => continue,
-            Ok(false) => {}
-            Err(error) => tracing::debug!(%error, "state lease"),
-        }
-        sleep(node.store.jitter(tick)).await;
+    // It stands with no lease: what it says is for good.
+    let known = &view.formats;
+    let seen = view
+        .nodes
+        .iter()
+        .map(|(name, entry)| (name.as_str(), entry.value.formats));
+    let next = known.value.with(seen, &node.settings.controllers());
+    if view.nodes.contains_key(node.name()) && next != known.value {
+        guards.push(guard(FORMATS_KEY.to_string(), known.version));
+        writes.push(put(FORMATS_KEY.to_string(), &next));
     }
+    (guards, writes)
 }
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -1,33 +1,160 @@
-//! The cloud's list of machines, compared with the records.
+//! The cloud's list of machines, compared with the records: adopts those that
+//! nobody knows, gives up those that have failed.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::life::set_lives;
-use super::rentals::hire_of;
+use super::life::{LifeChange, set_lives};
+use super::rentals::rental_of;
+use super::state::FleetState;
 use crate::draft::Groups;
 use crate::model::{Life, Machine};
 use crate::node::Node;
 use crate::store::Class;
 use crate::view::View;
-use crate::wire::{ListedStage, MachineList};
+use crate::wire::{ListedMachine, ListedStage, MachineList};
 
-/// Takes up machines that have no record: rented ones that have not come up,
+/// How long, over the list's lag, a machine that is gone may still be listed.
+const GONE_LAGS: u32 = 6;
+
+/// A listed machine without a record is recorded here after so many leases:
+/// one that runs reports sooner, and is claimed with a record of its own.
+const UNCLAIMED_LEASES: u32 = 2;
+
+/// A machine that has no record yet.
+#[derive(Debug, Clone)]
+pub(super) struct NewMachine {
+    pub(super) id: String,
+    pub(super) machine: Machine,
+}
+
+/// What the cloud's list shows that the records do not.
+#[derive(Debug, Default)]
+struct Differences {
+    /// Recorded machines that the cloud lists as failed.
+    failed: Vec<String>,
+    /// Machines to be recorded.
+    new: Vec<NewMachine>,
+}
+
+/// Reads the cloud's list when it is due, and carries out what it shows.
+pub(super) async fn reconcile_list(node: &Node) {
+    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
+    let read_at = node.fleet.borrow().list_read_at;
+    if read_at.is_some_and(|read| read.elapsed() <= lag) {
+        return;
+    }
+    let Some(listed) = read_list(node).await else {
+        return;
+    };
+    node.fleet.borrow_mut().list_read_at = Some(Instant::now());
+    let differences = {
+        let view = node.view.borrow();
+        let mut fleet = node.fleet.borrow_mut();
+        fleet
+            .gone
+            .retain(|_, since| since.elapsed() < lag * GONE_LAGS);
+        fleet
+            .unrecorded
+            .retain(|id, _| !view.machines.contains_key(id));
+        compare(&view, &mut fleet, &listed, node.settings.lease())
+    };
+    record_machines(node, &differences.new).await;
+    let returning: Vec<LifeChange> = differences
+        .failed
+        .iter()
+        .map(|id| LifeChange::new(id, Life::Returning))
+        .collect();
+    set_lives(node, &returning).await;
+}
+
+/// All pages of the cloud's list.
+async fn read_list(node: &Node) -> Option<Vec<ListedMachine>> {
+    let mut all = Vec::new();
+    let mut after = String::new();
+    loop {
+        let path = format!("/rentals?after={after}&limit=500");
+        let response = node.cloud("GET", &path, None).await?;
+        let list = response.parse::<MachineList>().ok()?;
+        let Some(last) = list.machines.last() else {
+            return Some(all);
+        };
+        after = last.id.clone();
+        all.extend(list.machines);
+        if !list.more {
+            return Some(all);
+        }
+    }
+}
+
+fn compare(
+    view: &View,
+    fleet: &mut FleetState,
+    listed: &[ListedMachine],
+    lease: Duration,
+) -> Differences {
+    let unanswered = view
+        .hires
+        .values()
+        .any(|entry| entry.value.machines.is_empty());
+    let mut differences = Differences::default();
+    for machine in listed {
+        let has_failed = machine.stage == ListedStage::Failed;
+        if let Some(known) = view.machines.get(&machine.id) {
+            if has_failed && known.value.life != Life::Gone {
+                differences.failed.push(machine.id.clone());
+            }
+        } else if fleet.gone.contains_key(&machine.id) {
+            // A late list.
+        } else if rental_of(view, &machine.id).is_some() {
+            if has_failed {
+                differences.new.extend(rented_but_not_up(view, &machine.id));
+            }
+        } else if unanswered {
+            // The answer to a rental that is under way will name it.
+        } else if fleet.is_unclaimed(&machine.id, lease * UNCLAIMED_LEASES) {
+            differences.new.push(NewMachine {
+                id: machine.id.clone(),
+                machine: Machine {
+                    spot: machine.spot,
+                    ..Machine::new(&machine.kind, &machine.zone)
+                },
+            });
+        }
+    }
+    differences
+}
+
+/// A rented machine without a record, to be sent back.
+pub(super) fn rented_but_not_up(view: &View, id: &str) -> Option<NewMachine> {
+    let (_, rental) = rental_of(view, id)?;
+    let machine = Machine {
+        life: Life::Returning,
+        spot: rental.value.spot,
+        ..Machine::new(&rental.value.kind, &rental.value.zone)
+    };
+    Some(NewMachine {
+        id: id.to_string(),
+        machine,
+    })
+}
+
+/// Records machines that have no record: rented ones that have not come up,
 /// which go back, and listed ones that nobody knows.
-pub(super) async fn take_up(node: &Node, machines: &[(String, Machine)]) {
-    let ops = node.settings.txn_ops();
-    let mut taken = Vec::new();
+pub(super) async fn record_machines(node: &Node, machines: &[NewMachine]) {
+    let max_writes = node.settings.txn_ops();
+    let mut recorded = Vec::new();
     let (guards, writes) = {
         let view = node.view.borrow();
         let mut groups = Groups::new(&view);
-        for (id, machine) in machines {
-            if view.machines.contains_key(id) || groups.is_full(ops) {
+        for NewMachine { id, machine } in machines {
+            if view.machines.contains_key(id) || groups.is_full(max_writes) {
                 continue;
             }
             let mut machine = machine.clone();
             machine.part = groups.new_part(&node.settings, id, &machine.kind, &machine.zone);
-            taken.push((id, machine.life));
+            recorded.push((id, machine.life));
             groups.put(id, machine);
         }
         groups.into_commit()
@@ -37,95 +164,10 @@
     }
     match node.commit(Class::Life, guards, writes).await {
         Ok(_) => {
-            for (machine, life) in taken {
+            for (machine, life) in recorded {
                 tracing::info!(machine, ?life, "taken up");
             }
         }
         Err(error) => tracing::debug!(%error, "machines not taken up"),
     }
 }
-
-/// A rented machine without a record, to be sent back.
-pub(super) fn never_came_up(view: &View, id: &str) -> Option<(String, Machine)> {
-    let (_, hire) = hire_of(view, id)?;
-    let machine = Machine {
-        life: Life::Returning,
-        spot: hire.value.spot,
-        ..Machine::new(&hire.value.kind, &hire.value.zone)
-    };
-    Some((id.to_string(), machine))
-}
-
-/// Reads the cloud's list: adopts what nobody knows, gives up what failed.
-pub(super) async fn read_list(node: &Node) {
-    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
-    let orphaned = node.settings.lease() * 2;
-    let due = node
-        .fleet
-        .borrow()
-        .listed_at
-        .is_none_or(|t| t.elapsed() > lag);
-    if !due {
-        return;
-    }
-    let mut all = Vec::new();
-    let mut after = String::new();
-    loop {
-        let path = format!("/rentals?after={after}&limit=500");
-        let Some(r) = node.cloud("GET", &path, None).await else {
-            return;
-        };
-        let Ok(list) = r.parse::<MachineList>() else {
-            return;
-        };
-        let Some(last) = list.machines.last() else {
-            break;
-        };
-        after = last.id.clone();
-        let more = list.more;
-        all.extend(list.machines);
-        if !more {
-            break;
-        }
-    }
-    node.fleet.borrow_mut().listed_at = Some(Instant::now());
-    let mut failed = Vec::new();
-    let mut new = Vec::new();
-    {
-        let view = node.view.borrow();
-        let unnamed = view.hires.values().any(|e| e.value.machines.is_empty());
-        let mut fleet = node.fleet.borrow_mut();
-        fleet.gone.retain(|_, t| t.elapsed() < lag * 6);
-        fleet.listed.retain(|id, _| !view.machines.contains_key(id));
-        for m in &all {
-            match view.machines.get(&m.id) {
-                Some(known) => {
-                    if m.stage == ListedStage::Failed && known.value.life != Life::Gone {
-                        failed.push(m.id.clone());
-                    }
-                }
-                None if fleet.gone.contains_key(&m.id) => {}
-                None if hire_of(&view, &m.id).is_some() => {
-                    if m.stage == ListedStage::Failed {
-                        new.extend(never_came_up(&view, &m.id));
-                    }
-                }
-                // The answer to a rental that is under way will name it.
-                None if unnamed => {}
-                // One that runs reports soon, and is claimed with a record of
-                // its own: only one that nobody hears of is taken up here.
-                None if !fleet.unheard(&m.id, orphaned) => {}
-                None => {
-                    let machine = Machine {
-                        spot: m.spot,
-                        ..Machine::new(&m.kind, &m.zone)
-                    };
-                    new.push((m.id.clone(), machine));
-                }
-            }
-        }
-    }
-    take_up(node, &new).await;
-    let failed: Vec<_> = failed.into_iter().map(|id| (id, Life::Returning)).collect();
-    set_lives(node, &failed).await;
-}
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -27,8 +27,7 @@
 mod summary;
 mod types;
 
-pub use blame::{Blame, Judgement, blame, suspects};
-pub use boots::Boots;
+pub use blame::{Blame, blame, suspects};
 pub use leases::keep_leases;
 pub use rentals::keep_renting;
 pub use rounds::keep_fleet;
--- a/src/cloud/offers.rs
+++ b/src/cloud/offers.rs
@@ -1,134 +1,222 @@
-//! Offers of the cloud, their prices, and the best one for a job.
+//! Offers of the cloud, their prices, and the best offer for a job.
 
 use std::collections::{BTreeMap, HashSet};
+use std::fmt;
 
 use tokio::time::Instant;
 
-use super::boots::Offer;
-use crate::admission::{Care, Plan};
+use super::state::FleetState;
+use crate::admission::Care;
 use crate::model::{Hire, Room, Spec};
-use crate::node::Node;
 use crate::policy::MachineFacts;
 use crate::view::View;
 use crate::wire::{Kind, MachineType};
 
-pub(super) fn machine_facts(kind: &MachineType, spot: bool) -> MachineFacts {
-    MachineFacts {
-        boot_s: kind.boot_s,
-        price: cost(kind, spot),
-        cpus: kind.cpus,
-        gpus: kind.gpus,
-        spot,
+/// The most machines that one rental may ask for, by the protocol.
+pub(super) const MAX_RENTAL_SIZE: u32 = 50;
+
+/// What the cloud rents out: a machine type in a zone, as a spot machine or at
+/// the regular price.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct Offer {
+    pub(super) kind: String,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+}
+
+impl Offer {
+    pub(super) fn new(kind: &str, zone: &str, spot: bool) -> Self {
+        Offer {
+            kind: kind.to_string(),
+            zone: zone.to_string(),
+            spot,
+        }
+    }
+
+    /// The offer that a recorded rental asks for.
+    pub(super) fn of_rental(rental: &Hire) -> Self {
+        Offer::new(&rental.kind, &rental.zone, rental.spot)
     }
 }
 
-/// One more machine of an offer, with its room in the plan.
-pub(super) fn rent_one(
-    view: &View,
-    hires: &mut BTreeMap<Offer, (usize, Hire)>,
-    plan: &mut Plan,
-    t: &MachineType,
-    offer: Offer,
-) {
-    let (kind, zone, spot) = offer.clone();
-    if let Some(class) = view.find_class(&kind, &zone, spot) {
-        plan.add(class, Room::of_type(t));
+impl fmt::Display for Offer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} in {}", self.kind, self.zone)?;
+        if self.spot {
+            write!(f, " (spot)")?;
+        }
+        Ok(())
+    }
+}
+
+/// Rentals that are planned and not recorded yet: how many machines of each
+/// offer. An offer that is asked for more than once becomes one rental.
+#[derive(Debug, Default)]
+pub(super) struct PlannedRentals {
+    by_offer: BTreeMap<Offer, PlannedRental>,
+}
+
+#[derive(Debug)]
+struct PlannedRental {
+    /// Its place in the order in which the offers were first asked for.
+    position: usize,
+    count: u32,
+}
+
+impl PlannedRentals {
+    /// Adds one machine of the offer.
+    pub(super) fn add(&mut self, offer: Offer) {
+        let position = self.by_offer.len();
+        let rental = self
+            .by_offer
+            .entry(offer)
+            .or_insert(PlannedRental { position, count: 0 });
+        rental.count += 1;
+    }
+
+    /// Whether one rental holds no more machines of this offer.
+    fn is_full(&self, offer: &Offer) -> bool {
+        let rental = self.by_offer.get(offer);
+        rental.is_some_and(|rental| rental.count >= MAX_RENTAL_SIZE)
+    }
+
+    /// The records of the first `limit` rentals, in the order in which they
+    /// were asked for.
+    pub(super) fn into_records(self, limit: usize) -> Vec<Hire> {
+        let mut rentals: Vec<(Offer, PlannedRental)> = self.by_offer.into_iter().collect();
+        rentals.sort_by_key(|(_, rental)| rental.position);
+        rentals
+            .into_iter()
+            .map(|(offer, rental)| Hire {
+                kind: offer.kind,
+                zone: offer.zone,
+                spot: offer.spot,
+                count: rental.count,
+                machines: Vec::new(),
+            })
+            .take(limit)
+            .collect()
     }
-    let place = hires.len();
-    let hire = hires.entry(offer).or_insert((
-        place,
-        Hire {
-            kind,
-            zone,
-            spot,
-            count: 0,
-            machines: Vec::new(),
-        },
-    ));
-    hire.1.count += 1;
 }
 
-/// What an offer may not be.
-pub(super) struct Bounds<'a> {
+/// What restricts the choice of an offer, besides the job's own terms.
+pub(super) struct OfferBounds<'a> {
     pub(super) care: Care,
-    /// The most it may cost, over the cheapest type.
-    pub(super) dearest: f64,
+    /// The most that a task's place may cost, over the cheapest one.
+    pub(super) max_price_ratio: f64,
     /// Zones where more room would not help.
-    pub(super) barred: &'a HashSet<String>,
+    pub(super) excluded_zones: &'a HashSet<String>,
 }
 
-/// The most machines that one rental may ask for, by the protocol.
-pub(super) const RENT_MOST: u32 = 50;
-
-/// The offer that is cheapest for each task it would hold of those wanted.
-pub(super) fn best_offer<'a>(
-    node: &Node,
-    view: &'a View,
-    hires: &BTreeMap<Offer, (usize, Hire)>,
-    spec: &Spec,
-    wanted: usize,
-    bounds: &Bounds,
-) -> Option<(&'a MachineType, Offer)> {
-    let now = Instant::now();
-    let fleet = node.fleet.borrow();
-    let mut best: Option<(f64, &MachineType, Offer)> = None;
-    // Work that can wait is not worth any price.
-    let cheapest = cheapest_of(view, spec);
-    for t in &view.types.value.types {
-        let slots = Room::of_type(t).slots(&spec.need);
-        if slots == 0 || !spec.allows_type(&t.name) {
-            continue;
-        }
-        for zone in &t.zones {
-            for spot in [true, false] {
-                if !spec.allows(&t.name, zone, spot) || bounds.barred.contains(zone) {
-                    continue;
-                }
-                if (spec.kind == Kind::Array || bounds.care == Care::Strict)
-                    && spec.need.gpus.0 == 0
-                    && t.gpus > 0.0
-                    && view
-                        .gpu_spec
-                        .as_ref()
-                        .is_none_or(|g| g.allows(&t.name, zone, spot))
-                {
-                    // They would stand in the way there, see `admission`.
-                    continue;
-                }
-                let offer = (t.name.clone(), zone.clone(), spot);
-                let refused = fleet.refused.get(&offer);
-                if refused.is_some_and(|(until, _)| *until > now)
-                    || fleet.boots.is_left_alone(&offer, now)
-                    || hires.get(&offer).is_some_and(|h| h.1.count >= RENT_MOST)
+/// A search for the best offer: what it may choose from.
+pub(super) struct OfferSearch<'a, 's> {
+    pub(super) view: &'a View,
+    pub(super) fleet: &'s FleetState,
+    pub(super) rentals: &'s PlannedRentals,
+    pub(super) now: Instant,
+}
+
+impl<'a> OfferSearch<'a, '_> {
+    /// The offer that is cheapest for each task that it would hold of those
+    /// wanted.
+    pub(super) fn best(
+        &self,
+        spec: &Spec,
+        wanted: usize,
+        bounds: &OfferBounds,
+    ) -> Option<(&'a MachineType, Offer)> {
+        // Work that can wait is not worth any price.
+        let max_price = cheapest_place(self.view, spec) * bounds.max_price_ratio;
+        let mut best: Option<(f64, &MachineType, Offer)> = None;
+        for kind in &self.view.types.value.types {
+            let slots = Room::of_type(kind).slots(&spec.need);
+            if slots == 0 || !spec.allows_type(&kind.name) {
+                continue;
+            }
+            let places = kind
+                .zones
+                .iter()
+                .flat_map(|zone| [(zone, true), (zone, false)]);
+            for (zone, spot) in places {
+                let price = price_of(kind, spot);
+                if price / slots as f64 > max_price
+                    || !self.is_usable(kind, zone, spot, spec, bounds)
                 {
                     continue;
                 }
-                let price = cost(t, spot) / slots.min(wanted) as f64;
-                let full = cost(t, spot) / slots as f64;
-                if full > cheapest * bounds.dearest {
+                let offer = Offer::new(&kind.name, zone, spot);
+                if !self.is_available(&offer) {
                     continue;
                 }
-                if best.as_ref().is_none_or(|(p, _, _)| price < *p) {
-                    best = Some((price, t, offer));
+                let price_per_task = price / slots.min(wanted) as f64;
+                if best
+                    .as_ref()
+                    .is_none_or(|(least, _, _)| price_per_task < *least)
+                {
+                    best = Some((price_per_task, kind, offer));
                 }
             }
         }
+        best.map(|(_, kind, offer)| (kind, offer))
+    }
+
+    /// Whether the job may run on machines of this offer, within the bounds.
+    fn is_usable(
+        &self,
+        kind: &MachineType,
+        zone: &str,
+        spot: bool,
+        spec: &Spec,
+        bounds: &OfferBounds,
+    ) -> bool {
+        if !spec.allows(&kind.name, zone, spot) || bounds.excluded_zones.contains(zone) {
+            return false;
+        }
+        let avoids_accelerators = (spec.kind == Kind::Array || bounds.care == Care::Strict)
+            && spec.need.gpus.0 == 0
+            && kind.gpus > 0.0;
+        // There it would stand in the way of work on accelerators, see
+        // `admission`.
+        let wanted_by_gpu_work = || {
+            let gpu = self.view.gpu_spec.as_ref();
+            gpu.is_none_or(|gpu| gpu.allows(&kind.name, zone, spot))
+        };
+        !(avoids_accelerators && wanted_by_gpu_work())
+    }
+
+    /// Whether the cloud can be expected to deliver one more of this offer.
+    fn is_available(&self, offer: &Offer) -> bool {
+        !self.fleet.is_refused(offer, self.now)
+            && !self.fleet.boots.is_backed_off(offer, self.now)
+            && !self.rentals.is_full(offer)
     }
-    best.map(|(_, t, offer)| (t, offer))
 }
 
-/// The least that a task of this shape costs anywhere by nominal price.
-pub(super) fn cheapest_of(view: &View, spec: &Spec) -> f64 {
+/// The least that a place for a task of this shape costs anywhere, by nominal
+/// price.
+pub(super) fn cheapest_place(view: &View, spec: &Spec) -> f64 {
     let mut least = f64::INFINITY;
-    for t in &view.types.value.types {
-        let slots = Room::of_type(t).slots(&spec.need);
-        if slots > 0 && spec.allows_type(&t.name) {
-            least = least.min(cost(t, spec.spot) / slots as f64);
+    for kind in &view.types.value.types {
+        let slots = Room::of_type(kind).slots(&spec.need);
+        if slots > 0 && spec.allows_type(&kind.name) {
+            least = least.min(price_of(kind, spec.spot) / slots as f64);
         }
     }
     least
 }
 
-pub(super) fn cost(t: &MachineType, spot: bool) -> f64 {
-    if spot { t.spot_price } else { t.price }
+/// The price of a machine.
+pub(super) fn price_of(kind: &MachineType, spot: bool) -> f64 {
+    if spot { kind.spot_price } else { kind.price }
+}
+
+/// What the policy may know of a machine.
+pub(super) fn machine_facts(kind: &MachineType, spot: bool) -> MachineFacts {
+    MachineFacts {
+        boot_s: kind.boot_s,
+        price: price_of(kind, spot),
+        cpus: kind.cpus,
+        gpus: kind.gpus,
+        spot,
+    }
 }
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,41 +1,111 @@
-//! Removal of machines from service.
+//! Removal of machines from service: decided, decided again once the budget of
+//! writes is there, and then written.
 
-use super::life::set_lives;
-use super::list::{never_came_up, take_up};
-use crate::model::{Life, Machine};
+use super::life::{LifeChange, set_lives};
+use super::list::{NewMachine, record_machines, rented_but_not_up};
+use crate::model::Life;
 use crate::node::Node;
 use crate::store::Class;
 
-pub(super) type Leaving = Vec<(String, Life, &'static str)>;
+/// Why a machine leaves service.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Reason {
+    /// Its worker's reports arrive here, but no answer and no order does there.
+    Unreachable,
+    /// Nothing has come from its worker for too long.
+    Silent,
+    /// Jobs that failed there have succeeded elsewhere.
+    Faulty,
+    /// No controller that is up holds it.
+    Orphaned,
+    /// It was draining, and its work has ended.
+    Drained,
+    /// It costs more than the work that it runs is worth.
+    OnlyFillers,
+    /// Nothing has run there for long enough.
+    Idle,
+    /// It has not reported within the limit for boots.
+    NeverCameUp,
+}
+
+impl Reason {
+    /// The reason as the log says it.
+    fn as_str(self) -> &'static str {
+        match self {
+            Reason::Unreachable => "reports, but hears nothing",
+            Reason::Silent => "silent",
+            Reason::Faulty => "fails what succeeds elsewhere",
+            Reason::Orphaned => "reports to nobody",
+            Reason::Drained => "drained",
+            Reason::OnlyFillers => "holds up fillers alone",
+            Reason::Idle => "idle",
+            Reason::NeverCameUp => "never came up",
+        }
+    }
+}
 
-/// Judges and carries it out. What is found is judged again once the budget is
-/// there: it may have waited, or this process may have stood still, and who was
-/// silent may have been heard meanwhile.
-pub(super) async fn send_away(node: &Node, judge: fn(&Node) -> Leaving) {
-    let first = judge(node);
-    if first.is_empty() {
+/// A machine that is to leave service.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct Removal {
+    pub(super) machine: String,
+    /// Its next state: draining or returning.
+    pub(super) life: Life,
+    pub(super) reason: Reason,
+}
+
+impl Removal {
+    pub(super) fn new(machine: &str, life: Life, reason: Reason) -> Self {
+        Removal {
+            machine: machine.to_string(),
+            life,
+            reason,
+        }
+    }
+}
+
+/// Decides which machines leave, and carries it out. What is found is decided
+/// again once the budget is there: it may have waited, or this process may have
+/// stood still, and who was silent may have been heard meanwhile.
+pub(super) async fn remove_machines(node: &Node, decide: fn(&Node) -> Vec<Removal>) {
+    if decide(node).is_empty() {
         return;
     }
     node.store.ready(Class::Life, 1).await;
     if !node.has_state() {
         return;
     }
-    let leaving = judge(node);
-    let (known, new): (Vec<_>, Vec<_>) = {
+    let (recorded, unrecorded): (Vec<Removal>, Vec<Removal>) = {
+        let removals = decide(node);
         let view = node.view.borrow();
-        let known = |id: &str| view.machines.contains_key(id);
-        leaving.into_iter().partition(|(id, _, _)| known(id))
+        removals
+            .into_iter()
+            .partition(|removal| view.machines.contains_key(&removal.machine))
     };
-    let lives: Vec<(String, Life)> = known.iter().map(|l| (l.0.clone(), l.1)).collect();
-    let changed = set_lives(node, &lives).await;
-    for (id, life, why) in known.iter().filter(|l| changed.contains(&l.0)) {
-        tracing::info!(machine = id, ?life, why, "leaves service");
-    }
-    let lost: Vec<(String, Machine)> = {
+    change_recorded(node, &recorded).await;
+    let never_up: Vec<NewMachine> = {
         let view = node.view.borrow();
-        new.iter()
-            .filter_map(|(id, _, _)| never_came_up(&view, id))
+        unrecorded
+            .iter()
+            .filter_map(|removal| rented_but_not_up(&view, &removal.machine))
             .collect()
     };
-    take_up(node, &lost).await;
+    record_machines(node, &never_up).await;
+}
+
+async fn change_recorded(node: &Node, removals: &[Removal]) {
+    let changes: Vec<LifeChange> = removals
+        .iter()
+        .map(|removal| LifeChange::new(&removal.machine, removal.life))
+        .collect();
+    let changed = set_lives(node, &changes).await;
+    for removal in removals {
+        if changed.contains(&removal.machine) {
+            tracing::info!(
+                machine = removal.machine,
+                life = ?removal.life,
+                why = removal.reason.as_str(),
+                "leaves service"
+            );
+        }
+    }
 }
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -7,7 +7,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::demand::demand;
-use crate::model::{Hire, Life};
+use super::offers::Offer;
+use crate::http::Response;
+use crate::model::Hire;
 use crate::node::{Node, guard, put};
 use crate::store::Class;
 use crate::view::{Entry, FLEET_KEY, View, hire_key};
@@ -25,152 +27,150 @@
 }
 
 async fn rent(node: &Rc<Node>) {
-    resolve_hires(node);
+    call_unanswered(node);
     // What an answer that is awaited refuses is not asked for again.
     if !node.fleet.borrow().calling.is_empty() {
         return;
     }
-    let hires = demand(node);
-    if hires.is_empty() {
+    let rentals = demand(node);
+    if rentals.is_empty() {
         return;
     }
     let mut guards = Vec::new();
     let mut writes = Vec::new();
-    for hire in hires {
-        let id = format!(
-            "{}-{:x}",
-            node.name(),
-            node.rng.borrow_mut().random::<u64>()
-        );
+    for rental in rentals {
+        let id = new_rental_id(node);
         tracing::info!(
-            kind = hire.kind,
-            zone = hire.zone,
-            spot = hire.spot,
-            count = hire.count,
+            kind = rental.kind,
+            zone = rental.zone,
+            spot = rental.spot,
+            count = rental.count,
             "renting"
         );
         // Safety 5: the intent comes before the call, under a unique name.
         guards.push(guard(hire_key(&id), 0));
-        writes.push(put(hire_key(&id), &hire));
+        writes.push(put(hire_key(&id), &rental));
     }
     // Who has stood still, and rents no more, finds out by this.
     match node.view.borrow().fleet.as_ref() {
-        Some(mine) => guards.push(guard(FLEET_KEY.to_string(), mine.version)),
+        Some(renter) => guards.push(guard(FLEET_KEY.to_string(), renter.version)),
         None => return,
     }
     match node.commit(Class::Lease, guards, writes).await {
-        Ok(_) => resolve_hires(node),
+        Ok(_) => call_unanswered(node),
         Err(error) => tracing::debug!(%error, "rental not recorded"),
     }
 }
 
+/// A name that no other rental has had.
+fn new_rental_id(node: &Node) -> String {
+    let number = node.rng.borrow_mut().random::<u64>();
+    format!("{}-{number:x}", node.name())
+}
+
 /// Calls the cloud for every recorded rental until it has answered: repeating
 /// a request by its name rents nothing twice.
-fn resolve_hires(node: &Rc<Node>) {
+fn call_unanswered(node: &Rc<Node>) {
     let view = node.view.borrow();
     let mut fleet = node.fleet.borrow_mut();
-    for (id, e) in &view.hires {
-        if e.value.machines.is_empty() && fleet.calling.insert(id.clone()) {
-            let (node, id, version, hire) = (node.clone(), id.clone(), e.version, e.value.clone());
+    for (id, entry) in &view.hires {
+        if entry.value.machines.is_empty() && fleet.calling.insert(id.clone()) {
+            let node = node.clone();
+            let id = id.clone();
+            let rental = entry.clone();
             tokio::task::spawn_local(async move {
-                resolve_hire(&node, &id, version, hire).await;
+                complete_rental(&node, &id, rental).await;
                 node.fleet.borrow_mut().calling.remove(&id);
             });
         }
     }
 }
 
-async fn resolve_hire(node: &Node, id: &str, version: u64, mut hire: Hire) {
+/// Calls the cloud for one recorded rental, and records the answer.
+async fn complete_rental(node: &Node, id: &str, recorded: Entry<Hire>) {
+    let Entry {
+        version,
+        value: mut rental,
+    } = recorded;
+    let Some(response) = request_rental(node, id, version, &rental).await else {
+        return;
+    };
+    let is_short = take_answer(node, &mut rental, &response);
+    note_capacity(node, &rental, is_short);
+    let key = hire_key(id);
+    let guards = vec![guard(key.clone(), version)];
+    let write = match rental.machines.is_empty() {
+        true => Write::Delete { key },
+        false => put(key, &rental),
+    };
+    if let Err(error) = node.commit(Class::Lease, guards, vec![write]).await {
+        // The next pass asks the cloud again and gets the same names.
+        tracing::debug!(%error, "rental not settled");
+    }
+}
+
+/// Asks the cloud for a rental's machines, if its record still stands as it was
+/// when the call's turn has come.
+async fn request_rental(node: &Node, id: &str, version: u64, rental: &Hire) -> Option<Response> {
     let request = RentRequest {
         request: id,
-        kind: &hire.kind,
-        zone: &hire.zone,
-        spot: hire.spot,
-        count: hire.count,
-    };
-    let Ok(body) = serde_json::to_vec(&request) else {
-        return;
+        kind: &rental.kind,
+        zone: &rental.zone,
+        spot: rental.spot,
+        count: rental.count,
     };
-    let there = || {
+    let body = serde_json::to_vec(&request).ok()?;
+    let stands = || {
         let view = node.view.borrow();
-        view.hires.get(id).is_some_and(|e| e.version == version)
-    };
-    let Some(r) = node.cloud_if("POST", "/rentals", Some(body), there).await else {
-        return;
+        let recorded = view.hires.get(id);
+        recorded.is_some_and(|entry| entry.version == version)
     };
-    let mut short = true;
-    if r.status == 200
-        && let Ok(names) = r.parse::<MachineNames>()
+    node.cloud_if("POST", "/rentals", Some(body), stands).await
+}
+
+/// Takes the machines that the cloud has delivered into the rental; whether
+/// they are fewer than was asked for.
+fn take_answer(node: &Node, rental: &mut Hire, response: &Response) -> bool {
+    let mut is_short = true;
+    if response.status == 200
+        && let Ok(names) = response.parse::<MachineNames>()
     {
-        short = (names.machines.len() as u32) < hire.count;
+        is_short = (names.machines.len() as u32) < rental.count;
         let view = node.view.borrow();
         // The workers of some may have been quicker than the answer.
-        hire.machines = names.machines;
-        hire.machines.retain(|m| !view.machines.contains_key(m));
+        rental.machines = names.machines;
+        rental.machines.retain(|id| !view.machines.contains_key(id));
     }
-    if short {
+    if is_short {
         tracing::info!(
-            kind = hire.kind,
-            zone = hire.zone,
-            spot = hire.spot,
-            status = r.status,
-            got = hire.machines.len(),
+            kind = rental.kind,
+            zone = rental.zone,
+            spot = rental.spot,
+            status = response.status,
+            got = rental.machines.len(),
             "no capacity"
         );
     }
-    let offer = (hire.kind.clone(), hire.zone.clone(), hire.spot);
-    {
-        let mut fleet = node.fleet.borrow_mut();
-        if short {
-            // As often refused, as much longer left alone.
-            let base = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
-            let count = fleet.refused.get(&offer).map_or(0, |r| r.1);
-            let pause = base * 2u32.pow(count.min(2));
-            fleet
-                .refused
-                .insert(offer, (Instant::now() + pause, count + 1));
-        } else {
-            fleet.refused.remove(&offer);
-        }
-    }
-    let key = hire_key(id);
-    let guards = vec![guard(key.clone(), version)];
-    let write = match hire.machines.is_empty() {
-        true => Write::Delete { key },
-        false => put(key, &hire),
-    };
-    if let Err(error) = node.commit(Class::Lease, guards, vec![write]).await {
-        // The next pass asks the cloud again and gets the same names.
-        tracing::debug!(%error, "rental not settled");
-    }
+    is_short
 }
 
-/// The rental that still has this machine among those that boot.
-pub(super) fn hire_of<'a>(view: &'a View, machine: &str) -> Option<(&'a String, &'a Entry<Hire>)> {
-    let mut hires = view.hires.iter();
-    hires.find(|(_, e)| e.value.machines.iter().any(|m| m == machine))
+/// Notes whether the cloud had capacity for the rental's offer.
+fn note_capacity(node: &Node, rental: &Hire, is_short: bool) {
+    let offer = Offer::of_rental(rental);
+    let mut fleet = node.fleet.borrow_mut();
+    if is_short {
+        let pause = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
+        fleet.note_refusal(offer, pause, Instant::now());
+    } else {
+        fleet.clear_refusal(&offer);
+    }
 }
 
-/// Machines that boot: those of rentals that have no record of their own yet,
-/// and those that were found in the cloud's list.
-pub(super) fn booting(view: &View) -> impl Iterator<Item = (&str, &str, &str, bool)> {
-    let rented = view.hires.values().flat_map(|e| {
-        let hire = &e.value;
-        hire.machines
-            .iter()
-            .filter(|m| !view.machines.contains_key(*m))
-            .map(|m| {
-                (
-                    m.as_str(),
-                    hire.kind.as_str(),
-                    hire.zone.as_str(),
-                    hire.spot,
-                )
-            })
-    });
-    let found = view.machines.iter().filter_map(|(id, e)| {
-        let m = &e.value;
-        (m.life == Life::Booting).then_some((id.as_str(), m.kind.as_str(), m.zone.as_str(), m.spot))
-    });
-    rented.chain(found)
+/// The rental that still has this machine among those that boot.
+pub(super) fn rental_of<'a>(
+    view: &'a View,
+    machine: &str,
+) -> Option<(&'a String, &'a Entry<Hire>)> {
+    let mut rentals = view.hires.iter();
+    rentals.find(|(_, entry)| entry.value.machines.iter().any(|id| id == machine))
 }
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -4,68 +4,85 @@
 
 use tokio::time::Instant;
 
-use super::life::set_lives;
-use super::rentals::hire_of;
+use super::life::{LifeChange, set_lives};
+use super::rentals::rental_of;
 use crate::draft::Groups;
 use crate::model::{Hire, Life};
 use crate::node::{Node, guard, put};
 use crate::store::Class;
-use crate::view::{hire_key, part_id};
+use crate::view::{View, hire_key, part_id};
 use crate::wire::{Guard, MachineNames, Write};
 
+/// The most machines that one call returns.
+const MAX_RETURNED: usize = 100;
+
 /// Returns what is to go, and drops the records of what is gone.
 pub(super) async fn finish_returns(node: &Node) {
-    let (returning, gone): (Vec<String>, Vec<String>) = {
+    let (returning, gone) = {
         let view = node.view.borrow();
-        let returning = view
-            .machines
-            .iter()
-            .filter(|(_, m)| m.value.life == Life::Returning)
-            .map(|(id, _)| id.clone())
-            .take(100)
-            .collect();
-        let gone = view
-            .machines
-            .iter()
-            .filter(|(id, m)| m.value.life == Life::Gone && !view.bookings.contains_key(*id))
-            .map(|(id, _)| id.clone())
+        let returning = machines_in(&view, Life::Returning)
+            .take(MAX_RETURNED)
+            .cloned()
+            .collect::<Vec<_>>();
+        let gone = machines_in(&view, Life::Gone)
+            .filter(|id| !view.bookings.contains_key(*id))
             .take(node.settings.txn_ops())
-            .collect();
+            .cloned()
+            .collect::<Vec<_>>();
         (returning, gone)
     };
-    if !returning.is_empty() {
-        let names = MachineNames {
-            machines: returning.clone(),
-        };
-        if let Ok(body) = serde_json::to_vec(&names)
-            && let Some(r) = node.cloud("POST", "/rentals/return", Some(body)).await
-            && r.status == 200
-        {
-            let now = Instant::now();
-            // Nothing is booked on most: their records go at once.
-            let (booked, empty): (Vec<_>, Vec<_>) = {
-                let view = node.view.borrow();
-                let booked = |id: &String| view.bookings.contains_key(id);
-                returning.iter().cloned().partition(booked)
-            };
-            let lives: Vec<_> = booked.into_iter().map(|id| (id, Life::Gone)).collect();
-            set_lives(node, &lives).await;
-            drop_records(node, empty).await;
-            let mut fleet = node.fleet.borrow_mut();
-            for id in returning {
-                fleet.reports.remove(&id);
-                fleet.empty_since.remove(&id);
-                fleet.first_seen.remove(&id);
-                fleet.gone.insert(id, now);
-            }
-        }
+    if !returning.is_empty() && return_to_cloud(node, &returning).await {
+        record_returned(node, returning).await;
+    }
+    drop_records(node, &gone).await;
+}
+
+fn machines_in(view: &View, life: Life) -> impl Iterator<Item = &String> {
+    view.machines
+        .iter()
+        .filter(move |(_, entry)| entry.value.life == life)
+        .map(|(id, _)| id)
+}
+
+/// Whether the cloud has taken the machines back.
+async fn return_to_cloud(node: &Node, machines: &[String]) -> bool {
+    let names = MachineNames {
+        machines: machines.to_vec(),
+    };
+    let Ok(body) = serde_json::to_vec(&names) else {
+        return false;
+    };
+    let response = node.cloud("POST", "/rentals/return", Some(body)).await;
+    response.is_some_and(|response| response.status == 200)
+}
+
+/// Records that machines are gone.
+async fn record_returned(node: &Node, returned: Vec<String>) {
+    let now = Instant::now();
+    // Nothing is booked on most: their records go at once.
+    let (booked, empty): (Vec<String>, Vec<String>) = {
+        let view = node.view.borrow();
+        let is_booked = |id: &String| view.bookings.contains_key(id);
+        returned.iter().cloned().partition(is_booked)
+    };
+    let changes: Vec<LifeChange> = booked
+        .iter()
+        .map(|id| LifeChange::new(id, Life::Gone))
+        .collect();
+    set_lives(node, &changes).await;
+    drop_records(node, &empty).await;
+    let mut fleet = node.fleet.borrow_mut();
+    for id in returned {
+        fleet.reports.remove(&id);
+        fleet.empty_since.remove(&id);
+        fleet.first_seen.remove(&id);
+        fleet.gone.insert(id, now);
     }
-    drop_records(node, gone).await;
 }
 
 /// Drops the records of machines that the cloud has taken back.
-async fn drop_records(node: &Node, ids: Vec<String>) {
-    let (guards, writes) = drop_gone(node, &ids);
+async fn drop_records(node: &Node, ids: &[String]) {
+    let (guards, writes) = record_drops(node, ids);
     if !writes.is_empty()
         && let Err(error) = node.commit(Class::Room, guards, writes).await
     {
@@ -73,42 +90,45 @@
     }
 }
 
-/// Drops the records of gone machines, and their names from the rental that
-/// may still list them: they would count as booting again.
-fn drop_gone(node: &Node, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
+/// The commit that drops the records of gone machines, and their names from the
+/// rental that may still list them: they would count as booting again.
+fn record_drops(node: &Node, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
     let view = node.view.borrow();
-    let ops = node.settings.txn_ops();
+    let max_writes = node.settings.txn_ops();
     let mut groups = Groups::new(&view);
-    let mut hires: BTreeMap<&String, Hire> = BTreeMap::new();
+    let mut rentals: BTreeMap<&String, Hire> = BTreeMap::new();
     for id in gone {
         // Nothing was booked meanwhile: its part has lost it, and its group
         // is guarded.
-        let Some(machine) = view.machines.get(id).map(|e| &e.value) else {
+        let Some(machine) = view.machines.get(id).map(|entry| &entry.value) else {
             continue;
         };
         if view.bookings.contains_key(id) {
             continue;
         }
-        let hire = hire_of(&view, id);
+        let rental = rental_of(&view, id);
         let group = part_id(&machine.zone, &machine.part);
-        let new = usize::from(!groups.has(&group))
-            + usize::from(hire.is_some_and(|(h, _)| !hires.contains_key(h)));
-        if groups.len() + hires.len() + new > ops || (!groups.has(&group) && groups.is_full(ops)) {
+        let has_group = groups.has(&group);
+        let adds_rental = rental.is_some_and(|(name, _)| !rentals.contains_key(name));
+        let added = usize::from(!has_group) + usize::from(adds_rental);
+        if groups.len() + rentals.len() + added > max_writes
+            || (!has_group && groups.is_full(max_writes))
+        {
             continue;
         }
         groups.edit(&group).remove(id);
-        if let Some((hire_id, entry)) = hire {
-            let hire = hires.entry(hire_id).or_insert_with(|| entry.value.clone());
-            hire.machines.retain(|m| m != id);
+        if let Some((name, entry)) = rental {
+            let rental = rentals.entry(name).or_insert_with(|| entry.value.clone());
+            rental.machines.retain(|machine| machine != id);
         }
     }
     let (mut guards, mut writes) = groups.into_commit();
-    for (id, hire) in hires {
+    for (id, rental) in rentals {
         let key = hire_key(id);
         guards.push(guard(key.clone(), view.hires[id].version));
-        writes.push(match hire.machines.is_empty() {
+        writes.push(match rental.machines.is_empty() {
             true => Write::Delete { key },
-            false => put(key, &hire),
+            false => put(key, &rental),
         });
     }
     (guards, writes)
--- a/src/cloud/rounds.rs
+++ b/src/cloud/rounds.rs
@@ -1,4 +1,4 @@
-//! The loop over the fleet, but for renting.
+//! The loop that keeps the fleet; renting has one of its own (`rentals`).
 
 use std::rc::Rc;
 
@@ -6,15 +6,17 @@
 
 use super::consolidation::consolidate;
 use super::draining::drain_recalled;
-use super::idle::judge;
-use super::list::read_list;
-use super::removal::send_away;
+use super::idle::unneeded_machines;
+use super::list::reconcile_list;
+use super::removal::remove_machines;
 use super::returns::finish_returns;
-use super::settling::{settle_doomed, settle_records};
-use super::silent::judge_own;
-use super::summary::describe;
+use super::settling::{settle_cancelled, settle_records};
+use super::silent::failing_machines;
+use super::summary::log_fleet;
 use crate::node::Node;
 
+/// Removes the machines that this controller holds and that fail; the renter
+/// also keeps the fleet as a whole.
 pub async fn keep_fleet(node: Rc<Node>) {
     loop {
         let tick = node.settings.report().min(node.settings.lease() / 8) / 2;
@@ -24,22 +26,22 @@
         }
         if node.has_state() {
             drain_recalled(&node).await;
-            send_away(&node, judge_own).await;
+            remove_machines(&node, failing_machines).await;
         }
         if !node.is_renter() || !node.has_state() {
             continue;
         }
-        tend(&node).await;
+        maintain_fleet(&node).await;
     }
 }
 
-/// One pass over the fleet.
-async fn tend(node: &Rc<Node>) {
-    describe(node);
+/// One pass of the renter over the fleet.
+async fn maintain_fleet(node: &Rc<Node>) {
+    log_fleet(node);
     finish_returns(node).await;
     settle_records(node).await;
-    settle_doomed(node).await;
-    read_list(node).await;
-    send_away(node, judge).await;
+    settle_cancelled(node).await;
+    reconcile_list(node).await;
+    remove_machines(node, unneeded_machines).await;
     consolidate(node).await;
 }
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -1,4 +1,5 @@
-//! Records that have served their turn.
+//! Records that have served their turn, and jobs' records that are still to say
+//! what follows from others.
 
 use crate::node::{Node, guard, put};
 use crate::store::Class;
@@ -7,21 +8,21 @@
 
 /// Drops what has served its turn: rentals whose machines all have a record of
 /// their own, arrivals whose jobs all have. Those records never go while this
-/// one stands (`drop_gone`) or at all, so what the view shows holds.
+/// one stands (`returns::record_drops`) or at all, so what the view shows holds.
 pub(super) async fn settle_records(node: &Node) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
         let view = node.view.borrow();
-        let hires = view.hires.iter().filter(|(_, e)| {
-            let machines = &e.value.machines;
-            !machines.is_empty() && machines.iter().all(|m| view.machines.contains_key(m))
+        let rentals = view.hires.iter().filter(|(_, entry)| {
+            let machines = &entry.value.machines;
+            !machines.is_empty() && machines.iter().all(|id| view.machines.contains_key(id))
         });
-        let arrivals = view.arrivals.iter().filter(|(_, e)| {
-            let mut jobs = e.value.jobs.keys();
+        let arrivals = view.arrivals.iter().filter(|(_, entry)| {
+            let mut jobs = entry.value.jobs.keys();
             jobs.all(|id| view.job_version(id) > 0)
         });
-        let hires = hires.map(|(id, e)| (hire_key(id), e.version));
-        let arrivals = arrivals.map(|(id, e)| (arrivals_key(id), e.version));
-        hires
+        let rentals = rentals.map(|(id, entry)| (hire_key(id), entry.version));
+        let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
+        rentals
             .chain(arrivals)
             .take(node.settings.txn_ops())
             .map(|(key, version)| (guard(key.clone(), version), Write::Delete { key }))
@@ -37,7 +38,7 @@
 /// Writes onto jobs' own records that they are cancelled with what they await:
 /// some at a time, in any order. All controllers know it without, and what it
 /// follows from stays: final records are never dropped.
-pub(super) async fn settle_doomed(node: &Node) {
+pub(super) async fn settle_cancelled(node: &Node) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
         let view = node.view.borrow();
         view.doomed()
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -1,78 +1,147 @@
-//! Machines that their holder sends away: silent, deaf and faulty ones.
+//! Machines that their holder sends away: silent, unreachable and faulty ones.
+//!
+//! Only the holder knows when a machine was last heard: what another controller
+//! has not told is no sign of silence.
 
 use std::collections::{HashMap, HashSet};
+use std::time::Duration;
 
-use super::blame::{Judgement, judgement};
-use super::removal::Leaving;
+use tokio::time::Instant;
+
+use super::blame::{Health, health};
+use super::removal::{Reason, Removal};
 use crate::machines::Hand;
-use crate::model::Life;
+use crate::model::{Life, Machine};
 use crate::node::Node;
 use crate::view::View;
 
-/// Zones of which most machines that this controller holds are silent at once:
-/// they are cut off rather than lost, and come back together.
-fn cut_off<'a>(view: &View, silent: impl Iterator<Item = (&'a String, bool)>) -> HashSet<String> {
-    let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
-    for (id, is_silent) in silent {
-        if let Some(m) = view.machines.get(id) {
-            let zone = zones.entry(&m.value.zone).or_default();
-            zone.0 += 1;
-            zone.1 += usize::from(is_silent);
-        }
-    }
-    let most = |(all, silent): &(usize, usize)| *silent >= 4 && silent * 2 > *all;
-    let cut = zones.iter().filter(|(_, counts)| most(counts));
-    cut.map(|(zone, _)| zone.to_string()).collect()
-}
+/// How many leases a machine may be silent before it is returned. When its
+/// lease is surely over its work is free to go elsewhere (`release_silent`), and
+/// it may be heard again.
+const SILENT_LEASES: u32 = 2;
+
+/// The same where most of its zone is silent at once.
+const PARTITIONED_LEASES: u32 = 3;
+
+/// How many report intervals a machine with a spot notice may be silent.
+const RECALLED_REPORTS: u32 = 3;
+
+/// How many leases a worker's reports may arrive while answers and orders do
+/// not.
+const UNREACHABLE_LEASES: u32 = 2;
 
-/// Machines held by this controller that should leave, and why. Only the
-/// holder knows when a machine was last heard: what another controller has
-/// not told is no sign of silence.
-pub(super) fn judge_own(node: &Node) -> Leaving {
+/// The fewest silent machines by which a zone counts as partitioned off.
+const MIN_PARTITIONED: usize = 4;
+
+/// Machines held by this controller that should leave, and why.
+pub(super) fn failing_machines(node: &Node) -> Vec<Removal> {
     let now = node.pulse();
     let view = node.view.borrow();
     let hands = node.hands.borrow();
+    let review = Review {
+        node,
+        view: &view,
+        now,
+        partitioned: partitioned_zones(node, &view, &hands, now),
+    };
+    let unreachable = node.fleet.borrow().unreachable(node.settings.lease(), now);
+    let mut removals: Vec<Removal> = unreachable
+        .iter()
+        .map(|id| Removal::new(id, Life::Returning, Reason::Unreachable))
+        .collect();
+    removals.extend(hands.iter().filter_map(|(id, hand)| {
+        let machine = view.machines.get(id).map(|entry| &entry.value)?;
+        review.removal_of(id, machine, hand)
+    }));
+    removals
+}
+
+/// Zones of which most machines that this controller holds are silent at once:
+/// they are partitioned off rather than lost, and come back together.
+fn partitioned_zones(
+    node: &Node,
+    view: &View,
+    hands: &HashMap<String, Hand>,
+    now: Instant,
+) -> HashSet<String> {
+    #[derive(Default)]
+    struct Count {
+        all: usize,
+        silent: usize,
+    }
     let limit = node.settings.lease();
-    let deaf = node.fleet.borrow().deaf(limit, now);
-    let silent = |hand: &Hand| now.saturating_duration_since(hand.heard) > limit;
-    let cut = cut_off(&view, hands.iter().map(|(id, hand)| (id, silent(hand))));
-    let mut leaving: Vec<_> = deaf
+    let mut zones: HashMap<&str, Count> = HashMap::new();
+    for (id, hand) in hands {
+        if let Some(entry) = view.machines.get(id) {
+            let count = zones.entry(&entry.value.zone).or_default();
+            count.all += 1;
+            count.silent += usize::from(silence(hand, now) > limit);
+        }
+    }
+    let is_partitioned =
+        |count: &Count| count.silent >= MIN_PARTITIONED && count.silent * 2 > count.all;
+    zones
         .into_iter()
-        .map(|id| (id, Life::Returning, "reports, but hears nothing"))
-        .collect();
-    for (id, hand) in hands.iter() {
-        let life = match view.machines.get(id) {
-            Some(m) if m.value.token == hand.token && m.value.incarnation == node.incarnation => {
-                m.value.life
-            }
-            _ => continue,
-        };
-        if !matches!(life, Life::Active | Life::Draining) {
-            continue;
+        .filter(|(_, count)| is_partitioned(count))
+        .map(|(zone, _)| zone.to_string())
+        .collect()
+}
+
+/// For how long nothing has come from a worker.
+fn silence(hand: &Hand, now: Instant) -> Duration {
+    now.saturating_duration_since(hand.heard)
+}
+
+/// One pass over the machines that this controller holds.
+struct Review<'a> {
+    node: &'a Node,
+    view: &'a View,
+    now: Instant,
+    partitioned: HashSet<String>,
+}
+
+impl Review<'_> {
+    /// Whether a machine should leave.
+    fn removal_of(&self, id: &str, machine: &Machine, hand: &Hand) -> Option<Removal> {
+        let is_held = machine.token == hand.token && machine.incarnation == self.node.incarnation;
+        if !is_held || !matches!(machine.life, Life::Active | Life::Draining) {
+            return None;
+        }
+        if silence(hand, self.now) > self.silence_limit(machine, hand) {
+            return Some(Removal::new(id, Life::Returning, Reason::Silent));
         }
-        // When its lease is surely over its work is free to go elsewhere
-        // (`release_silent`), and it may be heard again. With a launch that
-        // may land late only the cloud can end the doubt.
-        let recalled = hand.report.as_ref().is_some_and(|r| r.notice_s.is_some());
-        let limit = match (recalled, hand.unresolved) {
+        if self.is_unreachable(hand) {
+            return Some(Removal::new(id, Life::Returning, Reason::Unreachable));
+        }
+        let is_active = machine.life == Life::Active;
+        (is_active && health(self.node, self.view, id, hand) == Health::Faulty)
+            .then(|| Removal::new(id, Life::Draining, Reason::Faulty))
+    }
+
+    /// How long a machine may be silent.
+    fn silence_limit(&self, machine: &Machine, hand: &Hand) -> Duration {
+        let lease = self.node.settings.lease();
+        let report = hand.report.as_ref();
+        if report.is_some_and(|report| report.notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
-            (true, _) => limit.min(node.settings.report() * 3),
-            (false, true) => limit,
-            (false, false) if cut.contains(&view.machines[id].value.zone) => limit * 3,
-            (false, false) => limit * 2,
-        };
-        let deaf = hand.deaf_since.is_some_and(|t| {
-            let limit = node.settings.lease() * 2;
-            now.saturating_duration_since(t) > limit
-        });
-        if now.saturating_duration_since(hand.heard) > limit {
-            leaving.push((id.clone(), Life::Returning, "silent"));
-        } else if deaf {
-            leaving.push((id.clone(), Life::Returning, "reports, but hears nothing"));
-        } else if life == Life::Active && judgement(node, &view, id, hand) == Judgement::Sick {
-            leaving.push((id.clone(), Life::Draining, "fails what succeeds elsewhere"));
+            return lease.min(self.node.settings.report() * RECALLED_REPORTS);
+        }
+        // With a launch that may land late only the cloud can end the doubt.
+        if hand.unresolved {
+            return lease;
         }
+        match self.partitioned.contains(&machine.zone) {
+            true => lease * PARTITIONED_LEASES,
+            false => lease * SILENT_LEASES,
+        }
+    }
+
+    /// Whether a worker's reports have arrived for too long while answers and
+    /// orders did not.
+    fn is_unreachable(&self, hand: &Hand) -> bool {
+        let limit = self.node.settings.lease() * UNREACHABLE_LEASES;
+        hand.deaf_since
+            .is_some_and(|since| self.now.saturating_duration_since(since) > limit)
     }
-    leaving
 }
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -1,6 +1,7 @@
 //! The fleet in numbers, for the log and for reports.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use tokio::time::Instant;
 
@@ -10,72 +11,111 @@
 use crate::node::Node;
 use crate::view::View;
 
+/// Machines by state, for the report.
+pub fn census(view: &View) -> BTreeMap<&'static str, usize> {
+    let mut counts = BTreeMap::new();
+    for entry in view.machines.values() {
+        let name = match entry.value.life {
+            Life::Booting => "booting",
+            Life::Active => "active",
+            Life::Draining => "draining",
+            Life::Returning => "returning",
+            Life::Gone => "gone",
+        };
+        *counts.entry(name).or_insert(0) += 1;
+    }
+    counts
+}
+
 /// One line a while on what is rented and how full it is, for a replay.
-pub(super) fn describe(node: &Node) {
+pub(super) fn log_fleet(node: &Node) {
     {
         let mut fleet = node.fleet.borrow_mut();
-        let due = node.settings.lease();
-        if fleet.described_at.is_some_and(|t| t.elapsed() < due) {
+        let interval = node.settings.lease();
+        if fleet.logged_at.is_some_and(|at| at.elapsed() < interval) {
             return;
         }
-        fleet.described_at = Some(Instant::now());
+        fleet.logged_at = Some(Instant::now());
     }
     let view = node.view.borrow();
-    let mut kinds: BTreeMap<String, (usize, f64, f64)> = BTreeMap::new();
-    for (id, e) in &view.machines {
-        let m = &e.value;
-        let name = format!(
-            "{}{}{}",
-            m.kind,
-            if m.spot { "*" } else { "" },
-            if m.life == Life::Active { "" } else { "?" }
-        );
-        let entry = kinds.entry(name).or_default();
-        entry.0 += 1;
-        entry.1 += view.booked_on(id).cpus.units();
-        entry.2 += view.type_of(&m.kind).map_or(0.0, |t| t.cpus);
-    }
-    // Machines that nobody counts on yet, and where work on accelerators fits.
-    let active = |m: &Machine| m.life == Life::Active;
-    let machines = view.machines.iter().filter(|(_, e)| active(&e.value));
-    let unlisted = machines.filter(|(id, _)| view.slot(id).is_none()).count();
     let plan = Plan::of(&view);
     let places: Vec<(&str, usize)> = view
         .zone_names
         .all()
         .map(|zone| (zone, spare_places(&view, &plan, Some(zone))))
         .collect();
-    let mut waiting: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for (_, id) in &view.open {
-        if let Some(job) = view.jobs.get(id).map(|e| &e.value)
-            && let Some(spec) = &job.spec
-        {
-            let entry = waiting.entry(&spec.class).or_default();
-            entry.0 += job.waiting();
-            entry.1 += job.booked();
-        }
-    }
     tracing::debug!(
-        ?kinds,
-        ?waiting,
-        unlisted,
+        kinds = ?machines_by_kind(&view),
+        waiting = ?tasks_by_class(&view),
+        unlisted = unlisted_machines(&view),
         ?places,
         "fleet (number, CPUs booked, CPUs), tasks (waiting, booked)"
     );
 }
 
-/// Machines by life, for the report.
-pub fn census(view: &View) -> BTreeMap<&'static str, usize> {
-    let mut counts = BTreeMap::new();
-    for e in view.machines.values() {
-        let name = match e.value.life {
-            Life::Booting => "booting",
-            Life::Active => "active",
-            Life::Draining => "draining",
-            Life::Returning => "returning",
-            Life::Gone => "gone",
-        };
-        *counts.entry(name).or_insert(0) += 1;
+/// Machines of one kind.
+#[derive(Default)]
+struct KindSummary {
+    number: usize,
+    booked_cpus: f64,
+    cpus: f64,
+}
+
+impl fmt::Debug for KindSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        (self.number, self.booked_cpus, self.cpus).fmt(f)
     }
-    counts
+}
+
+/// Tasks of one class of jobs.
+#[derive(Default)]
+struct TaskSummary {
+    waiting: usize,
+    booked: usize,
+}
+
+impl fmt::Debug for TaskSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        (self.waiting, self.booked).fmt(f)
+    }
+}
+
+/// Machines by type; `*` marks spot machines, `?` those that take no work.
+fn machines_by_kind(view: &View) -> BTreeMap<String, KindSummary> {
+    let mut kinds: BTreeMap<String, KindSummary> = BTreeMap::new();
+    for (id, entry) in &view.machines {
+        let machine = &entry.value;
+        let spot = if machine.spot { "*" } else { "" };
+        let inactive = if is_active(machine) { "" } else { "?" };
+        let name = format!("{}{spot}{inactive}", machine.kind);
+        let summary = kinds.entry(name).or_default();
+        summary.number += 1;
+        summary.booked_cpus += view.booked_on(id).cpus.units();
+        summary.cpus += view.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
+    }
+    kinds
+}
+
+fn tasks_by_class(view: &View) -> BTreeMap<&str, TaskSummary> {
+    let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
+    for (_, id) in &view.open {
+        if let Some(job) = view.jobs.get(id).map(|entry| &entry.value)
+            && let Some(spec) = &job.spec
+        {
+            let summary = classes.entry(&spec.class).or_default();
+            summary.waiting += job.waiting();
+            summary.booked += job.booked();
+        }
+    }
+    classes
+}
+
+/// Active machines that stand in no part's record: nobody counts on them yet.
+fn unlisted_machines(view: &View) -> usize {
+    let active = view.machines.iter().filter(|(_, e)| is_active(&e.value));
+    active.filter(|(id, _)| view.slot(id).is_none()).count()
+}
+
+fn is_active(machine: &Machine) -> bool {
+    machine.life == Life::Active
 }
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -1,4 +1,6 @@
-//! The machine types that the cloud offers, kept in the state.
+//! The machine types that the cloud offers. The renter reads them and keeps
+//! them in the state, where every controller, a newly started one too, finds
+//! them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,42 +13,45 @@
 use crate::view::TYPES_KEY;
 use crate::wire::MachineTypes;
 
-/// The renter reads the machine types and keeps them in the state, where
-/// every controller, a newly started one too, finds them.
+/// The types are read again after so many times the list's lag.
+const REFRESH_LAGS: u32 = 3;
+
+/// Keeps the machine types in the state as the cloud tells them.
 pub async fn keep_types(node: Rc<Node>) {
     let tick = node.settings.report() / 3;
     loop {
         // Until the types are known nobody can accept anything.
         let known = !node.view.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
-        if !node.is_renter() {
-            continue;
-        }
-        let fresh = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s) * 3;
-        let due = node
-            .fleet
-            .borrow()
-            .types_at
-            .is_none_or(|t| t.elapsed() > fresh);
-        if !due {
-            continue;
-        }
-        let Some(r) = node.cloud("GET", "/flavors", None).await else {
-            continue;
-        };
-        let Ok(MachineTypes { types }) = r.parse::<MachineTypes>() else {
-            continue;
-        };
-        node.fleet.borrow_mut().types_at = Some(Instant::now());
-        let types = Types { types };
-        let known = node.view.borrow().types.clone();
-        if known.value != types {
-            let guards = vec![guard(TYPES_KEY.to_string(), known.version)];
-            let writes = vec![put(TYPES_KEY.to_string(), &types)];
-            if let Err(error) = node.commit(Class::Lease, guards, writes).await {
-                tracing::debug!(%error, "types not recorded");
-                node.fleet.borrow_mut().types_at = None;
-            }
+        if node.is_renter() && is_due(&node) {
+            refresh(&node).await;
         }
     }
 }
+
+fn is_due(node: &Node) -> bool {
+    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
+    let read_at = node.fleet.borrow().types_read_at;
+    read_at.is_none_or(|read| read.elapsed() > lag * REFRESH_LAGS)
+}
+
+async fn refresh(node: &Node) {
+    let Some(response) = node.cloud("GET", "/flavors", None).await else {
+        return;
+    };
+    let Ok(MachineTypes { types }) = response.parse::<MachineTypes>() else {
+        return;
+    };
+    node.fleet.borrow_mut().types_read_at = Some(Instant::now());
+    let types = Types { types };
+    let known = node.view.borrow().types.clone();
+    if known.value == types {
+        return;
+    }
+    let guards = vec![guard(TYPES_KEY.to_string(), known.version)];
+    let writes = vec![put(TYPES_KEY.to_string(), &types)];
+    if let Err(error) = node.commit(Class::Lease, guards, writes).await {
+        tracing::debug!(%error, "types not recorded");
+        node.fleet.borrow_mut().types_read_at = None;
+    }
+}
