--- /dev/null
+++ b/src/cloud/blame.rs
@@ -0,0 +1,100 @@
+//! Whose fault a job's failures are: the job's or the machine's.
+
+use std::collections::{HashMap, HashSet};
+
+use crate::machines::{EndKey, Hand};
+use crate::model::{Final, Job};
+use crate::node::Node;
+use crate::view::View;
+
+/// One of so many machines held may be suspect at once.
+const SUSPECT_FRACTION: usize = 4;
+
+/// What a machine's failures say of it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Health {
+    /// Nothing, or the jobs fail on others as well.
+    Good,
+    /// Several jobs failed there, and nobody knows yet whose fault it is.
+    Suspect,
+    /// A job that failed there has succeeded elsewhere since.
+    Faulty,
+}
+
+/// What the failure of one job on a machine says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Blame {
+    /// The job fails on other machines, too, or is cancelled.
+    Job,
+    /// The job has succeeded elsewhere since.
+    Machine,
+    /// The job has not been tried again yet.
+    Unknown,
+}
+
+/// Whom to blame for a job's failure on a machine, by the job's record, which
+/// holds that failure: the machine, if the job has succeeded since; the job, if
+/// it fails on others, too, or is cancelled.
+pub fn blame(job: &Job, machine: &str) -> Blame {
+    match job.fin {
+        Final::Done => Blame::Machine,
+        Final::Cancelled => Blame::Job,
+        Final::Open if job.is_doubtful() => Blame::Job,
+        Final::Open if job.failed_on.iter().any(|m| m == machine) => Blame::Unknown,
+        Final::Open => Blame::Machine,
+    }
+}
+
+/// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
+/// on all machines alike, and would send one after another away.
+pub(super) fn health(node: &Node, view: &View, machine: &str, hand: &Hand) -> Health {
+    let mut unknown = 0;
+    for id in &hand.failed_jobs {
+        let Some(job) = view.jobs.get(id) else {
+            continue;
+        };
+        if has_unrecorded_end(node, id, machine) {
+            unknown += 1;
+            continue;
+        }
+        match blame(&job.value, machine) {
+            Blame::Machine => return Health::Faulty,
+            Blame::Unknown => unknown += 1,
+            Blame::Job => {}
+        }
+    }
+    match unknown {
+        0 | 1 => Health::Good,
+        _ => Health::Suspect,
+    }
+}
+
+/// Whether the end of a job's task on a machine is still to be recorded: the
+/// job's record does not hold that failure yet.
+fn has_unrecorded_end(node: &Node, job: &str, machine: &str) -> bool {
+    let first = EndKey {
+        job: job.to_string(),
+        machine: machine.to_string(),
+        attempt: 0,
+        task: 0,
+    };
+    let ends = node.ends.borrow();
+    let next = ends.range(first..).next();
+    next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
+}
+
+/// Machines that take no new work until it is known whose fault the failures
+/// there are: a quarter of those held at most, or many jobs with a mistake
+/// would leave no room to tell.
+pub fn suspects(node: &Node, view: &View, hands: &HashMap<String, Hand>) -> HashSet<String> {
+    let mut found: Vec<(usize, &String)> = hands
+        .iter()
+        .filter(|(_, hand)| hand.failed_jobs.len() > 1)
+        .filter(|(id, hand)| health(node, view, id, hand) == Health::Suspect)
+        .map(|(id, hand)| (hand.failed_jobs.len(), id))
+        .collect();
+    found.sort_by(|a, b| b.cmp(a));
+    let limit = (hands.len() / SUSPECT_FRACTION).max(1);
+    let found = found.into_iter().take(limit);
+    found.map(|(_, id)| id.clone()).collect()
+}
--- /dev/null
+++ b/src/cloud/draining.rs
@@ -0,0 +1,83 @@
+//! Draining of machines that the cloud takes back: no new work goes there, and
+//! what runs there saves its progress while there is time.
+
+use super::life::set_life;
+use crate::draft::COMMIT_BYTES;
+use crate::model::{Job, Life, Spec};
+use crate::node::{Node, guard};
+use crate::store::Class;
+use crate::view::job_key;
+use crate::wire::{Guard, Kind, Write};
+
+/// Machines with a spot notice take no new work, and gangs that can save are
+/// told to while there is time.
+pub(super) async fn drain_recalled(node: &Node) {
+    let ids: Vec<String> = node.fleet.borrow_mut().recalled.drain().collect();
+    for id in ids {
+        if is_active_here(node, &id) {
+            tracing::info!(machine = id, "is being taken back: draining");
+            if !set_life(node, &id, Life::Draining).await {
+                node.fleet.borrow_mut().recalled.insert(id.clone());
+                continue;
+            }
+        }
+        let (guards, writes) = stops_for_drain(node, &id);
+        if !writes.is_empty()
+            && let Err(error) = node.commit(Class::Life, guards, writes).await
+        {
+            tracing::debug!(machine = id, %error, "drain not committed");
+        }
+    }
+}
+
+/// Whether a machine takes work and is held by this controller.
+fn is_active_here(node: &Node, id: &str) -> bool {
+    let view = node.view.borrow();
+    let machine = view.machines.get(id).map(|entry| &entry.value);
+    machine.is_some_and(|machine| machine.life == Life::Active) && node.holds(id)
+}
+
+/// The commit that stops the work on a machine that can save its progress; as
+/// much of it as one commit holds.
+fn stops_for_drain(node: &Node, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+    let view = node.view.borrow();
+    let max_writes = node.settings.txn_ops();
+    let mut guards = Vec::new();
+    let mut writes = Vec::new();
+    let mut bytes = 0;
+    for (id, entry) in view.jobs_on(machine) {
+        let is_full = writes.len() == max_writes || bytes > COMMIT_BYTES / 2;
+        if is_full || !is_to_stop(&entry.value, machine) {
+            continue;
+        }
+        let write = view.put_job(id, &stopped(&entry.value, machine));
+        if let Write::Put { value, .. } = &write {
+            bytes += value.get().len();
+        }
+        guards.push(guard(job_key(id), entry.version));
+        writes.push(write);
+    }
+    (guards, writes)
+}
+
+/// Whether a job loses nothing by a stop, and has not been told yet.
+fn is_to_stop(job: &Job, machine: &str) -> bool {
+    let saves = job
+        .spec
+        .as_ref()
+        .is_some_and(|spec| spec.checkpoint_s > 0.0 || spec.kind == Kind::Service);
+    let mut here = job.runs.iter().filter(|run| run.machine == machine);
+    saves && job.is_open() && here.any(|run| !run.stop)
+}
+
+/// The job with its tasks on the machine told to stop; all of a gang's.
+fn stopped(job: &Job, machine: &str) -> Job {
+    let mut job = job.clone();
+    let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+    for run in &mut job.runs {
+        if is_gang || run.machine == machine {
+            run.stop = true;
+        }
+    }
+    job
+}
--- /dev/null
+++ b/src/cloud/headroom.rs
@@ -0,0 +1,49 @@
+//! Places kept ready for the next gang on accelerators.
+
+use crate::admission::{self, Plan};
+use crate::model::Job;
+use crate::node::Node;
+use crate::pipeline::Standing;
+use crate::view::View;
+
+/// How many tasks of the accelerators' usual shape there should be places
+/// for beyond those that run: none when no such job is open.
+pub(super) fn headroom(node: &Node, view: &View, plan: &Plan) -> usize {
+    let Some(gpu) = &view.gpu_spec else {
+        return 0;
+    };
+    let has_gpu_jobs = view.open.iter().any(|(_, id)| {
+        let job = view.jobs.get(id).map(|entry| &entry.value);
+        let job = job.filter(|job| !job.is_doubtful());
+        let spec = job.and_then(|job| job.spec.as_ref());
+        spec.is_some_and(|spec| spec.need.gpus.0 > 0)
+    });
+    if !has_gpu_jobs {
+        return 0;
+    }
+    let next = Job::new(gpu.clone(), 0);
+    let standing = Standing::of(gpu);
+    let facts = admission::facts(&next, gpu, plan, &node.settings, view, 0.0, &standing);
+    let jobs = node.settings.policy.headroom(&facts);
+    (jobs * f64::from(gpu.tasks)).round() as usize
+}
+
+/// Free places of the accelerators' usual shape, in one zone or in all.
+pub(super) fn spare_places(view: &View, plan: &Plan, zone: Option<&str>) -> usize {
+    let Some(gpu) = &view.gpu_spec else {
+        return 0;
+    };
+    let allowed: Vec<bool> = view
+        .classes
+        .iter()
+        .map(|class| {
+            gpu.allows(&class.kind, &class.zone, class.spot)
+                && zone.is_none_or(|zone| zone == &*class.zone)
+        })
+        .collect();
+    plan.spots
+        .iter()
+        .filter(|spot| allowed[spot.class as usize])
+        .map(|spot| spot.free.slots(&gpu.need))
+        .sum()
+}
--- /dev/null
+++ b/src/cloud/list.rs
@@ -0,0 +1,173 @@
+//! The cloud's list of machines, compared with the records: adopts those that
+//! nobody knows, gives up those that have failed.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::life::{LifeChange, set_lives};
+use super::rentals::rental_of;
+use super::state::FleetState;
+use crate::draft::Groups;
+use crate::model::{Life, Machine};
+use crate::node::Node;
+use crate::store::Class;
+use crate::view::View;
+use crate::wire::{ListedMachine, ListedStage, MachineList};
+
+/// How long, over the list's lag, a machine that is gone may still be listed.
+const GONE_LAGS: u32 = 6;
+
+/// A listed machine without a record is recorded here after so many leases:
+/// one that runs reports sooner, and is claimed with a record of its own.
+const UNCLAIMED_LEASES: u32 = 2;
+
+/// A machine that has no record yet.
+#[derive(Debug, Clone)]
+pub(super) struct NewMachine {
+    pub(super) id: String,
+    pub(super) machine: Machine,
+}
+
+/// What the cloud's list shows that the records do not.
+#[derive(Debug, Default)]
+struct Differences {
+    /// Recorded machines that the cloud lists as failed.
+    failed: Vec<String>,
+    /// Machines to be recorded.
+    new: Vec<NewMachine>,
+}
+
+/// Reads the cloud's list when it is due, and carries out what it shows.
+pub(super) async fn reconcile_list(node: &Node) {
+    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
+    let read_at = node.fleet.borrow().list_read_at;
+    if read_at.is_some_and(|read| read.elapsed() <= lag) {
+        return;
+    }
+    let Some(listed) = read_list(node).await else {
+        return;
+    };
+    node.fleet.borrow_mut().list_read_at = Some(Instant::now());
+    let differences = {
+        let view = node.view.borrow();
+        let mut fleet = node.fleet.borrow_mut();
+        fleet
+            .gone
+            .retain(|_, since| since.elapsed() < lag * GONE_LAGS);
+        fleet
+            .unrecorded
+            .retain(|id, _| !view.machines.contains_key(id));
+        compare(&view, &mut fleet, &listed, node.settings.lease())
+    };
+    record_machines(node, &differences.new).await;
+    let returning: Vec<LifeChange> = differences
+        .failed
+        .iter()
+        .map(|id| LifeChange::new(id, Life::Returning))
+        .collect();
+    set_lives(node, &returning).await;
+}
+
+/// All pages of the cloud's list.
+async fn read_list(node: &Node) -> Option<Vec<ListedMachine>> {
+    let mut all = Vec::new();
+    let mut after = String::new();
+    loop {
+        let path = format!("/rentals?after={after}&limit=500");
+        let response = node.cloud("GET", &path, None).await?;
+        let list = response.parse::<MachineList>().ok()?;
+        let Some(last) = list.machines.last() else {
+            return Some(all);
+        };
+        after = last.id.clone();
+        all.extend(list.machines);
+        if !list.more {
+            return Some(all);
+        }
+    }
+}
+
+fn compare(
+    view: &View,
+    fleet: &mut FleetState,
+    listed: &[ListedMachine],
+    lease: Duration,
+) -> Differences {
+    let unanswered = view
+        .hires
+        .values()
+        .any(|entry| entry.value.machines.is_empty());
+    let mut differences = Differences::default();
+    for machine in listed {
+        let has_failed = machine.stage == ListedStage::Failed;
+        if let Some(known) = view.machines.get(&machine.id) {
+            if has_failed && known.value.life != Life::Gone {
+                differences.failed.push(machine.id.clone());
+            }
+        } else if fleet.gone.contains_key(&machine.id) {
+            // A late list.
+        } else if rental_of(view, &machine.id).is_some() {
+            if has_failed {
+                differences.new.extend(rented_but_not_up(view, &machine.id));
+            }
+        } else if unanswered {
+            // The answer to a rental that is under way will name it.
+        } else if fleet.is_unclaimed(&machine.id, lease * UNCLAIMED_LEASES) {
+            differences.new.push(NewMachine {
+                id: machine.id.clone(),
+                machine: Machine {
+                    spot: machine.spot,
+                    ..Machine::new(&machine.kind, &machine.zone)
+                },
+            });
+        }
+    }
+    differences
+}
+
+/// A rented machine without a record, to be sent back.
+pub(super) fn rented_but_not_up(view: &View, id: &str) -> Option<NewMachine> {
+    let (_, rental) = rental_of(view, id)?;
+    let machine = Machine {
+        life: Life::Returning,
+        spot: rental.value.spot,
+        ..Machine::new(&rental.value.kind, &rental.value.zone)
+    };
+    Some(NewMachine {
+        id: id.to_string(),
+        machine,
+    })
+}
+
+/// Records machines that have no record: rented ones that have not come up,
+/// which go back, and listed ones that nobody knows.
+pub(super) async fn record_machines(node: &Node, machines: &[NewMachine]) {
+    let max_writes = node.settings.txn_ops();
+    let mut recorded = Vec::new();
+    let (guards, writes) = {
+        let view = node.view.borrow();
+        let mut groups = Groups::new(&view);
+        for NewMachine { id, machine } in machines {
+            if view.machines.contains_key(id) || groups.is_full(max_writes) {
+                continue;
+            }
+            let mut machine = machine.clone();
+            machine.part = groups.new_part(&node.settings, id, &machine.kind, &machine.zone);
+            recorded.push((id, machine.life));
+            groups.put(id, machine);
+        }
+        groups.into_commit()
+    };
+    if writes.is_empty() {
+        return;
+    }
+    match node.commit(Class::Life, guards, writes).await {
+        Ok(_) => {
+            for (machine, life) in recorded {
+                tracing::info!(machine, ?life, "taken up");
+            }
+        }
+        Err(error) => tracing::debug!(%error, "machines not taken up"),
+    }
+}
--- /dev/null
+++ b/src/cloud/returns.rs
@@ -0,0 +1,135 @@
+//! Returns of machines to the cloud, and the end of their records.
+
+use std::collections::BTreeMap;
+
+use tokio::time::Instant;
+
+use super::life::{LifeChange, set_lives};
+use super::rentals::rental_of;
+use crate::draft::Groups;
+use crate::model::{Hire, Life};
+use crate::node::{Node, guard, put};
+use crate::store::Class;
+use crate::view::{View, hire_key, part_id};
+use crate::wire::{Guard, MachineNames, Write};
+
+/// The most machines that one call returns.
+const MAX_RETURNED: usize = 100;
+
+/// Returns what is to go, and drops the records of what is gone.
+pub(super) async fn finish_returns(node: &Node) {
+    let (returning, gone) = {
+        let view = node.view.borrow();
+        let returning = machines_in(&view, Life::Returning)
+            .take(MAX_RETURNED)
+            .cloned()
+            .collect::<Vec<_>>();
+        let gone = machines_in(&view, Life::Gone)
+            .filter(|id| !view.bookings.contains_key(*id))
+            .take(node.settings.txn_ops())
+            .cloned()
+            .collect::<Vec<_>>();
+        (returning, gone)
+    };
+    if !returning.is_empty() && return_to_cloud(node, &returning).await {
+        record_returned(node, returning).await;
+    }
+    drop_records(node, &gone).await;
+}
+
+fn machines_in(view: &View, life: Life) -> impl Iterator<Item = &String> {
+    view.machines
+        .iter()
+        .filter(move |(_, entry)| entry.value.life == life)
+        .map(|(id, _)| id)
+}
+
+/// Whether the cloud has taken the machines back.
+async fn return_to_cloud(node: &Node, machines: &[String]) -> bool {
+    let names = MachineNames {
+        machines: machines.to_vec(),
+    };
+    let Ok(body) = serde_json::to_vec(&names) else {
+        return false;
+    };
+    let response = node.cloud("POST", "/rentals/return", Some(body)).await;
+    response.is_some_and(|response| response.status == 200)
+}
+
+/// Records that machines are gone.
+async fn record_returned(node: &Node, returned: Vec<String>) {
+    let now = Instant::now();
+    // Nothing is booked on most: their records go at once.
+    let (booked, empty): (Vec<String>, Vec<String>) = {
+        let view = node.view.borrow();
+        let is_booked = |id: &String| view.bookings.contains_key(id);
+        returned.iter().cloned().partition(is_booked)
+    };
+    let changes: Vec<LifeChange> = booked
+        .iter()
+        .map(|id| LifeChange::new(id, Life::Gone))
+        .collect();
+    set_lives(node, &changes).await;
+    drop_records(node, &empty).await;
+    let mut fleet = node.fleet.borrow_mut();
+    for id in returned {
+        fleet.reports.remove(&id);
+        fleet.empty_since.remove(&id);
+        fleet.first_seen.remove(&id);
+        fleet.gone.insert(id, now);
+    }
+}
+
+/// Drops the records of machines that the cloud has taken back.
+async fn drop_records(node: &Node, ids: &[String]) {
+    let (guards, writes) = record_drops(node, ids);
+    if !writes.is_empty()
+        && let Err(error) = node.commit(Class::Room, guards, writes).await
+    {
+        tracing::debug!(%error, "records of gone machines stay");
+    }
+}
+
+/// The commit that drops the records of gone machines, and their names from the
+/// rental that may still list them: they would count as booting again.
+fn record_drops(node: &Node, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
+    let view = node.view.borrow();
+    let max_writes = node.settings.txn_ops();
+    let mut groups = Groups::new(&view);
+    let mut rentals: BTreeMap<&String, Hire> = BTreeMap::new();
+    for id in gone {
+        // Nothing was booked meanwhile: its part has lost it, and its group
+        // is guarded.
+        let Some(machine) = view.machines.get(id).map(|entry| &entry.value) else {
+            continue;
+        };
+        if view.bookings.contains_key(id) {
+            continue;
+        }
+        let rental = rental_of(&view, id);
+        let group = part_id(&machine.zone, &machine.part);
+        let has_group = groups.has(&group);
+        let adds_rental = rental.is_some_and(|(name, _)| !rentals.contains_key(name));
+        let added = usize::from(!has_group) + usize::from(adds_rental);
+        if groups.len() + rentals.len() + added > max_writes
+            || (!has_group && groups.is_full(max_writes))
+        {
+            continue;
+        }
+        groups.edit(&group).remove(id);
+        if let Some((name, entry)) = rental {
+            let rental = rentals.entry(name).or_insert_with(|| entry.value.clone());
+            rental.machines.retain(|machine| machine != id);
+        }
+    }
+    let (mut guards, mut writes) = groups.into_commit();
+    for (id, rental) in rentals {
+        let key = hire_key(id);
+        guards.push(guard(key.clone(), view.hires[id].version));
+        writes.push(match rental.machines.is_empty() {
+            true => Write::Delete { key },
+            false => put(key, &rental),
+        });
+    }
+    (guards, writes)
+}
--- /dev/null
+++ b/src/cloud/settling.rs
@@ -0,0 +1,59 @@
+//! Records that have served their turn, and jobs' records that are still to say
+//! what follows from others.
+
+use crate::node::{Node, guard, put};
+use crate::store::Class;
+use crate::view::{arrivals_key, hire_key, job_key};
+use crate::wire::{Guard, Write};
+
+/// Drops what has served its turn: rentals whose machines all have a record of
+/// their own, arrivals whose jobs all have. Those records never go while this
+/// one stands (`returns::record_drops`) or at all, so what the view shows holds.
+pub(super) async fn settle_records(node: &Node) {
+    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+        let view = node.view.borrow();
+        let rentals = view.hires.iter().filter(|(_, entry)| {
+            let machines = &entry.value.machines;
+            !machines.is_empty() && machines.iter().all(|id| view.machines.contains_key(id))
+        });
+        let arrivals = view.arrivals.iter().filter(|(_, entry)| {
+            let mut jobs = entry.value.jobs.keys();
+            jobs.all(|id| view.job_version(id) > 0)
+        });
+        let rentals = rentals.map(|(id, entry)| (hire_key(id), entry.version));
+        let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
+        rentals
+            .chain(arrivals)
+            .take(node.settings.txn_ops())
+            .map(|(key, version)| (guard(key.clone(), version), Write::Delete { key }))
+            .unzip()
+    };
+    if !writes.is_empty()
+        && let Err(error) = node.commit(Class::Room, guards, writes).await
+    {
+        tracing::debug!(%error, "settled records stay");
+    }
+}
+
+/// Writes onto jobs' own records that they are cancelled with what they await:
+/// some at a time, in any order. All controllers know it without, and what it
+/// follows from stays: final records are never dropped.
+pub(super) async fn settle_cancelled(node: &Node) {
+    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+        let view = node.view.borrow();
+        view.doomed()
+            .filter_map(|id| {
+                let mut job = view.jobs.get(id)?.value.clone();
+                job.cancel();
+                let version = view.job_version(id);
+                Some((guard(job_key(id), version), put(job_key(id), &job)))
+            })
+            .take(node.settings.txn_ops())
+            .unzip()
+    };
+    if !writes.is_empty()
+        && let Err(error) = node.commit(Class::Room, guards, writes).await
+    {
+        tracing::debug!(%error, "cancelled jobs not settled yet");
+    }
+}
--- /dev/null
+++ b/src/cloud/summary.rs
@@ -0,0 +1,121 @@
+//! The fleet in numbers, for the log and for reports.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use tokio::time::Instant;
+
+use super::headroom::spare_places;
+use crate::admission::Plan;
+use crate::model::{Life, Machine};
+use crate::node::Node;
+use crate::view::View;
+
+/// Machines by state, for the report.
+pub fn census(view: &View) -> BTreeMap<&'static str, usize> {
+    let mut counts = BTreeMap::new();
+    for entry in view.machines.values() {
+        let name = match entry.value.life {
+            Life::Booting => "booting",
+            Life::Active => "active",
+            Life::Draining => "draining",
+            Life::Returning => "returning",
+            Life::Gone => "gone",
+        };
+        *counts.entry(name).or_insert(0) += 1;
+    }
+    counts
+}
+
+/// One line a while on what is rented and how full it is, for a replay.
+pub(super) fn log_fleet(node: &Node) {
+    {
+        let mut fleet = node.fleet.borrow_mut();
+        let interval = node.settings.lease();
+        if fleet.logged_at.is_some_and(|at| at.elapsed() < interval) {
+            return;
+        }
+        fleet.logged_at = Some(Instant::now());
+    }
+    let view = node.view.borrow();
+    let plan = Plan::of(&view);
+    let places: Vec<(&str, usize)> = view
+        .zone_names
+        .all()
+        .map(|zone| (zone, spare_places(&view, &plan, Some(zone))))
+        .collect();
+    tracing::debug!(
+        kinds = ?machines_by_kind(&view),
+        waiting = ?tasks_by_class(&view),
+        unlisted = unlisted_machines(&view),
+        ?places,
+        "fleet (number, CPUs booked, CPUs), tasks (waiting, booked)"
+    );
+}
+
+/// Machines of one kind.
+#[derive(Default)]
+struct KindSummary {
+    number: usize,
+    booked_cpus: f64,
+    cpus: f64,
+}
+
+impl fmt::Debug for KindSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        (self.number, self.booked_cpus, self.cpus).fmt(f)
+    }
+}
+
+/// Tasks of one class of jobs.
+#[derive(Default)]
+struct TaskSummary {
+    waiting: usize,
+    booked: usize,
+}
+
+impl fmt::Debug for TaskSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        (self.waiting, self.booked).fmt(f)
+    }
+}
+
+/// Machines by type; `*` marks spot machines, `?` those that take no work.
+fn machines_by_kind(view: &View) -> BTreeMap<String, KindSummary> {
+    let mut kinds: BTreeMap<String, KindSummary> = BTreeMap::new();
+    for (id, entry) in &view.machines {
+        let machine = &entry.value;
+        let spot = if machine.spot { "*" } else { "" };
+        let inactive = if is_active(machine) { "" } else { "?" };
+        let name = format!("{}{spot}{inactive}", machine.kind);
+        let summary = kinds.entry(name).or_default();
+        summary.number += 1;
+        summary.booked_cpus += view.booked_on(id).cpus.units();
+        summary.cpus += view.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
+    }
+    kinds
+}
+
+fn tasks_by_class(view: &View) -> BTreeMap<&str, TaskSummary> {
+    let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
+    for (_, id) in &view.open {
+        if let Some(job) = view.jobs.get(id).map(|entry| &entry.value)
+            && let Some(spec) = &job.spec
+        {
+            let summary = classes.entry(&spec.class).or_default();
+            summary.waiting += job.waiting();
+            summary.booked += job.booked();
+        }
+    }
+    classes
+}
+
+/// Active machines that stand in no part's record: nobody counts on them yet.
+fn unlisted_machines(view: &View) -> usize {
+    let active = view.machines.iter().filter(|(_, e)| is_active(&e.value));
+    active.filter(|(id, _)| view.slot(id).is_none()).count()
+}
+
+fn is_active(machine: &Machine) -> bool {
+    machine.life == Life::Active
+}
