--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,10 +4,8 @@
 //! by zone with one conditional write, and drive the workers that report to
 //! them. `docs/design.md` says what rests on which published design.
 
-pub mod admission;
 pub mod api;
 pub mod cli;
-pub mod draft;
 pub mod fleet;
 pub mod http;
 pub mod machines;
@@ -17,11 +15,15 @@
 pub mod node;
 pub mod ops;
 pub mod pipeline;
-pub mod placement;
 pub mod policy;
+pub mod scheduler;
 pub mod settings;
 pub mod shrink;
 pub mod store;
 pub mod text;
 pub mod view;
 pub mod wire;
+
+pub use scheduler as admission;
+pub use scheduler as draft;
+pub use scheduler as placement;
--- /dev/null
+++ b/src/scheduler/plan.rs
@@ -0,0 +1,108 @@
+//! Free resources as a placement round plans with them.
+
+use std::rc::Rc;
+
+use foldhash::HashMap;
+
+use crate::model::{Amount, Room};
+use crate::settings::TeamTerms;
+use crate::view::{Spot, View};
+
+/// Stands for a machine that has no name yet, as it is not rented yet.
+pub const UNNAMED: u32 = u32::MAX;
+
+/// Free room as a round plans with it: what the view's bookings leave, less
+/// what the round has given out already. Copied often, so it holds no text.
+#[derive(Debug, Clone, Default)]
+pub struct Plan {
+    pub spots: Vec<Spot>,
+    /// Where a machine stands in `spots`, by its number.
+    at: Vec<u32>,
+    pub teams: HashMap<String, Room>,
+}
+
+impl Plan {
+    pub fn of(view: &View) -> Self {
+        let mut plan = Plan {
+            spots: view.spots().map(|s| view.with_room(s)).collect(),
+            at: vec![UNNAMED; view.machine_names.len()],
+            teams: view.teams_used().clone(),
+        };
+        for (at, spot) in plan.spots.iter().enumerate() {
+            plan.at[spot.machine as usize] = at as u32;
+        }
+        plan
+    }
+
+    pub fn used(&self, team: &str) -> Room {
+        self.teams.get(team).copied().unwrap_or_default()
+    }
+
+    /// Where a machine stands among the spots, if it takes work.
+    pub fn find(&self, view: &View, machine: &str) -> Option<usize> {
+        let number = view.machine_names.find(machine)?;
+        let at = *self.at.get(number as usize)?;
+        (at != UNNAMED).then_some(at as usize)
+    }
+
+    /// Room on a machine that is yet to come.
+    pub fn add(&mut self, class: u32, free: Room) {
+        self.spots.push(Spot {
+            machine: UNNAMED,
+            part: UNNAMED,
+            class,
+            free,
+        });
+    }
+
+    pub fn take(&mut self, place: &Place, team: &str, need: Room) {
+        self.spots[place.at].free -= need;
+        match self.teams.get_mut(team) {
+            Some(used) => *used += need,
+            None => {
+                self.teams.insert(team.to_string(), need);
+            }
+        }
+    }
+
+    /// Room that is, or will be, given back.
+    pub fn give(&mut self, view: &View, machine: &str, team: &str, room: Room) {
+        match self.find(view, machine) {
+            Some(at) => self.free(at, team, room),
+            None => self.give_team(team, room),
+        }
+    }
+
+    /// The same where the machine's place among the spots is known.
+    pub fn free(&mut self, at: usize, team: &str, room: Room) {
+        self.spots[at].free += room;
+        self.give_team(team, room);
+    }
+
+    fn give_team(&mut self, team: &str, room: Room) {
+        if let Some(used) = self.teams.get_mut(team) {
+            *used -= room;
+        }
+    }
+}
+
+/// One task's place.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Place {
+    /// Where the machine stands in the plan.
+    pub at: usize,
+    pub machine: Rc<str>,
+    pub zone: Rc<str>,
+    /// The part of the zone's record that has the machine.
+    pub part: Rc<str>,
+}
+
+/// How many more tasks the team's limit lets run.
+pub fn team_slots(terms: &TeamTerms, used: &Room, need: &Room) -> usize {
+    let (cpus, gpus) = terms.limit();
+    let part = |cap: Option<Amount>, used: i64, need: i64| match cap {
+        Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
+        _ => usize::MAX,
+    };
+    part(cpus, used.cpus.0, need.cpus.0).min(part(gpus, used.gpus.0, need.gpus.0))
+}
--- /dev/null
+++ b/src/scheduler/queue.rs
@@ -0,0 +1,73 @@
+//! The order in which waiting jobs are placed.
+
+use foldhash::HashMap;
+use tokio::time::Instant;
+
+use super::job_facts::facts;
+use super::plan::Plan;
+use crate::model::{Job, Spec};
+use crate::settings::Settings;
+use crate::view::View;
+
+/// Whether a job has waited so long that it goes first: a bound on waiting
+/// that no order by size, team or lateness can push back. Only for what has
+/// never begun: the rest of an array follows in the usual order, and what was
+/// stopped for a guarantee must not push back in before it.
+pub fn starves(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
+    age > settings.starving_s() && job.attempt == 0 && job.waiting() == spec.tasks as usize
+}
+
+/// A job's place in the queue: lower goes first.
+#[derive(Debug, Clone, PartialEq, PartialOrd)]
+pub struct Rank {
+    /// It fails wherever it runs: all else goes first.
+    pub doubtful: bool,
+    /// Room has been cleared for it already: the policy does not come into
+    /// that, or what was stopped for one job would serve another.
+    pub waits_for_room: bool,
+    /// It has not waited beyond the bound; those that have go by age.
+    pub patient: bool,
+    /// The policy's keys.
+    pub keys: Vec<f64>,
+    pub born: u64,
+}
+
+/// How long each open job has been known here; a hint for the queue's order.
+pub type Ages = HashMap<String, Instant>;
+
+/// All jobs with waiting tasks, the first to be placed first.
+pub fn queue<'a>(
+    view: &'a View,
+    plan: &Plan,
+    settings: &Settings,
+    ages: &Ages,
+    now: Instant,
+) -> Vec<&'a str> {
+    let mut queue: Vec<(Rank, &str)> = view
+        .open
+        .iter()
+        .filter_map(|(born, id)| {
+            let job = &view.jobs.get(id)?.value;
+            let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
+            let age = ages
+                .get(id)
+                .map_or(0.0, |t| now.saturating_duration_since(*t).as_secs_f64());
+            let standing = view.standing(id, spec, now);
+            let facts = facts(job, spec, plan, settings, view, age, &standing);
+            let starves = starves(job, spec, settings, age);
+            let rank = Rank {
+                doubtful: job.is_doubtful(),
+                waits_for_room: !job.cleared,
+                patient: !starves,
+                keys: match starves {
+                    true => Vec::new(),
+                    false => settings.policy.queue_order(&facts),
+                },
+                born: *born,
+            };
+            Some((rank, id.as_str()))
+        })
+        .collect();
+    queue.sort_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal));
+    queue.into_iter().map(|(_, id)| id).collect()
+}
--- /dev/null
+++ b/src/scheduler/reasons.rs
@@ -0,0 +1,53 @@
+//! Why a job waits, as the last decision about it found.
+
+use serde::Serialize;
+use tokio::time::Instant;
+
+use crate::node::Node;
+
+/// Why a job has to wait, as the decision found it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Wait {
+    /// No zone has room for the whole gang, or no machine for a task.
+    NoRoom,
+    /// No single zone holds a gang that must stay in one.
+    NoZone,
+    /// The team is at its limit.
+    TeamLimit,
+    /// Tasks of an earlier attempt are not surely gone yet.
+    OldAttempt,
+    /// It failed before and is tried again later.
+    BackOff,
+    /// It fails wherever it runs: a part of it is tried now and then.
+    Fails,
+    /// Its tasks may not all be in the zones that have room.
+    Spread,
+    /// More tasks would not fit into the job's record.
+    RecordFull,
+    /// Other work goes first in this round.
+    Queue,
+    /// The cloud has refused every machine that would hold it.
+    Refused,
+}
+
+/// A job's reason to wait, as the last round that looked at it found.
+#[derive(Debug, Clone, Copy, Serialize)]
+pub struct Reason {
+    pub why: Wait,
+    #[serde(skip)]
+    pub since: Instant,
+}
+
+pub fn note(node: &Node, id: &str, why: Wait, now: Instant) {
+    let mut reasons = node.reasons.borrow_mut();
+    match reasons.get_mut(id) {
+        Some(r) if r.why == why => {}
+        // The renter knows better why there is no room.
+        Some(r) if r.why == Wait::Refused && why == Wait::NoRoom => {}
+        _ => {
+            tracing::debug!(job = id, ?why, "waits");
+            reasons.insert(id.to_string(), Reason { why, since: now });
+        }
+    }
+}
