--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,9 @@
 //! by zone with one conditional write, and drive the workers that report to
 //! them. `docs/design.md` says what rests on which published design.
 
-pub mod admission;
 pub mod api;
 pub mod cli;
 pub mod cloud;
-pub mod draft;
 pub mod http;
 pub mod machines;
 pub mod mesh;
@@ -17,8 +15,8 @@
 pub mod node;
 pub mod ops;
 pub mod pipeline;
-pub mod placement;
 pub mod policy;
+pub mod scheduler;
 pub mod settings;
 pub mod shrink;
 pub mod store;
@@ -28,3 +26,6 @@
 
 // The name under which other modules still use it.
 pub use cloud as fleet;
+pub use scheduler as admission;
+pub use scheduler as draft;
+pub use scheduler as placement;
