--- a/src/http.rs
+++ b/src/http.rs
@@ -329,6 +329,13 @@
     since: Instant,
 }
 
+/// By when a request must be sent, and by when its answer must be there.
+#[derive(Debug, Clone, Copy)]
+pub struct Deadlines {
+    pub send: Instant,
+    pub answer: Instant,
+}
+
 /// Keeps connections open per address, and uses one for a request at a time.
 pub struct Client {
     net: Net,
@@ -428,11 +435,28 @@
         path: &str,
         body: Option<Vec<u8>>,
         deadline: Instant,
+    ) -> Result<Response, CallError> {
+        let deadlines = Deadlines {
+            send: deadline,
+            answer: deadline,
+        };
+        self.call_within(addr, method, path, body, deadlines).await
+    }
+
+    /// The same with a deadline of its own for sending, before that of the
+    /// answer: what it asks for must not be asked for any later.
+    pub async fn call_within(
+        &self,
+        addr: SocketAddrV4,
+        method: &str,
+        path: &str,
+        body: Option<Vec<u8>>,
+        deadlines: Deadlines,
     ) -> Result<Response, CallError> {
         let reused = self.idle.borrow_mut().get_mut(&addr).and_then(|v| v.pop());
         let mut connection = match reused {
             Some(idle) if idle.since.elapsed() < self.keep => idle.connection,
-            _ => match tokio::time::timeout_at(deadline, self.dial(addr)).await {
+            _ => match tokio::time::timeout_at(deadlines.send, self.dial(addr)).await {
                 Ok(Ok(s)) => s,
                 Ok(Err(e)) => return Err(CallError::NotSent(e.to_string())),
                 Err(_) => return Err(CallError::NotSent("connecting took too long".into())),
@@ -446,14 +470,14 @@
         .into_bytes();
         out.extend_from_slice(&body);
         // A timeout alone looks at the clock only after its future has run.
-        if Instant::now() >= deadline {
+        if Instant::now() >= deadlines.send {
             return Err(CallError::NotSent("too late to send".into()));
         }
         let exchange = async {
             connection.stream.write_all(&out).await?;
             read_response(&mut connection.stream, self.answer).await
         };
-        match tokio::time::timeout_at(deadline, exchange).await {
+        match tokio::time::timeout_at(deadlines.answer, exchange).await {
             Err(_) => Err(CallError::NoAnswer("timed out".into())),
             Ok(Err(e)) if e.kind() == io::ErrorKind::FileTooLarge => Err(CallError::TooLarge),
             Ok(Err(e)) => Err(CallError::NoAnswer(e.to_string())),
--- a/src/machines.rs
+++ b/src/machines.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::draft::{COMMIT_BYTES, GUARDS_PER_WRITE, Groups};
-use crate::http::{CallError, Response};
+use crate::http::{CallError, Deadlines, Response};
 use crate::model::{Final, Job, Life, Machine, Outcome, Part, Room, Slot, Spec, split_task};
 use crate::node::{Node, guard, skipped};
 use crate::settings::CLOCK_DRIFT;
@@ -250,6 +250,18 @@
     pub fn launches(&self) -> bool {
         self.orders.iter().any(|o| o.verb == Verb::Start)
     }
+
+    /// Takes the launches out unless the view is recent enough for them: what an
+    /// older view books may have been cancelled at another controller since.
+    /// True if any were taken out; they are planned again after a read barrier.
+    pub fn defer_launches(&mut self, horizon_age: Option<Duration>, limit: Duration) -> bool {
+        let recent = horizon_age.is_some_and(|age| age < limit);
+        if recent || !self.launches() {
+            return false;
+        }
+        self.orders.retain(|o| o.verb != Verb::Start);
+        true
+    }
 }
 
 fn outcome(why: Option<Why>) -> Outcome {
@@ -469,6 +481,15 @@
         )
     }
 
+    /// Takes out launches that would follow from too old a view, and asks for the
+    /// read barrier after which they are planned again.
+    fn defer_old_launches(&self, id: &str, plan: &mut Plan) {
+        let limit = self.settings.launch_limit();
+        if plan.defer_launches(self.horizon_age(), limit) {
+            self.want_horizon_for(id);
+        }
+    }
+
     fn queue_ends(&self, ends: Vec<(EndKey, Outcome)>) {
         if ends.is_empty() {
             return;
@@ -716,10 +737,7 @@
             // which the two arrive would not be known.
             plan.orders.clear();
         }
-        if !self.has_state() {
-            // What an old view books may have been cancelled since.
-            plan.orders.retain(|o| o.verb != Verb::Start);
-        }
+        self.defer_old_launches(&id, &mut plan);
         if !self.may_answer_beats() {
             // The horizon may have passed while the claim was awaited.
             return Response::unavailable("cut off from the state service", 1);
@@ -998,6 +1016,7 @@
             if now.saturating_duration_since(hand.heard) > node.settings.report() * 2 {
                 continue;
             }
+            node.defer_old_launches(&id, &mut plan);
             let greeting = hand.report.is_none();
             if plan.orders.is_empty() && !greeting {
                 continue;
@@ -1020,22 +1039,37 @@
                 orders: plan.orders,
             };
             drop(hands);
-            tokio::task::spawn_local(send_orders(node.clone(), id, addr, body, now));
+            let launches = body.orders.iter().any(|o| o.verb == Verb::Start);
+            let deadlines = order_deadlines(&node, launches, now);
+            tokio::task::spawn_local(send_orders(node.clone(), id, addr, body, deadlines));
         }
     }
 }
 
-/// Sends what was decided at `decided`: if this process stands still before it
-/// is sent, it is sent no more, as work may have been cancelled or moved since.
-async fn send_orders(node: Rc<Node>, id: String, addr: String, body: Orders, decided: Instant) {
+/// By when a call with these orders must be sent and answered. If this process
+/// stands still before it is sent, it is sent no more, as work may have been
+/// cancelled or moved since; a launch not once the horizon that it was planned
+/// with is too old for it.
+fn order_deadlines(node: &Node, launches: bool, decided: Instant) -> Deadlines {
+    // As long as a worker waits for its own reports.
+    let limit = Duration::from_secs(4).min(node.settings.lease() / 4);
+    let answer = decided + limit;
+    let horizon = node.horizon.get().filter(|_| launches);
+    let latest_launch = horizon.map(|sent| sent + node.settings.launch_limit());
+    Deadlines {
+        send: latest_launch.map_or(answer, |latest| latest.min(answer)),
+        answer,
+    }
+}
+
+/// Sends a worker its orders, and takes the report that it answers with.
+async fn send_orders(node: Rc<Node>, id: String, addr: String, body: Orders, deadlines: Deadlines) {
     let launches = body.orders.iter().any(|o| o.verb == Verb::Start);
     let token = body.token;
     let result = match (addr.parse(), serde_json::to_vec(&body)) {
         (Ok(addr), Ok(bytes)) => {
-            // As long as a worker waits for its own reports.
-            let limit = Duration::from_secs(4).min(node.settings.lease() / 4);
             node.workers
-                .call_until(addr, "POST", "/orders", Some(bytes), decided + limit)
+                .call_within(addr, "POST", "/orders", Some(bytes), deadlines)
                 .await
         }
         _ => Err(CallError::NotSent("bad address".into())),
--- a/src/node.rs
+++ b/src/node.rs
@@ -2,7 +2,7 @@
 //! and the horizon.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::mesh::Peers;
 use crate::net::Net;
 use crate::placement::Reason;
-use crate::settings::Settings;
+use crate::settings::{BARRIER_GAP_REQUESTS, Settings};
 use crate::store::{Budget, Class, Store, StoreError};
 use crate::view::{BARRIER_KEY, PREFIX, View};
 use crate::wire::{Commit, Guard, Write, raw};
@@ -54,6 +54,8 @@
     barrier_wanted: Notify,
     barrier_started: Cell<u64>,
     barrier_done: watch::Sender<u64>,
+    /// Machines with launches that wait for the next horizon.
+    deferred_launches: RefCell<BTreeSet<String>>,
     watch_again: Notify,
     /// Someone waits for the view: the next watch is opened without delay.
     watch_soon: Notify,
@@ -121,6 +123,7 @@
             barrier_wanted: Notify::new(),
             barrier_started: Cell::new(0),
             barrier_done: watch::Sender::new(0),
+            deferred_launches: RefCell::default(),
             watch_again: Notify::new(),
             watch_soon: Notify::new(),
             hands: RefCell::default(),
@@ -208,6 +211,28 @@
         self.horizon_age().is_some_and(|age| age < limit)
     }
 
+    /// Has a machine's orders planned again with the next horizon, and asks for
+    /// one. Only the first machine asks: where the state service refuses, barriers
+    /// are tried again in their normal interval.
+    pub fn want_horizon_for(&self, machine: &str) {
+        let mut deferred = self.deferred_launches.borrow_mut();
+        if deferred.is_empty() {
+            self.barrier_wanted.notify_one();
+        }
+        deferred.insert(machine.to_string());
+    }
+
+    /// Takes over a new horizon, and has what waited for it planned again.
+    fn set_horizon(&self, sent: Instant) {
+        self.horizon.set(Some(sent));
+        let mut deferred = self.deferred_launches.borrow_mut();
+        if !deferred.is_empty() {
+            let changes = &mut self.view.borrow_mut().changes;
+            changes.machines.append(&mut deferred);
+            self.poke.notify_one();
+        }
+    }
+
     /// Waits until the view holds everything that was committed before this
     /// call. Many callers share one read of the revision.
     pub async fn barrier(&self, limit: Duration) -> bool {
@@ -352,8 +377,8 @@
 
     /// Keeps the horizon and serves those who wait for a barrier.
     pub async fn keep_horizon(self: Rc<Self>) {
-        let idle = self.settings.horizon_limit() / 20;
-        let gap = self.request_gap() * 4;
+        let idle = self.settings.barrier_pause();
+        let gap = self.request_gap() * BARRIER_GAP_REQUESTS;
         loop {
             // A controller that has just started has workers whose leases run
             // out: its first barrier does not wait for anyone to ask.
@@ -370,7 +395,7 @@
                         self.hurry();
                     }
                     if self.view.borrow().loaded && self.wait_revision(revision, limit).await {
-                        self.horizon.set(Some(sent));
+                        self.set_horizon(sent);
                         self.barrier_done.send_replace(number);
                     } else {
                         // The watch is stuck, or its connection is dead.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -191,6 +191,9 @@
 /// The bound that the platform gives for the drift between steady clocks.
 pub const CLOCK_DRIFT: f64 = 0.0005;
 
+/// Read barriers take at most one in so many of a controller's requests.
+pub const BARRIER_GAP_REQUESTS: u32 = 4;
+
 impl Settings {
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|cause| SettingsError::Read {
@@ -426,6 +429,21 @@
         Duration::from_secs_f64(w.cancel_s - w.lease_s).saturating_sub(self.margin())
     }
 
+    /// The pause between two read barriers that nobody has asked for.
+    pub fn barrier_pause(&self) -> Duration {
+        self.horizon_limit().min(self.lease()) / 20
+    }
+
+    /// The oldest horizon at which a launch may be ordered: another controller
+    /// may have confirmed the job's cancellation since. It is twice the normal
+    /// interval between two read barriers, so one slow answer delays nothing.
+    pub fn launch_limit(&self) -> Duration {
+        let requests_per_s = self.rps(true) / self.deployment.count as f64;
+        let gap = Duration::from_secs_f64(BARRIER_GAP_REQUESTS as f64 / requests_per_s);
+        let interval = self.barrier_pause() + gap;
+        (interval * 2).clamp(self.lease() / 16, self.lease() / 4)
+    }
+
     /// A job that has not begun after this long goes first in the queue: three
     /// times what the platform lets a gang's tasks wait for one another.
     pub fn starving_s(&self) -> f64 {
