--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -17,7 +17,7 @@
 use crate::policy::Policy;
 
 pub use check::FieldProblem;
-pub use derived::CLOCK_DRIFT;
+pub use derived::{BARRIER_GAP_REQUESTS, CLOCK_DRIFT};
 pub use teams::TeamTerms;
 
 /// Why a settings file cannot be used.
