--- /dev/null
+++ b/tests/stand_ins/scenario.rs
@@ -0,0 +1,276 @@
+//! The scenario: what a deployment looks like, the world that a test runs in,
+//! and the jobs that its users submit.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::future::Future;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use shelfhoist::http::{Client, ServerLimits, serve};
+use shelfhoist::net::{Fabric, Net};
+use shelfhoist::settings::Settings;
+use tokio::sync::watch;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+use tokio::time::{Instant, sleep};
+
+use super::rules::Told;
+use super::state_service::{State, StateLimits};
+use super::worker::Worker;
+
+pub const CONTROLLERS: usize = 3;
+pub(super) const CLOUD: &str = "10.2.0.2:1";
+pub(super) const USERS: &str = "10.3.0.1:1";
+
+pub fn addr(text: &str) -> SocketAddrV4 {
+    text.parse().expect("address")
+}
+
+pub fn controller(i: usize) -> SocketAddrV4 {
+    addr(&format!("10.0.0.{}:8080", i + 1))
+}
+
+/// Where a controller finds the state service: an address for each, so that one
+/// alone can be refused.
+pub fn state_addr(i: usize) -> SocketAddrV4 {
+    addr(&format!("10.2.1.{}:1", i + 1))
+}
+
+pub(super) fn mesh(i: usize) -> String {
+    format!("10.0.0.{}:8081", i + 1)
+}
+
+/// A deployment as the stand-ins play it.
+#[derive(Clone)]
+pub struct Shape {
+    pub controllers: usize,
+    /// Where each controller is.
+    pub locations: Vec<&'static str>,
+    pub zones: Vec<&'static str>,
+    pub report_s: f64,
+    pub lease_s: f64,
+    pub cancel_s: f64,
+    /// Name, guarantee and limit, in CPUs.
+    pub teams: Vec<(String, f64, f64)>,
+    pub state: Value,
+    pub sockets: usize,
+    /// Machines that are up at the start.
+    pub machines: usize,
+    /// What the cloud says of boots; an idle machine goes back after as long.
+    pub ready_s: f64,
+    /// How long a machine takes before its worker reports.
+    pub boot_s: f64,
+}
+
+impl Default for Shape {
+    /// Two controllers in zone a, one in zone b.
+    fn default() -> Self {
+        Shape {
+            controllers: CONTROLLERS,
+            locations: vec!["a", "a", "b"],
+            zones: vec!["a", "b"],
+            report_s: 1.0,
+            lease_s: 10.0,
+            cancel_s: 30.0,
+            teams: vec![("t".into(), 8.0, 12.0), ("u".into(), 4.0, 8.0)],
+            state: json!({"rps": 150.0, "write_rps": 90.0, "value_kb": 8.0, "txn_ops": 12}),
+            sockets: 500,
+            machines: 0,
+            ready_s: 4.0,
+            boot_s: 4.0,
+        }
+    }
+}
+
+impl Shape {
+    pub fn settings(&self, i: usize) -> Settings {
+        Settings::parse(&self.settings_text(i)).expect("settings")
+    }
+
+    pub fn settings_text(&self, i: usize) -> String {
+        let others: Vec<Value> = (0..self.controllers)
+            .filter(|j| *j != i)
+            .map(|j| {
+                json!({"node": format!("n{j}"), "location": self.locations[j], "addr": mesh(j)})
+            })
+            .collect();
+        let teams: Vec<Value> = self
+            .teams
+            .iter()
+            .map(|(name, cpus, most)| json!({"name": name, "cpus": cpus, "cpus_max": most}))
+            .collect();
+        let text = json!({
+            "node": format!("n{i}"), "location": self.locations[i],
+            "serve_on": controller(i).to_string(), "mesh_addr": mesh(i), "others": others,
+            "external": {"cloud": CLOUD, "state": state_addr(i).to_string()},
+            "deployment": {
+                "count": self.controllers, "zones": self.zones, "teams": teams,
+                "workers": {"report_s": self.report_s, "lease_s": self.lease_s,
+                            "gang_wait_s": self.lease_s * 2.0, "gang_peer_s": self.lease_s / 2.0,
+                            "cancel_s": self.cancel_s},
+                "state": self.state,
+                "cloud": {"rps": 5.0, "list_lag_s": 5.0},
+                "machine_limits": {"cpu": 0.1, "memory_mb": 64.0, "sockets": self.sockets}
+            }
+        });
+        text.to_string()
+    }
+
+    pub(super) fn lease(&self) -> Duration {
+        Duration::from_secs_f64(self.lease_s)
+    }
+}
+
+/// A worker with the loops that drive it.
+pub(super) type Rented = (Rc<Worker>, Vec<JoinHandle<()>>);
+
+pub struct World {
+    pub fabric: Rc<Fabric>,
+    pub state: Rc<State>,
+    pub workers: RefCell<BTreeMap<String, Rented>>,
+    pub(super) jobs: RefCell<HashMap<String, Value>>,
+    pub(super) cancelled: RefCell<HashMap<String, Instant>>,
+    /// Tasks that have completed.
+    /// What users were last told that is final.
+    pub(super) told: RefCell<HashMap<String, String>>,
+    pub(super) hires: RefCell<HashMap<String, Value>>,
+    pub broken: RefCell<Vec<String>>,
+    pub shape: Shape,
+    /// Machines that were ever rented.
+    pub rented: Cell<usize>,
+    /// The zone in which machines never come up.
+    pub barren: Cell<Option<&'static str>>,
+    pub starts: Cell<usize>,
+    /// Starts after a cancellation was confirmed, and how long after.
+    pub late_starts: RefCell<Vec<(String, Duration)>>,
+    /// Tasks that were done.
+    pub(super) finished: RefCell<HashSet<String>>,
+    /// What users were told, and when by `counted`'s count.
+    pub(super) answers: RefCell<HashMap<String, Told>>,
+    pub(super) counted: Cell<u64>,
+    /// The share of the reports of which a copy is kept.
+    pub copied: Cell<f64>,
+    pub(super) copies: RefCell<Vec<Vec<u8>>>,
+    /// `state.next` in the settings of controllers that start from now on.
+    pub next: RefCell<Value>,
+    pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
+    pub(super) frozen: Vec<watch::Sender<bool>>,
+    pub(super) client: Client,
+    pub(super) seed: u64,
+    /// How often controllers were started.
+    pub(super) runs: Cell<u64>,
+}
+
+pub(super) const LIMITS: ServerLimits = ServerLimits {
+    connections: 1000,
+    idle: Duration::from_secs(600),
+    arrive: Duration::from_secs(60),
+    stays: |_| true,
+};
+
+impl World {
+    pub async fn new(seed: u64) -> Rc<Self> {
+        Self::of(seed, Shape::default()).await
+    }
+
+    pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
+        let fabric = Rc::new(Fabric::default());
+        let client = Client::new(
+            Net::Fabric(fabric.clone(), addr(USERS)),
+            Duration::from_secs(1),
+        );
+        let world = Rc::new(World {
+            fabric: fabric.clone(),
+            state: Rc::new(State::new(seed)),
+            workers: RefCell::default(),
+            jobs: RefCell::default(),
+            cancelled: RefCell::default(),
+            told: RefCell::default(),
+            hires: RefCell::default(),
+            broken: RefCell::default(),
+            starts: Cell::new(0),
+            late_starts: RefCell::default(),
+            finished: RefCell::default(),
+            answers: RefCell::default(),
+            counted: Cell::new(0),
+            copied: Cell::new(0.0),
+            copies: RefCell::default(),
+            rented: Cell::new(0),
+            barren: Cell::new(None),
+            next: RefCell::default(),
+            controllers: RefCell::new((0..shape.controllers).map(|_| None).collect()),
+            frozen: (0..shape.controllers)
+                .map(|_| watch::Sender::new(false))
+                .collect(),
+            shape,
+            client,
+            seed,
+            runs: Cell::new(0),
+        });
+        let net = |a: &str| Net::Fabric(fabric.clone(), addr(a));
+        let cloud = world.clone();
+        for i in 0..world.shape.controllers {
+            let (state, at) = (world.state.clone(), state_addr(i));
+            let listener = Net::Fabric(fabric.clone(), at).listen(at).await;
+            spawn_local(serve(
+                listener.expect("listen"),
+                LIMITS,
+                Rc::new(move |r| state.clone().answer(i, r)),
+            ));
+        }
+        spawn_local(world.state.clone().keep_leases());
+        let listener = net(CLOUD).listen(addr(CLOUD)).await.expect("listen");
+        spawn_local(serve(
+            listener,
+            LIMITS,
+            Rc::new(move |r| cloud.clone().cloud(r)),
+        ));
+        let limit = |name: &str| world.shape.state[name].as_f64().expect("a number");
+        world.state.limits.set(StateLimits {
+            txn_ops: limit("txn_ops") as usize,
+            value_bytes: (limit("value_kb") * 1024.0) as usize,
+            write_rps: limit("write_rps"),
+        });
+        for n in 0..world.shape.machines {
+            let zone = world.shape.zones[n % world.shape.zones.len()];
+            world.boot(&json!({"grade": "big", "yard": zone}));
+        }
+        for i in 0..world.shape.controllers {
+            world.start(i);
+        }
+        let watcher = world.clone();
+        spawn_local(async move {
+            loop {
+                sleep(watcher.shape.lease().div_f64(100.0)).await;
+                watcher.check();
+            }
+        });
+        world
+    }
+}
+
+pub fn job(n: u32, cut: &str, tasks: u32, run_s: f64) -> Value {
+    json!({"name_id": format!("job-{n:06}"), "lot": "x", "crew": "t", "cut": cut,
+        "urgency": "normal", "boards": tasks, "vcpus": 2.0, "cards": 0.0, "ram_gb": 1.0,
+        "blueprint": "i", "pull_gb": 1.0, "grades": null, "yard": null, "same_place": false,
+        "scatter": false, "loaners": false, "expect_s": run_s, "notch_s": 0.0, "stow_s": 0.0,
+        "due_s": null})
+}
+
+/// The same job, after these.
+pub fn after(mut job: Value, awaits: &[&str]) -> Value {
+    job["awaits"] = json!(awaits);
+    job
+}
+
+/// Runs a test's world in simulated time.
+pub fn in_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .expect("runtime");
+    LocalSet::new().block_on(&runtime, async { test().await });
+}
--- /dev/null
+++ b/tests/stand_ins/state_service.rs
@@ -0,0 +1,539 @@
+//! The state service: keys with revisions, transactions, leases, watches and
+//! its limits, and the troubles that a test gives it.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use serde_json::{Value, json};
+use shelfhoist::http::{Request, Response, query_value};
+use shelfhoist::model::{Group, Part};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, timeout};
+
+/// Troubles of the state service that last until they are taken back.
+#[derive(Debug, Clone, Default)]
+pub struct StateTroubles {
+    /// Controllers that are refused while others are served.
+    pub refused: BTreeSet<usize>,
+    /// The share of commits that are carried out 2 to 12 s later, unanswered.
+    pub late: f64,
+    /// The share that is carried out at once, unanswered.
+    pub unanswered: f64,
+    /// Every answer takes up to this long, in part before and in part after the
+    /// request is carried out.
+    pub slow: Duration,
+    /// Only these are answered slowly, if there are any: each answer to them is
+    /// under way for the whole of it, as old as that when it comes.
+    pub slow_to: BTreeSet<usize>,
+}
+
+/// A state lease and the keys that end with it.
+struct StateLease {
+    ttl: Duration,
+    ends: Instant,
+    keys: HashSet<String>,
+}
+
+/// What the state service is to do with the commits that come next.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub enum Trouble {
+    #[default]
+    None,
+    /// Carried out, but the answer is lost.
+    LoseAnswers,
+    /// Carried out some seconds later, and no answer.
+    Late,
+    /// Refused, as in an outage.
+    Down,
+    /// Reads are served, commits refused.
+    NoCommits,
+    /// Watches bring more than a controller reads of one answer.
+    FatWatch,
+}
+
+pub struct State {
+    pub(super) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
+    log: RefCell<Vec<Value>>,
+    revision: watch::Sender<u64>,
+    pub trouble: Cell<Trouble>,
+    /// How many commits the trouble still meets.
+    pub troubled: Cell<usize>,
+    pub troubles: RefCell<StateTroubles>,
+    leases: RefCell<BTreeMap<u64, StateLease>>,
+    next_lease: Cell<u64>,
+    rng: RefCell<SmallRng>,
+    /// The limits in force.
+    pub limits: Cell<StateLimits>,
+    /// Commits refused for their size: none may be that keep to the limits.
+    pub beyond: RefCell<Vec<String>>,
+    /// Requests refused for their rate.
+    pub too_many: Cell<usize>,
+    /// What may be written at once, and when that was.
+    level: Cell<Option<(f64, Instant)>>,
+    /// Machines that stood in two parts or in two groups at a revision.
+    pub misplaced: RefCell<Vec<String>>,
+    /// Controllers whose records are those of the program in production: they do
+    /// not tell of any formats, nor record what others tell.
+    pub older: RefCell<BTreeSet<usize>>,
+}
+
+/// What one commit may write, one value hold, and all write in a second.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StateLimits {
+    pub txn_ops: usize,
+    pub value_bytes: usize,
+    pub write_rps: f64,
+}
+
+impl Default for StateLimits {
+    fn default() -> Self {
+        StateLimits {
+            txn_ops: usize::MAX / 8,
+            value_bytes: usize::MAX,
+            write_rps: f64::INFINITY,
+        }
+    }
+}
+
+/// A commit as production would send it: nothing where it would send none.
+fn as_production(mut body: Value) -> Option<Value> {
+    for write in body["writes"].as_array_mut().into_iter().flatten() {
+        let key = write["set"].as_str().unwrap_or_default().to_string();
+        if key == "sh/formats" {
+            return None;
+        }
+        if (key == "sh/fleet" || key.starts_with("sh/node/"))
+            && let Some(value) = write["value"].as_object_mut()
+        {
+            value.remove("v");
+        }
+    }
+    Some(body)
+}
+
+/// Whether production reads a record, and loses nothing when it writes it back.
+fn production_reads(key: &str, value: &Value) -> bool {
+    let whole = |spec: &Value| spec["aw"].is_null();
+    let table = key.trim_start_matches("sh/").split('/').next();
+    match table.unwrap_or_default() {
+        "job" => {
+            let tasks = |text: &Value| text.as_str().is_none_or(|t| !t.starts_with('.'));
+            let runs = value["r"].is_null() || value["r"].is_array();
+            runs && tasks(&value["q"]) && whole(&value["s"])
+        }
+        "new" => value["j"]
+            .as_object()
+            .into_iter()
+            .flatten()
+            .all(|j| whole(j.1)),
+        "zone" | "machine" => value["m"].is_object(),
+        // It passes over a key that it does not know.
+        _ => true,
+    }
+}
+
+impl State {
+    /// Records that the program in production could not read, or would spoil.
+    pub fn unreadable(&self) -> Vec<String> {
+        let pairs = self.pairs.borrow();
+        let bad = pairs.iter().filter(|(k, v)| !production_reads(k, &v.0));
+        bad.map(|(k, _)| k.clone()).collect()
+    }
+
+    pub(super) fn new(seed: u64) -> Self {
+        State {
+            pairs: RefCell::default(),
+            log: RefCell::default(),
+            revision: watch::Sender::default(),
+            trouble: Cell::default(),
+            troubled: Cell::default(),
+            troubles: RefCell::default(),
+            leases: RefCell::default(),
+            next_lease: Cell::default(),
+            rng: RefCell::new(SmallRng::seed_from_u64(seed)),
+            limits: Cell::default(),
+            beyond: RefCell::default(),
+            too_many: Cell::default(),
+            level: Cell::default(),
+            misplaced: RefCell::default(),
+            older: RefCell::default(),
+        }
+    }
+
+    fn is_down(&self) -> bool {
+        self.trouble.get() == Trouble::Down
+    }
+
+    fn refuses(&self, i: usize) -> bool {
+        self.is_down() || self.troubles.borrow().refused.contains(&i)
+    }
+
+    pub(super) fn chance(&self, share: f64) -> bool {
+        share > 0.0 && self.rng.borrow_mut().random_bool(share)
+    }
+
+    /// State leases end with their keys. In an outage none does, and after it
+    /// each has its full time again.
+    pub(super) async fn keep_leases(self: Rc<Self>) {
+        loop {
+            sleep(Duration::from_millis(50)).await;
+            let now = Instant::now();
+            let mut over = Vec::new();
+            self.leases.borrow_mut().retain(|_, lease| {
+                if self.is_down() {
+                    lease.ends = now + lease.ttl;
+                }
+                let stands = lease.ends > now;
+                if !stands {
+                    over.extend(lease.keys.drain());
+                }
+                stands
+            });
+            self.remove(over);
+        }
+    }
+
+    fn remove(&self, keys: Vec<String>) {
+        let writes: Vec<Value> = keys.iter().map(|k| json!({"remove": k})).collect();
+        for some in writes.chunks(self.limits.get().txn_ops.max(1)) {
+            self.apply(&json!({"guards": [], "writes": some}));
+        }
+    }
+
+    pub(super) fn answer(self: Rc<Self>, i: usize, r: Request) -> shelfhoist::http::Answer {
+        Box::pin(async move {
+            let (before, after) = self.delays(i);
+            sleep(before).await;
+            if self.refuses(i) {
+                return Response::empty(503);
+            }
+            let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
+            let answer = match (r.method.as_str(), r.path.as_str()) {
+                ("GET", "/store") => self.list(&r.query),
+                ("GET", "/watch") => self.watch(i, &r.query).await,
+                ("GET", path) => {
+                    let key = path.trim_start_matches("/store/");
+                    match self.pairs.borrow().get(key) {
+                        Some((v, n)) => {
+                            Response::json(200, &json!({"key": key, "value": v, "stamp": n}))
+                        }
+                        None => {
+                            Response::json(404, &json!({"ledger_rev": *self.revision.borrow()}))
+                        }
+                    }
+                }
+                ("POST", "/commit") if self.older.borrow().contains(&i) => {
+                    match as_production(body) {
+                        Some(body) => self.commit(body).await,
+                        None => {
+                            let at = *self.revision.borrow();
+                            let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
+                            Response::json(409, &failed)
+                        }
+                    }
+                }
+                ("POST", "/commit") => self.commit(body).await,
+                (method, path) if path.starts_with("/holds") => {
+                    self.lease(method, path.trim_start_matches("/holds"), &body)
+                }
+                _ => Response::empty(400),
+            };
+            sleep(after).await;
+            answer
+        })
+    }
+
+    /// How long before and after it is carried out a request is held up.
+    fn delays(&self, i: usize) -> (Duration, Duration) {
+        let troubles = self.troubles.borrow();
+        if troubles.slow.is_zero()
+            || !(troubles.slow_to.is_empty() || troubles.slow_to.contains(&i))
+        {
+            return (Duration::ZERO, Duration::ZERO);
+        }
+        if !troubles.slow_to.is_empty() {
+            return (Duration::ZERO, troubles.slow);
+        }
+        let mut rng = self.rng.borrow_mut();
+        let whole = troubles.slow.mul_f64(rng.random_range(0.0..1.0));
+        let before = whole.mul_f64(rng.random_range(0.0..1.0));
+        (before, whole - before)
+    }
+
+    fn lease(&self, method: &str, path: &str, body: &Value) -> Response {
+        let now = Instant::now();
+        let id = path.trim_matches('/').trim_end_matches("/extend").parse();
+        match (method, id) {
+            ("POST", Err(_)) => {
+                let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
+                let id = self.next_lease.get() + 1;
+                self.next_lease.set(id);
+                let keys = HashSet::new();
+                let ends = now + ttl;
+                let lease = StateLease { ttl, ends, keys };
+                self.leases.borrow_mut().insert(id, lease);
+                Response::json(200, &json!({"permit": id}))
+            }
+            ("POST", Ok(id)) => match self.leases.borrow_mut().get_mut(&id) {
+                Some(lease) => {
+                    lease.ends = now + lease.ttl;
+                    Response::json(200, &json!({}))
+                }
+                None => Response::empty(404),
+            },
+            (_, Ok(id)) => {
+                let ended = self.leases.borrow_mut().remove(&id);
+                self.remove(ended.into_iter().flat_map(|l| l.keys).collect());
+                Response::empty(200)
+            }
+            _ => Response::empty(400),
+        }
+    }
+
+    async fn commit(self: &Rc<Self>, body: Value) -> Response {
+        if self.trouble.get() == Trouble::NoCommits {
+            return Response::empty(503);
+        }
+        if self.troubled.get() > 0 {
+            self.troubled.set(self.troubled.get() - 1);
+            match self.trouble.get() {
+                Trouble::LoseAnswers => {
+                    self.apply(&body);
+                    std::future::pending::<()>().await;
+                }
+                Trouble::Late => {
+                    sleep(Duration::from_secs(3)).await;
+                    self.apply(&body);
+                    std::future::pending::<()>().await;
+                }
+                _ => {}
+            }
+        }
+        let (late, unanswered) = {
+            let troubles = self.troubles.borrow();
+            (troubles.late, troubles.unanswered)
+        };
+        if self.chance(late) {
+            let after = self.rng.borrow_mut().random_range(2.0..12.0);
+            let state = self.clone();
+            // Whoever sent it gives up on it meanwhile; it is carried out.
+            spawn_local(async move {
+                sleep(Duration::from_secs_f64(after)).await;
+                while state.is_down() {
+                    sleep(Duration::from_millis(100)).await;
+                }
+                state.apply(&body);
+            });
+            return std::future::pending().await;
+        }
+        if self.chance(unanswered) {
+            self.apply(&body);
+            return std::future::pending().await;
+        }
+        self.apply(&body)
+    }
+
+    fn apply(&self, body: &Value) -> Response {
+        let mut pairs = self.pairs.borrow_mut();
+        let empty = vec![];
+        let guards = body["guards"].as_array().unwrap_or(&empty);
+        let failed: Vec<&str> = guards
+            .iter()
+            .filter_map(|g| {
+                let key = g["key"].as_str()?;
+                let now = pairs.get(key).map_or(0, |p| p.1);
+                (g["stamp"].as_u64() != Some(now)).then_some(key)
+            })
+            .collect();
+        let at = *self.revision.borrow();
+        if let Some(problem) = self.exceeds(body) {
+            self.beyond.borrow_mut().push(problem.clone());
+            return Response::json(400, &json!({"error": problem}));
+        }
+        if self.is_too_fast(body["writes"].as_array().map_or(0, Vec::len)) {
+            self.too_many.set(self.too_many.get() + 1);
+            return Response::json(429, &json!({"error": "too many"}));
+        }
+        let mut leases = self.leases.borrow_mut();
+        let writes = body["writes"].as_array().unwrap_or(&empty);
+        if writes
+            .iter()
+            .filter_map(|w| w["permit"].as_u64())
+            .any(|p| !leases.contains_key(&p))
+        {
+            return Response::json(400, &json!({"error": "no such lease"}));
+        }
+        if !failed.is_empty() {
+            return Response::json(409, &json!({"failed": failed, "ledger_rev": at}));
+        }
+        if writes.is_empty() {
+            return Response::json(200, &json!({"ledger_rev": at}));
+        }
+        let at = at + 1;
+        for w in writes {
+            let key = w["set"].as_str().or(w["remove"].as_str());
+            let key = key.expect("set or remove");
+            for (id, lease) in leases.iter_mut() {
+                if w["permit"].as_u64() == Some(*id) {
+                    lease.keys.insert(key.to_string());
+                } else {
+                    lease.keys.remove(key);
+                }
+            }
+            let event = if let Some(key) = w["set"].as_str() {
+                pairs.insert(key.to_string(), (w["value"].clone(), at));
+                json!({"set": key, "value": w["value"], "stamp": at})
+            } else {
+                let key = w["remove"].as_str().expect("set or remove");
+                pairs.remove(key);
+                json!({"remove": key, "stamp": at})
+            };
+            self.log.borrow_mut().push(event);
+        }
+        let touches = |table: &str| {
+            let mut keys = writes.iter().filter_map(|w| w["set"].as_str());
+            keys.any(|k| k.starts_with(table))
+        };
+        for table in ["sh/zone/", "sh/machine/"] {
+            if touches(table) {
+                self.check_places(&pairs, table, at);
+            }
+        }
+        drop(pairs);
+        self.revision.send_replace(at);
+        Response::json(200, &json!({"ledger_rev": at}))
+    }
+
+    /// A record as another program would have written it.
+    pub fn write(&self, key: &str, value: &Value) {
+        self.apply(&json!({"writes": [{"set": key, "value": value}]}));
+    }
+
+    /// Why a commit is beyond the limits, if it is.
+    fn exceeds(&self, body: &Value) -> Option<String> {
+        let limits = self.limits.get();
+        let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
+        let (writes, guards) = (list("writes"), list("guards"));
+        if writes.len() > limits.txn_ops || guards.len() > limits.txn_ops * 4 {
+            return Some(format!(
+                "txn_ops: {} writes, {} guards, first {}",
+                writes.len(),
+                guards.len(),
+                writes
+                    .first()
+                    .map_or("", |w| w["set"].as_str().unwrap_or(""))
+            ));
+        }
+        let bytes = body.to_string().len();
+        if bytes > 64 * 1024 {
+            return Some(format!("a commit of {bytes} bytes"));
+        }
+        writes.iter().find_map(|w| {
+            let size = w["value"].to_string().len();
+            let key = w["set"].as_str()?;
+            (size > limits.value_bytes).then(|| format!("value_kb: {key} has {size} bytes"))
+        })
+    }
+
+    /// Bursts of one second's worth are allowed.
+    fn is_too_fast(&self, writes: usize) -> bool {
+        let rate = self.limits.get().write_rps;
+        if rate.is_infinite() {
+            return false;
+        }
+        let now = Instant::now();
+        let (level, at) = self.level.get().unwrap_or((rate, now));
+        let passed = now.saturating_duration_since(at).as_secs_f64();
+        let level = (level + passed * rate).min(rate) - writes as f64;
+        let refused = level < 0.0;
+        let left = if refused {
+            level + writes as f64
+        } else {
+            level
+        };
+        self.level.set(Some((left, now)));
+        refused
+    }
+
+    /// Each machine stands in one part and one group at most.
+    fn check_places(&self, pairs: &BTreeMap<String, (Value, u64)>, table: &str, at: u64) {
+        let mut seen: HashMap<String, String> = HashMap::new();
+        for (key, (value, _)) in pairs.range(table.to_string()..) {
+            if !key.starts_with(table) {
+                break;
+            }
+            let text = value.to_string();
+            let names: Vec<String> = match table {
+                "sh/zone/" => {
+                    let part = serde_json::from_str::<Part>(&text).expect("part");
+                    part.machines.into_keys().collect()
+                }
+                _ => {
+                    let group = serde_json::from_str::<Group>(&text).expect("group");
+                    group.machines.into_keys().collect()
+                }
+            };
+            for name in names {
+                if let Some(other) = seen.insert(name.clone(), key.clone()) {
+                    let place = format!("{name} in {other} and {key} at {at}");
+                    self.misplaced.borrow_mut().push(place);
+                }
+            }
+        }
+    }
+
+    /// The record of a key, as it stands.
+    pub fn value(&self, key: &str) -> Option<Value> {
+        self.pairs.borrow().get(key).map(|p| p.0.clone())
+    }
+
+    /// The keys under a prefix, with the length of each value.
+    pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
+        let pairs = self.pairs.borrow();
+        let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
+        all.map(|(k, (v, _))| (k.clone(), v.to_string().len()))
+            .collect()
+    }
+
+    fn list(&self, query: &str) -> Response {
+        let prefix = query_value(query, "prefix").unwrap_or("");
+        let pairs: Vec<Value> = self
+            .pairs
+            .borrow()
+            .iter()
+            .filter(|(k, _)| k.starts_with(prefix))
+            .map(|(k, (v, n))| json!({"key": k, "value": v, "stamp": n}))
+            .collect();
+        let at = *self.revision.borrow();
+        Response::json(
+            200,
+            &json!({"pairs": pairs, "truncated": false, "ledger_rev": at}),
+        )
+    }
+
+    async fn watch(&self, i: usize, query: &str) -> Response {
+        let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
+        let after = number("after").unwrap_or(0);
+        let block = Duration::from_millis(number("block_ms").unwrap_or(0));
+        let mut changed = self.revision.subscribe();
+        let _ = timeout(block, changed.wait_for(|r| *r > after)).await;
+        // An open watch waits through an outage, and while it is refused.
+        while self.refuses(i) {
+            sleep(Duration::from_millis(100)).await;
+        }
+        let log = self.log.borrow();
+        let news = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
+        let events: Vec<&Value> = news.collect();
+        let at = *self.revision.borrow();
+        let mut answer = Response::json(200, &json!({"ledger_rev": at, "events": events}));
+        if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
+            answer.body.resize(16 << 20, b' ');
+        }
+        answer
+    }
+}
--- /dev/null
+++ b/tests/stand_ins/worker.rs
@@ -0,0 +1,355 @@
+//! The workers: one a machine, each by the protocol's rules for tokens, leases
+//! and orders.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, HashSet};
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use shelfhoist::http::{Client, Request, Response, serve};
+use shelfhoist::net::Net;
+use shelfhoist::wire::*;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use super::scenario::{LIMITS, World, controller};
+
+#[derive(Debug, Clone)]
+pub(super) struct Task {
+    attempt: u64,
+    ends: Option<Instant>,
+    why: Option<Why>,
+}
+
+/// One machine's worker, by the protocol's rules for tokens and leases.
+pub struct Worker {
+    pub(super) name: String,
+    pub(super) kind: String,
+    pub(super) zone: String,
+    pub(super) port: SocketAddrV4,
+    pub(super) token: Cell<u64>,
+    pub(super) session: Cell<u64>,
+    pub(super) seq: Cell<u64>,
+    pub(super) renewed: Cell<Instant>,
+    /// How fast its clock runs.
+    pub(super) clock: f64,
+    pub(super) tasks: RefCell<BTreeMap<String, Task>>,
+    /// Rejects every task it starts.
+    pub sick: Cell<bool>,
+    /// Its reports arrive, but no answer and no order reaches it.
+    pub deaf: Cell<bool>,
+    /// It reaches no controller, while direct orders reach it.
+    pub mute: Cell<bool>,
+    /// It executes nothing and answers nothing until then.
+    pub(super) hangs_until: Cell<Option<Instant>>,
+    /// Direct orders are held up for as long.
+    pub orders_held: Cell<Duration>,
+    /// Beats it has sent, for copies that come late.
+    pub sent: RefCell<Vec<Vec<u8>>>,
+}
+
+impl Worker {
+    fn report(&self) -> Value {
+        self.seq.set(self.seq.get() + 1);
+        let now = Instant::now();
+        let tasks: Vec<Value> = self
+            .tasks
+            .borrow()
+            .iter()
+            .map(|(id, t)| match (t.why, t.ends) {
+                (Some(why), _) => {
+                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": why})
+                }
+                (None, Some(e)) if e <= now => {
+                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": "done"})
+                }
+                _ => json!({"board": id, "try": t.attempt, "stage": "running"}),
+            })
+            .collect();
+        json!({"bay": self.name, "endpoint": self.port.to_string(), "grade": self.kind,
+            "yard": self.zone, "loaners": false, "shift": self.session.get(),
+            "tally": self.seq.get(), "baton": self.token.get(), "recall_s": null, "boards": tasks})
+    }
+
+    /// Notes which tasks are done.
+    pub(super) fn note_ends(&self, finished: &RefCell<HashSet<String>>) {
+        let now = Instant::now();
+        for (id, task) in self.tasks.borrow().iter() {
+            if !self.hangs() && task.why.is_none() && task.ends.is_some_and(|e| e <= now) {
+                finished.borrow_mut().insert(id.clone());
+            }
+        }
+    }
+
+    fn execute(&self, world: &World, orders: &[Order]) {
+        self.note_ends(&world.finished);
+        for o in orders {
+            let mut tasks = self.tasks.borrow_mut();
+            match o.verb {
+                Verb::Start => {
+                    if tasks.get(&o.task).is_some_and(|t| t.attempt == o.attempt) {
+                        continue;
+                    }
+                    let run = world.run_time(&o.task);
+                    let fails = self.sick.get() || world.is_mistaken(&o.task);
+                    let why = fails.then_some(Why::Error);
+                    // The result of a task that has once ended is kept.
+                    let run = match world.finished.borrow().contains(&o.task) {
+                        true => Some(Duration::ZERO),
+                        false => run,
+                    };
+                    let ends = run.map(|r| Instant::now() + r);
+                    let attempt = o.attempt;
+                    tasks.insert(o.task.clone(), Task { attempt, ends, why });
+                    drop(tasks);
+                    world.started(&o.task, self);
+                }
+                Verb::Stop => {
+                    if let Some(t) = tasks.get_mut(&o.task)
+                        && t.attempt == o.attempt
+                        && t.why.is_none()
+                        && t.ends.is_none_or(|e| e > Instant::now())
+                    {
+                        t.why = Some(Why::Stopped);
+                    }
+                }
+                Verb::Forget => {
+                    if let Some(task) = tasks.remove(&o.task) {
+                        if task.why.is_none_or(|w| w == Why::Done)
+                            && task.ends.is_some_and(|e| e <= Instant::now())
+                        {
+                            world.finished.borrow_mut().insert(o.task.clone());
+                        }
+                    }
+                }
+            }
+        }
+    }
+
+    /// On the machine: one that hangs keeps what it has until its lease is over.
+    pub(super) fn runs(&self, task: &str, lease: Duration) -> bool {
+        let now = Instant::now();
+        let tasks = self.tasks.borrow();
+        let here = tasks.get(task);
+        let gone = self.hangs() && self.is_over(lease);
+        !gone && here.is_some_and(|t| t.why.is_none() && t.ends.is_none_or(|e| e > now))
+    }
+
+    pub fn name(&self) -> &str {
+        &self.name
+    }
+
+    pub fn hangs(&self) -> bool {
+        self.hangs_until.get().is_some()
+    }
+
+    /// The machine stands still; all of its tasks end later by as much.
+    pub fn hang(&self, span: Duration) {
+        self.hangs_until.set(Some(Instant::now() + span));
+        for task in self.tasks.borrow_mut().values_mut() {
+            if task.why.is_none() {
+                task.ends = task.ends.map(|e| match e > Instant::now() {
+                    true => e + span,
+                    false => e,
+                });
+            }
+        }
+    }
+
+    /// Until it goes on; what was held for it is looked at only then.
+    async fn awake(&self, lease: Duration) {
+        while let Some(until) = self.hangs_until.get() {
+            if until <= Instant::now() {
+                self.hangs_until.set(None);
+            } else {
+                tokio::time::sleep_until(until).await;
+            }
+        }
+        self.expire(lease);
+    }
+
+    fn is_over(&self, lease: Duration) -> bool {
+        self.renewed.get().elapsed() > lease.div_f64(self.clock)
+    }
+
+    pub(super) fn expire(&self, lease: Duration) {
+        if !self.hangs() && self.is_over(lease) {
+            self.tasks.borrow_mut().clear();
+            self.session.set(self.session.get() + 1);
+            self.renewed.set(Instant::now());
+        }
+    }
+}
+
+impl World {
+    fn run_time(&self, task: &str) -> Option<Duration> {
+        let jobs = self.jobs.borrow();
+        let job = jobs.get(task.split('/').next().unwrap_or(""))?;
+        // Tasks of one job may end far apart; the service knows nothing of it.
+        let number = task.split('/').nth(1).and_then(|n| n.parse::<usize>().ok());
+        let run = number.and_then(|n| job["ends_s"][n].as_f64());
+        let run = run.or(job["expect_s"].as_f64()).unwrap_or(0.0);
+        (job["cut"] != "daemon").then(|| Duration::from_secs_f64(run))
+    }
+
+    /// Jobs of this image fail on every machine.
+    fn is_mistaken(&self, task: &str) -> bool {
+        let jobs = self.jobs.borrow();
+        let job = jobs.get(task.split('/').next().unwrap_or(""));
+        job.is_some_and(|j| j["blueprint"] == "mistake")
+    }
+
+    pub(super) async fn listen(self: Rc<Self>, worker: Rc<Worker>) {
+        let net = Net::Fabric(self.fabric.clone(), worker.port);
+        let listener = net.listen(worker.port).await.expect("listen");
+        let handler = Rc::new(move |r: Request| -> shelfhoist::http::Answer {
+            let (world, w) = (self.clone(), worker.clone());
+            Box::pin(async move {
+                let Ok(orders) = serde_json::from_slice::<Orders>(&r.body) else {
+                    return Response::empty(400);
+                };
+                if w.deaf.get() {
+                    std::future::pending::<()>().await;
+                }
+                // It is executed even when whoever sent it has given up.
+                let executed = spawn_local(async move {
+                    sleep(w.orders_held.get()).await;
+                    w.awake(world.shape.lease()).await;
+                    if orders.token < w.token.get() || orders.session != w.session.get() {
+                        return Response::json(409, &w.report());
+                    }
+                    w.token.set(orders.token);
+                    w.execute(&world, &orders.orders);
+                    Response::json(200, &w.report())
+                });
+                executed.await.expect("executed")
+            })
+        });
+        serve(listener, LIMITS, handler).await;
+    }
+
+    pub(super) async fn beat(self: Rc<Self>, w: Rc<Worker>) {
+        sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
+        w.renewed.set(Instant::now());
+        let net = Net::Fabric(self.fabric.clone(), w.port);
+        let client = Client::new(net, Duration::from_secs(30));
+        let (lease, count) = (self.shape.lease(), self.shape.controllers);
+        let report = Duration::from_secs_f64(self.shape.report_s);
+        let mut to = 0;
+        loop {
+            w.awake(lease).await;
+            if w.mute.get() {
+                to = (to + 1) % count;
+                sleep(Duration::from_secs(1)).await;
+                continue;
+            }
+            let session = w.session.get();
+            let sent = Instant::now();
+            let body = serde_json::to_vec(&w.report()).expect("report");
+            if self.shape.machines == 0 {
+                w.sent.borrow_mut().push(body.clone());
+            }
+            if self.state.chance(self.copied.get()) {
+                self.copies.borrow_mut().push(body.clone());
+            }
+            let call = client.call(
+                controller(to),
+                "POST",
+                "/agent/beat",
+                Some(body),
+                Duration::from_secs(4),
+            );
+            let answer = call.await;
+            if w.deaf.get() {
+                sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
+            }
+            w.awake(lease).await;
+            let late = sent.elapsed() > Duration::from_secs(4);
+            match answer {
+                _ if w.deaf.get() || late => {
+                    to = (to + 1) % count;
+                    sleep(Duration::from_secs(1)).await;
+                }
+                Ok(r) if r.status == 200 => {
+                    let a: BeatAnswer = r.parse().expect("answer");
+                    if a.token >= w.token.get() && session == w.session.get() {
+                        let news = a.token > w.token.get();
+                        w.token.set(a.token);
+                        w.renewed.set(sent);
+                        w.execute(&self, &a.orders);
+                        if news {
+                            sleep(Duration::from_millis(500)).await;
+                            continue;
+                        }
+                    }
+                    sleep(report).await;
+                }
+                Ok(r) if r.status == 421 => {
+                    let foreman = r.parse::<Redirect>().ok().and_then(|r| r.report_to);
+                    let named = foreman.and_then(|f| f.trim_start_matches('n').parse().ok());
+                    to = named.unwrap_or((to + 1) % count);
+                    sleep(Duration::from_millis(300)).await;
+                }
+                _ => {
+                    to = (to + 1) % count;
+                    sleep(Duration::from_secs(1)).await;
+                }
+            }
+        }
+    }
+
+    /// Jobs of which something runs.
+    pub fn running_jobs(&self) -> Vec<String> {
+        let mut ids: Vec<String> = self.jobs.borrow().keys().cloned().collect();
+        ids.sort();
+        ids.retain(|id| self.running(id) > 0);
+        ids
+    }
+
+    /// Machines that run something, by name.
+    pub fn busy(&self) -> Vec<Rc<Worker>> {
+        let lease = self.shape.lease();
+        let workers = self.workers.borrow();
+        let runs = |w: &Rc<Worker>| {
+            let tasks: Vec<String> = w.tasks.borrow().keys().cloned().collect();
+            tasks.iter().any(|t| w.runs(t, lease))
+        };
+        let all = workers.values().map(|(w, _)| w.clone());
+        all.filter(runs).collect()
+    }
+
+    pub fn running(&self, id: &str) -> usize {
+        let workers = self.workers.borrow();
+        let lease = self.shape.lease();
+        workers
+            .values()
+            .map(|(w, _)| {
+                let ids: Vec<String> = w.tasks.borrow().keys().cloned().collect();
+                ids.iter()
+                    .filter(|t| t.starts_with(&format!("{id}/")) && w.runs(t, lease))
+                    .count()
+            })
+            .sum()
+    }
+
+    /// A machine that runs a task of the job.
+    pub fn machine_of(&self, id: &str) -> String {
+        let workers = self.workers.borrow();
+        let found = workers.iter().find(|(_, (w, _))| {
+            let tasks: Vec<String> = w.tasks.borrow().keys().cloned().collect();
+            let mut of_job = tasks.iter().filter(|t| t.starts_with(&format!("{id}/")));
+            of_job.any(|t| w.runs(t, self.shape.lease()))
+        });
+        found
+            .map(|(name, _)| name.clone())
+            .expect("it runs somewhere")
+    }
+
+    /// How often a worker's lease has run out.
+    pub fn lapsed(&self) -> u64 {
+        let workers = self.workers.borrow();
+        workers.values().map(|(w, _)| w.session.get() - 1).sum()
+    }
+}
