--- /dev/null
+++ b/src/ops/mod.rs
@@ -0,0 +1,38 @@
+//! What operators may ask a running controller: the state of a job, the teams,
+//! and what is unfinished or late, with the one reason each.
+//!
+//! Read-only, answered from this controller's replica alone, and bounded in
+//! size: a question here costs the state service nothing and cannot slow
+//! acceptance. `messages` holds the responses, `reason` why a job is not over,
+//! `snapshot` puts the responses together.
+
+mod messages;
+mod reason;
+mod snapshot;
+
+use crate::http::{Response, query_value};
+use crate::node::Node;
+
+pub use messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+
+use snapshot::Snapshot;
+
+/// The response to `GET /ops/job/{id}`: a [`JobStory`].
+pub fn job(node: &Node, id: &str) -> Response {
+    match Snapshot::new(node).job(id) {
+        Some(story) => Response::json(200, &story),
+        None => Response::error(404, "no such job"),
+    }
+}
+
+/// The response to `GET /ops/teams`: a [`TeamStory`] for each team.
+pub fn teams(node: &Node) -> Response {
+    Response::json(200, &Snapshot::new(node).teams())
+}
+
+/// The response to `GET /ops/report`: a page of the [`Report`], with jobs in
+/// the order of their ids, beginning after the one that the query names.
+pub fn report(node: &Node, query: &str) -> Response {
+    let after = query_value(query, "after").unwrap_or("");
+    Response::json(200, &Snapshot::new(node).report(after))
+}
--- /dev/null
+++ b/src/ops/reason.rs
@@ -0,0 +1,85 @@
+//! The one reason for which a job is not over, in words.
+
+use tokio::time::Instant;
+
+use crate::admission::Wait;
+use crate::model::Job;
+use crate::node::Node;
+use crate::view::View;
+
+/// How many of the jobs that a job depends on its reason names.
+const NAMED_DEPENDENCIES: usize = 3;
+
+/// Why a job is not over.
+pub(super) struct PendingReason {
+    pub(super) text: String,
+    /// For how many seconds this has been the reason, as far as it is known.
+    pub(super) seconds: f64,
+}
+
+impl PendingReason {
+    fn new(text: impl Into<String>, seconds: f64) -> Self {
+        PendingReason {
+            text: text.into(),
+            seconds,
+        }
+    }
+
+    /// The reason of a job that is not over at `now`.
+    pub(super) fn of(node: &Node, id: &str, job: &Job, now: Instant) -> Self {
+        if !node.has_state() {
+            let age = node.horizon_age().map_or(0.0, |age| age.as_secs_f64());
+            return PendingReason::new("the state service does not answer", age);
+        }
+        if let Some(dependencies) = dependencies_text(&node.view.borrow(), id) {
+            return PendingReason::new(dependencies, 0.0);
+        }
+        if job.waiting() > 0 {
+            return PendingReason::of_waiting_tasks(node, id, now);
+        }
+        if job.runs.iter().any(|run| run.stop) {
+            return PendingReason::new("it is being stopped to make room or to move", 0.0);
+        }
+        PendingReason::new("it is running", 0.0)
+    }
+
+    fn of_waiting_tasks(node: &Node, id: &str, now: Instant) -> Self {
+        match node.reasons.borrow().get(id) {
+            Some(reason) => {
+                let seconds = now.saturating_duration_since(reason.since).as_secs_f64();
+                PendingReason::new(wait_text(reason.why), seconds)
+            }
+            None => PendingReason::new("its turn has not come yet", 0.0),
+        }
+    }
+}
+
+/// Why the last placement round has left tasks waiting.
+fn wait_text(wait: Wait) -> &'static str {
+    match wait {
+        Wait::NoRoom => "no machine has room for it",
+        Wait::NoZone => "no single zone has room for all of it",
+        Wait::TeamLimit => "its team is at its limit",
+        Wait::OldAttempt => "its earlier attempt is not surely gone yet",
+        Wait::BackOff => "its tasks fail; it is tried again later",
+        Wait::Fails => "its tasks fail on every machine; one is tried now and then",
+        Wait::Spread => "the zones that have room hold their share of it",
+        Wait::RecordFull => "as many of its tasks run as one record can hold",
+        Wait::Queue => "other work goes first",
+        Wait::Refused => "the cloud refuses the machines it needs",
+    }
+}
+
+/// The jobs that have to be done before this one starts; `None` without any.
+fn dependencies_text(view: &View, id: &str) -> Option<String> {
+    let dependencies = view.awaited(id);
+    if dependencies.is_empty() {
+        return None;
+    }
+    let named = dependencies.len().min(NAMED_DEPENDENCIES);
+    let names = dependencies[..named].join(", ");
+    Some(match dependencies.len() - named {
+        0 => format!("it awaits {names}"),
+        more => format!("it awaits {names} and {more} more"),
+    })
+}
--- /dev/null
+++ b/src/ops/snapshot.rs
@@ -0,0 +1,233 @@
+//! Operators' responses, put together from one moment's state.
+
+use std::cell::Ref;
+use std::collections::BTreeMap;
+
+use tokio::time::Instant;
+
+use super::messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+use super::reason::PendingReason;
+use crate::admission::{self, Plan};
+use crate::api::state_of;
+use crate::fleet;
+use crate::model::{Final, Job, Life, Run, Spec};
+use crate::node::Node;
+use crate::settings::TeamTerms;
+use crate::view::View;
+use crate::wire::{JobStage, Kind};
+
+/// The most jobs that one page of the report names, and runs of one job.
+const PAGE_SIZE: usize = 100;
+
+/// The entry of the machine counts for machines that tasks are booked on.
+const MACHINES_WITH_WORK: &str = "with-work";
+
+/// The state of a controller at one moment.
+pub(super) struct Snapshot<'a> {
+    node: &'a Node,
+    view: Ref<'a, View>,
+    now: Instant,
+}
+
+/// A job that is neither done nor cancelled.
+struct Unfinished<'a> {
+    id: &'a str,
+    job: &'a Job,
+    spec: &'a Spec,
+    stage: JobStage,
+    is_late: bool,
+}
+
+impl<'a> Snapshot<'a> {
+    pub(super) fn new(node: &'a Node) -> Self {
+        Snapshot {
+            node,
+            view: node.view.borrow(),
+            now: Instant::now(),
+        }
+    }
+
+    /// One job; `None` for one that was never accepted.
+    pub(super) fn job(&self, id: &str) -> Option<JobStory> {
+        let job = &self.view.jobs.get(id)?.value;
+        let spec = job.spec.as_ref();
+        let stage = state_of(&self.view, id)?.stage;
+        let is_open = self.view.state(id) == Some(Final::Open);
+        let reason = is_open.then(|| self.reason(id, job));
+        let runs = job.runs.iter().take(PAGE_SIZE);
+        Some(JobStory {
+            job: id.to_string(),
+            stage,
+            class: spec.map(|spec| spec.class.clone()),
+            team: spec.map(|spec| spec.team.clone()),
+            tasks: job.tasks,
+            done: job.done_count(),
+            waiting: job.waiting(),
+            running: job.booked(),
+            failures: job.errors,
+            failed_on: job.failed_on.clone(),
+            known_s: is_open.then(|| self.age_s(id)),
+            late: spec.is_some_and(|spec| is_open && self.is_late(id, job, spec)),
+            reason_s: reason.as_ref().map(|reason| reason.seconds),
+            reason: reason.map(|reason| reason.text),
+            runs: runs.map(|run| run_story(run, is_open)).collect(),
+        })
+    }
+
+    /// All teams, in the order of the settings.
+    pub(super) fn teams(&self) -> Vec<TeamStory> {
+        let settings = &self.node.settings;
+        let plan = Plan::of(&self.view);
+        let ages = self.node.ages.borrow();
+        let queue = admission::queue(&self.view, &plan, settings, &ages, self.now);
+        let teams = settings.deployment.teams.iter();
+        teams.map(|terms| self.team(terms, &queue)).collect()
+    }
+
+    fn team(&self, terms: &TeamTerms, queue: &[&str]) -> TeamStory {
+        let used = self.view.team_used(&terms.name);
+        let (cpus, gpus) = (used.cpus.units(), used.gpus.units());
+        let waiting: Vec<(&str, &Job)> = queue
+            .iter()
+            .filter_map(|id| Some((*id, &self.view.jobs.get(*id)?.value)))
+            .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == terms.name))
+            .collect();
+        TeamStory {
+            team: terms.name.clone(),
+            cpus_used: cpus,
+            cpus_guaranteed: terms.cpus,
+            cpus_limit: terms.cpus_max,
+            cpus_borrowed: (cpus - terms.cpus).max(0.0),
+            gpus_used: gpus,
+            gpus_guaranteed: terms.gpus,
+            gpus_limit: terms.gpus_max,
+            gpus_borrowed: (gpus - terms.gpus).max(0.0),
+            waiting_jobs: waiting.len(),
+            waiting_tasks: waiting.iter().map(|(_, job)| job.waiting()).sum(),
+            why: waiting.first().map(|(id, job)| self.reason(id, job).text),
+        }
+    }
+
+    /// The page of unfinished jobs after the id `after`, with totals over all.
+    pub(super) fn report(&self, after: &str) -> Report {
+        let unfinished: Vec<Unfinished> = self.unfinished().collect();
+        let mut jobs: Vec<UnfinishedJob> = unfinished
+            .iter()
+            .filter(|entry| entry.id > after)
+            .map(|entry| self.unfinished_job(entry))
+            .collect();
+        jobs.sort_by(|a, b| a.job.cmp(&b.job));
+        let next = (jobs.len() > PAGE_SIZE).then(|| jobs[PAGE_SIZE - 1].job.clone());
+        jobs.truncate(PAGE_SIZE);
+        let count = |condition: fn(&Unfinished) -> bool| {
+            unfinished.iter().filter(|entry| condition(entry)).count()
+        };
+        Report {
+            node: self.node.name().to_string(),
+            state_age_s: self.node.horizon_age().map(|age| age.as_secs_f64()),
+            unfinished: unfinished.len(),
+            late: count(|entry| entry.is_late),
+            services_short: count(|entry| entry.spec.kind == Kind::Service),
+            machines: self.machine_counts(),
+            refused_by_cloud: self.refused_offers(),
+            jobs,
+            next,
+        }
+    }
+
+    /// Jobs that are not over. A service that lacks no replica is not
+    /// unfinished work.
+    fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
+        let ready = self.view.open.iter().map(|(_, id)| id.as_str());
+        let blocked = self.view.held().map(|(id, _)| id);
+        ready.chain(blocked).filter_map(|id| {
+            let job = &self.view.jobs.get(id)?.value;
+            let spec = job.spec.as_ref()?;
+            if spec.kind == Kind::Service && job.waiting() == 0 {
+                return None;
+            }
+            Some(Unfinished {
+                id,
+                job,
+                spec,
+                stage: state_of(&self.view, id)?.stage,
+                is_late: self.is_late(id, job, spec),
+            })
+        })
+    }
+
+    fn unfinished_job(&self, entry: &Unfinished) -> UnfinishedJob {
+        let reason = self.reason(entry.id, entry.job);
+        let done = entry.job.done_count();
+        UnfinishedJob {
+            job: entry.id.to_string(),
+            class: entry.spec.class.clone(),
+            team: entry.spec.team.clone(),
+            stage: entry.stage,
+            left: entry.job.tasks.saturating_sub(done),
+            late: entry.is_late,
+            known_s: self.age_s(entry.id),
+            reason: reason.text,
+            reason_s: reason.seconds,
+        }
+    }
+
+    /// How many machines are in each state, and how many have work.
+    fn machine_counts(&self) -> BTreeMap<String, usize> {
+        let mut counts: BTreeMap<String, usize> = fleet::census(&self.view)
+            .into_iter()
+            .map(|(state, count)| (state.to_string(), count))
+            .collect();
+        let machines = self.view.machines.iter();
+        let with_work = machines.filter(|(id, machine)| {
+            machine.value.life != Life::Gone && self.view.bookings.contains_key(*id)
+        });
+        counts.insert(MACHINES_WITH_WORK.into(), with_work.count());
+        counts
+    }
+
+    /// Offers that the cloud has refused any controller of late.
+    fn refused_offers(&self) -> Vec<String> {
+        let mut refused = self.node.fleet.borrow().refused_now(self.now);
+        let peers = self.node.peers.borrow();
+        refused.extend(peers.refused(self.node, self.now));
+        refused.sort();
+        refused.dedup();
+        refused
+    }
+
+    /// How long this controller has known a job, in seconds.
+    fn age_s(&self, id: &str) -> f64 {
+        let ages = self.node.ages.borrow();
+        ages.get(id).map_or(0.0, |first_seen| {
+            self.now
+                .saturating_duration_since(*first_seen)
+                .as_secs_f64()
+        })
+    }
+
+    /// Whether a job is past its own deadline, or has waiting tasks and is too
+    /// late for all that it is to meet.
+    fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
+        let standing = self.view.standing(id, spec, self.now);
+        if standing.left_s.is_some_and(|left| left < 0.0) {
+            return true;
+        }
+        let settings = &self.node.settings;
+        job.waiting() > 0 && admission::is_late(spec, settings, self.age_s(id), &standing)
+    }
+
+    fn reason(&self, id: &str, job: &Job) -> PendingReason {
+        PendingReason::of(self.node, id, job, self.now)
+    }
+}
+
+fn run_story(run: &Run, is_open: bool) -> RunStory {
+    RunStory {
+        machine: run.machine.clone(),
+        zone: run.zone.clone(),
+        attempt: run.attempt,
+        tasks: run.tasks.len(),
+        stopping: run.stop || !is_open,
+    }
+}
