--- /dev/null
+++ b/src/cli/client.rs
@@ -0,0 +1,102 @@
+//! Asking a running controller, and printing what it responds.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use clap::Args;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+use super::error::{CliError, EXIT_UNDONE};
+use super::render::{job_text, report_text, teams_text};
+use super::{EXIT_DONE, runtime};
+use crate::http::{CallError, Client, Response};
+use crate::net::Net;
+use crate::ops::{JobStory, Report, TeamStory};
+
+/// How long a controller may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Which controller to ask, and how to print its response.
+#[derive(Debug, Args)]
+pub(super) struct ControllerArgs {
+    /// A running controller, as address:port.
+    #[arg(long, value_name = "ADDR", env = "SHELFHOIST_NODE")]
+    node: SocketAddrV4,
+    /// Answer in JSON, for programs.
+    #[arg(long)]
+    json: bool,
+}
+
+impl ControllerArgs {
+    pub(super) fn show_job(&self, id: &str) -> Result<u8, CliError> {
+        let story: JobStory = self.get(&format!("/ops/job/{id}"))?;
+        self.print(&story, job_text)?;
+        Ok(EXIT_DONE)
+    }
+
+    pub(super) fn show_teams(&self) -> Result<u8, CliError> {
+        let teams: Vec<TeamStory> = self.get("/ops/teams")?;
+        self.print(&teams, |teams| teams_text(teams))?;
+        Ok(EXIT_DONE)
+    }
+
+    pub(super) fn show_report(&self) -> Result<u8, CliError> {
+        let report = self.get_report()?;
+        self.print(&report, report_text)?;
+        Ok(if report.unfinished > 0 {
+            EXIT_UNDONE
+        } else {
+            EXIT_DONE
+        })
+    }
+
+    /// The report with the jobs of all its pages.
+    fn get_report(&self) -> Result<Report, CliError> {
+        let mut report: Report = self.get("/ops/report")?;
+        while let Some(after) = report.next.take() {
+            let page: Report = self.get(&format!("/ops/report?after={after}"))?;
+            report.jobs.extend(page.jobs);
+            report.next = page.next;
+        }
+        Ok(report)
+    }
+
+    fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
+        let client = Client::new(Net::System, RESPONSE_TIMEOUT);
+        let call = client.call(self.node, "GET", path, None, RESPONSE_TIMEOUT);
+        let response = runtime()?
+            .block_on(call)
+            .map_err(|cause| self.call_error(cause))?;
+        if response.status != 200 {
+            return Err(self.refusal(&response));
+        }
+        response.parse().map_err(|cause| self.call_error(cause))
+    }
+
+    fn call_error(&self, cause: CallError) -> CliError {
+        CliError::Call {
+            controller: self.node,
+            cause,
+        }
+    }
+
+    fn refusal(&self, response: &Response) -> CliError {
+        let body: serde_json::Value = response.parse().unwrap_or_default();
+        let reason = body["error"].as_str().unwrap_or("no reason given");
+        CliError::Refused {
+            controller: self.node,
+            reason: reason.to_string(),
+        }
+    }
+
+    fn print<T: Serialize>(&self, value: &T, text: impl Fn(&T) -> String) -> Result<(), CliError> {
+        if self.json {
+            let json = serde_json::to_string_pretty(value).map_err(CliError::Json)?;
+            println!("{json}");
+        } else {
+            print!("{}", text(value));
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/cli/error.rs
@@ -0,0 +1,69 @@
+//! Why a command could not be carried out, and the exit codes.
+
+use std::net::SocketAddrV4;
+
+use crate::http::CallError;
+use crate::policy::PolicyError;
+use crate::settings::SettingsError;
+
+/// The exit code when a command could not be carried out.
+pub const EXIT_FAILED: u8 = 1;
+/// The exit code when arguments, settings or a policy are wrong.
+pub const EXIT_WRONG: u8 = 2;
+/// The exit code when `report` found unfinished work.
+pub const EXIT_UNDONE: u8 = 3;
+
+/// A value of the environment variable `LOG_LEVEL` that is not known.
+#[derive(Debug, thiserror::Error)]
+#[error("LOG_LEVEL: {0:?} is none of error, info, debug")]
+pub struct LogLevelError(pub(super) String);
+
+/// Why a command could not be carried out.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum CliError {
+    #[error("--config FILE is needed to run")]
+    NoConfig,
+    #[error(transparent)]
+    LogLevel(#[from] LogLevelError),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("policy: cannot read {path}: {cause}")]
+    PolicyFile { path: String, cause: std::io::Error },
+    #[error(transparent)]
+    Policy(#[from] PolicyError),
+    #[error("{0}")]
+    Runtime(std::io::Error),
+    #[error("{0}")]
+    Controller(std::io::Error),
+    /// A running controller could not be asked, or its response not be read.
+    #[error("{controller}: {cause}")]
+    Call {
+        controller: SocketAddrV4,
+        cause: CallError,
+    },
+    /// A running controller has refused what it was asked.
+    #[error("{controller}: {reason}")]
+    Refused {
+        controller: SocketAddrV4,
+        reason: String,
+    },
+    #[error("{0}")]
+    Json(serde_json::Error),
+}
+
+impl CliError {
+    pub(super) fn exit_code(&self) -> u8 {
+        match self {
+            CliError::NoConfig
+            | CliError::LogLevel(_)
+            | CliError::Settings(_)
+            | CliError::PolicyFile { .. }
+            | CliError::Policy(_) => EXIT_WRONG,
+            CliError::Runtime(_)
+            | CliError::Controller(_)
+            | CliError::Call { .. }
+            | CliError::Refused { .. }
+            | CliError::Json(_) => EXIT_FAILED,
+        }
+    }
+}
--- /dev/null
+++ b/src/cli/mod.rs
@@ -0,0 +1,186 @@
+//! The command line: running a controller, checking what it is to be run
+//! with, and asking a running one.
+//!
+//! `error` holds what can go wrong and the exit codes, `client` the requests to
+//! a running controller, `render` the texts for people.
+
+mod client;
+mod error;
+mod render;
+
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+use clap::{Parser, Subcommand};
+use rand::{Rng, SeedableRng};
+use tracing::level_filters::LevelFilter;
+
+use crate::net::Net;
+use crate::node::Node;
+use crate::policy::Policy;
+use crate::settings::Settings;
+
+pub use error::{EXIT_FAILED, EXIT_UNDONE, EXIT_WRONG, LogLevelError};
+pub use render::{explain, job_text, report_text, span_text, teams_text};
+
+use client::ControllerArgs;
+use error::CliError;
+
+/// The exit code of a command that was carried out.
+const EXIT_DONE: u8 = 0;
+
+/// A small cluster scheduler that admits gangs whole, by zone.
+#[derive(Debug, Parser)]
+#[command(
+    name = "shelfhoist",
+    version,
+    args_conflicts_with_subcommands = true,
+    arg_required_else_help = true,
+    after_help = "Exit codes: 0 done, 1 failed, 2 wrong arguments, settings or policy, \
+                  3 work was left undone (report)."
+)]
+pub struct Cli {
+    /// Run a controller with this settings file (JSON).
+    #[arg(long, value_name = "FILE", required = true)]
+    config: Option<PathBuf>,
+    /// Run it with the operators' policy in this file.
+    #[arg(long, value_name = "FILE", env = "SHELFHOIST_POLICY")]
+    policy: Option<PathBuf>,
+    #[command(subcommand)]
+    command: Option<Command>,
+}
+
+#[derive(Debug, Subcommand)]
+enum Command {
+    /// Check a settings file.
+    CheckSettings {
+        /// The settings file (JSON).
+        file: PathBuf,
+    },
+    /// Check a policy file, and explain what its rules decide.
+    Policy {
+        /// The policy file; the built-in policy if none is named.
+        file: Option<PathBuf>,
+        /// Say nothing when the policy is right.
+        #[arg(long)]
+        quiet: bool,
+    },
+    /// Tell a job's story.
+    Job {
+        /// The job's id, such as job-000412.
+        id: String,
+        #[command(flatten)]
+        controller: ControllerArgs,
+    },
+    /// List the teams: guarantee, limit, use, what is borrowed, what waits.
+    Teams {
+        #[command(flatten)]
+        controller: ControllerArgs,
+    },
+    /// Report what is unfinished or late, and why.
+    Report {
+        #[command(flatten)]
+        controller: ControllerArgs,
+    },
+}
+
+/// Runs the program with the arguments of this process.
+pub fn main() -> ExitCode {
+    let cli = Cli::parse();
+    let outcome = match (cli.command, cli.config) {
+        (Some(command), _) => run_command(command),
+        (None, Some(config)) => run_controller(&config, cli.policy.as_deref()),
+        (None, None) => Err(CliError::NoConfig),
+    };
+    match outcome {
+        Ok(code) => ExitCode::from(code),
+        Err(error) => {
+            eprintln!("shelfhoist: {error}");
+            ExitCode::from(error.exit_code())
+        }
+    }
+}
+
+/// The level that the environment variable `LOG_LEVEL` sets, `info` without it.
+pub fn log_level(value: Option<&str>) -> Result<LevelFilter, LogLevelError> {
+    match value {
+        None | Some("" | "info") => Ok(LevelFilter::INFO),
+        Some("error") => Ok(LevelFilter::ERROR),
+        Some("debug") => Ok(LevelFilter::DEBUG),
+        Some(other) => Err(LogLevelError(other.to_string())),
+    }
+}
+
+fn run_command(command: Command) -> Result<u8, CliError> {
+    match command {
+        Command::CheckSettings { file } => check_settings(&file),
+        Command::Policy { file, quiet } => check_policy(file.as_deref(), quiet),
+        Command::Job { id, controller } => controller.show_job(&id),
+        Command::Teams { controller } => controller.show_teams(),
+        Command::Report { controller } => controller.show_report(),
+    }
+}
+
+fn run_controller(config: &Path, policy: Option<&Path>) -> Result<u8, CliError> {
+    let level = std::env::var("LOG_LEVEL").ok();
+    start_logging(log_level(level.as_deref())?);
+    let mut settings = Settings::load(config)?;
+    settings.policy = read_policy(policy)?;
+    let local = tokio::task::LocalSet::new();
+    local
+        .block_on(&runtime()?, async {
+            let seed = rand::rngs::SmallRng::from_os_rng().random();
+            Node::new(settings, Net::System, seed).run().await
+        })
+        .map_err(CliError::Controller)?;
+    Ok(EXIT_DONE)
+}
+
+fn start_logging(level: LevelFilter) {
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .without_time()
+        .init();
+}
+
+fn check_settings(file: &Path) -> Result<u8, CliError> {
+    let settings = Settings::load(file)?;
+    println!(
+        "settings are right: {} of {} controllers, {} zones, {} teams",
+        settings.node,
+        settings.deployment.count,
+        settings.deployment.zones.len(),
+        settings.deployment.teams.len()
+    );
+    Ok(EXIT_DONE)
+}
+
+fn check_policy(file: Option<&Path>, quiet: bool) -> Result<u8, CliError> {
+    let policy = read_policy(file)?;
+    if !quiet {
+        print!("{}", explain(&policy));
+    }
+    Ok(EXIT_DONE)
+}
+
+fn read_policy(file: Option<&Path>) -> Result<Policy, CliError> {
+    let Some(file) = file else {
+        return Ok(Policy::default());
+    };
+    let text = std::fs::read_to_string(file).map_err(|cause| CliError::PolicyFile {
+        path: file.display().to_string(),
+        cause,
+    })?;
+    Ok(Policy::parse(&text)?)
+}
+
+fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
+    // One thread: a controller has a small part of one core.
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(CliError::Runtime)
+}
--- /dev/null
+++ b/src/cli/render.rs
@@ -0,0 +1,216 @@
+//! What the command line prints for people to read.
+
+use crate::ops::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
+use crate::wire::JobStage;
+
+/// State older than this many seconds is pointed out.
+const STALE_STATE_S: f64 = 10.0;
+
+/// A reason that has lasted so many seconds is printed with its duration.
+const LASTING_REASON_S: f64 = 1.0;
+
+const SECONDS_PER_MINUTE: u64 = 60;
+const SECONDS_PER_HOUR: u64 = 3600;
+
+/// A duration in the two largest units that it needs.
+pub fn span_text(seconds: f64) -> String {
+    let seconds = seconds.max(0.0).round() as u64;
+    let minutes = seconds % SECONDS_PER_HOUR / SECONDS_PER_MINUTE;
+    match seconds {
+        0..SECONDS_PER_MINUTE => format!("{seconds} s"),
+        SECONDS_PER_MINUTE..SECONDS_PER_HOUR => {
+            format!("{minutes} min {} s", seconds % SECONDS_PER_MINUTE)
+        }
+        _ => format!("{} h {minutes} min", seconds / SECONDS_PER_HOUR),
+    }
+}
+
+fn stage_text(stage: JobStage) -> &'static str {
+    match stage {
+        JobStage::Queued => "queued",
+        JobStage::Running => "running",
+        JobStage::Done => "done",
+        JobStage::Cancelled => "cancelled",
+    }
+}
+
+/// The state of a job, a line for each part.
+pub fn job_text(story: &JobStory) -> String {
+    let mut text = format!("{}: {}", story.job, stage_text(story.stage));
+    if let (Some(class), Some(team)) = (&story.class, &story.team) {
+        text += &format!(", {class} of {team}");
+    }
+    text += &format!(
+        "\n  {} of {} tasks done, {} on machines, {} waiting\n",
+        story.done, story.tasks, story.running, story.waiting
+    );
+    if let Some(known_s) = story.known_s {
+        let late = if story.late { ", late" } else { "" };
+        text += &format!("  known for {}{late}\n", span_text(known_s));
+    }
+    if let (Some(reason), Some(reason_s)) = (&story.reason, story.reason_s) {
+        text += &format!("  {reason}, for {}\n", span_text(reason_s));
+    }
+    if story.failures > 0 {
+        text += &format!("  failed {} times in a row\n", story.failures);
+    }
+    text.extend(story.runs.iter().map(run_text));
+    text
+}
+
+fn run_text(run: &RunStory) -> String {
+    let stopping = if run.stopping { ", being stopped" } else { "" };
+    format!(
+        "  on {} in {}: {} tasks, attempt {}{stopping}\n",
+        run.machine, run.zone, run.tasks, run.attempt
+    )
+}
+
+/// The teams, each with what it uses and, if any does, what waits.
+pub fn teams_text(teams: &[TeamStory]) -> String {
+    teams.iter().map(team_text).collect()
+}
+
+fn team_text(team: &TeamStory) -> String {
+    let mut text = format!(
+        "{}: {} CPUs used, {} guaranteed, limit {}, {} borrowed",
+        team.team,
+        team.cpus_used,
+        team.cpus_guaranteed,
+        limit_text(team.cpus_limit),
+        team.cpus_borrowed
+    );
+    if team.gpus_used > 0.0 || team.gpus_guaranteed > 0.0 || team.gpus_limit > 0.0 {
+        text += &format!(
+            "; {} GPUs used, {} guaranteed, limit {}, {} borrowed",
+            team.gpus_used,
+            team.gpus_guaranteed,
+            limit_text(team.gpus_limit),
+            team.gpus_borrowed
+        );
+    }
+    text.push('\n');
+    if team.waiting_jobs > 0 {
+        let reason = team.why.as_deref().unwrap_or("not known here");
+        text += &format!(
+            "  {} jobs with {} tasks wait; the first: {reason}\n",
+            team.waiting_jobs, team.waiting_tasks
+        );
+    }
+    text
+}
+
+fn limit_text(limit: f64) -> String {
+    if limit > 0.0 {
+        limit.to_string()
+    } else {
+        "none".to_string()
+    }
+}
+
+/// What is unfinished or late, with the state of the machines.
+pub fn report_text(report: &Report) -> String {
+    let mut text = state_age_text(report.state_age_s);
+    text += &totals_text(report);
+    text.extend(report.jobs.iter().map(unfinished_job_text));
+    if !report.refused_by_cloud.is_empty() {
+        let offers = report.refused_by_cloud.join(", ");
+        text += &format!("The cloud refuses: {offers}.\n");
+    }
+    let machines: Vec<String> = report
+        .machines
+        .iter()
+        .map(|(state, count)| format!("{count} {state}"))
+        .collect();
+    if !machines.is_empty() {
+        text += &format!("Machines: {}.\n", machines.join(", "));
+    }
+    text
+}
+
+fn state_age_text(age_s: Option<f64>) -> String {
+    match age_s {
+        None => {
+            "This controller has not read the state service yet: nothing is known.\n".to_string()
+        }
+        Some(age_s) if age_s > STALE_STATE_S => format!(
+            "The state service has not answered for {}: what follows is as old.\n",
+            span_text(age_s)
+        ),
+        Some(_) => String::new(),
+    }
+}
+
+fn totals_text(report: &Report) -> String {
+    if report.unfinished == 0 {
+        return "Nothing is left undone.\n".to_string();
+    }
+    let services = match report.services_short {
+        0 => String::new(),
+        short => format!("; {short} services lack replicas"),
+    };
+    format!(
+        "{} jobs are unfinished, {} of them late{services}.\n",
+        report.unfinished, report.late
+    )
+}
+
+fn unfinished_job_text(job: &UnfinishedJob) -> String {
+    let late = if job.late { "LATE " } else { "" };
+    let lasting = if job.reason_s >= LASTING_REASON_S {
+        format!(" (for {})", span_text(job.reason_s))
+    } else {
+        String::new()
+    };
+    format!(
+        "  {late}{} ({} of {}): {}, {} tasks left, known for {}; {}{lasting}\n",
+        job.job,
+        job.class,
+        job.team,
+        stage_text(job.stage),
+        job.left,
+        span_text(job.known_s),
+        job.reason
+    )
+}
+
+/// The rules of a policy, and the variables that rules may use.
+pub fn explain(policy: &Policy) -> String {
+    let mut text = String::new();
+    for (rule, expression, is_built_in) in policy.rules() {
+        let origin = if is_built_in { "built in" } else { "set" };
+        text += &format!("{} = {expression}\n", rule.name);
+        text += &format!("  {} ({origin})\n", rule.meaning);
+        text += &rule_values_text(rule);
+    }
+    text += &variables_text("job", JOB_VARIABLES);
+    text += &variables_text("machine", MACHINE_VARIABLES);
+    text
+}
+
+fn rule_values_text(rule: &Rule) -> String {
+    let subject = match rule.subject {
+        Subject::Job => "job",
+        Subject::Machine => "machine",
+    };
+    match rule.range {
+        Some(range) => format!(
+            "  a number from {} to {}, for each {subject}\n",
+            range.min, range.max
+        ),
+        None => format!("  one to eight values, for each {subject}\n"),
+    }
+}
+
+fn variables_text(subject: &str, variables: &[Variable]) -> String {
+    let mut text = format!("variables of a {subject}:\n");
+    for variable in variables {
+        let range = match variable.range {
+            Some(range) => format!("{} to {}", range.min, range.max),
+            None => "true or false".to_string(),
+        };
+        text += &format!("  {}: {} ({range})\n", variable.name, variable.meaning);
+    }
+    text
+}
