--- a/src/net.rs
+++ b/src/net.rs
@@ -13,13 +13,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
+/// A stream of bytes in both directions.
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
+/// An open connection, of the system or of a fabric.
 pub type Stream = Box<dyn Duplex>;
 
 /// The bytes that a fabric's stream holds on the way.
 const FABRIC_BUFFER: usize = 64 * 1024;
 
+/// A network inside one process, whose connections tests can cut.
 #[derive(Default)]
 pub struct Fabric {
     listeners: RefCell<HashMap<SocketAddrV4, mpsc::UnboundedSender<DuplexStream>>>,
@@ -32,6 +35,7 @@
     pub fn cut(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.cut.borrow_mut().insert((from, to));
     }
+    /// Undoes a cut: streams that are open go on where they stopped.
     pub fn mend(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.cut.borrow_mut().remove(&(from, to));
     }
@@ -91,16 +95,22 @@
 /// How one process reaches others.
 #[derive(Clone)]
 pub enum Net {
+    /// The operating system's sockets.
     System,
+    /// A fabric, and this process's own address on it.
     Fabric(Rc<Fabric>, SocketAddrV4),
 }
 
+/// Accepts connections at an address.
 pub enum Listener {
+    /// A socket of the operating system.
     System(TcpListener),
+    /// The connections that a fabric hands over.
     Fabric(mpsc::UnboundedReceiver<DuplexStream>),
 }
 
 impl Net {
+    /// Connects to an address; waits for good behind a fabric's cut.
     pub async fn dial(&self, addr: SocketAddrV4) -> io::Result<Stream> {
         match self {
             Net::System => {
@@ -127,6 +137,7 @@
         }
     }
 
+    /// Begins to accept connections at an address.
     pub async fn listen(&self, addr: SocketAddrV4) -> io::Result<Listener> {
         match self {
             Net::System => Ok(Listener::System(
@@ -142,6 +153,7 @@
 }
 
 impl Listener {
+    /// Waits for the next connection.
     pub async fn accept(&mut self) -> io::Result<Stream> {
         match self {
             Listener::System(l) => {
