--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -5,6 +5,7 @@
 
 use super::{BODY_LIMIT, CallError, HEAD_LIMIT, HEADERS};
 
+/// A request that the server has read.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The method, as it was sent.
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod message;
 mod server;
 
-pub use client::{CallError, Client};
+pub use client::{CallError, Client, Deadlines};
 pub use message::{Parsed, Request, Response, parse_request, query_value};
 pub use server::{Answer, Handler, ServerLimits, serve};
 
@@ -19,4 +19,3 @@
 /// a broken peer can make us hold.
 const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
 
-/// A request that the server has read.
