--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -97,7 +97,7 @@
 
     /// The machine and all on it are gone at once.
     pub fn lose(&self, name: &str) {
-        self.pass();
+        self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
             self.fabric.close(worker.port);
             tasks.iter().for_each(JoinHandle::abort);
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -7,14 +7,19 @@
 mod faults;
 mod rules;
 mod scenario;
+mod scripted;
 mod state_service;
 mod users;
 mod worker;
 
 // Each file of tests uses a part of them.
 #[allow(unused_imports)]
+pub use rules::Rule;
+#[allow(unused_imports)]
 pub use scenario::{CONTROLLERS, Shape, World, addr, after, controller, in_world, job, state_addr};
 #[allow(unused_imports)]
+pub use scripted::ScriptedController;
+#[allow(unused_imports)]
 pub use state_service::{State, StateLimits, StateTroubles, Trouble};
 #[allow(unused_imports)]
 pub use worker::Worker;
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -1,5 +1,11 @@
-//! The rule checker: it holds every start, every task and every answer against
-//! the rules of the protocol.
+//! The rule checker: it holds every start, every task on a machine and every
+//! answer to a user against the rules of the protocol.
+//!
+//! What it does not judge, since the stand-ins do not see it:
+//!
+//! - `wrong_place` for the kind of machine: the stand-in cloud rents ordinary
+//!   machines only, so no task can start on a spot machine.
+//! - `nothing_ran` is judged at the end of a test, by [`World::assert_kept`].
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,6 +16,72 @@
 use super::scenario::World;
 use super::worker::Worker;
 
+/// For how long every poll for a job may fail while most others get answers.
+const POLLS_MAY_FAIL: Duration = Duration::from_secs(90);
+/// Polls farther apart than this are no series: users poll every 5 s.
+const POLL_GAP: Duration = Duration::from_secs(15);
+
+/// What the checker reports: the rules of the protocol, and some that follow
+/// from its text.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Rule {
+    RanTwice,
+    Quota,
+    WrongPlace,
+    RanCancelled,
+    Forgotten,
+    Invented,
+    NotDone,
+    WentBack,
+    NothingRan,
+    /// A task starts whose job nobody submitted.
+    UnknownJob,
+    /// A task starts before a job that its own job awaits is done.
+    TooEarly,
+    /// A job that awaits a cancelled one is not called cancelled in time.
+    Orphaned,
+    /// A machine stands in two shards or two groups of the stored records.
+    Misplaced,
+}
+
+impl Rule {
+    /// Every rule that is judged.
+    pub const ALL: [Rule; 13] = [
+        Rule::RanTwice,
+        Rule::Quota,
+        Rule::WrongPlace,
+        Rule::RanCancelled,
+        Rule::Forgotten,
+        Rule::Invented,
+        Rule::NotDone,
+        Rule::WentBack,
+        Rule::NothingRan,
+        Rule::UnknownJob,
+        Rule::TooEarly,
+        Rule::Orphaned,
+        Rule::Misplaced,
+    ];
+
+    /// The rule's name in reports, the protocol's where it has one.
+    pub fn name(self) -> &'static str {
+        match self {
+            Rule::RanTwice => "ran_twice",
+            Rule::Quota => "quota",
+            Rule::WrongPlace => "wrong_place",
+            Rule::RanCancelled => "ran_cancelled",
+            Rule::Forgotten => "forgotten",
+            Rule::Invented => "invented",
+            Rule::NotDone => "not_done",
+            Rule::WentBack => "went_back",
+            Rule::NothingRan => "nothing_ran",
+            Rule::UnknownJob => "unknown_job",
+            Rule::TooEarly => "too_early",
+            Rule::Orphaned => "orphaned",
+            Rule::Misplaced => "misplaced",
+        }
+    }
+}
+
 /// What users were told of a job, each with the count at which the first such
 /// answer came: whoever asks later must not be told anything older.
 #[derive(Debug, Default, Clone)]
@@ -20,17 +92,48 @@
     ended: Option<(String, u64)>,
 }
 
+/// The polls for one job.
+#[derive(Debug, Default, Clone, Copy)]
+pub(super) struct Polls {
+    last: Option<Instant>,
+    answered: Option<Instant>,
+    /// When the present series of failures began.
+    failing_since: Option<Instant>,
+}
+
+/// The job of a task.
+pub(super) fn job_of(task: &str) -> &str {
+    task.split('/').next().unwrap_or("")
+}
+
+/// Whether a job may run on a machine with this property.
+fn allows(job: &Value, field: &str, given: &str) -> bool {
+    match &job[field] {
+        Value::Array(some) => some.iter().any(|one| one == given),
+        Value::String(one) => one == given,
+        _ => true,
+    }
+}
+
+// What is true of jobs.
 impl World {
-    /// Whether all tasks of a job have completed; a gang's do together.
-    fn is_over(&self, id: &str) -> bool {
+    /// How many tasks of a job have completed.
+    fn completed_tasks(&self, id: &str) -> u64 {
+        let completed = self.finished.borrow();
+        completed.iter().filter(|task| job_of(task) == id).count() as u64
+    }
+
+    /// How many completed tasks make a job done: a gang's complete together.
+    fn tasks_to_complete(&self, id: &str) -> u64 {
         let jobs = self.jobs.borrow();
-        let most = match jobs[id]["cut"] == "gang" {
+        match jobs[id]["cut"] == "gang" {
             true => 1,
-            false => jobs[id]["boards"].as_u64().unwrap_or(1) as usize,
-        };
-        let completed = self.finished.borrow();
-        let from = format!("{id}/");
-        completed.iter().filter(|t| t.starts_with(&from)).count() >= most
+            false => jobs[id]["boards"].as_u64().unwrap_or(1),
+        }
+    }
+
+    fn is_over(&self, id: &str) -> bool {
+        self.completed_tasks(id) >= self.tasks_to_complete(id)
     }
 
     fn awaits(&self, id: &str) -> Vec<String> {
@@ -42,7 +145,7 @@
 
     /// When the user was told that the job, or one before it, is cancelled: the
     /// earliest such moment.
-    pub(super) fn cancelled_at(&self, id: &str) -> Option<Instant> {
+    fn cancelled_at(&self, id: &str) -> Option<Instant> {
         let mut at = self.cancelled.borrow().get(id).copied();
         for before in self.awaits(id) {
             let there = self.cancelled_at(&before);
@@ -53,194 +156,250 @@
 
     /// Whether a user has asked to cancel the job, or one that it needs through
     /// any chain.
-    fn is_called_off(&self, id: &str) -> bool {
+    fn is_cancel_asked(&self, id: &str) -> bool {
         let asked = |told: &Told| told.cancel_asked;
         let own = self.answers.borrow().get(id).is_some_and(asked);
-        own || self.awaits(id).iter().any(|a| self.is_called_off(a))
+        own || self.awaits(id).iter().any(|a| self.is_cancel_asked(a))
+    }
+
+    fn cancel_limit(&self) -> Duration {
+        Duration::from_secs_f64(self.shape.cancel_s)
+    }
+
+    /// Notes which tasks have come to their end, and which leases are over.
+    pub(super) fn advance_tasks(&self) {
+        for (worker, _) in self.workers.borrow().values() {
+            worker.expire(self.shape.lease());
+            worker.note_ends(&self.finished);
+        }
     }
+}
 
-    fn breaks(&self, rule: String) {
+// Reports.
+impl World {
+    fn report_violation(&self, rule: Rule, what: &str) {
+        let text = format!("{}: {what}", rule.name());
         let mut broken = self.broken.borrow_mut();
-        if !broken.contains(&rule) {
-            broken.push(rule);
+        if !broken.contains(&text) {
+            broken.push(text);
+        }
+    }
+
+    /// All violations up to now, and those that only the end of a test shows.
+    pub fn violations(&self) -> Vec<String> {
+        let mut all = self.broken.borrow().clone();
+        if self.starts.get() == 0 {
+            all.push(format!("{}: no task", Rule::NothingRan.name()));
         }
+        for place in self.state.misplaced.borrow().iter() {
+            all.push(format!("{}: {place}", Rule::Misplaced.name()));
+        }
+        all
+    }
+
+    /// At the end of a test: no rule was broken.
+    pub fn assert_kept(&self) {
+        let violations = self.violations();
+        assert!(violations.is_empty(), "{violations:?}");
     }
+}
 
-    pub(super) fn started(&self, task: &str, on: &Worker) {
+// Starts of tasks.
+impl World {
+    /// Judges the start of a task, which is on the machine already.
+    pub(super) fn check_start(&self, task: &str, on: &Worker) {
         self.starts.set(self.starts.get() + 1);
-        let lease = self.shape.lease();
-        let workers = self.workers.borrow();
-        for (name, (w, _)) in workers.iter() {
-            if *name != on.name && w.runs(task, lease) {
-                self.breaks(format!("ran_twice: {task} on {} and {name}", on.name));
+        self.check_other_machines(task, on);
+        self.advance_tasks();
+        let id = job_of(task);
+        self.check_awaited_jobs(task, id);
+        let Some(job) = self.jobs.borrow().get(id).cloned() else {
+            self.report_violation(Rule::UnknownJob, &format!("{task} on {}", on.name));
+            return;
+        };
+        self.check_start_after_cancel(task, id, on);
+        if !allows(&job, "yard", &on.zone) || !allows(&job, "grades", &on.kind) {
+            self.report_violation(Rule::WrongPlace, &format!("{task} on {}", on.name));
+        }
+        self.check_zones(task, id, &job);
+    }
+
+    fn check_other_machines(&self, task: &str, on: &Worker) {
+        for (name, (worker, _)) in self.workers.borrow().iter() {
+            if *name != on.name && worker.runs(task, self.shape.lease()) {
+                let what = format!("{task} on {} and {name}", on.name);
+                self.report_violation(Rule::RanTwice, &what);
             }
         }
-        self.pass();
-        let id = task.split('/').next().unwrap_or("");
+    }
+
+    fn check_awaited_jobs(&self, task: &str, id: &str) {
         for before in self.awaits(id) {
             if !self.is_over(&before) {
-                self.breaks(format!("too_early: {task}, {before} is not done"));
+                let what = format!("{task}, {before} is not done");
+                self.report_violation(Rule::TooEarly, &what);
             }
         }
-        let jobs = self.jobs.borrow();
-        let Some(job) = jobs.get(id) else {
-            self.breaks(format!("{task} of a job nobody submitted"));
+    }
+
+    fn check_start_after_cancel(&self, task: &str, id: &str, on: &Worker) {
+        let Some(told) = self.cancelled.borrow().get(id).copied() else {
             return;
         };
-        if let Some(told) = self.cancelled.borrow().get(id) {
-            let after = told.elapsed();
-            self.late_starts.borrow_mut().push((task.into(), after));
-            if after > Duration::from_secs_f64(self.shape.cancel_s) {
-                self.breaks(format!("ran_cancelled: {task} starts on {}", on.name));
-            }
-        }
-        let allows = |name: &str, given: &str| match &job[name] {
-            Value::Array(some) => some.iter().any(|g| g == given),
-            Value::String(one) => one == given,
-            _ => true,
-        };
-        if !allows("yard", &on.zone) || !allows("grades", &on.kind) {
-            self.breaks(format!("wrong_place: {task} on {}", on.name));
+        let after = told.elapsed();
+        self.late_starts.borrow_mut().push((task.into(), after));
+        if after > self.cancel_limit() {
+            let what = format!("{task} starts on {}", on.name);
+            self.report_violation(Rule::RanCancelled, &what);
         }
+    }
+
+    /// Judges the zones of a job's tasks against each other.
+    fn check_zones(&self, task: &str, id: &str, job: &Value) {
+        let lease = self.shape.lease();
+        let workers = self.workers.borrow();
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for (w, _) in workers.values() {
-            let tasks: Vec<String> = w.tasks.borrow().keys().cloned().collect();
-            let of_job = tasks.iter().filter(|t| t.starts_with(&format!("{id}/")));
-            let here = of_job.filter(|t| w.runs(t, lease)).count();
-            *zones.entry(&w.zone).or_default() += here as u64;
+        for (worker, _) in workers.values() {
+            let on_machine = worker.tasks_on_machine(lease);
+            let here = on_machine.iter().filter(|t| job_of(t) == id).count();
+            *zones.entry(&worker.zone).or_default() += here as u64;
         }
-        let used = zones.values().filter(|n| **n > 0).count();
+        let used = zones.values().filter(|count| **count > 0).count();
         let half = job["boards"].as_u64().unwrap_or(0).div_ceil(2);
-        if (job["same_place"] == true && used > 1)
-            || (job["scatter"] == true && zones.values().any(|n| *n > half))
-        {
-            self.breaks(format!("wrong_place: {task} among {zones:?}"));
-        }
-    }
-
-    /// Notes which tasks have come to their end, and which leases are over.
-    pub(super) fn pass(&self) {
-        for (w, _) in self.workers.borrow().values() {
-            w.expire(self.shape.lease());
-            w.note_ends(&self.finished);
+        let apart = job["same_place"] == true && used > 1;
+        let crowded = job["scatter"] == true && zones.values().any(|count| *count > half);
+        if apart || crowded {
+            self.report_violation(Rule::WrongPlace, &format!("{task} among {zones:?}"));
         }
     }
+}
 
-    /// Rules that hold at every moment.
-    pub(super) fn check(&self) {
-        self.pass();
+// Tasks on machines.
+impl World {
+    /// Judges what is on the machines at this moment.
+    pub(super) fn check_machines(&self) {
+        self.advance_tasks();
         let mut used: HashMap<String, f64> = HashMap::new();
-        let jobs = self.jobs.borrow();
-        for (name, (w, _)) in self.workers.borrow().iter() {
-            let ids: Vec<String> = w.tasks.borrow().keys().cloned().collect();
-            for task in ids.iter().filter(|t| w.runs(t, self.shape.lease())) {
-                let id = task.split('/').next().unwrap_or("");
-                let job = &jobs[id];
+        for (name, (worker, _)) in self.workers.borrow().iter() {
+            for task in worker.tasks_on_machine(self.shape.lease()) {
+                let id = job_of(&task);
+                // A task of an unknown job was reported when it started.
+                let Some(job) = self.jobs.borrow().get(id).cloned() else {
+                    continue;
+                };
                 *used.entry(job["crew"].to_string()).or_default() +=
                     job["vcpus"].as_f64().unwrap_or(0.0);
                 let told = self.cancelled_at(id);
-                let most = Duration::from_secs_f64(self.shape.cancel_s);
                 // What a machine that hangs has cannot go on; it may when it does.
-                if told.is_some_and(|t| t.elapsed() > most) && !w.hangs() {
-                    self.breaks(format!("ran_cancelled: {task} on {name}"));
+                if told.is_some_and(|t| t.elapsed() > self.cancel_limit()) && !worker.hangs() {
+                    self.report_violation(Rule::RanCancelled, &format!("{task} on {name}"));
                 }
             }
         }
+        self.check_team_limits(&used);
+    }
+
+    fn check_team_limits(&self, used: &HashMap<String, f64>) {
         for (team, _, limit) in &self.shape.teams {
-            if used
-                .get(&json!(team).to_string())
-                .is_some_and(|u| u > limit)
-            {
-                self.breaks(format!("quota: {team} {used:?}"));
+            let own = used.get(&json!(team).to_string());
+            if own.is_some_and(|cpus| cpus > limit) {
+                self.report_violation(Rule::Quota, &format!("{team} {used:?}"));
             }
         }
     }
+}
 
-    /// Holds an answer against what was told before its question was sent
-    /// (`known`), and against what is true.
-    pub(super) fn judge(&self, i: usize, id: &str, known: &Told, status: u16, answer: &Value) {
-        let said = format!("n{i} on {id}: {status} {answer}, after {known:?}");
+// Answers to users.
+impl World {
+    /// Judges an answer against what was told before its question was sent
+    /// (`known`), and against what is true. Of questions under way at once none
+    /// is older, but two final answers must agree all the same.
+    pub(super) fn check_answer(&self, i: usize, id: &str, known: &Told, status: u16, a: &Value) {
+        let said = format!("n{i} on {id}: {status} {a}, after {known:?}");
         if [400, 404, 422].contains(&status) && known.accepted.is_some() {
-            self.breaks(format!("forgotten: {said}"));
+            self.report_violation(Rule::Forgotten, &said);
         }
         if ![200, 201].contains(&status) {
             return;
         }
         if !known.submitted {
-            self.breaks(format!("invented: {said}"));
-        }
-        let at = self.counted.get() + 1;
-        self.counted.set(at);
-        let asked_for = self.is_called_off(id);
-        let mut answers = self.answers.borrow_mut();
-        let told = answers.entry(id.to_string()).or_default();
-        told.accepted = told.accepted.or(Some(at));
-        let stage = answer["stage"].as_str().unwrap_or("");
-        let is_over = ["done", "aborted"].contains(&stage);
-        if !is_over {
-            if known.ended.is_some() {
-                self.breaks(format!("went_back: {said}"));
-            }
-            return;
+            self.report_violation(Rule::Invented, &said);
+        }
+        let number = self.counted.get() + 1;
+        self.counted.set(number);
+        {
+            let mut answers = self.answers.borrow_mut();
+            let told = answers.entry(id.to_string()).or_default();
+            told.accepted = told.accepted.or(Some(number));
+        }
+        match a["stage"].as_str().unwrap_or("") {
+            stage @ ("done" | "aborted") => self.check_final_stage(id, stage, number, &said),
+            stage => self.check_open_stage(id, stage, known, &said),
         }
-        match &told.ended {
-            Some((before, _)) if before != stage => self.breaks(format!("went_back: {said}")),
-            Some(_) => {}
-            None => told.ended = Some((stage.to_string(), at)),
+    }
+
+    /// A job that is called neither done nor cancelled.
+    fn check_open_stage(&self, id: &str, stage: &str, known: &Told, said: &str) {
+        if known.ended.is_some() {
+            self.report_violation(Rule::WentBack, said);
+        }
+        let told = self.cancelled_at(id);
+        if told.is_some_and(|t| t.elapsed() > self.cancel_limit()) {
+            self.report_violation(Rule::Orphaned, &format!("{id} is {stage}"));
+        }
+    }
+
+    /// A job that is called done or cancelled: so it stays.
+    fn check_final_stage(&self, id: &str, stage: &str, number: u64, said: &str) {
+        {
+            let mut answers = self.answers.borrow_mut();
+            let told = answers.entry(id.to_string()).or_default();
+            let (first, _) = told.ended.get_or_insert((stage.to_string(), number));
+            if first != stage {
+                self.report_violation(Rule::WentBack, said);
+            }
         }
         if stage == "aborted" {
-            if !asked_for {
-                self.breaks(format!("went_back: not cancelled: {said}"));
+            if !self.is_cancel_asked(id) {
+                self.report_violation(Rule::WentBack, &format!("not cancelled: {said}"));
             }
             let mut cancelled = self.cancelled.borrow_mut();
             cancelled.entry(id.to_string()).or_insert(Instant::now());
-        }
-        let jobs = self.jobs.borrow();
-        if stage == "done"
-            && let Some(job) = jobs.get(id)
-        {
-            let finished = self.finished.borrow();
-            let count = job["boards"].as_u64().unwrap_or(0);
-            let ended = |n: &u64| finished.contains(&format!("{id}/{n}"));
-            let done = (0..count).filter(ended).count() as u64;
-            if done < if job["cut"] == "gang" { 1 } else { count } {
-                self.breaks(format!("not_done: {done} of {count}: {said}"));
-            }
+        } else if self.jobs.borrow().contains_key(id) && !self.is_over(id) {
+            let (done, all) = (self.completed_tasks(id), self.tasks_to_complete(id));
+            self.report_violation(Rule::NotDone, &format!("{done} of {all}: {said}"));
         }
     }
 
-    /// What a user was told holds: final answers for good, and a job after a
-    /// cancelled one is called so in time.
-    /// Of questions under way at once none is older: what counts is what was
-    /// `known` when this one was sent. Two final answers must agree all the same.
-    pub(super) fn hear(&self, id: &str, stage: &str, known: Option<String>) {
-        let is_final = stage == "done" || stage == "aborted";
-        let told = match is_final {
-            true => self.told.borrow().get(id).cloned(),
-            false => known,
-        };
-        if told.is_some_and(|t| t != stage) {
-            self.breaks(format!("went_back: {id} is {stage}"));
+    /// Judges a poll for an accepted job: not all may fail for long while most
+    /// other jobs' polls are answered.
+    pub(super) fn check_poll(&self, id: &str, status: u16) {
+        let now = Instant::now();
+        let mut polls = self.polls.borrow_mut();
+        let own = polls.entry(id.to_string()).or_default();
+        let is_series = own.last.is_some_and(|last| now - last <= POLL_GAP);
+        own.last = Some(now);
+        if status == 200 {
+            own.answered = Some(now);
+            own.failing_since = None;
+            return;
+        }
+        if !is_series {
+            own.failing_since = None;
         }
-        if is_final {
-            let mut told = self.told.borrow_mut();
-            told.insert(id.to_string(), stage.to_string());
+        let failing = now - *own.failing_since.get_or_insert(now);
+        let answers = self.answers.borrow();
+        let accepted = answers.get(id).is_some_and(|told| told.accepted.is_some());
+        if !accepted || failing < POLLS_MAY_FAIL {
             return;
         }
-        let most = Duration::from_secs_f64(self.shape.cancel_s);
-        if self.cancelled_at(id).is_some_and(|t| t.elapsed() > most) {
-            self.breaks(format!("orphaned: {id} is {stage}"));
+        let recent = |at: Option<Instant>| at.is_some_and(|t| now - t < POLLS_MAY_FAIL);
+        let others = || polls.iter().filter(|(other, _)| *other != id);
+        let polled = others().filter(|(_, p)| recent(p.last)).count();
+        let answered = others().filter(|(_, p)| recent(p.answered)).count();
+        if answered * 2 > polled {
+            let what = format!("{id}: every poll failed for {} s", failing.as_secs());
+            self.report_violation(Rule::Forgotten, &what);
         }
     }
-
-    pub fn assert_kept(&self) {
-        assert!(
-            self.broken.borrow().is_empty(),
-            "{:?}",
-            self.broken.borrow()
-        );
-        assert!(self.starts.get() > 0, "nothing_ran");
-        let misplaced = self.state.misplaced.borrow();
-        assert!(misplaced.is_empty(), "{misplaced:?}");
-    }
 }
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use shelfhoist::http::{Client, ServerLimits, serve};
+use shelfhoist::http::{Answer, Client, Request, ServerLimits, serve};
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use super::rules::Told;
+use super::rules::{Polls, Told};
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
 
@@ -118,6 +118,15 @@
         text.to_string()
     }
 
+    fn state_limits(&self) -> StateLimits {
+        let limit = |name: &str| self.state[name].as_f64().expect("a number");
+        StateLimits {
+            txn_ops: limit("txn_ops") as usize,
+            value_bytes: (limit("value_kb") * 1024.0) as usize,
+            write_rps: limit("write_rps"),
+        }
+    }
+
     pub(super) fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
@@ -132,9 +141,6 @@
     pub workers: RefCell<BTreeMap<String, Rented>>,
     pub(super) jobs: RefCell<HashMap<String, Value>>,
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
-    /// Tasks that have completed.
-    /// What users were last told that is final.
-    pub(super) told: RefCell<HashMap<String, String>>,
     pub(super) hires: RefCell<HashMap<String, Value>>,
     pub broken: RefCell<Vec<String>>,
     pub shape: Shape,
@@ -150,6 +156,7 @@
     /// What users were told, and when by `counted`'s count.
     pub(super) answers: RefCell<HashMap<String, Told>>,
     pub(super) counted: Cell<u64>,
+    pub(super) polls: RefCell<HashMap<String, Polls>>,
     /// The share of the reports of which a copy is kept.
     pub copied: Cell<f64>,
     pub(super) copies: RefCell<Vec<Vec<u8>>>,
@@ -175,19 +182,34 @@
         Self::of(seed, Shape::default()).await
     }
 
+    /// A world with the program's controllers, all of them started.
     pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
+        let world = Self::unstarted(seed, shape);
+        world.serve_others().await;
+        for i in 0..world.shape.controllers {
+            world.start(i);
+        }
+        world.watch_rules();
+        world
+    }
+
+    /// A world whose controllers a test plays itself.
+    pub async fn without_controllers(seed: u64, shape: Shape) -> Rc<Self> {
+        let world = Self::unstarted(seed, shape);
+        world.serve_others().await;
+        world.watch_rules();
+        world
+    }
+
+    fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
         let fabric = Rc::new(Fabric::default());
-        let client = Client::new(
-            Net::Fabric(fabric.clone(), addr(USERS)),
-            Duration::from_secs(1),
-        );
-        let world = Rc::new(World {
-            fabric: fabric.clone(),
+        let users = Net::Fabric(fabric.clone(), addr(USERS));
+        Rc::new(World {
+            fabric,
             state: Rc::new(State::new(seed)),
             workers: RefCell::default(),
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
-            told: RefCell::default(),
             hires: RefCell::default(),
             broken: RefCell::default(),
             starts: Cell::new(0),
@@ -195,6 +217,7 @@
             finished: RefCell::default(),
             answers: RefCell::default(),
             counted: Cell::new(0),
+            polls: RefCell::default(),
             copied: Cell::new(0.0),
             copies: RefCell::default(),
             rented: Cell::new(0),
@@ -205,49 +228,50 @@
                 .map(|_| watch::Sender::new(false))
                 .collect(),
             shape,
-            client,
+            client: Client::new(users, Duration::from_secs(1)),
             seed,
             runs: Cell::new(0),
-        });
-        let net = |a: &str| Net::Fabric(fabric.clone(), addr(a));
-        let cloud = world.clone();
-        for i in 0..world.shape.controllers {
-            let (state, at) = (world.state.clone(), state_addr(i));
-            let listener = Net::Fabric(fabric.clone(), at).listen(at).await;
-            spawn_local(serve(
-                listener.expect("listen"),
-                LIMITS,
-                Rc::new(move |r| state.clone().answer(i, r)),
-            ));
+        })
+    }
+
+    /// Everything but the controllers: state service, cloud and first machines.
+    async fn serve_others(self: &Rc<Self>) {
+        for i in 0..self.shape.controllers {
+            let state = self.state.clone();
+            let handler = move |request| state.clone().answer(i, request);
+            self.serve_at(state_addr(i), handler).await;
         }
-        spawn_local(world.state.clone().keep_leases());
-        let listener = net(CLOUD).listen(addr(CLOUD)).await.expect("listen");
-        spawn_local(serve(
-            listener,
-            LIMITS,
-            Rc::new(move |r| cloud.clone().cloud(r)),
-        ));
-        let limit = |name: &str| world.shape.state[name].as_f64().expect("a number");
-        world.state.limits.set(StateLimits {
-            txn_ops: limit("txn_ops") as usize,
-            value_bytes: (limit("value_kb") * 1024.0) as usize,
-            write_rps: limit("write_rps"),
-        });
-        for n in 0..world.shape.machines {
-            let zone = world.shape.zones[n % world.shape.zones.len()];
-            world.boot(&json!({"grade": "big", "yard": zone}));
+        spawn_local(self.state.clone().keep_leases());
+        let cloud = self.clone();
+        let handler = move |request| cloud.clone().cloud(request);
+        self.serve_at(addr(CLOUD), handler).await;
+        self.state.limits.set(self.shape.state_limits());
+        for n in 0..self.shape.machines {
+            let zone = self.shape.zones[n % self.shape.zones.len()];
+            self.boot(&json!({"grade": "big", "yard": zone}));
         }
-        for i in 0..world.shape.controllers {
-            world.start(i);
-        }
-        let watcher = world.clone();
+    }
+
+    /// Serves requests at an address of the fabric.
+    pub(super) async fn serve_at(
+        &self,
+        address: SocketAddrV4,
+        handler: impl Fn(Request) -> Answer + 'static,
+    ) {
+        let net = Net::Fabric(self.fabric.clone(), address);
+        let listener = net.listen(address).await.expect("listen");
+        spawn_local(serve(listener, LIMITS, Rc::new(handler)));
+    }
+
+    /// Judges what is on the machines, from now on.
+    fn watch_rules(self: &Rc<Self>) {
+        let world = self.clone();
         spawn_local(async move {
             loop {
-                sleep(watcher.shape.lease().div_f64(100.0)).await;
-                watcher.check();
+                sleep(world.shape.lease().div_f64(100.0)).await;
+                world.check_machines();
             }
         });
-        world
     }
 }
 
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -39,8 +39,11 @@
             Err(_) => (0, Value::Null),
         };
         if path.starts_with("/submissions") {
-            self.pass();
-            self.judge(i, &id, &known, status, &answer);
+            self.advance_tasks();
+            self.check_answer(i, &id, &known, status, &answer);
+            if method == "GET" {
+                self.check_poll(&id, status);
+            }
         }
         (status, answer)
     }
@@ -99,15 +102,10 @@
     }
 
     pub async fn stage(&self, i: usize, id: &str) -> Option<String> {
-        let known = self.told.borrow().get(id).cloned();
         let (status, body) = self
             .ask(i, "GET", &format!("/submissions/{id}"), None)
             .await;
-        let stage = (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string());
-        if let Some(stage) = &stage {
-            self.hear(id, stage, known);
-        }
-        stage
+        (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string())
     }
 
     /// Polls until all controllers that answer say `stage`.
@@ -128,20 +126,9 @@
     }
 
     pub async fn withdraw(&self, i: usize, id: &str) -> Option<String> {
-        let known = self.told.borrow().get(id).cloned();
         let (status, body) = self
             .ask(i, "POST", &format!("/submissions/{id}/withdraw"), None)
             .await;
-        if status != 200 {
-            return None;
-        }
-        let stage = body["stage"].as_str().unwrap_or("").to_string();
-        self.hear(id, &stage, known);
-        if stage == "aborted" {
-            self.cancelled
-                .borrow_mut()
-                .insert(id.to_string(), Instant::now());
-        }
-        Some(stage)
+        (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string())
     }
 }
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -14,6 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
+use super::rules::job_of;
 use super::scenario::{LIMITS, World, controller};
 
 #[derive(Debug, Clone)]
@@ -104,7 +105,7 @@
                     let attempt = o.attempt;
                     tasks.insert(o.task.clone(), Task { attempt, ends, why });
                     drop(tasks);
-                    world.started(&o.task, self);
+                    world.check_start(&o.task, self);
                 }
                 Verb::Stop => {
                     if let Some(t) = tasks.get_mut(&o.task)
@@ -137,6 +138,12 @@
         !gone && here.is_some_and(|t| t.why.is_none() && t.ends.is_none_or(|e| e > now))
     }
 
+    /// The tasks that are on the machine.
+    pub(super) fn tasks_on_machine(&self, lease: Duration) -> Vec<String> {
+        let held: Vec<String> = self.tasks.borrow().keys().cloned().collect();
+        held.into_iter().filter(|t| self.runs(t, lease)).collect()
+    }
+
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -312,35 +319,28 @@
     pub fn busy(&self) -> Vec<Rc<Worker>> {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
-        let runs = |w: &Rc<Worker>| {
-            let tasks: Vec<String> = w.tasks.borrow().keys().cloned().collect();
-            tasks.iter().any(|t| w.runs(t, lease))
-        };
         let all = workers.values().map(|(w, _)| w.clone());
-        all.filter(runs).collect()
+        all.filter(|w| !w.tasks_on_machine(lease).is_empty())
+            .collect()
     }
 
+    /// How many tasks of the job are on machines.
     pub fn running(&self, id: &str) -> usize {
-        let workers = self.workers.borrow();
         let lease = self.shape.lease();
-        workers
+        let workers = self.workers.borrow();
+        let tasks = workers
             .values()
-            .map(|(w, _)| {
-                let ids: Vec<String> = w.tasks.borrow().keys().cloned().collect();
-                ids.iter()
-                    .filter(|t| t.starts_with(&format!("{id}/")) && w.runs(t, lease))
-                    .count()
-            })
-            .sum()
+            .flat_map(|(w, _)| w.tasks_on_machine(lease));
+        tasks.filter(|task| job_of(task) == id).count()
     }
 
     /// A machine that runs a task of the job.
     pub fn machine_of(&self, id: &str) -> String {
+        let lease = self.shape.lease();
         let workers = self.workers.borrow();
         let found = workers.iter().find(|(_, (w, _))| {
-            let tasks: Vec<String> = w.tasks.borrow().keys().cloned().collect();
-            let mut of_job = tasks.iter().filter(|t| t.starts_with(&format!("{id}/")));
-            of_job.any(|t| w.runs(t, self.shape.lease()))
+            let tasks = w.tasks_on_machine(lease);
+            tasks.iter().any(|task| job_of(task) == id)
         });
         found
             .map(|(name, _)| name.clone())
