--- a/tests/service.rs
+++ b/tests/service.rs
@@ -13,13 +13,12 @@
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::store::{Budget, Class, Store};
 use shelfhoist::wire::{Commit, Write};
-use stand_ins::{CONTROLLERS, Shape, Trouble, World, controller, in_world, job, state_addr};
+use stand_ins::{CONTROLLERS, Scenario, Trouble, controller, in_world, job, state_addr};
 use tokio::time::{Instant, sleep};
 
 #[test]
 fn each_kind_of_job_runs_to_its_end() {
-    in_world(|| async {
-        let w = World::new(1).await;
+    Scenario::new(1).run(|w| async move {
         let array = w.submit(job(1, "batch", 20, 5.0)).await;
         let gang = w.submit(job(2, "gang", 2, 8.0)).await;
         let service = w.submit(job(3, "daemon", 2, 0.0)).await;
@@ -45,8 +44,7 @@
 
 #[test]
 fn one_id_at_several_controllers_is_one_job() {
-    in_world(|| async {
-        let w = World::new(2).await;
+    Scenario::new(2).run(|w| async move {
         w.submit(job(1, "batch", 1, 1.0)).await;
         let one = job(7, "batch", 2, 3.0);
         let (a, b, c) = tokio::join!(
@@ -78,8 +76,7 @@
 
 #[test]
 fn nothing_is_forgotten_when_all_controllers_restart() {
-    in_world(|| async {
-        let w = World::new(3).await;
+    Scenario::new(3).run(|w| async move {
         let array = w.submit(job(1, "batch", 30, 6.0)).await;
         let service = w.submit(job(2, "daemon", 1, 0.0)).await;
         let over = w.submit(job(3, "batch", 1, 1.0)).await;
@@ -106,8 +103,7 @@
 #[test]
 fn lost_and_late_commit_answers_do_no_harm() {
     for (seed, trouble) in [(4, Trouble::LoseAnswers), (5, Trouble::Late)] {
-        in_world(|| async move {
-            let w = World::new(seed).await;
+        Scenario::new(seed).run(|w| async move {
             let first = w.submit(job(1, "batch", 12, 4.0)).await;
             w.state.trouble.set(trouble);
             for n in 2..6 {
@@ -128,8 +124,7 @@
 
 #[test]
 fn lost_machines_are_replaced() {
-    in_world(|| async {
-        let w = World::new(6).await;
+    Scenario::new(6).run(|w| async move {
         let service = w.submit(job(1, "daemon", 2, 0.0)).await;
         let gang = w.submit(job(2, "gang", 2, 20.0)).await;
         w.until(&service, "running", 100).await;
@@ -148,8 +143,7 @@
 /// cancellation, so it must let its workers' leases run out in time.
 #[test]
 fn a_cut_off_controller_keeps_no_cancelled_task() {
-    in_world(|| async {
-        let w = World::new(7).await;
+    Scenario::new(7).run(|w| async move {
         let service = w.submit(job(1, "daemon", 4, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
@@ -177,8 +171,7 @@
 
 #[test]
 fn an_outage_that_all_share_ends_nothing() {
-    in_world(|| async {
-        let w = World::new(8).await;
+    Scenario::new(8).run(|w| async move {
         let service = w.submit(job(1, "daemon", 3, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
@@ -209,8 +202,7 @@
 /// once: the same request would bring the same answer for ever.
 #[test]
 fn a_watch_that_is_too_large_leads_to_pages() {
-    in_world(|| async {
-        let w = World::new(17).await;
+    Scenario::new(17).run(|w| async move {
         let service = w.submit(job(1, "daemon", 2, 0.0)).await;
         w.until(&service, "running", 60).await;
         w.state.trouble.set(Trouble::FatWatch);
@@ -229,8 +221,7 @@
 /// Workers report inside their zone, so a cut between zones ends nothing.
 #[test]
 fn zones_that_are_apart_keep_their_work() {
-    in_world(|| async {
-        let w = World::new(11).await;
+    Scenario::new(11).run(|w| async move {
         let mut spread = job(1, "daemon", 4, 0.0);
         spread["scatter"] = json!(true);
         let service = w.submit(spread).await;
@@ -247,8 +238,7 @@
 
 #[test]
 fn a_sick_machine_goes_back_and_its_work_is_done_elsewhere() {
-    in_world(|| async {
-        let w = World::new(9).await;
+    Scenario::new(9).run(|w| async move {
         let first = w.submit(job(1, "batch", 4, 2.0)).await;
         w.until(&first, "done", 100).await;
         let name = w
@@ -275,8 +265,7 @@
 /// them at once.
 #[test]
 fn a_job_with_a_mistake_blames_no_machine() {
-    in_world(|| async {
-        let w = World::new(23).await;
+    Scenario::new(23).run(|w| async move {
         let service = w.submit(job(1, "daemon", 3, 0.0)).await;
         w.until(&service, "running", 100).await;
         let kinds = ["batch", "gang", "daemon", "batch", "gang", "batch"];
@@ -320,8 +309,7 @@
 /// starts elsewhere once its end is proven, it gets no new work and goes back.
 #[test]
 fn a_machine_that_hears_nothing_is_replaced() {
-    in_world(|| async {
-        let w = World::new(12).await;
+    Scenario::new(12).run(|w| async move {
         let service = w.submit(job(1, "daemon", 2, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
@@ -342,8 +330,7 @@
 /// One that hears again before it has gone back is used again.
 #[test]
 fn a_machine_that_hears_again_is_used_again() {
-    in_world(|| async {
-        let w = World::new(13).await;
+    Scenario::new(13).run(|w| async move {
         let service = w.submit(job(1, "daemon", 2, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
@@ -369,8 +356,7 @@
 /// after another: all run before a machine could boot.
 #[test]
 fn a_service_gets_room_for_all_its_replicas_at_once() {
-    in_world(|| async {
-        let w = World::new(16).await;
+    Scenario::new(16).run(|w| async move {
         let mut low = job(1, "batch", 4, 300.0);
         low["urgency"] = json!("low");
         low["crew"] = json!("u");
@@ -391,8 +377,7 @@
 /// back: no end, no release and no launch comes from one.
 #[test]
 fn late_copies_of_reports_change_nothing() {
-    in_world(|| async {
-        let w = World::new(14).await;
+    Scenario::new(14).run(|w| async move {
         let service = w.submit(job(1, "daemon", 2, 0.0)).await;
         let array = w.submit(job(2, "batch", 6, 4.0)).await;
         w.until(&array, "done", 100).await;
@@ -426,8 +411,7 @@
 /// But not for ever, and its lease is not renewed.
 #[test]
 fn a_worker_whose_claim_takes_long_stays_for_a_while() {
-    in_world(|| async {
-        let w = World::new(19).await;
+    Scenario::new(19).run(|w| async move {
         let first = w.submit(job(1, "batch", 2, 2.0)).await;
         w.until(&first, "done", 100).await;
         let name = w.workers.borrow().keys().next().cloned();
@@ -466,8 +450,7 @@
 /// send them back to who holds them, or one controller would keep them all.
 #[test]
 fn workers_that_lose_their_controller_are_taken_at_once_and_go_home_later() {
-    in_world(|| async {
-        let w = World::new(21).await;
+    Scenario::new(21).run(|w| async move {
         for n in 1..7 {
             let mut one = job(n, "daemon", 2, 0.0);
             one["vcpus"] = json!(1.0);
@@ -510,8 +493,7 @@
         (&all, 35.0, u64::MAX),
     ];
     for (n, (who, seconds, lapses)) in cases.into_iter().enumerate() {
-        in_world(|| async move {
-            let w = World::new(40 + n as u64).await;
+        Scenario::new(40 + n as u64).run(|w| async move {
             let service = w.submit(job(1, "daemon", 4, 0.0)).await;
             let idle = w.submit(job(2, "batch", 4, 2.0)).await;
             w.until(&service, "running", 100).await;
@@ -555,14 +537,7 @@
 /// else to go to they report again within seconds, and stay.
 #[test]
 fn a_lone_controller_that_stood_still_keeps_its_machines() {
-    in_world(|| async {
-        let shape = Shape {
-            controllers: 1,
-            locations: vec!["a"],
-            zones: vec!["a"],
-            ..Shape::default()
-        };
-        let w = World::of(50, shape).await;
+    Scenario::new(50).lone_controller().run(|w| async move {
         let service = w.submit(job(1, "daemon", 4, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
@@ -583,8 +558,7 @@
 /// return without end.
 #[test]
 fn machines_that_never_come_up_are_replaced_and_go_back() {
-    in_world(|| async {
-        let w = World::new(60).await;
+    Scenario::new(60).run(|w| async move {
         w.barren.set(Some("a"));
         let jobs = [("batch", 4), ("gang", 2), ("daemon", 2)];
         for (n, (kind, tasks)) in (1..).zip(jobs) {
@@ -614,8 +588,7 @@
 /// A renter that is back at once finds its own state lease still standing.
 #[test]
 fn a_renter_that_is_back_at_once_rents_on() {
-    in_world(|| async {
-        let w = World::new(15).await;
+    Scenario::new(15).run(|w| async move {
         let first = w.submit(job(1, "batch", 2, 2.0)).await;
         w.until(&first, "done", 100).await;
         // In the middle of a rental: the intent is committed, the answer lost.
@@ -634,8 +607,7 @@
 
 #[test]
 fn operators_are_told_what_is_undone_and_why() {
-    in_world(|| async {
-        let w = World::new(10).await;
+    Scenario::new(10).run(|w| async move {
         let big = w.submit(job(1, "gang", 6, 300.0)).await;
         w.until(&big, "running", 100).await;
         let second = w.submit(job(2, "gang", 2, 5.0)).await;
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -2,6 +2,7 @@
 //! They speak the protocol over a fabric inside the process, in simulated
 //! time, and they watch the rules that tests assert on.
 
+mod builder;
 mod cloud;
 mod controllers;
 mod faults;
@@ -14,6 +15,8 @@
 
 // Each file of tests uses a part of them.
 #[allow(unused_imports)]
+pub use builder::Scenario;
+#[allow(unused_imports)]
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{CONTROLLERS, Shape, World, addr, after, controller, in_world, job, state_addr};
