--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -4,12 +4,14 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use super::plan::{Plan, UNNAMED};
+use crate::machines;
 use crate::model::{Amount, Spec};
-use crate::view::{Spot, View};
+use crate::view::{Class, Spot, View};
 use crate::wire::Kind;
 
 /// Hints for choosing among machines with room; none of them is needed.
 pub struct Hints<'a> {
+    /// The replica that is planned on.
     pub view: &'a View,
     /// The controller that plans: between machines that are as good, those of
     /// its own parts, where its commits meet no others.
@@ -22,6 +24,7 @@
 }
 
 impl<'a> Hints<'a> {
+    /// Hints of a controller whose commit touches no parts yet.
     pub fn new(view: &'a View, home: &'a str) -> Self {
         Hints {
             view,
@@ -32,138 +35,167 @@
     }
 }
 
-/// How far work without accelerators may stand in their way.
+/// How far work without accelerators may take resources of machines that have
+/// them from work that needs them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Care {
     /// Not at all, and no service keeps their machines rented.
     Strict,
-    /// Only in what they cannot use.
+    /// Only what work on the accelerators cannot use.
     Mild,
     /// If there is no other place.
     Lax,
 }
 
-/// Lower is better, the first figures first.
-type Score = [i64; 8];
+/// How good a place is: lower is better, and the first differing figure decides.
+pub(super) type Score = [i64; 8];
 
-/// A machine on offer: what is lost by it, how many tasks it was given, how
-/// good it is, and where it stands in the plan.
-type Offered = (i64, i64, Score, usize);
+/// A machine that has room for a task. The order is that of the choice: the least
+/// first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Offer {
+    /// How many tasks on accelerators lose their place.
+    loss: i64,
+    /// How many tasks of the job the machine was given already.
+    given: i64,
+    score: Score,
+    /// The index of the machine in the plan.
+    spot: usize,
+}
+
+/// What makes one zone's best offer better than another's.
+type ZoneOrder = (i64, i64, i64, Score);
+
+/// Places found for tasks of a job, as indices of machines in the plan.
+pub(super) struct Filled {
+    pub(super) spots: Vec<usize>,
+    /// The sum of the places' scores.
+    pub(super) score: Score,
+}
 
 /// What a class of machines means to a job, worked out once for all of them.
 #[derive(Clone, Copy)]
-pub(super) struct Gate {
+pub(super) struct ClassFit {
+    /// The job may run there, room apart.
     pub(super) allowed: bool,
     gpus: Amount,
-    /// The accelerators' usual work may run there, and this work needs none.
-    in_way: bool,
+    /// The accelerators' usual work may run there, and this job needs none.
+    contended: bool,
+    /// 1 if a cheaper kind would do, else 0.
     costly: i64,
     pub(super) zone: usize,
 }
 
+impl ClassFit {
+    fn new(spec: &Spec, view: &View, class: &Class) -> Self {
+        let gpus = view.class_type(class).map_or(0.0, |t| t.gpus);
+        let usual_work_allowed = view
+            .gpu_spec
+            .as_ref()
+            .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
+        ClassFit {
+            allowed: spec.allows(&class.kind, &class.zone, class.spot),
+            gpus: Amount::room(gpus),
+            contended: gpus > 0.0 && spec.need.gpus.0 == 0 && usual_work_allowed,
+            costly: i64::from(spec.spot && !class.spot),
+            zone: class.zone_at,
+        }
+    }
+}
+
 /// Where a job's tasks may go.
-pub(super) struct Field<'a> {
+pub(super) struct Candidates<'a> {
     spec: &'a Spec,
     hints: &'a Hints<'a>,
     care: Care,
-    pub(super) gates: Vec<Gate>,
+    /// By class number.
+    classes: Vec<ClassFit>,
     /// By part number: how much its part adds to the commit. Places that are as
     /// good are taken from few parts, as each is a record to write.
-    far: Vec<i64>,
+    part_costs: Vec<i64>,
     image: Option<u32>,
     /// Machines that the job has just failed on, by number: the fault may be
     /// theirs, and what fails at once is the first to have room again.
-    barred: Vec<u32>,
+    excluded: Vec<u32>,
     /// The only parts whose machines it may take, if not all may be; what is not
     /// rented yet may come into any.
-    pub(super) within: Option<[u32; 2]>,
+    only_parts: Option<[u32; 2]>,
 }
 
-impl<'a> Field<'a> {
+impl<'a> Candidates<'a> {
     pub(super) fn new(spec: &'a Spec, hints: &'a Hints<'a>, care: Care) -> Self {
         let view = hints.view;
-        let gates = view.classes.iter().map(|class| {
-            let gpus = view.class_type(class).map_or(0.0, |t| t.gpus);
-            let wanted = view
-                .gpu_spec
-                .as_ref()
-                .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
-            Gate {
-                allowed: spec.allows(&class.kind, &class.zone, class.spot),
-                gpus: Amount::room(gpus),
-                in_way: gpus > 0.0 && spec.need.gpus.0 == 0 && wanted,
-                costly: i64::from(spec.spot && !class.spot),
-                zone: class.zone_at,
-            }
-        });
-        let far = (0..view.part_names.len() as u32).map(|n| {
-            let name = view.part_names.name(n);
-            let part = name.split_once('/').map_or("", |p| p.1);
-            let own = crate::machines::home_of(part) == hints.home;
-            let touched = hints.touched.contains(&*name);
-            match (touched, own) {
-                (true, _) => 0,
-                (_, true) => 1,
-                _ => 2 + i64::from(n),
-            }
-        });
-        Field {
-            gates: gates.collect(),
-            far: far.collect(),
+        let classes = view.classes.iter();
+        let parts = 0..view.part_names.len() as u32;
+        Candidates {
+            classes: classes.map(|c| ClassFit::new(spec, view, c)).collect(),
+            part_costs: parts.map(|part| part_cost(hints, part)).collect(),
             spec,
             hints,
             care,
             image: view.image(&spec.image),
-            barred: Vec::new(),
-            within: None,
+            excluded: Vec::new(),
+            only_parts: None,
         }
     }
 
+    /// Leaves these machines out.
     pub(super) fn without(mut self, machines: &[String]) -> Self {
         let names = &self.hints.view.machine_names;
-        self.barred = machines.iter().filter_map(|m| names.find(m)).collect();
+        self.excluded = machines.iter().filter_map(|m| names.find(m)).collect();
+        self
+    }
+
+    /// Keeps to these parts, if there are any.
+    pub(super) fn within(mut self, parts: Option<[u32; 2]>) -> Self {
+        self.only_parts = parts;
         self
     }
 
+    /// What the machine's class means to the job.
+    pub(super) fn class(&self, spot: &Spot) -> &ClassFit {
+        &self.classes[spot.class as usize]
+    }
+
     /// How many tasks of the accelerators' usual shape lose their place on
     /// this machine if the job's task takes it. Work without accelerators is
-    /// kept off them only as far as it is in the way.
+    /// kept off them only as far as it takes resources that they need.
     fn loss(&self, spot: &Spot) -> i64 {
-        let gate = &self.gates[spot.class as usize];
-        if !gate.in_way {
+        if !self.class(spot).contended {
             return 0;
         }
         match &self.hints.view.gpu_spec {
-            Some(s) => {
+            Some(usual) => {
                 let after = spot.free - self.spec.need;
-                spot.free.slots(&s.need) as i64 - after.slots(&s.need) as i64
+                spot.free.slots(&usual.need) as i64 - after.slots(&usual.need) as i64
             }
             None => 1,
         }
     }
 
-    fn open(&self, spot: &Spot) -> bool {
-        let gate = &self.gates[spot.class as usize];
-        if !gate.allowed || !spot.free.fits(&self.spec.need) {
+    /// Whether a task of the job may go onto the machine.
+    fn is_open(&self, spot: &Spot) -> bool {
+        let class = self.class(spot);
+        if !class.allowed || !spot.free.fits(&self.spec.need) {
             return false;
         }
-        if self.barred.contains(&spot.machine) {
+        if self.excluded.contains(&spot.machine) {
             return false;
         }
-        if let Some(parts) = self.within
+        if let Some(parts) = self.only_parts
             && spot.part != UNNAMED
             && !parts.contains(&spot.part)
         {
             return false;
         }
-        if !gate.in_way {
+        if !class.contended {
             return true;
         }
         match (self.spec.kind, self.care) {
-            // Independent tasks come and go: they never stand in the way of
-            // work that needs the accelerators, and they do not keep a
-            // machine rented whose accelerators are idle.
-            (Kind::Array, _) => spot.free.gpus < gate.gpus && self.loss(spot) == 0,
+            // Independent tasks come and go: they never take resources that the
+            // accelerators' work needs, and they do not keep a machine rented
+            // whose accelerators are idle.
+            (Kind::Array, _) => spot.free.gpus < class.gpus && self.loss(spot) == 0,
             // What stays for long goes elsewhere if it can.
             (_, Care::Strict) => false,
             (_, Care::Mild) => self.loss(spot) == 0,
@@ -176,98 +208,164 @@
     /// machine, and the tightest fit, so that others stay whole.
     fn score(&self, spot: &Spot) -> Score {
         let view = self.hints.view;
-        let gate = &self.gates[spot.class as usize];
+        let class = self.class(spot);
         let spec = self.spec;
-        let shape_slots = match &view.gpu_spec {
-            Some(s) if gate.gpus.0 > 0 && spec.need.gpus.0 == 0 => spot.free.slots(&s.need),
+        let needs_gpus = spec.need.gpus.0 > 0;
+        let usual_slots = match &view.gpu_spec {
+            Some(usual) if class.gpus.0 > 0 && !needs_gpus => spot.free.slots(&usual.need),
             _ => 0,
         };
         let no_image = i64::from(!view.has_image(spot.machine, self.image));
-        let far = self
-            .far
-            .get(spot.part as usize)
-            .copied()
-            .unwrap_or(i64::MAX);
-        let quick = spec.kind == Kind::Service;
+        let part_cost = self.part_costs.get(spot.part as usize);
+        let part_cost = part_cost.copied().unwrap_or(i64::MAX);
         // A service stays for long and would keep a costly machine rented.
-        let pins = i64::from(quick && gate.gpus.0 > 0 && spec.need.gpus.0 == 0);
+        let is_service = spec.kind == Kind::Service;
+        let keeps_rented = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
         let (third, fourth, fifth) = match spec.kind {
-            Kind::Service => (no_image, gate.costly, far),
+            Kind::Service => (no_image, class.costly, part_cost),
             // Their ends come often: where they are this controller's own,
             // nobody else writes the records.
-            Kind::Array => (gate.costly, far, no_image),
-            Kind::Gang => (gate.costly, no_image, far),
+            Kind::Array => (class.costly, part_cost, no_image),
+            Kind::Gang => (class.costly, no_image, part_cost),
         };
         [
             self.loss(spot),
-            pins,
+            keeps_rented,
             third,
             fourth,
             fifth,
-            shape_slots as i64,
-            // Of two places in the way, the one among more accelerators.
-            if spec.need.gpus.0 > 0 { 1 } else { -1 } * gate.gpus.0,
+            usual_slots as i64,
+            // Of two places that accelerators' work could use, the one among more
+            // accelerators.
+            if needs_gpus { 1 } else { -1 } * class.gpus.0,
             spot.free.cpus.0,
         ]
     }
 
     /// Tasks that fit one by one into the zones with a cap, best machines
-    /// first; at most `most`. Also tells how good the places are.
-    pub(super) fn fill(&self, plan: &Plan, caps: &[usize], most: usize) -> (Vec<usize>, Score) {
-        let service = self.spec.kind == Kind::Service;
-        // Replicas go to different zones and machines while there are some;
-        // other tasks fill the best machine first. A heap a zone, the best
-        // machine on top.
-        let mut heaps: Vec<Vec<Reverse<Offered>>> = vec![Vec::new(); caps.len()];
-        for (at, spot) in plan.spots.iter().enumerate() {
-            let zone = self.gates[spot.class as usize].zone;
-            if caps.get(zone).is_some_and(|c| *c > 0) && self.open(spot) {
-                let score = self.score(spot);
-                heaps[zone].push(Reverse((score[0], 0, score, at)));
-            }
-        }
-        let mut heaps: Vec<BinaryHeap<_>> = heaps.into_iter().map(BinaryHeap::from).collect();
-        let mut caps = caps.to_vec();
-        let mut in_zone = vec![0i64; caps.len()];
-        let mut sum: Score = [0; 8];
-        let mut places = Vec::new();
-        while places.len() < most {
-            let best = (0..heaps.len())
-                .filter(|z| caps[*z] > 0)
-                .filter_map(|z| {
-                    let Reverse((loss, given, score, _)) = heaps[z].peek()?;
-                    let near = if service { in_zone[z] } else { 0 };
-                    Some(((*loss, near, *given, *score), z))
-                })
-                .min();
-            let Some((_, zone)) = best else { break };
-            let Some(Reverse((_, given, score, at))) = heaps[zone].pop() else {
+    /// first; at most `limit`.
+    ///
+    /// Replicas go to different zones and machines while there are some; other
+    /// tasks fill the best machine first.
+    pub(super) fn fill(&self, plan: &Plan, zone_caps: &[usize], limit: usize) -> Filled {
+        let mut offers = ZoneOffers::new(self, plan, zone_caps);
+        let mut filled = Filled {
+            spots: Vec::new(),
+            score: [0; 8],
+        };
+        while filled.spots.len() < limit {
+            let Some((zone, offer)) = offers.take_best() else {
                 break;
             };
-            let mut spot = plan.spots[at];
-            for _ in 0..given {
-                spot.free -= self.spec.need;
+            self.fill_machine(&mut offers, &mut filled, plan, zone, offer, limit);
+        }
+        filled
+    }
+
+    /// Gives a machine its tasks. Its room is used up before the next machine is
+    /// looked at, but for replicas, which take one place at a time.
+    fn fill_machine(
+        &self,
+        offers: &mut ZoneOffers,
+        filled: &mut Filled,
+        plan: &Plan,
+        zone: usize,
+        offer: Offer,
+        limit: usize,
+    ) {
+        let is_service = self.spec.kind == Kind::Service;
+        let mut spot = plan.spots[offer.spot];
+        for _ in 0..offer.given {
+            spot.free -= self.spec.need;
+        }
+        loop {
+            for (sum, figure) in filled.score.iter_mut().zip(offer.score) {
+                *sum = sum.saturating_add(figure);
             }
-            // One machine's room is used up before the next is looked at,
-            // but for replicas.
-            loop {
-                for (s, r) in sum.iter_mut().zip(score) {
-                    *s = s.saturating_add(r);
-                }
-                places.push(at);
-                spot.free -= self.spec.need;
-                in_zone[zone] += 1;
-                caps[zone] -= 1;
-                let more = places.len() < most && caps[zone] > 0 && self.open(&spot);
-                if service || !more {
-                    break;
-                }
+            filled.spots.push(offer.spot);
+            spot.free -= self.spec.need;
+            offers.given[zone] += 1;
+            offers.caps[zone] -= 1;
+            let more = filled.spots.len() < limit && offers.caps[zone] > 0 && self.is_open(&spot);
+            if is_service || !more {
+                break;
             }
-            if service && self.open(&spot) {
-                let score = self.score(&spot);
-                heaps[zone].push(Reverse((score[0], given + 1, score, at)));
+        }
+        if is_service && self.is_open(&spot) {
+            offers.push(zone, self.offer(&spot, offer.spot, offer.given + 1));
+        }
+    }
+
+    /// The machine as it is offered after it was given that many tasks.
+    fn offer(&self, spot: &Spot, index: usize, given: i64) -> Offer {
+        let score = self.score(spot);
+        Offer {
+            loss: score[0],
+            given,
+            score,
+            spot: index,
+        }
+    }
+}
+
+/// What a part adds to the commit: nothing if it is written anyway, little if the
+/// planning controller is at home there.
+fn part_cost(hints: &Hints, part: u32) -> i64 {
+    let name = hints.view.part_names.name(part);
+    let local_name = name.split_once('/').map_or("", |split| split.1);
+    let own = machines::home_of(local_name) == hints.home;
+    let touched = hints.touched.contains(&*name);
+    match (touched, own) {
+        (true, _) => 0,
+        (_, true) => 1,
+        _ => 2 + i64::from(part),
+    }
+}
+
+/// The machines on offer: a heap for each zone, the best machine on top.
+struct ZoneOffers {
+    heaps: Vec<BinaryHeap<Reverse<Offer>>>,
+    /// How many more tasks each zone may take.
+    caps: Vec<usize>,
+    /// How many tasks each zone was given.
+    given: Vec<i64>,
+    /// Zones that were given fewer tasks come first.
+    spread: bool,
+}
+
+impl ZoneOffers {
+    fn new(candidates: &Candidates, plan: &Plan, caps: &[usize]) -> Self {
+        let mut offers: Vec<Vec<Reverse<Offer>>> = vec![Vec::new(); caps.len()];
+        for (index, spot) in plan.spots.iter().enumerate() {
+            let zone = candidates.class(spot).zone;
+            if caps.get(zone).is_some_and(|cap| *cap > 0) && candidates.is_open(spot) {
+                offers[zone].push(Reverse(candidates.offer(spot, index, 0)));
             }
         }
-        (places, sum)
+        ZoneOffers {
+            heaps: offers.into_iter().map(BinaryHeap::from).collect(),
+            caps: caps.to_vec(),
+            given: vec![0; caps.len()],
+            spread: candidates.spec.kind == Kind::Service,
+        }
+    }
+
+    /// Takes the best offer of all zones, and tells which zone it is of.
+    fn take_best(&mut self) -> Option<(usize, Offer)> {
+        let zones = (0..self.heaps.len()).filter(|zone| self.caps[*zone] > 0);
+        let best = zones.filter_map(|zone| Some((self.order(zone)?, zone)));
+        let (_, zone) = best.min()?;
+        let Reverse(offer) = self.heaps[zone].pop()?;
+        Some((zone, offer))
+    }
+
+    fn order(&self, zone: usize) -> Option<ZoneOrder> {
+        let Reverse(offer) = self.heaps[zone].peek()?;
+        let given_in_zone = if self.spread { self.given[zone] } else { 0 };
+        Some((offer.loss, given_in_zone, offer.given, offer.score))
+    }
+
+    fn push(&mut self, zone: usize, offer: Offer) {
+        self.heaps[zone].push(Reverse(offer));
     }
 }
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/ends.rs
@@ -1,65 +1,92 @@
-//! Recorded ends of tasks, taken into a transaction.
+//! Ends of tasks: those that are proven go into a round's transaction.
 
 use super::plan::Plan;
-use super::rounds::Rounds;
+use super::round_state::RoundState;
 use super::transaction::{Draft, Released};
-use crate::machines::EndKey;
+use crate::machines::{EndKey, Proof};
 use crate::node::Node;
+use crate::view::View;
 use crate::wire::Kind;
 
-/// Lays recorded ends into the draft, and their room into the plan. Begins
-/// where the last round ended, so that none waits for ever in a flood.
-pub(super) fn take_ends(
+/// Ends that a transaction takes in, and those that are void.
+#[derive(Default)]
+struct Ends {
+    recorded: Vec<EndKey>,
+    stale: Vec<EndKey>,
+}
+
+/// Records ends in the transaction and gives their resources back to the plan;
+/// returns which ends it has taken.
+///
+/// Gangs and services come first, whose resources many wait for, and jobs that
+/// others depend on. The ends of other arrays come last, up to a limit of their
+/// own, and begin where the last round stopped, so that none waits for ever.
+pub(super) fn record_ends(
     node: &Node,
-    rounds: &mut Rounds,
+    view: &View,
+    state: &mut RoundState,
     draft: &mut Draft,
     plan: &mut Plan,
-    for_arrays: usize,
+    limit_for_arrays: usize,
 ) -> Vec<EndKey> {
-    let view = node.view.borrow();
-    let mut taken = Vec::new();
-    let mut stale = Vec::new();
-    let ends = node.ends.borrow();
-    let first = rounds.last_end.take();
-    let (later, earlier): (Vec<_>, Vec<_>) = ends
-        .iter()
-        .partition(|(key, _)| first.as_ref().is_none_or(|f| *key >= f));
-    let is_array = |key: &EndKey| {
-        let spec = view.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref());
-        spec.is_some_and(|s| s.kind == Kind::Array) && !view.is_needed(&key.job)
-    };
-    // Gangs and services first, whose room many wait for, and jobs that others
-    // await; the ends of other arrays leave part of the commit to what is to be
-    // placed.
-    let (arrays, others): (Vec<_>, Vec<_>) = later
-        .into_iter()
-        .chain(earlier)
-        .partition(|(key, _)| is_array(key));
-    let most = draft.most;
-    let all = others.into_iter().chain(arrays);
-    for (key, proof) in all.filter(|(key, _)| !rounds.left.contains_key(&key.job)) {
-        if is_array(key) {
-            draft.most = for_arrays;
+    let mut ends = Ends::default();
+    {
+        let pending = node.ends.borrow();
+        let first = state.next_end.take();
+        let (later, earlier): (Vec<_>, Vec<_>) = pending
+            .iter()
+            .partition(|(key, _)| first.as_ref().is_none_or(|first| *key >= first));
+        let in_order = later.into_iter().chain(earlier);
+        let in_order = in_order.filter(|(key, _)| !state.is_excluded(&key.job));
+        let (arrays, others): (Vec<_>, Vec<_>) =
+            in_order.partition(|(key, _)| is_plain_array(view, key));
+        for (key, proof) in others {
+            ends.record(node, view, draft, plan, key, *proof);
+        }
+        let limit = std::mem::replace(&mut draft.most, limit_for_arrays);
+        for (key, proof) in arrays {
+            let released = ends.record(node, view, draft, plan, key, *proof);
+            if released == Released::Full && state.next_end.is_none() {
+                state.next_end = Some(key.clone());
+            }
         }
-        match draft.release(key, *proof, node.name(), node.incarnation) {
+        draft.most = limit;
+    }
+    let mut pending = node.ends.borrow_mut();
+    for key in &ends.stale {
+        pending.remove(key);
+    }
+    ends.recorded
+}
+
+/// Whether the end is of an array that no other job depends on.
+fn is_plain_array(view: &View, key: &EndKey) -> bool {
+    let spec = view.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref());
+    spec.is_some_and(|s| s.kind == Kind::Array) && !view.is_needed(&key.job)
+}
+
+impl Ends {
+    /// Records one end, if the transaction has room for it.
+    fn record(
+        &mut self,
+        node: &Node,
+        view: &View,
+        draft: &mut Draft,
+        plan: &mut Plan,
+        key: &EndKey,
+        proof: Proof,
+    ) -> Released {
+        let released = draft.release(key, proof, node.name(), node.incarnation);
+        match released {
             Released::Yes => {
                 if let Some(spec) = view.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref()) {
-                    plan.give(&view, &key.machine, &spec.team, spec.need);
+                    plan.give(view, &key.machine, &spec.team, spec.need);
                 }
-                taken.push(key.clone());
-            }
-            Released::Full if is_array(key) && rounds.last_end.is_none() => {
-                rounds.last_end = Some(key.clone());
+                self.recorded.push(key.clone());
             }
             Released::Full => {}
-            Released::Stale => stale.push(key.clone()),
+            Released::Stale => self.stale.push(key.clone()),
         }
+        released
     }
-    draft.most = most;
-    drop(ends);
-    let mut ends = node.ends.borrow_mut();
-    for key in stale {
-        ends.remove(&key);
-    }
-    taken
 }
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -1,4 +1,4 @@
-//! Whether a job fits, and where: pure decisions on a plan of free room.
+//! Whether a job fits, and where: pure decisions on a plan of free resources.
 //!
 //! KEP-2724, "Computing the assignment": a required gang is admitted only when
 //! all its tasks fit one topology domain, here a zone, else it waits; a
@@ -8,7 +8,7 @@
 
 use foldhash::HashMap;
 
-use super::candidates::{Care, Field, Hints};
+use super::candidates::{Candidates, Care, Hints};
 use super::plan::{Place, Plan, UNNAMED, team_slots};
 use super::reasons::Wait;
 use super::record_size::record_slots;
@@ -17,6 +17,9 @@
 use crate::view::Spot;
 use crate::wire::Kind;
 
+/// How many records of a transaction are not parts: the job and its team.
+const RECORDS_BESIDE_PARTS: usize = 2;
+
 /// Finds places for a job's waiting tasks: all of a gang's or none, as many
 /// as there are for independent tasks.
 pub fn fit(
@@ -28,7 +31,16 @@
     care: Care,
 ) -> Result<Vec<Place>, Wait> {
     let view = hints.view;
-    let mut places: Vec<Place> = find(job, spec, plan, hints, settings, care)?
+    let request = Request {
+        job,
+        spec,
+        plan,
+        hints,
+        settings,
+        care,
+    };
+    let mut places: Vec<Place> = request
+        .find()?
         .into_iter()
         .map(|at| {
             let spot = &plan.spots[at];
@@ -57,164 +69,207 @@
     settings: &Settings,
     care: Care,
 ) -> usize {
-    find(job, spec, plan, hints, settings, care).map_or(0, |places| places.len())
+    let request = Request {
+        job,
+        spec,
+        plan,
+        hints,
+        settings,
+        care,
+    };
+    request.find().map_or(0, |spots| spots.len())
 }
 
-/// The machines that a job has failed on come last: for one that fails on all
-/// of them, when there is no other; for the rest, once it has waited for one.
-pub(super) fn find(
-    job: &Job,
-    spec: &Spec,
-    plan: &Plan,
-    hints: &Hints,
-    settings: &Settings,
+/// A job that places are searched for, and what the search goes by.
+#[derive(Clone, Copy)]
+struct Request<'a> {
+    job: &'a Job,
+    spec: &'a Spec,
+    plan: &'a Plan,
+    hints: &'a Hints<'a>,
+    settings: &'a Settings,
     care: Care,
-) -> Result<Vec<usize>, Wait> {
-    let found = find_off(&job.failed_on, job, spec, plan, hints, settings, care);
-    match found {
-        Err(_) if !job.failed_on.is_empty() && (hints.lenient || job.is_doubtful()) => {
-            find_off(&[], job, spec, plan, hints, settings, care)
-        }
-        found => found,
-    }
 }
 
-/// Places that are not on these machines, in as many parts as one commit writes
-/// beside the job and its team.
-///
-/// What is guaranteed once short texts are written: a gang that fits into two
-/// parts is admitted whole. A zone has one part for each controller that is at
-/// home in it, unless it has some hundreds of machines for each, so a required
-/// gang that fits its zone does where two are at home there at most. A preferred
-/// one that only more parts would hold waits as if there were no room, so that
-/// machines are rented for it. A service takes two parts if they hold all that
-/// waits of it; else it is admitted by parts, replica by replica.
-fn find_off(
-    barred: &[String],
-    job: &Job,
-    spec: &Spec,
-    plan: &Plan,
-    hints: &Hints,
-    settings: &Settings,
-    care: Care,
-) -> Result<Vec<usize>, Wait> {
-    let within = |parts| find_within(parts, barred, job, spec, plan, hints, settings, care);
-    let found = within(None)?;
-    if spec.kind == Kind::Array || !hints.view.is_short() {
-        return Ok(found);
-    }
-    let most = settings.txn_ops().saturating_sub(2).max(1);
-    let mut held: HashMap<u32, usize> = HashMap::default();
-    let parts = found.iter().map(|at| plan.spots[*at].part);
-    for part in parts.filter(|p| *p != UNNAMED) {
-        *held.entry(part).or_default() += 1;
-    }
-    if held.len() <= most {
-        return Ok(found);
+/// Places as indices of machines in the plan.
+type Spots = Vec<usize>;
+
+impl Request<'_> {
+    /// The machines that a job has failed on come last: for one that fails on all
+    /// of them, when there is no other; for the rest, once it has waited for one.
+    fn find(&self) -> Result<Spots, Wait> {
+        let job = self.job;
+        let found = self.find_without(&job.failed_on);
+        match found {
+            Err(_) if !job.failed_on.is_empty() && (self.hints.lenient || job.is_doubtful()) => {
+                self.find_without(&[])
+            }
+            found => found,
+        }
     }
-    let mut all: Vec<u32> = plan.spots.iter().map(|s| s.part).collect();
-    all.sort_unstable();
-    all.dedup();
-    all.retain(|p| *p != UNNAMED);
-    // Those that hold most of them first.
-    all.sort_by_key(|p| Reverse(held.get(p).copied().unwrap_or(0)));
-    let pairs = (1..all.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
-    let narrow = pairs
-        .filter_map(|(a, b)| within(Some([all[a], all[b]])).ok())
-        .find(|places| places.len() >= found.len());
-    match narrow {
-        Some(places) => Ok(places),
-        None if spec.is_gang() => Err(Wait::NoRoom),
-        None => Ok(found),
+
+    /// Places that are not on these machines, in as many parts as one commit
+    /// writes beside the job and its team.
+    ///
+    /// What is guaranteed once short texts are written: a gang that fits into two
+    /// parts is admitted whole. A zone has one part for each controller that is at
+    /// home in it, unless it has some hundreds of machines for each, so a required
+    /// gang that fits its zone does where two are at home there at most. A
+    /// preferred one that only more parts would hold waits as if there were no
+    /// room, so that machines are rented for it. A service takes two parts if they
+    /// hold all that waits of it; else it is admitted by parts, replica by replica.
+    fn find_without(&self, excluded: &[String]) -> Result<Spots, Wait> {
+        let found = self.find_within(None, excluded)?;
+        if self.spec.kind == Kind::Array || !self.hints.view.is_short() {
+            return Ok(found);
+        }
+        let txn_ops = self.settings.txn_ops();
+        let max_parts = txn_ops.saturating_sub(RECORDS_BESIDE_PARTS).max(1);
+        let tasks_by_part = self.tasks_by_part(&found);
+        if tasks_by_part.len() <= max_parts {
+            return Ok(found);
+        }
+        let parts = self.parts_by_tasks(&tasks_by_part);
+        let pairs = (1..parts.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
+        let narrow = pairs
+            .filter_map(|(a, b)| self.find_within(Some([parts[a], parts[b]]), excluded).ok())
+            .find(|spots| spots.len() >= found.len());
+        match narrow {
+            Some(spots) => Ok(spots),
+            None if self.spec.is_gang() => Err(Wait::NoRoom),
+            None => Ok(found),
+        }
     }
-}
 
-#[allow(clippy::too_many_arguments)]
-fn find_within(
-    within: Option<[u32; 2]>,
-    barred: &[String],
-    job: &Job,
-    spec: &Spec,
-    plan: &Plan,
-    hints: &Hints,
-    settings: &Settings,
-    care: Care,
-) -> Result<Vec<usize>, Wait> {
-    let waiting = job.waiting();
-    if waiting == 0 {
-        return Err(Wait::OldAttempt);
+    /// How many of the places each part has.
+    fn tasks_by_part(&self, spots: &[usize]) -> HashMap<u32, usize> {
+        let mut tasks: HashMap<u32, usize> = HashMap::default();
+        let parts = spots.iter().map(|at| self.plan.spots[*at].part);
+        for part in parts.filter(|part| *part != UNNAMED) {
+            *tasks.entry(part).or_default() += 1;
+        }
+        tasks
     }
-    let Some(terms) = settings.team(&spec.team) else {
-        return Err(Wait::TeamLimit);
-    };
-    let gang = spec.is_gang();
-    let by_team = team_slots(terms, &plan.used(&spec.team), &spec.need);
-    let most = waiting.min(by_team);
-    if most == 0 || (gang && most < waiting) {
-        return Err(Wait::TeamLimit);
+
+    /// All parts of the plan; those that hold most of the tasks come first.
+    fn parts_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
+        let mut parts: Vec<u32> = self.plan.spots.iter().map(|spot| spot.part).collect();
+        parts.sort_unstable();
+        parts.dedup();
+        parts.retain(|part| *part != UNNAMED);
+        parts.sort_by_key(|part| Reverse(tasks.get(part).copied().unwrap_or(0)));
+        parts
     }
-    let per_zone = job.per_zone();
-    // Tasks that are still elsewhere bind a job of one zone to theirs.
-    let zones = &hints.view.zone_names;
-    let caps: Vec<usize> = (0..zones.len() as u32)
-        .map(|z| {
-            let name = zones.name(z);
-            if spec.one_zone && per_zone.keys().any(|other| *other != &*name) {
-                return 0;
+
+    /// Places in these parts, or in all: in one zone if the job wants that and a
+    /// zone has room, else spread over the zones.
+    fn find_within(&self, parts: Option<[u32; 2]>, excluded: &[String]) -> Result<Spots, Wait> {
+        let spec = self.spec;
+        let waiting = self.job.waiting();
+        let limit = self.task_limit()?;
+        let zone_caps = self.zone_caps();
+        let candidates = Candidates::new(spec, self.hints, self.care)
+            .without(excluded)
+            .within(parts);
+        if spec.is_gang() || spec.one_zone {
+            let best = best_zone(&candidates, self.plan, &zone_caps, limit);
+            if let Some(spots) = best
+                && (!spec.is_gang() || spots.len() == waiting)
+            {
+                return Ok(spots);
+            }
+            if spec.one_zone {
+                return Err(match spec.is_gang() {
+                    true => Wait::NoZone,
+                    false => Wait::NoRoom,
+                });
             }
-            let here = per_zone.get(&*name).copied().unwrap_or(0);
-            spec.zone_cap().saturating_sub(here)
-        })
-        .collect();
-    let mut field = Field::new(spec, hints, care).without(barred);
-    field.within = within;
-    if gang || spec.one_zone {
-        // KEP-2724: one domain that takes them all; the best such one.
-        let found = (0..caps.len())
-            .filter(|z| caps[*z] > 0)
-            .map(|z| {
-                let mut only = vec![0; caps.len()];
-                only[z] = caps[z];
-                field.fill(plan, &only, most)
-            })
-            .filter(|(places, _)| !places.is_empty())
-            .min_by_key(|(places, score)| (Reverse(places.len()), *score));
-        if let Some((places, _)) = found
-            && (!gang || places.len() == waiting)
-        {
-            return Ok(places);
         }
-        if spec.one_zone {
-            return Err(if gang { Wait::NoZone } else { Wait::NoRoom });
+        let capped = zone_caps.iter().any(|cap| *cap < limit);
+        let spots = candidates.fill(self.plan, &zone_caps, limit).spots;
+        if spots.is_empty() || (spec.is_gang() && spots.len() < waiting) {
+            return Err(if capped { Wait::Spread } else { Wait::NoRoom });
         }
+        Ok(spots)
     }
-    // Relaxed: spread over the zones.
-    let capped = caps.iter().any(|cap| *cap < most);
-    let (places, _) = field.fill(plan, &caps, most);
-    if places.is_empty() || (gang && places.len() < waiting) {
-        return Err(if capped { Wait::Spread } else { Wait::NoRoom });
+
+    /// How many tasks wait that the team's limit lets run.
+    fn task_limit(&self) -> Result<usize, Wait> {
+        let spec = self.spec;
+        let waiting = self.job.waiting();
+        if waiting == 0 {
+            return Err(Wait::OldAttempt);
+        }
+        let Some(terms) = self.settings.team(&spec.team) else {
+            return Err(Wait::TeamLimit);
+        };
+        let by_team = team_slots(terms, &self.plan.used(&spec.team), &spec.need);
+        let limit = waiting.min(by_team);
+        if limit == 0 || (spec.is_gang() && limit < waiting) {
+            return Err(Wait::TeamLimit);
+        }
+        Ok(limit)
     }
-    Ok(places)
+
+    /// How many more tasks each zone may take. Tasks that are still elsewhere bind
+    /// a job of one zone to theirs.
+    fn zone_caps(&self) -> Vec<usize> {
+        let spec = self.spec;
+        let running = self.job.per_zone();
+        let zones = &self.hints.view.zone_names;
+        (0..zones.len() as u32)
+            .map(|zone| {
+                let name = zones.name(zone);
+                if spec.one_zone && running.keys().any(|other| *other != &*name) {
+                    return 0;
+                }
+                let here = running.get(&*name).copied().unwrap_or(0);
+                spec.zone_cap().saturating_sub(here)
+            })
+            .collect()
+    }
+}
+
+/// The places in the one zone that takes most of the tasks; of those that take as
+/// many, in the zone with the best places (KEP-2724: one domain that takes them
+/// all, and the best such one).
+fn best_zone(
+    candidates: &Candidates,
+    plan: &Plan,
+    zone_caps: &[usize],
+    limit: usize,
+) -> Option<Spots> {
+    let best = (0..zone_caps.len())
+        .filter(|zone| zone_caps[*zone] > 0)
+        .map(|zone| {
+            let mut only = vec![0; zone_caps.len()];
+            only[zone] = zone_caps[zone];
+            candidates.fill(plan, &only, limit)
+        })
+        .filter(|filled| !filled.spots.is_empty())
+        .min_by_key(|filled| (Reverse(filled.spots.len()), filled.score));
+    best.map(|filled| filled.spots)
 }
 
-/// Keeps the room that a gang waits for, in the zone that has the most of it,
-/// from what comes behind it in the queue. Machines that hold none of its
+/// Keeps the resources that a gang waits for, in the zone that has the most of
+/// them, from what comes behind it in the queue. Machines that hold none of its
 /// tasks yet are left to others: what they run would not make way sooner.
 pub fn hold_room(spec: &Spec, plan: &mut Plan, hints: &Hints) {
-    let field = Field::new(spec, hints, Care::Strict);
+    let candidates = Candidates::new(spec, hints, Care::Strict);
     let zones = hints.view.zone_names.len();
-    let mut room = vec![0; zones];
-    let open = |spot: &Spot| field.gates[spot.class as usize].allowed;
-    for spot in plan.spots.iter().filter(|s| open(s)) {
-        room[field.gates[spot.class as usize].zone] += spot.free.slots(&spec.need);
+    let mut slots = vec![0; zones];
+    let allowed = |spot: &&Spot| candidates.class(spot).allowed;
+    for spot in plan.spots.iter().filter(allowed) {
+        slots[candidates.class(spot).zone] += spot.free.slots(&spec.need);
     }
-    let Some(best) = (0..zones).max_by_key(|z| room[*z]).filter(|z| room[*z] > 0) else {
+    let best = (0..zones).max_by_key(|zone| slots[*zone]);
+    let Some(best) = best.filter(|zone| slots[*zone] > 0) else {
         return;
     };
     let mut left = spec.tasks as usize;
     for spot in &mut plan.spots {
-        let gate = &field.gates[spot.class as usize];
-        while left > 0 && gate.allowed && gate.zone == best && spot.free.fits(&spec.need) {
+        let class = candidates.class(spot);
+        while left > 0 && class.allowed && class.zone == best && spot.free.fits(&spec.need) {
             spot.free -= spec.need;
             left -= 1;
         }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,4 +1,4 @@
-//! What the policy may know of a job, worked out from the settings and the plan.
+//! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
 use crate::model::{Amount, Job, Room, Spec};
@@ -8,7 +8,7 @@
 use crate::view::View;
 use crate::wire::{Kind, Priority};
 
-/// Whether an objective speaks of the job's class.
+/// Whether an objective names the job's class.
 pub fn is_aimed(spec: &Spec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
@@ -25,19 +25,21 @@
 }
 
 /// Whether a job, started now, is too late for every objective of its class and
-/// for the deadline of what needs it. A job without any is never late. Deadlines
-/// count from the submission, all else from when it could first start (`age`).
+/// for the deadline of the jobs that depend on it. A job without any is never late.
+/// Deadlines count from the submission, all else from when it could first start
+/// (`age`).
 pub fn is_late(spec: &Spec, settings: &Settings, age: f64, standing: &Standing) -> bool {
     let in_time = standing.left_s.is_some_and(|left| left >= spec.estimate_s);
     let mut any = standing.asked;
     if any && in_time {
         return false;
     }
-    for o in &settings.deployment.objectives {
-        if o.class.as_ref() != Some(&spec.class) {
+    for objective in &settings.deployment.objectives {
+        if objective.class.as_ref() != Some(&spec.class) {
             continue;
         }
-        let possible = match (o.kind.as_str(), o.within_s, spec.deadline_s) {
+        let kind = objective.kind.as_str();
+        let possible = match (kind, objective.within_s, spec.deadline_s) {
             ("wait", Some(within), _) => age <= within,
             ("finished", Some(within), _) => age <= within - spec.estimate_s,
             ("deadline", _, Some(_)) => in_time,
@@ -61,42 +63,13 @@
     age: f64,
     standing: &Standing,
 ) -> JobFacts {
-    let used = plan.used(&spec.team);
-    let on_gpus = spec.need.gpus.0 > 0;
-    let (borrows, share) = match settings.team(&spec.team) {
-        Some(terms) => {
-            let tasks = if spec.is_gang() {
-                spec.tasks as usize
-            } else {
-                1
-            };
-            let g = terms.guarantee();
-            // A team without a guarantee counts as if it had one unit.
-            let part = |u: Amount, g: Amount| u.units() / g.units().max(1.0);
-            let share = if on_gpus {
-                part(used.gpus, g.gpus)
-            } else {
-                part(used.cpus, g.cpus)
-            };
-            (!within_guarantee(terms, &used, spec, tasks), share)
-        }
-        None => (true, f64::MAX),
-    };
-    let amount = if on_gpus {
-        spec.need.gpus
-    } else {
-        spec.need.cpus
-    };
-    let work = match spec.kind {
-        Kind::Service => 0.0,
-        _ => job.waiting() as f64 * spec.estimate_s * amount.units(),
-    };
+    let team = team_standing(spec, &plan.used(&spec.team), settings.team(&spec.team));
     JobFacts {
-        borrows,
+        borrows: team.borrows,
         priority: f64::from(standing.priority as u8),
-        share,
+        share: team.share,
         late: is_late(spec, settings, age, standing),
-        work,
+        work: work(job, spec),
         age_s: age,
         tasks: f64::from(spec.tasks),
         waiting: job.waiting() as f64,
@@ -112,9 +85,56 @@
     }
 }
 
+/// How a job's team stands to its guarantee.
+struct TeamStanding {
+    /// The job would go beyond the guarantee.
+    borrows: bool,
+    /// What the team uses, as a share of its guarantee.
+    share: f64,
+}
+
+/// How a job's team stands to its guarantee in what the job mainly needs. A team
+/// without a guarantee counts as if it had one unit.
+fn team_standing(spec: &Spec, used: &Room, terms: Option<&TeamTerms>) -> TeamStanding {
+    let Some(terms) = terms else {
+        return TeamStanding {
+            borrows: true,
+            share: f64::MAX,
+        };
+    };
+    let tasks = if spec.is_gang() {
+        spec.tasks as usize
+    } else {
+        1
+    };
+    let guarantee = terms.guarantee();
+    let share = |used: Amount, guarantee: Amount| used.units() / guarantee.units().max(1.0);
+    TeamStanding {
+        borrows: !within_guarantee(terms, used, spec, tasks),
+        share: match spec.need.gpus.0 > 0 {
+            true => share(used.gpus, guarantee.gpus),
+            false => share(used.cpus, guarantee.cpus),
+        },
+    }
+}
+
+/// The work that waits of a job, in seconds of the unit that it mainly needs. A
+/// service has no end.
+fn work(job: &Job, spec: &Spec) -> f64 {
+    let amount = match spec.need.gpus.0 > 0 {
+        true => spec.need.gpus,
+        false => spec.need.cpus,
+    };
+    match spec.kind {
+        Kind::Service => 0.0,
+        _ => job.waiting() as f64 * spec.estimate_s * amount.units(),
+    }
+}
+
 /// Whether `tasks` more of this job stay within the team's guarantee.
 pub fn within_guarantee(terms: &TeamTerms, used: &Room, spec: &Spec, tasks: usize) -> bool {
     let with = *used + spec.need.times(tasks);
-    let g = terms.guarantee();
-    with.cpus <= g.cpus && (spec.need.gpus.0 == 0 || g.gpus.0 == 0 || with.gpus <= g.gpus)
+    let guarantee = terms.guarantee();
+    let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
+    with.cpus <= guarantee.cpus && (!gpus_count || with.gpus <= guarantee.gpus)
 }
--- a/src/scheduler/machine_groups.rs
+++ b/src/scheduler/machine_groups.rs
@@ -1,4 +1,5 @@
-//! Groups of machines as one commit will leave them.
+//! Groups of machines as one transaction will leave them. A group's record says
+//! which controller holds each of its machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,9 +11,10 @@
 use crate::view::{View, group_key, part_id};
 use crate::wire::{Guard, Write};
 
-const MEMBER: usize = 125;
+/// About what a machine takes in a group's record.
+const MEMBER_BYTES: usize = 125;
 
-/// Groups of machines as one commit will leave them.
+/// Groups of machines as one transaction will leave them.
 pub struct Groups<'a> {
     view: &'a View,
     edited: BTreeMap<String, Group>,
@@ -21,6 +23,7 @@
 }
 
 impl<'a> Groups<'a> {
+    /// No group is changed yet.
     pub fn new(view: &'a View) -> Self {
         Groups {
             view,
@@ -29,10 +32,12 @@
         }
     }
 
+    /// How many groups are changed.
     pub fn len(&self) -> usize {
         self.edited.len()
     }
 
+    /// Whether no group is changed.
     pub fn is_empty(&self) -> bool {
         self.edited.is_empty()
     }
@@ -41,14 +46,9 @@
     pub fn is_full(&self, ops: usize) -> bool {
         let guards = self.edited.len() + self.guarded.len();
         // The next may bring a whole group with it.
-        let largest = self
-            .view
-            .groups
-            .values()
-            .map(|g| g.value.machines.len())
-            .max();
-        let largest = largest.unwrap_or(0).max(1);
-        let bytes = self.bytes() + (largest + guards) * self.member();
+        let sizes = self.view.groups.values().map(|g| g.value.machines.len());
+        let largest = sizes.max().unwrap_or(0).max(1);
+        let bytes = self.bytes() + (largest + guards) * self.member_bytes();
         // One that is to be split is written as two.
         let split = self.edited.iter().filter(|(id, g)| self.splits(id, g));
         let writes = self.edited.len() + split.count();
@@ -58,14 +58,14 @@
     /// About how long it is as a request.
     pub fn bytes(&self) -> usize {
         let all: usize = self.edited.values().map(|g| g.machines.len()).sum();
-        all * self.member()
+        all * self.member_bytes()
     }
 
     /// About what a machine takes in the text that its group will have.
-    fn member(&self) -> usize {
+    fn member_bytes(&self) -> usize {
         match self.view.is_short() {
             true => text::MEMBER,
-            false => MEMBER,
+            false => MEMBER_BYTES,
         }
     }
 
@@ -73,17 +73,17 @@
     /// whose part could still be changed by what was decided before these were
     /// written stays whole: its machines' slots must not be looked for elsewhere.
     fn splits(&self, id: &str, group: &Group) -> bool {
-        let Some(most) = self.view.shrink_to.filter(|_| self.view.is_short()) else {
+        let Some(limit) = self.view.shrink_to.filter(|_| self.view.is_short()) else {
             return false;
         };
-        // What it takes at the most is quickly told.
-        let each = |(name, m): (&String, &Machine)| {
-            name.len() * 2 + machine_bytes("", &m.kind, m.holder.len())
+        // The upper bound is quickly told.
+        let upper_bound = |(name, machine): (&String, &Machine)| {
+            name.len() * 2 + machine_bytes("", &machine.kind, machine.holder.len())
         };
         group.machines.len() > 1
-            && group.machines.iter().map(each).sum::<usize>() > most
+            && group.machines.iter().map(upper_bound).sum::<usize>() > limit
             && self.view.is_short_part(id)
-            && text::short_group(group).is_some_and(|t| t.len() > most)
+            && text::short_group(group).is_some_and(|text| text.len() > limit)
     }
 
     /// Takes the last machines out of groups that are too long, into new ones
@@ -96,33 +96,30 @@
             let Some((home, _)) = id.rsplit_once('.') else {
                 continue;
             };
-            let used =
-                |id: &String| self.view.groups.contains_key(id) || self.edited.contains_key(id);
-            let Some(free) = (0..).map(|n| format!("{home}.{n}")).find(|id| !used(id)) else {
+            let Some(free) = self.free_id(home) else {
                 continue;
             };
-            let (zone, part) = free.split_once('/').unwrap_or((&free, ""));
-            let (zone, part) = (zone.to_string(), part.to_string());
-            let Some(group) = self.edited.get_mut(&id) else {
-                continue;
-            };
-            let names: Vec<String> = group.machines.keys().cloned().collect();
-            let mut new = Group::default();
-            for name in &names[names.len() / 2..] {
-                if let Some(mut machine) = group.machines.remove(name) {
-                    machine.zone.clone_from(&zone);
-                    machine.part.clone_from(&part);
-                    new.machines.insert(name.clone(), machine);
-                }
+            if let Some(group) = self.edited.get_mut(&id) {
+                let half = second_half(group, &free);
+                self.edited.insert(free, half);
             }
-            self.edited.insert(free, new);
         }
     }
 
+    /// The first id of a home's groups that is not taken.
+    fn free_id(&self, home: &str) -> Option<String> {
+        let taken = |id: &String| self.view.groups.contains_key(id) || self.edited.contains_key(id);
+        (0..)
+            .map(|number| format!("{home}.{number}"))
+            .find(|id| !taken(id))
+    }
+
+    /// Whether a group is changed.
     pub fn has(&self, id: &str) -> bool {
         self.edited.contains_key(id)
     }
 
+    /// A group's machines, to be changed.
     pub fn edit(&mut self, id: &str) -> &mut BTreeMap<String, Machine> {
         let view = self.view;
         let group = self.edited.entry(id.to_string()).or_insert_with(|| {
@@ -145,50 +142,34 @@
     /// it into two.
     pub fn new_part(&mut self, settings: &Settings, name: &str, kind: &str, zone: &str) -> String {
         let home = settings.home(name, zone);
-        let longest = settings.longest_name();
-        let short = self.view.is_short();
-        let bytes =
-            |name: &str, kind: &str| slot_bytes(name, kind).max(machine_bytes(name, kind, longest));
+        let sizes = MemberSizes {
+            short: self.view.is_short(),
+            longest_name: settings.longest_name(),
+        };
         let mut found = None;
         let mut number = 0;
         loop {
             let part = format!("{home}.{number}");
             let id = part_id(zone, &part);
-            // Each is a condition for the next: behind a few, those that wait for
-            // the short text are as long as records may be until then.
-            let most = match short || number < settings.txn_ops() {
-                true => settings.value_bytes(),
-                false => settings.longest_value(),
-            };
-            let most = most * 9 / 10;
+            let limit = part_limit(settings, sizes.short, number);
             let known = self.view.groups.get(&id).map(|e| &e.value);
-            let here = self.edited.get(&id).or(known);
-            // The machines' slots stand in few parts by themselves then.
-            let used: usize = match short {
-                true => here.map_or(0, |g| text::group_bytes(&g.machines, longest)),
-                false => here
-                    .iter()
-                    .flat_map(|g| &g.machines)
-                    .map(|(n, m)| bytes(n, &m.kind))
-                    .sum(),
-            };
-            let one = match short {
-                true => text::member_bytes(name, kind, longest),
-                false => bytes(name, kind),
-            };
+            let group = self.edited.get(&id).or(known);
+            let used = group.map_or(0, |group| sizes.group(group));
+            let added = sizes.member(name, kind);
             self.guarded.insert(id);
             // One that alone is too long for a record still has a part.
-            if found.is_none() && (used == 0 || used + one <= most) {
+            if found.is_none() && (used == 0 || used + added <= limit) {
                 found = Some(part);
             }
             // Parts are taken in order: behind one that is not there is none.
-            if here.is_none() {
+            if group.is_none() {
                 return found.unwrap_or(format!("{home}.{number}"));
             }
             number += 1;
         }
     }
 
+    /// Guards every group that it depends on, and writes those that it changes.
     pub fn into_commit(mut self) -> (Vec<Guard>, Vec<Write>) {
         self.split_long();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
@@ -205,3 +186,59 @@
         (guards, writes)
     }
 }
+
+/// How long the records of a home's part of this number may become. Each part is a
+/// condition for the next: behind a few, those that wait for the short text are as
+/// long as records may be until then.
+fn part_limit(settings: &Settings, short: bool, number: usize) -> usize {
+    let limit = match short || number < settings.txn_ops() {
+        true => settings.value_bytes(),
+        false => settings.longest_value(),
+    };
+    limit * 9 / 10
+}
+
+/// Estimates of what machines take in the records of their part.
+struct MemberSizes {
+    /// The records are written as short texts.
+    short: bool,
+    /// The length of the longest name of a controller.
+    longest_name: usize,
+}
+
+impl MemberSizes {
+    /// What a machine of this name and kind takes. In the short text the machines'
+    /// slots stand in few parts by themselves, so that the group alone counts.
+    fn member(&self, name: &str, kind: &str) -> usize {
+        match self.short {
+            true => text::member_bytes(name, kind, self.longest_name),
+            false => slot_bytes(name, kind).max(machine_bytes(name, kind, self.longest_name)),
+        }
+    }
+
+    /// What all machines of a group take.
+    fn group(&self, group: &Group) -> usize {
+        if self.short {
+            return text::group_bytes(&group.machines, self.longest_name);
+        }
+        let machines = group.machines.iter();
+        machines
+            .map(|(name, machine)| self.member(name, &machine.kind))
+            .sum()
+    }
+}
+
+/// Takes the second half of a group's machines out of it, for a group of this id.
+fn second_half(group: &mut Group, id: &str) -> Group {
+    let (zone, part) = id.split_once('/').unwrap_or((id, ""));
+    let names: Vec<String> = group.machines.keys().cloned().collect();
+    let mut half = Group::default();
+    for name in &names[names.len() / 2..] {
+        if let Some(mut machine) = group.machines.remove(name) {
+            machine.zone = zone.to_string();
+            machine.part = part.to_string();
+            half.machines.insert(name.clone(), machine);
+        }
+    }
+    half
+}
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,5 +1,20 @@
 //! The scheduler: which jobs are placed, in which order and on which machines,
 //! and the transactions that record it.
+//!
+//! | module | task |
+//! | --- | --- |
+//! | `rounds` | the loop that decides and commits |
+//! | `round`, `round_state` | one placement round, and what is remembered between rounds |
+//! | `ownership` | which controller places a job |
+//! | `queue`, `job_facts` | the order of the queue, and what the policy knows of a job |
+//! | `plan` | free resources as a round plans with them |
+//! | `fit`, `candidates` | whether a job fits, and which machines it takes |
+//! | `round_search` | results that searches of one round share |
+//! | `preemption`, `victims` | stopping running work for jobs that find no room |
+//! | `ends` | recorded ends of tasks |
+//! | `record_size` | how many bookings a job's record holds |
+//! | `transaction`, `machine_groups` | records as a transaction will leave them |
+//! | `reasons` | why a job waits |
 
 mod candidates;
 mod ends;
@@ -12,9 +27,12 @@
 mod queue;
 mod reasons;
 mod record_size;
+mod round;
+mod round_search;
+mod round_state;
 mod rounds;
-mod search;
 mod transaction;
+mod victims;
 
 pub use candidates::{Care, Hints};
 pub use fit::{count, fit, hold_room};
@@ -22,9 +40,10 @@
 pub use machine_groups::Groups;
 pub use ownership::{placer, preferred};
 pub use plan::{Place, Plan, UNNAMED, team_slots};
-pub use preemption::{Victim, may_preempt};
 pub use queue::{Ages, Rank, queue, starves};
 pub use reasons::{Reason, Wait, note};
 pub use record_size::{least_record, record_slots};
-pub use rounds::{back_off, keep_placing};
+pub use round_state::back_off;
+pub use rounds::keep_placing;
 pub use transaction::{COMMIT_BYTES, Draft, GUARDS_PER_WRITE, Released, SLOT, book};
+pub use victims::{Victim, may_preempt};
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -1,16 +1,25 @@
-//! Which controller places a job first.
+//! Which controller places a job: each job has a preferred one, so that
+//! controllers seldom decide on the same job at once.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
 
+use tokio::time::Instant;
+
+use super::reasons::note;
+use super::round_state::RoundState;
+use crate::model::Job;
+use crate::node::Node;
 use crate::settings::Settings;
+use crate::view::View;
 
 /// Rendezvous hashing: every controller finds the same preferred one among
 /// those alive, and only the jobs of a lost one move.
 pub fn preferred<'a>(job: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     alive.max_by_key(|node| {
-        let mut h = DefaultHasher::new();
-        (job, node).hash(&mut h);
-        (h.finish(), *node)
+        let mut hasher = DefaultHasher::new();
+        (job, node).hash(&mut hasher);
+        (hasher.finish(), *node)
     })
 }
 
@@ -23,11 +32,62 @@
     team: &str,
     alive: impl Iterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    let d = &settings.deployment;
-    let key = if d.teams.len() >= d.count * 2 {
+    let deployment = &settings.deployment;
+    let key = if deployment.teams.len() >= deployment.count * 2 {
         team
     } else {
         job
     };
     preferred(key, alive)
 }
+
+/// Jobs that this controller places now: its own, and those that their
+/// preferred controller has left waiting. Brings the state of all open jobs up to
+/// date, and notes which of them wait after a failure.
+pub(super) fn jobs_to_place(
+    node: &Node,
+    state: &mut RoundState,
+    view: &View,
+    now: Instant,
+) -> Vec<String> {
+    let report_interval = node.settings.report();
+    let takeover_delay = report_interval * 2;
+    let peers = node.peers.borrow();
+    let alive: Vec<&str> = peers.alive(node, now);
+    state.forget_closed_jobs(view);
+    let mut ages = node.ages.borrow_mut();
+    ages.retain(|id, _| view.jobs.get(id).is_some_and(|e| e.value.is_open()));
+    let mut own = Vec::new();
+    for (_, id) in &view.open {
+        let Some(entry) = view.jobs.get(id) else {
+            continue;
+        };
+        let job = &entry.value;
+        ages.entry(id.clone()).or_insert(now);
+        state.observe(id, entry.version, now);
+        if job.waiting() == 0 || state.is_excluded(id) {
+            continue;
+        }
+        state.update_back_off(id, job.errors, report_interval, now);
+        if let Some(why) = state.failure_wait(node, id, job, now) {
+            note(node, id, why, now);
+            continue;
+        }
+        if is_own(node, id, job, &alive) || has_waited(state, id, takeover_delay, now) {
+            own.push(id.clone());
+        }
+    }
+    own
+}
+
+/// Whether this controller is the job's preferred one.
+fn is_own(node: &Node, id: &str, job: &Job, alive: &[&str]) -> bool {
+    let team = job.spec.as_ref().map_or("", |spec| &spec.team);
+    let preferred = placer(&node.settings, id, team, alive.iter().copied());
+    preferred == Some(node.name())
+}
+
+/// Whether the job's record has been left as it is for longer than `delay`.
+fn has_waited(state: &RoundState, id: &str, delay: Duration, now: Instant) -> bool {
+    state.unchanged_for(id, now) > delay
+}
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -1,4 +1,5 @@
-//! Free resources as a placement round plans with them.
+//! Free resources as a placement round plans with them: a copy that the round
+//! takes places from and gives freed resources back to.
 
 use std::rc::Rc;
 
@@ -15,37 +16,41 @@
 /// what the round has given out already. Copied often, so it holds no text.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
+    /// The machines that take work, with what is free on them.
     pub spots: Vec<Spot>,
-    /// Where a machine stands in `spots`, by its number.
-    at: Vec<u32>,
+    /// The index of a machine in `spots`, by the machine's number.
+    index: Vec<u32>,
+    /// What each team uses.
     pub teams: HashMap<String, Room>,
 }
 
 impl Plan {
+    /// The plan that a round on this view starts from.
     pub fn of(view: &View) -> Self {
         let mut plan = Plan {
             spots: view.spots().map(|s| view.with_room(s)).collect(),
-            at: vec![UNNAMED; view.machine_names.len()],
+            index: vec![UNNAMED; view.machine_names.len()],
             teams: view.teams_used().clone(),
         };
         for (at, spot) in plan.spots.iter().enumerate() {
-            plan.at[spot.machine as usize] = at as u32;
+            plan.index[spot.machine as usize] = at as u32;
         }
         plan
     }
 
+    /// What a team uses.
     pub fn used(&self, team: &str) -> Room {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Where a machine stands among the spots, if it takes work.
+    /// The index of a machine among the spots, if it takes work.
     pub fn find(&self, view: &View, machine: &str) -> Option<usize> {
         let number = view.machine_names.find(machine)?;
-        let at = *self.at.get(number as usize)?;
+        let at = *self.index.get(number as usize)?;
         (at != UNNAMED).then_some(at as usize)
     }
 
-    /// Room on a machine that is yet to come.
+    /// Adds a machine that is not there yet.
     pub fn add(&mut self, class: u32, free: Room) {
         self.spots.push(Spot {
             machine: UNNAMED,
@@ -55,6 +60,7 @@
         });
     }
 
+    /// Takes one task's resources at this place.
     pub fn take(&mut self, place: &Place, team: &str, need: Room) {
         self.spots[place.at].free -= need;
         match self.teams.get_mut(team) {
@@ -65,7 +71,7 @@
         }
     }
 
-    /// Room that is, or will be, given back.
+    /// Gives back resources that are, or will be, free again.
     pub fn give(&mut self, view: &View, machine: &str, team: &str, room: Room) {
         match self.find(view, machine) {
             Some(at) => self.free(at, team, room),
@@ -73,7 +79,7 @@
         }
     }
 
-    /// The same where the machine's place among the spots is known.
+    /// The same where the machine's index among the spots is known.
     pub fn free(&mut self, at: usize, team: &str, room: Room) {
         self.spots[at].free += room;
         self.give_team(team, room);
@@ -89,9 +95,11 @@
 /// One task's place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// Where the machine stands in the plan.
+    /// The index of the machine in the plan.
     pub at: usize,
+    /// The machine's name.
     pub machine: Rc<str>,
+    /// The machine's zone.
     pub zone: Rc<str>,
     /// The part of the zone's record that has the machine.
     pub part: Rc<str>,
@@ -100,9 +108,11 @@
 /// How many more tasks the team's limit lets run.
 pub fn team_slots(terms: &TeamTerms, used: &Room, need: &Room) -> usize {
     let (cpus, gpus) = terms.limit();
-    let part = |cap: Option<Amount>, used: i64, need: i64| match cap {
+    let slots = |cap: Option<Amount>, used: i64, need: i64| match cap {
         Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
         _ => usize::MAX,
     };
-    part(cpus, used.cpus.0, need.cpus.0).min(part(gpus, used.gpus.0, need.gpus.0))
+    let by_cpus = slots(cpus, used.cpus.0, need.cpus.0);
+    let by_gpus = slots(gpus, used.gpus.0, need.gpus.0);
+    by_cpus.min(by_gpus)
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,4 +1,7 @@
-//! The order in which waiting jobs are placed.
+//! The order in which waiting jobs are placed: by the policy, but for jobs that
+//! have waited too long and those that fail on every machine.
+
+use std::cmp::Ordering;
 
 use foldhash::HashMap;
 use tokio::time::Instant;
@@ -20,15 +23,16 @@
 /// A job's place in the queue: lower goes first.
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
 pub struct Rank {
-    /// It fails wherever it runs: all else goes first.
+    /// It fails wherever it runs: all others go first.
     pub doubtful: bool,
-    /// Room has been cleared for it already: the policy does not come into
-    /// that, or what was stopped for one job would serve another.
+    /// No resources have been cleared for it. Jobs that work was preempted for go
+    /// first whatever the policy says, or it would serve another job.
     pub waits_for_room: bool,
-    /// It has not waited beyond the bound; those that have go by age.
+    /// It has not waited beyond the bound; those that have go first, by age.
     pub patient: bool,
     /// The policy's keys.
     pub keys: Vec<f64>,
+    /// The revision that the job was accepted at.
     pub born: u64,
 }
 
@@ -49,9 +53,7 @@
         .filter_map(|(born, id)| {
             let job = &view.jobs.get(id)?.value;
             let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
-            let age = ages
-                .get(id)
-                .map_or(0.0, |t| now.saturating_duration_since(*t).as_secs_f64());
+            let age = age_s(ages, id, now);
             let standing = view.standing(id, spec, now);
             let facts = facts(job, spec, plan, settings, view, age, &standing);
             let starves = starves(job, spec, settings, age);
@@ -68,6 +70,14 @@
             Some((rank, id.as_str()))
         })
         .collect();
-    queue.sort_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal));
+    queue.sort_by(|(left, _), (right, _)| left.partial_cmp(right).unwrap_or(Ordering::Equal));
     queue.into_iter().map(|(_, id)| id).collect()
 }
+
+/// How many seconds a job has been known here.
+pub(super) fn age_s(ages: &Ages, id: &str, now: Instant) -> f64 {
+    let known = ages.get(id);
+    known.map_or(0.0, |since| {
+        now.saturating_duration_since(*since).as_secs_f64()
+    })
+}
--- a/src/scheduler/reasons.rs
+++ b/src/scheduler/reasons.rs
@@ -34,17 +34,20 @@
 /// A job's reason to wait, as the last round that looked at it found.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Reason {
+    /// Why it waits.
     pub why: Wait,
+    /// Since when it has waited for that reason.
     #[serde(skip)]
     pub since: Instant,
 }
 
+/// Notes why a job waits. What the cloud says of its machines is kept.
 pub fn note(node: &Node, id: &str, why: Wait, now: Instant) {
     let mut reasons = node.reasons.borrow_mut();
     match reasons.get_mut(id) {
-        Some(r) if r.why == why => {}
-        // The renter knows better why there is no room.
-        Some(r) if r.why == Wait::Refused && why == Wait::NoRoom => {}
+        Some(known) if known.why == why => {}
+        // The controller that rents knows better why there is no room.
+        Some(known) if known.why == Wait::Refused && why == Wait::NoRoom => {}
         _ => {
             tracing::debug!(job = id, ?why, "waits");
             reasons.insert(id.to_string(), Reason { why, since: now });
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -1,121 +1,178 @@
-//! How many bookings fit into the size limit of a job record.
+//! How many bookings fit into the size limit of a job record, in either encoding.
 
 use std::collections::HashSet;
 
 use super::plan::Place;
-use crate::model::{FAILED_ON, Job, Spec};
+use crate::model::{FAILED_ON, Job, Run, Spec};
 use crate::text;
 use crate::wire::Kind;
 
+/// What the keys, the counters, and the mark of a run that was split for a stop
+/// take in a record.
+const FIXED_BYTES: usize = 240;
+
+/// What a run takes in a record, beside its names and numbers.
+const RUN_BYTES: usize = 72;
+
+/// What the counters may come to take in a short record.
+const SHORT_COUNTER_BYTES: usize = 130;
+
+/// The quotes and the comma of a name in a list.
+const NAME_PUNCTUATION_BYTES: usize = 3;
+
 /// How many of `places` the job's record can hold: every booked or retried
 /// task may come to stand alone, every machine and attempt takes a run. Fresh
-/// tasks share one attempt, see `placement::book`.
+/// tasks share one attempt, see [`super::book`].
 pub fn record_slots(job: &Job, places: &[Place], value_bytes: usize, short: bool) -> usize {
     if short {
         return short_record_slots(job, places, value_bytes);
     }
-    // Keys, counters, and the mark of a run that was split for a stop.
-    const FIXED: usize = 240;
-    const RUN: usize = 72;
-    let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
     // A number and its comma; of two that touch, the dash between.
-    let task = digits(u64::from(job.tasks)) + 1;
-    let run =
-        |machine: &str, zone: &str, attempt| machine.len() + zone.len() + digits(attempt) + RUN;
-    let spec = serde_json::to_vec(&job.spec).map_or(value_bytes, |v| v.len());
-    // What it awaits is left out with its first booking.
-    let awaits = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
-    let spec = spec - awaits.min(spec);
-    // The machines that it may come to have failed on, with quotes and comma.
-    let named = job.runs.iter().map(|r| r.machine.len());
-    let named = named.chain(places.iter().map(|p| p.machine.len()));
-    let named = named.chain(job.failed_on.iter().map(String::len));
-    let failed_on = FAILED_ON * (named.max().unwrap_or(0) + 3);
-    let mut size = FIXED + spec + failed_on + (job.booked() + job.retry.len()) * task;
-    for r in &job.runs {
-        size += run(&r.machine, &r.zone, r.attempt);
+    let task_bytes = digits(u64::from(job.tasks)) + 1;
+    let mut size = FIXED_BYTES + spec_bytes(job, value_bytes);
+    size += failed_on_bytes(longest_machine_name(job, places));
+    size += (job.booked() + job.retry.len()) * task_bytes;
+    for run in &job.runs {
+        size += run_bytes(&run.machine, &run.zone, run.attempt);
     }
     let mut machines = HashSet::new();
-    for (n, place) in places.iter().enumerate() {
-        size += task;
+    for (index, place) in places.iter().enumerate() {
+        size += task_bytes;
         if machines.insert(place.at) {
-            size += run(&place.machine, &place.zone, job.attempt + 2);
+            size += run_bytes(&place.machine, &place.zone, job.attempt + 2);
             // Retried and fresh tasks may meet on one machine.
             if !job.retry.is_empty() {
-                size += run(&place.machine, &place.zone, 1);
+                size += run_bytes(&place.machine, &place.zone, 1);
             }
         }
         if size > value_bytes {
-            return n;
+            return index;
         }
     }
     places.len()
 }
 
+fn digits(number: u64) -> usize {
+    number.checked_ilog10().unwrap_or(0) as usize + 1
+}
+
+fn run_bytes(machine: &str, zone: &str, attempt: u64) -> usize {
+    machine.len() + zone.len() + digits(attempt) + RUN_BYTES
+}
+
+/// What the job's spec takes, without the jobs that it depends on: they are left
+/// out with its first booking. One that cannot be written fills the record.
+fn spec_bytes(job: &Job, value_bytes: usize) -> usize {
+    let all = serde_json::to_vec(&job.spec).map_or(value_bytes, |text| text.len());
+    let awaits = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
+    all - awaits.min(all)
+}
+
+/// The length of the longest name among the machines that the job may come to
+/// have failed on.
+fn longest_machine_name(job: &Job, places: &[Place]) -> usize {
+    let running = job.runs.iter().map(|run| run.machine.len());
+    let coming = places.iter().map(|place| place.machine.len());
+    let failed = job.failed_on.iter().map(String::len);
+    running.chain(coming).chain(failed).max().unwrap_or(0)
+}
+
+/// What the machines take that a job may come to have failed on.
+fn failed_on_bytes(longest_name: usize) -> usize {
+    FAILED_ON * (longest_name + NAME_PUNCTUATION_BYTES)
+}
+
 /// What a job's short record takes beside its table, runs and tasks: counters as
 /// they may come to be, its spec, and machines that it may come to have failed on.
-fn short_fixed(job: &Job, longest_name: usize) -> usize {
-    const COUNTERS: usize = 130;
-    let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |v| v.len());
-    COUNTERS + spec + FAILED_ON * (longest_name + 3)
+fn short_fixed_bytes(job: &Job, longest_name: usize) -> usize {
+    let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |text| text.len());
+    SHORT_COUNTER_BYTES + spec + failed_on_bytes(longest_name)
 }
 
 /// The same for the short text: exact in what the runs and tasks can come to
 /// take, with the mark of a stop. A run that is split for a stop makes two; who
 /// stops has it stop as a whole where there is no room for that.
 fn short_record_slots(job: &Job, places: &[Place], value_bytes: usize) -> usize {
-    let named = job.runs.iter().map(|r| &*r.machine);
-    let named = named.chain(places.iter().map(|p| &*p.machine));
-    let named = named.chain(job.failed_on.iter().map(String::as_str));
-    let fixed = short_fixed(job, named.map(str::len).max().unwrap_or(0));
-    let task = text::task_bytes(job.tasks);
-    let here = job.runs.iter().map(|r| (&*r.machine, &*r.zone));
-    let there = places.iter().map(|p| (&*p.machine, &*p.zone));
-    let mut size = fixed + text::table_bytes(here.chain(there));
-    size += (job.booked() + job.retry.len()) * task;
-    size += job
-        .runs
-        .iter()
-        .map(|r| text::run_bytes(r.attempt))
-        .sum::<usize>();
-    // Retried tasks take a new attempt, fresh ones share the first: a run that
-    // is there already takes them in.
-    let (mut again, mut first) = (HashSet::new(), HashSet::new());
-    let running: HashSet<&str> = job
-        .runs
-        .iter()
-        .filter(|r| r.attempt == 1 && !r.stop)
-        .map(|r| &*r.machine)
-        .collect();
-    let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-    for (n, place) in places.iter().enumerate() {
-        let retried = gang || n < job.retry.len();
-        // It is counted among those that wait already.
-        if gang || !retried {
-            size += task;
+    let task_bytes = text::task_bytes(job.tasks);
+    let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+    let mut new_runs = NewRuns::new(job);
+    let mut size = short_bytes_now(job, places, task_bytes);
+    for (index, place) in places.iter().enumerate() {
+        let retried = is_gang || index < job.retry.len();
+        // A retried task is counted among those that wait already.
+        if is_gang || !retried {
+            size += task_bytes;
         }
         size += match retried {
-            true if again.insert(place.at) => text::run_bytes(job.attempt + 2),
-            false if !running.contains(&*place.machine) && first.insert(place.at) => {
-                text::run_bytes(1)
-            }
-            _ => 0,
+            true => new_runs.retried_task_bytes(place),
+            false => new_runs.fresh_task_bytes(place),
         };
         if size > value_bytes {
-            return n;
+            return index;
         }
     }
     places.len()
 }
 
+/// What the short record takes before the places are booked, with the table of
+/// their machines.
+fn short_bytes_now(job: &Job, places: &[Place], task_bytes: usize) -> usize {
+    let running = job.runs.iter().map(|run| (&*run.machine, &*run.zone));
+    let coming = places.iter().map(|place| (&*place.machine, &*place.zone));
+    let run_bytes = |run: &Run| text::run_bytes(run.attempt);
+    short_fixed_bytes(job, longest_machine_name(job, places))
+        + text::table_bytes(running.chain(coming))
+        + (job.booked() + job.retry.len()) * task_bytes
+        + job.runs.iter().map(run_bytes).sum::<usize>()
+}
+
+/// The runs that bookings add to a short record. Retried tasks take a new attempt,
+/// fresh ones share the first: a run of it that is there already takes them in.
+struct NewRuns<'a> {
+    retry_attempt: u64,
+    /// Machines with a run of the first attempt.
+    running: HashSet<&'a str>,
+    retried: HashSet<usize>,
+    fresh: HashSet<usize>,
+}
+
+impl<'a> NewRuns<'a> {
+    fn new(job: &'a Job) -> Self {
+        let first_attempt = job.runs.iter().filter(|run| run.attempt == 1 && !run.stop);
+        NewRuns {
+            retry_attempt: job.attempt + 2,
+            running: first_attempt.map(|run| &*run.machine).collect(),
+            retried: HashSet::new(),
+            fresh: HashSet::new(),
+        }
+    }
+
+    /// What the run of a retried task adds at this place.
+    fn retried_task_bytes(&mut self, place: &Place) -> usize {
+        match self.retried.insert(place.at) {
+            true => text::run_bytes(self.retry_attempt),
+            false => 0,
+        }
+    }
+
+    /// What the run of a task adds at this place that has never run.
+    fn fresh_task_bytes(&mut self, place: &Place) -> usize {
+        let new = !self.running.contains(&*place.machine) && self.fresh.insert(place.at);
+        if new { text::run_bytes(1) } else { 0 }
+    }
+}
+
 /// The least that a job's record takes while it runs: a gang's tasks all at
 /// once, of other jobs one; on machines with such names, in such zones.
 pub fn least_record(spec: &Spec, name: &str, zone: &str) -> usize {
+    /// An attempt of as many digits as one may come to have.
+    const LONG_ATTEMPT: u64 = 1000;
     let job = Job::new(spec.clone(), u64::from(u32::MAX));
     let tasks = match spec.kind {
         Kind::Gang => spec.tasks as usize,
         _ => 1,
     };
-    let each = text::run_bytes(1000) + text::task_bytes(spec.tasks);
-    short_fixed(&job, name.len()) + text::table_bytes([(name, zone)].into_iter()) + tasks * each
+    let task_bytes = text::run_bytes(LONG_ATTEMPT) + text::task_bytes(spec.tasks);
+    let table_bytes = text::table_bytes([(name, zone)].into_iter());
+    short_fixed_bytes(&job, name.len()) + table_bytes + tasks * task_bytes
 }
--- /dev/null
+++ b/src/scheduler/round.rs
@@ -0,0 +1,387 @@
+//! One placement round: a transaction of recorded ends, bookings and
+//! preemptions, decided on one revision of the view.
+
+use std::collections::BTreeSet;
+
+use tokio::time::Instant;
+
+use super::candidates::Hints;
+use super::ends::record_ends;
+use super::ownership::{jobs_to_place, placer};
+use super::plan::{Place, Plan};
+use super::preemption::{Preemption, forget_old_attempts};
+use super::queue::{age_s, queue, starves};
+use super::reasons::{Wait, note};
+use super::round_search::RoundSearch;
+use super::round_state::RoundState;
+use super::transaction::Draft;
+use crate::machines::EndKey;
+use crate::model::{Job, Room, Spec};
+use crate::node::Node;
+use crate::view::View;
+use crate::wire::{Guard, Kind, Write};
+
+/// What one round has decided, as the transaction that records it.
+pub(super) struct Batch {
+    /// How many jobs it admits.
+    pub(super) jobs: usize,
+    /// The ends that it records.
+    pub(super) ends: Vec<EndKey>,
+    pub(super) guards: Vec<Guard>,
+    pub(super) writes: Vec<Write>,
+}
+
+/// Puts together one transaction: the ends that are known, then as many jobs as
+/// it can hold, in queue order. `None` when there is nothing to write.
+pub(super) fn decide(node: &Node, state: &mut RoundState) -> Option<Batch> {
+    let now = Instant::now();
+    let view = node.view.borrow();
+    let own = jobs_to_place(node, state, &view, now);
+    if own.is_empty() && !is_queue_due(node, state, now) && node.ends.borrow().is_empty() {
+        return None;
+    }
+    state.queue_examined = Some(now);
+    state.expire_exclusions(now);
+    let alive = controllers_alive(node, now);
+    let mut round = Round::new(node, &view, state, &own, &alive, now);
+    // Ends go first, as they free resources; but where gangs or services had
+    // their places and the last commit no room for them, they go before the ends.
+    let ends_first = !round.state.gangs_deferred;
+    let mut ends = Vec::new();
+    if ends_first {
+        ends = round.record_ends(round.limit_for_array_ends());
+    }
+    round.forget_settled_reasons();
+    round.place_queue();
+    let admitted = round.book_placements(ends_first);
+    if !ends_first {
+        ends = round.record_ends(round.draft.most);
+    }
+    if admitted == 0 {
+        round.preempt();
+    }
+    round.into_batch(admitted, ends)
+}
+
+/// Without work of its own, a controller still goes through the queue now and
+/// then to note why jobs wait: any controller may be asked.
+fn is_queue_due(node: &Node, state: &RoundState, now: Instant) -> bool {
+    state
+        .queue_examined
+        .is_none_or(|at| now.saturating_duration_since(at) > node.settings.report())
+}
+
+/// The names of the controllers that are up.
+fn controllers_alive(node: &Node, now: Instant) -> Vec<String> {
+    let peers = node.peers.borrow();
+    let alive = peers.alive(node, now);
+    alive.into_iter().map(str::to_string).collect()
+}
+
+/// The free resources that a round starts from.
+fn starting_plan(node: &Node, view: &View) -> Plan {
+    let mut plan = Plan::of(view);
+    // A machine that receives no orders may stand in its part's record for a
+    // while: what is placed there ends at once, and would be placed there again.
+    let hands = node.hands.borrow();
+    for (machine, _) in hands.iter().filter(|(_, h)| h.deaf_since.is_some()) {
+        if let Some(at) = plan.find(view, machine) {
+            plan.spots[at].free = Room::default();
+        }
+    }
+    plan
+}
+
+/// The places found for a job that this controller books.
+struct Placement<'a> {
+    id: &'a str,
+    spec: Spec,
+    places: Vec<Place>,
+}
+
+/// What a round decides about one job of the queue.
+enum Decision {
+    /// The job's tasks take these places.
+    Place(Spec, Vec<Place>),
+    /// The job waits.
+    Wait(Waiting),
+}
+
+/// How a job waits for the rest of the round.
+struct Waiting {
+    spec: Spec,
+    why: Wait,
+    /// It has waited beyond the bound: resources are reserved for it.
+    starving: bool,
+    /// Other work may be preempted for it.
+    blocked: bool,
+}
+
+/// One round in the making.
+struct Round<'a> {
+    node: &'a Node,
+    view: &'a View,
+    state: &'a mut RoundState,
+    now: Instant,
+    /// The jobs that this controller places.
+    own: BTreeSet<&'a str>,
+    /// The controllers that are up.
+    alive: &'a [String],
+    plan: Plan,
+    draft: Draft<'a>,
+    search: RoundSearch,
+    /// Parts that the transaction writes anyway.
+    touched_parts: BTreeSet<String>,
+    placements: Vec<Placement<'a>>,
+    /// Own jobs that other work may be preempted for.
+    blocked: Vec<String>,
+}
+
+impl<'a> Round<'a> {
+    fn new(
+        node: &'a Node,
+        view: &'a View,
+        state: &'a mut RoundState,
+        own: &'a [String],
+        alive: &'a [String],
+        now: Instant,
+    ) -> Self {
+        let records = state.commit_size(node.settings.txn_ops());
+        Round {
+            node,
+            view,
+            state,
+            now,
+            own: own.iter().map(String::as_str).collect(),
+            alive,
+            plan: starting_plan(node, view),
+            draft: Draft::new(view, records),
+            search: RoundSearch::default(),
+            touched_parts: BTreeSet::new(),
+            placements: Vec::new(),
+            blocked: Vec::new(),
+        }
+    }
+
+    /// How many records the transaction may have while ends of arrays are added:
+    /// some are left for what is to be placed.
+    fn limit_for_array_ends(&self) -> usize {
+        match self.own.is_empty() {
+            true => self.draft.most,
+            false => self.draft.most * 5 / 8,
+        }
+    }
+
+    fn record_ends(&mut self, limit_for_arrays: usize) -> Vec<EndKey> {
+        record_ends(
+            self.node,
+            self.view,
+            self.state,
+            &mut self.draft,
+            &mut self.plan,
+            limit_for_arrays,
+        )
+    }
+
+    /// Drops the reasons of jobs that wait no longer.
+    fn forget_settled_reasons(&self) {
+        let mut reasons = self.node.reasons.borrow_mut();
+        let jobs = &self.view.jobs;
+        reasons.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
+    }
+
+    /// Gives places to the jobs that wait, in queue order. All of them are in one
+    /// queue, whoever places them: a job that another controller places first
+    /// keeps its resources in this plan, too.
+    fn place_queue(&mut self) {
+        self.touched_parts = self.draft.parts();
+        let settings = &self.node.settings;
+        let queue = {
+            let ages = self.node.ages.borrow();
+            queue(self.view, &self.plan, settings, &ages, self.now)
+        };
+        for id in queue {
+            let own = self.own.contains(id);
+            match self.decide_job(id, own) {
+                Some(Decision::Place(spec, places)) => self.reserve(id, spec, places, own),
+                Some(Decision::Wait(waiting)) => self.leave_waiting(id, &waiting),
+                None => {}
+            }
+        }
+    }
+
+    /// Decides whether a job is placed or waits; `None` if it is not considered
+    /// in this round.
+    fn decide_job(&mut self, id: &str, own: bool) -> Option<Decision> {
+        let job = self.draft.job(id).filter(|job| job.waiting() > 0)?;
+        // A job that failed in this very transaction waits for the next.
+        let errors_before = self.view.jobs.get(id).map_or(0, |e| e.value.errors);
+        if job.errors > errors_before
+            || self
+                .state
+                .failure_wait(self.node, id, job, self.now)
+                .is_some()
+        {
+            return None;
+        }
+        let spec = job.spec.clone()?;
+        let hints = self.hints(id, &spec, own);
+        let found = self
+            .search
+            .place(self.node, &hints, &self.plan, id, job, &spec);
+        let decision = match found {
+            Ok(mut places) => {
+                // One task shows whether the job still fails; of a gang it takes
+                // all, and a service whose first replica has run for a while is
+                // in order.
+                if job.is_doubtful() && !spec.is_gang() && job.booked() == 0 {
+                    places.truncate(1);
+                }
+                Decision::Place(spec, places)
+            }
+            // It preempts nobody and has nothing reserved for it.
+            Err(_) if job.is_doubtful() => Decision::Wait(Waiting {
+                spec,
+                why: Wait::Fails,
+                starving: false,
+                blocked: false,
+            }),
+            Err(why) => {
+                let no_room = matches!(why, Wait::NoRoom | Wait::NoZone | Wait::Spread);
+                Decision::Wait(Waiting {
+                    starving: no_room && self.is_starving(id, job, &spec),
+                    blocked: own && no_room,
+                    spec,
+                    why,
+                })
+            }
+        };
+        Some(decision)
+    }
+
+    /// The hints for a job: those of the controller that places it.
+    fn hints(&self, id: &str, spec: &Spec, own: bool) -> Hints<'a> {
+        let home = match own {
+            true => self.node.name(),
+            false => {
+                let alive = self.alive.iter().map(String::as_str);
+                placer(&self.node.settings, id, &spec.team, alive).unwrap_or("")
+            }
+        };
+        let mut hints = Hints::new(self.view, home);
+        if own {
+            hints.touched = self.touched_parts.clone();
+        }
+        hints.lenient = self.state.unchanged_for(id, self.now) > self.node.settings.lease();
+        hints
+    }
+
+    fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
+        let age = age_s(&self.node.ages.borrow(), id, self.now);
+        starves(job, spec, &self.node.settings, age)
+    }
+
+    /// Takes a job's places out of the plan; those of an own job are booked later.
+    fn reserve(&mut self, id: &'a str, spec: Spec, places: Vec<Place>, own: bool) {
+        for place in &places {
+            self.plan.take(place, &spec.team, spec.need);
+        }
+        if own {
+            let parts = places.iter().map(|place| place.part.to_string());
+            self.touched_parts.extend(parts);
+            self.placements.push(Placement { id, spec, places });
+        }
+    }
+
+    /// Notes why a job waits, and what is done about it.
+    fn leave_waiting(&mut self, id: &str, waiting: &Waiting) {
+        note(self.node, id, waiting.why, self.now);
+        if waiting.starving {
+            self.search
+                .reserve_for_first_gang(self.view, &mut self.plan, &waiting.spec);
+        }
+        if waiting.blocked {
+            self.blocked.push(id.to_string());
+        }
+    }
+
+    /// Books the placements, and tells how many jobs got any of theirs. Each has
+    /// its resources by the queue's order; but into the transaction go first
+    /// those whose tasks stay or start together: arrays come back with every end,
+    /// and would fill one after another while whole machines stand empty. Those
+    /// of a pipeline are few, and the rest of it follows.
+    fn book_placements(&mut self, ends_first: bool) -> usize {
+        let mut placements = std::mem::take(&mut self.placements);
+        placements.sort_by_key(|p| {
+            p.spec.kind == Kind::Array && p.spec.awaits.is_empty() && !self.view.is_needed(p.id)
+        });
+        self.state.gangs_deferred = false;
+        let mut admitted = 0;
+        for placement in &placements {
+            let Placement { id, spec, places } = placement;
+            let booked = self.draft.book(id, spec, places);
+            if booked < places.len() {
+                // The rest go into the next commit, every other time before ends.
+                self.state.gangs_deferred |= ends_first && spec.kind != Kind::Array;
+                note(self.node, id, Wait::Queue, self.now);
+            }
+            if booked > 0 {
+                admitted += 1;
+                self.report_booking(placement, booked);
+            }
+        }
+        admitted
+    }
+
+    /// Logs a booking, and notes why the rest of the job waits.
+    fn report_booking(&mut self, placement: &Placement, booked: usize) {
+        let Placement { id, spec, places } = placement;
+        let class = self.plan.spots[places[0].at].class;
+        tracing::debug!(
+            job = id,
+            class = spec.class,
+            tasks = booked,
+            machine = &*places[0].machine,
+            kind = self.view.classes[class as usize].kind,
+            "places"
+        );
+        let job = self.draft.job(id);
+        if job.is_none_or(|job| job.waiting() == 0) {
+            self.node.reasons.borrow_mut().remove(*id);
+        } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
+            self.blocked.push((*id).to_string());
+            note(self.node, id, Wait::NoRoom, self.now);
+        }
+    }
+
+    /// Stops running work for the blocked jobs.
+    fn preempt(&mut self) {
+        forget_old_attempts(self.node, self.state, self.now);
+        if self.blocked.is_empty() {
+            return;
+        }
+        let mut preemption = Preemption::new(
+            self.node,
+            self.view,
+            self.state,
+            &mut self.draft,
+            &mut self.search,
+            &self.plan,
+            self.now,
+        );
+        preemption.run(&self.plan, &self.blocked);
+    }
+
+    fn into_batch(self, admitted: usize, ends: Vec<EndKey>) -> Option<Batch> {
+        if self.draft.is_empty() {
+            return None;
+        }
+        let (guards, writes) = self.draft.into_commit();
+        Some(Batch {
+            jobs: admitted,
+            ends,
+            guards,
+            writes,
+        })
+    }
+}
--- /dev/null
+++ b/src/scheduler/round_state.rs
@@ -0,0 +1,153 @@
+//! What a controller remembers from one placement round to the next.
+
+use std::time::Duration;
+
+use foldhash::HashMap;
+use tokio::time::Instant;
+
+use super::reasons::Wait;
+use crate::machines::EndKey;
+use crate::model::Job;
+use crate::node::Node;
+use crate::view::View;
+use crate::wire::Kind;
+
+/// How many records a commit writes while commits of the usual size are refused.
+const RECORDS_OF_A_SMALL_COMMIT: usize = 4;
+
+/// The back-off doubles with each failure up to this power of two.
+const MAX_BACK_OFF_EXPONENT: u32 = 5;
+
+/// How long a job that failed so often waits before it is tried again.
+pub fn back_off(errors: u32, base: Duration) -> Duration {
+    match errors {
+        0 => Duration::ZERO,
+        errors => base * 2u32.pow((errors - 1).min(MAX_BACK_OFF_EXPONENT)),
+    }
+}
+
+/// The version in which this controller knows a job, and since when.
+struct Observed {
+    version: u64,
+    since: Instant,
+}
+
+/// The end of the wait after a job's latest failure.
+struct BackOff {
+    errors: u32,
+    until: Instant,
+}
+
+/// The state that placement rounds carry forward. None of it has to survive a
+/// restart of the controller.
+#[derive(Default)]
+pub(super) struct RoundState {
+    observed: HashMap<String, Observed>,
+    back_offs: HashMap<String, BackOff>,
+    /// Jobs that preemptions were made for, and when: their effect is awaited.
+    pub(super) preempted_for: HashMap<String, Instant>,
+    /// Jobs that no victims were found for, and when: each search goes through
+    /// all running work, and little changes from one round to the next.
+    pub(super) without_victims: HashMap<String, Instant>,
+    /// When a round last went through the whole queue.
+    pub(super) queue_examined: Option<Instant>,
+    /// The first end of an array's task that the last commit had no room for.
+    pub(super) next_end: Option<EndKey>,
+    /// How many records the last commit wrote.
+    pub(super) records_written: usize,
+    /// The last commit was too long: the next one writes few records.
+    pub(super) small_commits: bool,
+    /// Gangs or services had their places, but no room in the last commit.
+    pub(super) gangs_deferred: bool,
+    /// Jobs whose record the state service refused for its size: excluded until
+    /// then, so that the others go on.
+    excluded: HashMap<String, Instant>,
+}
+
+impl RoundState {
+    /// How long a job's record has been as it is.
+    pub(super) fn unchanged_for(&self, id: &str, now: Instant) -> Duration {
+        let observed = self.observed.get(id);
+        observed.map_or(Duration::ZERO, |known| {
+            now.saturating_duration_since(known.since)
+        })
+    }
+
+    /// Drops what is remembered of jobs that are no longer open.
+    pub(super) fn forget_closed_jobs(&mut self, view: &View) {
+        self.observed
+            .retain(|id, _| view.jobs.get(id).is_some_and(|e| e.value.is_open()));
+        self.back_offs
+            .retain(|id, _| self.observed.contains_key(id));
+    }
+
+    /// Notes the version of a job's record.
+    pub(super) fn observe(&mut self, id: &str, version: u64, now: Instant) {
+        let known = self.observed.entry(id.to_string()).or_insert(Observed {
+            version,
+            since: now,
+        });
+        if known.version != version {
+            *known = Observed {
+                version,
+                since: now,
+            };
+        }
+    }
+
+    /// Starts the back-off of a job whose count of errors has changed. A lower
+    /// count means that it has succeeded and failed again since.
+    pub(super) fn update_back_off(&mut self, id: &str, errors: u32, base: Duration, now: Instant) {
+        let known = self.back_offs.get(id);
+        if known.is_none_or(|known| known.errors != errors) {
+            let until = now + back_off(errors, base);
+            self.back_offs
+                .insert(id.to_string(), BackOff { errors, until });
+        }
+    }
+
+    /// Why a job that has failed waits, if it does: until its back-off is over;
+    /// and one that fails on every machine until what is tried has ended, or,
+    /// of a service, has run for a lease.
+    pub(super) fn failure_wait(
+        &self,
+        node: &Node,
+        id: &str,
+        job: &Job,
+        now: Instant,
+    ) -> Option<Wait> {
+        let why = match job.is_doubtful() {
+            true => Wait::Fails,
+            false => Wait::BackOff,
+        };
+        if self.back_offs.get(id).is_some_and(|b| b.until > now) {
+            return Some(why);
+        }
+        let is_service = job.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+        let proven = is_service && self.unchanged_for(id, now) > node.settings.lease();
+        (job.is_doubtful() && job.booked() > 0 && !proven).then_some(why)
+    }
+
+    /// How many records the next commit may write.
+    pub(super) fn commit_size(&self, txn_ops: usize) -> usize {
+        match self.small_commits {
+            true => txn_ops.min(RECORDS_OF_A_SMALL_COMMIT),
+            false => txn_ops,
+        }
+    }
+
+    /// Leaves a job out of all commits until then.
+    pub(super) fn exclude(&mut self, id: &str, until: Instant) {
+        self.excluded.insert(id.to_string(), until);
+    }
+
+    /// Whether a job is left out of commits.
+    pub(super) fn is_excluded(&self, id: &str) -> bool {
+        self.excluded.contains_key(id)
+    }
+
+    /// Takes the jobs back in whose exclusion is over.
+    pub(super) fn expire_exclusions(&mut self, now: Instant) {
+        self.excluded.retain(|_, until| *until > now);
+    }
+}
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -1,8 +1,8 @@
-//! One commit in the making: records as they will be, each touched once.
+//! A transaction in the making: records as they will be, each written once.
 //!
-//! Ends, admissions and stops are laid into the same draft, so that a round
-//! writes every job, team and part at most once however many of its tasks
-//! have changed. The service's writes grow with rounds, not with tasks.
+//! Ends, bookings and preemptions go into the same draft, so that a round writes
+//! every job, team and part at most once however many of its tasks have changed.
+//! The writes to the state service grow with rounds, not with tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::view::{View, group_key, job_key, part_id, part_key, team_key};
 use crate::wire::{Guard, Kind, Write};
 
-/// Conditions that a commit may have for each write of which it may have, by the
+/// How many conditions a commit may have for each write that it may have, by the
 /// protocol.
 pub const GUARDS_PER_WRITE: usize = 4;
 
@@ -25,31 +25,38 @@
 pub const SLOT: usize = 110;
 
 /// The same in a part's short text.
-const SHORT_SLOT: usize = 10;
+const SHORT_SLOT_BYTES: usize = 10;
+
+/// About what a job's spec, one of its runs and one of its tasks take in its record.
+const SPEC_BYTES: usize = 500;
+const RUN_BYTES: usize = 100;
+const TASK_BYTES: usize = 8;
 
 /// About what a job takes in its record.
 fn job_bytes(job: &Job) -> usize {
-    const SPEC: usize = 500;
-    const RUN: usize = 100;
-    const TASK: usize = 8;
-    SPEC + job.runs.len() * RUN + (job.booked() + job.retry.len()) * TASK
+    let tasks = job.booked() + job.retry.len();
+    SPEC_BYTES + job.runs.len() * RUN_BYTES + tasks * TASK_BYTES
 }
 
+/// A transaction in the making, on one revision of the view.
 pub struct Draft<'a> {
     view: &'a View,
     /// The most records that one commit may write.
     pub most: usize,
+    /// The jobs that it writes, by id.
     pub jobs: BTreeMap<String, Job>,
     teams: BTreeMap<String, Room>,
     parts: BTreeMap<String, Part>,
-    /// What this draft's ends free.
+    /// What this draft's ends free, by machine.
     released: BTreeMap<String, Room>,
+    /// The same by team.
     team_released: BTreeMap<String, Room>,
     /// Groups of machines that must be as they are, but are not written.
     groups: BTreeSet<String>,
 }
 
 impl<'a> Draft<'a> {
+    /// An empty draft that may write `most` records.
     pub fn new(view: &'a View, most: usize) -> Self {
         Draft {
             view,
@@ -63,10 +70,12 @@
         }
     }
 
+    /// How many records it writes.
     pub fn len(&self) -> usize {
         self.jobs.len() + self.teams.len() + self.parts.len()
     }
 
+    /// Whether it writes nothing.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -86,48 +95,50 @@
     fn bytes(&self) -> usize {
         let jobs: usize = self.jobs.values().map(job_bytes).sum();
         let slots: usize = self.parts.values().map(|p| p.machines.len()).sum();
-        jobs + slots * self.slot() + (self.len() + self.groups.len()) * SLOT
+        jobs + slots * self.slot_bytes() + (self.len() + self.groups.len()) * SLOT
     }
 
     /// About what a machine takes in the text that its part will have.
-    fn slot(&self) -> usize {
+    fn slot_bytes(&self) -> usize {
         if self.view.is_short() {
-            SHORT_SLOT
+            SHORT_SLOT_BYTES
         } else {
             SLOT
         }
     }
 
+    /// Whether the transaction can take changes of these records, with bookings on
+    /// so many machines.
     fn has_room(
         &self,
         job: &str,
         team: Option<&str>,
         parts: &BTreeSet<&str>,
-        tasks: usize,
+        machines: usize,
     ) -> bool {
-        let machines = |p: &str| self.view.parts.get(p).map_or(0, |e| e.value.machines.len());
-        let more: usize = parts
-            .iter()
-            .filter(|p| !self.parts.contains_key(**p))
-            .map(|p| machines(p) * self.slot())
+        let new_parts = || parts.iter().filter(|part| !self.parts.contains_key(**part));
+        let machines_of = |part: &str| {
+            let known = self.view.parts.get(part);
+            known.map_or(0, |e| e.value.machines.len())
+        };
+        let part_bytes: usize = new_parts()
+            .map(|part| machines_of(part) * self.slot_bytes())
             .sum();
-        let job_now = if self.jobs.contains_key(job) {
-            0
-        } else {
-            self.job(job).map_or(0, job_bytes)
+        let new_job = !self.jobs.contains_key(job);
+        let new_job_bytes = match new_job {
+            true => self.job(job).map_or(0, job_bytes),
+            false => 0,
         };
-        if self.bytes() + more + job_now + tasks * self.slot() > COMMIT_BYTES {
+        let more_bytes = part_bytes + new_job_bytes + machines * self.slot_bytes();
+        if self.bytes() + more_bytes > COMMIT_BYTES {
             return false;
         }
-        let new = usize::from(!self.jobs.contains_key(job))
-            + usize::from(team.is_some_and(|t| !self.teams.contains_key(t)))
-            + parts
-                .iter()
-                .filter(|p| !self.parts.contains_key(**p))
-                .count();
-        self.len() + new <= self.most
+        let new_team = team.is_some_and(|team| !self.teams.contains_key(team));
+        let new_records = usize::from(new_job) + usize::from(new_team) + new_parts().count();
+        self.len() + new_records <= self.most
     }
 
+    /// The job's record in this transaction, which writes it from now on.
     fn edit_job(&mut self, id: &str) -> Option<&mut Job> {
         if !self.jobs.contains_key(id) {
             let job = self.view.jobs.get(id)?.value.clone();
@@ -136,12 +147,14 @@
         self.jobs.get_mut(id)
     }
 
+    /// The same of a team's record, recounted from the view and this draft's ends.
     fn edit_team(&mut self, team: &str) -> &mut Room {
         let released = self.team_released.get(team).copied().unwrap_or_default();
         let used = self.view.team_used(team) - released;
         self.teams.entry(team.to_string()).or_insert(used)
     }
 
+    /// The same of a part's record.
     fn edit_part(&mut self, id: &str) -> &mut Part {
         let (view, released) = (self.view, &self.released);
         self.parts.entry(id.to_string()).or_insert_with(|| {
@@ -158,6 +171,26 @@
         })
     }
 
+    /// The group whose record proves an end, if it still does.
+    ///
+    /// Safety 3: what proved the end holds only while the machine is still ours by
+    /// the claim that it was proven under, or once it is gone for good; the guard
+    /// on its group's record makes the commit depend on it.
+    fn proven_by(
+        &self,
+        key: &EndKey,
+        proof: Proof,
+        node: &str,
+        incarnation: u64,
+    ) -> Option<String> {
+        let machine = &self.view.machines.get(&key.machine)?.value;
+        let same_claim = machine.holder == node
+            && machine.incarnation == incarnation
+            && machine.token == proof.token;
+        let proven = machine.life == Life::Gone || same_claim;
+        proven.then(|| part_id(&machine.zone, &machine.part))
+    }
+
     /// Releases a booking whose task is surely gone. `node` and `incarnation`
     /// are those of the controller that has the proof.
     pub fn release(
@@ -167,19 +200,8 @@
         node: &str,
         incarnation: u64,
     ) -> Released {
-        // Safety 3: what proved the end holds only while the machine is still
-        // ours by the claim that it was proven under, or once it is gone for
-        // good; the guard on its record makes the commit depend on it.
-        let group = match self.view.machines.get(&key.machine).map(|e| &e.value) {
-            Some(m)
-                if m.life == Life::Gone
-                    || (m.holder == node
-                        && m.incarnation == incarnation
-                        && m.token == proof.token) =>
-            {
-                part_id(&m.zone, &m.part)
-            }
-            _ => return Released::Stale,
+        let Some(group) = self.proven_by(key, proof, node, incarnation) else {
+            return Released::Stale;
         };
         let Some(job) = self.job(&key.job) else {
             return Released::Stale;
@@ -192,10 +214,9 @@
         }
         // Neither the team's record nor the part's is written: what ends is
         // known to all from the job's, and the next booking there counts it.
-        let most = self.most * (GUARDS_PER_WRITE - 1);
-        if !self.has_room(&key.job, None, &BTreeSet::new(), 0)
-            || (self.groups.len() >= most && !self.groups.contains(&group))
-        {
+        let max_groups = self.most * (GUARDS_PER_WRITE - 1);
+        let guards_full = self.groups.len() >= max_groups && !self.groups.contains(&group);
+        if guards_full || !self.has_room(&key.job, None, &BTreeSet::new(), 0) {
             return Released::Full;
         }
         if let Some(job) = self.edit_job(&key.job) {
@@ -211,24 +232,34 @@
     /// other jobs as many as there are. An array may have its places in more
     /// parts than any commit writes: the rest follow, or it would wait for ever.
     fn bookable<'p>(&self, id: &str, spec: &Spec, places: &'p [Place]) -> Vec<&'p Place> {
-        let mut parts: BTreeSet<&str> = places.iter().map(|p| &*p.part).collect();
-        let mut machines: BTreeSet<usize> = places.iter().map(|p| p.at).collect();
+        let parts: BTreeSet<&str> = places.iter().map(|place| &*place.part).collect();
+        let machines: BTreeSet<usize> = places.iter().map(|place| place.at).collect();
         if self.has_room(id, Some(&spec.team), &parts, machines.len()) {
             return places.iter().collect();
         }
-        let mut some = Vec::new();
         if spec.is_gang() {
-            return some;
+            return Vec::new();
         }
-        parts.clear();
-        machines.clear();
+        self.bookable_one_by_one(id, spec, places)
+    }
+
+    /// The places for which there is room if each is added for itself.
+    fn bookable_one_by_one<'p>(
+        &self,
+        id: &str,
+        spec: &Spec,
+        places: &'p [Place],
+    ) -> Vec<&'p Place> {
+        let mut parts: BTreeSet<&str> = BTreeSet::new();
+        let mut machines: BTreeSet<usize> = BTreeSet::new();
+        let mut bookable = Vec::new();
         for place in places {
             let new_part = parts.insert(&place.part);
             let new_machine = machines.insert(place.at);
             if (!new_part && !new_machine)
                 || self.has_room(id, Some(&spec.team), &parts, machines.len())
             {
-                some.push(place);
+                bookable.push(place);
                 continue;
             }
             if new_part {
@@ -238,7 +269,7 @@
                 machines.remove(&place.at);
             }
         }
-        some
+        bookable
     }
 
     /// Books a job's waiting tasks, and tells how many; none when the commit
@@ -274,7 +305,7 @@
         places.len()
     }
 
-    /// Changes jobs alone; false when the commit is full.
+    /// Whether the transaction has room for the records of these jobs alone.
     pub fn fits_jobs<'b>(&self, ids: impl Iterator<Item = &'b str>) -> bool {
         let new: BTreeSet<&str> = ids.filter(|id| !self.jobs.contains_key(*id)).collect();
         let more: usize = new
@@ -285,6 +316,7 @@
         self.len() + new.len() <= self.most && self.bytes() + more <= COMMIT_BYTES
     }
 
+    /// Changes a job's record alone.
     pub fn change(&mut self, id: &str, edit: impl FnOnce(&mut Job)) {
         if let Some(job) = self.edit_job(id) {
             edit(job);
@@ -317,6 +349,7 @@
 /// What became of an end.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Released {
+    /// It is in the transaction.
     Yes,
     /// The commit is full: it goes into the next.
     Full,
@@ -333,18 +366,18 @@
     if spec.kind == Kind::Service && job.is_doubtful() && job.booked() > 0 {
         job.note_success();
     }
-    let again = job.attempt.max(1) + 1;
+    let retry_attempt = job.attempt.max(1) + 1;
     if spec.is_gang() {
         job.attempt += 1;
     } else {
         job.attempt = job.attempt.max(1);
     }
-    for (i, place) in places.iter().enumerate() {
+    for (index, place) in places.iter().enumerate() {
         let (task, attempt) = if spec.is_gang() {
-            (Some(i as u32), job.attempt)
+            (Some(index as u32), job.attempt)
         } else if let Some(task) = job.retry.pop_first() {
-            job.attempt = again;
-            (Some(task), again)
+            job.attempt = retry_attempt;
+            (Some(task), retry_attempt)
         } else {
             (job.take_fresh(), 1)
         };
