--- a/src/http.rs
+++ b/src/http.rs
@@ -332,7 +332,9 @@
 /// By when a request must be sent, and by when its answer must be there.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
+    /// The request is not sent after this.
     pub send: Instant,
+    /// The answer is not waited for any longer.
     pub answer: Instant,
 }
 
@@ -413,6 +415,7 @@
         })
     }
 
+    /// Sends a request; the answer must be there within the limit.
     pub async fn call(
         &self,
         addr: SocketAddrV4,
@@ -422,20 +425,6 @@
         limit: Duration,
     ) -> Result<Response, CallError> {
         let deadline = Instant::now() + limit;
-        self.call_until(addr, method, path, body, deadline).await
-    }
-
-    /// The same for a call that was decided on earlier. What has not been sent
-    /// by the deadline is not sent any more: a process that stood still would
-    /// else go on with what it meant to do before.
-    pub async fn call_until(
-        &self,
-        addr: SocketAddrV4,
-        method: &str,
-        path: &str,
-        body: Option<Vec<u8>>,
-        deadline: Instant,
-    ) -> Result<Response, CallError> {
         let deadlines = Deadlines {
             send: deadline,
             answer: deadline,
@@ -443,8 +432,9 @@
         self.call_within(addr, method, path, body, deadlines).await
     }
 
-    /// The same with a deadline of its own for sending, before that of the
-    /// answer: what it asks for must not be asked for any later.
+    /// The same for a call that was decided on earlier. What has not been sent
+    /// by its deadline is not sent any more: a process that stood still would
+    /// else go on with what it meant to do before.
     pub async fn call_within(
         &self,
         addr: SocketAddrV4,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod draft;
 pub mod fleet;
 pub mod http;
-pub mod machines;
+
 pub mod mesh;
 pub mod model;
 pub mod net;
@@ -25,3 +25,6 @@
 pub mod text;
 pub mod view;
 pub mod wire;
+pub mod workers;
+
+pub use workers as machines;
--- /dev/null
+++ b/src/node/horizon.rs
@@ -0,0 +1,103 @@
+//! The horizon: how recent the view surely is, by read barriers.
+//!
+//! A barrier reads the store's revision and waits until the view has reached it.
+//! The view then holds everything that was committed before the read was sent, and
+//! this moment becomes the horizon.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::settings::BARRIER_GAP_REQUESTS;
+use crate::view::BARRIER_KEY;
+
+use super::Node;
+
+impl Node {
+    /// How old the horizon is; `None` before the first barrier.
+    pub fn horizon_age(&self) -> Option<Duration> {
+        self.horizon.get().map(|t| t.elapsed())
+    }
+
+    /// Safety 4: a controller that may have missed a cancellation for too
+    /// long must not keep workers' leases alive.
+    pub fn may_answer_beats(&self) -> bool {
+        self.horizon_age()
+            .is_some_and(|age| age < self.settings.horizon_limit())
+    }
+
+    /// Whether the state service serves this controller, as far as is known.
+    pub fn has_state(&self) -> bool {
+        let limit = self.settings.lease() / 4;
+        self.horizon_age().is_some_and(|age| age < limit)
+    }
+
+    /// Has a machine's orders planned again with the next horizon, and asks for
+    /// one. Only the first machine asks: where the state service refuses, barriers
+    /// are tried again in their normal interval.
+    pub fn want_horizon_for(&self, machine: &str) {
+        let mut deferred = self.deferred_launches.borrow_mut();
+        if deferred.is_empty() {
+            self.barrier_wanted.notify_one();
+        }
+        deferred.insert(machine.to_string());
+    }
+
+    /// Takes over a new horizon, and has what waited for it planned again.
+    fn set_horizon(&self, sent: Instant) {
+        self.horizon.set(Some(sent));
+        let mut deferred = self.deferred_launches.borrow_mut();
+        if !deferred.is_empty() {
+            let changes = &mut self.view.borrow_mut().changes;
+            changes.machines.append(&mut deferred);
+            self.poke.notify_one();
+        }
+    }
+
+    /// Waits until the view holds everything that was committed before this
+    /// call. Many callers share one read of the revision.
+    pub async fn barrier(&self, limit: Duration) -> bool {
+        // The next barrier to start was surely sent after this moment.
+        let wanted = self.barrier_started.get() + 1;
+        self.barrier_wanted.notify_one();
+        let mut done = self.barrier_done.subscribe();
+        matches!(
+            timeout(limit, done.wait_for(|d| *d >= wanted)).await,
+            Ok(Ok(_))
+        )
+    }
+
+    /// Keeps the horizon and serves those who wait for a barrier.
+    pub async fn keep_horizon(self: Rc<Self>) {
+        let idle = self.settings.barrier_pause();
+        let gap = self.request_gap() * BARRIER_GAP_REQUESTS;
+        loop {
+            // A controller that has just started has workers whose leases run
+            // out: its first barrier does not wait for anyone to ask.
+            if self.horizon.get().is_some() {
+                let _ = timeout(idle, self.barrier_wanted.notified()).await;
+            }
+            let sent = Instant::now();
+            let number = self.barrier_started.get() + 1;
+            self.barrier_started.set(number);
+            match self.store.revision(BARRIER_KEY).await {
+                Ok(revision) => {
+                    let limit = self.settings.lease() / 8;
+                    if self.view.borrow().revision < revision {
+                        self.hurry();
+                    }
+                    if self.view.borrow().loaded && self.wait_revision(revision, limit).await {
+                        self.set_horizon(sent);
+                        self.barrier_done.send_replace(number);
+                    } else {
+                        // The watch is stuck, or its connection is dead.
+                        self.watch_again.notify_one();
+                    }
+                }
+                Err(error) => tracing::debug!(%error, "barrier failed"),
+            }
+            sleep(gap.saturating_sub(sent.elapsed())).await;
+        }
+    }
+}
--- /dev/null
+++ b/src/node/view_loop.rs
@@ -0,0 +1,143 @@
+//! Keeps the view up to date with the state service.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::store::StoreError;
+use crate::view::PREFIX;
+
+use super::Node;
+
+/// The pause before a read that has failed is tried again, with jitter.
+const RETRY: Duration = Duration::from_millis(200);
+
+/// How a watch has ended.
+enum Watched {
+    /// The view has been brought up to the answer.
+    Advanced,
+    /// Someone asked for a new watch, as this one may be stuck.
+    Reopened,
+    /// The records must be read anew.
+    Behind,
+    Failed,
+}
+
+impl Node {
+    /// Waits until the view has reached the revision; false if it takes too long.
+    pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
+        let mut reached = self.reached.subscribe();
+        matches!(
+            timeout(limit, reached.wait_for(|r| *r >= revision)).await,
+            Ok(Ok(_))
+        )
+    }
+
+    /// Reads all records anew.
+    async fn load(&self) -> Result<(), StoreError> {
+        let mut pairs = Vec::new();
+        let mut after = String::new();
+        let mut revision = u64::MAX;
+        let mut newest = 0;
+        loop {
+            let page = self.store.page(PREFIX, &after).await?;
+            revision = revision.min(page.revision);
+            newest = newest.max(page.revision);
+            if let Some(last) = page.items.last() {
+                after = last.key.clone();
+            }
+            pairs.extend(page.items);
+            if !page.more {
+                break;
+            }
+        }
+        tracing::info!(keys = pairs.len(), revision, "state read");
+        // Pages read at different revisions may together show a removed key
+        // or half of a commit: bookings without the part that they changed.
+        // The events after the oldest mend both, before anyone decides.
+        let mended = match newest > revision {
+            true => Some(self.store.watch(PREFIX, revision, Duration::ZERO).await?),
+            false => None,
+        };
+        let mut view = self.view.borrow_mut();
+        view.reload(pairs, revision);
+        if let Some(answer) = mended {
+            view.advance(answer.events, answer.revision);
+        }
+        drop(view);
+        self.announce();
+        Ok(())
+    }
+
+    /// Keeps the view: a full read, then one watch after another.
+    pub async fn keep_view(self: Rc<Self>) {
+        let gap = self.request_gap() * 2;
+        // A watch brings every change since, however often a record was
+        // written: after a long silence that is many times the state itself,
+        // and more than the memory holds.
+        let stale = self.settings.lease() / 2;
+        let mut heard = Instant::now();
+        let mut behind = false;
+        loop {
+            if !self.view.borrow().loaded || behind || heard.elapsed() > stale {
+                if let Err(error) = self.load().await {
+                    tracing::debug!(%error, "state not read");
+                    sleep(self.store.jitter(RETRY)).await;
+                    continue;
+                }
+                heard = Instant::now();
+                behind = false;
+            }
+            let opened = Instant::now();
+            match self.watch_once().await {
+                Watched::Advanced => heard = Instant::now(),
+                Watched::Behind => behind = true,
+                Watched::Failed => {}
+                Watched::Reopened => continue,
+            }
+            // Each opened watch counts as a request: while changes come in a
+            // steady stream, they are taken some at a time.
+            let pause = gap.saturating_sub(opened.elapsed());
+            let _ = timeout(pause, self.watch_soon.notified()).await;
+        }
+    }
+
+    /// Watches until something changes, and brings the view up to that.
+    async fn watch_once(&self) -> Watched {
+        let block = self.settings.lease() / 4;
+        let after = self.view.borrow().revision;
+        let answer = tokio::select! {
+            answer = self.store.watch(PREFIX, after, block) => answer,
+            () = self.watch_again.notified() => {
+                tracing::debug!("watch opened again");
+                return Watched::Reopened;
+            }
+        };
+        match answer {
+            Ok(answer) => {
+                let mut view = self.view.borrow_mut();
+                view.advance(answer.events, answer.revision);
+                drop(view);
+                self.announce();
+                Watched::Advanced
+            }
+            Err(error @ (StoreError::TooOld | StoreError::TooLarge)) => {
+                // The same request would bring the same answer: pages are
+                // bounded, and hold each record once.
+                tracing::info!(%error, "the watch has fallen behind: reading all again");
+                Watched::Behind
+            }
+            Err(error) => {
+                tracing::debug!(%error, "watch failed");
+                sleep(self.store.jitter(RETRY)).await;
+                Watched::Failed
+            }
+        }
+    }
+
+    /// Something committed by others is known to be ahead of the view.
+    pub fn hurry(&self) {
+        self.watch_soon.notify_one();
+    }
+}
--- /dev/null
+++ b/src/workers/claims.rs
@@ -0,0 +1,301 @@
+//! Claims: how this controller becomes the holder of machines.
+//!
+//! A claim writes this controller as the holder into the machine's record, under a
+//! token one above the highest known. Heartbeats ask for claims; several are
+//! committed at a time.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::draft::Groups;
+use crate::model::{Life, Machine};
+use crate::node::Node;
+use crate::store::{Class, StoreError};
+use crate::view::{group_key, part_id};
+use crate::wire::{Guard, Report, Write};
+
+use super::Hand;
+
+/// How long a heartbeat waits for its claim: a worker drops an answer that takes
+/// 4 s, so one that cannot be claimed soon is refused while that still helps it.
+const CLAIM_WAIT: Duration = Duration::from_millis(3200);
+
+/// A claim that a heartbeat has asked for.
+#[derive(Debug)]
+pub struct Claim {
+    done: watch::Sender<bool>,
+    /// When it was last asked for: a worker that has gone on to another
+    /// controller meanwhile is not to be drawn back.
+    asked: Instant,
+    /// The machine's token in the view when it was asked for.
+    token: u64,
+    /// The worker has to be told to stop something.
+    urgent: bool,
+}
+
+/// A claim as its commit records it.
+struct TakenClaim {
+    machine: String,
+    token: u64,
+    /// The newest (session, seq) of the worker by the machine's record.
+    seen: (u64, u64),
+}
+
+/// What one commit claims.
+#[derive(Default)]
+struct ClaimBatch {
+    /// Machines whose claims are answered after the commit.
+    decided: Vec<String>,
+    taken: Vec<TakenClaim>,
+    guards: Vec<Guard>,
+    writes: Vec<Write>,
+}
+
+impl Node {
+    /// Whether this run of the controller holds the machine, as far as its view
+    /// tells.
+    pub fn holds(&self, id: &str) -> bool {
+        let view = self.view.borrow();
+        let hands = self.hands.borrow();
+        match (hands.get(id), view.machines.get(id)) {
+            (Some(hand), Some(machine)) => {
+                hand.token == machine.value.token && machine.value.incarnation == self.incarnation
+            }
+            _ => false,
+        }
+    }
+
+    /// Asks for a claim of the machine; the receiver tells when it is decided.
+    pub(super) fn ask_claim(
+        &self,
+        id: &str,
+        report: &Report,
+        urgent: bool,
+    ) -> watch::Receiver<bool> {
+        self.fleet.borrow_mut().remember(report);
+        let asked = Instant::now();
+        let view = self.view.borrow();
+        let token = view.machines.get(id).map_or(0, |e| e.value.token);
+        let mut claims = self.claims.borrow_mut();
+        let claim = claims.entry(id.to_string()).or_insert_with(|| Claim {
+            done: watch::Sender::new(false),
+            asked,
+            token,
+            urgent,
+        });
+        claim.token = token;
+        claim.asked = asked;
+        claim.urgent |= urgent;
+        let receiver = claim.done.subscribe();
+        self.claims_wanted.notify_one();
+        receiver
+    }
+
+    /// Claims the machine and waits for the commit; true if it is held then.
+    pub(super) async fn claim(&self, id: &str, report: &Report) -> bool {
+        let mut done = self.ask_claim(id, report, true);
+        let _ = timeout(CLAIM_WAIT, done.wait_for(|d| *d)).await;
+        self.holds(id)
+    }
+}
+
+/// Commits the claims that heartbeats have asked for, several at a time.
+pub async fn keep_claims(node: Rc<Node>) {
+    loop {
+        node.claims_wanted.notified().await;
+        // Workers turn up together after a restart: let them gather.
+        sleep(node.request_gap() * 2).await;
+        while !node.claims.borrow().is_empty() {
+            // They stand in few records, however many they are.
+            node.store.ready(Class::Claim, 1).await;
+            if let Err(error) = commit_some(&node).await {
+                tracing::debug!(%error, "claims not committed");
+                drop_claims_beyond_limits(&node, &error);
+                sleep(node.store.jitter(node.request_gap() * 2)).await;
+                if !node.may_answer_beats() {
+                    node.claims.borrow_mut().clear();
+                }
+            }
+        }
+    }
+}
+
+/// Drops the claims in a group that is too long to be written. The same commit
+/// would be refused again: they are asked for anew with the next reports of their
+/// workers, and the rest go on.
+fn drop_claims_beyond_limits(node: &Node, error: &StoreError) {
+    let StoreError::Limits(key) = error else {
+        return;
+    };
+    let view = node.view.borrow();
+    let in_group = |id: &str| {
+        let machine = view.machines.get(id).map(|e| &e.value);
+        machine.is_none_or(|m| group_key(&part_id(&m.zone, &m.part)) == *key)
+    };
+    node.claims.borrow_mut().retain(|id, _| !in_group(id));
+}
+
+/// Commits as many of the claims as one commit takes, and answers them.
+async fn commit_some(node: &Node) -> Result<(), StoreError> {
+    drop_stale_claims(node);
+    let batch = plan_claims(node);
+    if !batch.writes.is_empty() {
+        let revision = commit_claims(node, batch.guards, batch.writes).await?;
+        keep_proofs(node, &batch.taken);
+        let now = Instant::now();
+        for claim in batch.taken {
+            take_over(node, claim, revision, now);
+        }
+    }
+    for id in &batch.decided {
+        if let Some(claim) = node.claims.borrow_mut().remove(id) {
+            claim.done.send_replace(true);
+        }
+        // The worker learns the token now, and its report under it is what
+        // launches wait for.
+        node.poke_machine(id);
+    }
+    Ok(())
+}
+
+/// Drops claims of machines that another controller holds and whose workers have
+/// gone on meanwhile.
+fn drop_stale_claims(node: &Node) {
+    let view = node.view.borrow();
+    let now = Instant::now();
+    // A worker reports again, or has gone on, within this time.
+    let fresh = node.settings.report() * 2;
+    node.claims.borrow_mut().retain(|id, claim| {
+        let known = view.machines.get(id).map(|e| &e.value);
+        let ours = known.is_none_or(|m| m.holder.is_empty() || m.holder == node.name());
+        // If another was quicker and the worker is here all the same, its next
+        // report asks again.
+        let quicker = known.is_some_and(|m| m.token > claim.token);
+        ours || (!quicker && now.saturating_duration_since(claim.asked) < fresh)
+    });
+}
+
+/// Chooses claims for one commit, the urgent ones first.
+fn plan_claims(node: &Node) -> ClaimBatch {
+    let ops = node.settings.txn_ops();
+    let view = node.view.borrow();
+    let fleet = node.fleet.borrow();
+    let claims = node.claims.borrow();
+    let mut order: Vec<(&String, &Claim)> = claims.iter().collect();
+    // Those whose workers wait for the answer come first.
+    order.sort_by_key(|(_, c)| (!c.urgent, c.done.is_closed()));
+    let mut batch = ClaimBatch::default();
+    let mut groups = Groups::new(&view);
+    for (id, _) in order {
+        let Some(report) = fleet.reports.get(id) else {
+            batch.decided.push(id.clone());
+            continue;
+        };
+        let known = view.machines.get(id).map(|e| &e.value);
+        // A machine of a group that is in the commit already adds nothing to it.
+        let group = known.map(|m| part_id(&m.zone, &m.part));
+        if groups.is_full(ops) && !group.is_some_and(|g| groups.has(&g)) {
+            continue;
+        }
+        batch.decided.push(id.clone());
+        let machine = match known {
+            Some(machine) => machine.clone(),
+            None => new_machine(node, &mut groups, id, report),
+        };
+        if machine.life == Life::Gone {
+            continue;
+        }
+        let machine = claimed(node, machine, report);
+        batch.taken.push(TakenClaim {
+            machine: id.clone(),
+            token: machine.token,
+            seen: machine.seen,
+        });
+        groups.put(id, machine);
+    }
+    (batch.guards, batch.writes) = groups.into_commit();
+    batch
+}
+
+/// The record of a machine that has none yet.
+fn new_machine(node: &Node, groups: &mut Groups, id: &str, report: &Report) -> Machine {
+    let (kind, zone) = (&report.kind, &report.zone);
+    let part = groups.new_part(&node.settings, id, kind, zone);
+    Machine {
+        part,
+        spot: report.spot,
+        ..Machine::new(kind, zone)
+    }
+}
+
+/// The record of a machine once this controller has claimed it.
+fn claimed(node: &Node, mut machine: Machine, report: &Report) -> Machine {
+    if machine.life == Life::Booting {
+        machine.life = Life::Active;
+    }
+    machine.token = machine.token.max(report.token) + 1;
+    machine.holder = node.name().to_string();
+    machine.incarnation = node.incarnation;
+    machine.seen = machine.seen.max((report.session, report.seq));
+    machine
+}
+
+async fn commit_claims(
+    node: &Node,
+    guards: Vec<Guard>,
+    writes: Vec<Write>,
+) -> Result<u64, StoreError> {
+    let result = node.commit(Class::Claim, guards, writes).await;
+    if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
+        // An unanswered claim may have been carried out: then the view shows a
+        // token that is ours by name but not held, and the next try raises it
+        // once more.
+        node.barrier(node.settings.lease() / 8).await;
+    }
+    result
+}
+
+/// Ends that wait to be recorded stay proven when this controller, holder
+/// throughout, has only taken a newer token: the commit of the claim shows that
+/// nobody else held the machine in between, and nothing was launched since.
+fn keep_proofs(node: &Node, taken: &[TakenClaim]) {
+    let hands = node.hands.borrow();
+    let renewed: HashMap<&str, (u64, u64)> = taken
+        .iter()
+        .filter_map(|c| {
+            let before = hands.get(&c.machine)?.token;
+            Some((c.machine.as_str(), (before, c.token)))
+        })
+        .filter(|(_, (before, after))| before + 1 == *after)
+        .collect();
+    for (key, proof) in node.ends.borrow_mut().iter_mut() {
+        if let Some((before, after)) = renewed.get(key.machine.as_str())
+            && proof.token == *before
+        {
+            proof.token = *after;
+        }
+    }
+}
+
+/// Holds the machine from the commit of its claim on.
+fn take_over(node: &Node, claim: TakenClaim, revision: u64, now: Instant) {
+    let TakenClaim {
+        machine,
+        token,
+        seen: (session, seq),
+    } = claim;
+    tracing::info!(machine, token, "claimed");
+    let mut hands = node.hands.borrow_mut();
+    let mut hand = Hand::new(token, revision, now);
+    if let Some(earlier) = hands.get(&machine) {
+        hand.follow(earlier);
+    }
+    // The report that asked for the claim is yet to be taken.
+    let before = (session, seq.saturating_sub(1));
+    hand.newest_beat = hand.newest_beat.max(before);
+    hands.insert(machine, hand);
+}
--- /dev/null
+++ b/src/workers/heartbeat.rs
@@ -0,0 +1,297 @@
+//! `POST /agent/beat`: the answer to a worker's heartbeat.
+//!
+//! The answer renews the worker's lease and carries its orders, so it is given only
+//! by the holder of the machine, only while the view is recent (Safety 4), and only
+//! with the stops that the report calls for.
+
+use tokio::time::Instant;
+
+use crate::http::Response;
+use crate::model::{Life, Machine};
+use crate::node::Node;
+use crate::wire::{BeatAnswer, Order, Redirect, Report};
+
+use super::{Plan, must_stop, stops_of_cancelled};
+
+/// A worker drops answers with a lower token than it has shown, so this one keeps
+/// it at this controller without renewing its lease.
+const NO_TOKEN: u64 = 0;
+
+/// How long a worker is to wait before it reports about a returned machine again.
+const RETURNED_RETRY_S: u32 = 30;
+
+/// How a heartbeat is answered.
+#[derive(Debug)]
+enum Answer {
+    /// The worker executes the orders, and its lease is renewed if the token is
+    /// not below the one that it has shown.
+    Orders { token: u64, orders: Vec<Order> },
+    /// The worker is to report to this controller, or else to any other.
+    Redirect(Option<String>),
+    /// The worker is to try the next controller.
+    Unavailable {
+        reason: &'static str,
+        retry_after_s: u32,
+    },
+}
+
+impl Answer {
+    fn without_orders(token: u64) -> Self {
+        let orders = Vec::new();
+        Answer::Orders { token, orders }
+    }
+
+    fn unavailable(reason: &'static str) -> Self {
+        let retry_after_s = 1;
+        Answer::Unavailable {
+            reason,
+            retry_after_s,
+        }
+    }
+
+    fn into_response(self) -> Response {
+        match self {
+            Answer::Orders { token, orders } => Response::json(200, &BeatAnswer { token, orders }),
+            Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
+            Answer::Unavailable {
+                reason,
+                retry_after_s,
+            } => Response::unavailable(reason, retry_after_s),
+        }
+    }
+}
+
+/// One step of the handler: an error is the answer, and ends it.
+type Step<T = ()> = Result<T, Answer>;
+
+/// A heartbeat, with what is known of its machine when it comes.
+struct Heartbeat {
+    report: Report,
+    machine: Option<Machine>,
+    received: Instant,
+}
+
+impl Heartbeat {
+    fn id(&self) -> &str {
+        &self.report.machine
+    }
+
+    /// The token that the machine was last claimed under; zero before the first.
+    fn recorded_token(&self) -> u64 {
+        self.machine.as_ref().map_or(0, |m| m.token)
+    }
+}
+
+impl Node {
+    /// `POST /agent/beat`.
+    pub async fn beat(&self, report: Report) -> Response {
+        let answer = self.answer_heartbeat(report).await;
+        answer.unwrap_or_else(|answer| answer).into_response()
+    }
+
+    async fn answer_heartbeat(&self, report: Report) -> Step<Answer> {
+        let received = self.pulse();
+        self.check_horizon()?;
+        self.redirect_home(&report, received)?;
+        let machine = self.view.borrow().machines.get(&report.machine).cloned();
+        let heartbeat = Heartbeat {
+            report,
+            machine: machine.map(|entry| entry.value),
+            received,
+        };
+        self.check_record(&heartbeat)?;
+        self.drop_if_claimed_elsewhere(&heartbeat)?;
+        self.renew_after_restart(&heartbeat)?;
+        self.hold(&heartbeat).await?;
+        self.take_report(&heartbeat)?;
+        let plan = self.plan_answer(&heartbeat);
+        self.answer_with(plan, &heartbeat)
+    }
+
+    /// Safety 4: a controller whose view may be too old renews no lease.
+    fn check_horizon(&self) -> Step {
+        match self.may_answer_beats() {
+            true => Ok(()),
+            false => Err(Answer::unavailable("cut off from the state service")),
+        }
+    }
+
+    fn redirect_home(&self, report: &Report, now: Instant) -> Step {
+        match self.send_home(report, now) {
+            Some(home) => Err(Answer::Redirect(Some(home))),
+            None => Ok(()),
+        }
+    }
+
+    /// Refuses what the machine's record speaks against: it was returned, the
+    /// report is a late copy, no answer reaches the worker, or the view is older
+    /// than the newest claim.
+    fn check_record(&self, heartbeat: &Heartbeat) -> Step {
+        let Some(machine) = &heartbeat.machine else {
+            return Ok(());
+        };
+        let report = &heartbeat.report;
+        let held = self.holds(heartbeat.id());
+        if matches!(machine.life, Life::Returning | Life::Gone) && !held {
+            return Err(Answer::Unavailable {
+                reason: "machine was returned",
+                retry_after_s: RETURNED_RETRY_S,
+            });
+        }
+        if !held && (report.session, report.seq) <= machine.seen {
+            return Err(Answer::unavailable("a newer report has come"));
+        }
+        let lease = self.settings.lease();
+        let mut fleet = self.fleet.borrow_mut();
+        if fleet.hears_nothing(report, machine.token, lease, heartbeat.received) {
+            return Err(Answer::unavailable("it does not hear"));
+        }
+        if report.token > machine.token {
+            // Another controller has claimed it since; the view will tell which.
+            self.hands.borrow_mut().remove(heartbeat.id());
+            return Err(Answer::Redirect(None));
+        }
+        Ok(())
+    }
+
+    /// Whether this controller, in this run or an earlier one, is recorded as the
+    /// holder of the machine.
+    fn is_recorded_holder(&self, machine: &Machine) -> bool {
+        machine.holder == self.name() && machine.token > 0 && machine.life != Life::Booting
+    }
+
+    /// Forgets a machine that was held here until another controller claimed it.
+    fn drop_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> Step {
+        let Some(machine) = &heartbeat.machine else {
+            return Ok(());
+        };
+        if self.is_recorded_holder(machine) {
+            return Ok(());
+        }
+        match self.hands.borrow_mut().remove(heartbeat.id()) {
+            Some(_) => Err(Answer::Redirect(self.recorded_holder(machine))),
+            None => Ok(()),
+        }
+    }
+
+    /// Renews the lease of a machine that an earlier run of this process held: its
+    /// token still does so while the new claim is being committed. Without orders,
+    /// and only where nothing on the machine has to end.
+    fn renew_after_restart(&self, heartbeat: &Heartbeat) -> Step {
+        let machine = heartbeat.machine.as_ref();
+        let Some(machine) = machine.filter(|m| self.is_recorded_holder(m)) else {
+            return Ok(());
+        };
+        let report = &heartbeat.report;
+        if self.holds(heartbeat.id()) || must_stop(report, &self.view.borrow()) {
+            return Ok(());
+        }
+        self.ask_claim(heartbeat.id(), report, false);
+        Err(Answer::without_orders(machine.token))
+    }
+
+    /// Claims the machine unless it is held already, or sends the worker back to
+    /// its holder.
+    async fn hold(&self, heartbeat: &Heartbeat) -> Step {
+        let id = heartbeat.id();
+        if self.holds(id) {
+            return Ok(());
+        }
+        let holder = self.send_back(id, heartbeat.machine.as_ref(), heartbeat.received);
+        if let Some(holder) = holder {
+            return Err(Answer::Redirect(Some(holder)));
+        }
+        let report = &heartbeat.report;
+        if report.token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
+            // Nobody has ever held it, so nobody can wait for its lease to run
+            // out: the worker stays here until the machine is claimed.
+            self.ask_claim(id, report, false);
+            return Err(Answer::without_orders(NO_TOKEN));
+        }
+        if self.claim(id, report).await {
+            return Ok(());
+        }
+        if report.token > NO_TOKEN && self.keeps(id, Instant::now()) {
+            // Its lease is not renewed, but it stays, and its claim is on its
+            // way. A worker that goes on tries all controllers that are cut off,
+            // and is back when its lease is over.
+            return Err(Answer::without_orders(NO_TOKEN));
+        }
+        Err(Answer::unavailable("not claimed yet"))
+    }
+
+    /// Whether a worker whose claim takes long should stay here: for half a
+    /// lease, and only where claims can be committed at all.
+    fn keeps(&self, id: &str, now: Instant) -> bool {
+        let lease = self.settings.lease();
+        let mut fleet = self.fleet.borrow_mut();
+        let first = fleet.kept.entry(id.to_string()).or_insert(now);
+        if now.saturating_duration_since(*first) > lease {
+            *first = now;
+        }
+        now.saturating_duration_since(*first) < lease / 2 && self.has_state()
+    }
+
+    /// Takes the report over as the machine's newest, unless it is a late copy.
+    fn take_report(&self, heartbeat: &Heartbeat) -> Step {
+        let (id, report) = (heartbeat.id(), &heartbeat.report);
+        let mut doubted = false;
+        if let Some(hand) = self.hands.borrow_mut().get_mut(id) {
+            if !hand.hear(report, self.settings.lease(), heartbeat.received) {
+                return Err(Answer::unavailable("a newer report has come"));
+            }
+            let first = hand.report.is_none();
+            doubted = hand.doubted;
+            if hand.take(report.clone(), true) && first {
+                self.rooms_wanted.notify_one();
+            }
+        }
+        if doubted {
+            self.ask_claim(id, report, false);
+        }
+        if report.notice_s.is_some() {
+            let mut fleet = self.fleet.borrow_mut();
+            fleet.recalled.insert(id.to_string());
+        }
+        Ok(())
+    }
+
+    /// What the machine is to be told now; ends are queued at once.
+    fn plan_answer(&self, heartbeat: &Heartbeat) -> Plan {
+        let mut plan = self.plan(heartbeat.id());
+        self.queue_ends(std::mem::take(&mut plan.ends));
+        plan
+    }
+
+    /// The answer that renews the lease.
+    fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
+        let (id, report) = (heartbeat.id(), &heartbeat.report);
+        let mut hands = self.hands.borrow_mut();
+        let Some(hand) = hands.get_mut(id) else {
+            return Err(Answer::unavailable("lost while answering"));
+        };
+        if hand.in_flight {
+            // What a direct call carries just now is not repeated here: the order
+            // in which the two arrive would not be known.
+            plan.orders.clear();
+        }
+        self.defer_old_launches(id, &mut plan);
+        // The horizon may have passed while the claim was awaited.
+        self.check_horizon()?;
+        // Safety 4: the answer renews the lease, so it ends what is cancelled.
+        for stop in stops_of_cancelled(report, &self.view.borrow()) {
+            if !plan.orders.contains(&stop) {
+                plan.orders.push(stop);
+            }
+        }
+        if plan.launches() {
+            hand.offered = Some((report.session, report.seq));
+        }
+        hand.note_orders(&plan.orders, heartbeat.received);
+        hand.answered = heartbeat.received;
+        Ok(Answer::Orders {
+            token: hand.token,
+            orders: plan.orders,
+        })
+    }
+}
--- /dev/null
+++ b/src/workers/reconcile.rs
@@ -0,0 +1,278 @@
+//! What a worker is to be told: the difference between the bookings of its machine
+//! and its newest report. Nothing is sent or recorded here.
+
+use std::collections::{BTreeMap, HashSet};
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::model::{Final, Job, Life, Outcome, Run, Spec, split_task};
+use crate::view::{Entry, View};
+use crate::wire::{Order, Report, TaskReport, TaskStage, Verb, Why};
+
+use super::{EndKey, Hand, Proof};
+
+/// What a worker is to be told, and which bookings are to be released.
+#[derive(Debug, Default, PartialEq)]
+pub struct Plan {
+    /// Orders for the worker, to be executed in this order.
+    pub orders: Vec<Order>,
+    /// Attempts that have ended, with their outcome.
+    pub ends: Vec<(EndKey, Outcome)>,
+}
+
+impl Plan {
+    /// Whether any of the orders starts a task.
+    pub fn launches(&self) -> bool {
+        self.orders.iter().any(|o| o.verb == Verb::Start)
+    }
+
+    /// Takes the launches out unless the view is recent enough for them: what an
+    /// older view books may have been cancelled at another controller since.
+    /// True if any were taken out; they are planned again after a read barrier.
+    pub fn defer_launches(&mut self, horizon_age: Option<Duration>, limit: Duration) -> bool {
+        let recent = horizon_age.is_some_and(|age| age < limit);
+        if recent || !self.launches() {
+            return false;
+        }
+        self.orders.retain(|o| o.verb != Verb::Start);
+        true
+    }
+
+    fn order(&mut self, verb: Verb, task: &str, attempt: u64, grace_s: Option<f64>) {
+        self.orders.push(Order {
+            verb,
+            task: task.to_string(),
+            attempt,
+            grace_s,
+        });
+    }
+}
+
+fn outcome(why: Option<Why>) -> Outcome {
+    match why {
+        Some(Why::Done) => Outcome::Done,
+        Some(Why::Error | Why::Unknown) => Outcome::Failed,
+        _ => Outcome::Lost,
+    }
+}
+
+/// The grace period of a stop: enough to save a checkpoint, none for a job that
+/// is over.
+pub fn grace(job: &Job, spec: Option<&Spec>) -> f64 {
+    match spec {
+        Some(s) if job.is_open() && s.checkpoint_s > 0.0 => s.save_s * 1.5 + 1.0,
+        _ => 0.0,
+    }
+}
+
+/// Works out the difference between the bookings of a machine and its newest
+/// report. Stops that have shown no effect are ordered again after `repeat`. Pure:
+/// nothing is sent or recorded here.
+pub fn reconcile(
+    id: &str,
+    hand: &Hand,
+    view: &View,
+    ends: &BTreeMap<EndKey, Proof>,
+    repeat: Duration,
+    now: Instant,
+) -> Plan {
+    let mut plan = Plan::default();
+    let (Some(report), Some(machine)) = (&hand.report, view.machines.get(id)) else {
+        return plan;
+    };
+    // Safety 2: act on bookings only once the view has reached our claim, and
+    // only while the claim is still ours as far as the view tells.
+    if view.revision < hand.claimed_at || machine.value.token != hand.token {
+        return plan;
+    }
+    let reconciler = Reconciler {
+        machine: id,
+        life: machine.value.life,
+        hand,
+        view,
+        ends,
+        repeat,
+        now,
+    };
+    let mut reported = HashSet::new();
+    for task in &report.tasks {
+        if let Some((job, number)) = split_task(&task.task) {
+            reported.insert((job, number, task.attempt));
+            reconciler.plan_reported(job, number, task, &mut plan);
+        }
+    }
+    // Safety 3: only a report newer than every launch proves that a task that it
+    // lacks is not there.
+    if hand.settled() {
+        reconciler.plan_missing(&reported, &mut plan);
+    }
+    plan
+}
+
+/// What the plan of one machine depends on.
+struct Reconciler<'a> {
+    machine: &'a str,
+    life: Life,
+    hand: &'a Hand,
+    view: &'a View,
+    /// Ends that wait to be recorded.
+    ends: &'a BTreeMap<EndKey, Proof>,
+    repeat: Duration,
+    now: Instant,
+}
+
+impl Reconciler<'_> {
+    fn end_key(&self, job: &str, task: u32, attempt: u64) -> EndKey {
+        EndKey {
+            job: job.to_string(),
+            machine: self.machine.to_string(),
+            attempt,
+            task,
+        }
+    }
+
+    /// Plans for a task that the worker reports.
+    fn plan_reported(&self, job: &str, number: u32, task: &TaskReport, plan: &mut Plan) {
+        let entry = self.view.jobs.get(job);
+        let booking = entry.and_then(|e| {
+            let run = e.value.find(self.machine, task.attempt, number)?;
+            Some((&e.value, run))
+        });
+        let ended = task.stage == TaskStage::Ended;
+        match booking {
+            Some(_) if ended => {
+                // Safety 3: with a launch that may be executed late neither the
+                // booking is released nor the attempt forgotten.
+                if !self.hand.unresolved {
+                    let key = self.end_key(job, number, task.attempt);
+                    plan.ends.push((key, outcome(task.why)));
+                }
+            }
+            Some((job, run)) => self.stop_booked(job, run, task, plan),
+            None if ended => {
+                // The end is on record, or was never ours to record.
+                if self.hand.settled() {
+                    plan.order(Verb::Forget, &task.task, task.attempt, None);
+                }
+            }
+            None => self.stop_unbooked(task, plan),
+        }
+    }
+
+    /// Stops a booked task whose job is over, whose run is to end, or whose
+    /// machine is to be returned.
+    fn stop_booked(&self, job: &Job, run: &Run, task: &TaskReport, plan: &mut Plan) {
+        let returning = matches!(self.life, Life::Returning | Life::Gone);
+        if job.is_open() && !run.stop && !returning {
+            return;
+        }
+        let grace_s = grace(job, job.spec.as_ref());
+        let saving = task.stage == TaskStage::Saving;
+        let wanted = match self.stop_ordered(task) {
+            None => !saving || grace_s == 0.0,
+            Some((at, given)) => *given > grace_s || (!saving && self.is_overdue(*at)),
+        };
+        if wanted {
+            plan.order(Verb::Stop, &task.task, task.attempt, Some(grace_s));
+        }
+    }
+
+    /// Stops a task that nobody has booked here, at once.
+    fn stop_unbooked(&self, task: &TaskReport, plan: &mut Plan) {
+        let ordered = self.stop_ordered(task);
+        if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
+            plan.order(Verb::Stop, &task.task, task.attempt, Some(0.0));
+        }
+    }
+
+    /// When the task was last ordered to stop, and with how much grace.
+    fn stop_ordered(&self, task: &TaskReport) -> Option<&(Instant, f64)> {
+        self.hand.stopped.get(&(task.task.clone(), task.attempt))
+    }
+
+    fn is_overdue(&self, ordered: Instant) -> bool {
+        self.now.saturating_duration_since(ordered) > self.repeat
+    }
+
+    /// Plans for the bookings of which the report shows no task.
+    fn plan_missing(&self, reported: &HashSet<(&str, u32, u64)>, plan: &mut Plan) {
+        for (job, entry) in self.view.jobs_on(self.machine) {
+            let runs = entry.value.runs.iter();
+            for run in runs.filter(|r| r.machine == self.machine) {
+                for number in run.tasks.iter() {
+                    if !reported.contains(&(job, number, run.attempt)) {
+                        self.plan_missing_task(job, entry, run, number, plan);
+                    }
+                }
+            }
+        }
+    }
+
+    /// A task that is booked and not there is lost, or has yet to be launched.
+    fn plan_missing_task(
+        &self,
+        job_id: &str,
+        entry: &Entry<Job>,
+        run: &Run,
+        number: u32,
+        plan: &mut Plan,
+    ) {
+        let key = self.end_key(job_id, number, run.attempt);
+        let recording = self.ends.get(&key);
+        if recording.is_some_and(|proof| proof.token == self.hand.token) {
+            return;
+        }
+        let task = format!("{job_id}/{number}");
+        let launched = self.hand.launched.contains(&(task.clone(), run.attempt));
+        // A gang's member that was there and is gone has broken the attempt; an
+        // independent task is simply launched again, but not where no order
+        // arrives.
+        let job = &entry.value;
+        let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+        let lost = run.stop || self.hand.deaf_since.is_some() || (gang && launched);
+        if !job.is_open() || self.life != Life::Active || lost {
+            plan.ends.push((key, Outcome::Lost));
+        } else if entry.version <= self.view.revision {
+            plan.order(Verb::Start, &task, run.attempt, None);
+        }
+    }
+}
+
+/// Whether something on the machine has to end: its lease must not be renewed by
+/// a controller that cannot order that yet. A cancelled task would outlive
+/// `cancel_s` if its holder came back again and again before it could claim the
+/// machine.
+pub fn must_stop(report: &Report, view: &View) -> bool {
+    let reported = report.tasks.iter().any(|task| {
+        let Some((id, number)) = split_task(&task.task) else {
+            return false;
+        };
+        let job = view.jobs.get(id).map(|e| &e.value);
+        let stays = job.is_some_and(|job| {
+            job.is_open() && job.find(&report.machine, task.attempt, number).is_some()
+        });
+        task.stage != TaskStage::Ended && !stays
+    });
+    let mut booked = view.jobs_on(&report.machine);
+    reported || booked.any(|(_, entry)| !entry.value.is_open())
+}
+
+/// The stops that an answer which renews the lease has to carry: for every task
+/// in that very report whose job is cancelled. What is final needs neither a
+/// report under our token nor a view that has reached our claim, and a stop may
+/// be repeated at any time: it is not left out because it was ordered a moment
+/// ago, or is in a direct call just now, as neither may ever arrive.
+pub fn stops_of_cancelled(report: &Report, view: &View) -> Vec<Order> {
+    let cancelled = |task: &&TaskReport| {
+        let job = split_task(&task.task).and_then(|(id, _)| view.jobs.get(id));
+        task.stage != TaskStage::Ended && job.is_some_and(|e| e.value.fin == Final::Cancelled)
+    };
+    let stop = |task: &TaskReport| Order {
+        verb: Verb::Stop,
+        task: task.task.clone(),
+        attempt: task.attempt,
+        grace_s: Some(0.0),
+    };
+    report.tasks.iter().filter(cancelled).map(stop).collect()
+}
--- /dev/null
+++ b/src/workers/rooms.rs
@@ -0,0 +1,339 @@
+//! Publishes which machines take work, and what room they have: the parts of the
+//! zones' records, where these differ from what this controller knows of the
+//! machines that it holds.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::draft::{COMMIT_BYTES, GUARDS_PER_WRITE};
+use crate::model::{Life, Machine, Part, Room, Slot, split_task};
+use crate::node::{Node, guard};
+use crate::store::{Class, StoreError};
+use crate::view::{View, part_key};
+use crate::wire::{Guard, Report, TaskReport, TaskStage};
+
+use super::Hand;
+use super::parts::{Conditions, PartEdit, choose_part};
+
+/// A part's record is published at most once in this time, unless machines join.
+const INTERVAL: Duration = Duration::from_secs(5);
+
+/// The share of a lease after which a silent machine takes no new work.
+const QUIET_SHARE: f64 = 0.6;
+
+/// When each part's record was last published here.
+type Published = HashMap<String, Instant>;
+
+/// Publishes the room of held machines where the parts' records differ.
+pub async fn keep_rooms(node: Rc<Node>) {
+    let mut published = Published::new();
+    let mut joined: Option<Instant> = None;
+    loop {
+        gather(&node, joined).await;
+        if !node.has_state() {
+            continue;
+        }
+        published.retain(|_, t| t.elapsed() < INTERVAL);
+        let mut changes = room_changes(&node, &published);
+        if changes.is_empty() {
+            continue;
+        }
+        // A machine that is in no record is rented for nothing, and work that
+        // is sent to a silent one waits for its lease: neither stands behind
+        // the rounds, which would have the whole budget while work waits.
+        let mut class = Class::Room;
+        if changes.iter().any(|c| c.members) {
+            class = Class::Claim;
+            joined = Some(Instant::now());
+            node.store.ready(class, changes.len()).await;
+            changes = room_changes(&node, &published);
+        }
+        let now = Instant::now();
+        published.extend(changes.iter().map(|c| (c.id.clone(), now)));
+        publish(&node, class, changes, &mut published).await;
+    }
+}
+
+/// Waits until room has changed. Machines that can take work from now on gather
+/// for a moment, and while many of them boot for a little longer: each time costs
+/// a write a part.
+async fn gather(node: &Node, joined: Option<Instant>) {
+    let moment = node.request_gap() * 4;
+    let apart = node.settings.report() / 4;
+    let _ = timeout(node.settings.report() / 3, node.rooms_wanted.notified()).await;
+    let since = joined.map_or(apart, |t| t.elapsed());
+    sleep(moment.max(apart.saturating_sub(since))).await;
+}
+
+/// Commits the changes; where others were quicker, those that do not conflict.
+async fn publish(
+    node: &Node,
+    class: Class,
+    mut changes: Vec<RoomChange>,
+    published: &mut Published,
+) {
+    while !changes.is_empty() {
+        let (guards, writes) = {
+            let view = node.view.borrow();
+            let writes = changes.iter().map(|c| view.put_part(&c.id, &c.part));
+            (all_guards(&changes), writes.collect())
+        };
+        match node.commit(class, guards, writes).await {
+            Ok(_) => return,
+            Err(StoreError::Conflict(keys)) => {
+                // A booking was quicker there; the others go on.
+                tracing::debug!(?keys, "room not published");
+                let known = changes.len();
+                drop_conflicting(&mut changes, &keys, published);
+                node.hurry();
+                node.rooms_wanted.notify_one();
+                // Where slots were put by what other parts of the commit hold,
+                // all of it is chosen anew.
+                if changes.len() == known || node.view.borrow().is_short() {
+                    return;
+                }
+            }
+            Err(error) => {
+                tracing::debug!(%error, "room not published");
+                return;
+            }
+        }
+    }
+}
+
+fn all_guards(changes: &[RoomChange]) -> Vec<Guard> {
+    let guards = changes.iter().flat_map(|c| c.guards.iter().cloned());
+    let mut guards: Vec<Guard> = guards.collect();
+    guards.sort_by(|a, b| a.key.cmp(&b.key));
+    guards.dedup_by(|a, b| a.key == b.key);
+    guards
+}
+
+fn drop_conflicting(changes: &mut Vec<RoomChange>, keys: &[String], published: &mut Published) {
+    changes.retain(|change| {
+        let failed = change.guards.iter().any(|g| keys.contains(&g.key));
+        if failed {
+            published.remove(&change.id);
+        }
+        !failed
+    });
+}
+
+/// A part's record as it should be.
+struct RoomChange {
+    id: String,
+    part: Part,
+    /// Machines join or leave.
+    members: bool,
+    /// All that has to be as it is.
+    guards: Vec<Guard>,
+}
+
+/// Parts of the zones' records that differ from what this controller knows of
+/// the machines that it holds; as many as one commit takes.
+fn room_changes(node: &Node, recent: &Published) -> Vec<RoomChange> {
+    let now = node.pulse();
+    let view = node.view.borrow();
+    let hands = node.hands.borrow();
+    let suspects = crate::fleet::suspects(node, &view, &hands);
+    let mut planner = RoomPlanner::new(node, &view, suspects, now);
+    for (id, hand) in hands.iter() {
+        let Some(machine) = view.machines.get(id).map(|e| &e.value) else {
+            continue;
+        };
+        if machine.incarnation != node.incarnation || machine.token != hand.token {
+            continue;
+        }
+        match planner.listing(id, hand, machine) {
+            Listing::Unknown => {}
+            Listing::TakesNone => planner.plan(id, machine, None, recent),
+            Listing::Takes(slot) => planner.plan(id, machine, Some(slot), recent),
+        }
+    }
+    planner.into_changes()
+}
+
+/// What a part's record should say of a machine.
+enum Listing {
+    /// Not known yet: the record stays as it is.
+    Unknown,
+    /// It takes no new work.
+    TakesNone,
+    Takes(Slot),
+}
+
+/// Plans one commit of changed parts.
+struct RoomPlanner<'a> {
+    node: &'a Node,
+    view: &'a View,
+    suspects: HashSet<String>,
+    now: Instant,
+    most_parts: usize,
+    most_guards: usize,
+    /// What the slots that are put somewhere depend on.
+    conditions: Conditions,
+    /// The keys of these conditions, by part.
+    condition_keys: BTreeMap<String, BTreeSet<String>>,
+    edits: BTreeMap<String, PartEdit>,
+}
+
+impl<'a> RoomPlanner<'a> {
+    fn new(node: &'a Node, view: &'a View, suspects: HashSet<String>, now: Instant) -> Self {
+        // Records that stand in the longer text may be as long as ever.
+        let longest = match view.is_short() {
+            true => node.settings.value_bytes(),
+            false => node.settings.longest_value(),
+        };
+        let most_parts = node.settings.txn_ops().min((COMMIT_BYTES / longest).max(1));
+        RoomPlanner {
+            node,
+            view,
+            suspects,
+            now,
+            most_parts,
+            most_guards: most_parts * (GUARDS_PER_WRITE - 1),
+            conditions: Conditions::new(),
+            condition_keys: BTreeMap::new(),
+            edits: BTreeMap::new(),
+        }
+    }
+
+    fn listing(&self, id: &str, hand: &Hand, machine: &Machine) -> Listing {
+        let hears = hand.deaf_since.is_none();
+        if machine.life != Life::Active || self.is_quiet(id, hand) || !hears {
+            return Listing::TakesNone;
+        }
+        let kind = self.view.type_of(&machine.kind);
+        let (Some(report), Some(kind)) = (&hand.report, kind) else {
+            return Listing::Unknown;
+        };
+        let unbooked = self.unbooked(id, report);
+        Listing::Takes(Slot {
+            kind: machine.kind.clone(),
+            spot: machine.spot,
+            free: Room::of_type(kind) - self.view.booked_on(id) - unbooked,
+            unbooked,
+        })
+    }
+
+    /// What has not been heard for most of a lease takes no new work until it is
+    /// heard again; nor does a machine that is suspected of failing tasks.
+    fn is_quiet(&self, id: &str, hand: &Hand) -> bool {
+        let settings = &self.node.settings;
+        let since = |t: Instant| self.now.saturating_duration_since(t);
+        let unshown = hand.report.is_none() && since(hand.claimed) > settings.report() * 2;
+        let silent = since(hand.beat) > settings.lease().mul_f64(QUIET_SHARE);
+        unshown || silent || self.suspects.contains(id)
+    }
+
+    /// Tasks that nobody has booked here take room until they are gone.
+    fn unbooked(&self, id: &str, report: &Report) -> Room {
+        let mut unbooked = Room::default();
+        let needs = |task: &TaskReport| {
+            let (job, number) = split_task(&task.task)?;
+            let job = &self.view.jobs.get(job)?.value;
+            let here = job.find(id, task.attempt, number).is_some();
+            let ended = task.stage == TaskStage::Ended;
+            job.spec
+                .as_ref()
+                .filter(|_| !here && !ended)
+                .map(|s| s.need)
+        };
+        for need in report.tasks.iter().filter_map(needs) {
+            unbooked += need;
+        }
+        unbooked
+    }
+
+    /// Puts the machine's slot into its part's record, or takes it out, where the
+    /// record differs and the commit has room for it.
+    fn plan(&mut self, id: &str, machine: &Machine, slot: Option<Slot>, recent: &Published) {
+        let known = self.view.slot(id);
+        // Room alone is no reason to write: bookings are known to all.
+        let same = match (known, &slot) {
+            (Some(a), Some(b)) => a.unbooked == b.unbooked,
+            (None, None) => true,
+            _ => false,
+        };
+        if same {
+            return;
+        }
+        let Some(part) = self.part_of(id, machine, slot.as_ref()) else {
+            return;
+        };
+        // A machine that joins does not wait for the interval.
+        let joins = known.is_none();
+        let full = self.edits.len() == self.most_parts && !self.edits.contains_key(&part);
+        if full || (recent.contains_key(&part) && !joins) {
+            return;
+        }
+        let members = known.is_some() != slot.is_some();
+        self.edit(part, id, slot, members);
+    }
+
+    /// The part that the machine stands in, or is put into.
+    fn part_of(&mut self, id: &str, machine: &Machine, slot: Option<&Slot>) -> Option<String> {
+        if let Some(part) = self.view.part_of(id) {
+            return Some(part.to_string());
+        }
+        let choice = choose_part(self.view, &self.edits, id, machine, slot)?;
+        if self.conditions.len() + choice.conditions.len() > self.most_guards {
+            return None;
+        }
+        for (key, version) in choice.conditions {
+            self.conditions.insert(key.clone(), version);
+            let keys = self.condition_keys.entry(choice.part.clone());
+            keys.or_default().insert(key);
+        }
+        Some(choice.part)
+    }
+
+    fn edit(&mut self, part: String, id: &str, slot: Option<Slot>, members: bool) {
+        let view = self.view;
+        let edit = self.edits.entry(part).or_insert_with_key(|part| PartEdit {
+            record: view
+                .parts
+                .get(part)
+                .map(|e| e.value.clone())
+                .unwrap_or_default(),
+            members: false,
+        });
+        edit.members |= members;
+        let Some(slot) = slot else {
+            edit.record.machines.remove(id);
+            return;
+        };
+        let unbooked = !slot.unbooked.is_empty();
+        edit.record.machines.insert(id.to_string(), slot);
+        // What nobody has booked is told only where there is room for it: a
+        // machine that is not listed takes no work meanwhile.
+        if unbooked && !view.fits_part(&edit.record) {
+            edit.record.machines.remove(id);
+        }
+    }
+
+    fn into_changes(mut self) -> Vec<RoomChange> {
+        let edits = std::mem::take(&mut self.edits);
+        let changes = edits.into_iter().map(|(id, edit)| RoomChange {
+            guards: self.guards(&id),
+            id,
+            part: edit.record,
+            members: edit.members,
+        });
+        changes.collect()
+    }
+
+    /// What must be as it is for the change of a part to hold.
+    fn guards(&self, part: &str) -> Vec<Guard> {
+        let mut guards = vec![guard(part_key(part), self.view.part_version(part))];
+        let keys = self.condition_keys.get(part).into_iter().flatten();
+        guards.extend(keys.map(|key| {
+            let version = self.conditions.get(key).copied().unwrap_or(0);
+            guard(key.clone(), version)
+        }));
+        guards
+    }
+}
--- /dev/null
+++ b/src/workers/session.rs
@@ -0,0 +1,233 @@
+//! What a controller knows of each worker whose machine it holds.
+//!
+//! A machine is held from the commit of a claim until another controller claims
+//! it. The record here lives in memory only: it counts from the claim on, and what
+//! a report proves holds for the token under which the report was made.
+
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::node::skipped;
+use crate::settings::CLOCK_DRIFT;
+use crate::wire::{Order, Report, Verb};
+
+/// What this controller knows of a machine that it holds, from the claim of its
+/// token on.
+#[derive(Debug)]
+pub struct Hand {
+    /// The token under which we claimed it.
+    pub token: u64,
+    /// The revision of that claim: the view must have reached it, or bookings
+    /// that an earlier holder acted on may be missing from it.
+    pub claimed_at: u64,
+    /// The newest report by (session, seq) that was made under our token.
+    pub report: Option<Report>,
+    /// When the worker last sent anything, a heartbeat or an answer.
+    pub heard: Instant,
+    /// When the last heartbeat came. A worker that answers direct orders but
+    /// opens no connection of its own is heard, and its lease runs out all the same.
+    pub beat: Instant,
+    /// When this controller claimed it.
+    pub claimed: Instant,
+    /// When a heartbeat was last answered with 200; at first, the time of the claim.
+    pub answered: Instant,
+    /// A direct `/orders` call is under way.
+    pub in_flight: bool,
+    /// A direct call with launches got no answer: they may be executed late, as
+    /// long as the worker has not seen a higher token.
+    pub unresolved: bool,
+    /// The (session, seq) of the newest heartbeat whose answer carried launches;
+    /// until a newer heartbeat has come it is not known whether the worker has
+    /// executed them.
+    pub offered: Option<(u64, u64)>,
+    /// The (task, attempt) pairs whose launch was ordered under this token.
+    pub launched: HashSet<(String, u64)>,
+    /// Stops that were ordered: when, and with how much grace.
+    pub stopped: HashMap<(String, u64), (Instant, f64)>,
+    /// Jobs whose tasks failed here since the last one that was done.
+    pub failed_jobs: BTreeSet<String>,
+    /// The earliest time of the next direct call.
+    pub quiet_until: Instant,
+    /// The newest heartbeat, whatever its token. A worker has one in flight at
+    /// most: an older one is a late copy, and nobody waits for its answer.
+    pub newest_beat: (u64, u64),
+    /// The worker's session, and when this controller first saw it.
+    pub session: Option<(u64, Instant)>,
+    /// Since when its reports have arrived while answers and orders have not.
+    pub deaf_since: Option<Instant>,
+    /// It was silent for a whole lease: that it reports again does not tell
+    /// whether answers reach it. Its reports count once it has answered a direct
+    /// call or shown a newer token.
+    pub doubted: bool,
+}
+
+impl Hand {
+    /// A machine that was claimed under `token` by the commit of this revision.
+    pub fn new(token: u64, claimed_at: u64, now: Instant) -> Self {
+        Hand {
+            token,
+            claimed_at,
+            report: None,
+            heard: now,
+            beat: now,
+            claimed: now,
+            answered: now,
+            in_flight: false,
+            unresolved: false,
+            offered: None,
+            launched: HashSet::new(),
+            stopped: HashMap::new(),
+            failed_jobs: BTreeSet::new(),
+            quiet_until: now,
+            newest_beat: (0, 0),
+            session: None,
+            deaf_since: None,
+            doubted: false,
+        }
+    }
+
+    /// Takes over what does not depend on the token from the claim before this.
+    pub fn follow(&mut self, earlier: &Hand) {
+        self.failed_jobs.clone_from(&earlier.failed_jobs);
+        self.newest_beat = earlier.newest_beat;
+        self.beat = earlier.beat;
+        self.session = earlier.session;
+        self.deaf_since = earlier.deaf_since;
+    }
+
+    /// Takes a gap in which this process did not run out of every span of
+    /// silence; the proof by silence only comes later by it. The time of the last
+    /// answer stays: that a lease ran out in the gap does not show that answers
+    /// fail to reach the worker.
+    pub fn skip(&mut self, gap: Duration, now: Instant) {
+        for at in [&mut self.heard, &mut self.beat, &mut self.claimed] {
+            *at = skipped(*at, gap, now);
+        }
+        self.deaf_since = self.deaf_since.map(|t| skipped(t, gap, now));
+        self.session = self.session.map(|(s, t)| (s, skipped(t, gap, now)));
+    }
+
+    /// Notes that a heartbeat has come; false for a late copy, which proves
+    /// nothing: neither that the machine is alive, nor what runs there.
+    pub fn hear(&mut self, report: &Report, lease: Duration, now: Instant) -> bool {
+        let at = (report.session, report.seq);
+        if at <= self.newest_beat {
+            return false;
+        }
+        self.newest_beat = at;
+        self.beat = now;
+        self.see(report, lease, now);
+        true
+    }
+
+    /// Notes what a report of either kind, a heartbeat or an answer to a direct
+    /// call, says of the worker's session.
+    pub fn see(&mut self, report: &Report, lease: Duration, now: Instant) {
+        self.heard = now;
+        let since = |t: Instant| now.saturating_duration_since(t);
+        // A worker that receives our answers keeps its session, and shows our
+        // token within a lease.
+        let unshown = report.token < self.token && since(self.claimed) > lease;
+        match self.session {
+            Some((s, _)) if s < report.session => {
+                // Whatever was ordered in the earlier session is gone, and late
+                // orders for it are refused.
+                self.unresolved = false;
+                self.offered = None;
+                if since(self.answered) < lease && report.token == self.token {
+                    self.deaf_since = self.deaf_since.or(Some(now));
+                }
+                self.session = Some((report.session, now));
+            }
+            Some((_, first)) if !unshown && since(first) > lease.mul_f64(1.25) => {
+                self.deaf_since = None;
+            }
+            Some(_) => {}
+            None => self.session = Some((report.session, now)),
+        }
+        // A worker that cannot reach us has no lease, however well our orders
+        // reach it: what is started there ends with each session.
+        let mute = since(self.beat) > lease;
+        if unshown || mute {
+            self.deaf_since = self.deaf_since.or(Some(now));
+        }
+    }
+
+    /// Takes a report if it is newer than what is known and was made under
+    /// our token; true if it was taken. Safety 3: an older report proves nothing about what has
+    /// been launched since.
+    pub fn take(&mut self, report: Report, is_beat: bool) -> bool {
+        if report.token != self.token {
+            return false;
+        }
+        if is_beat && self.doubted {
+            return false;
+        }
+        self.doubted = false;
+        let at = (report.session, report.seq);
+        if let Some(old) = &self.report
+            && at <= (old.session, old.seq)
+        {
+            return false;
+        }
+        // A heartbeat newer than the one whose answer carried launches was made
+        // after that answer was executed or dropped.
+        if is_beat && self.offered.is_some_and(|o| at > o) {
+            self.offered = None;
+        }
+        let here: HashSet<(&str, u64)> = report
+            .tasks
+            .iter()
+            .map(|t| (t.task.as_str(), t.attempt))
+            .collect();
+        self.stopped
+            .retain(|(task, attempt), _| here.contains(&(task.as_str(), *attempt)));
+        self.report = Some(report);
+        true
+    }
+
+    /// True when the newest report is newer than every launch, so that a task
+    /// that it lacks is not on the machine.
+    pub(super) fn settled(&self) -> bool {
+        !self.in_flight && !self.unresolved && self.offered.is_none()
+    }
+
+    /// Notes what the worker is about to be told.
+    pub(super) fn note_orders(&mut self, orders: &[Order], now: Instant) {
+        for order in orders {
+            let attempt = (order.task.clone(), order.attempt);
+            match order.verb {
+                Verb::Start => _ = self.launched.insert(attempt),
+                Verb::Stop => {
+                    let grace_s = order.grace_s.unwrap_or(0.0);
+                    self.stopped.insert(attempt, (now, grace_s));
+                }
+                Verb::Forget => _ = self.launched.remove(&attempt),
+            }
+        }
+    }
+
+    /// Takes back what was noted of orders that were surely not sent.
+    pub(super) fn withdraw_orders(&mut self, orders: &[Order]) {
+        for order in orders {
+            let attempt = (order.task.clone(), order.attempt);
+            match order.verb {
+                Verb::Start => _ = self.launched.remove(&attempt),
+                Verb::Stop | Verb::Forget => _ = self.stopped.remove(&attempt),
+            }
+        }
+    }
+
+    /// Safety 3, last case: this controller has held the machine throughout, the
+    /// worker has shown its token, and it has not renewed the lease for its whole
+    /// length. No launch may be under way: a hanging machine would execute it.
+    pub fn lease_is_over(&self, lease: Duration, margin: Duration, now: Instant) -> bool {
+        let span = lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT) + margin;
+        self.report.is_some()
+            && self.settled()
+            && now.saturating_duration_since(self.answered) > span
+            && now.saturating_duration_since(self.heard) > span
+    }
+}
--- /dev/null
+++ b/src/workers/termination.rs
@@ -0,0 +1,124 @@
+//! Ends of tasks: what proves that an attempt is over, and the queue of those that
+//! are to be recorded.
+
+use crate::model::{Life, Outcome};
+use crate::node::Node;
+use crate::view::View;
+
+/// A task's attempt on a machine whose booking is to be released.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndKey {
+    /// The id of the job.
+    pub job: String,
+    /// The machine on which the task was booked.
+    pub machine: String,
+    /// The attempt under which it was launched.
+    pub attempt: u64,
+    /// The number of the task within the job.
+    pub task: u32,
+}
+
+/// An end that is to be recorded, and the token under which it was proven. A
+/// controller that loses a machine and claims it again may have let another launch
+/// the same attempt there meanwhile: what was proven before the new claim is void.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Proof {
+    /// How the attempt ended.
+    pub outcome: Outcome,
+    /// The token of the claim under which that was proven.
+    pub token: u64,
+}
+
+impl Node {
+    /// Queues ends for the next commit that records some.
+    pub(super) fn queue_ends(&self, ends: Vec<(EndKey, Outcome)>) {
+        if ends.is_empty() {
+            return;
+        }
+        for (key, outcome) in ends {
+            self.queue_end(key, outcome);
+        }
+        self.ends_wanted.notify_one();
+    }
+
+    fn queue_end(&self, key: EndKey, outcome: Outcome) {
+        let mut hands = self.hands.borrow_mut();
+        let mut queue = self.ends.borrow_mut();
+        let hand = hands.get_mut(&key.machine);
+        // Of a machine that is not held only the cloud's word proves an end.
+        let token = hand.as_ref().map_or(0, |h| h.token);
+        if queue.get(&key).is_some_and(|proof| proof.token >= token) {
+            return;
+        }
+        if let Some(hand) = hand {
+            match outcome {
+                Outcome::Failed => _ = hand.failed_jobs.insert(key.job.clone()),
+                Outcome::Done => hand.failed_jobs.clear(),
+                Outcome::Lost => {}
+            }
+        }
+        tracing::debug!(
+            job = key.job,
+            task = key.task,
+            attempt = key.attempt,
+            machine = key.machine,
+            ?outcome,
+            "ended"
+        );
+        queue.insert(key, Proof { outcome, token });
+    }
+}
+
+/// Releases the bookings on machines whose worker's lease is surely over.
+pub fn release_silent(node: &Node) {
+    let now = node.pulse();
+    let (lease, margin) = (node.settings.lease(), node.settings.margin());
+    let mut lost = Vec::new();
+    {
+        let mut hands = node.hands.borrow_mut();
+        let view = node.view.borrow();
+        for (id, hand) in hands.iter_mut() {
+            let held = view.machines.get(id).is_some_and(|m| {
+                m.value.token == hand.token && m.value.incarnation == node.incarnation
+            });
+            if !held || !hand.lease_is_over(lease, margin, now) {
+                continue;
+            }
+            tracing::info!(machine = id, "silent for a whole lease: its tasks are gone");
+            lost.extend(all_bookings(&view, id));
+            // What it reports next counts as a new beginning.
+            hand.report = None;
+            hand.doubted = true;
+            hand.launched.clear();
+        }
+    }
+    node.queue_ends(lost);
+}
+
+/// Releases the bookings on machines that the cloud has confirmed as gone.
+pub fn release_gone(node: &Node) {
+    let lost: Vec<_> = {
+        let view = node.view.borrow();
+        let machines = view.machines.iter();
+        let gone = machines.filter(|(_, m)| m.value.life == Life::Gone);
+        gone.flat_map(|(id, _)| all_bookings(&view, id)).collect()
+    };
+    node.queue_ends(lost);
+}
+
+/// Every attempt that is booked on a machine, as lost.
+fn all_bookings(view: &View, machine: &str) -> Vec<(EndKey, Outcome)> {
+    let mut all = Vec::new();
+    for (job, entry) in view.jobs_on(machine) {
+        for run in entry.value.runs.iter().filter(|r| r.machine == machine) {
+            let keys = run.tasks.iter().map(|task| EndKey {
+                job: job.to_string(),
+                machine: machine.to_string(),
+                attempt: run.attempt,
+                task,
+            });
+            all.extend(keys.map(|key| (key, Outcome::Lost)));
+        }
+    }
+    all
+}
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -4,14 +4,18 @@
 #[allow(dead_code)]
 mod stand_ins;
 
+use std::cell::Cell;
+use std::rc::Rc;
 use std::time::Duration;
 
 use serde_json::json;
+use shelfhoist::http::{CallError, Client, Deadlines, Handler, Response, ServerLimits, serve};
 use shelfhoist::machines::Plan;
+use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
 use shelfhoist::wire::{Order, Verb};
-use stand_ins::{Shape, World, in_world, job};
-use tokio::time::sleep;
+use stand_ins::{Shape, World, addr, in_world, job};
+use tokio::time::{Instant, sleep};
 
 fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
@@ -102,12 +106,62 @@
     }
 }
 
+/// A call is not sent after the time by which it must be, however long its answer
+/// may take; an answer that comes after that time is taken all the same.
+#[test]
+fn a_call_is_sent_in_time_or_not_at_all() {
+    // By when it must be sent and answered, from now; whether it arrives.
+    let cases = [
+        ("in time", 1.0, 4.0, true),
+        ("no longer to be sent", 0.0, 4.0, false),
+        ("neither", 0.0, 0.0, false),
+    ];
+    in_world(|| async move {
+        let fabric = Rc::new(Fabric::default());
+        let worker = addr("10.1.0.1:1");
+        let arrived = Rc::new(Cell::new(0));
+        let count = arrived.clone();
+        let handler: Handler = Rc::new(move |_| {
+            count.set(count.get() + 1);
+            Box::pin(async {
+                sleep(secs(2.0)).await;
+                Response::empty(200)
+            })
+        });
+        let limits = ServerLimits {
+            connections: 4,
+            idle: secs(60.0),
+            arrive: secs(5.0),
+            stays: |_| true,
+        };
+        let net = Net::Fabric(fabric.clone(), worker);
+        let listener = net.listen(worker).await.expect("listen");
+        tokio::task::spawn_local(serve(listener, limits, handler));
+        let client = Client::new(Net::Fabric(fabric, addr("10.1.0.2:1")), secs(30.0));
+        for (name, send_s, answer_s, expected) in cases {
+            arrived.set(0);
+            let now = Instant::now();
+            let deadlines = Deadlines {
+                send: now + secs(send_s),
+                answer: now + secs(answer_s),
+            };
+            let call = client.call_within(worker, "POST", "/orders", None, deadlines);
+            match call.await {
+                Ok(answer) => assert!(expected && answer.status == 200, "{name}"),
+                Err(CallError::NotSent(_)) => assert!(!expected, "{name}"),
+                Err(error) => panic!("{name}: {error}"),
+            }
+            assert_eq!(arrived.get(), usize::from(expected), "{name}");
+        }
+    });
+}
+
 /// A machine hangs for a little longer than its lease and comes back without the
 /// tasks that are booked on it: its holder launches them again. Shortly before,
 /// the state service refuses the holder alone, and some jobs are cancelled at
 /// another controller.
 struct Comeback {
-    world: std::rc::Rc<World>,
+    world: Rc<World>,
     holder: usize,
     /// Cancelled at another controller.
     cancelled: Vec<String>,
