--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -18,4 +18,3 @@
 /// What an answer may hold, unless the client says otherwise: this bounds what
 /// a broken peer can make us hold.
 const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
-
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,6 @@
 pub mod cli;
 pub mod cloud;
 pub mod http;
-pub mod machines;
 pub mod mesh;
 pub mod model;
 pub mod net;
@@ -23,9 +22,10 @@
 pub mod text;
 pub mod view;
 pub mod wire;
+pub mod workers;
 
-// The name under which other modules still use it.
 pub use cloud as fleet;
 pub use scheduler as admission;
 pub use scheduler as draft;
 pub use scheduler as placement;
+pub use workers as machines;
