--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -13,7 +13,8 @@
 use serde_json::{Value, json};
 use shelfhoist::http::{Client, Response};
 use shelfhoist::net::Net;
-use stand_ins::{CONTROLLERS, Trouble, World, addr, after, controller, in_world, job};
+use stand_ins::{CONTROLLERS, Shape, Trouble, World, addr, after, controller, in_world, job};
+use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
 /// The longest that a request may wait where something is under way for it.
@@ -353,3 +354,197 @@
         w.assert_kept();
     });
 }
+
+/// Whatever `awaits` says, at whichever controller, whatever it names.
+#[test]
+fn lists_are_read_as_the_protocol_says() {
+    in_world(|| async {
+        let w = World::new(420).await;
+        all_goes_on(&w, 100, "before").await;
+        let mut other = job(1, "gang", 1, 300.0);
+        other["crew"] = json!("u");
+        let running = w.submit(other).await;
+        let service = w.submit(job(2, "daemon", 1, 0.0)).await;
+        w.until(&running, "running", 60).await;
+        let cases = [
+            (Value::Null, 201),
+            (json!([]), 201),
+            (json!([running]), 201),
+            (json!([running, running]), 201),
+            (json!([running, service]), 201),
+            (json!([running, null]), 400),
+            (json!([[running]]), 400),
+            (json!([""]), 400),
+            (json!(["job-1x"]), 400),
+            (json!(["JOB-000001"]), 400),
+            (json!(["job-0000000000000000001"]), 400),
+            (json!([1.5]), 400),
+            (json!(true), 400),
+            (json!(""), 400),
+            (json!({}), 400),
+            (json!([running, "job-000777"]), 422),
+        ];
+        for (n, (awaits, expected)) in (10..).zip(cases) {
+            for i in 0..CONTROLLERS {
+                let mut one = job(n, "batch", 1, 1.0);
+                one["awaits"] = awaits.clone();
+                w.remember(&one);
+                let (status, answer) = w.ask(i, "POST", "/submissions", Some(&one)).await;
+                // The first is the one that is accepted.
+                let known = expected == 201 && i > 0;
+                let expected = if known { 200 } else { expected };
+                assert_eq!(status, expected, "{awaits} at n{i}: {answer}");
+            }
+        }
+        // Of one that is accepted a repeat gets its state, whatever it says.
+        for awaits in [
+            json!(["job-000777"]),
+            json!([running]),
+            json!(["job-000010"]),
+        ] {
+            let mut again = job(10, "batch", 1, 1.0);
+            again["awaits"] = awaits.clone();
+            for i in 0..CONTROLLERS {
+                let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
+                assert_eq!(status, 200, "{awaits}");
+            }
+        }
+        w.until("job-000010", "done", 60).await;
+        w.assert_kept();
+    });
+}
+
+/// A job that was accepted a moment ago at another controller, while this one's
+/// news are slow or its state service refuses it: named, or told to come back;
+/// never refused for good.
+#[test]
+fn what_was_accepted_elsewhere_is_never_called_unknown() {
+    for (n, trouble) in ["slow", "slow to one", "refused", "unanswered"]
+        .into_iter()
+        .enumerate()
+    {
+        in_world(|| async move {
+            let w = World::new(430 + n as u64).await;
+            all_goes_on(&w, 100, "before").await;
+            {
+                let mut troubles = w.state.troubles.borrow_mut();
+                match trouble {
+                    "slow" => troubles.slow = Duration::from_millis(600),
+                    "slow to one" => {
+                        troubles.slow = Duration::from_millis(600);
+                        troubles.slow_to.insert(1);
+                    }
+                    "unanswered" => troubles.unanswered = 0.3,
+                    _ => {
+                        troubles.refused.insert(1);
+                    }
+                }
+            }
+            for k in 0..8 {
+                let first = w.submit(job(1000 + k, "batch", 1, 1.0)).await;
+                let next = after(job(1100 + k, "batch", 1, 1.0), &[&first]);
+                w.remember(&next);
+                let (status, answer) = w.ask(1, "POST", "/submissions", Some(&next)).await;
+                assert!(
+                    [200, 201, 503].contains(&status),
+                    "{trouble}: {status} {answer}"
+                );
+                let unknown = after(job(1200 + k, "batch", 1, 1.0), &["job-000777"]);
+                let (status, answer) = w.ask(1, "POST", "/submissions", Some(&unknown)).await;
+                let expected = match trouble {
+                    "refused" => &[503][..],
+                    _ => &[422, 503],
+                };
+                assert!(expected.contains(&status), "{trouble}: {status} {answer}");
+                w.submit(next).await;
+            }
+            w.state.troubles.replace(Default::default());
+            for k in 0..8 {
+                w.until(&format!("job-{:06}", 1100 + k), "done", 100).await;
+            }
+            w.assert_kept();
+        });
+    }
+}
+
+/// A list that fits a record now and not once the limits fall: refused for good
+/// where they are to fall, while what is short of that is accepted and runs; and a
+/// job that is accepted is known whatever its repeat says.
+#[test]
+fn lists_fit_the_records_of_later() {
+    in_world(|| async {
+        let w = World::new(440).await;
+        *w.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
+        for i in 0..CONTROLLERS {
+            w.kill(i);
+            w.start(i);
+        }
+        all_goes_on(&w, 100, "before").await;
+        let open = w.submit(job(1, "batch", 1, 60.0)).await;
+        let mut names = vec![open];
+        for n in 0..160 {
+            let mut one = after(job(2000 + n, "batch", 1, 0.2), &[&names[0]]);
+            one["vcpus"] = json!(0.1);
+            names.push(w.submit(one).await);
+        }
+        let list = |count: usize| {
+            names[..count]
+                .iter()
+                .map(String::as_str)
+                .collect::<Vec<_>>()
+        };
+        for (n, count, expected) in [(2, 161, 400), (3, 90, 201)] {
+            let one = after(job(n, "batch", 2, 1.0), &list(count));
+            w.remember(&one);
+            let (status, answer) = w.ask(1, "POST", "/submissions", Some(&one)).await;
+            assert_eq!(status, expected, "{count} names: {answer}");
+        }
+        let again = after(job(3, "batch", 2, 1.0), &list(161));
+        for i in 0..CONTROLLERS {
+            let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
+            assert_eq!(status, 200);
+        }
+        let mut limits = w.state.limits.get();
+        limits.value_bytes = 2048;
+        limits.txn_ops = 4;
+        w.state.limits.set(limits);
+        w.until("job-000003", "done", 300).await;
+        assert_eq!(w.state.beyond.borrow().clone(), Vec::<String>::new());
+        w.assert_kept();
+    });
+}
+
+/// Where little may be written, a withdrawal's wait for its turn is bounded too.
+#[test]
+fn a_wait_for_the_write_budget_is_bounded() {
+    in_world(|| async {
+        let shape = Shape {
+            state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
+            ..Shape::default()
+        };
+        let w = World::of(450, shape).await;
+        let mut open = Vec::new();
+        for n in 0..40 {
+            open.push(w.submit(job(1 + n, "batch", 1, 900.0)).await);
+        }
+        let asks: Vec<_> = open
+            .into_iter()
+            .map(|id| {
+                let w = w.clone();
+                spawn_local(async move {
+                    let began = Instant::now();
+                    let told = w.withdraw(0, &id).await;
+                    (told, began.elapsed())
+                })
+            })
+            .collect();
+        let (mut told, mut longest) = (0, Duration::ZERO);
+        for ask in asks {
+            let (answer, took) = ask.await.expect("an answer");
+            told += usize::from(answer.is_some());
+            longest = longest.max(took);
+        }
+        assert!(longest < LONGEST_WAIT, "{longest:?}");
+        assert!((1..40).contains(&told), "{told} were told: no shortage");
+    });
+}
