--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -5,21 +5,45 @@
 
 use rand::Rng;
 use tokio::sync::oneshot;
-use tokio::time::Instant;
+use tokio::time::{Instant, sleep};
 
-use super::users::is_given_up;
+use super::users::is_hopeless;
 use crate::model::{Arrivals, Job, Spec};
 use crate::node::{Node, guard, put};
 use crate::store::{Class, StoreError};
 use crate::view::{arrivals_key, job_key};
-use crate::wire::Guard;
+use crate::wire::{Guard, Write};
 
-/// A submission that waits to be accepted, and who waits for that: true when
-/// it is, false when its id is known already.
+/// What became of a submission that was to be accepted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Acceptance {
+    /// It has been committed.
+    Committed,
+    /// Its id was accepted before.
+    KnownBefore,
+}
+
+/// A submission that waits to be accepted, and who waits for that. It is dropped
+/// when acceptance is given up.
 pub struct Arrival {
     pub(super) id: String,
     pub(super) spec: Spec,
-    pub(super) done: oneshot::Sender<bool>,
+    pub(super) done: oneshot::Sender<Acceptance>,
+}
+
+impl Arrival {
+    fn answer(self, acceptance: Acceptance) {
+        // Its user may have gone.
+        let _ = self.done.send(acceptance);
+    }
+
+    /// The bytes that it takes in a record of arrivals.
+    fn bytes(&self) -> Option<usize> {
+        // The quotes, the colon and the comma.
+        let marks = 4;
+        let spec = serde_json::to_vec(&self.spec).ok()?;
+        Some(spec.len() + self.id.len() + marks)
+    }
 }
 
 /// Accepts submissions, as many at once as have gathered while the budget or
@@ -32,23 +56,23 @@
         while !node.arrivals.borrow().is_empty() {
             node.store.ready(Class::Accept, 1).await;
             let begun = Instant::now();
-            accept_some(&node).await;
-            tokio::time::sleep(gather.saturating_sub(begun.elapsed())).await;
+            let batch = take_batch(&node);
+            if !batch.is_empty() {
+                commit_batch(&node, batch).await;
+            }
+            sleep(gather.saturating_sub(begun.elapsed())).await;
         }
     }
 }
 
-async fn accept_some(node: &Node) {
-    let ops = node.settings.txn_ops();
-    let most = node.settings.value_bytes() * 9 / 10;
-    let mut taken: Vec<Arrival> = Vec::new();
-    let mut arrivals = Arrivals {
-        born: node.view.borrow().revision,
-        jobs: BTreeMap::new(),
-    };
-    let mut bytes = 0;
+/// Takes as many of those that wait as one record and one commit hold.
+fn take_batch(node: &Node) -> Vec<Arrival> {
     // Each is a condition, and the record of all of them one more.
-    while taken.len() < ops * 2 {
+    let most_jobs = node.settings.txn_ops() * 2;
+    let most_bytes = node.settings.value_bytes() * 9 / 10;
+    let mut batch: Vec<Arrival> = Vec::new();
+    let mut bytes = 0;
+    while batch.len() < most_jobs {
         let Some(next) = node.arrivals.borrow_mut().pop_front() else {
             break;
         };
@@ -56,66 +80,81 @@
         if next.done.is_closed() {
             continue;
         }
-        let known = {
-            let view = node.view.borrow();
-            let twice = arrivals.jobs.contains_key(&next.id);
-            twice || view.jobs.contains_key(&next.id)
-        };
-        if known {
-            let _ = next.done.send(false);
+        let is_twice = batch.iter().any(|a| a.id == next.id);
+        if is_twice || node.view.borrow().jobs.contains_key(&next.id) {
+            next.answer(Acceptance::KnownBefore);
             continue;
         }
-        bytes += serde_json::to_vec(&next.spec).map_or(most, |v| v.len()) + next.id.len() + 4;
-        if bytes > most && !taken.is_empty() {
+        bytes += next.bytes().unwrap_or(most_bytes);
+        if bytes > most_bytes && !batch.is_empty() {
             node.arrivals.borrow_mut().push_front(next);
             break;
         }
-        arrivals.jobs.insert(next.id.clone(), next.spec.clone());
-        taken.push(next);
+        batch.push(next);
     }
-    let mut guards: Vec<Guard> = taken.iter().map(|a| guard(job_key(&a.id), 0)).collect();
-    let write = match taken.as_slice() {
-        [] => return,
-        [one] => put(job_key(&one.id), &Job::new(one.spec.clone(), arrivals.born)),
-        _ => {
-            let number = node.rng.borrow_mut().random::<u64>();
-            let key = arrivals_key(&format!("{}-{number:x}", node.name()));
-            guards.push(guard(key.clone(), 0));
-            put(key, &arrivals)
-        }
-    };
+    batch
+}
+
+/// Commits a batch, and tells those who wait.
+async fn commit_batch(node: &Node, batch: Vec<Arrival>) {
+    let (guards, write) = batch_commit(node, &batch);
     match node.commit(Class::Accept, guards, vec![write]).await {
         Ok(_) => {
-            tracing::debug!(jobs = taken.len(), "accepted");
-            for one in taken {
-                let _ = one.done.send(true);
-            }
-        }
-        Err(StoreError::Conflict(keys)) => {
-            // Those are known by now, to another controller or by a commit of
-            // our own that got no answer; the rest go into the next commit.
-            for one in taken.into_iter().rev() {
-                if keys.contains(&job_key(&one.id)) {
-                    let _ = one.done.send(false);
-                } else {
-                    node.arrivals.borrow_mut().push_front(one);
-                }
+            tracing::debug!(jobs = batch.len(), "accepted");
+            for arrival in batch {
+                arrival.answer(Acceptance::Committed);
             }
         }
-        Err(error) if is_given_up(node, &error) => {
+        Err(StoreError::Conflict(keys)) => sort_out(node, batch, &keys),
+        Err(error) if is_hopeless(node, &error) => {
             tracing::debug!(%error, "not accepted: all who wait are told to come back");
-            // Without an answer to wait for, their requests end at once.
-            drop(taken);
+            drop(batch);
             node.arrivals.borrow_mut().clear();
         }
         Err(error) => {
             tracing::debug!(%error, "not accepted");
             // It may have happened. Trying again is harmless: jobs that two
             // such records name are one job.
-            for one in taken.into_iter().rev() {
-                node.arrivals.borrow_mut().push_front(one);
-            }
-            tokio::time::sleep(node.store.jitter(node.request_gap() * 4)).await;
+            put_back(node, batch);
+            sleep(node.store.jitter(node.request_gap() * 4)).await;
         }
     }
 }
+
+/// One job stands in a record of its own, several in a record of arrivals.
+fn batch_commit(node: &Node, batch: &[Arrival]) -> (Vec<Guard>, Write) {
+    let born = node.view.borrow().revision;
+    let mut guards: Vec<Guard> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
+    if let [one] = batch {
+        let job = Job::new(one.spec.clone(), born);
+        return (guards, put(job_key(&one.id), &job));
+    }
+    let jobs: BTreeMap<String, Spec> = batch
+        .iter()
+        .map(|a| (a.id.clone(), a.spec.clone()))
+        .collect();
+    let number = node.rng.borrow_mut().random::<u64>();
+    let key = arrivals_key(&format!("{}-{number:x}", node.name()));
+    guards.push(guard(key.clone(), 0));
+    (guards, put(key, &Arrivals { born, jobs }))
+}
+
+/// Those whose keys have failed are known by now, to another controller or by a
+/// commit of our own that got no answer; the rest go into the next commit.
+fn sort_out(node: &Node, batch: Vec<Arrival>, failed: &[String]) {
+    let (known, rest): (Vec<Arrival>, Vec<Arrival>) = batch
+        .into_iter()
+        .partition(|a| failed.contains(&job_key(&a.id)));
+    for arrival in known {
+        arrival.answer(Acceptance::KnownBefore);
+    }
+    put_back(node, rest);
+}
+
+/// Puts these first in line again, in their order.
+fn put_back(node: &Node, batch: Vec<Arrival>) {
+    let mut arrivals = node.arrivals.borrow_mut();
+    for arrival in batch.into_iter().rev() {
+        arrivals.push_front(arrival);
+    }
+}
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -17,6 +17,7 @@
 use crate::http::{Request, Response, ServerLimits};
 use crate::net::Listener;
 use crate::node::Node;
+use crate::ops;
 use crate::wire::Report;
 
 pub use acceptance::{Arrival, keep_accepting};
@@ -24,15 +25,21 @@
 pub use validation::{Refusal, check_submission, read_submission};
 
 use health::up;
-use users::{poll, submit, withdraw};
+use users::{query, submit, withdraw};
 
+/// How long a request may take to arrive in full.
+const ARRIVAL_LIMIT: Duration = Duration::from_secs(5);
+
+const REPORT_PATH: &str = "/agent/beat";
+
+/// Serves until dropped. Must run inside a `LocalSet`.
 pub async fn serve(node: Rc<Node>, listener: Listener) {
     let limits = ServerLimits {
         connections: node.settings.served_connections(),
         idle: node.settings.lease() * 4,
-        arrive: Duration::from_secs(5),
-        // One report connection a machine, for as long as it reports here.
-        stays: |request| request.path == "/agent/beat",
+        arrive: ARRIVAL_LIMIT,
+        // One connection a machine, for as long as it reports here.
+        stays: |request| request.path == REPORT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::Answer {
         let node = node.clone();
@@ -42,30 +49,42 @@
 }
 
 async fn route(node: &Rc<Node>, request: Request) -> Response {
-    let method = request.method.as_str();
-    let path = request.path.as_str();
-    let allowed = |m: &str| method == m;
-    match path {
-        "/up" if allowed("GET") => up(node),
-        "/agent/beat" if allowed("POST") => match serde_json::from_slice::<Report>(&request.body) {
-            Ok(report) => node.beat(report).await,
-            Err(_) => Response::error(400, "not a report"),
-        },
-        "/submissions" if allowed("POST") => submit(node, &request.body).await,
-        "/ops/teams" if allowed("GET") => crate::ops::teams(node),
-        "/ops/report" if allowed("GET") => crate::ops::report(node, &request.query),
-        _ if path.starts_with("/ops/job/") && allowed("GET") => {
-            crate::ops::job(node, path.trim_start_matches("/ops/job/"))
+    if let Some(rest) = request.path.strip_prefix("/submissions/") {
+        return route_job(node, &request.method, rest).await;
+    }
+    match (request.method.as_str(), request.path.as_str()) {
+        ("GET", "/up") => up(node),
+        ("POST", REPORT_PATH) => report(node, &request.body).await,
+        ("POST", "/submissions") => submit(node, &request.body).await,
+        ("GET", "/ops/teams") => ops::teams(node),
+        ("GET", "/ops/report") => ops::report(node, &request.query),
+        ("GET", path) if path.starts_with("/ops/job/") => {
+            ops::job(node, path.trim_start_matches("/ops/job/"))
         }
-        "/ops/teams" | "/ops/report" => Response::error(405, "method not allowed"),
-        "/up" | "/agent/beat" | "/submissions" => Response::error(405, "method not allowed"),
-        _ => match path.strip_prefix("/submissions/") {
-            Some(rest) => match rest.strip_suffix("/withdraw") {
-                Some(id) if allowed("POST") => withdraw(node, id).await,
-                None if allowed("GET") => poll(node, rest).await,
-                _ => Response::error(405, "method not allowed"),
-            },
-            None => Response::error(404, "no such path"),
-        },
+        (_, "/up" | REPORT_PATH | "/submissions" | "/ops/teams" | "/ops/report") => {
+            method_not_allowed()
+        }
+        _ => Response::error(404, "no such path"),
+    }
+}
+
+/// Routes what concerns one job; `rest` is the path behind `/submissions/`.
+async fn route_job(node: &Rc<Node>, method: &str, rest: &str) -> Response {
+    match (method, rest.strip_suffix("/withdraw")) {
+        ("POST", Some(id)) => withdraw(node, id).await,
+        ("GET", None) => query(node, rest).await,
+        _ => method_not_allowed(),
+    }
+}
+
+fn method_not_allowed() -> Response {
+    Response::error(405, "method not allowed")
+}
+
+/// `POST /agent/beat`: a worker's report.
+async fn report(node: &Rc<Node>, body: &[u8]) -> Response {
+    match serde_json::from_slice::<Report>(body) {
+        Ok(report) => node.beat(report).await,
+        Err(_) => Response::error(400, "not a report"),
     }
 }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -1,244 +1,295 @@
 //! What users ask: submission, query and withdrawal of jobs.
+//!
+//! Answers follow the commit. An answer that is not final, and 404, waits for a
+//! barrier, so that it is not older than what another controller has told. A
+//! request that cannot be served gets 503 with `Retry-After` at once.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::sync::oneshot;
-use tokio::time::{Instant, timeout};
+use tokio::time::{Instant, sleep, timeout};
 
-use super::acceptance::Arrival;
+use super::acceptance::{Acceptance, Arrival};
 use super::validation::{Refusal, check_submission, read_submission};
 use crate::http::Response;
-use crate::model::{Final, Job, is_job_id};
+use crate::model::{Final, Job, Spec, is_job_id};
 use crate::node::{Node, guard};
 use crate::settings::Settings;
 use crate::store::{Class, StoreError};
 use crate::view::{Entry, View, job_key};
-use crate::wire::{JobStage, JobState};
+use crate::wire::{JobStage, JobState, Submission};
 
-/// How long a request may wait for the state service: users wait 5 s for a
-/// submission and 2 s for a poll.
+/// The longest that a submission or a withdrawal takes; their users wait 5 s.
 const ACCEPT_WAIT: Duration = Duration::from_millis(3500);
-const POLL_WAIT: Duration = Duration::from_millis(1500);
+
+/// The longest that a query takes; its user waits 2 s.
+const QUERY_WAIT: Duration = Duration::from_millis(1500);
+
+/// Seconds after which a user may come back: as soon as the protocol allows.
+const RETRY_SOON: u32 = 1;
+
+/// The same for a user who asks more often than can be answered.
+const RETRY_SHED: u32 = 2;
+
+/// The same where an operator has to step in: the most that users follow.
+const RETRY_LATE: u32 = 30;
+
+fn state_unavailable() -> Response {
+    Response::unavailable("the state service does not answer", RETRY_SOON)
+}
 
 /// The job was accepted, but its record cannot be read.
-fn unreadable() -> Response {
-    Response::unavailable("the job's record cannot be read", 30)
+fn record_unreadable() -> Response {
+    Response::unavailable("the job's record cannot be read", RETRY_LATE)
 }
 
-fn busy() -> Response {
-    Response::unavailable("the state service does not answer", 1)
+fn no_such_job() -> Response {
+    Response::error(404, "no such job")
 }
 
+fn refused(refusal: Refusal) -> Response {
+    match refusal {
+        Refusal::Malformed(problem) => Response::error(400, &problem),
+        Refusal::Never(problem) => Response::error(422, &problem),
+        Refusal::Unknown => Response::unavailable("not decidable yet", RETRY_SOON),
+    }
+}
+
+/// What users and operators are told of a job.
+pub fn state_of<'a>(view: &View, id: &'a str) -> Option<JobState<'a>> {
+    let job = &view.jobs.get(id)?.value;
+    let booked = job.booked() as u32;
+    let (stage, running) = match view.state(id)? {
+        Final::Done => (JobStage::Done, 0),
+        Final::Cancelled => (JobStage::Cancelled, 0),
+        Final::Open if booked > 0 => (JobStage::Running, booked),
+        Final::Open => (JobStage::Queued, 0),
+    };
+    Some(JobState {
+        id,
+        stage,
+        done: Some(job.done_count()),
+        running: Some(running),
+    })
+}
+
+/// The state of a job that is over. It never changes, so it needs no barrier.
+fn final_state(node: &Node, id: &str) -> Option<Response> {
+    let view = node.view.borrow();
+    let state = state_of(&view, id).filter(JobState::is_final)?;
+    Some(Response::json(200, &state))
+}
+
+fn is_known(node: &Node, id: &str) -> bool {
+    node.view.borrow().jobs.contains_key(id)
+}
+
+/// `POST /submissions`.
 pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
     let began = Instant::now();
-    // All waits together: the user waits no longer.
-    let left = || ACCEPT_WAIT.saturating_sub(began.elapsed());
     let submission = match read_submission(body) {
-        Ok(s) => s,
-        Err(Refusal::Malformed(problem)) => return Response::error(400, &problem),
-        Err(_) => return busy(),
+        Ok(submission) => submission,
+        Err(refusal) => return refused(refusal),
+    };
+    if let Some(answer) = answer_known_job(node, &submission.id, ACCEPT_WAIT).await {
+        return answer;
+    }
+    if let Some(answer) = cannot_accept_now(node, &submission) {
+        return answer;
+    }
+    let left = || ACCEPT_WAIT.saturating_sub(began.elapsed());
+    let spec = match decide(node, &submission, left()).await {
+        Ok(spec) => spec,
+        Err(answer) => return answer,
     };
-    let id = submission.id.clone();
-    if node.view.borrow().is_unreadable_job(&id) {
-        return unreadable();
+    accept(node, &submission.id, spec, left()).await
+}
+
+/// A known job gets its state, whatever the repeated body says.
+async fn answer_known_job(node: &Node, id: &str, limit: Duration) -> Option<Response> {
+    if node.view.borrow().is_unreadable_job(id) {
+        return Some(record_unreadable());
     }
-    // A known job gets its state, whatever the repeated body says.
-    if node.view.borrow().jobs.contains_key(&id) {
-        return poll_within(node, &id, ACCEPT_WAIT).await;
+    match is_known(node, id) {
+        true => Some(query_within(node, id, limit).await),
+        false => None,
     }
-    // What cannot be taken now is refused at once, with when to come back.
-    if !node.view.borrow().loaded || !node.has_state() {
-        return busy();
+}
+
+/// What cannot be taken now is refused at once, with when to come back.
+fn cannot_accept_now(node: &Node, submission: &Submission) -> Option<Response> {
+    let view = node.view.borrow();
+    if !view.loaded || !node.has_state() {
+        return Some(state_unavailable());
     }
     // Safety 8: a program that does not know `awaits` would start the job at
     // once, and write its record back without.
     let awaits = submission.awaits.as_ref().is_some_and(|a| !a.is_empty());
-    if awaits && !node.view.borrow().upgraded() {
-        return Response::unavailable("not every controller knows awaits yet", 1);
-    }
-    let check = || check_submission(&submission, &node.settings, &node.view.borrow());
-    let mut checked = check();
-    if matches!(checked, Err(Refusal::Never(_) | Refusal::Malformed(_))) {
-        // The view may lag behind the acceptance of this very id, by a
-        // controller that knew other machine types, or behind that of one
-        // which it awaits: be sure before a no.
-        if !node.barrier_unless_refused(left()).await {
-            return busy();
-        }
-        if node.view.borrow().is_unreadable_job(&id) {
-            return unreadable();
-        }
-        if node.view.borrow().jobs.contains_key(&id) {
-            return poll_within(node, &id, POLL_WAIT).await;
-        }
-        checked = check();
+    if awaits && !view.upgraded() {
+        let problem = "not every controller knows awaits yet";
+        return Some(Response::unavailable(problem, RETRY_SOON));
     }
-    let spec = match checked {
-        Ok(spec) => spec,
-        Err(Refusal::Unknown) => return Response::unavailable("not decidable yet", 1),
-        Err(Refusal::Never(problem)) => return Response::error(422, &problem),
-        Err(Refusal::Malformed(problem)) => return Response::error(400, &problem),
-    };
-    // Safety 1: accepted means committed. The guard makes a repeat, here or
-    // on another controller, find the first one.
-    let (done, answer) = oneshot::channel();
+    None
+}
+
+/// Whether the job can be accepted; the answer to its user if not. A refusal for
+/// good is decided on a view that has passed a barrier: it may else lag behind
+/// the acceptance of this very id, by a controller that knew other machine types,
+/// or behind that of a job that it awaits.
+async fn decide(node: &Node, submission: &Submission, limit: Duration) -> Result<Spec, Response> {
+    let check = || check_submission(submission, &node.settings, &node.view.borrow());
+    match check() {
+        Ok(spec) => return Ok(spec),
+        Err(Refusal::Unknown) => return Err(refused(Refusal::Unknown)),
+        Err(Refusal::Never(_) | Refusal::Malformed(_)) => {}
+    }
+    if !node.barrier_unless_refused(limit).await {
+        return Err(state_unavailable());
+    }
+    match answer_known_job(node, &submission.id, QUERY_WAIT).await {
+        Some(answer) => Err(answer),
+        None => check().map_err(refused),
+    }
+}
+
+/// Safety 1: accepted means committed. The commit's guard makes a repeat, here or
+/// at another controller, find the first one.
+async fn accept(node: &Node, id: &str, spec: Spec, limit: Duration) -> Response {
+    let (done, committed) = oneshot::channel();
+    let owned_id = id.to_string();
     let arrival = Arrival {
-        id: id.clone(),
+        id: owned_id,
         spec,
         done,
     };
     node.arrivals.borrow_mut().push_back(arrival);
     node.arrivals_wanted.notify_one();
-    match timeout(left(), answer).await {
-        Ok(Ok(true)) => {
-            // The commit's answer may have taken long: whoever found the job
-            // meanwhile may have called it off, and been told so; or it names
-            // one that is cancelled, and is cancelled from the start.
-            let view = node.view.borrow();
-            if let Some(state) = state_of(&view, &id).filter(|s| s.is_final()) {
-                return Response::json(200, &state);
-            }
-            let state = JobState {
-                id: &id,
-                stage: JobStage::Queued,
-                done: None,
-                running: None,
-            };
-            Response::json(201, &state)
-        }
-        Ok(Ok(false)) => poll_within(node, &id, POLL_WAIT).await,
-        _ => busy(),
+    match timeout(limit, committed).await {
+        Ok(Ok(Acceptance::Committed)) => accepted(node, id),
+        Ok(Ok(Acceptance::KnownBefore)) => query_within(node, id, QUERY_WAIT).await,
+        // The loop has given it up, or takes too long.
+        Ok(Err(_)) | Err(_) => state_unavailable(),
     }
 }
 
-/// Whether nothing is gained by trying a user's commit again for now: the state
-/// service serves nothing here, or would refuse the same again.
-pub(super) fn is_given_up(node: &Node, error: &StoreError) -> bool {
-    let same_again = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
-    same_again || error.is_refusal() || !node.has_state()
-}
-
-/// What users and operators are told of a job.
-pub fn state_of<'a>(view: &View, id: &'a str) -> Option<JobState<'a>> {
-    let job = &view.jobs.get(id)?.value;
-    let running = job.booked() as u32;
-    let stage = match view.state(id)? {
-        Final::Done => JobStage::Done,
-        Final::Cancelled => JobStage::Cancelled,
-        Final::Open if running > 0 => JobStage::Running,
-        Final::Open => JobStage::Queued,
-    };
+/// The commit's answer may have taken long: whoever found the job meanwhile may
+/// have cancelled it, and been told so; or it awaits one that is cancelled, and
+/// is cancelled from the start.
+fn accepted(node: &Node, id: &str) -> Response {
+    if let Some(answer) = final_state(node, id) {
+        return answer;
+    }
     let state = JobState {
         id,
-        stage,
-        done: Some(job.done_count()),
+        stage: JobStage::Queued,
+        done: None,
         running: None,
     };
-    Some(JobState {
-        running: Some(if state.is_final() { 0 } else { running }),
-        ..state
-    })
+    Response::json(201, &state)
 }
 
-/// Whether a question is turned away: users ask more than can be answered, and
-/// this one was answered here a short while ago. Beats, claims and submissions
-/// need the processor more; but whoever asks about a job is answered now and
-/// then by every controller, or it would look forgotten.
+/// Whether a query is turned away: users ask more than can be answered, and this
+/// one was answered here a short while ago. Reports, claims and submissions need
+/// the processor more; but whoever asks about a job is answered now and then by
+/// every controller, or it would look forgotten.
 pub fn sheds(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
     let report = settings.report();
     lag > report / 8 && answered.is_some_and(|age| age < settings.lease() / 2)
 }
 
-pub(super) async fn poll(node: &Node, id: &str) -> Response {
+/// `GET /submissions/{id}`.
+pub(super) async fn query(node: &Node, id: &str) -> Response {
     let age = node.answered.borrow().get(id).map(Instant::elapsed);
-    let open = {
-        let view = node.view.borrow();
-        view.state(id) == Some(Final::Open)
-    };
-    if open && sheds(node.lag(), age, &node.settings) {
-        // At once, with when to come back.
-        return Response::unavailable("asked more often than can be answered", 2);
+    let is_open = node.view.borrow().state(id) == Some(Final::Open);
+    if is_open && sheds(node.lag(), age, &node.settings) {
+        return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
-    let response = poll_within(node, id, POLL_WAIT).await;
-    if open && response.status == 200 {
+    let response = query_within(node, id, QUERY_WAIT).await;
+    if is_open && response.status == 200 {
         let mut answered = node.answered.borrow_mut();
         answered.insert(id.to_string(), Instant::now());
     }
     response
 }
 
-async fn poll_within(node: &Node, id: &str, limit: Duration) -> Response {
+async fn query_within(node: &Node, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
-        return Response::error(404, "no such job");
+        return no_such_job();
     }
-    let known = |final_only: bool| {
-        let view = node.view.borrow();
-        let state = state_of(&view, id).filter(|s| !final_only || s.is_final());
-        state.map(|s| Response::json(200, &s))
-    };
-    // A final state never changes: it needs no barrier.
-    if let Some(response) = known(true) {
-        return response;
+    if let Some(answer) = final_state(node, id) {
+        return answer;
     }
     // Safety 1: anything else must not be older than what another controller
     // has told; 404 included. Without the state service that is not to be had,
     // and nobody is kept waiting for it.
     if !node.has_state() || !node.barrier_unless_refused(limit).await {
-        return busy();
+        return state_unavailable();
     }
-    if node.view.borrow().is_unreadable_job(id) {
-        return unreadable();
+    let view = node.view.borrow();
+    if view.is_unreadable_job(id) {
+        return record_unreadable();
+    }
+    match state_of(&view, id) {
+        Some(state) => Response::json(200, &state),
+        None => no_such_job(),
     }
-    known(false).unwrap_or_else(|| Response::error(404, "no such job"))
 }
 
+/// `POST /submissions/{id}/withdraw`.
 pub(super) async fn withdraw(node: &Rc<Node>, id: &str) -> Response {
     if !is_job_id(id) {
-        return Response::error(404, "no such job");
+        return no_such_job();
     }
-    // All waits together, that for the budget included.
-    let cancelled = timeout(ACCEPT_WAIT, cancel(node, id)).await;
-    cancelled.unwrap_or_else(|_| busy())
+    // All waits together, that for the write budget included.
+    let answer = timeout(ACCEPT_WAIT, cancel(node, id)).await;
+    answer.unwrap_or_else(|_| state_unavailable())
 }
 
-async fn cancel(node: &Rc<Node>, id: &str) -> Response {
-    let mut fresh = false;
+/// Tries until the job is over, or nothing is gained by another try.
+async fn cancel(node: &Node, id: &str) -> Response {
+    let pause = || sleep(node.store.jitter(node.request_gap() * 4));
+    let mut is_fresh = false;
     loop {
-        if let Some(state) = state_of(&node.view.borrow(), id).filter(JobState::is_final) {
-            return Response::json(200, &state);
+        if let Some(answer) = final_state(node, id) {
+            return answer;
         }
         if !node.has_state() {
-            return busy();
+            return state_unavailable();
         }
         if node.view.borrow().is_unreadable_job(id) {
-            return unreadable();
+            return record_unreadable();
         }
-        let entry = node.view.borrow().jobs.get(id).cloned();
-        match entry {
-            Some(e) => match commit_cancel(node, id, &e).await {
+        let known = node.view.borrow().jobs.get(id).cloned();
+        match known {
+            Some(job) => match commit_cancellation(node, id, &job).await {
                 Ok(response) => return response,
                 // Surely not executed: the same may be tried again.
                 Err(StoreError::Refused(429)) => {
-                    tokio::time::sleep(node.store.jitter(node.request_gap() * 4)).await;
+                    pause().await;
                     continue;
                 }
                 // It changed meanwhile: look again.
                 Err(StoreError::Conflict(_)) => {}
-                Err(error) if is_given_up(node, &error) => return busy(),
+                Err(error) if is_hopeless(node, &error) => return state_unavailable(),
                 // It may have changed.
-                Err(_) => tokio::time::sleep(node.store.jitter(node.request_gap() * 4)).await,
+                Err(_) => pause().await,
             },
-            None if fresh => return Response::error(404, "no such job"),
-            None => fresh = true,
+            None if is_fresh => return no_such_job(),
+            None => is_fresh = true,
         }
-        if !node.barrier_unless_refused(POLL_WAIT).await {
-            return busy();
+        if !node.barrier_unless_refused(QUERY_WAIT).await {
+            return state_unavailable();
         }
     }
 }
 
-async fn commit_cancel(node: &Node, id: &str, known: &Entry<Job>) -> Result<Response, StoreError> {
+/// Commits the cancellation of an open job; the answer to its user once it is.
+async fn commit_cancellation(
+    node: &Node,
+    id: &str,
+    known: &Entry<Job>,
+) -> Result<Response, StoreError> {
     let mut job = known.value.clone();
     job.cancel();
     let guards = vec![guard(job_key(id), known.version)];
@@ -253,3 +304,10 @@
     };
     Ok(Response::json(200, &state))
 }
+
+/// Whether nothing is gained by trying a user's commit again for now: the state
+/// service serves nothing here, or would refuse the same again.
+pub(super) fn is_hopeless(node: &Node, error: &StoreError) -> bool {
+    let same_again = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
+    same_again || error.is_refusal() || !node.has_state()
+}
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -4,154 +4,229 @@
 
 use crate::admission;
 use crate::model::{Final, Room, Spec, is_job_id};
-use crate::settings::Settings;
+use crate::settings::{Settings, TeamTerms};
 use crate::view::View;
 use crate::wire::{Kind, Submission};
 
-/// Why a submission is refused for good.
+/// The most tasks that a job may have.
+const MAX_TASKS: u32 = 100_000;
+
+/// The largest amount of anything: of CPUs, gigabytes or seconds.
+const MAX_AMOUNT: f64 = 1e9;
+
+/// The longest name of a class, team, image, machine type or zone, in bytes.
+const MAX_NAME_BYTES: usize = 200;
+
+/// The most machine types that a submission may name.
+const MAX_TYPES: usize = 64;
+
+/// What a record takes beside its spec before anything is booked, in bytes.
+const EMPTY_RECORD_BYTES: usize = 150;
+
+/// Why a submission is not accepted.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// 400
+    /// 400: its form is wrong, or no record can hold it.
     Malformed(String),
-    /// 422
+    /// 422: it can never run.
     Never(String),
     /// 503: not decidable yet.
     Unknown,
 }
 
-fn malformed(s: impl Into<String>) -> Refusal {
-    Refusal::Malformed(s.into())
+fn malformed(problem: impl Into<String>) -> Refusal {
+    Refusal::Malformed(problem.into())
+}
+
+fn never(problem: impl Into<String>) -> Refusal {
+    Refusal::Never(problem.into())
 }
 
-/// Reads and checks the form of a submission; 400 on failure.
+/// Reads a submission and checks its form; 400 on failure.
 pub fn read_submission(body: &[u8]) -> Result<Submission, Refusal> {
+    let submission = parse(body)?;
+    check_identity(&submission)?;
+    check_amounts(&submission)?;
+    check_names(&submission)?;
+    check_awaited_ids(&submission)?;
+    Ok(submission)
+}
+
+fn parse(body: &[u8]) -> Result<Submission, Refusal> {
     let value: serde_json::Value =
         serde_json::from_slice(body).map_err(|e| malformed(format!("not JSON: {e}")))?;
     if !value.is_object() {
         return Err(malformed("not an object"));
     }
-    let s: Submission =
-        serde_json::from_value(value).map_err(|e| malformed(format!("field: {e}")))?;
-    if !is_job_id(&s.id) {
+    serde_json::from_value(value).map_err(|e| malformed(format!("field: {e}")))
+}
+
+fn check_identity(submission: &Submission) -> Result<(), Refusal> {
+    if !is_job_id(&submission.id) {
         return Err(malformed("name_id: not of the form job-000412"));
     }
-    if !(1..=100_000).contains(&s.tasks) {
+    if !(1..=MAX_TASKS).contains(&submission.tasks) {
         return Err(malformed("boards: must be 1 to 100000"));
     }
-    let amount = |field: &str, x: f64, positive: bool| {
-        let least = if positive { f64::MIN_POSITIVE } else { 0.0 };
-        if x.is_finite() && x >= least && x <= 1e9 {
-            Ok(())
-        } else {
-            Err(malformed(format!("{field}: out of range")))
+    Ok(())
+}
+
+fn check_amounts(submission: &Submission) -> Result<(), Refusal> {
+    let amounts = [
+        ("vcpus", Some(submission.cpus)),
+        ("cards", Some(submission.gpus)),
+        ("ram_gb", Some(submission.memory_gb)),
+        ("pull_gb", Some(submission.image_gb)),
+        ("expect_s", Some(submission.estimate_s)),
+        ("notch_s", Some(submission.checkpoint_s)),
+        ("stow_s", Some(submission.save_s)),
+        ("due_s", submission.deadline_s),
+    ];
+    for (field, amount) in amounts {
+        if amount.is_some_and(|a| !(0.0..=MAX_AMOUNT).contains(&a)) {
+            return Err(malformed(format!("{field}: out of range")));
         }
-    };
-    amount("vcpus", s.cpus, false)?;
-    amount("cards", s.gpus, false)?;
-    amount("ram_gb", s.memory_gb, false)?;
-    amount("pull_gb", s.image_gb, false)?;
-    amount("expect_s", s.estimate_s, false)?;
-    amount("notch_s", s.checkpoint_s, false)?;
-    amount("stow_s", s.save_s, false)?;
-    if let Some(d) = s.deadline_s {
-        amount("due_s", d, false)?;
     }
-    for (field, text) in [
-        ("lot", &s.class),
-        ("crew", &s.team),
-        ("blueprint", &s.image),
-    ] {
-        if text.len() > 200 {
+    Ok(())
+}
+
+fn check_names(submission: &Submission) -> Result<(), Refusal> {
+    let names = [
+        ("lot", Some(&submission.class)),
+        ("crew", Some(&submission.team)),
+        ("blueprint", Some(&submission.image)),
+        ("yard", submission.zone.as_ref()),
+    ];
+    for (field, name) in names {
+        if name.is_some_and(|n| n.len() > MAX_NAME_BYTES) {
             return Err(malformed(format!("{field}: too long")));
         }
     }
-    if s.types
-        .as_ref()
-        .is_some_and(|t| t.len() > 64 || t.iter().any(|x| x.len() > 200))
-    {
+    let types = submission.types.as_deref().unwrap_or_default();
+    if types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES) {
         return Err(malformed("grades: too many or too long"));
     }
-    if s.zone.as_ref().is_some_and(|z| z.len() > 200) {
-        return Err(malformed("yard: too long"));
-    }
-    if let Some(id) = s.awaits.iter().flatten().find(|id| !is_job_id(id)) {
-        let id: String = id.chars().take(40).collect();
-        return Err(malformed(format!("awaits: not a job id: {id}")));
+    Ok(())
+}
+
+fn check_awaited_ids(submission: &Submission) -> Result<(), Refusal> {
+    let mut ids = submission.awaits.iter().flatten();
+    match ids.find(|id| !is_job_id(id)) {
+        Some(id) => {
+            let start: String = id.chars().take(40).collect();
+            Err(malformed(format!("awaits: not a job id: {start}")))
+        }
+        None => Ok(()),
     }
-    Ok(s)
 }
 
-/// What a record takes beside its spec before anything is booked.
-const EMPTY_RECORD: usize = 150;
+/// Whether the job can ever run: 422 if not, 503 if that is not known yet.
+/// Returns what is to be recorded of it.
+pub fn check_submission(
+    submission: &Submission,
+    settings: &Settings,
+    view: &View,
+) -> Result<Spec, Refusal> {
+    let mut spec = Spec::from(submission);
+    let team = settings
+        .team(&submission.team)
+        .ok_or_else(|| never("crew: unknown team"))?;
+    let zones = usable_zones(&spec, settings, view)?;
+    check_spread(&spec, zones)?;
+    check_team_limit(&spec, team)?;
+    check_awaited_jobs(&spec, view)?;
+    // What is done stays done: nothing needs to remember it.
+    spec.awaits.retain(|id| view.state(id) != Some(Final::Done));
+    check_record_size(&spec, settings, view)?;
+    Ok(spec)
+}
 
-/// Whether the job can ever run; 422 if not, 503 if that is not known yet.
-pub fn check_submission(s: &Submission, settings: &Settings, view: &View) -> Result<Spec, Refusal> {
-    let mut spec = Spec::from(s);
-    let Some(team) = settings.team(&s.team) else {
-        return Err(Refusal::Never("crew: unknown team".into()));
-    };
-    if view.types.value.types.is_empty() {
+/// The number of zones in which the cloud has machines that take a task.
+fn usable_zones(spec: &Spec, settings: &Settings, view: &View) -> Result<usize, Refusal> {
+    let types = &view.types.value.types;
+    if types.is_empty() {
         return Err(Refusal::Unknown);
     }
-    let zones = &settings.deployment.zones;
-    if s.zone.as_ref().is_some_and(|z| !zones.contains(z)) {
-        return Err(Refusal::Never("yard: unknown zone".into()));
+    let configured = &settings.deployment.zones;
+    if spec.zone.as_ref().is_some_and(|z| !configured.contains(z)) {
+        return Err(never("yard: unknown zone"));
     }
-    let types = &view.types.value.types;
-    let fitting = types
+    let zones: BTreeSet<&str> = types
         .iter()
-        .filter(|t| spec.allows_type(&t.name) && Room::of_type(t).fits(&spec.need));
-    // Where the cloud has machines that take a task.
-    let open: BTreeSet<&str> = fitting
+        .filter(|t| spec.allows_type(&t.name) && Room::of_type(t).fits(&spec.need))
         .flat_map(|t| t.zones.iter().map(String::as_str))
         .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
         .collect();
-    if open.is_empty() {
-        return Err(Refusal::Never("a task fits no allowed machine type".into()));
-    }
-    // A gang runs whole or not at all: what has to be spread over more zones
-    // than it may use never does.
-    let zones_at_once = if s.one_zone { 1 } else { open.len() };
-    if s.kind == Kind::Gang && s.spread && s.tasks.div_ceil(2) * (zones_at_once as u32) < s.tasks {
-        return Err(Refusal::Never(
-            "scatter: the gang may use too few zones".into(),
-        ));
+    match zones.len() {
+        0 => Err(never("a task fits no allowed machine type")),
+        count => Ok(count),
     }
-    let at_once = match s.kind {
+}
+
+/// A gang runs whole or not at all: one that has to be spread over more zones
+/// than it may use never does.
+fn check_spread(spec: &Spec, zones: usize) -> Result<(), Refusal> {
+    let zones_at_once = if spec.one_zone { 1 } else { zones };
+    let most_in_a_zone = spec.tasks.div_ceil(2) as usize;
+    let is_spread_gang = spec.kind == Kind::Gang && spec.spread;
+    if is_spread_gang && most_in_a_zone * zones_at_once < spec.tasks as usize {
+        return Err(never("scatter: the gang may use too few zones"));
+    }
+    Ok(())
+}
+
+fn check_team_limit(spec: &Spec, team: &TeamTerms) -> Result<(), Refusal> {
+    let tasks_at_once = match spec.kind {
         Kind::Array => 1,
-        _ => s.tasks as usize,
+        Kind::Gang | Kind::Service => spec.tasks as usize,
     };
-    if !team.allows(&spec.need.times(at_once)) {
-        return Err(Refusal::Never("needs more than the team's limit".into()));
+    match team.allows(&spec.need.times(tasks_at_once)) {
+        true => Ok(()),
+        false => Err(never("needs more than the team's limit")),
     }
-    // Its own id is not known either: it was never accepted.
+}
+
+/// A job's own id is not known either: it was never accepted.
+fn check_awaited_jobs(spec: &Spec, view: &View) -> Result<(), Refusal> {
     if spec.awaits.iter().any(|id| view.is_unreadable_job(id)) {
         return Err(Refusal::Unknown);
     }
-    if let Some(id) = spec.awaits.iter().find(|id| view.state(id).is_none()) {
-        return Err(Refusal::Never(format!("awaits: {id} was never accepted")));
+    match spec.awaits.iter().find(|id| view.state(id).is_none()) {
+        Some(id) => Err(never(format!("awaits: {id} was never accepted"))),
+        None => Ok(()),
     }
-    // What is done stays done: nothing needs to remember it.
-    spec.awaits.retain(|id| view.state(id) != Some(Final::Done));
-    // What a job awaits leaves its record before any of its tasks comes in.
-    let bytes = serde_json::to_vec(&spec).map_or(0, |v| v.len());
-    let most = settings.value_bytes();
+}
+
+/// Whether records can hold the job as it waits, and once tasks of it run. What
+/// it awaits leaves its record before any of its tasks comes in.
+fn check_record_size(spec: &Spec, settings: &Settings, view: &View) -> Result<(), Refusal> {
+    let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let awaits = spec.awaits_bytes();
-    let too_long = match settings.shrinks() {
+    let most = settings.value_bytes();
+    let is_too_long = if settings.shrinks() {
         // Where records are to be small: what could not be written, or never run
         // within one.
-        true => {
-            let longest = |names: &mut dyn Iterator<Item = &String>| {
-                names.max_by_key(|n| n.len()).cloned().unwrap_or_default()
-            };
-            let machine = longest(&mut view.machines.keys());
-            let least = admission::least_record(&spec, &machine, &longest(&mut zones.iter()));
-            least.saturating_sub(awaits) > most || bytes + EMPTY_RECORD > most
-        }
-        false => bytes.saturating_sub(awaits) > most / 4 || bytes > most / 2,
+        let waiting = bytes + EMPTY_RECORD_BYTES;
+        let running = least_running_record(spec, settings, view).saturating_sub(awaits);
+        waiting > most || running > most
+    } else {
+        bytes > most / 2 || bytes.saturating_sub(awaits) > most / 4
     };
-    if too_long {
-        return Err(Refusal::Malformed("too long".into()));
+    match is_too_long {
+        true => Err(malformed("too long")),
+        false => Ok(()),
     }
-    Ok(spec)
+}
+
+/// The bytes of the smallest record in which one task or one gang runs.
+fn least_running_record(spec: &Spec, settings: &Settings, view: &View) -> usize {
+    let machine = longest_name(view.machines.keys());
+    let zone = longest_name(settings.deployment.zones.iter());
+    admission::least_record(spec, machine, zone)
+}
+
+fn longest_name<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
+    names
+        .max_by_key(|name| name.len())
+        .map_or("", String::as_str)
 }
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -1,12 +1,13 @@
-//! Jobs that await others: what follows from the records of both.
+//! Dependencies between jobs: what follows from the records of jobs that await
+//! others.
 //!
-//! Nothing here is written: that a job waits, is ready, or is cancelled with
-//! one that it needs, follows from the jobs' records alone, so that every
-//! controller finds the same at the same revision, in whatever order it read
-//! them. It is kept up as records change, each change along its own chain: no
+//! Nothing here is written. Whether a job is blocked, ready, or cancelled by one
+//! that it depends on follows from the jobs' records alone, so that every
+//! controller finds the same at the same revision, in whatever order it read them.
+//! The indexes are updated as records change, each change along its own chain: no
 //! round goes through all jobs for it.
 //!
-//! An id can only be named once it is accepted, so there are no circles.
+//! An id can only be named once it is accepted, so there are no cycles.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -18,24 +19,36 @@
 use crate::view::View;
 use crate::wire::Priority;
 
-/// What the jobs that wait for one ask of it, through any chain.
+/// What the jobs that depend on one, directly or through others, demand of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Asked {
+struct DependentDemand {
     priority: Priority,
     /// By when it has to be done, so that all of them can be in time.
     due: Option<Instant>,
 }
 
+impl DependentDemand {
+    /// The demand of both.
+    fn merge(self, other: Self) -> Self {
+        DependentDemand {
+            priority: self.priority.max(other.priority),
+            due: earliest(self.due, other.due),
+        }
+    }
+}
+
+/// Indexes over the records of jobs that await others; a part of the [`View`].
 #[derive(Debug, Default)]
 pub struct Pipelines {
-    /// Open jobs that wait, each with those that it still awaits.
-    held: BTreeMap<String, Vec<String>>,
-    /// The held jobs that wait for one directly, by its id.
-    needed_by: HashMap<String, BTreeSet<String>>,
-    /// Jobs that are cancelled by what they await, while their own record has
+    /// Open jobs that wait, each with the ids that it still awaits.
+    blocked: BTreeMap<String, Vec<String>>,
+    /// The blocked jobs that directly await a job, by its id.
+    dependents: HashMap<String, BTreeSet<String>>,
+    /// Jobs that are cancelled by what they await, while their own records have
     /// them open. None of them has ever been booked.
-    doomed: BTreeSet<String>,
-    asked: HashMap<String, Asked>,
+    cancelled_by_dependency: BTreeSet<String>,
+    /// What blocked jobs demand of a job, by its id.
+    demand: HashMap<String, DependentDemand>,
     /// When an open job with a deadline was first seen here: as near to its
     /// submission as the state tells.
     first_seen: HashMap<String, Instant>,
@@ -70,7 +83,7 @@
     ahead - now.saturating_duration_since(at).as_secs_f64()
 }
 
-fn tightest(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
+fn earliest(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
@@ -78,8 +91,8 @@
 }
 
 impl Pipelines {
-    /// What outlives a full read of the state: how long jobs have been known.
-    pub fn anew(self) -> Self {
+    /// What is kept over a full read of the state: how long jobs have been known.
+    pub fn after_reload(self) -> Self {
         Pipelines {
             first_seen: self.first_seen,
             ..Pipelines::default()
@@ -93,7 +106,7 @@
     /// became of a job, or decides by it, asks here.
     pub fn state(&self, id: &str) -> Option<Final> {
         let own = self.jobs.get(id)?.value.fin;
-        match own == Final::Open && self.pipelines.doomed.contains(id) {
+        match own == Final::Open && self.pipelines.cancelled_by_dependency.contains(id) {
             true => Some(Final::Cancelled),
             false => Some(own),
         }
@@ -108,45 +121,49 @@
 
     /// Open jobs that wait for others, with those that they still await.
     pub fn held(&self) -> impl Iterator<Item = (&str, &[String])> {
-        let held = self.pipelines.held.iter();
-        held.map(|(id, left)| (id.as_str(), left.as_slice()))
+        let blocked = self.pipelines.blocked.iter();
+        blocked.map(|(id, left)| (id.as_str(), left.as_slice()))
     }
 
     /// What a job still awaits.
     pub fn awaited(&self, id: &str) -> &[String] {
-        self.pipelines.held.get(id).map_or(&[], Vec::as_slice)
+        self.pipelines.blocked.get(id).map_or(&[], Vec::as_slice)
     }
 
     /// Jobs that are cancelled with another, and whose own records are yet to
     /// say so.
     pub fn doomed(&self) -> impl Iterator<Item = &str> {
-        self.pipelines.doomed.iter().map(String::as_str)
+        self.pipelines
+            .cancelled_by_dependency
+            .iter()
+            .map(String::as_str)
     }
 
     /// The highest priority of a job and of the open jobs that need it.
     pub fn priority(&self, id: &str, spec: &Spec) -> Priority {
-        let asked = self.pipelines.asked.get(id).map(|a| a.priority);
-        asked.map_or(spec.priority, |p| p.max(spec.priority))
+        let demanded = self.pipelines.demand.get(id).map(|d| d.priority);
+        demanded.map_or(spec.priority, |p| p.max(spec.priority))
     }
 
     /// Whether an open job waits for this one.
     pub fn is_needed(&self, id: &str) -> bool {
-        self.pipelines.asked.contains_key(id)
+        self.pipelines.demand.contains_key(id)
     }
 
+    /// What the job's place in the queue goes by at this moment.
     pub fn standing(&self, id: &str, spec: &Spec, now: Instant) -> Standing {
-        let asked = self.pipelines.asked.get(id).and_then(|a| a.due);
+        let demanded = self.pipelines.demand.get(id).and_then(|d| d.due);
         let own = match spec.deadline_s {
             // Known by its spec alone, as in a plan: submitted just now.
             Some(due) if !self.pipelines.first_seen.contains_key(id) => Some(due),
             Some(_) => self.own_due(id, spec).map(|at| until(at, now)),
             None => None,
         };
-        let left = [own, asked.map(|at| until(at, now))];
+        let left = [own, demanded.map(|at| until(at, now))];
         Standing {
             priority: self.priority(id, spec),
             left_s: left.into_iter().flatten().reduce(f64::min),
-            asked: asked.is_some(),
+            asked: demanded.is_some(),
         }
     }
 
@@ -157,74 +174,89 @@
         seen.checked_add(due)
     }
 
-    /// Takes a job's record into account that has just been placed.
-    pub(crate) fn link(&mut self, id: &str) {
+    /// Indexes a job's record that has just been placed.
+    pub(crate) fn index_job_dependencies(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
         };
         match job.fin {
-            Final::Open => {}
+            Final::Open => self.index_open_job(id),
             Final::Done => {
-                self.forget(id);
-                return self.release_after(id);
+                self.forget_demand(id);
+                self.unblock_dependents(id);
             }
             Final::Cancelled => {
-                self.forget(id);
-                return self.doom_after(id);
+                self.forget_demand(id);
+                self.cancel_dependents(id);
             }
         }
-        let awaits = job.spec.as_ref().map_or(&[][..], |s| &s.awaits);
-        let states = awaits.iter().map(|a| (a, self.state(a)));
-        let left: Vec<(&String, Option<Final>)> =
-            states.filter(|(_, s)| *s != Some(Final::Done)).collect();
-        if left.iter().any(|(_, s)| *s == Some(Final::Cancelled)) {
-            return self.doom(id);
-        }
-        let left: Vec<String> = left.into_iter().map(|(a, _)| a.clone()).collect();
-        if job.spec.as_ref().is_some_and(|s| s.deadline_s.is_some()) {
-            let seen = &mut self.pipelines.first_seen;
-            seen.entry(id.to_string()).or_insert_with(Instant::now);
+    }
+
+    fn index_open_job(&mut self, id: &str) {
+        let spec = self.jobs.get(id).and_then(|e| e.value.spec.as_ref());
+        let has_deadline = spec.is_some_and(|s| s.deadline_s.is_some());
+        let awaits = spec.map_or(&[][..], |s| &s.awaits);
+        let is_cancelled = |a: &String| self.state(a) == Some(Final::Cancelled);
+        if awaits.iter().any(is_cancelled) {
+            return self.cancel_with_dependency(id);
         }
-        if left.is_empty() {
-            return self.make_ready(id);
+        let left: Vec<String> = awaits
+            .iter()
+            .filter(|a| self.state(a) != Some(Final::Done))
+            .cloned()
+            .collect();
+        if has_deadline {
+            let first_seen = &mut self.pipelines.first_seen;
+            first_seen
+                .entry(id.to_string())
+                .or_insert_with(Instant::now);
         }
-        for awaited in &left {
-            let after = self.pipelines.needed_by.entry(awaited.clone());
-            after.or_default().insert(id.to_string());
+        match left.is_empty() {
+            true => self.make_ready(id),
+            false => self.block(id, left),
         }
-        self.pipelines.held.insert(id.to_string(), left.clone());
-        self.ask_anew(left);
     }
 
     /// Takes back what followed from an open job's record.
-    pub(crate) fn unlink(&mut self, id: &str, old: &Job) {
+    pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
         self.open.remove(&(old.born, id.to_string()));
-        self.pipelines.doomed.remove(id);
-        self.let_go(id);
+        self.pipelines.cancelled_by_dependency.remove(id);
+        self.remove_from_blocked(id);
     }
 
-    /// It waits no longer, whatever becomes of it.
-    fn let_go(&mut self, id: &str) {
-        let Some(left) = self.pipelines.held.remove(id) else {
+    /// The job waits for what is left of those that it awaits.
+    fn block(&mut self, id: &str, left: Vec<String>) {
+        for awaited in &left {
+            let dependents = self.pipelines.dependents.entry(awaited.clone());
+            dependents.or_default().insert(id.to_string());
+        }
+        self.pipelines.blocked.insert(id.to_string(), left.clone());
+        self.propagate_demand(left);
+    }
+
+    /// The job waits no longer, whatever becomes of it.
+    fn remove_from_blocked(&mut self, id: &str) {
+        let Some(left) = self.pipelines.blocked.remove(id) else {
             return;
         };
         for awaited in &left {
-            if let Some(after) = self.pipelines.needed_by.get_mut(awaited) {
-                after.remove(id);
-                if after.is_empty() {
-                    self.pipelines.needed_by.remove(awaited);
+            if let Some(dependents) = self.pipelines.dependents.get_mut(awaited) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.pipelines.dependents.remove(awaited);
                 }
             }
         }
-        self.ask_anew(left);
+        self.propagate_demand(left);
     }
 
-    fn forget(&mut self, id: &str) {
+    /// Nothing is demanded any more of a job that is over.
+    fn forget_demand(&mut self, id: &str) {
         self.pipelines.first_seen.remove(id);
-        self.pipelines.asked.remove(id);
+        self.pipelines.demand.remove(id);
     }
 
-    /// It takes part in all that open jobs do from here on.
+    /// The job takes part in all that open jobs do from here on.
     fn make_ready(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
@@ -236,48 +268,51 @@
     }
 
     /// A job is done: those that awaited nothing else are ready.
-    fn release_after(&mut self, id: &str) {
-        for after in self.pipelines.needed_by.remove(id).unwrap_or_default() {
-            let Some(left) = self.pipelines.held.get_mut(&after) else {
+    fn unblock_dependents(&mut self, id: &str) {
+        for dependent in self.pipelines.dependents.remove(id).unwrap_or_default() {
+            let Some(left) = self.pipelines.blocked.get_mut(&dependent) else {
                 continue;
             };
-            left.retain(|a| a != id);
+            left.retain(|awaited| awaited != id);
             if left.is_empty() {
-                self.pipelines.held.remove(&after);
-                tracing::debug!(job = after, last = id, "ready");
-                self.make_ready(&after);
+                self.pipelines.blocked.remove(&dependent);
+                tracing::debug!(job = dependent, last = id, "ready");
+                self.make_ready(&dependent);
             }
         }
     }
 
-    /// A job is cancelled: those that need it are, through any chain.
-    fn doom_after(&mut self, id: &str) {
-        for after in self.pipelines.needed_by.remove(id).unwrap_or_default() {
-            self.doom(&after);
+    /// A job is cancelled: those that depend on it are, through any chain.
+    fn cancel_dependents(&mut self, id: &str) {
+        for dependent in self.pipelines.dependents.remove(id).unwrap_or_default() {
+            self.cancel_with_dependency(&dependent);
         }
     }
 
-    fn doom(&mut self, id: &str) {
-        let mut all = vec![id.to_string()];
-        while let Some(id) = all.pop() {
-            if !self.pipelines.doomed.insert(id.clone()) {
+    /// A job is cancelled by one that it depends on, and its dependents with it.
+    fn cancel_with_dependency(&mut self, id: &str) {
+        let mut pending = vec![id.to_string()];
+        while let Some(id) = pending.pop() {
+            let cancelled = &mut self.pipelines.cancelled_by_dependency;
+            if !cancelled.insert(id.clone()) {
                 continue;
             }
-            self.let_go(&id);
-            self.forget(&id);
-            all.extend(self.pipelines.needed_by.remove(&id).unwrap_or_default());
+            self.remove_from_blocked(&id);
+            self.forget_demand(&id);
+            let dependents = self.pipelines.dependents.remove(&id);
+            pending.extend(dependents.unwrap_or_default());
         }
     }
 
-    /// Works out what is asked of these, and of those before them as far as
-    /// that changes anything.
-    fn ask_anew(&mut self, ids: Vec<String>) {
+    /// Works out what is demanded of these, and of those that they await as far
+    /// as that changes anything.
+    fn propagate_demand(&mut self, ids: Vec<String>) {
         let mut queue = VecDeque::from(ids);
         while let Some(id) = queue.pop_front() {
-            let now = self.asked_of(&id);
+            let now = self.demand_of_dependents(&id);
             let before = match now {
-                Some(asked) => self.pipelines.asked.insert(id.clone(), asked),
-                None => self.pipelines.asked.remove(&id),
+                Some(demand) => self.pipelines.demand.insert(id.clone(), demand),
+                None => self.pipelines.demand.remove(&id),
             };
             if before == now {
                 continue;
@@ -290,22 +325,23 @@
         }
     }
 
-    fn asked_of(&self, id: &str) -> Option<Asked> {
-        let after = self.pipelines.needed_by.get(id)?;
-        let each = after.iter().filter_map(|id| {
-            let spec = self.jobs.get(id)?.value.spec.as_ref()?;
-            let asked = self.pipelines.asked.get(id).and_then(|a| a.due);
-            let due = tightest(self.own_due(id, spec), asked);
-            // Its own work comes between; tasks of one job run side by side.
-            let work = Duration::try_from_secs_f64(spec.estimate_s).unwrap_or_default();
-            Some(Asked {
-                priority: self.priority(id, spec),
-                due: due.map(|at| at.checked_sub(work).unwrap_or(at)),
-            })
-        });
-        each.reduce(|a, b| Asked {
-            priority: a.priority.max(b.priority),
-            due: tightest(a.due, b.due),
+    /// What the direct dependents of a job demand of it together.
+    fn demand_of_dependents(&self, id: &str) -> Option<DependentDemand> {
+        let dependents = self.pipelines.dependents.get(id)?;
+        let demands = dependents.iter().filter_map(|id| self.demand_passed_on(id));
+        demands.reduce(DependentDemand::merge)
+    }
+
+    /// What a blocked job demands of those that it awaits.
+    fn demand_passed_on(&self, id: &str) -> Option<DependentDemand> {
+        let spec = self.jobs.get(id)?.value.spec.as_ref()?;
+        let demanded = self.pipelines.demand.get(id).and_then(|d| d.due);
+        let due = earliest(self.own_due(id, spec), demanded);
+        // Its own work comes between; tasks of one job run side by side.
+        let work = Duration::try_from_secs_f64(spec.estimate_s).unwrap_or_default();
+        Some(DependentDemand {
+            priority: self.priority(id, spec),
+            due: due.map(|at| at.checked_sub(work).unwrap_or(at)),
         })
     }
 }
--- a/src/view.rs
+++ b/src/view.rs
@@ -270,7 +270,7 @@
             gpu_spec: old.gpu_spec,
             shrink_to: old.shrink_to,
             changes,
-            pipelines: old.pipelines.anew(),
+            pipelines: old.pipelines.after_reload(),
             loaded: true,
             revision,
             ..View::default()
@@ -586,14 +586,14 @@
             }
         }
         if let Some(old) = old.filter(Job::is_open) {
-            self.unlink(id, &old);
+            self.unindex_job_dependencies(id, &old);
         }
     }
 
     fn place_job(&mut self, id: &str, version: u64, job: Job) {
         let value = job;
         self.jobs.insert(id.to_string(), Entry { version, value });
-        self.link(id);
+        self.index_job_dependencies(id);
     }
 
     /// Makes a part's machines ready for planning.
