--- /dev/null
+++ b/src/api/users.rs
@@ -0,0 +1,313 @@
+//! What users ask: submission, query and withdrawal of jobs.
+//!
+//! Answers follow the commit. An answer that is not final, and 404, waits for a
+//! barrier, so that it is not older than what another controller has told. A
+//! request that cannot be served gets 503 with `Retry-After` at once.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::oneshot;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::acceptance::{Acceptance, Arrival};
+use super::validation::{Refusal, check_submission, read_submission};
+use crate::http::Response;
+use crate::model::{Final, Job, Spec, is_job_id};
+use crate::node::{Node, guard};
+use crate::settings::Settings;
+use crate::store::{Class, StoreError};
+use crate::view::{Entry, View, job_key};
+use crate::wire::{JobStage, JobState, Submission};
+
+/// The longest that a submission or a withdrawal takes; their users wait 5 s.
+const ACCEPT_WAIT: Duration = Duration::from_millis(3500);
+
+/// The longest that a query takes; its user waits 2 s.
+const QUERY_WAIT: Duration = Duration::from_millis(1500);
+
+/// Seconds after which a user may come back: as soon as the protocol allows.
+const RETRY_SOON: u32 = 1;
+
+/// The same for a user who asks more often than can be answered.
+const RETRY_SHED: u32 = 2;
+
+/// The same where an operator has to step in: the most that users follow.
+const RETRY_LATE: u32 = 30;
+
+fn state_unavailable() -> Response {
+    Response::unavailable("the state service does not answer", RETRY_SOON)
+}
+
+/// The job was accepted, but its record cannot be read.
+fn record_unreadable() -> Response {
+    Response::unavailable("the job's record cannot be read", RETRY_LATE)
+}
+
+fn no_such_job() -> Response {
+    Response::error(404, "no such job")
+}
+
+fn refused(refusal: Refusal) -> Response {
+    match refusal {
+        Refusal::Malformed(problem) => Response::error(400, &problem),
+        Refusal::Never(problem) => Response::error(422, &problem),
+        Refusal::Unknown => Response::unavailable("not decidable yet", RETRY_SOON),
+    }
+}
+
+/// What users and operators are told of a job.
+pub fn state_of<'a>(view: &View, id: &'a str) -> Option<JobState<'a>> {
+    let job = &view.jobs.get(id)?.value;
+    let booked = job.booked() as u32;
+    let (stage, running) = match view.state(id)? {
+        Final::Done => (JobStage::Done, 0),
+        Final::Cancelled => (JobStage::Cancelled, 0),
+        Final::Open if booked > 0 => (JobStage::Running, booked),
+        Final::Open => (JobStage::Queued, 0),
+    };
+    Some(JobState {
+        id,
+        stage,
+        done: Some(job.done_count()),
+        running: Some(running),
+    })
+}
+
+/// The state of a job that is over. It never changes, so it needs no barrier.
+fn final_state(node: &Node, id: &str) -> Option<Response> {
+    let view = node.view.borrow();
+    let state = state_of(&view, id).filter(JobState::is_final)?;
+    Some(Response::json(200, &state))
+}
+
+fn is_known(node: &Node, id: &str) -> bool {
+    node.view.borrow().jobs.contains_key(id)
+}
+
+/// `POST /submissions`.
+pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
+    let began = Instant::now();
+    let submission = match read_submission(body) {
+        Ok(submission) => submission,
+        Err(refusal) => return refused(refusal),
+    };
+    if let Some(answer) = answer_known_job(node, &submission.id, ACCEPT_WAIT).await {
+        return answer;
+    }
+    if let Some(answer) = cannot_accept_now(node, &submission) {
+        return answer;
+    }
+    let left = || ACCEPT_WAIT.saturating_sub(began.elapsed());
+    let spec = match decide(node, &submission, left()).await {
+        Ok(spec) => spec,
+        Err(answer) => return answer,
+    };
+    accept(node, &submission.id, spec, left()).await
+}
+
+/// A known job gets its state, whatever the repeated body says.
+async fn answer_known_job(node: &Node, id: &str, limit: Duration) -> Option<Response> {
+    if node.view.borrow().is_unreadable_job(id) {
+        return Some(record_unreadable());
+    }
+    match is_known(node, id) {
+        true => Some(query_within(node, id, limit).await),
+        false => None,
+    }
+}
+
+/// What cannot be taken now is refused at once, with when to come back.
+fn cannot_accept_now(node: &Node, submission: &Submission) -> Option<Response> {
+    let view = node.view.borrow();
+    if !view.loaded || !node.has_state() {
+        return Some(state_unavailable());
+    }
+    // Safety 8: a program that does not know `awaits` would start the job at
+    // once, and write its record back without.
+    let awaits = submission.awaits.as_ref().is_some_and(|a| !a.is_empty());
+    if awaits && !view.upgraded() {
+        let problem = "not every controller knows awaits yet";
+        return Some(Response::unavailable(problem, RETRY_SOON));
+    }
+    None
+}
+
+/// Whether the job can be accepted; the answer to its user if not. A refusal for
+/// good is decided on a view that has passed a barrier: it may else lag behind
+/// the acceptance of this very id, by a controller that knew other machine types,
+/// or behind that of a job that it awaits.
+async fn decide(node: &Node, submission: &Submission, limit: Duration) -> Result<Spec, Response> {
+    let check = || check_submission(submission, &node.settings, &node.view.borrow());
+    match check() {
+        Ok(spec) => return Ok(spec),
+        Err(Refusal::Unknown) => return Err(refused(Refusal::Unknown)),
+        Err(Refusal::Never(_) | Refusal::Malformed(_)) => {}
+    }
+    if !node.barrier_unless_refused(limit).await {
+        return Err(state_unavailable());
+    }
+    match answer_known_job(node, &submission.id, QUERY_WAIT).await {
+        Some(answer) => Err(answer),
+        None => check().map_err(refused),
+    }
+}
+
+/// Safety 1: accepted means committed. The commit's guard makes a repeat, here or
+/// at another controller, find the first one.
+async fn accept(node: &Node, id: &str, spec: Spec, limit: Duration) -> Response {
+    let (done, committed) = oneshot::channel();
+    let owned_id = id.to_string();
+    let arrival = Arrival {
+        id: owned_id,
+        spec,
+        done,
+    };
+    node.arrivals.borrow_mut().push_back(arrival);
+    node.arrivals_wanted.notify_one();
+    match timeout(limit, committed).await {
+        Ok(Ok(Acceptance::Committed)) => accepted(node, id),
+        Ok(Ok(Acceptance::KnownBefore)) => query_within(node, id, QUERY_WAIT).await,
+        // The loop has given it up, or takes too long.
+        Ok(Err(_)) | Err(_) => state_unavailable(),
+    }
+}
+
+/// The commit's answer may have taken long: whoever found the job meanwhile may
+/// have cancelled it, and been told so; or it awaits one that is cancelled, and
+/// is cancelled from the start.
+fn accepted(node: &Node, id: &str) -> Response {
+    if let Some(answer) = final_state(node, id) {
+        return answer;
+    }
+    let state = JobState {
+        id,
+        stage: JobStage::Queued,
+        done: None,
+        running: None,
+    };
+    Response::json(201, &state)
+}
+
+/// Whether a query is turned away: users ask more than can be answered, and this
+/// one was answered here a short while ago. Reports, claims and submissions need
+/// the processor more; but whoever asks about a job is answered now and then by
+/// every controller, or it would look forgotten.
+pub fn sheds(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
+    let report = settings.report();
+    lag > report / 8 && answered.is_some_and(|age| age < settings.lease() / 2)
+}
+
+/// `GET /submissions/{id}`.
+pub(super) async fn query(node: &Node, id: &str) -> Response {
+    let age = node.answered.borrow().get(id).map(Instant::elapsed);
+    let is_open = node.view.borrow().state(id) == Some(Final::Open);
+    if is_open && sheds(node.lag(), age, &node.settings) {
+        return Response::unavailable("asked more often than can be answered", RETRY_SHED);
+    }
+    let response = query_within(node, id, QUERY_WAIT).await;
+    if is_open && response.status == 200 {
+        let mut answered = node.answered.borrow_mut();
+        answered.insert(id.to_string(), Instant::now());
+    }
+    response
+}
+
+async fn query_within(node: &Node, id: &str, limit: Duration) -> Response {
+    if !is_job_id(id) {
+        return no_such_job();
+    }
+    if let Some(answer) = final_state(node, id) {
+        return answer;
+    }
+    // Safety 1: anything else must not be older than what another controller
+    // has told; 404 included. Without the state service that is not to be had,
+    // and nobody is kept waiting for it.
+    if !node.has_state() || !node.barrier_unless_refused(limit).await {
+        return state_unavailable();
+    }
+    let view = node.view.borrow();
+    if view.is_unreadable_job(id) {
+        return record_unreadable();
+    }
+    match state_of(&view, id) {
+        Some(state) => Response::json(200, &state),
+        None => no_such_job(),
+    }
+}
+
+/// `POST /submissions/{id}/withdraw`.
+pub(super) async fn withdraw(node: &Rc<Node>, id: &str) -> Response {
+    if !is_job_id(id) {
+        return no_such_job();
+    }
+    // All waits together, that for the write budget included.
+    let answer = timeout(ACCEPT_WAIT, cancel(node, id)).await;
+    answer.unwrap_or_else(|_| state_unavailable())
+}
+
+/// Tries until the job is over, or nothing is gained by another try.
+async fn cancel(node: &Node, id: &str) -> Response {
+    let pause = || sleep(node.store.jitter(node.request_gap() * 4));
+    let mut is_fresh = false;
+    loop {
+        if let Some(answer) = final_state(node, id) {
+            return answer;
+        }
+        if !node.has_state() {
+            return state_unavailable();
+        }
+        if node.view.borrow().is_unreadable_job(id) {
+            return record_unreadable();
+        }
+        let known = node.view.borrow().jobs.get(id).cloned();
+        match known {
+            Some(job) => match commit_cancellation(node, id, &job).await {
+                Ok(response) => return response,
+                // Surely not executed: the same may be tried again.
+                Err(StoreError::Refused(429)) => {
+                    pause().await;
+                    continue;
+                }
+                // It changed meanwhile: look again.
+                Err(StoreError::Conflict(_)) => {}
+                Err(error) if is_hopeless(node, &error) => return state_unavailable(),
+                // It may have changed.
+                Err(_) => pause().await,
+            },
+            None if is_fresh => return no_such_job(),
+            None => is_fresh = true,
+        }
+        if !node.barrier_unless_refused(QUERY_WAIT).await {
+            return state_unavailable();
+        }
+    }
+}
+
+/// Commits the cancellation of an open job; the answer to its user once it is.
+async fn commit_cancellation(
+    node: &Node,
+    id: &str,
+    known: &Entry<Job>,
+) -> Result<Response, StoreError> {
+    let mut job = known.value.clone();
+    job.cancel();
+    let guards = vec![guard(job_key(id), known.version)];
+    let writes = vec![node.view.borrow().put_job(id, &job)];
+    node.commit(Class::Accept, guards, writes).await?;
+    tracing::debug!(job = id, "cancelled");
+    let state = JobState {
+        id,
+        stage: JobStage::Cancelled,
+        done: Some(job.done_count()),
+        running: Some(0),
+    };
+    Ok(Response::json(200, &state))
+}
+
+/// Whether nothing is gained by trying a user's commit again for now: the state
+/// service serves nothing here, or would refuse the same again.
+pub(super) fn is_hopeless(node: &Node, error: &StoreError) -> bool {
+    let same_again = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
+    same_again || error.is_refusal() || !node.has_state()
+}
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -120,13 +120,14 @@
     };
     match view.nodes.get(node.name()) {
         Some(entry) if entry.value == me => {}
-        other => sign(
-            node_key(node.name()),
-            other.map_or(0, |entry| entry.version),
-        ),
+        other => {
+            let key = node_key(node.name());
+            let absent = view.absent_version(&key);
+            sign(key, other.map_or(absent, |entry| entry.version));
+        }
     }
     match &view.fleet {
-        None => sign(FLEET_KEY.to_string(), 0),
+        None => sign(FLEET_KEY.to_string(), view.absent_version(FLEET_KEY)),
         // An earlier run of this process rented, and its state lease still
         // stands: it is surely over, and nobody else may rent till then.
         Some(entry) if entry.value.node == me.node && entry.value != me => {
@@ -141,8 +142,10 @@
         .iter()
         .map(|(name, entry)| (name.as_str(), entry.value.formats));
     let next = known.value.with(seen, &node.settings.controllers());
-    if view.nodes.contains_key(node.name()) && next != known.value {
-        guards.push(guard(FORMATS_KEY.to_string(), known.version));
+    let unreadable = view.is_unreadable(FORMATS_KEY);
+    if view.nodes.contains_key(node.name()) && (next != known.value || unreadable) {
+        let version = known.version.max(view.absent_version(FORMATS_KEY));
+        guards.push(guard(FORMATS_KEY.to_string(), version));
         writes.push(put(FORMATS_KEY.to_string(), &next));
     }
     (guards, writes)
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -45,10 +45,12 @@
     node.fleet.borrow_mut().types_read_at = Some(Instant::now());
     let types = Types { types };
     let known = node.view.borrow().types.clone();
-    if known.value == types {
+    let unreadable = node.view.borrow().absent_version(TYPES_KEY);
+    if known.value == types && unreadable == 0 {
         return;
     }
-    let guards = vec![guard(TYPES_KEY.to_string(), known.version)];
+    let version = known.version.max(unreadable);
+    let guards = vec![guard(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
     if let Err(error) = node.commit(Class::Lease, guards, writes).await {
         tracing::debug!(%error, "types not recorded");
--- a/src/node.rs
+++ b/src/node.rs
@@ -70,6 +70,8 @@
     barrier_wanted: Notify,
     barrier_started: Cell<u64>,
     barrier_done: watch::Sender<u64>,
+    /// The last barrier that the state service refused to serve.
+    barrier_refused: watch::Sender<u64>,
     /// Machines with launches that wait for the next horizon.
     deferred_launches: RefCell<BTreeSet<String>>,
     watch_again: Notify,
@@ -133,6 +135,7 @@
             barrier_wanted: Notify::new(),
             barrier_started: Cell::new(0),
             barrier_done: watch::Sender::new(0),
+            barrier_refused: watch::Sender::new(0),
             deferred_launches: RefCell::default(),
             watch_again: Notify::new(),
             watch_soon: Notify::new(),
--- a/src/node/horizon.rs
+++ b/src/node/horizon.rs
@@ -95,7 +95,12 @@
                         self.watch_again.notify_one();
                     }
                 }
-                Err(error) => tracing::debug!(%error, "barrier failed"),
+                Err(error) => {
+                    tracing::debug!(%error, "barrier failed");
+                    if error.is_refusal() {
+                        self.barrier_refused.send_replace(number);
+                    }
+                }
             }
             sleep(gap.saturating_sub(sent.elapsed())).await;
         }
--- a/src/node/view_loop.rs
+++ b/src/node/view_loop.rs
@@ -26,6 +26,18 @@
 
 impl Node {
     /// Waits until the view has reached the revision; false if it takes too long.
+    /// The same for a user's request, which is not kept waiting once the state
+    /// service has refused to serve the barrier.
+    pub async fn barrier_unless_refused(&self, limit: Duration) -> bool {
+        let wanted = self.barrier_started.get() + 1;
+        let mut refused = self.barrier_refused.subscribe();
+        tokio::select! {
+            biased;
+            reached = self.barrier(limit) => reached,
+            _ = refused.wait_for(|r| *r >= wanted) => false,
+        }
+    }
+
     pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
         let mut reached = self.reached.subscribe();
         matches!(
