--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod pipeline;
 pub mod placement;
 pub mod policy;
+pub mod record_trim;
 pub mod settings;
 pub mod shrink;
 pub mod store;
--- a/src/model.rs
+++ b/src/model.rs
@@ -319,6 +319,15 @@
         self.kind == Kind::Gang
     }
 
+    /// About how long its names are together.
+    pub fn names_bytes(&self) -> usize {
+        const MARKS: usize = 3;
+        let types = self.types.iter().flatten().chain(&self.awaits);
+        let lists: usize = types.map(|name| name.len() + MARKS).sum();
+        let zone = self.zone.as_ref().map_or(0, String::len);
+        self.class.len() + self.team.len() + self.image.len() + zone + lists
+    }
+
     /// How much of its text the ids take that it awaits, with quotes and commas.
     pub fn awaits_bytes(&self) -> usize {
         const NAME: usize = 10;
--- a/src/node.rs
+++ b/src/node.rs
@@ -102,7 +102,9 @@
             patience,
             SmallRng::seed_from_u64(rng.random()),
         );
-        let view = View::shrinking(settings.shrinks().then(|| settings.value_bytes()));
+        let mut view = View::shrinking(settings.shrinks().then(|| settings.value_bytes()));
+        let objectives = settings.deployment.objectives.iter();
+        view.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Node {
             net,
             client,
--- a/src/shrink.rs
+++ b/src/shrink.rs
@@ -14,7 +14,7 @@
 use crate::model::Part;
 use crate::node::{Node, guard};
 use crate::store::{Class, StoreError};
-use crate::view::{PREFIX, View, group_key, part_key};
+use crate::view::{PREFIX, View, group_key, job_key, part_key};
 use crate::wire::{Guard, Write};
 
 /// One commit of this loop: conditions and writes, and what it is for.
@@ -150,7 +150,8 @@
     None
 }
 
-/// Records that are longer than any may be later, the oldest first.
+/// Records that are longer than any may be later, and open jobs whose records
+/// leave no room for their tasks; the oldest first.
 fn oversized(
     node: &Node,
     view: &View,
@@ -159,31 +160,42 @@
 ) -> Option<Step> {
     let peers = node.peers.borrow();
     let alive = peers.alive(node, Instant::now());
+    let is_preferred = |id: &str| {
+        let preferred = crate::placement::preferred(id, alive.iter().copied());
+        preferred == Some(node.name())
+    };
     let mut found: Vec<(u64, &str, &str)> = Vec::new();
     for key in view.oversized.keys().filter(|k| !left.contains_key(*k)) {
         let Some((table, id)) = key.strip_prefix(PREFIX).and_then(|k| k.split_once('/')) else {
             continue;
         };
         let version = match table {
-            "job" => {
-                let preferred = crate::placement::preferred(id, alive.iter().copied());
-                (preferred == Some(node.name())).then(|| view.job_version(id))
-            }
+            "job" => is_preferred(id).then(|| view.job_version(id)),
             "machine" => tended(id).then(|| view.group_version(id)),
             "zone" => tended(id).then(|| view.part_version(id)),
             _ => None,
         };
         found.extend(version.filter(|v| *v > 0).map(|v| (v, table, id)));
     }
-    let (version, table, id) = found.into_iter().min()?;
-    Some(match table {
-        "job" => {
-            let write = view.put_job(id, &view.jobs.get(id)?.value);
-            (vec![guard(crate::view::job_key(id), version)], vec![write])
+    let long = view.long_jobs.iter().filter(|id| {
+        // Those that are too long as they stand are among the others already.
+        let key = job_key(id);
+        !left.contains_key(&key) && !view.oversized.contains_key(&key)
+    });
+    for id in long.filter(|id| is_preferred(id)) {
+        let job = view.jobs.get(id).map(|e| &e.value);
+        if job.is_some_and(|job| view.trimmed_job(job).is_some()) {
+            // Version 0: it stands among the arrivals until this is written.
+            found.push((view.job_version(id), "job", id));
         }
+    }
+    found.sort_unstable();
+    let mut found = found.into_iter();
+    found.find_map(|(version, table, id)| match table {
+        "job" => rewritten_job(view, id, version),
         "zone" => {
             let write = view.put_part(id, &view.parts.get(id)?.value);
-            (vec![guard(part_key(id), version)], vec![write])
+            Some((vec![guard(part_key(id), version)], vec![write]))
         }
         _ => {
             // One that is too long in the short text, too, is split by this.
@@ -191,7 +203,18 @@
             groups.edit(id);
             let step = groups.into_commit();
             debug_assert!(step.0.iter().any(|g| g.key == group_key(id)));
-            step
+            Some(step)
         }
     })
 }
+
+/// A job's record as it is to be, if that is within the coming limit: one that
+/// cannot be is left to become shorter as its tasks end.
+fn rewritten_job(view: &View, id: &str, version: u64) -> Option<Step> {
+    let write = view.put_job(id, &view.jobs.get(id)?.value);
+    let Write::Put { value, .. } = &write else {
+        return None;
+    };
+    let fits = value.get().len() <= view.shrink_to.unwrap_or(usize::MAX);
+    fits.then(|| (vec![guard(job_key(id), version)], vec![write]))
+}
--- a/src/view.rs
+++ b/src/view.rs
@@ -13,10 +13,11 @@
 use serde_json::value::RawValue;
 
 use crate::model::{
-    Arrivals, FORMATS, Formats, Group, Hire, Job, Machine, Part, Ranges, Renter, Room, Slot, Spec,
-    Team, Types,
+    Arrivals, FORMATS, Final, Formats, Group, Hire, Job, Machine, Part, Ranges, Renter, Room, Slot,
+    Spec, Team, Types,
 };
 use crate::pipeline::Pipelines;
+use crate::record_trim::{self, TrimContext};
 use crate::wire::{Event, Pair, Write};
 
 /// All keys of the service begin with this; one watch covers them.
@@ -183,6 +184,11 @@
     pub shrink_to: Option<usize>,
     /// Records that hold more, with what they hold.
     pub oversized: BTreeMap<String, usize>,
+    /// Open jobs whose specification may leave too little of a record for their
+    /// tasks: a coarse choice by length, `trimmed_job` decides.
+    pub long_jobs: BTreeSet<String>,
+    /// Classes that an objective of the settings names.
+    pub aimed_classes: BTreeSet<String>,
     /// The latest job that needs accelerators: what machines with accelerators
     /// are kept free for. A hint, too.
     pub gpu_spec: Option<Spec>,
@@ -218,6 +224,19 @@
     true
 }
 
+/// Whether an open job's names, with a gang's places, take half of a record.
+fn is_long(job: &Job, most: usize) -> bool {
+    const GANG_PLACE: usize = 20;
+    let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
+        return false;
+    };
+    let places = match spec.is_gang() {
+        true => spec.tasks as usize * GANG_PLACE,
+        false => 0,
+    };
+    spec.names_bytes() + places > most / 2
+}
+
 /// A job's runs by what tells them apart.
 type Runs<'a> = HashMap<(&'a str, u64, bool), &'a Ranges>;
 
@@ -256,6 +275,7 @@
             class_numbers: old.class_numbers,
             gpu_spec: old.gpu_spec,
             shrink_to: old.shrink_to,
+            aimed_classes: old.aimed_classes,
             changes,
             pipelines: old.pipelines.anew(),
             loaded: true,
@@ -446,6 +466,7 @@
             return;
         }
         let old = self.jobs.remove(id).map(|e| e.value);
+        self.long_jobs.remove(id);
         self.index_job(id, old, &job);
         if let Some(job) = job {
             self.place_job(id, version, job);
@@ -519,6 +540,9 @@
 
     fn place_job(&mut self, id: &str, version: u64, job: Job) {
         let value = job;
+        if self.shrink_to.is_some_and(|most| is_long(&value, most)) {
+            self.long_jobs.insert(id.to_string());
+        }
         self.jobs.insert(id.to_string(), Entry { version, value });
         self.link(id);
     }
@@ -678,15 +702,53 @@
 
     /// Whether a job's record, as it will be written, is within `most` bytes.
     pub fn fits_job(&self, job: &Job, most: usize) -> bool {
+        let trimmed = self.trimmed_job(job);
+        self.job_bytes(trimmed.as_ref().unwrap_or(job)) <= most
+    }
+
+    /// The length of a job's record as it stands, not trimmed.
+    fn job_bytes(&self, job: &Job) -> usize {
         let short = match self.is_short() {
             true => crate::text::short_job(job),
             false => None,
         };
         let text = short.or_else(|| serde_json::to_string(job).ok());
-        text.is_some_and(|t| t.len() <= most)
+        text.map_or(usize::MAX, |t| t.len())
+    }
+
+    /// The job as it has to be written if its record would exceed the coming
+    /// limit, now or with the least that it runs at once; `None` where it fits.
+    pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
+        let most = self.shrink_to.filter(|_| self.is_short())?;
+        let context = TrimContext {
+            machine_types: &self.types.value.types,
+            aimed_classes: &self.aimed_classes,
+            is_done: &|id| self.state(id) == Some(Final::Done),
+        };
+        record_trim::trim_job(job, &context, |job| {
+            self.job_bytes(job) <= most && self.runs_within(job, most)
+        })
+    }
+
+    /// Whether an open job's record leaves room for the least that it runs.
+    fn runs_within(&self, job: &Job, most: usize) -> bool {
+        let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
+            return true;
+        };
+        let longest = |names: &mut dyn Iterator<Item = &str>| {
+            let longest = names.max_by_key(|name| name.len());
+            longest.unwrap_or_default().to_string()
+        };
+        let machine = longest(&mut self.machines.keys().map(String::as_str));
+        let zone = longest(&mut self.zone_names.all());
+        // What it awaits leaves its record before any of its tasks comes in.
+        let least = crate::admission::least_record(spec, &machine, &zone);
+        least.saturating_sub(spec.awaits_bytes()) <= most
     }
 
     pub fn put_job(&self, id: &str, job: &Job) -> Write {
+        let trimmed = self.trimmed_job(job);
+        let job = trimmed.as_ref().unwrap_or(job);
         let short = || crate::text::short_job(job);
         self.put(job_key(id), job, short)
     }
