--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod ops;
 pub mod pipeline;
 pub mod policy;
+pub mod record_trim;
 pub mod scheduler;
 pub mod settings;
 pub mod shrink;
--- a/src/node.rs
+++ b/src/node.rs
@@ -116,7 +116,9 @@
         let workers = workers.bounded(settings.order_connections(), crate::http::BODY_LIMIT * 4);
         let store_rng = SmallRng::seed_from_u64(rng.random());
         let store = new_store(&settings, client.clone(), store_rng, now);
-        let view = View::shrinking(settings.shrinks().then(|| settings.value_bytes()));
+        let mut view = View::shrinking(settings.shrinks().then(|| settings.value_bytes()));
+        let objectives = settings.deployment.objectives.iter();
+        view.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Node {
             net,
             client,
