--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -8,11 +8,18 @@
 use std::time::Duration;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::time::Instant;
+use tokio::time::{Instant, timeout_at};
 
-use super::{ANSWER_LIMIT, HEADERS, Response};
+use super::{ANSWER_LIMIT, MAX_HEADERS, Response};
 use crate::net::{Net, Stream};
 
+/// How many idle connections are kept for each address.
+const IDLE_PER_ADDRESS: usize = 4;
+
+/// The room that is made for each read.
+const READ_BYTES: usize = 4096;
+
+/// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing left this process: surely not executed.
@@ -21,23 +28,30 @@
     /// Sent, at least in part: executed or not, now or later.
     #[error("no answer: {0}")]
     NoAnswer(String),
+    /// The answer is not what was expected.
     #[error("malformed answer: {0}")]
     Malformed(String),
+    /// The answer is longer than the client reads.
     #[error("answer too large")]
     TooLarge,
 }
 
-/// Counts one for as long as it lives.
-pub(super) struct Count(pub(super) Rc<Cell<usize>>);
+/// Counts one open connection for as long as it lives.
+pub(super) struct OpenConnection(Rc<Cell<usize>>);
+
+impl OpenConnection {
+    pub(super) fn new(open: &Rc<Cell<usize>>) -> Self {
+        open.set(open.get() + 1);
+        OpenConnection(open.clone())
+    }
 
-impl Count {
-    pub(super) fn new(of: &Rc<Cell<usize>>) -> Self {
-        of.set(of.get() + 1);
-        Count(of.clone())
+    /// How many connections are open.
+    pub(super) fn count(&self) -> &Cell<usize> {
+        &self.0
     }
 }
 
-impl Drop for Count {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -45,10 +59,10 @@
 
 struct Connection {
     stream: Stream,
-    _open: Count,
+    _open: OpenConnection,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
@@ -56,35 +70,36 @@
 /// Keeps connections open per address, and uses one for a request at a time.
 pub struct Client {
     net: Net,
-    idle: RefCell<HashMap<SocketAddrV4, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
     /// An idle connection older than this is not trusted to be open still.
-    keep: Duration,
-    /// How many connections are open, in use or idle, and may be.
+    max_idle: Duration,
+    /// How many connections are open, in use or idle.
     open: Rc<Cell<usize>>,
-    most: usize,
+    /// How many may be.
+    max_open: usize,
     /// The longest answer that is read.
-    answer: usize,
+    max_answer: usize,
 }
 
-const IDLE_PER_ADDRESS: usize = 4;
-
 impl Client {
-    pub fn new(net: Net, keep: Duration) -> Self {
+    /// A client that uses connections again if they were idle for less than
+    /// `max_idle`.
+    pub fn new(net: Net, max_idle: Duration) -> Self {
         Client {
             net,
             idle: RefCell::default(),
-            keep,
+            max_idle,
             open: Rc::default(),
-            most: usize::MAX,
-            answer: ANSWER_LIMIT,
+            max_open: usize::MAX,
+            max_answer: ANSWER_LIMIT,
         }
     }
 
     /// The same with other bounds: on connections, and on an answer's bytes.
-    pub fn bounded(self, most: usize, answer: usize) -> Self {
+    pub fn bounded(self, max_open: usize, max_answer: usize) -> Self {
         Client {
-            most,
-            answer,
+            max_open,
+            max_answer,
             ..self
         }
     }
@@ -97,7 +112,7 @@
     /// Makes room for one more connection, by closing the one that has been
     /// idle longest; false when all are in use.
     fn make_room(&self) -> bool {
-        if self.open.get() < self.most {
+        if self.open.get() < self.max_open {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
@@ -117,12 +132,12 @@
         true
     }
 
-    async fn dial(&self, addr: SocketAddrV4) -> io::Result<Connection> {
+    async fn connect(&self, addr: SocketAddrV4) -> io::Result<Connection> {
         if !self.make_room() {
             return Err(io::Error::other("all connections are in use"));
         }
-        // Counted from here on, as several may dial at once.
-        let open = Count::new(&self.open);
+        // Counted from here on, as several may connect at once.
+        let open = OpenConnection::new(&self.open);
         let stream = self.net.dial(addr).await?;
         Ok(Connection {
             stream,
@@ -130,6 +145,37 @@
         })
     }
 
+    async fn connect_until(
+        &self,
+        addr: SocketAddrV4,
+        deadline: Instant,
+    ) -> Result<Connection, CallError> {
+        match timeout_at(deadline, self.connect(addr)).await {
+            Ok(Ok(connection)) => Ok(connection),
+            Ok(Err(error)) => Err(CallError::NotSent(error.to_string())),
+            Err(_) => Err(CallError::NotSent("connecting took too long".into())),
+        }
+    }
+
+    /// Takes the connection to an address that has been idle for the shortest
+    /// time.
+    fn take_idle(&self, addr: SocketAddrV4) -> Option<IdleConnection> {
+        self.idle.borrow_mut().get_mut(&addr)?.pop()
+    }
+
+    /// Keeps a connection for the next request to its address.
+    fn keep(&self, addr: SocketAddrV4, connection: Connection) {
+        let mut idle = self.idle.borrow_mut();
+        let list = idle.entry(addr).or_default();
+        if list.len() < IDLE_PER_ADDRESS {
+            list.push(IdleConnection {
+                connection,
+                since: Instant::now(),
+            });
+        }
+    }
+
+    /// Sends a request and reads its answer, both within `limit`.
     pub async fn call(
         &self,
         addr: SocketAddrV4,
@@ -153,44 +199,29 @@
         body: Option<Vec<u8>>,
         deadline: Instant,
     ) -> Result<Response, CallError> {
-        let reused = self.idle.borrow_mut().get_mut(&addr).and_then(|v| v.pop());
-        let mut connection = match reused {
-            Some(idle) if idle.since.elapsed() < self.keep => idle.connection,
-            _ => match tokio::time::timeout_at(deadline, self.dial(addr)).await {
-                Ok(Ok(s)) => s,
-                Ok(Err(e)) => return Err(CallError::NotSent(e.to_string())),
-                Err(_) => return Err(CallError::NotSent("connecting took too long".into())),
-            },
+        let idle = self.take_idle(addr);
+        let mut connection = match idle {
+            Some(idle) if idle.since.elapsed() < self.max_idle => idle.connection,
+            _ => self.connect_until(addr, deadline).await?,
         };
-        let body = body.unwrap_or_default();
-        let mut out = format!(
-            "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
-            body.len()
-        )
-        .into_bytes();
-        out.extend_from_slice(&body);
+        let request = request_bytes(addr, method, path, &body.unwrap_or_default());
         // A timeout alone looks at the clock only after its future has run.
         if Instant::now() >= deadline {
             return Err(CallError::NotSent("too late to send".into()));
         }
         let exchange = async {
-            connection.stream.write_all(&out).await?;
-            read_response(&mut connection.stream, self.answer).await
+            connection.stream.write_all(&request).await?;
+            read_response(&mut connection.stream, self.max_answer).await
         };
-        match tokio::time::timeout_at(deadline, exchange).await {
+        match timeout_at(deadline, exchange).await {
             Err(_) => Err(CallError::NoAnswer("timed out".into())),
-            Ok(Err(e)) if e.kind() == io::ErrorKind::FileTooLarge => Err(CallError::TooLarge),
-            Ok(Err(e)) => Err(CallError::NoAnswer(e.to_string())),
-            Ok(Ok((response, keep))) => {
-                if keep {
-                    let mut idle = self.idle.borrow_mut();
-                    let list = idle.entry(addr).or_default();
-                    if list.len() < IDLE_PER_ADDRESS {
-                        list.push(Idle {
-                            connection,
-                            since: Instant::now(),
-                        });
-                    }
+            Ok(Err(error)) if error.kind() == io::ErrorKind::FileTooLarge => {
+                Err(CallError::TooLarge)
+            }
+            Ok(Err(error)) => Err(CallError::NoAnswer(error.to_string())),
+            Ok(Ok((response, keep_alive))) => {
+                if keep_alive {
+                    self.keep(addr, connection);
                 }
                 Ok(response)
             }
@@ -201,13 +232,23 @@
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|i| i.since.elapsed() < self.keep);
+            list.retain(|idle| idle.since.elapsed() < self.max_idle);
         }
-        idle.retain(|_, l| !l.is_empty());
+        idle.retain(|_, list| !list.is_empty());
     }
 }
 
-fn bad(what: &str) -> io::Error {
+fn request_bytes(addr: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+    let mut bytes = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    )
+    .into_bytes();
+    bytes.extend_from_slice(body);
+    bytes
+}
+
+fn malformed(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
@@ -215,89 +256,143 @@
     io::Error::from(io::ErrorKind::FileTooLarge)
 }
 
-async fn read_more(stream: &mut Stream, buf: &mut Vec<u8>, most: usize) -> io::Result<()> {
-    if buf.len() > most {
+/// Reads what comes next; fails at the end of the stream, and when the buffer
+/// holds more than `limit` already.
+async fn read_more(stream: &mut Stream, buffer: &mut Vec<u8>, limit: usize) -> io::Result<()> {
+    if buffer.len() > limit {
         return Err(too_large());
     }
-    buf.reserve(4096);
-    match stream.read_buf(buf).await? {
+    buffer.reserve(READ_BYTES);
+    match stream.read_buf(buffer).await? {
         0 => Err(io::Error::from(io::ErrorKind::UnexpectedEof)),
         _ => Ok(()),
     }
 }
 
-async fn read_response(stream: &mut Stream, most: usize) -> io::Result<(Response, bool)> {
-    let mut buf = Vec::new();
-    loop {
-        read_more(stream, &mut buf, most).await?;
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-        let mut head = httparse::Response::new(&mut headers);
-        let head_len = match head.parse(&buf) {
-            Ok(httparse::Status::Complete(n)) => n,
-            Ok(httparse::Status::Partial) => continue,
-            Err(e) => return Err(bad(&e.to_string())),
-        };
-        let mut length = None;
-        let mut chunked = false;
-        let mut keep = head.version == Some(1);
-        let mut retry_after = None;
-        for h in head.headers.iter() {
-            let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-            if h.name.eq_ignore_ascii_case("content-length") {
-                length = Some(value.parse::<usize>().map_err(|_| bad("content-length"))?);
-            } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-                chunked = value.eq_ignore_ascii_case("chunked");
-            } else if h.name.eq_ignore_ascii_case("connection") {
-                keep = keep && !value.eq_ignore_ascii_case("close");
-            } else if h.name.eq_ignore_ascii_case("retry-after") {
-                retry_after = value.parse().ok();
-            }
+/// What an answer's head says.
+struct ResponseHead {
+    status: u16,
+    /// Its own length.
+    len: usize,
+    /// How the body ends.
+    body: BodyEnd,
+    retry_after: Option<u32>,
+    keep_alive: bool,
+}
+
+/// How the end of a body is found.
+#[derive(Clone, Copy)]
+enum BodyEnd {
+    Chunked,
+    Length(usize),
+    /// With the connection.
+    Close,
+}
+
+/// Reads the head of an answer from the start of `buffer`; none if more bytes
+/// are needed.
+fn parse_head(buffer: &[u8]) -> io::Result<Option<ResponseHead>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let len = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(len)) => len,
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(error) => return Err(malformed(&error.to_string())),
+    };
+    let mut length = None;
+    let mut chunked = false;
+    let mut keep_alive = head.version == Some(1);
+    let mut retry_after = None;
+    for header in head.headers.iter() {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let given = value.parse::<usize>();
+            length = Some(given.map_err(|_| malformed("content-length"))?);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            chunked = value.eq_ignore_ascii_case("chunked");
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            keep_alive = keep_alive && !value.eq_ignore_ascii_case("close");
+        } else if header.name.eq_ignore_ascii_case("retry-after") {
+            retry_after = value.parse().ok();
         }
-        let status = head.code.unwrap_or(0);
-        let mut rest = buf.split_off(head_len);
-        let body = if chunked {
-            read_chunks(stream, rest, most).await?
-        } else if let Some(n) = length {
-            if n > most {
+    }
+    let body = match length {
+        _ if chunked => BodyEnd::Chunked,
+        Some(length) => BodyEnd::Length(length),
+        None => BodyEnd::Close,
+    };
+    Ok(Some(ResponseHead {
+        status: head.code.unwrap_or(0),
+        len,
+        body,
+        retry_after,
+        keep_alive: keep_alive && !matches!(body, BodyEnd::Close),
+    }))
+}
+
+/// Reads an answer, and whether the connection may be used again.
+async fn read_response(stream: &mut Stream, limit: usize) -> io::Result<(Response, bool)> {
+    let mut buffer = Vec::new();
+    let head = loop {
+        read_more(stream, &mut buffer, limit).await?;
+        if let Some(head) = parse_head(&buffer)? {
+            break head;
+        }
+    };
+    let begun = buffer.split_off(head.len);
+    let response = Response {
+        status: head.status,
+        body: read_body(stream, begun, head.body, limit).await?,
+        retry_after: head.retry_after,
+        text: false,
+    };
+    Ok((response, head.keep_alive))
+}
+
+/// Reads the rest of a body of which some has come with the head.
+async fn read_body(
+    stream: &mut Stream,
+    mut body: Vec<u8>,
+    end: BodyEnd,
+    limit: usize,
+) -> io::Result<Vec<u8>> {
+    match end {
+        BodyEnd::Chunked => return read_chunks(stream, body, limit).await,
+        BodyEnd::Length(length) => {
+            if length > limit {
                 return Err(too_large());
             }
-            rest.reserve(n.saturating_sub(rest.len()));
-            while rest.len() < n {
-                read_more(stream, &mut rest, most).await?;
+            body.reserve(length.saturating_sub(body.len()));
+            while body.len() < length {
+                read_more(stream, &mut body, limit).await?;
             }
-            rest.truncate(n);
-            rest
-        } else {
-            keep = false;
-            while read_more(stream, &mut rest, most).await.is_ok() {}
-            rest
-        };
-        let response = Response {
-            status,
-            body,
-            retry_after,
-            text: false,
-        };
-        return Ok((response, keep));
+            body.truncate(length);
+        }
+        BodyEnd::Close => while read_more(stream, &mut body, limit).await.is_ok() {},
     }
+    Ok(body)
 }
 
-async fn read_chunks(stream: &mut Stream, mut buf: Vec<u8>, most: usize) -> io::Result<Vec<u8>> {
+async fn read_chunks(
+    stream: &mut Stream,
+    mut buffer: Vec<u8>,
+    limit: usize,
+) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
-        match httparse::parse_chunk_size(&buf) {
-            Err(_) => return Err(bad("chunk size")),
-            Ok(httparse::Status::Partial) => read_more(stream, &mut buf, most).await?,
+        match httparse::parse_chunk_size(&buffer) {
+            Err(_) => return Err(malformed("chunk size")),
+            Ok(httparse::Status::Partial) => read_more(stream, &mut buffer, limit).await?,
             Ok(httparse::Status::Complete((used, size))) => {
-                let size = usize::try_from(size).map_err(|_| bad("chunk size"))?;
-                if body.len().saturating_add(size) > most {
+                let size = usize::try_from(size).map_err(|_| malformed("chunk size"))?;
+                if body.len().saturating_add(size) > limit {
                     return Err(too_large());
                 }
-                while buf.len() < used + size + 2 {
-                    read_more(stream, &mut buf, most).await?;
+                while buffer.len() < used + size + 2 {
+                    read_more(stream, &mut buffer, limit).await?;
                 }
-                body.extend_from_slice(&buf[used..used + size]);
-                buf.drain(..used + size + 2);
+                body.extend_from_slice(&buffer[used..used + size]);
+                buffer.drain(..used + size + 2);
                 if size == 0 {
                     return Ok(body);
                 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -13,8 +13,13 @@
 
 /// PROTOCOL: a request body can be at most 64 KiB.
 pub const BODY_LIMIT: usize = 64 * 1024;
+
+/// The longest head of a request.
 const HEAD_LIMIT: usize = 8 * 1024;
-const HEADERS: usize = 48;
+
+/// The most headers of a request or an answer.
+const MAX_HEADERS: usize = 48;
+
 /// What an answer may hold, unless the client says otherwise: this bounds what
 /// a broken peer can make us hold.
 const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -10,17 +10,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 
-use super::client::Count;
+use super::client::OpenConnection;
 use super::message::encode;
 use super::{Parsed, Request, Response, parse_request};
 use crate::net::{Listener, Stream};
 
+/// The response that a handler will give.
 pub type Answer = Pin<Box<dyn Future<Output = Response>>>;
+
+/// What answers the server's requests.
 pub type Handler = Rc<dyn Fn(Request) -> Answer>;
 
+/// How long to wait when no connection can be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+
+/// The room that is made for each read.
+const READ_BYTES: usize = 2048;
+
 /// Bounds on what the server's connections may take.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
+    /// The most connections that are open at once.
     pub connections: usize,
     /// An idle connection may wait this long for its next request.
     pub idle: Duration,
@@ -44,11 +54,11 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         let stream = match listener.accept().await {
-            Ok(s) => s,
+            Ok(stream) => stream,
             Err(error) => {
                 // Out of sockets, most likely: wait for some to close.
                 tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
@@ -56,60 +66,94 @@
             drop(stream);
             continue;
         }
-        let (count, handler) = (Count::new(&open), handler.clone());
+        let connection = OpenConnection::new(&open);
+        let handler = handler.clone();
         tokio::task::spawn_local(async move {
-            let _ = converse(stream, limits, handler, &count.0).await;
+            let _ = serve_connection(stream, limits, handler, connection.count()).await;
         });
     }
 }
 
-async fn converse(
+/// What became of waiting for a request.
+enum Received {
+    Request {
+        request: Request,
+        keep_alive: bool,
+    },
+    /// The connection is to be closed.
+    Closed,
+}
+
+/// Answers one request after another. `open` counts the server's connections.
+async fn serve_connection(
     mut stream: Stream,
     limits: ServerLimits,
     handler: Handler,
     open: &Cell<usize>,
 ) -> io::Result<()> {
-    let mut buf: Vec<u8> = Vec::new();
+    let mut buffer: Vec<u8> = Vec::new();
     loop {
-        let mut begun: Option<Instant> = (!buf.is_empty()).then(Instant::now);
-        let (request, used, keep) = loop {
-            match parse_request(&buf) {
-                Parsed::Whole(r, n, keep) => break (r, n, keep),
-                Parsed::Refuse(status, problem) => {
-                    let bytes = encode(&Response::error(status, problem), false);
-                    let _ = timeout(limits.arrive, stream.write_all(&bytes)).await;
-                    let _ = timeout(limits.arrive, stream.shutdown()).await;
-                    return Ok(());
-                }
-                Parsed::Partial => {}
-            }
-            let wait = match begun {
-                None => limits.idle,
-                Some(t) => limits.arrive.saturating_sub(t.elapsed()),
-            };
-            buf.reserve(2048);
-            match timeout(wait, stream.read_buf(&mut buf)).await {
-                Ok(Ok(0)) | Err(_) => return Ok(()),
-                Ok(Ok(_)) => begun = begun.or(Some(Instant::now())),
-                Ok(Err(e)) => return Err(e),
-            }
+        let received = receive(&mut stream, &limits, &mut buffer).await?;
+        let Received::Request {
+            request,
+            keep_alive,
+        } = received
+        else {
+            return Ok(());
         };
-        buf.drain(..used);
-        if buf.is_empty() {
-            // Idle connections hold no buffer: there may be many.
-            buf = Vec::new();
-        }
         let stays = (limits.stays)(&request);
         let response = handler(request).await;
-        let keep = keep && (stays || !limits.is_crowded(open.get()));
-        let bytes = encode(&response, keep);
+        let keep_alive = keep_alive && (stays || !limits.is_crowded(open.get()));
+        let bytes = encode(&response, keep_alive);
         match timeout(limits.arrive, stream.write_all(&bytes)).await {
             Ok(done) => done?,
             Err(_) => return Ok(()),
         }
-        if !keep {
+        if !keep_alive {
             let _ = timeout(limits.arrive, stream.shutdown()).await;
             return Ok(());
         }
     }
 }
+
+/// Reads until `buffer` holds a request, and takes it out of there. One that is
+/// malformed is answered at once.
+async fn receive(
+    stream: &mut Stream,
+    limits: &ServerLimits,
+    buffer: &mut Vec<u8>,
+) -> io::Result<Received> {
+    let mut begun: Option<Instant> = (!buffer.is_empty()).then(Instant::now);
+    loop {
+        match parse_request(buffer) {
+            Parsed::Whole(request, used, keep_alive) => {
+                buffer.drain(..used);
+                if buffer.is_empty() {
+                    // Idle connections hold no buffer: there may be many.
+                    *buffer = Vec::new();
+                }
+                return Ok(Received::Request {
+                    request,
+                    keep_alive,
+                });
+            }
+            Parsed::Refuse(status, problem) => {
+                let bytes = encode(&Response::error(status, problem), false);
+                let _ = timeout(limits.arrive, stream.write_all(&bytes)).await;
+                let _ = timeout(limits.arrive, stream.shutdown()).await;
+                return Ok(Received::Closed);
+            }
+            Parsed::Partial => {}
+        }
+        let wait = match begun {
+            None => limits.idle,
+            Some(since) => limits.arrive.saturating_sub(since.elapsed()),
+        };
+        buffer.reserve(READ_BYTES);
+        match timeout(wait, stream.read_buf(buffer)).await {
+            Ok(Ok(0)) | Err(_) => return Ok(Received::Closed),
+            Ok(Ok(_)) => begun = begun.or(Some(Instant::now())),
+            Ok(Err(error)) => return Err(error),
+        }
+    }
+}
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -1,7 +1,9 @@
-//! What controllers tell one another: hints only. Nothing that a Rule rests
-//! on is decided by what comes over the mesh.
+//! What controllers tell one another: hints only. Nothing that a safety rule
+//! rests on is decided by what comes over the mesh.
 
 use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -9,13 +11,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::machines::Hand;
 use crate::net::{Listener, Stream};
 use crate::node::Node;
 
-/// One controller's word on itself, sent a few times in a lease.
+/// What one controller tells of itself, sent a few times in a lease. The order
+/// of the fields is the frame's.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct Gossip {
+    /// The controller's name.
     pub node: String,
+    /// The run of its process.
     pub incarnation: u64,
     /// How old its horizon is; `None` before its first barrier.
     pub horizon_ms: Option<u64>,
@@ -32,27 +38,52 @@
 /// Answers each frame.
 const ACK: u8 = 1;
 
+/// The longest frame that is read.
 const FRAME_LIMIT: usize = 256 * 1024;
 
+/// The most that is believed of what a controller would write a second.
+const MAX_WRITES: f64 = 1e6;
+
+/// A controller that has not been heard of for so many intervals counts as not
+/// heard of.
+const FRESH_INTERVALS: u32 = 4;
+
+/// How long to wait when no connection can be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// The part of the state service's limits that is used, see `Node::new`.
+const USED_RATE: f64 = 0.97;
+
+/// What another controller has last told of itself.
 #[derive(Debug)]
 pub struct Peer {
+    /// When it told so.
     pub at: Instant,
+    /// The run of its process.
     pub incarnation: u64,
+    /// How old its horizon was; `None` before its first barrier.
     pub horizon_ms: Option<u64>,
+    /// How many machines report to it.
     pub machines: u32,
+    /// How many of them it had not heard for two report intervals.
     pub silent: u32,
+    /// What it would write to the state service, a second.
     pub writes: f64,
+    /// Offers that the cloud had refused it of late.
     pub refused: Vec<String>,
 }
 
+/// What the other controllers have told, by name.
 #[derive(Debug, Default)]
 pub struct Peers(HashMap<String, Peer>);
 
+/// The time between two frames to one peer.
 fn interval(node: &Node) -> Duration {
     (node.settings.lease() / 20).min(Duration::from_secs(1))
 }
 
 impl Peers {
+    /// Takes in what a controller tells.
     pub fn take(&mut self, gossip: Gossip, now: Instant) {
         self.0.insert(
             gossip.node,
@@ -62,18 +93,19 @@
                 horizon_ms: gossip.horizon_ms,
                 machines: gossip.machines,
                 silent: gossip.silent,
-                writes: gossip.writes.clamp(0.0, 1e6),
+                writes: gossip.writes.clamp(0.0, MAX_WRITES),
                 refused: gossip.refused,
             },
         );
     }
 
+    /// Those that were heard of late.
     fn fresh(&self, node: &Node, now: Instant) -> impl Iterator<Item = (&str, &Peer)> {
-        let limit = interval(node) * 4;
+        let limit = interval(node) * FRESH_INTERVALS;
         self.0
             .iter()
-            .filter(move |(_, p)| now.saturating_duration_since(p.at) < limit)
-            .map(|(n, p)| (n.as_str(), p))
+            .filter(move |(_, peer)| now.saturating_duration_since(peer.at) < limit)
+            .map(|(name, peer)| (name.as_str(), peer))
     }
 
     /// This controller and those that were heard of late with state contact.
@@ -81,8 +113,8 @@
         let limit = (node.settings.lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
             .fresh(node, now)
-            .filter(|(_, p)| p.horizon_ms.is_some_and(|h| h < limit))
-            .map(|(n, _)| n)
+            .filter(|(_, peer)| peer.horizon_ms.is_some_and(|age| age < limit))
+            .map(|(name, _)| name)
             .collect();
         names.push(node.name());
         names
@@ -93,23 +125,26 @@
     /// alone still talks to us and to the state service.
     pub fn hears_machines(&self, node: &Node, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(node, now);
-        fresh.any(|(name, p)| name == peer && p.silent <= (p.machines / 4).max(1))
+        fresh.any(|(name, told)| name == peer && told.silent <= (told.machines / 4).max(1))
     }
 
     /// What the other controllers would write a second; nothing for those that
     /// have not been heard of late.
     pub fn demands(&self, node: &Node, now: Instant) -> Vec<Option<f64>> {
-        let fresh: HashMap<&str, f64> = self.fresh(node, now).map(|(n, p)| (n, p.writes)).collect();
+        let fresh: HashMap<&str, f64> = self
+            .fresh(node, now)
+            .map(|(name, peer)| (name, peer.writes))
+            .collect();
         let others = node.settings.others.iter();
         others
-            .map(|p| fresh.get(p.name.as_str()).copied())
+            .map(|other| fresh.get(other.name.as_str()).copied())
             .collect()
     }
 
     /// What the cloud has refused the others.
     pub fn refused(&self, node: &Node, now: Instant) -> Vec<String> {
         self.fresh(node, now)
-            .flat_map(|(_, p)| p.refused.iter().cloned())
+            .flat_map(|(_, peer)| peer.refused.iter().cloned())
             .collect()
     }
 
@@ -119,6 +154,7 @@
     }
 }
 
+/// A frame: the length of what follows, and the message itself.
 pub fn encode(gossip: &Gossip) -> Option<Vec<u8>> {
     let body = bincode::encode_to_vec(gossip, bincode::config::standard()).ok()?;
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
@@ -126,55 +162,58 @@
     Some(frame)
 }
 
+/// The message of a frame, without its length.
 pub fn decode(body: &[u8]) -> Option<Gossip> {
     let config = bincode::config::standard().with_limit::<FRAME_LIMIT>();
     bincode::decode_from_slice(body, config)
         .ok()
-        .map(|(g, _)| g)
+        .map(|(gossip, _)| gossip)
 }
 
+/// Accepts the other controllers' connections.
 pub async fn listen(node: Rc<Node>, mut listener: Listener) {
     loop {
         match listener.accept().await {
             Ok(stream) => {
-                tokio::task::spawn_local(hear(node.clone(), stream));
+                tokio::task::spawn_local(receive(node.clone(), stream));
             }
-            Err(_) => sleep(Duration::from_millis(100)).await,
+            Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-async fn hear(node: Rc<Node>, mut stream: Stream) {
+/// Takes in one peer's frames until it sends none or a bad one.
+async fn receive(node: Rc<Node>, mut stream: Stream) {
     let patience = interval(&node) * 10;
     loop {
-        let frame = async {
-            let len = stream.read_u32().await? as usize;
-            if len > FRAME_LIMIT {
-                return Err(std::io::Error::from(std::io::ErrorKind::InvalidData));
-            }
-            let mut body = vec![0; len];
-            stream.read_exact(&mut body).await?;
-            Ok(body)
-        };
-        let Ok(Ok(body)) = timeout(patience, frame).await else {
+        let Ok(Ok(body)) = timeout(patience, read_frame(&mut stream)).await else {
             return;
         };
-        let known = |g: &Gossip| node.settings.others.iter().any(|p| p.name == g.node);
+        let others = &node.settings.others;
+        let is_known = |gossip: &Gossip| others.iter().any(|peer| peer.name == gossip.node);
         match decode(&body) {
-            Some(gossip) if known(&gossip) => {
+            Some(gossip) if is_known(&gossip) => {
                 node.peers.borrow_mut().take(gossip, Instant::now());
             }
             _ => return,
         }
-        if !matches!(
-            timeout(patience, stream.write_all(&[ACK])).await,
-            Ok(Ok(()))
-        ) {
+        let acknowledged = timeout(patience, stream.write_all(&[ACK])).await;
+        if !matches!(acknowledged, Ok(Ok(()))) {
             return;
         }
     }
 }
 
+async fn read_frame(stream: &mut Stream) -> io::Result<Vec<u8>> {
+    let len = stream.read_u32().await? as usize;
+    if len > FRAME_LIMIT {
+        return Err(io::Error::from(io::ErrorKind::InvalidData));
+    }
+    let mut body = vec![0; len];
+    stream.read_exact(&mut body).await?;
+    Ok(body)
+}
+
 /// Divides the state service's writes by what each controller would write.
 pub async fn keep_share(node: Rc<Node>) {
     loop {
@@ -182,11 +221,11 @@
         // The lower rate comes into force without notice: it is kept to once
         // refusals show it, and the present one is tried again later.
         let lowered = node.store.is_lowered() && node.view.borrow().upgraded();
-        let total = node.settings.write_rps(lowered) * 0.97;
+        let total = node.settings.write_rps(lowered) * USED_RATE;
         let mut others = node.peers.borrow().demands(&node, Instant::now());
-        // Who is not heard and has no state lease either writes nothing: he is
-        // cut off, or has ended, and his part is needed most just then. Only
-        // when there was time for all to sign.
+        // A controller that is not heard and has no state lease either writes
+        // nothing: it is cut off, or has ended, and its part is needed most just
+        // then. Only when there was time for all to write their keys.
         if node.started.elapsed() > node.settings.lease() && node.has_state() {
             let view = node.view.borrow();
             for (peer, demand) in node.settings.others.iter().zip(&mut others) {
@@ -197,56 +236,59 @@
         }
         let share = crate::store::write_share(total, node.store.demand(), &others);
         let count = node.settings.deployment.count as f64;
-        let requests = node.settings.rps(lowered) / count * 0.97;
+        let requests = node.settings.rps(lowered) / count * USED_RATE;
         node.store.set_requests(requests);
         node.store.set_share(share);
     }
 }
 
+/// Tells the other controllers of this one.
 pub async fn speak(node: Rc<Node>) {
     for peer in node.settings.others.clone() {
-        let node = node.clone();
-        tokio::task::spawn_local(async move {
-            let mut stream: Option<Stream> = None;
-            loop {
-                sleep(interval(&node)).await;
-                if stream.is_none() {
-                    let dial = node.net.dial(peer.addr);
-                    stream = timeout(interval(&node), dial)
-                        .await
-                        .ok()
-                        .and_then(Result::ok);
-                }
-                let Some(open) = &mut stream else { continue };
-                let Some(frame) = encode(&word(&node)) else {
-                    continue;
-                };
-                // Each word is acknowledged: a connection to a process that
-                // ended without a word takes writes for a long time.
-                let exchange = async {
-                    open.write_all(&frame).await?;
-                    open.read_u8().await
-                };
-                match timeout(interval(&node) * 2, exchange).await {
-                    Ok(Ok(ACK)) => {}
-                    _ => stream = None,
-                }
-            }
-        });
+        tokio::task::spawn_local(speak_to(node.clone(), peer.addr));
+    }
+}
+
+async fn speak_to(node: Rc<Node>, addr: SocketAddrV4) {
+    let mut stream: Option<Stream> = None;
+    loop {
+        sleep(interval(&node)).await;
+        if stream.is_none() {
+            let dial = node.net.dial(addr);
+            stream = timeout(interval(&node), dial)
+                .await
+                .ok()
+                .and_then(Result::ok);
+        }
+        let Some(open) = &mut stream else { continue };
+        let Some(frame) = encode(&gossip_of(&node)) else {
+            continue;
+        };
+        // Each frame is acknowledged: a connection to a process that ended
+        // without a word takes writes for a long time.
+        let exchange = async {
+            open.write_all(&frame).await?;
+            open.read_u8().await
+        };
+        match timeout(interval(&node) * 2, exchange).await {
+            Ok(Ok(ACK)) => {}
+            _ => stream = None,
+        }
     }
 }
 
-fn word(node: &Node) -> Gossip {
+/// What this controller tells of itself now.
+fn gossip_of(node: &Node) -> Gossip {
     let now = node.pulse();
     let limit = node.settings.report() * 2;
     let hands = node.hands.borrow();
-    let silent = |hand: &&crate::machines::Hand| now.saturating_duration_since(hand.heard) > limit;
+    let is_silent = |hand: &&Hand| now.saturating_duration_since(hand.heard) > limit;
     Gossip {
         node: node.name().to_string(),
         incarnation: node.incarnation,
-        horizon_ms: node.horizon_age().map(|a| a.as_millis() as u64),
+        horizon_ms: node.horizon_age().map(|age| age.as_millis() as u64),
         machines: hands.len() as u32,
-        silent: hands.values().filter(silent).count() as u32,
+        silent: hands.values().filter(is_silent).count() as u32,
         writes: node.store.demand(),
         refused: node.fleet.borrow().refused_now(now),
     }
--- a/src/net.rs
+++ b/src/net.rs
@@ -13,46 +13,63 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
+/// What can be read from and written to.
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
+
+/// An open connection.
 pub type Stream = Box<dyn Duplex>;
 
 /// The bytes that a fabric's stream holds on the way.
 const FABRIC_BUFFER: usize = 64 * 1024;
 
+/// A network inside one process, of which parts can be cut off from others.
 #[derive(Default)]
 pub struct Fabric {
     listeners: RefCell<HashMap<SocketAddrV4, mpsc::UnboundedSender<DuplexStream>>>,
-    cut: RefCell<HashSet<(SocketAddrV4, SocketAddrV4)>>,
+    cut: RefCell<HashSet<Route>>,
+}
+
+/// From where to where a stream was opened.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Route {
+    from: SocketAddrV4,
+    to: SocketAddrV4,
 }
 
 impl Fabric {
     /// From now on `from` reaches `to` no more: dials hang, and so do streams
     /// that are open already, as behind a cut.
     pub fn cut(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.cut.borrow_mut().insert((from, to));
+        self.cut.borrow_mut().insert(Route { from, to });
     }
+
+    /// Undoes a cut: dials and open streams go on.
     pub fn mend(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.cut.borrow_mut().remove(&(from, to));
+        self.cut.borrow_mut().remove(&Route { from, to });
     }
+
     /// The listener at `addr` is gone, as when its process has ended.
     pub fn close(&self, addr: SocketAddrV4) {
         self.listeners.borrow_mut().remove(&addr);
     }
+
+    fn is_cut(&self, route: Route) -> bool {
+        self.cut.borrow().contains(&route)
+    }
 }
 
 /// The dialler's end of a stream on a fabric.
 struct FabricStream {
     inner: DuplexStream,
     fabric: Rc<Fabric>,
-    from: SocketAddrV4,
-    to: SocketAddrV4,
+    route: Route,
 }
 
 impl FabricStream {
     /// Whoever waits on a cut stream is woken by his own timeout only.
     fn is_cut(&self) -> bool {
-        self.fabric.cut.borrow().contains(&(self.from, self.to))
+        self.fabric.is_cut(self.route)
     }
 }
 
@@ -80,9 +97,11 @@
         }
         Pin::new(&mut self.inner).poll_write(cx, buf)
     }
+
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.inner).poll_flush(cx)
     }
+
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.inner).poll_shutdown(cx)
     }
@@ -91,16 +110,22 @@
 /// How one process reaches others.
 #[derive(Clone)]
 pub enum Net {
+    /// By the system's sockets.
     System,
+    /// On a fabric, as the process at this address.
     Fabric(Rc<Fabric>, SocketAddrV4),
 }
 
+/// Accepts the streams that others open.
 pub enum Listener {
+    /// On a socket of the system.
     System(TcpListener),
+    /// On a fabric.
     Fabric(mpsc::UnboundedReceiver<DuplexStream>),
 }
 
 impl Net {
+    /// Opens a stream to `addr`.
     pub async fn dial(&self, addr: SocketAddrV4) -> io::Result<Stream> {
         match self {
             Net::System => {
@@ -109,7 +134,11 @@
                 Ok(Box::new(stream))
             }
             Net::Fabric(fabric, from) => {
-                if fabric.cut.borrow().contains(&(*from, addr)) {
+                let route = Route {
+                    from: *from,
+                    to: addr,
+                };
+                if fabric.is_cut(route) {
                     std::future::pending::<()>().await;
                 }
                 let (ours, theirs) = tokio::io::duplex(FABRIC_BUFFER);
@@ -120,36 +149,37 @@
                 Ok(Box::new(FabricStream {
                     inner: ours,
                     fabric: fabric.clone(),
-                    from: *from,
-                    to: addr,
+                    route,
                 }))
             }
         }
     }
 
+    /// Starts to accept streams at `addr`.
     pub async fn listen(&self, addr: SocketAddrV4) -> io::Result<Listener> {
         match self {
             Net::System => Ok(Listener::System(
                 TcpListener::bind(SocketAddr::V4(addr)).await?,
             )),
             Net::Fabric(fabric, _) => {
-                let (tx, rx) = mpsc::unbounded_channel();
-                fabric.listeners.borrow_mut().insert(addr, tx);
-                Ok(Listener::Fabric(rx))
+                let (sender, receiver) = mpsc::unbounded_channel();
+                fabric.listeners.borrow_mut().insert(addr, sender);
+                Ok(Listener::Fabric(receiver))
             }
         }
     }
 }
 
 impl Listener {
+    /// The next stream that another opens.
     pub async fn accept(&mut self) -> io::Result<Stream> {
         match self {
-            Listener::System(l) => {
-                let (stream, _) = l.accept().await?;
+            Listener::System(listener) => {
+                let (stream, _) = listener.accept().await?;
                 stream.set_nodelay(true)?;
                 Ok(Box::new(stream))
             }
-            Listener::Fabric(rx) => match rx.recv().await {
+            Listener::Fabric(receiver) => match receiver.recv().await {
                 Some(stream) => Ok(Box::new(stream)),
                 None => std::future::pending().await,
             },
