--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -253,7 +253,7 @@
 
 /// Keeps the resources that a gang waits for, in the zone that has the most of
 /// them, from what comes behind it in the queue. Machines that hold none of its
-/// tasks yet are left to others: what they run would not make way sooner.
+/// tasks yet are left to others: a reservation would not free them any sooner.
 pub fn hold_room(spec: &Spec, plan: &mut Plan, hints: &Hints) {
     let candidates = Candidates::new(spec, hints, Care::Strict);
     let zones = hints.view.zone_names.len();
