--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -9,6 +9,10 @@
 use std::time::Duration;
 
 use serde_json::json;
+use shelfhoist::api::read_submission;
+use shelfhoist::model::{Final, Job, Spec};
+use shelfhoist::view::{View, job_key};
+use shelfhoist::wire::Event;
 use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, in_world, job};
 use tokio::time::{Instant, sleep};
 
@@ -47,7 +51,7 @@
 
 /// What happens to the service while a pipeline runs or is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Event {
+enum Fault {
     /// The next commits are carried out, their answers lost.
     LostAnswers,
     /// The next commits are carried out some seconds late.
@@ -64,24 +68,24 @@
     OneRefused,
 }
 
-const EVENTS: [Event; 7] = [
-    Event::LostAnswers,
-    Event::LateCommits,
-    Event::MixedAnswers,
-    Event::LateReports,
-    Event::Restarts,
-    Event::LongOutage,
-    Event::OneRefused,
+const EVENTS: [Fault; 7] = [
+    Fault::LostAnswers,
+    Fault::LateCommits,
+    Fault::MixedAnswers,
+    Fault::LateReports,
+    Fault::Restarts,
+    Fault::LongOutage,
+    Fault::OneRefused,
 ];
 
-impl Event {
+impl Fault {
     /// From its beginning to its end.
     async fn happen(self, w: &Rc<World>, controller: usize) {
         let long = secs(w.shape.cancel_s * 1.3);
         match self {
-            Event::LostAnswers | Event::LateCommits => {
+            Fault::LostAnswers | Fault::LateCommits => {
                 w.state.trouble.set(match self {
-                    Event::LostAnswers => Trouble::LoseAnswers,
+                    Fault::LostAnswers => Trouble::LoseAnswers,
                     _ => Trouble::Late,
                 });
                 for _ in 0..5 {
@@ -91,19 +95,19 @@
                 w.state.troubled.set(0);
                 w.state.trouble.set(Trouble::None);
             }
-            Event::MixedAnswers => {
+            Fault::MixedAnswers => {
                 w.state.troubles.borrow_mut().late = 0.2;
                 w.state.troubles.borrow_mut().unanswered = 0.2;
                 sleep(secs(12.0)).await;
                 w.heal();
             }
-            Event::LateReports => {
+            Fault::LateReports => {
                 for _ in 0..6 {
                     sleep(secs(2.0)).await;
                     w.deliver_copies();
                 }
             }
-            Event::Restarts => {
+            Fault::Restarts => {
                 for i in 0..CONTROLLERS {
                     w.kill(i);
                     sleep(secs(2.5)).await;
@@ -111,12 +115,12 @@
                     sleep(secs(1.5)).await;
                 }
             }
-            Event::LongOutage => {
+            Fault::LongOutage => {
                 w.state.trouble.set(Trouble::Down);
                 sleep(long).await;
                 w.state.trouble.set(Trouble::None);
             }
-            Event::OneRefused => {
+            Fault::OneRefused => {
                 w.state.troubles.borrow_mut().refused.insert(controller);
                 sleep(long).await;
                 w.state.troubles.borrow_mut().refused.clear();
@@ -140,7 +144,7 @@
 
 #[test]
 fn no_task_starts_too_early_through_trouble() {
-    for (n, event) in EVENTS.into_iter().enumerate() {
+    for (n, fault) in EVENTS.into_iter().enumerate() {
         for begins_s in [0.5, 4.0] {
             in_world(|| async move {
                 let w = World::of(500 + n as u64, roomy()).await;
@@ -149,13 +153,13 @@
                 let ids = pipeline(&w, 5.0).await;
                 let polls = tokio::task::spawn_local(keep_polling(w.clone(), ids.clone()));
                 sleep(secs(begins_s)).await;
-                event.happen(&w, n % CONTROLLERS).await;
+                fault.happen(&w, n % CONTROLLERS).await;
                 for id in &ids {
                     w.until(id, "done", 200).await;
                 }
                 polls.abort();
                 let broken = w.broken.borrow().clone();
-                assert!(broken.is_empty(), "{event:?} at {begins_s}: {broken:#?}");
+                assert!(broken.is_empty(), "{fault:?} at {begins_s}: {broken:#?}");
                 w.assert_kept();
             });
         }
@@ -167,10 +171,10 @@
 /// it or of what comes after, and what comes before goes on.
 #[test]
 fn a_cancel_at_each_depth_holds_through_trouble() {
-    for (n, event) in EVENTS.into_iter().enumerate() {
+    for (n, fault) in EVENTS.into_iter().enumerate() {
         for depth in 0..4 {
             in_world(|| async move {
-                let case = format!("{event:?}, depth {depth}");
+                let case = format!("{fault:?}, depth {depth}");
                 let w = World::of(540 + (n * 4 + depth) as u64, roomy()).await;
                 upgraded(&w).await;
                 w.copied.set(0.3);
@@ -179,7 +183,7 @@
                 let polls = tokio::task::spawn_local(keep_polling(w.clone(), ids.clone()));
                 let trouble = {
                     let w = w.clone();
-                    tokio::task::spawn_local(async move { event.happen(&w, n % CONTROLLERS).await })
+                    tokio::task::spawn_local(async move { fault.happen(&w, n % CONTROLLERS).await })
                 };
                 let mut told = None;
                 let began = Instant::now();
@@ -229,7 +233,7 @@
 /// goes on, whichever controller was asked and whatever happens meanwhile.
 #[test]
 fn a_cancel_answered_with_done_ends_nothing() {
-    for (n, event) in [Event::LostAnswers, Event::Restarts, Event::OneRefused]
+    for (n, fault) in [Fault::LostAnswers, Fault::Restarts, Fault::OneRefused]
         .into_iter()
         .enumerate()
     {
@@ -242,7 +246,7 @@
             w.until(&first, "done", 60).await;
             let trouble = {
                 let w = w.clone();
-                tokio::task::spawn_local(async move { event.happen(&w, n).await })
+                tokio::task::spawn_local(async move { fault.happen(&w, n).await })
             };
             for i in 0..CONTROLLERS {
                 let told = w.withdraw(i, &first).await;
@@ -357,3 +361,39 @@
         });
     }
 }
+
+/// A deadline counts from the submission, while the job waits and once it is ready.
+#[test]
+fn a_deadline_counts_from_the_submission() {
+    in_world(|| async {
+        let record = |n: u32, awaits: &[&str]| {
+            let mut body = after(job(n, "batch", 1, 5.0), awaits);
+            body["due_s"] = json!(100.0);
+            let read = read_submission(body.to_string().as_bytes()).expect("a submission");
+            Job::new(Spec::from(&read), 1)
+        };
+        let (first, next) = (record(1, &[]), record(2, &["job-000001"]));
+        let spec = next.spec.clone().expect("a spec");
+        let mut view = View::default();
+        let put = |id: &str, job: &Job, at: u64| Event::put(job_key(id), job, at);
+        view.advance(vec![put("job-000001", &first, 2)], 2);
+        view.advance(vec![put("job-000002", &next, 3)], 3);
+        let left_s = |view: &View| {
+            let standing = view.standing("job-000002", &spec, Instant::now());
+            standing.left_s.expect("a deadline").round()
+        };
+        assert_eq!(left_s(&view), 100.0);
+        sleep(secs(30.0)).await;
+        assert_eq!(left_s(&view), 70.0, "blocked");
+        let done = Job {
+            fin: Final::Done,
+            spec: None,
+            ..first
+        };
+        view.advance(vec![put("job-000001", &done, 4)], 4);
+        assert!(view.is_ready(&spec));
+        assert_eq!(left_s(&view), 70.0, "just ready");
+        sleep(secs(10.0)).await;
+        assert_eq!(left_s(&view), 60.0, "ready");
+    });
+}
