--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -36,10 +36,12 @@
 }
 
 impl World {
+    /// A controller stands still while its clocks run on, or goes on.
     pub fn freeze(&self, i: usize, frozen: bool) {
         self.frozen[i].send_replace(frozen);
     }
 
+    /// Starts a controller as a new process.
     pub fn start(&self, i: usize) {
         let net = Net::Fabric(self.fabric.clone(), controller(i));
         // Another run of the process draws other numbers.
@@ -59,6 +61,7 @@
         self.controllers.borrow_mut()[i] = Some(spawn_local(Freezable { set, frozen }));
     }
 
+    /// Ends a controller at once; its connections are refused.
     pub fn kill(&self, i: usize) {
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -20,14 +20,17 @@
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
 
+/// How many controllers the usual deployment has.
 pub const CONTROLLERS: usize = 3;
 pub(super) const CLOUD: &str = "10.2.0.2:1";
 pub(super) const USERS: &str = "10.3.0.1:1";
 
+/// An address of the fabric.
 pub fn addr(text: &str) -> SocketAddrV4 {
     text.parse().expect("address")
 }
 
+/// Where controllers serve users and workers.
 pub fn controller(i: usize) -> SocketAddrV4 {
     addr(&format!("10.0.0.{}:8080", i + 1))
 }
@@ -85,10 +88,12 @@
 }
 
 impl Shape {
+    /// The settings of a controller.
     pub fn settings(&self, i: usize) -> Settings {
         Settings::parse(&self.settings_text(i)).expect("settings")
     }
 
+    /// The text of a controller's settings file.
     pub fn settings_text(&self, i: usize) -> String {
         let others: Vec<Value> = (0..self.controllers)
             .filter(|j| *j != i)
@@ -135,6 +140,8 @@
 /// A worker with the loops that drive it.
 pub(super) type Rented = (Rc<Worker>, Vec<JoinHandle<()>>);
 
+/// A running deployment: the controllers, all that they talk to, and what the
+/// rule checker knows.
 pub struct World {
     pub fabric: Rc<Fabric>,
     pub state: Rc<State>,
@@ -178,6 +185,7 @@
 };
 
 impl World {
+    /// The usual deployment, started.
     pub async fn new(seed: u64) -> Rc<Self> {
         Self::of(seed, Shape::default()).await
     }
@@ -275,6 +283,7 @@
     }
 }
 
+/// A submission of this number, kind, count of tasks and run time.
 pub fn job(n: u32, cut: &str, tasks: u32, run_s: f64) -> Value {
     json!({"name_id": format!("job-{n:06}"), "lot": "x", "crew": "t", "cut": cut,
         "urgency": "normal", "boards": tasks, "vcpus": 2.0, "cards": 0.0, "ram_gb": 1.0,
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -24,6 +24,7 @@
 }
 
 impl ScriptedController {
+    /// Begins to serve at the address of controller 0.
     pub async fn serve(world: &Rc<World>) -> Rc<Self> {
         let own = Rc::new(ScriptedController {
             world: world.clone(),
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -10,10 +10,13 @@
 use super::scenario::{World, controller};
 
 impl World {
+    /// Whether users were told that the job is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.borrow().contains_key(id)
     }
 
+    /// Sends a request to a controller and judges the answer: its status, 0 for
+    /// none, and its body.
     pub async fn ask(
         &self,
         i: usize,
@@ -75,6 +78,7 @@
         self.jobs.borrow_mut().insert(id, job.clone());
     }
 
+    /// Whether the job runs until it is cancelled.
     pub fn is_service(&self, id: &str) -> bool {
         self.jobs.borrow()[id]["cut"] == "daemon"
     }
@@ -101,6 +105,7 @@
         panic!("{id} was not accepted");
     }
 
+    /// Polls a controller; the job's stage if it is answered with one.
     pub async fn stage(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
             .ask(i, "GET", &format!("/submissions/{id}"), None)
@@ -125,6 +130,7 @@
         );
     }
 
+    /// Asks a controller to cancel; the job's stage if that is confirmed.
     pub async fn withdraw(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
             .ask(i, "POST", &format!("/submissions/{id}/withdraw"), None)
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -144,10 +144,12 @@
         held.into_iter().filter(|t| self.runs(t, lease)).collect()
     }
 
+    /// The machine's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// Whether the machine stands still.
     pub fn hangs(&self) -> bool {
         self.hangs_until.get().is_some()
     }
