--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -6,6 +6,7 @@
 mod cloud;
 mod controllers;
 mod faults;
+mod production;
 mod rules;
 mod scenario;
 mod scripted;
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -15,6 +15,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
+use super::production::{as_production, production_reads};
+
 /// Troubles of the state service that last until they are taken back.
 #[derive(Debug, Clone, Default)]
 pub struct StateTroubles {
@@ -56,6 +58,7 @@
     FatWatch,
 }
 
+/// The state service of a deployment.
 pub struct State {
     pub(super) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
     log: RefCell<Vec<Value>>,
@@ -100,41 +103,10 @@
     }
 }
 
-/// A commit as production would send it: nothing where it would send none.
-fn as_production(mut body: Value) -> Option<Value> {
-    for write in body["writes"].as_array_mut().into_iter().flatten() {
-        let key = write["set"].as_str().unwrap_or_default().to_string();
-        if key == "sh/formats" {
-            return None;
-        }
-        if (key == "sh/fleet" || key.starts_with("sh/node/"))
-            && let Some(value) = write["value"].as_object_mut()
-        {
-            value.remove("v");
-        }
-    }
-    Some(body)
-}
-
-/// Whether production reads a record, and loses nothing when it writes it back.
-fn production_reads(key: &str, value: &Value) -> bool {
-    let whole = |spec: &Value| spec["aw"].is_null();
-    let table = key.trim_start_matches("sh/").split('/').next();
-    match table.unwrap_or_default() {
-        "job" => {
-            let tasks = |text: &Value| text.as_str().is_none_or(|t| !t.starts_with('.'));
-            let runs = value["r"].is_null() || value["r"].is_array();
-            runs && tasks(&value["q"]) && whole(&value["s"])
-        }
-        "new" => value["j"]
-            .as_object()
-            .into_iter()
-            .flatten()
-            .all(|j| whole(j.1)),
-        "zone" | "machine" => value["m"].is_object(),
-        // It passes over a key that it does not know.
-        _ => true,
-    }
+/// The key that a write sets or removes.
+fn written_key(write: &Value) -> &str {
+    let key = write["set"].as_str().or(write["remove"].as_str());
+    key.expect("set or remove")
 }
 
 impl State {
@@ -216,26 +188,9 @@
             let answer = match (r.method.as_str(), r.path.as_str()) {
                 ("GET", "/store") => self.list(&r.query),
                 ("GET", "/watch") => self.watch(i, &r.query).await,
-                ("GET", path) => {
-                    let key = path.trim_start_matches("/store/");
-                    match self.pairs.borrow().get(key) {
-                        Some((v, n)) => {
-                            Response::json(200, &json!({"key": key, "value": v, "stamp": n}))
-                        }
-                        None => {
-                            Response::json(404, &json!({"ledger_rev": *self.revision.borrow()}))
-                        }
-                    }
-                }
+                ("GET", path) => self.read(path.trim_start_matches("/store/")),
                 ("POST", "/commit") if self.older.borrow().contains(&i) => {
-                    match as_production(body) {
-                        Some(body) => self.commit(body).await,
-                        None => {
-                            let at = *self.revision.borrow();
-                            let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
-                            Response::json(409, &failed)
-                        }
-                    }
+                    self.commit_as_production(body).await
                 }
                 ("POST", "/commit") => self.commit(body).await,
                 (method, path) if path.starts_with("/holds") => {
@@ -248,6 +203,27 @@
         })
     }
 
+    /// One key, by `GET /store/{key}`.
+    fn read(&self, key: &str) -> Response {
+        match self.pairs.borrow().get(key) {
+            Some((value, stamp)) => {
+                Response::json(200, &json!({"key": key, "value": value, "stamp": stamp}))
+            }
+            None => Response::json(404, &json!({"ledger_rev": *self.revision.borrow()})),
+        }
+    }
+
+    async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
+        match as_production(body) {
+            Some(body) => self.commit(body).await,
+            None => {
+                let at = *self.revision.borrow();
+                let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
+                Response::json(409, &failed)
+            }
+        }
+    }
+
     /// How long before and after it is carried out a request is held up.
     fn delays(&self, i: usize) -> (Duration, Duration) {
         let troubles = self.troubles.borrow();
@@ -338,34 +314,22 @@
         self.apply(&body)
     }
 
+    /// Carries a transaction out, if the limits, its leases and its guards allow.
     fn apply(&self, body: &Value) -> Response {
-        let mut pairs = self.pairs.borrow_mut();
         let empty = vec![];
-        let guards = body["guards"].as_array().unwrap_or(&empty);
-        let failed: Vec<&str> = guards
-            .iter()
-            .filter_map(|g| {
-                let key = g["key"].as_str()?;
-                let now = pairs.get(key).map_or(0, |p| p.1);
-                (g["stamp"].as_u64() != Some(now)).then_some(key)
-            })
-            .collect();
+        let writes = body["writes"].as_array().unwrap_or(&empty);
+        let failed = self.failed_guards(body);
         let at = *self.revision.borrow();
         if let Some(problem) = self.exceeds(body) {
             self.beyond.borrow_mut().push(problem.clone());
             return Response::json(400, &json!({"error": problem}));
         }
-        if self.is_too_fast(body["writes"].as_array().map_or(0, Vec::len)) {
+        if self.is_too_fast(writes.len()) {
             self.too_many.set(self.too_many.get() + 1);
             return Response::json(429, &json!({"error": "too many"}));
         }
-        let mut leases = self.leases.borrow_mut();
-        let writes = body["writes"].as_array().unwrap_or(&empty);
-        if writes
-            .iter()
-            .filter_map(|w| w["permit"].as_u64())
-            .any(|p| !leases.contains_key(&p))
-        {
+        let mut permits = writes.iter().filter_map(|w| w["permit"].as_u64());
+        if permits.any(|permit| !self.leases.borrow().contains_key(&permit)) {
             return Response::json(400, &json!({"error": "no such lease"}));
         }
         if !failed.is_empty() {
@@ -375,38 +339,61 @@
             return Response::json(200, &json!({"ledger_rev": at}));
         }
         let at = at + 1;
-        for w in writes {
-            let key = w["set"].as_str().or(w["remove"].as_str());
-            let key = key.expect("set or remove");
-            for (id, lease) in leases.iter_mut() {
-                if w["permit"].as_u64() == Some(*id) {
-                    lease.keys.insert(key.to_string());
-                } else {
-                    lease.keys.remove(key);
-                }
-            }
-            let event = if let Some(key) = w["set"].as_str() {
-                pairs.insert(key.to_string(), (w["value"].clone(), at));
-                json!({"set": key, "value": w["value"], "stamp": at})
-            } else {
-                let key = w["remove"].as_str().expect("set or remove");
-                pairs.remove(key);
-                json!({"remove": key, "stamp": at})
-            };
+        for write in writes {
+            self.attach_to_lease(write);
+            let event = self.carry_out(write, at);
             self.log.borrow_mut().push(event);
         }
-        let touches = |table: &str| {
-            let mut keys = writes.iter().filter_map(|w| w["set"].as_str());
-            keys.any(|k| k.starts_with(table))
-        };
+        self.check_changed_places(writes, at);
+        self.revision.send_replace(at);
+        Response::json(200, &json!({"ledger_rev": at}))
+    }
+
+    /// The keys whose revision is not the one that the transaction expects.
+    fn failed_guards(&self, body: &Value) -> Vec<String> {
+        let pairs = self.pairs.borrow();
+        let guards = body["guards"].as_array().into_iter().flatten();
+        let failed = guards.filter_map(|guard| {
+            let key = guard["key"].as_str()?;
+            let now = pairs.get(key).map_or(0, |pair| pair.1);
+            (guard["stamp"].as_u64() != Some(now)).then(|| key.to_string())
+        });
+        failed.collect()
+    }
+
+    /// A key belongs to the lease of its last write, if that names one.
+    fn attach_to_lease(&self, write: &Value) {
+        let key = written_key(write);
+        for (id, lease) in self.leases.borrow_mut().iter_mut() {
+            if write["permit"].as_u64() == Some(*id) {
+                lease.keys.insert(key.to_string());
+            } else {
+                lease.keys.remove(key);
+            }
+        }
+    }
+
+    /// Sets or removes a key; returns what watches tell of it.
+    fn carry_out(&self, write: &Value, at: u64) -> Value {
+        let mut pairs = self.pairs.borrow_mut();
+        let key = written_key(write);
+        if write["set"].is_string() {
+            pairs.insert(key.to_string(), (write["value"].clone(), at));
+            json!({"set": key, "value": write["value"], "stamp": at})
+        } else {
+            pairs.remove(key);
+            json!({"remove": key, "stamp": at})
+        }
+    }
+
+    /// Judges the places of machines in the tables that a transaction wrote to.
+    fn check_changed_places(&self, writes: &[Value], at: u64) {
         for table in ["sh/zone/", "sh/machine/"] {
-            if touches(table) {
-                self.check_places(&pairs, table, at);
+            let mut keys = writes.iter().filter_map(|w| w["set"].as_str());
+            if keys.any(|key| key.starts_with(table)) {
+                self.check_places(&self.pairs.borrow(), table, at);
             }
         }
-        drop(pairs);
-        self.revision.send_replace(at);
-        Response::json(200, &json!({"ledger_rev": at}))
     }
 
     /// A record as another program would have written it.
