--- a/tests/meetings/controllers_away.rs
+++ b/tests/meetings/controllers_away.rs
@@ -3,16 +3,15 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::scenario::{cancel, long_jobs, roomy, secs, settle};
-use crate::stand_ins::{Trouble, World, in_world, job};
+use crate::scenario::{cancel, long_jobs, secs, settle};
+use crate::stand_ins::{Scenario, Trouble, job};
 
 /// All controllers are away for longer than a lease, and come back one after
 /// another, with old reports for each of them, and cancels at once.
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
     for k in 0..4u64 {
-        in_world(|| async move {
-            let w = World::of(1100 + k, roomy()).await;
+        Scenario::with_large_teams(1100 + k).run(|w| async move {
             w.copied.set(0.2);
             let ids = long_jobs(&w, 1, 6).await;
             sleep(secs(4.0)).await;
@@ -43,8 +42,7 @@
         .into_iter()
         .enumerate()
     {
-        in_world(|| async move {
-            let w = World::of(1200 + n as u64, roomy()).await;
+        Scenario::with_large_teams(1200 + n as u64).run(|w| async move {
             let mut ids = Vec::new();
             for k in 0..8u32 {
                 let cut = ["batch", "gang", "daemon", "batch"][k as usize % 4];
@@ -82,8 +80,7 @@
     .into_iter()
     .enumerate()
     {
-        in_world(|| async move {
-            let w = World::of(1300 + n as u64, roomy()).await;
+        Scenario::with_large_teams(1300 + n as u64).run(|w| async move {
             let ids = long_jobs(&w, 1, 6).await;
             sleep(secs(4.0)).await;
             let leader = w.busiest();
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -6,8 +6,8 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::scenario::{cancel, roomy, secs, settle};
-use crate::stand_ins::{Shape, StateTroubles, World, in_world, job};
+use crate::scenario::{cancel, secs, settle};
+use crate::stand_ins::{Scenario, StateTroubles, Worker, World, job};
 
 /// Every team is at its limit, with more in the queue, while jobs are cancelled
 /// whose machines hang, are deaf or are cut off, and the leader changes.
@@ -24,8 +24,7 @@
     ];
     for (n, kind) in kinds.into_iter().enumerate() {
         for k in 0..3u64 {
-            in_world(|| async move {
-                let w = World::of(600 + 10 * n as u64 + k, Shape::default()).await;
+            Scenario::new(600 + 10 * n as u64 + k).run(|w| async move {
                 at_limits(&w, kind, k).await;
             });
         }
@@ -45,19 +44,8 @@
     for round in 0..3 {
         let leader = w.busiest();
         let busy = w.busy();
-        for m in busy.iter().take(3) {
-            match kind {
-                "hang" => m.hang(secs(7.0)),
-                "hang past the lease" => m.hang(secs(13.0)),
-                "deaf" => m.deaf.set(true),
-                "mute" => m.mute.set(true),
-                "held" => m.orders_held.set(secs(6.0)),
-                "hang held" => {
-                    m.orders_held.set(secs(3.0));
-                    m.hang(secs(8.0));
-                }
-                _ => {}
-            }
+        for worker in busy.iter().take(3) {
+            disturb(worker, kind);
         }
         if kind == "cut" {
             w.cut_workers(leader, true);
@@ -76,11 +64,7 @@
         }
         sleep(secs(8.0)).await;
         w.state.troubles.borrow_mut().refused.clear();
-        for m in &busy {
-            m.deaf.set(false);
-            m.mute.set(false);
-            m.orders_held.set(Duration::ZERO);
-        }
+        busy.iter().for_each(|worker| restore(worker));
         w.cut_workers(leader, false);
         sleep(secs(12.0)).await;
     }
@@ -90,6 +74,28 @@
     settle(w, &format!("{kind}, {k}"), &ids).await;
 }
 
+fn disturb(worker: &Worker, kind: &str) {
+    match kind {
+        "hang" => worker.hang(secs(7.0)),
+        "hang past the lease" => worker.hang(secs(13.0)),
+        "deaf" => worker.deaf.set(true),
+        "mute" => worker.mute.set(true),
+        "held" => worker.orders_held.set(secs(6.0)),
+        "hang held" => {
+            worker.orders_held.set(secs(3.0));
+            worker.hang(secs(8.0));
+        }
+        _ => {}
+    }
+}
+
+/// What a hang has begun goes on to its end.
+fn restore(worker: &Worker) {
+    worker.deaf.set(false);
+    worker.mute.set(false);
+    worker.orders_held.set(Duration::ZERO);
+}
+
 /// New machines are up within a second and get work at once while writes lag, and
 /// the leader ends.
 #[test]
@@ -104,12 +110,8 @@
     .enumerate()
     {
         for k in 0..2u64 {
-            in_world(|| async move {
-                let shape = Shape {
-                    boot_s: 0.8,
-                    ..roomy()
-                };
-                let w = World::of(700 + 10 * n as u64 + k, shape).await;
+            let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + k);
+            scenario.boot_s(0.8).run(|w| async move {
                 let mut ids = vec![w.submit(job(1, "batch", 1, 1.0)).await];
                 w.state.troubles.replace(StateTroubles {
                     late,
@@ -150,8 +152,7 @@
         .into_iter()
         .enumerate()
     {
-        in_world(|| async move {
-            let w = World::of(900 + n as u64, roomy()).await;
+        Scenario::with_large_teams(900 + n as u64).run(|w| async move {
             w.state.troubles.borrow_mut().late = late;
             w.copied.set(copied);
             let mut users = Vec::new();
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -7,21 +7,12 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{Shape, World, job};
+use crate::stand_ins::{World, job};
 
 pub fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
-/// Teams with room for all that a test submits.
-pub fn roomy() -> Shape {
-    let teams = [("t", 64.0), ("u", 64.0)];
-    Shape {
-        teams: teams.map(|(n, m)| (n.into(), m, m)).to_vec(),
-        ..Shape::default()
-    }
-}
-
 /// Cancels until it is confirmed or the job is over, at any controller but
 /// `not_at`.
 pub async fn cancel(w: &Rc<World>, not_at: Option<usize>, id: &str) -> Option<String> {
