--- a/src/text.rs
+++ b/src/text.rs
@@ -1,7 +1,8 @@
-//! Short texts of the records that grow with machines and tasks: a part, a
-//! group, a job's runs. They are written once every controller reads them and
-//! the state service's limits are to fall (`View::is_short`), and read always:
-//! each stands under the field of the longer text, which is of another shape.
+//! Compact encodings ("short texts") of the records that grow with machines and
+//! tasks: a part, a group, a job's runs. They are written once every controller
+//! reads them and the state service's limits are to fall (`View::is_short`), and
+//! are always read: each stands under the field of the plain encoding, which is of
+//! another shape.
 //!
 //! Numbers are in base 64, by an alphabet that JSON leaves as it is. A name is
 //! its number after a common prefix where it ends in digits; else it stands in
@@ -20,13 +21,13 @@
 /// Digits of a name's number: as many as a `u32` always holds.
 const NAME_DIGITS: usize = 9;
 
-/// Marks the first and last task of a range.
-const TO: u8 = b'-';
+/// Stands between the first and the last task of a range.
+const RANGE_MARK: u8 = b'-';
 
-/// Begins the text of a set of tasks in the short form.
-const SHORT: char = '.';
+/// Begins the compact encoding of a set of tasks; the plain one never does.
+const COMPACT_MARK: char = '.';
 
-fn digit(c: u8) -> Option<u64> {
+fn digit_value(c: u8) -> Option<u64> {
     Some(u64::from(match c {
         b'0'..=b'9' => c - b'0',
         b'A'..=b'Z' => c - b'A' + 10,
@@ -56,7 +57,7 @@
         return None;
     }
     text.bytes()
-        .try_fold(0u64, |n, c| n.checked_mul(64)?.checked_add(digit(c)?))
+        .try_fold(0u64, |n, c| n.checked_mul(64)?.checked_add(digit_value(c)?))
 }
 
 /// A name as its prefix, the width of its number and that number; width 0 is a
@@ -104,7 +105,7 @@
             0 => {}
             1 => push_task(text, b, width),
             _ => {
-                text.push(char::from(TO));
+                text.push(char::from(RANGE_MARK));
                 push_task(text, b, width);
             }
         }
@@ -117,7 +118,7 @@
     let mut at = 0;
     let mut open = false;
     while at < bytes.len() {
-        if bytes[at] == TO {
+        if bytes[at] == RANGE_MARK {
             open = true;
             at += 1;
             continue;
@@ -125,7 +126,7 @@
         let code = bytes.get(at..at + width)?;
         let n = code
             .iter()
-            .try_fold(0u64, |n, c| Some(n * 64 + digit(*c)?))?;
+            .try_fold(0u64, |n, c| Some(n * 64 + digit_value(*c)?))?;
         let n = u32::try_from(n).ok()?;
         at += width;
         match set.last_mut() {
@@ -143,9 +144,9 @@
 
 /// Reads a set of tasks that begins like the short form.
 pub fn read_short_ranges(text: &str) -> Option<Option<Ranges>> {
-    let rest = text.strip_prefix(SHORT)?;
+    let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
-        let width = digit(*rest.as_bytes().first()?)? as usize;
+        let width = digit_value(*rest.as_bytes().first()?)? as usize;
         read_tasks(rest.get(1..)?, width.max(1))
     };
     Some(read())
@@ -156,9 +157,9 @@
 /// Machines whose names have a prefix and a width in common, in one zone; with
 /// width 0 one machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Kin(String, usize, String);
+struct NamePattern(String, usize, String);
 
-/// What a run takes beside its tasks: its kin, the machine's number, the
+/// What a run takes beside its tasks: its name pattern, the machine's number, the
 /// attempt, the mark of a stop and two marks between.
 pub fn run_bytes(attempt: u64) -> usize {
     let mut digits = String::new();
@@ -171,20 +172,20 @@
     task_width([tasks.saturating_sub(1)].into_iter())
 }
 
-/// What the table of kin takes for machines of these names and zones, and all
+/// What the table of patterns takes for machines of these names and zones, and all
 /// that stands around it.
 pub fn table_bytes<'a>(machines: impl Iterator<Item = (&'a str, &'a str)>) -> usize {
-    let mut kin: Vec<(&str, usize, &str)> = machines
+    let mut patterns: Vec<(&str, usize, &str)> = machines
         .map(|(name, zone)| {
             let (prefix, width, _) = split_name(name);
             (prefix, width, zone)
         })
         .collect();
-    kin.sort_unstable();
-    kin.dedup();
+    patterns.sort_unstable();
+    patterns.dedup();
     let text = |s: &str| serde_json::to_string(s).map_or(0, |t| t.len());
     let one = |(prefix, _, zone): &(&str, usize, &str)| text(prefix) + text(zone) + 6;
-    40 + kin.iter().map(one).sum::<usize>()
+    40 + patterns.iter().map(one).sum::<usize>()
 }
 
 /// A job's record in the short text; nothing where it has no such.
@@ -192,27 +193,27 @@
     let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
     let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
     let width = task_width(last);
-    let mut table: Vec<Kin> = Vec::new();
+    let mut table: Vec<NamePattern> = Vec::new();
     let mut text = String::new();
     push_number(&mut text, width as u64);
     for run in &job.runs {
         let (prefix, digits, number) = split_name(&run.machine);
-        let same = |k: &Kin| k.0 == prefix && k.1 == digits && k.2 == run.zone;
+        let same = |k: &NamePattern| k.0 == prefix && k.1 == digits && k.2 == run.zone;
         let at = table.iter().position(same).unwrap_or_else(|| {
-            table.push(Kin(prefix.to_string(), digits, run.zone.clone()));
+            table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
             table.len() - 1
         });
         // Names of as many kinds have no short text.
-        let kin = *DIGITS.get(at)?;
+        let pattern = *DIGITS.get(at)?;
         text.push(' ');
-        text.push(char::from(kin));
+        text.push(char::from(pattern));
         push_number(&mut text, u64::from(number));
         text.push('.');
         push_number(&mut text, run.attempt);
         text.push(if run.stop { '!' } else { ':' });
         push_tasks(&mut text, &run.tasks, width);
     }
-    let mut retry = String::from(SHORT);
+    let mut retry = String::from(COMPACT_MARK);
     push_number(&mut retry, width as u64);
     push_tasks(&mut retry, &job.retry, width);
     let bare = Job {
@@ -235,17 +236,17 @@
     Some(record)
 }
 
-fn read_runs(table: &[Kin], text: &str) -> Option<Vec<Run>> {
+fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
     let mut parts = text.split(' ');
     let width = read_number(parts.next()?)? as usize;
     let run = |part: &str| {
-        let kin = table.get(digit(*part.as_bytes().first()?)? as usize)?;
+        let pattern = table.get(digit_value(*part.as_bytes().first()?)? as usize)?;
         let (number, rest) = part.get(1..)?.split_once('.')?;
         let mark = rest.find(['!', ':'])?;
         let number = u32::try_from(read_number(number)?).ok()?;
         Some(Run {
-            machine: join_name(&kin.0, kin.1, number),
-            zone: kin.2.clone(),
+            machine: join_name(&pattern.0, pattern.1, number),
+            zone: pattern.2.clone(),
             attempt: read_number(&rest[..mark])?,
             tasks: read_tasks(&rest[mark + 1..], width)?,
             stop: rest.as_bytes()[mark] == b'!',
@@ -270,7 +271,7 @@
             Ok(runs)
         }
         fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Vec<Run>, A::Error> {
-            let mut table: Vec<Kin> = Vec::new();
+            let mut table: Vec<NamePattern> = Vec::new();
             let mut text = String::new();
             while let Some(key) = map.next_key::<String>()? {
                 match key.as_str() {
@@ -441,6 +442,7 @@
     MEMBER + name + (kind.len() + longest_holder + CLASS) * 3
 }
 
+/// A group's record in the compact encoding.
 pub fn short_group(group: &Group) -> Option<String> {
     type Class<'a> = (&'a str, u64, Life, &'a str, bool);
     let mut classes: BTreeMap<Class, BTreeMap<(&str, usize), String>> = BTreeMap::new();
--- a/src/view.rs
+++ b/src/view.rs
@@ -726,7 +726,7 @@
             is_done: &|id| self.state(id) == Some(Final::Done),
         };
         record_trim::trim_job(job, &context, |job| {
-            self.job_bytes(job) <= most && self.runs_within(job, most)
+            self.job_bytes(job) <= most && (!is_long(job, most) || self.runs_within(job, most))
         })
     }
 
