--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -24,10 +24,22 @@
 /// 4 s, so one that cannot be claimed soon is refused while that still helps it.
 const CLAIM_WAIT: Duration = Duration::from_millis(3200);
 
+/// What has become of a claim.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ClaimProgress {
+    /// Its commit is yet to be answered.
+    Pending,
+    /// It is decided; whether the machine is held is seen in the view.
+    Decided,
+    /// The state service serves this controller nothing at present. The claim is
+    /// tried again, but no heartbeat is kept waiting for it.
+    Refused,
+}
+
 /// A claim that a heartbeat has asked for.
 #[derive(Debug)]
 pub struct Claim {
-    done: watch::Sender<bool>,
+    progress: watch::Sender<ClaimProgress>,
     /// When it was last asked for: a worker that has gone on to another
     /// controller meanwhile is not to be drawn back.
     asked: Instant,
@@ -69,20 +81,20 @@
         }
     }
 
-    /// Asks for a claim of the machine; the receiver tells when it is decided.
+    /// Asks for a claim of the machine; the receiver tells what becomes of it.
     pub(super) fn ask_claim(
         &self,
         id: &str,
         report: &Report,
         urgent: bool,
-    ) -> watch::Receiver<bool> {
+    ) -> watch::Receiver<ClaimProgress> {
         self.fleet.borrow_mut().remember(report);
         let asked = Instant::now();
         let view = self.view.borrow();
         let token = view.machines.get(id).map_or(0, |e| e.value.token);
         let mut claims = self.claims.borrow_mut();
         let claim = claims.entry(id.to_string()).or_insert_with(|| Claim {
-            done: watch::Sender::new(false),
+            progress: watch::Sender::new(ClaimProgress::Pending),
             asked,
             token,
             urgent,
@@ -90,15 +102,18 @@
         claim.token = token;
         claim.asked = asked;
         claim.urgent |= urgent;
-        let receiver = claim.done.subscribe();
+        claim.progress.send_replace(ClaimProgress::Pending);
+        let receiver = claim.progress.subscribe();
         self.claims_wanted.notify_one();
         receiver
     }
 
-    /// Claims the machine and waits for the commit; true if it is held then.
+    /// Claims the machine and waits for the commit; true if it is held then. What
+    /// the state service refuses is not waited for.
     pub(super) async fn claim(&self, id: &str, report: &Report) -> bool {
-        let mut done = self.ask_claim(id, report, true);
-        let _ = timeout(CLAIM_WAIT, done.wait_for(|d| *d)).await;
+        let mut progress = self.ask_claim(id, report, true);
+        let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
+        let _ = timeout(CLAIM_WAIT, answered).await;
         self.holds(id)
     }
 }
@@ -115,6 +130,9 @@
             if let Err(error) = commit_some(&node).await {
                 tracing::debug!(%error, "claims not committed");
                 drop_claims_beyond_limits(&node, &error);
+                if error.is_refusal() {
+                    tell_refused(&node);
+                }
                 sleep(node.store.jitter(node.request_gap() * 2)).await;
                 if !node.may_answer_beats() {
                     node.claims.borrow_mut().clear();
@@ -124,6 +142,13 @@
     }
 }
 
+/// Ends the wait of all heartbeats whose claims cannot be committed for now.
+fn tell_refused(node: &Node) {
+    for claim in node.claims.borrow().values() {
+        claim.progress.send_replace(ClaimProgress::Refused);
+    }
+}
+
 /// Drops the claims in a group that is too long to be written. The same commit
 /// would be refused again: they are asked for anew with the next reports of their
 /// workers, and the rest go on.
@@ -153,7 +178,7 @@
     }
     for id in &batch.decided {
         if let Some(claim) = node.claims.borrow_mut().remove(id) {
-            claim.done.send_replace(true);
+            claim.progress.send_replace(ClaimProgress::Decided);
         }
         // The worker learns the token now, and its report under it is what
         // launches wait for.
@@ -187,7 +212,7 @@
     let claims = node.claims.borrow();
     let mut order: Vec<(&String, &Claim)> = claims.iter().collect();
     // Those whose workers wait for the answer come first.
-    order.sort_by_key(|(_, c)| (!c.urgent, c.done.is_closed()));
+    order.sort_by_key(|(_, c)| (!c.urgent, c.progress.is_closed()));
     let mut batch = ClaimBatch::default();
     let mut groups = Groups::new(&view);
     for (id, _) in order {
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -83,6 +83,8 @@
     /// Controllers whose records are those of the program in production: they do
     /// not tell of any formats, nor record what others tell.
     pub older: RefCell<BTreeSet<usize>>,
+    /// What tests have put down by themselves: it alone may be unreadable.
+    put_down: RefCell<BTreeMap<String, Value>>,
 }
 
 /// What one commit may write, one value hold, and all write in a second.
@@ -134,6 +136,7 @@
             level: Cell::default(),
             misplaced: RefCell::default(),
             older: RefCell::default(),
+            put_down: RefCell::default(),
         }
     }
 
@@ -398,9 +401,18 @@
 
     /// A record as another program would have written it.
     pub fn write(&self, key: &str, value: &Value) {
+        let mut put_down = self.put_down.borrow_mut();
+        put_down.insert(key.to_string(), value.clone());
+        drop(put_down);
         self.apply(&json!({"writes": [{"set": key, "value": value}]}));
     }
 
+    /// Panics for a record that cannot be read, unless a test put it down.
+    fn assert_put_down(&self, key: &str, value: &Value) {
+        let put_down = self.put_down.borrow();
+        assert_eq!(put_down.get(key), Some(value), "{key} cannot be read");
+    }
+
     /// Why a commit is beyond the limits, if it is.
     fn exceeds(&self, body: &Value) -> Option<String> {
         let limits = self.limits.get();
@@ -455,17 +467,20 @@
                 break;
             }
             let text = value.to_string();
-            let names: Vec<String> = match table {
+            let names: Option<Vec<String>> = match table {
                 "sh/zone/" => {
-                    // A test may have put down one that nobody can read.
-                    let part = serde_json::from_str::<Part>(&text).unwrap_or_default();
-                    part.machines.into_keys().collect()
+                    let part = serde_json::from_str::<Part>(&text);
+                    part.ok().map(|part| part.machines.into_keys().collect())
                 }
                 _ => {
-                    let group = serde_json::from_str::<Group>(&text).unwrap_or_default();
-                    group.machines.into_keys().collect()
+                    let group = serde_json::from_str::<Group>(&text);
+                    group.ok().map(|group| group.machines.into_keys().collect())
                 }
             };
+            let Some(names) = names else {
+                self.assert_put_down(key, value);
+                continue;
+            };
             for name in names {
                 if let Some(other) = seen.insert(name.clone(), key.clone()) {
                     let place = format!("{name} in {other} and {key} at {at}");
