--- a/tests/service.rs
+++ b/tests/service.rs
@@ -427,6 +427,8 @@
                     "recall_s": null, "boards": []});
                 let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&beat)).await;
                 answers.push((status, body["baton"].as_u64()));
+                // As a worker reports; no answer keeps it waiting.
+                sleep(Duration::from_secs(1)).await;
             }
             // It may be sent home, or to its holder, once.
             answers.retain(|a| a.0 != 421);
@@ -444,6 +446,37 @@
     });
 }
 
+/// A heartbeat does not wait for a claim that the state service refuses: it is
+/// answered at once, and without a token that would renew the lease.
+#[test]
+fn a_heartbeat_does_not_wait_for_a_refused_claim() {
+    Scenario::new(23).run(|w| async move {
+        let first = w.submit(job(1, "batch", 2, 2.0)).await;
+        w.until(&first, "done", 100).await;
+        let name = w.workers.borrow().keys().next().cloned();
+        let name = name.expect("a machine");
+        w.state.trouble.set(Trouble::NoCommits);
+        let mut refused = 0;
+        for i in 0..CONTROLLERS {
+            for seq in 100..104 {
+                let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
+                    "yard": "a", "loaners": false, "shift": 1, "tally": seq, "baton": 1,
+                    "recall_s": null, "boards": []});
+                let asked = Instant::now();
+                let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
+                let waited = asked.elapsed();
+                assert!(waited < Duration::from_secs(1), "{i}: {waited:?}");
+                if status == 200 && body["baton"] == json!(0) || status == 503 {
+                    refused += 1;
+                }
+            }
+        }
+        assert!(refused >= CONTROLLERS - 1, "{refused}");
+        w.state.trouble.set(Trouble::None);
+        w.assert_kept();
+    });
+}
+
 /// A controller that loses its workers alone still talks to the others and to
 /// the state service: nobody sends its workers back to it, or their leases end.
 /// And once it is there again they go home: their homes take them, and do not
