--- a/src/admission.rs
+++ b/src/admission.rs
@@ -18,7 +18,7 @@
 use crate::settings::{Settings, TeamTerms};
 use crate::text;
 use crate::view::{Spot, View};
-use crate::wire::{Kind, Priority};
+use crate::wire::{Kind, MachineType, Priority};
 
 /// Why a job has to wait, as the decision found it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
@@ -309,6 +309,17 @@
     in_way: bool,
     costly: i64,
     zone: usize,
+    /// How long its machines take to fetch the job's image, in milliseconds.
+    fetch_ms: i64,
+}
+
+/// How long a machine of this type takes to fetch an image of this size, in
+/// milliseconds; nothing if its type does not tell.
+fn fetch_ms(image_gb: f64, kind: &MachineType) -> i64 {
+    match kind.fetch_gb_per_s > 0.0 {
+        true => (image_gb / kind.fetch_gb_per_s * 1000.0).ceil() as i64,
+        false => 0,
+    }
 }
 
 /// Where a job's tasks may go.
@@ -333,7 +344,8 @@
     fn new(spec: &'a Spec, hints: &'a Hints<'a>, care: Care) -> Self {
         let view = hints.view;
         let gates = view.classes.iter().map(|class| {
-            let gpus = view.class_type(class).map_or(0.0, |t| t.gpus);
+            let kind = view.class_type(class);
+            let gpus = kind.map_or(0.0, |t| t.gpus);
             let wanted = view
                 .gpu_spec
                 .as_ref()
@@ -344,6 +356,7 @@
                 in_way: gpus > 0.0 && spec.need.gpus.0 == 0 && wanted,
                 costly: i64::from(spec.spot && !class.spot),
                 zone: class.zone_at,
+                fetch_ms: kind.map_or(0, |t| fetch_ms(spec.image_gb, t)),
             }
         });
         let far = (0..view.part_names.len() as u32).map(|n| {
@@ -432,7 +445,11 @@
             Some(s) if gate.gpus.0 > 0 && spec.need.gpus.0 == 0 => spot.free.slots(&s.need),
             _ => 0,
         };
-        let no_image = i64::from(!view.has_image(spot.machine, self.image));
+        let fetch_ms = match view.has_image(spot.machine, self.image) {
+            true => 0,
+            // Even where it takes no time, the image is better there already.
+            false => gate.fetch_ms.max(1),
+        };
         let far = self
             .far
             .get(spot.part as usize)
@@ -442,11 +459,11 @@
         // A service stays for long and would keep a costly machine rented.
         let pins = i64::from(quick && gate.gpus.0 > 0 && spec.need.gpus.0 == 0);
         let (third, fourth, fifth) = match spec.kind {
-            Kind::Service => (no_image, gate.costly, far),
+            Kind::Service => (fetch_ms, gate.costly, far),
             // Their ends come often: where they are this controller's own,
             // nobody else writes the records.
-            Kind::Array => (gate.costly, far, no_image),
-            Kind::Gang => (gate.costly, no_image, far),
+            Kind::Array => (gate.costly, far, fetch_ms),
+            Kind::Gang => (gate.costly, fetch_ms, far),
         };
         [
             self.loss(spot),
