--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -11,7 +11,7 @@
 use crate::model::{Arrivals, Job, Spec};
 use crate::node::{Node, guard, put};
 use crate::store::{Class, StoreError};
-use crate::view::{arrivals_key, job_key};
+use crate::replica::{arrivals_key, job_key};
 use crate::wire::{Guard, Write};
 
 /// What became of a submission that was to be accepted.
@@ -48,7 +48,7 @@
 
 /// Accepts submissions, as many at once as have gathered while the budget or
 /// the last commit was waited for: a rush costs few writes.
-pub async fn keep_accepting(node: Rc<Node>) {
+pub async fn run_acceptance(node: Rc<Node>) {
     // The first does not wait; those behind it gather for a moment.
     let gather = node.request_gap() * 4;
     loop {
@@ -81,7 +81,7 @@
             continue;
         }
         let is_twice = batch.iter().any(|a| a.id == next.id);
-        if is_twice || node.view.borrow().jobs.contains_key(&next.id) {
+        if is_twice || node.replica.borrow().jobs.contains_key(&next.id) {
             next.answer(Acceptance::KnownBefore);
             continue;
         }
@@ -123,10 +123,10 @@
 
 /// One job stands in a record of its own, several in a record of arrivals.
 fn batch_commit(node: &Node, batch: &[Arrival]) -> (Vec<Guard>, Write) {
-    let born = node.view.borrow().revision;
+    let accepted_revision = node.replica.borrow().revision;
     let mut guards: Vec<Guard> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
     if let [one] = batch {
-        let job = Job::new(one.spec.clone(), born);
+        let job = Job::new(one.spec.clone(), accepted_revision);
         return (guards, put(job_key(&one.id), &job));
     }
     let jobs: BTreeMap<String, Spec> = batch
@@ -136,7 +136,7 @@
     let number = node.rng.borrow_mut().random::<u64>();
     let key = arrivals_key(&format!("{}-{number:x}", node.name()));
     guards.push(guard(key.clone(), 0));
-    (guards, put(key, &Arrivals { born, jobs }))
+    (guards, put(key, &Arrivals { accepted_revision, jobs }))
 }
 
 /// Those whose keys have failed are known by now, to another controller or by a
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -13,7 +13,7 @@
         .peers
         .borrow()
         .state_serves_another(node, Instant::now());
-    let loaded = node.view.borrow().loaded && node.horizon.get().is_some();
+    let loaded = node.replica.borrow().loaded && node.last_barrier.get().is_some();
     if loaded && (node.has_state() || !alone) {
         Response::empty(200)
     } else {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -20,8 +20,8 @@
 use crate::ops;
 use crate::wire::Report;
 
-pub use acceptance::{Arrival, keep_accepting};
-pub use users::{sheds, state_of};
+pub use acceptance::{Arrival, run_acceptance};
+pub use users::{should_shed, state_of};
 pub use validation::{Refusal, check_submission, read_submission};
 
 use health::up;
@@ -84,7 +84,7 @@
 /// `POST /agent/beat`: a worker's report.
 async fn report(node: &Rc<Node>, body: &[u8]) -> Response {
     match serde_json::from_slice::<Report>(body) {
-        Ok(report) => node.beat(report).await,
+        Ok(report) => node.heartbeat(report).await,
         Err(_) => Response::error(400, "not a report"),
     }
 }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -13,11 +13,11 @@
 use super::acceptance::{Acceptance, Arrival};
 use super::validation::{Refusal, check_submission, read_submission};
 use crate::http::Response;
-use crate::model::{Final, Job, Spec, is_job_id};
+use crate::model::{JobStatus, Job, Spec, is_job_id};
 use crate::node::{Node, guard};
 use crate::settings::Settings;
 use crate::store::{Class, StoreError};
-use crate::view::{Entry, View, job_key};
+use crate::replica::{Entry, Replica, job_key};
 use crate::wire::{JobStage, JobState, Submission};
 
 /// The longest that a submission or a withdrawal takes; their users wait 5 s.
@@ -57,14 +57,14 @@
 }
 
 /// What users and operators are told of a job.
-pub fn state_of<'a>(view: &View, id: &'a str) -> Option<JobState<'a>> {
-    let job = &view.jobs.get(id)?.value;
+pub fn state_of<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
+    let job = &replica.jobs.get(id)?.value;
     let booked = job.booked() as u32;
-    let (stage, running) = match view.state(id)? {
-        Final::Done => (JobStage::Done, 0),
-        Final::Cancelled => (JobStage::Cancelled, 0),
-        Final::Open if booked > 0 => (JobStage::Running, booked),
-        Final::Open => (JobStage::Queued, 0),
+    let (stage, running) = match replica.state(id)? {
+        JobStatus::Done => (JobStage::Done, 0),
+        JobStatus::Cancelled => (JobStage::Cancelled, 0),
+        JobStatus::Open if booked > 0 => (JobStage::Running, booked),
+        JobStatus::Open => (JobStage::Queued, 0),
     };
     Some(JobState {
         id,
@@ -76,13 +76,13 @@
 
 /// The state of a job that is over. It never changes, so it needs no barrier.
 fn final_state(node: &Node, id: &str) -> Option<Response> {
-    let view = node.view.borrow();
-    let state = state_of(&view, id).filter(JobState::is_final)?;
+    let replica = node.replica.borrow();
+    let state = state_of(&replica, id).filter(JobState::is_final)?;
     Some(Response::json(200, &state))
 }
 
 fn is_known(node: &Node, id: &str) -> bool {
-    node.view.borrow().jobs.contains_key(id)
+    node.replica.borrow().jobs.contains_key(id)
 }
 
 /// `POST /submissions`.
@@ -108,7 +108,7 @@
 
 /// A known job gets its state, whatever the repeated body says.
 async fn answer_known_job(node: &Node, id: &str, limit: Duration) -> Option<Response> {
-    if node.view.borrow().is_unreadable_job(id) {
+    if node.replica.borrow().is_unreadable_job(id) {
         return Some(record_unreadable());
     }
     match is_known(node, id) {
@@ -119,14 +119,14 @@
 
 /// What cannot be taken now is refused at once, with when to come back.
 fn cannot_accept_now(node: &Node, submission: &Submission) -> Option<Response> {
-    let view = node.view.borrow();
-    if !view.loaded || !node.has_state() {
+    let replica = node.replica.borrow();
+    if !replica.loaded || !node.has_state() {
         return Some(state_unavailable());
     }
     // Safety 8: a program that does not know `awaits` would start the job at
     // once, and write its record back without.
     let awaits = submission.awaits.as_ref().is_some_and(|a| !a.is_empty());
-    if awaits && !view.upgraded() {
+    if awaits && !replica.upgraded() {
         let problem = "not every controller knows awaits yet";
         return Some(Response::unavailable(problem, RETRY_SOON));
     }
@@ -134,11 +134,11 @@
 }
 
 /// Whether the job can be accepted; the answer to its user if not. A refusal for
-/// good is decided on a view that has passed a barrier: it may else lag behind
+/// good is decided on a replica that has passed a barrier: it may else lag behind
 /// the acceptance of this very id, by a controller that knew other machine types,
 /// or behind that of a job that it awaits.
 async fn decide(node: &Node, submission: &Submission, limit: Duration) -> Result<Spec, Response> {
-    let check = || check_submission(submission, &node.settings, &node.view.borrow());
+    let check = || check_submission(submission, &node.settings, &node.replica.borrow());
     match check() {
         Ok(spec) => return Ok(spec),
         Err(Refusal::Unknown) => return Err(refused(Refusal::Unknown)),
@@ -193,7 +193,7 @@
 /// one was answered here a short while ago. Reports, claims and submissions need
 /// the processor more; but whoever asks about a job is answered now and then by
 /// every controller, or it would look forgotten.
-pub fn sheds(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
+pub fn should_shed(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
     let report = settings.report();
     lag > report / 8 && answered.is_some_and(|age| age < settings.lease() / 2)
 }
@@ -201,8 +201,8 @@
 /// `GET /submissions/{id}`.
 pub(super) async fn query(node: &Node, id: &str) -> Response {
     let age = node.answered.borrow().get(id).map(Instant::elapsed);
-    let is_open = node.view.borrow().state(id) == Some(Final::Open);
-    if is_open && sheds(node.lag(), age, &node.settings) {
+    let is_open = node.replica.borrow().state(id) == Some(JobStatus::Open);
+    if is_open && should_shed(node.lag(), age, &node.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
     let response = query_within(node, id, QUERY_WAIT).await;
@@ -226,11 +226,11 @@
     if !node.has_state() || !node.barrier_unless_refused(limit).await {
         return state_unavailable();
     }
-    let view = node.view.borrow();
-    if view.is_unreadable_job(id) {
+    let replica = node.replica.borrow();
+    if replica.is_unreadable_job(id) {
         return record_unreadable();
     }
-    match state_of(&view, id) {
+    match state_of(&replica, id) {
         Some(state) => Response::json(200, &state),
         None => no_such_job(),
     }
@@ -257,10 +257,10 @@
         if !node.has_state() {
             return state_unavailable();
         }
-        if node.view.borrow().is_unreadable_job(id) {
+        if node.replica.borrow().is_unreadable_job(id) {
             return record_unreadable();
         }
-        let known = node.view.borrow().jobs.get(id).cloned();
+        let known = node.replica.borrow().jobs.get(id).cloned();
         match known {
             Some(job) => match commit_cancellation(node, id, &job).await {
                 Ok(response) => return response,
@@ -293,7 +293,7 @@
     let mut job = known.value.clone();
     job.cancel();
     let guards = vec![guard(job_key(id), known.version)];
-    let writes = vec![node.view.borrow().put_job(id, &job)];
+    let writes = vec![node.replica.borrow().put_job(id, &job)];
     node.commit(Class::Accept, guards, writes).await?;
     tracing::debug!(job = id, "cancelled");
     let state = JobState {
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use crate::admission;
-use crate::model::{Final, Room, Spec, is_job_id};
+use crate::model::{JobStatus, Resources, Spec, is_job_id};
 use crate::settings::{Settings, TeamTerms};
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Kind, Submission};
 
 /// The most tasks that a job may have.
@@ -125,25 +125,25 @@
 pub fn check_submission(
     submission: &Submission,
     settings: &Settings,
-    view: &View,
+    replica: &Replica,
 ) -> Result<Spec, Refusal> {
     let mut spec = Spec::from(submission);
     let team = settings
         .team(&submission.team)
         .ok_or_else(|| never("crew: unknown team"))?;
-    let zones = usable_zones(&spec, settings, view)?;
+    let zones = usable_zones(&spec, settings, replica)?;
     check_spread(&spec, zones)?;
     check_team_limit(&spec, team)?;
-    check_awaited_jobs(&spec, view)?;
+    check_awaited_jobs(&spec, replica)?;
     // What is done stays done: nothing needs to remember it.
-    spec.awaits.retain(|id| view.state(id) != Some(Final::Done));
-    check_record_size(&spec, settings, view)?;
+    spec.awaits.retain(|id| replica.state(id) != Some(JobStatus::Done));
+    check_record_size(&spec, settings, replica)?;
     Ok(spec)
 }
 
 /// The number of zones in which the cloud has machines that take a task.
-fn usable_zones(spec: &Spec, settings: &Settings, view: &View) -> Result<usize, Refusal> {
-    let types = &view.types.value.types;
+fn usable_zones(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<usize, Refusal> {
+    let types = &replica.types.value.types;
     if types.is_empty() {
         return Err(Refusal::Unknown);
     }
@@ -153,7 +153,7 @@
     }
     let zones: BTreeSet<&str> = types
         .iter()
-        .filter(|t| spec.allows_type(&t.name) && Room::of_type(t).fits(&spec.need))
+        .filter(|t| spec.allows_type(&t.name) && Resources::of_type(t).fits(&spec.need))
         .flat_map(|t| t.zones.iter().map(String::as_str))
         .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
         .collect();
@@ -187,11 +187,11 @@
 }
 
 /// A job's own id is not known either: it was never accepted.
-fn check_awaited_jobs(spec: &Spec, view: &View) -> Result<(), Refusal> {
-    if spec.awaits.iter().any(|id| view.is_unreadable_job(id)) {
+fn check_awaited_jobs(spec: &Spec, replica: &Replica) -> Result<(), Refusal> {
+    if spec.awaits.iter().any(|id| replica.is_unreadable_job(id)) {
         return Err(Refusal::Unknown);
     }
-    match spec.awaits.iter().find(|id| view.state(id).is_none()) {
+    match spec.awaits.iter().find(|id| replica.state(id).is_none()) {
         Some(id) => Err(never(format!("awaits: {id} was never accepted"))),
         None => Ok(()),
     }
@@ -199,15 +199,15 @@
 
 /// Whether records can hold the job as it waits, and once tasks of it run. What
 /// it awaits leaves its record before any of its tasks comes in.
-fn check_record_size(spec: &Spec, settings: &Settings, view: &View) -> Result<(), Refusal> {
+fn check_record_size(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<(), Refusal> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let awaits = spec.awaits_bytes();
     let most = settings.value_bytes();
-    let is_too_long = if settings.shrinks() {
+    let is_too_long = if settings.limits_will_fall() {
         // Where records are to be small: what could not be written, or never run
         // within one.
         let waiting = bytes + EMPTY_RECORD_BYTES;
-        let running = least_running_record(spec, settings, view).saturating_sub(awaits);
+        let running = least_running_record(spec, settings, replica).saturating_sub(awaits);
         waiting > most || running > most
     } else {
         bytes > most / 2 || bytes.saturating_sub(awaits) > most / 4
@@ -219,8 +219,8 @@
 }
 
 /// The bytes of the smallest record in which one task or one gang runs.
-fn least_running_record(spec: &Spec, settings: &Settings, view: &View) -> usize {
-    let machine = longest_name(view.machines.keys());
+fn least_running_record(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
+    let machine = longest_name(replica.machines.keys());
     let zone = longest_name(settings.deployment.zones.iter());
     admission::least_record(spec, machine, zone)
 }
--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::machines::{EndKey, Hand};
-use crate::model::{Final, Job};
+use crate::machines::{AttemptKey, WorkerSession};
+use crate::model::{JobStatus, Job};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// One of so many machines held may be suspect at once.
 const SUSPECT_FRACTION: usize = 4;
@@ -36,21 +36,21 @@
 /// holds that failure: the machine, if the job has succeeded since; the job, if
 /// it fails on others, too, or is cancelled.
 pub fn blame(job: &Job, machine: &str) -> Blame {
-    match job.fin {
-        Final::Done => Blame::Machine,
-        Final::Cancelled => Blame::Job,
-        Final::Open if job.is_doubtful() => Blame::Job,
-        Final::Open if job.failed_on.iter().any(|m| m == machine) => Blame::Unknown,
-        Final::Open => Blame::Machine,
+    match job.status {
+        JobStatus::Done => Blame::Machine,
+        JobStatus::Cancelled => Blame::Job,
+        JobStatus::Open if job.is_doubtful() => Blame::Job,
+        JobStatus::Open if job.failed_on.iter().any(|m| m == machine) => Blame::Unknown,
+        JobStatus::Open => Blame::Machine,
     }
 }
 
 /// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
 /// on all machines alike, and would send one after another away.
-pub(super) fn health(node: &Node, view: &View, machine: &str, hand: &Hand) -> Health {
+pub(super) fn health(node: &Node, replica: &Replica, machine: &str, worker_session: &WorkerSession) -> Health {
     let mut unknown = 0;
-    for id in &hand.failed_jobs {
-        let Some(job) = view.jobs.get(id) else {
+    for id in &worker_session.failed_jobs {
+        let Some(job) = replica.jobs.get(id) else {
             continue;
         };
         if has_unrecorded_end(node, id, machine) {
@@ -72,7 +72,7 @@
 /// Whether the end of a job's task on a machine is still to be recorded: the
 /// job's record does not hold that failure yet.
 fn has_unrecorded_end(node: &Node, job: &str, machine: &str) -> bool {
-    let first = EndKey {
+    let first = AttemptKey {
         job: job.to_string(),
         machine: machine.to_string(),
         attempt: 0,
@@ -86,15 +86,15 @@
 /// Machines that take no new work until it is known whose fault the failures
 /// there are: a quarter of those held at most, or many jobs with a mistake
 /// would leave no room to tell.
-pub fn suspects(node: &Node, view: &View, hands: &HashMap<String, Hand>) -> HashSet<String> {
-    let mut found: Vec<(usize, &String)> = hands
+pub fn suspects(node: &Node, replica: &Replica, worker_sessions: &HashMap<String, WorkerSession>) -> HashSet<String> {
+    let mut found: Vec<(usize, &String)> = worker_sessions
         .iter()
-        .filter(|(_, hand)| hand.failed_jobs.len() > 1)
-        .filter(|(id, hand)| health(node, view, id, hand) == Health::Suspect)
-        .map(|(id, hand)| (hand.failed_jobs.len(), id))
+        .filter(|(_, worker_session)| worker_session.failed_jobs.len() > 1)
+        .filter(|(id, worker_session)| health(node, replica, id, worker_session) == Health::Suspect)
+        .map(|(id, worker_session)| (worker_session.failed_jobs.len(), id))
         .collect();
     found.sort_by(|a, b| b.cmp(a));
-    let limit = (hands.len() / SUSPECT_FRACTION).max(1);
+    let limit = (worker_sessions.len() / SUSPECT_FRACTION).max(1);
     let found = found.into_iter().take(limit);
     found.map(|(_, id)| id.clone()).collect()
 }
--- a/src/cloud/boots.rs
+++ b/src/cloud/boots.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 use super::offers::Offer;
-use crate::model::Life;
+use crate::model::MachineLifecycle;
 use crate::node::skipped;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::MachineType;
 
 /// PROTOCOL: a boot usually takes at most so many times what the cloud says.
@@ -32,13 +32,13 @@
 
 /// Machines that boot: those of rentals that have no record of their own yet,
 /// and those that were found in the cloud's list.
-pub(super) fn booting(view: &View) -> impl Iterator<Item = BootingMachine<'_>> {
-    let rented = view.hires.values().flat_map(|entry| {
+pub(super) fn booting(replica: &Replica) -> impl Iterator<Item = BootingMachine<'_>> {
+    let rented = replica.rentals.values().flat_map(|entry| {
         let rental = &entry.value;
         rental
             .machines
             .iter()
-            .filter(|id| !view.machines.contains_key(*id))
+            .filter(|id| !replica.machines.contains_key(*id))
             .map(|id| BootingMachine {
                 id,
                 kind: &rental.kind,
@@ -46,9 +46,9 @@
                 spot: rental.spot,
             })
     });
-    let found = view.machines.iter().filter_map(|(id, entry)| {
+    let found = replica.machines.iter().filter_map(|(id, entry)| {
         let machine = &entry.value;
-        (machine.life == Life::Booting).then_some(BootingMachine {
+        (machine.life == MachineLifecycle::Booting).then_some(BootingMachine {
             id,
             kind: &machine.kind,
             zone: &machine.zone,
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -18,8 +18,8 @@
     /// Whether this controller rents: the record says so, and its state lease
     /// stands as far as is known.
     pub fn is_renter(&self) -> bool {
-        let view = self.view.borrow();
-        let renter = view.fleet.as_ref();
+        let replica = self.replica.borrow();
+        let renter = replica.fleet.as_ref();
         renter.is_some_and(|entry| entry.value.incarnation == self.incarnation)
             && self.fleet.borrow().lease.is_some()
     }
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -6,12 +6,12 @@
 use super::headroom::spare_places;
 use super::offers::price_of;
 use crate::admission::{self, Care, Hints, Plan};
-use crate::draft::Groups;
-use crate::model::{Life, Machine, Outcome, Room};
+use crate::transaction::MachineShardEdits;
+use crate::model::{MachineLifecycle, Machine, Outcome, Resources};
 use crate::node::{Node, guard};
 use crate::settings::Settings;
 use crate::store::Class;
-use crate::view::{View, job_key, part_key};
+use crate::replica::{Replica, job_key, zone_shard_key};
 use crate::wire::{Guard, Kind, Write};
 
 /// Places for so many of the usual jobs on accelerators stay free.
@@ -38,7 +38,7 @@
         writes,
     } = eviction;
     let services = writes.len().saturating_sub(MACHINE_WRITES);
-    match node.commit(Class::Room, guards, writes).await {
+    match node.commit(Class::Publication, guards, writes).await {
         Ok(_) => tracing::info!(machine, services, "emptied: its services move"),
         Err(error) => tracing::debug!(machine, %error, "not emptied"),
     }
@@ -60,26 +60,26 @@
 }
 
 fn find_eviction(node: &Node) -> Option<Eviction> {
-    let view = node.view.borrow();
-    let gpu = view.gpu_spec.as_ref()?;
-    if gpu_work_waits(&view) {
+    let replica = node.replica.borrow();
+    let gpu = replica.gpu_spec.as_ref()?;
+    if gpu_work_waits(&replica) {
         return None;
     }
     let search = Search {
-        view: &view,
+        replica: &replica,
         settings: &node.settings,
-        plan: Plan::of(&view),
-        hints: Hints::new(&view, node.name()),
+        plan: Plan::of(&replica),
+        hints: Hints::new(&replica, node.name()),
         kept_places: KEPT_GANGS * gpu.tasks as usize,
     };
     let candidate = search.best()?;
-    eviction_of(&view, &candidate)
+    eviction_of(&replica, &candidate)
 }
 
 /// Whether tasks that need accelerators wait for room.
-fn gpu_work_waits(view: &View) -> bool {
-    view.open.iter().any(|(_, id)| {
-        let job = view.jobs.get(id).map(|entry| &entry.value);
+fn gpu_work_waits(replica: &Replica) -> bool {
+    replica.open.iter().any(|(_, id)| {
+        let job = replica.jobs.get(id).map(|entry| &entry.value);
         job.is_some_and(|job| {
             let spec = job.spec.as_ref();
             !job.is_doubtful() && job.waiting() > 0 && spec.is_some_and(|spec| spec.need.gpus.0 > 0)
@@ -89,7 +89,7 @@
 
 /// A search for the machine whose emptying gains most.
 struct Search<'a> {
-    view: &'a View,
+    replica: &'a Replica,
     settings: &'a Settings,
     plan: Plan,
     hints: Hints<'a>,
@@ -100,7 +100,7 @@
 impl<'a> Search<'a> {
     fn best(&self) -> Option<Candidate<'a>> {
         let mut best: Option<Candidate> = None;
-        for (id, entry) in &self.view.machines {
+        for (id, entry) in &self.replica.machines {
             let Some(candidate) = self.candidate(id, &entry.value) else {
                 continue;
             };
@@ -114,16 +114,16 @@
     /// The machine if it has accelerators, runs services alone, and these have
     /// room elsewhere.
     fn candidate(&self, id: &'a String, machine: &Machine) -> Option<Candidate<'a>> {
-        let kind = self.view.type_of(&machine.kind)?;
-        if machine.life != Life::Active || kind.gpus <= 0.0 {
+        let kind = self.replica.type_of(&machine.kind)?;
+        if machine.life != MachineLifecycle::Active || kind.gpus <= 0.0 {
             return None;
         }
         let services = self.services_on(id)?;
         let mut without = self.plan.clone();
-        if let Some(spot) = without.find(self.view, id) {
-            without.spots[spot].free = Room::default();
+        if let Some(spot) = without.find(self.replica, id) {
+            without.spots[spot].free = Resources::default();
         }
-        if spare_places(self.view, &without, None) < self.kept_places {
+        if spare_places(self.replica, &without, None) < self.kept_places {
             return None;
         }
         let all_fit = services
@@ -137,7 +137,7 @@
     /// commit.
     fn services_on(&self, id: &str) -> Option<Vec<&'a str>> {
         let mut services = Vec::new();
-        for (job, entry) in self.view.jobs_on(id) {
+        for (job, entry) in self.replica.jobs_on(id) {
             let spec = entry.value.spec.as_ref();
             let is_service = spec.is_some_and(|spec| spec.kind == Kind::Service);
             if !is_service || !entry.value.is_open() {
@@ -152,7 +152,7 @@
     /// Whether a service's replicas on a machine have places in the plan, which
     /// it then takes.
     fn fits_elsewhere(&self, job: &str, machine: &str, plan: &mut Plan) -> bool {
-        let recorded = &self.view.jobs[job].value;
+        let recorded = &self.replica.jobs[job].value;
         let mut moved = recorded.clone();
         let Some(spec) = moved.spec.clone() else {
             return false;
@@ -189,27 +189,27 @@
 
 /// Drains the machine, takes it out of its part's record, and stops its
 /// services there.
-fn eviction_of(view: &View, candidate: &Candidate) -> Option<Eviction> {
+fn eviction_of(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
     let id = candidate.id;
-    let mut machine = view.machines.get(id)?.value.clone();
-    machine.life = Life::Draining;
-    let part_id = view.part_of(id)?.to_string();
-    let part = view.parts.get(&part_id)?;
+    let mut machine = replica.machines.get(id)?.value.clone();
+    machine.life = MachineLifecycle::Draining;
+    let shard_id = replica.zone_shard_of(id)?.to_string();
+    let part = replica.zone_shards.get(&shard_id)?;
     let mut record = part.value.clone();
     record.machines.remove(id);
-    let mut groups = Groups::new(view);
-    groups.put(id, machine);
-    let (mut guards, mut writes) = groups.into_commit();
-    guards.push(guard(part_key(&part_id), part.version));
-    writes.push(view.put_part(&part_id, &record));
+    let mut machine_shards = MachineShardEdits::new(replica);
+    machine_shards.put(id, machine);
+    let (mut guards, mut writes) = machine_shards.into_commit();
+    guards.push(guard(zone_shard_key(&shard_id), part.version));
+    writes.push(replica.put_zone_shard(&shard_id, &record));
     for job_id in &candidate.services {
-        let mut job = view.jobs[*job_id].value.clone();
+        let mut job = replica.jobs[*job_id].value.clone();
         for run in job.runs.iter_mut().filter(|run| run.machine == *id) {
             run.stop = true;
         }
         job.cleared = true;
-        guards.push(guard(job_key(job_id), view.job_version(job_id)));
-        writes.push(view.put_job(job_id, &job));
+        guards.push(guard(job_key(job_id), replica.job_version(job_id)));
+        writes.push(replica.put_job(job_id, &job));
     }
     Some(Eviction {
         machine: id.clone(),
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -7,11 +7,11 @@
 use super::boots::booting;
 use super::headroom::{headroom, spare_places};
 use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedRentals};
-use crate::admission::{self, Ages, Care, Hints, Plan, Wait};
-use crate::model::{DOUBT, Hire, Job, Room, Spec};
+use crate::admission::{self, Ages, Care, Hints, Plan, WaitReason};
+use crate::model::{DOUBT, Rental, Job, Resources, Spec};
 use crate::node::Node;
 use crate::policy::JobFacts;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
 /// A fraction of a task below which what is still missing rents nothing.
@@ -19,22 +19,22 @@
 
 /// What to rent: room for the jobs, in queue order, whose tasks fit neither
 /// the free room nor what is coming, and for the next gang on accelerators.
-pub(super) fn demand(node: &Node) -> Vec<Hire> {
+pub(super) fn demand(node: &Node) -> Vec<Rental> {
     register_offers(node);
-    let view = node.view.borrow();
-    if view.types.value.types.is_empty() {
+    let replica = node.replica.borrow();
+    if replica.types.value.types.is_empty() {
         return Vec::new();
     }
     let now = Instant::now();
     // The rentals are committed together, beside the renter's own key.
     let max_rentals = node.settings.txn_ops().saturating_sub(2).max(1);
     let ages = node.ages.borrow();
-    let mut planner = Planner::new(node, &view, &ages, now);
-    let queue = admission::queue(&view, &planner.plan, &node.settings, &ages, now);
+    let mut planner = Planner::new(node, &replica, &ages, now);
+    let queue = admission::queue(&replica, &planner.plan, &node.settings, &ages, now);
     for id in queue {
         planner.plan_job(id);
     }
-    let starting = about_to_start(&view);
+    let starting = about_to_start(&replica);
     planner.release_awaited(&starting);
     for (id, _) in starting {
         planner.plan_job(id);
@@ -47,7 +47,7 @@
 /// by those before it.
 struct Planner<'a> {
     node: &'a Node,
-    view: &'a View,
+    replica: &'a Replica,
     ages: &'a Ages,
     hints: Hints<'a>,
     now: Instant,
@@ -84,17 +84,17 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(node: &'a Node, view: &'a View, ages: &'a Ages, now: Instant) -> Self {
-        let mut plan = Plan::of(view);
-        add_coming_room(&mut plan, node, view);
+    fn new(node: &'a Node, replica: &'a Replica, ages: &'a Ages, now: Instant) -> Self {
+        let mut plan = Plan::of(replica);
+        add_coming_room(&mut plan, node, replica);
         Planner {
             node,
-            view,
+            replica,
             ages,
-            hints: Hints::new(view, ""),
+            hints: Hints::new(replica, ""),
             now,
             plan,
-            turnover_cpus: running_array_cpus(view),
+            turnover_cpus: running_array_cpus(replica),
             rentals: PlannedRentals::default(),
         }
     }
@@ -104,13 +104,13 @@
     fn release_awaited(&mut self, starting: &[(&str, &[String])]) {
         let awaited: BTreeSet<&String> = starting.iter().flat_map(|(_, left)| *left).collect();
         for id in awaited {
-            let Some(job) = self.view.jobs.get(id).map(|entry| &entry.value) else {
+            let Some(job) = self.replica.jobs.get(id).map(|entry| &entry.value) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
             for run in &job.runs {
                 let room = spec.need.times(run.tasks.len());
-                self.plan.give(self.view, &run.machine, &spec.team, room);
+                self.plan.give(self.replica, &run.machine, &spec.team, room);
             }
         }
     }
@@ -135,18 +135,18 @@
 
     /// The job with what the policy says of it; none if it rents nothing.
     fn demand_of(&self, id: &'a str) -> Option<JobDemand<'a>> {
-        let job = self.view.jobs.get(id).map(|entry| &entry.value)?;
+        let job = self.replica.jobs.get(id).map(|entry| &entry.value)?;
         let spec = job.spec.as_ref()?;
-        if job.is_doubtful() && !may_rent_for_doubtful(self.view, job, spec) {
+        if job.is_doubtful() && !may_rent_for_doubtful(self.replica, job, spec) {
             return None;
         }
         let seen = self.ages.get(id);
         let age = seen.map_or(0.0, |first| {
             self.now.saturating_duration_since(*first).as_secs_f64()
         });
-        let standing = self.view.standing(id, spec, self.now);
+        let standing = self.replica.standing(id, spec, self.now);
         let settings = &self.node.settings;
-        let facts = admission::facts(job, spec, &self.plan, settings, self.view, age, &standing);
+        let facts = admission::facts(job, spec, &self.plan, settings, self.replica, age, &standing);
         Some(JobDemand {
             id,
             spec,
@@ -176,7 +176,7 @@
                     self.plan.take(place, &spec.team, spec.need);
                 }
                 let places: Vec<_> = places.iter().collect();
-                crate::draft::book(&mut demand.planned, spec, &places);
+                crate::transaction::book(&mut demand.planned, spec, &places);
             }
             // More room there does not help: it has its share already.
             Err(_) if spec.spread => demand.excluded_zones.extend(demand.last_zone.take()),
@@ -213,15 +213,15 @@
                 return Step::Again;
             }
             // What does not wait for room yet is not told so.
-            if self.view.awaited(demand.id).is_empty() {
-                crate::placement::note(self.node, demand.id, Wait::Refused, self.now);
+            if self.replica.awaited(demand.id).is_empty() {
+                crate::placement::note(self.node, demand.id, WaitReason::Refused, self.now);
             }
             return Step::Done;
         };
         demand.last_zone = Some(offer.zone.clone());
         self.rent(kind, offer);
         // The rest of an array's tasks follow one another in that room.
-        let holds_all = Room::of_type(kind).slots(&demand.spec.need) >= wanted;
+        let holds_all = Resources::of_type(kind).slots(&demand.spec.need) >= wanted;
         match demand.spec.kind == Kind::Array && holds_all {
             true => Step::Done,
             false => Step::Again,
@@ -254,10 +254,10 @@
 
     /// Plans machines until enough places stand ready for the next gang.
     fn plan_headroom(&mut self, max_rentals: usize) {
-        let Some(gpu) = &self.view.gpu_spec else {
+        let Some(gpu) = &self.replica.gpu_spec else {
             return;
         };
-        let wanted = headroom(self.node, self.view, &self.plan);
+        let wanted = headroom(self.node, self.replica, &self.plan);
         let excluded_zones = HashSet::new();
         let bounds = OfferBounds {
             care: Care::Lax,
@@ -265,7 +265,7 @@
             excluded_zones: &excluded_zones,
         };
         let mut tries = 0;
-        while spare_places(self.view, &self.plan, None) < wanted && tries < max_rentals {
+        while spare_places(self.replica, &self.plan, None) < wanted && tries < max_rentals {
             tries += 1;
             let Some((kind, offer)) = self.best_offer(gpu, 1, &bounds) else {
                 return;
@@ -282,7 +282,7 @@
     ) -> Option<(&'a MachineType, Offer)> {
         let fleet = self.node.fleet.borrow();
         let search = OfferSearch {
-            view: self.view,
+            replica: self.replica,
             fleet: &fleet,
             rentals: &self.rentals,
             now: self.now,
@@ -292,32 +292,32 @@
 
     /// Plans one more machine of an offer, with its room.
     fn rent(&mut self, kind: &MachineType, offer: Offer) {
-        add_room(&mut self.plan, self.view, kind, &offer.zone, offer.spot);
+        add_room(&mut self.plan, self.replica, kind, &offer.zone, offer.spot);
         self.rentals.add(offer);
     }
 }
 
 /// Adds the room of one machine of an offer to the plan.
-fn add_room(plan: &mut Plan, view: &View, kind: &MachineType, zone: &str, spot: bool) {
-    if let Some(class) = view.find_class(&kind.name, zone, spot) {
-        plan.add(class, Room::of_type(kind));
+fn add_room(plan: &mut Plan, replica: &Replica, kind: &MachineType, zone: &str, spot: bool) {
+    if let Some(class) = replica.find_class(&kind.name, zone, spot) {
+        plan.add(class, Resources::of_type(kind));
     }
 }
 
 /// Room that is on its way: booting machines and recorded rentals. Not those
 /// that are late: another is rented in their stead, and they are used if they
 /// come all the same.
-fn add_coming_room(plan: &mut Plan, node: &Node, view: &View) {
+fn add_coming_room(plan: &mut Plan, node: &Node, replica: &Replica) {
     let boots = &node.fleet.borrow().boots;
     let mut add = |kind: &str, zone: &str, spot: bool| {
-        if let Some(kind) = view.type_of(kind) {
-            add_room(plan, view, kind, zone, spot);
+        if let Some(kind) = replica.type_of(kind) {
+            add_room(plan, replica, kind, zone, spot);
         }
     };
-    for machine in booting(view).filter(|machine| !boots.is_late(machine.id)) {
+    for machine in booting(replica).filter(|machine| !boots.is_late(machine.id)) {
         add(machine.kind, machine.zone, machine.spot);
     }
-    let rentals = view.hires.values().map(|entry| &entry.value);
+    let rentals = replica.rentals.values().map(|entry| &entry.value);
     for rental in rentals.filter(|rental| rental.machines.is_empty()) {
         for _ in 0..rental.count {
             add(&rental.kind, &rental.zone, rental.spot);
@@ -328,15 +328,15 @@
 /// Jobs that wait for others which are about to end, and what those are: all
 /// of their tasks run, and by their owners' estimates are over before a machine
 /// that is rented now is up. For others that wait nothing is rented yet.
-fn about_to_start(view: &View) -> Vec<(&str, &[String])> {
-    let boot_s = view.least_boot_s();
+fn about_to_start(replica: &Replica) -> Vec<(&str, &[String])> {
+    let boot_s = replica.least_boot_s();
     let ends_soon = |id: &String| {
-        let job = view.jobs.get(id).map(|entry| &entry.value);
+        let job = replica.jobs.get(id).map(|entry| &entry.value);
         let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
     };
-    let held = view.held();
+    let held = replica.held();
     held.filter(|(_, left)| left.iter().all(ends_soon))
         .collect()
 }
@@ -344,36 +344,36 @@
 /// A job that fails wherever it runs rents nothing: it is tried on what others
 /// have. Where nothing is there that could hold it, it may a few times more, or
 /// three faulty machines in a row would be the end of a job in order.
-fn may_rent_for_doubtful(view: &View, job: &Job, spec: &Spec) -> bool {
-    let holds = |class: &crate::view::Class| {
-        let room = view.class_type(class).map(Room::of_type);
+fn may_rent_for_doubtful(replica: &Replica, job: &Job, spec: &Spec) -> bool {
+    let holds = |class: &crate::replica::Class| {
+        let room = replica.class_type(class).map(Resources::of_type);
         spec.allows(&class.kind, &class.zone, class.spot)
             && room.is_some_and(|room| room.fits(&spec.need))
     };
     let max_errors = DOUBT as u32 * 2;
-    let mut spots = view.spots();
+    let mut spots = replica.spots();
     job.booked() == 0
         && job.errors <= max_errors
-        && !spots.any(|spot| holds(&view.classes[spot.class as usize]))
+        && !spots.any(|spot| holds(&replica.classes[spot.class as usize]))
 }
 
 /// Every offer is known as a class of machines before the plan counts on it.
 fn register_offers(node: &Node) {
-    let mut view = node.view.borrow_mut();
-    for kind in view.types.value.types.clone() {
+    let mut replica = node.replica.borrow_mut();
+    for kind in replica.types.value.types.clone() {
         for zone in &kind.zones {
             for spot in [true, false] {
-                view.class(&kind.name, zone, spot);
+                replica.class(&kind.name, zone, spot);
             }
         }
     }
 }
 
 /// CPUs of all independent tasks that run.
-fn running_array_cpus(view: &View) -> f64 {
+fn running_array_cpus(replica: &Replica) -> f64 {
     let mut cpus = 0.0;
-    for (_, id) in &view.open {
-        if let Some(job) = view.jobs.get(id).map(|entry| &entry.value)
+    for (_, id) in &replica.open {
+        if let Some(job) = replica.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
             && spec.kind == Kind::Array
         {
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -2,11 +2,11 @@
 //! what runs there saves its progress while there is time.
 
 use super::life::set_life;
-use crate::draft::COMMIT_BYTES;
-use crate::model::{Job, Life, Spec};
+use crate::transaction::COMMIT_BYTES;
+use crate::model::{Job, MachineLifecycle, Spec};
 use crate::node::{Node, guard};
 use crate::store::Class;
-use crate::view::job_key;
+use crate::replica::job_key;
 use crate::wire::{Guard, Kind, Write};
 
 /// Machines with a spot notice take no new work, and gangs that can save are
@@ -16,14 +16,14 @@
     for id in ids {
         if is_active_here(node, &id) {
             tracing::info!(machine = id, "is being taken back: draining");
-            if !set_life(node, &id, Life::Draining).await {
+            if !set_life(node, &id, MachineLifecycle::Draining).await {
                 node.fleet.borrow_mut().recalled.insert(id.clone());
                 continue;
             }
         }
         let (guards, writes) = stops_for_drain(node, &id);
         if !writes.is_empty()
-            && let Err(error) = node.commit(Class::Life, guards, writes).await
+            && let Err(error) = node.commit(Class::Lifecycle, guards, writes).await
         {
             tracing::debug!(machine = id, %error, "drain not committed");
         }
@@ -32,25 +32,25 @@
 
 /// Whether a machine takes work and is held by this controller.
 fn is_active_here(node: &Node, id: &str) -> bool {
-    let view = node.view.borrow();
-    let machine = view.machines.get(id).map(|entry| &entry.value);
-    machine.is_some_and(|machine| machine.life == Life::Active) && node.holds(id)
+    let replica = node.replica.borrow();
+    let machine = replica.machines.get(id).map(|entry| &entry.value);
+    machine.is_some_and(|machine| machine.life == MachineLifecycle::Active) && node.holds(id)
 }
 
 /// The commit that stops the work on a machine that can save its progress; as
 /// much of it as one commit holds.
 fn stops_for_drain(node: &Node, machine: &str) -> (Vec<Guard>, Vec<Write>) {
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let max_writes = node.settings.txn_ops();
     let mut guards = Vec::new();
     let mut writes = Vec::new();
     let mut bytes = 0;
-    for (id, entry) in view.jobs_on(machine) {
+    for (id, entry) in replica.jobs_on(machine) {
         let is_full = writes.len() == max_writes || bytes > COMMIT_BYTES / 2;
         if is_full || !is_to_stop(&entry.value, machine) {
             continue;
         }
-        let write = view.put_job(id, &stopped(&entry.value, machine));
+        let write = replica.put_job(id, &stopped(&entry.value, machine));
         if let Write::Put { value, .. } = &write {
             bytes += value.get().len();
         }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -4,16 +4,16 @@
 use crate::model::Job;
 use crate::node::Node;
 use crate::pipeline::Standing;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// How many tasks of the accelerators' usual shape there should be places
 /// for beyond those that run: none when no such job is open.
-pub(super) fn headroom(node: &Node, view: &View, plan: &Plan) -> usize {
-    let Some(gpu) = &view.gpu_spec else {
+pub(super) fn headroom(node: &Node, replica: &Replica, plan: &Plan) -> usize {
+    let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
-    let has_gpu_jobs = view.open.iter().any(|(_, id)| {
-        let job = view.jobs.get(id).map(|entry| &entry.value);
+    let has_gpu_jobs = replica.open.iter().any(|(_, id)| {
+        let job = replica.jobs.get(id).map(|entry| &entry.value);
         let job = job.filter(|job| !job.is_doubtful());
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.need.gpus.0 > 0)
@@ -23,17 +23,17 @@
     }
     let next = Job::new(gpu.clone(), 0);
     let standing = Standing::of(gpu);
-    let facts = admission::facts(&next, gpu, plan, &node.settings, view, 0.0, &standing);
+    let facts = admission::facts(&next, gpu, plan, &node.settings, replica, 0.0, &standing);
     let jobs = node.settings.policy.headroom(&facts);
     (jobs * f64::from(gpu.tasks)).round() as usize
 }
 
 /// Free places of the accelerators' usual shape, in one zone or in all.
-pub(super) fn spare_places(view: &View, plan: &Plan, zone: Option<&str>) -> usize {
-    let Some(gpu) = &view.gpu_spec else {
+pub(super) fn spare_places(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
+    let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
-    let allowed: Vec<bool> = view
+    let allowed: Vec<bool> = replica
         .classes
         .iter()
         .map(|class| {
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -12,10 +12,10 @@
 use super::removal::{Reason, Removal};
 use super::state::FleetState;
 use crate::admission::{self, Plan};
-use crate::model::{Life, Machine, Room};
+use crate::model::{MachineLifecycle, Machine, Resources};
 use crate::node::Node;
 use crate::settings::Settings;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::MachineType;
 
 /// How many times the cheapest price a machine may cost that is kept for work
@@ -30,28 +30,28 @@
 
 /// Machines that the renter sends away, and why.
 pub(super) fn unneeded_machines(node: &Node) -> Vec<Removal> {
-    let now = node.pulse();
-    let view = node.view.borrow();
+    let now = node.liveness_tick();
+    let replica = node.replica.borrow();
     let mut fleet = node.fleet.borrow_mut();
-    let mut review = Review::new(node, &view, now);
+    let mut review = Review::new(node, &replica, now);
     let mut removals = Vec::new();
-    for (id, entry) in &view.machines {
+    for (id, entry) in &replica.machines {
         let machine = &entry.value;
-        if matches!(machine.life, Life::Active | Life::Draining)
-            && let Some(kind) = view.type_of(&machine.kind)
+        if matches!(machine.life, MachineLifecycle::Active | MachineLifecycle::Draining)
+            && let Some(kind) = replica.type_of(&machine.kind)
         {
             removals.extend(review.removal_of(&mut fleet, id, machine, kind));
         }
     }
-    removals.extend(overdue_boots(node, &view, &mut fleet, now));
-    forget_unknown(&view, &mut fleet);
+    removals.extend(overdue_boots(node, &replica, &mut fleet, now));
+    forget_unknown(&replica, &mut fleet);
     removals
 }
 
 /// One pass over the machines that are up.
 struct Review<'a> {
     node: &'a Node,
-    view: &'a View,
+    replica: &'a Replica,
     now: Instant,
     /// Places that stay ready for the next gang on accelerators.
     headroom: usize,
@@ -60,14 +60,14 @@
 }
 
 impl<'a> Review<'a> {
-    fn new(node: &'a Node, view: &'a View, now: Instant) -> Self {
-        let plan = Plan::of(view);
+    fn new(node: &'a Node, replica: &'a Replica, now: Instant) -> Self {
+        let plan = Plan::of(replica);
         Review {
             node,
-            view,
+            replica,
             now,
-            headroom: headroom(node, view, &plan),
-            spare: spare_places(view, &plan, None),
+            headroom: headroom(node, replica, &plan),
+            spare: spare_places(replica, &plan, None),
         }
     }
 
@@ -80,16 +80,16 @@
         kind: &MachineType,
     ) -> Option<Removal> {
         if self.is_orphaned(fleet, id, machine) {
-            return Some(Removal::new(id, Life::Returning, Reason::Orphaned));
+            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Orphaned));
         }
-        let booked = self.view.bookings.contains_key(id);
+        let booked = self.replica.bookings.contains_key(id);
         if booked && self.stays_for_work(fleet, id, machine, kind) {
             fleet.empty_since.remove(id);
             return None;
         }
         let since = *fleet.empty_since.entry(id.to_string()).or_insert(self.now);
-        if machine.life == Life::Draining {
-            return Some(Removal::new(id, Life::Returning, Reason::Drained));
+        if machine.life == MachineLifecycle::Draining {
+            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Drained));
         }
         let idle = self.now.saturating_duration_since(since);
         let facts = machine_facts(kind, machine.spot);
@@ -98,15 +98,15 @@
             return None;
         }
         Some(match booked {
-            true => Removal::new(id, Life::Draining, Reason::OnlyFillers),
-            false => Removal::new(id, Life::Returning, Reason::Idle),
+            true => Removal::new(id, MachineLifecycle::Draining, Reason::OnlyFillers),
+            false => Removal::new(id, MachineLifecycle::Returning, Reason::Idle),
         })
     }
 
     /// A worker whose controller is gone reports to another one soon, and is
     /// claimed by it; if not, it is gone, too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
-        let holder = self.view.nodes.get(&machine.holder);
+        let holder = self.replica.nodes.get(&machine.holder);
         if holder.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
             fleet.first_seen.remove(id);
             return false;
@@ -126,10 +126,10 @@
         machine: &Machine,
         kind: &MachineType,
     ) -> bool {
-        if !only_costly_fillers(self.view, &self.node.settings, id, kind, machine.spot) {
+        if !only_costly_fillers(self.replica, &self.node.settings, id, kind, machine.spot) {
             return true;
         }
-        let draining = machine.life == Life::Draining;
+        let draining = machine.life == MachineLifecycle::Draining;
         if draining {
             fleet.recalled.insert(id.to_string());
         }
@@ -141,13 +141,13 @@
         if kind.gpus <= 0.0 {
             return false;
         }
-        let Some(gpu) = &self.view.gpu_spec else {
+        let Some(gpu) = &self.replica.gpu_spec else {
             return false;
         };
         if !gpu.allows(&machine.kind, &machine.zone, machine.spot) {
             return false;
         }
-        let places = Room::of_type(kind).slots(&gpu.need);
+        let places = Resources::of_type(kind).slots(&gpu.need);
         if places > 0 && self.spare < self.headroom + places {
             return true;
         }
@@ -159,34 +159,34 @@
 /// Whether all that a machine runs fills idle time, at a price that such work
 /// is not worth.
 fn only_costly_fillers(
-    view: &View,
+    replica: &Replica,
     settings: &Settings,
     machine: &str,
     kind: &MachineType,
     spot: bool,
 ) -> bool {
-    view.jobs_on(machine).all(|(id, entry)| {
+    replica.jobs_on(machine).all(|(id, entry)| {
         let job = &entry.value;
         let spec = job.spec.as_ref().filter(|_| job.is_open());
-        !view.is_needed(id)
+        !replica.is_needed(id)
             && spec.is_some_and(|spec| {
-                let slots = Room::of_type(kind).slots(&spec.need).max(1) as f64;
-                let max_price = cheapest_place(view, spec) * MAX_FILLER_PRICE_RATIO;
-                admission::is_filler(spec, settings) && price_of(kind, spot) / slots > max_price
+                let slots = Resources::of_type(kind).slots(&spec.need).max(1) as f64;
+                let max_price = cheapest_place(replica, spec) * MAX_FILLER_PRICE_RATIO;
+                admission::is_opportunistic(spec, settings) && price_of(kind, spot) / slots > max_price
             })
     })
 }
 
 /// Machines that should have come up by now; notes those that are late.
-fn overdue_boots(node: &Node, view: &View, fleet: &mut FleetState, now: Instant) -> Vec<Removal> {
+fn overdue_boots(node: &Node, replica: &Replica, fleet: &mut FleetState, now: Instant) -> Vec<Removal> {
     let is_up = |id: &str| {
-        let machine = view.machines.get(id).map(|entry| &entry.value);
-        machine.is_some_and(|machine| machine.life == Life::Active)
+        let machine = replica.machines.get(id).map(|entry| &entry.value);
+        machine.is_some_and(|machine| machine.life == MachineLifecycle::Active)
     };
-    fleet.boots.observe(booting(view), is_up, now);
+    fleet.boots.observe(booting(replica), is_up, now);
     let mut removals = Vec::new();
-    for machine in booting(view) {
-        let Some(kind) = view.type_of(machine.kind) else {
+    for machine in booting(replica) {
+        let Some(kind) = replica.type_of(machine.kind) else {
             continue;
         };
         let (id, zone) = (machine.id, machine.zone);
@@ -201,7 +201,7 @@
             fleet.boots.note_failure(id, pause, now);
         }
         if age_s > limit_s {
-            removals.push(Removal::new(id, Life::Returning, Reason::NeverCameUp));
+            removals.push(Removal::new(id, MachineLifecycle::Returning, Reason::NeverCameUp));
             fleet.boots.note_failure(id, pause * 2, now);
         }
     }
@@ -209,9 +209,9 @@
 }
 
 /// Drops what is remembered of machines that are neither recorded nor rented.
-fn forget_unknown(view: &View, fleet: &mut FleetState) {
-    let mut known: HashSet<&str> = view.machines.keys().map(String::as_str).collect();
-    known.extend(booting(view).map(|machine| machine.id));
+fn forget_unknown(replica: &Replica, fleet: &mut FleetState) {
+    let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
+    known.extend(booting(replica).map(|machine| machine.id));
     fleet.first_seen.retain(|id, _| known.contains(id.as_str()));
     fleet.sent_home.retain(|id, _| known.contains(id.as_str()));
     fleet.kept.retain(|id, _| known.contains(id.as_str()));
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -6,19 +6,19 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::model::{FORMATS, Renter};
+use crate::model::{FORMATS, ControllerRecord};
 use crate::node::{Node, guard, put};
 use crate::store::{Class, StoreError};
-use crate::view::{FLEET_KEY, FORMATS_KEY, View, node_key};
+use crate::replica::{FLEET_KEY, FORMATS_KEY, Replica, node_key};
 use crate::wire::{Guard, Write, raw};
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
-pub async fn keep_leases(node: Rc<Node>) {
+pub async fn run_lease_renewal(node: Rc<Node>) {
     let tick = node.settings.lease() / 16;
     let retry = tick / 16;
     loop {
-        if !node.view.borrow().loaded {
+        if !node.replica.borrow().loaded {
             sleep(retry).await;
             continue;
         }
@@ -80,7 +80,7 @@
 
 /// Writes the keys that do not say yet what they should.
 async fn sign_keys(node: &Node, lease: u64) -> Result<(), StoreError> {
-    let (guards, writes) = missing_keys(node, &node.view.borrow(), lease);
+    let (guards, writes) = missing_keys(node, &node.replica.borrow(), lease);
     if writes.is_empty() {
         return Ok(());
     }
@@ -102,8 +102,8 @@
 
 /// The commit that ties to the lease what is not tied to it, and that adds the
 /// formats which other controllers have been seen to know.
-fn missing_keys(node: &Node, view: &View, lease: u64) -> (Vec<Guard>, Vec<Write>) {
-    let me = Renter {
+fn missing_keys(node: &Node, replica: &Replica, lease: u64) -> (Vec<Guard>, Vec<Write>) {
+    let me = ControllerRecord {
         node: node.name().to_string(),
         incarnation: node.incarnation,
         formats: FORMATS,
@@ -118,16 +118,16 @@
             lease: Some(lease),
         });
     };
-    match view.nodes.get(node.name()) {
+    match replica.nodes.get(node.name()) {
         Some(entry) if entry.value == me => {}
         other => {
             let key = node_key(node.name());
-            let absent = view.absent_version(&key);
+            let absent = replica.absent_version(&key);
             sign(key, other.map_or(absent, |entry| entry.version));
         }
     }
-    match &view.fleet {
-        None => sign(FLEET_KEY.to_string(), view.absent_version(FLEET_KEY)),
+    match &replica.fleet {
+        None => sign(FLEET_KEY.to_string(), replica.absent_version(FLEET_KEY)),
         // An earlier run of this process rented, and its state lease still
         // stands: it is surely over, and nobody else may rent till then.
         Some(entry) if entry.value.node == me.node && entry.value != me => {
@@ -136,15 +136,15 @@
         Some(_) => {}
     }
     // It stands with no lease: what it says is for good.
-    let known = &view.formats;
-    let seen = view
+    let known = &replica.formats;
+    let seen = replica
         .nodes
         .iter()
         .map(|(name, entry)| (name.as_str(), entry.value.formats));
     let next = known.value.with(seen, &node.settings.controllers());
-    let unreadable = view.is_unreadable(FORMATS_KEY);
-    if view.nodes.contains_key(node.name()) && (next != known.value || unreadable) {
-        let version = known.version.max(view.absent_version(FORMATS_KEY));
+    let unreadable = replica.is_unreadable(FORMATS_KEY);
+    if replica.nodes.contains_key(node.name()) && (next != known.value || unreadable) {
+        let version = known.version.max(replica.absent_version(FORMATS_KEY));
         guards.push(guard(FORMATS_KEY.to_string(), version));
         writes.push(put(FORMATS_KEY.to_string(), &next));
     }
--- a/src/cloud/life.rs
+++ b/src/cloud/life.rs
@@ -2,22 +2,22 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use crate::draft::{COMMIT_BYTES, Groups};
-use crate::model::{Life, Machine, Part};
+use crate::transaction::{COMMIT_BYTES, MachineShardEdits};
+use crate::model::{MachineLifecycle, Machine, ZoneShard};
 use crate::node::{Node, guard};
 use crate::store::Class;
-use crate::view::{View, part_id, part_key};
+use crate::replica::{Replica, shard_id, zone_shard_key};
 use crate::wire::{Guard, Write};
 
 /// A machine's next state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LifeChange {
     pub(super) machine: String,
-    pub(super) life: Life,
+    pub(super) life: MachineLifecycle,
 }
 
 impl LifeChange {
-    pub(super) fn new(machine: &str, life: Life) -> Self {
+    pub(super) fn new(machine: &str, life: MachineLifecycle) -> Self {
         LifeChange {
             machine: machine.to_string(),
             life,
@@ -26,7 +26,7 @@
 }
 
 /// Writes one machine's new state; whether it is written.
-pub(super) async fn set_life(node: &Node, id: &str, life: Life) -> bool {
+pub(super) async fn set_life(node: &Node, id: &str, life: MachineLifecycle) -> bool {
     let changed = set_lives(node, &[LifeChange::new(id, life)]).await;
     changed.contains(id)
 }
@@ -36,8 +36,8 @@
 /// the parts, too, so that no booking slips in between.
 pub(super) async fn set_lives(node: &Node, changes: &[LifeChange]) -> HashSet<String> {
     let (mut changed, guards, writes) = {
-        let view = node.view.borrow();
-        let mut commit = LifeCommit::new(&view, node.settings.txn_ops());
+        let replica = node.replica.borrow();
+        let mut commit = LifeCommit::new(&replica, node.settings.txn_ops());
         for change in changes {
             commit.add(change);
         }
@@ -48,7 +48,7 @@
     if writes.is_empty() {
         return changed;
     }
-    if let Err(error) = node.commit(Class::Life, guards, writes).await {
+    if let Err(error) = node.commit(Class::Lifecycle, guards, writes).await {
         tracing::debug!(?changes, %error, "lives not changed");
         changed.clear();
     }
@@ -57,28 +57,28 @@
 
 /// A part's record that a commit guards, and writes if a machine leaves it.
 struct EditedPart {
-    record: Part,
+    record: ZoneShard,
     changed: bool,
 }
 
 /// The commit that changes machines' states, in the making.
 struct LifeCommit<'a> {
-    view: &'a View,
+    replica: &'a Replica,
     /// The most writes that one commit may have.
     max_writes: usize,
-    groups: Groups<'a>,
-    parts: BTreeMap<String, EditedPart>,
+    machine_shards: MachineShardEdits<'a>,
+    zone_shards: BTreeMap<String, EditedPart>,
     /// The machines whose states it changes.
     changed: HashSet<String>,
 }
 
 impl<'a> LifeCommit<'a> {
-    fn new(view: &'a View, max_writes: usize) -> Self {
+    fn new(replica: &'a Replica, max_writes: usize) -> Self {
         LifeCommit {
-            view,
+            replica,
             max_writes,
-            groups: Groups::new(view),
-            parts: BTreeMap::new(),
+            machine_shards: MachineShardEdits::new(replica),
+            zone_shards: BTreeMap::new(),
             changed: HashSet::new(),
         }
     }
@@ -86,20 +86,20 @@
     /// Adds a change if it is one and there is room for it.
     fn add(&mut self, change: &LifeChange) {
         let id = &change.machine;
-        let Some(entry) = self.view.machines.get(id) else {
+        let Some(entry) = self.replica.machines.get(id) else {
             return;
         };
         let mut machine = entry.value.clone();
-        let group = part_id(&machine.zone, &machine.part);
-        let part = self.view.part_of(id);
+        let group = shard_id(&machine.zone, &machine.part);
+        let part = self.replica.zone_shard_of(id);
         let part = part.map_or_else(|| group.clone(), |part| part.to_string());
         if !may_become(&machine, change.life) || !self.has_room(&group, &part) {
             return;
         }
         machine.life = change.life;
-        self.groups.put(id, machine);
+        self.machine_shards.put(id, machine);
         self.changed.insert(id.clone());
-        if change.life != Life::Active {
+        if change.life != MachineLifecycle::Active {
             self.leave_part(id, part);
         }
     }
@@ -110,19 +110,19 @@
         // writes are for groups, the other half is for parts.
         let for_groups = self.max_writes / 2;
         let for_parts = self.max_writes - for_groups;
-        let groups_full = self.groups.is_full(for_groups) || self.groups.bytes() > COMMIT_BYTES / 3;
-        let parts_full = self.parts.len() >= for_parts;
-        (self.parts.contains_key(part) || !parts_full) && (self.groups.has(group) || !groups_full)
+        let groups_full = self.machine_shards.is_full(for_groups) || self.machine_shards.bytes() > COMMIT_BYTES / 3;
+        let parts_full = self.zone_shards.len() >= for_parts;
+        (self.zone_shards.contains_key(part) || !parts_full) && (self.machine_shards.has(group) || !groups_full)
     }
 
     /// Takes a machine out of its part's record. The part is guarded even if
     /// the machine is not in its record: its holder could be putting it there
     /// just now.
     fn leave_part(&mut self, id: &str, part: String) {
-        let Some(entry) = self.view.parts.get(&part) else {
+        let Some(entry) = self.replica.zone_shards.get(&part) else {
             return;
         };
-        let edited = self.parts.entry(part).or_insert_with(|| EditedPart {
+        let edited = self.zone_shards.entry(part).or_insert_with(|| EditedPart {
             record: entry.value.clone(),
             changed: false,
         });
@@ -130,11 +130,11 @@
     }
 
     fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
-        let (mut guards, mut writes) = self.groups.into_commit();
-        for (id, part) in self.parts {
-            guards.push(guard(part_key(&id), self.view.part_version(&id)));
+        let (mut guards, mut writes) = self.machine_shards.into_commit();
+        for (id, part) in self.zone_shards {
+            guards.push(guard(zone_shard_key(&id), self.replica.zone_shard_version(&id)));
             if part.changed {
-                writes.push(self.view.put_part(&id, &part.record));
+                writes.push(self.replica.put_zone_shard(&id, &part.record));
             }
         }
         (guards, writes)
@@ -142,10 +142,10 @@
 }
 
 /// Safety 5: returning is never undone.
-fn may_become(machine: &Machine, life: Life) -> bool {
+fn may_become(machine: &Machine, life: MachineLifecycle) -> bool {
     match machine.life {
-        Life::Gone => false,
-        Life::Returning => life == Life::Gone,
+        MachineLifecycle::Gone => false,
+        MachineLifecycle::Returning => life == MachineLifecycle::Gone,
         current => current != life,
     }
 }
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -8,11 +8,11 @@
 use super::life::{LifeChange, set_lives};
 use super::rentals::rental_of;
 use super::state::FleetState;
-use crate::draft::Groups;
-use crate::model::{Life, Machine};
+use crate::transaction::MachineShardEdits;
+use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
 use crate::store::Class;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{ListedMachine, ListedStage, MachineList};
 
 /// How long, over the list's lag, a machine that is gone may still be listed.
@@ -50,21 +50,21 @@
     };
     node.fleet.borrow_mut().list_read_at = Some(Instant::now());
     let differences = {
-        let view = node.view.borrow();
+        let replica = node.replica.borrow();
         let mut fleet = node.fleet.borrow_mut();
         fleet
             .gone
             .retain(|_, since| since.elapsed() < lag * GONE_LAGS);
         fleet
             .unrecorded
-            .retain(|id, _| !view.machines.contains_key(id));
-        compare(&view, &mut fleet, &listed, node.settings.lease())
+            .retain(|id, _| !replica.machines.contains_key(id));
+        compare(&replica, &mut fleet, &listed, node.settings.lease())
     };
     record_machines(node, &differences.new).await;
     let returning: Vec<LifeChange> = differences
         .failed
         .iter()
-        .map(|id| LifeChange::new(id, Life::Returning))
+        .map(|id| LifeChange::new(id, MachineLifecycle::Returning))
         .collect();
     set_lives(node, &returning).await;
 }
@@ -89,27 +89,27 @@
 }
 
 fn compare(
-    view: &View,
+    replica: &Replica,
     fleet: &mut FleetState,
     listed: &[ListedMachine],
     lease: Duration,
 ) -> Differences {
-    let unanswered = view
-        .hires
+    let unanswered = replica
+        .rentals
         .values()
         .any(|entry| entry.value.machines.is_empty());
     let mut differences = Differences::default();
     for machine in listed {
         let has_failed = machine.stage == ListedStage::Failed;
-        if let Some(known) = view.machines.get(&machine.id) {
-            if has_failed && known.value.life != Life::Gone {
+        if let Some(known) = replica.machines.get(&machine.id) {
+            if has_failed && known.value.life != MachineLifecycle::Gone {
                 differences.failed.push(machine.id.clone());
             }
         } else if fleet.gone.contains_key(&machine.id) {
             // A late list.
-        } else if rental_of(view, &machine.id).is_some() {
+        } else if rental_of(replica, &machine.id).is_some() {
             if has_failed {
-                differences.new.extend(rented_but_not_up(view, &machine.id));
+                differences.new.extend(rented_but_not_up(replica, &machine.id));
             }
         } else if unanswered {
             // The answer to a rental that is under way will name it.
@@ -127,10 +127,10 @@
 }
 
 /// A rented machine without a record, to be sent back.
-pub(super) fn rented_but_not_up(view: &View, id: &str) -> Option<NewMachine> {
-    let (_, rental) = rental_of(view, id)?;
+pub(super) fn rented_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
+    let (_, rental) = rental_of(replica, id)?;
     let machine = Machine {
-        life: Life::Returning,
+        life: MachineLifecycle::Returning,
         spot: rental.value.spot,
         ..Machine::new(&rental.value.kind, &rental.value.zone)
     };
@@ -146,23 +146,23 @@
     let max_writes = node.settings.txn_ops();
     let mut recorded = Vec::new();
     let (guards, writes) = {
-        let view = node.view.borrow();
-        let mut groups = Groups::new(&view);
+        let replica = node.replica.borrow();
+        let mut machine_shards = MachineShardEdits::new(&replica);
         for NewMachine { id, machine } in machines {
-            if view.machines.contains_key(id) || groups.is_full(max_writes) {
+            if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
                 continue;
             }
             let mut machine = machine.clone();
-            machine.part = groups.new_part(&node.settings, id, &machine.kind, &machine.zone);
+            machine.part = machine_shards.new_shard(&node.settings, id, &machine.kind, &machine.zone);
             recorded.push((id, machine.life));
-            groups.put(id, machine);
+            machine_shards.put(id, machine);
         }
-        groups.into_commit()
+        machine_shards.into_commit()
     };
     if writes.is_empty() {
         return;
     }
-    match node.commit(Class::Life, guards, writes).await {
+    match node.commit(Class::Lifecycle, guards, writes).await {
         Ok(_) => {
             for (machine, life) in recorded {
                 tracing::info!(machine, ?life, "taken up");
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -28,9 +28,9 @@
 mod types;
 
 pub use blame::{Blame, blame, suspects};
-pub use leases::keep_leases;
-pub use rentals::keep_renting;
-pub use rounds::keep_fleet;
+pub use leases::run_lease_renewal;
+pub use rentals::run_rentals;
+pub use rounds::run_fleet;
 pub use state::FleetState;
 pub use summary::census;
-pub use types::keep_types;
+pub use types::run_type_refresh;
--- a/src/cloud/offers.rs
+++ b/src/cloud/offers.rs
@@ -7,9 +7,9 @@
 
 use super::state::FleetState;
 use crate::admission::Care;
-use crate::model::{Hire, Room, Spec};
+use crate::model::{Rental, Resources, Spec};
 use crate::policy::MachineFacts;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
 /// The most machines that one rental may ask for, by the protocol.
@@ -34,7 +34,7 @@
     }
 
     /// The offer that a recorded rental asks for.
-    pub(super) fn of_rental(rental: &Hire) -> Self {
+    pub(super) fn of_rental(rental: &Rental) -> Self {
         Offer::new(&rental.kind, &rental.zone, rental.spot)
     }
 }
@@ -82,12 +82,12 @@
 
     /// The records of the first `limit` rentals, in the order in which they
     /// were asked for.
-    pub(super) fn into_records(self, limit: usize) -> Vec<Hire> {
+    pub(super) fn into_records(self, limit: usize) -> Vec<Rental> {
         let mut rentals: Vec<(Offer, PlannedRental)> = self.by_offer.into_iter().collect();
         rentals.sort_by_key(|(_, rental)| rental.position);
         rentals
             .into_iter()
-            .map(|(offer, rental)| Hire {
+            .map(|(offer, rental)| Rental {
                 kind: offer.kind,
                 zone: offer.zone,
                 spot: offer.spot,
@@ -110,7 +110,7 @@
 
 /// A search for the best offer: what it may choose from.
 pub(super) struct OfferSearch<'a, 's> {
-    pub(super) view: &'a View,
+    pub(super) replica: &'a Replica,
     pub(super) fleet: &'s FleetState,
     pub(super) rentals: &'s PlannedRentals,
     pub(super) now: Instant,
@@ -126,10 +126,10 @@
         bounds: &OfferBounds,
     ) -> Option<(&'a MachineType, Offer)> {
         // Work that can wait is not worth any price.
-        let max_price = cheapest_place(self.view, spec) * bounds.max_price_ratio;
+        let max_price = cheapest_place(self.replica, spec) * bounds.max_price_ratio;
         let mut best: Option<(f64, &MachineType, Offer)> = None;
-        for kind in &self.view.types.value.types {
-            let slots = Room::of_type(kind).slots(&spec.need);
+        for kind in &self.replica.types.value.types {
+            let slots = Resources::of_type(kind).slots(&spec.need);
             if slots == 0 || !spec.allows_type(&kind.name) {
                 continue;
             }
@@ -178,7 +178,7 @@
         // There it would stand in the way of work on accelerators, see
         // `admission`.
         let wanted_by_gpu_work = || {
-            let gpu = self.view.gpu_spec.as_ref();
+            let gpu = self.replica.gpu_spec.as_ref();
             gpu.is_none_or(|gpu| gpu.allows(&kind.name, zone, spot))
         };
         !(avoids_accelerators && wanted_by_gpu_work())
@@ -194,10 +194,10 @@
 
 /// The least that a place for a task of this shape costs anywhere, by nominal
 /// price.
-pub(super) fn cheapest_place(view: &View, spec: &Spec) -> f64 {
+pub(super) fn cheapest_place(replica: &Replica, spec: &Spec) -> f64 {
     let mut least = f64::INFINITY;
-    for kind in &view.types.value.types {
-        let slots = Room::of_type(kind).slots(&spec.need);
+    for kind in &replica.types.value.types {
+        let slots = Resources::of_type(kind).slots(&spec.need);
         if slots > 0 && spec.allows_type(&kind.name) {
             least = least.min(price_of(kind, spec.spot) / slots as f64);
         }
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -3,7 +3,7 @@
 
 use super::life::{LifeChange, set_lives};
 use super::list::{NewMachine, record_machines, rented_but_not_up};
-use crate::model::Life;
+use crate::model::MachineLifecycle;
 use crate::node::Node;
 use crate::store::Class;
 
@@ -49,12 +49,12 @@
 pub(super) struct Removal {
     pub(super) machine: String,
     /// Its next state: draining or returning.
-    pub(super) life: Life,
+    pub(super) life: MachineLifecycle,
     pub(super) reason: Reason,
 }
 
 impl Removal {
-    pub(super) fn new(machine: &str, life: Life, reason: Reason) -> Self {
+    pub(super) fn new(machine: &str, life: MachineLifecycle, reason: Reason) -> Self {
         Removal {
             machine: machine.to_string(),
             life,
@@ -70,23 +70,23 @@
     if decide(node).is_empty() {
         return;
     }
-    node.store.ready(Class::Life, 1).await;
+    node.store.ready(Class::Lifecycle, 1).await;
     if !node.has_state() {
         return;
     }
     let (recorded, unrecorded): (Vec<Removal>, Vec<Removal>) = {
         let removals = decide(node);
-        let view = node.view.borrow();
+        let replica = node.replica.borrow();
         removals
             .into_iter()
-            .partition(|removal| view.machines.contains_key(&removal.machine))
+            .partition(|removal| replica.machines.contains_key(&removal.machine))
     };
     change_recorded(node, &recorded).await;
     let never_up: Vec<NewMachine> = {
-        let view = node.view.borrow();
+        let replica = node.replica.borrow();
         unrecorded
             .iter()
-            .filter_map(|removal| rented_but_not_up(&view, &removal.machine))
+            .filter_map(|removal| rented_but_not_up(&replica, &removal.machine))
             .collect()
     };
     record_machines(node, &never_up).await;
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -9,18 +9,18 @@
 use super::demand::demand;
 use super::offers::Offer;
 use crate::http::Response;
-use crate::model::Hire;
+use crate::model::Rental;
 use crate::node::{Node, guard, put};
 use crate::store::Class;
-use crate::view::{Entry, FLEET_KEY, View, hire_key};
+use crate::replica::{Entry, FLEET_KEY, Replica, rental_key};
 use crate::wire::{MachineNames, RentRequest, Write};
 
 /// Rents what is missing, apart from the rest: work waits for it.
-pub async fn keep_renting(node: Rc<Node>) {
+pub async fn run_rentals(node: Rc<Node>) {
     let tick = node.settings.report().min(node.settings.lease() / 8) / 2;
     loop {
         sleep(node.store.jitter(tick)).await;
-        if node.view.borrow().loaded && node.is_renter() && node.has_state() {
+        if node.replica.borrow().loaded && node.is_renter() && node.has_state() {
             rent(&node).await;
         }
     }
@@ -48,11 +48,11 @@
             "renting"
         );
         // Safety 5: the intent comes before the call, under a unique name.
-        guards.push(guard(hire_key(&id), 0));
-        writes.push(put(hire_key(&id), &rental));
+        guards.push(guard(rental_key(&id), 0));
+        writes.push(put(rental_key(&id), &rental));
     }
     // Who has stood still, and rents no more, finds out by this.
-    match node.view.borrow().fleet.as_ref() {
+    match node.replica.borrow().fleet.as_ref() {
         Some(renter) => guards.push(guard(FLEET_KEY.to_string(), renter.version)),
         None => return,
     }
@@ -71,9 +71,9 @@
 /// Calls the cloud for every recorded rental until it has answered: repeating
 /// a request by its name rents nothing twice.
 fn call_unanswered(node: &Rc<Node>) {
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let mut fleet = node.fleet.borrow_mut();
-    for (id, entry) in &view.hires {
+    for (id, entry) in &replica.rentals {
         if entry.value.machines.is_empty() && fleet.calling.insert(id.clone()) {
             let node = node.clone();
             let id = id.clone();
@@ -87,7 +87,7 @@
 }
 
 /// Calls the cloud for one recorded rental, and records the answer.
-async fn complete_rental(node: &Node, id: &str, recorded: Entry<Hire>) {
+async fn complete_rental(node: &Node, id: &str, recorded: Entry<Rental>) {
     let Entry {
         version,
         value: mut rental,
@@ -95,9 +95,9 @@
     let Some(response) = request_rental(node, id, version, &rental).await else {
         return;
     };
-    let is_short = take_answer(node, &mut rental, &response);
-    note_capacity(node, &rental, is_short);
-    let key = hire_key(id);
+    let uses_compact_encoding = take_answer(node, &mut rental, &response);
+    note_capacity(node, &rental, uses_compact_encoding);
+    let key = rental_key(id);
     let guards = vec![guard(key.clone(), version)];
     let write = match rental.machines.is_empty() {
         true => Write::Delete { key },
@@ -111,7 +111,7 @@
 
 /// Asks the cloud for a rental's machines, if its record still stands as it was
 /// when the call's turn has come.
-async fn request_rental(node: &Node, id: &str, version: u64, rental: &Hire) -> Option<Response> {
+async fn request_rental(node: &Node, id: &str, version: u64, rental: &Rental) -> Option<Response> {
     let request = RentRequest {
         request: id,
         kind: &rental.kind,
@@ -121,8 +121,8 @@
     };
     let body = serde_json::to_vec(&request).ok()?;
     let stands = || {
-        let view = node.view.borrow();
-        let recorded = view.hires.get(id);
+        let replica = node.replica.borrow();
+        let recorded = replica.rentals.get(id);
         recorded.is_some_and(|entry| entry.version == version)
     };
     node.cloud_if("POST", "/rentals", Some(body), stands).await
@@ -130,18 +130,18 @@
 
 /// Takes the machines that the cloud has delivered into the rental; whether
 /// they are fewer than was asked for.
-fn take_answer(node: &Node, rental: &mut Hire, response: &Response) -> bool {
-    let mut is_short = true;
+fn take_answer(node: &Node, rental: &mut Rental, response: &Response) -> bool {
+    let mut uses_compact_encoding = true;
     if response.status == 200
         && let Ok(names) = response.parse::<MachineNames>()
     {
-        is_short = (names.machines.len() as u32) < rental.count;
-        let view = node.view.borrow();
+        uses_compact_encoding = (names.machines.len() as u32) < rental.count;
+        let replica = node.replica.borrow();
         // The workers of some may have been quicker than the answer.
         rental.machines = names.machines;
-        rental.machines.retain(|id| !view.machines.contains_key(id));
+        rental.machines.retain(|id| !replica.machines.contains_key(id));
     }
-    if is_short {
+    if uses_compact_encoding {
         tracing::info!(
             kind = rental.kind,
             zone = rental.zone,
@@ -151,14 +151,14 @@
             "no capacity"
         );
     }
-    is_short
+    uses_compact_encoding
 }
 
 /// Notes whether the cloud had capacity for the rental's offer.
-fn note_capacity(node: &Node, rental: &Hire, is_short: bool) {
+fn note_capacity(node: &Node, rental: &Rental, uses_compact_encoding: bool) {
     let offer = Offer::of_rental(rental);
     let mut fleet = node.fleet.borrow_mut();
-    if is_short {
+    if uses_compact_encoding {
         let pause = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
         fleet.note_refusal(offer, pause, Instant::now());
     } else {
@@ -168,9 +168,9 @@
 
 /// The rental that still has this machine among those that boot.
 pub(super) fn rental_of<'a>(
-    view: &'a View,
+    replica: &'a Replica,
     machine: &str,
-) -> Option<(&'a String, &'a Entry<Hire>)> {
-    let mut rentals = view.hires.iter();
+) -> Option<(&'a String, &'a Entry<Rental>)> {
+    let mut rentals = replica.rentals.iter();
     rentals.find(|(_, entry)| entry.value.machines.iter().any(|id| id == machine))
 }
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -6,11 +6,11 @@
 
 use super::life::{LifeChange, set_lives};
 use super::rentals::rental_of;
-use crate::draft::Groups;
-use crate::model::{Hire, Life};
+use crate::transaction::MachineShardEdits;
+use crate::model::{Rental, MachineLifecycle};
 use crate::node::{Node, guard, put};
 use crate::store::Class;
-use crate::view::{View, hire_key, part_id};
+use crate::replica::{Replica, rental_key, shard_id};
 use crate::wire::{Guard, MachineNames, Write};
 
 /// The most machines that one call returns.
@@ -19,13 +19,13 @@
 /// Returns what is to go, and drops the records of what is gone.
 pub(super) async fn finish_returns(node: &Node) {
     let (returning, gone) = {
-        let view = node.view.borrow();
-        let returning = machines_in(&view, Life::Returning)
+        let replica = node.replica.borrow();
+        let returning = machines_in(&replica, MachineLifecycle::Returning)
             .take(MAX_RETURNED)
             .cloned()
             .collect::<Vec<_>>();
-        let gone = machines_in(&view, Life::Gone)
-            .filter(|id| !view.bookings.contains_key(*id))
+        let gone = machines_in(&replica, MachineLifecycle::Gone)
+            .filter(|id| !replica.bookings.contains_key(*id))
             .take(node.settings.txn_ops())
             .cloned()
             .collect::<Vec<_>>();
@@ -37,8 +37,8 @@
     drop_records(node, &gone).await;
 }
 
-fn machines_in(view: &View, life: Life) -> impl Iterator<Item = &String> {
-    view.machines
+fn machines_in(replica: &Replica, life: MachineLifecycle) -> impl Iterator<Item = &String> {
+    replica.machines
         .iter()
         .filter(move |(_, entry)| entry.value.life == life)
         .map(|(id, _)| id)
@@ -61,13 +61,13 @@
     let now = Instant::now();
     // Nothing is booked on most: their records go at once.
     let (booked, empty): (Vec<String>, Vec<String>) = {
-        let view = node.view.borrow();
-        let is_booked = |id: &String| view.bookings.contains_key(id);
+        let replica = node.replica.borrow();
+        let is_booked = |id: &String| replica.bookings.contains_key(id);
         returned.iter().cloned().partition(is_booked)
     };
     let changes: Vec<LifeChange> = booked
         .iter()
-        .map(|id| LifeChange::new(id, Life::Gone))
+        .map(|id| LifeChange::new(id, MachineLifecycle::Gone))
         .collect();
     set_lives(node, &changes).await;
     drop_records(node, &empty).await;
@@ -84,7 +84,7 @@
 async fn drop_records(node: &Node, ids: &[String]) {
     let (guards, writes) = record_drops(node, ids);
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Room, guards, writes).await
+        && let Err(error) = node.commit(Class::Publication, guards, writes).await
     {
         tracing::debug!(%error, "records of gone machines stay");
     }
@@ -93,39 +93,39 @@
 /// The commit that drops the records of gone machines, and their names from the
 /// rental that may still list them: they would count as booting again.
 fn record_drops(node: &Node, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let max_writes = node.settings.txn_ops();
-    let mut groups = Groups::new(&view);
-    let mut rentals: BTreeMap<&String, Hire> = BTreeMap::new();
+    let mut machine_shards = MachineShardEdits::new(&replica);
+    let mut rentals: BTreeMap<&String, Rental> = BTreeMap::new();
     for id in gone {
         // Nothing was booked meanwhile: its part has lost it, and its group
         // is guarded.
-        let Some(machine) = view.machines.get(id).map(|entry| &entry.value) else {
+        let Some(machine) = replica.machines.get(id).map(|entry| &entry.value) else {
             continue;
         };
-        if view.bookings.contains_key(id) {
+        if replica.bookings.contains_key(id) {
             continue;
         }
-        let rental = rental_of(&view, id);
-        let group = part_id(&machine.zone, &machine.part);
-        let has_group = groups.has(&group);
+        let rental = rental_of(&replica, id);
+        let group = shard_id(&machine.zone, &machine.part);
+        let has_group = machine_shards.has(&group);
         let adds_rental = rental.is_some_and(|(name, _)| !rentals.contains_key(name));
         let added = usize::from(!has_group) + usize::from(adds_rental);
-        if groups.len() + rentals.len() + added > max_writes
-            || (!has_group && groups.is_full(max_writes))
+        if machine_shards.len() + rentals.len() + added > max_writes
+            || (!has_group && machine_shards.is_full(max_writes))
         {
             continue;
         }
-        groups.edit(&group).remove(id);
+        machine_shards.edit(&group).remove(id);
         if let Some((name, entry)) = rental {
             let rental = rentals.entry(name).or_insert_with(|| entry.value.clone());
             rental.machines.retain(|machine| machine != id);
         }
     }
-    let (mut guards, mut writes) = groups.into_commit();
+    let (mut guards, mut writes) = machine_shards.into_commit();
     for (id, rental) in rentals {
-        let key = hire_key(id);
-        guards.push(guard(key.clone(), view.hires[id].version));
+        let key = rental_key(id);
+        guards.push(guard(key.clone(), replica.rentals[id].version));
         writes.push(match rental.machines.is_empty() {
             true => Write::Delete { key },
             false => put(key, &rental),
--- a/src/cloud/rounds.rs
+++ b/src/cloud/rounds.rs
@@ -17,11 +17,11 @@
 
 /// Removes the machines that this controller holds and that fail; the renter
 /// also keeps the fleet as a whole.
-pub async fn keep_fleet(node: Rc<Node>) {
+pub async fn run_fleet(node: Rc<Node>) {
     loop {
         let tick = node.settings.report().min(node.settings.lease() / 8) / 2;
         sleep(node.store.jitter(tick)).await;
-        if !node.view.borrow().loaded {
+        if !node.replica.borrow().loaded {
             continue;
         }
         if node.has_state() {
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -3,24 +3,24 @@
 
 use crate::node::{Node, guard, put};
 use crate::store::Class;
-use crate::view::{arrivals_key, hire_key, job_key};
+use crate::replica::{arrivals_key, rental_key, job_key};
 use crate::wire::{Guard, Write};
 
 /// Drops what has served its turn: rentals whose machines all have a record of
 /// their own, arrivals whose jobs all have. Those records never go while this
-/// one stands (`returns::record_drops`) or at all, so what the view shows holds.
+/// one stands (`returns::record_drops`) or at all, so what the replica shows holds.
 pub(super) async fn settle_records(node: &Node) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
-        let view = node.view.borrow();
-        let rentals = view.hires.iter().filter(|(_, entry)| {
+        let replica = node.replica.borrow();
+        let rentals = replica.rentals.iter().filter(|(_, entry)| {
             let machines = &entry.value.machines;
-            !machines.is_empty() && machines.iter().all(|id| view.machines.contains_key(id))
+            !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
         });
-        let arrivals = view.arrivals.iter().filter(|(_, entry)| {
+        let arrivals = replica.arrivals.iter().filter(|(_, entry)| {
             let mut jobs = entry.value.jobs.keys();
-            jobs.all(|id| view.job_version(id) > 0)
+            jobs.all(|id| replica.job_version(id) > 0)
         });
-        let rentals = rentals.map(|(id, entry)| (hire_key(id), entry.version));
+        let rentals = rentals.map(|(id, entry)| (rental_key(id), entry.version));
         let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
         rentals
             .chain(arrivals)
@@ -29,7 +29,7 @@
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Room, guards, writes).await
+        && let Err(error) = node.commit(Class::Publication, guards, writes).await
     {
         tracing::debug!(%error, "settled records stay");
     }
@@ -40,19 +40,19 @@
 /// follows from stays: final records are never dropped.
 pub(super) async fn settle_cancelled(node: &Node) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
-        let view = node.view.borrow();
-        view.doomed()
+        let replica = node.replica.borrow();
+        replica.doomed()
             .filter_map(|id| {
-                let mut job = view.jobs.get(id)?.value.clone();
+                let mut job = replica.jobs.get(id)?.value.clone();
                 job.cancel();
-                let version = view.job_version(id);
+                let version = replica.job_version(id);
                 Some((guard(job_key(id), version), put(job_key(id), &job)))
             })
             .take(node.settings.txn_ops())
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Room, guards, writes).await
+        && let Err(error) = node.commit(Class::Publication, guards, writes).await
     {
         tracing::debug!(%error, "cancelled jobs not settled yet");
     }
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -10,10 +10,10 @@
 
 use super::blame::{Health, health};
 use super::removal::{Reason, Removal};
-use crate::machines::Hand;
-use crate::model::{Life, Machine};
+use crate::machines::WorkerSession;
+use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// How many leases a machine may be silent before it is returned. When its
 /// lease is surely over its work is free to go elsewhere (`release_silent`), and
@@ -35,23 +35,23 @@
 
 /// Machines held by this controller that should leave, and why.
 pub(super) fn failing_machines(node: &Node) -> Vec<Removal> {
-    let now = node.pulse();
-    let view = node.view.borrow();
-    let hands = node.hands.borrow();
+    let now = node.liveness_tick();
+    let replica = node.replica.borrow();
+    let worker_sessions = node.worker_sessions.borrow();
     let review = Review {
         node,
-        view: &view,
+        replica: &replica,
         now,
-        partitioned: partitioned_zones(node, &view, &hands, now),
+        partitioned: partitioned_zones(node, &replica, &worker_sessions, now),
     };
     let unreachable = node.fleet.borrow().unreachable(node.settings.lease(), now);
     let mut removals: Vec<Removal> = unreachable
         .iter()
-        .map(|id| Removal::new(id, Life::Returning, Reason::Unreachable))
+        .map(|id| Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable))
         .collect();
-    removals.extend(hands.iter().filter_map(|(id, hand)| {
-        let machine = view.machines.get(id).map(|entry| &entry.value)?;
-        review.removal_of(id, machine, hand)
+    removals.extend(worker_sessions.iter().filter_map(|(id, worker_session)| {
+        let machine = replica.machines.get(id).map(|entry| &entry.value)?;
+        review.removal_of(id, machine, worker_session)
     }));
     removals
 }
@@ -60,8 +60,8 @@
 /// they are partitioned off rather than lost, and come back together.
 fn partitioned_zones(
     node: &Node,
-    view: &View,
-    hands: &HashMap<String, Hand>,
+    replica: &Replica,
+    worker_sessions: &HashMap<String, WorkerSession>,
     now: Instant,
 ) -> HashSet<String> {
     #[derive(Default)]
@@ -71,11 +71,11 @@
     }
     let limit = node.settings.lease();
     let mut zones: HashMap<&str, Count> = HashMap::new();
-    for (id, hand) in hands {
-        if let Some(entry) = view.machines.get(id) {
+    for (id, worker_session) in worker_sessions {
+        if let Some(entry) = replica.machines.get(id) {
             let count = zones.entry(&entry.value.zone).or_default();
             count.all += 1;
-            count.silent += usize::from(silence(hand, now) > limit);
+            count.silent += usize::from(silence(worker_session, now) > limit);
         }
     }
     let is_partitioned =
@@ -88,47 +88,47 @@
 }
 
 /// For how long nothing has come from a worker.
-fn silence(hand: &Hand, now: Instant) -> Duration {
-    now.saturating_duration_since(hand.heard)
+fn silence(worker_session: &WorkerSession, now: Instant) -> Duration {
+    now.saturating_duration_since(worker_session.heard)
 }
 
 /// One pass over the machines that this controller holds.
 struct Review<'a> {
     node: &'a Node,
-    view: &'a View,
+    replica: &'a Replica,
     now: Instant,
     partitioned: HashSet<String>,
 }
 
 impl Review<'_> {
     /// Whether a machine should leave.
-    fn removal_of(&self, id: &str, machine: &Machine, hand: &Hand) -> Option<Removal> {
-        let is_held = machine.token == hand.token && machine.incarnation == self.node.incarnation;
-        if !is_held || !matches!(machine.life, Life::Active | Life::Draining) {
+    fn removal_of(&self, id: &str, machine: &Machine, worker_session: &WorkerSession) -> Option<Removal> {
+        let is_held = machine.token == worker_session.token && machine.incarnation == self.node.incarnation;
+        if !is_held || !matches!(machine.life, MachineLifecycle::Active | MachineLifecycle::Draining) {
             return None;
         }
-        if silence(hand, self.now) > self.silence_limit(machine, hand) {
-            return Some(Removal::new(id, Life::Returning, Reason::Silent));
+        if silence(worker_session, self.now) > self.silence_limit(machine, worker_session) {
+            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Silent));
         }
-        if self.is_unreachable(hand) {
-            return Some(Removal::new(id, Life::Returning, Reason::Unreachable));
+        if self.is_unreachable(worker_session) {
+            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable));
         }
-        let is_active = machine.life == Life::Active;
-        (is_active && health(self.node, self.view, id, hand) == Health::Faulty)
-            .then(|| Removal::new(id, Life::Draining, Reason::Faulty))
+        let is_active = machine.life == MachineLifecycle::Active;
+        (is_active && health(self.node, self.replica, id, worker_session) == Health::Faulty)
+            .then(|| Removal::new(id, MachineLifecycle::Draining, Reason::Faulty))
     }
 
     /// How long a machine may be silent.
-    fn silence_limit(&self, machine: &Machine, hand: &Hand) -> Duration {
+    fn silence_limit(&self, machine: &Machine, worker_session: &WorkerSession) -> Duration {
         let lease = self.node.settings.lease();
-        let report = hand.report.as_ref();
+        let report = worker_session.report.as_ref();
         if report.is_some_and(|report| report.notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
             return lease.min(self.node.settings.report() * RECALLED_REPORTS);
         }
         // With a launch that may land late only the cloud can end the doubt.
-        if hand.unresolved {
+        if worker_session.unresolved {
             return lease;
         }
         match self.partitioned.contains(&machine.zone) {
@@ -139,9 +139,9 @@
 
     /// Whether a worker's reports have arrived for too long while answers and
     /// orders did not.
-    fn is_unreachable(&self, hand: &Hand) -> bool {
+    fn is_unreachable(&self, worker_session: &WorkerSession) -> bool {
         let limit = self.node.settings.lease() * UNREACHABLE_LEASES;
-        hand.deaf_since
+        worker_session.unreachable_since
             .is_some_and(|since| self.now.saturating_duration_since(since) > limit)
     }
 }
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -92,7 +92,7 @@
     /// up the token under which its machine is held, by whomever: its reports
     /// arrive, but no answer and no order does. It tries one controller after
     /// another, and is not claimed again and again: it goes back.
-    pub fn hears_nothing(
+    pub fn is_unreachable(
         &mut self,
         report: &Report,
         token: u64,
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -7,20 +7,20 @@
 
 use super::headroom::spare_places;
 use crate::admission::Plan;
-use crate::model::{Life, Machine};
+use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// Machines by state, for the report.
-pub fn census(view: &View) -> BTreeMap<&'static str, usize> {
+pub fn census(replica: &Replica) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
-    for entry in view.machines.values() {
+    for entry in replica.machines.values() {
         let name = match entry.value.life {
-            Life::Booting => "booting",
-            Life::Active => "active",
-            Life::Draining => "draining",
-            Life::Returning => "returning",
-            Life::Gone => "gone",
+            MachineLifecycle::Booting => "booting",
+            MachineLifecycle::Active => "active",
+            MachineLifecycle::Draining => "draining",
+            MachineLifecycle::Returning => "returning",
+            MachineLifecycle::Gone => "gone",
         };
         *counts.entry(name).or_insert(0) += 1;
     }
@@ -37,17 +37,17 @@
         }
         fleet.logged_at = Some(Instant::now());
     }
-    let view = node.view.borrow();
-    let plan = Plan::of(&view);
-    let places: Vec<(&str, usize)> = view
+    let replica = node.replica.borrow();
+    let plan = Plan::of(&replica);
+    let places: Vec<(&str, usize)> = replica
         .zone_names
         .all()
-        .map(|zone| (zone, spare_places(&view, &plan, Some(zone))))
+        .map(|zone| (zone, spare_places(&replica, &plan, Some(zone))))
         .collect();
     tracing::debug!(
-        kinds = ?machines_by_kind(&view),
-        waiting = ?tasks_by_class(&view),
-        unlisted = unlisted_machines(&view),
+        kinds = ?machines_by_kind(&replica),
+        waiting = ?tasks_by_class(&replica),
+        unlisted = unlisted_machines(&replica),
         ?places,
         "fleet (number, CPUs booked, CPUs), tasks (waiting, booked)"
     );
@@ -81,25 +81,25 @@
 }
 
 /// Machines by type; `*` marks spot machines, `?` those that take no work.
-fn machines_by_kind(view: &View) -> BTreeMap<String, KindSummary> {
+fn machines_by_kind(replica: &Replica) -> BTreeMap<String, KindSummary> {
     let mut kinds: BTreeMap<String, KindSummary> = BTreeMap::new();
-    for (id, entry) in &view.machines {
+    for (id, entry) in &replica.machines {
         let machine = &entry.value;
         let spot = if machine.spot { "*" } else { "" };
         let inactive = if is_active(machine) { "" } else { "?" };
         let name = format!("{}{spot}{inactive}", machine.kind);
         let summary = kinds.entry(name).or_default();
         summary.number += 1;
-        summary.booked_cpus += view.booked_on(id).cpus.units();
-        summary.cpus += view.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
+        summary.booked_cpus += replica.booked_on(id).cpus.units();
+        summary.cpus += replica.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
     }
     kinds
 }
 
-fn tasks_by_class(view: &View) -> BTreeMap<&str, TaskSummary> {
+fn tasks_by_class(replica: &Replica) -> BTreeMap<&str, TaskSummary> {
     let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
-    for (_, id) in &view.open {
-        if let Some(job) = view.jobs.get(id).map(|entry| &entry.value)
+    for (_, id) in &replica.open {
+        if let Some(job) = replica.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
         {
             let summary = classes.entry(&spec.class).or_default();
@@ -111,11 +111,11 @@
 }
 
 /// Active machines that stand in no part's record: nobody counts on them yet.
-fn unlisted_machines(view: &View) -> usize {
-    let active = view.machines.iter().filter(|(_, e)| is_active(&e.value));
-    active.filter(|(id, _)| view.slot(id).is_none()).count()
+fn unlisted_machines(replica: &Replica) -> usize {
+    let active = replica.machines.iter().filter(|(_, e)| is_active(&e.value));
+    active.filter(|(id, _)| replica.slot(id).is_none()).count()
 }
 
 fn is_active(machine: &Machine) -> bool {
-    machine.life == Life::Active
+    machine.life == MachineLifecycle::Active
 }
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -10,18 +10,18 @@
 use crate::model::Types;
 use crate::node::{Node, guard, put};
 use crate::store::Class;
-use crate::view::TYPES_KEY;
+use crate::replica::TYPES_KEY;
 use crate::wire::MachineTypes;
 
 /// The types are read again after so many times the list's lag.
 const REFRESH_LAGS: u32 = 3;
 
 /// Keeps the machine types in the state as the cloud tells them.
-pub async fn keep_types(node: Rc<Node>) {
+pub async fn run_type_refresh(node: Rc<Node>) {
     let tick = node.settings.report() / 3;
     loop {
         // Until the types are known nobody can accept anything.
-        let known = !node.view.borrow().types.value.types.is_empty();
+        let known = !node.replica.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
         if node.is_renter() && is_due(&node) {
             refresh(&node).await;
@@ -44,8 +44,8 @@
     };
     node.fleet.borrow_mut().types_read_at = Some(Instant::now());
     let types = Types { types };
-    let known = node.view.borrow().types.clone();
-    let unreadable = node.view.borrow().absent_version(TYPES_KEY);
+    let known = node.replica.borrow().types.clone();
+    let unreadable = node.replica.borrow().absent_version(TYPES_KEY);
     if known.value == types && unreadable == 0 {
         return;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,15 +18,15 @@
 pub mod record_trim;
 pub mod scheduler;
 pub mod settings;
-pub mod shrink;
+pub mod compaction;
 pub mod store;
 pub mod text;
-pub mod view;
+pub mod replica;
 pub mod wire;
 pub mod workers;
 
 pub use cloud as fleet;
 pub use scheduler as admission;
-pub use scheduler as draft;
+pub use scheduler as transaction;
 pub use scheduler as placement;
 pub use workers as machines;
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::machines::Hand;
+use crate::machines::WorkerSession;
 use crate::net::{Listener, Stream};
 use crate::node::Node;
 
@@ -23,8 +23,8 @@
     pub node: String,
     /// The run of its process.
     pub incarnation: u64,
-    /// How old its horizon is; `None` before its first barrier.
-    pub horizon_ms: Option<u64>,
+    /// How old its last barrier is; `None` before its first barrier.
+    pub staleness_ms: Option<u64>,
     /// How many machines report to it.
     pub machines: u32,
     /// How many of them it has not heard for two report intervals.
@@ -61,8 +61,8 @@
     pub at: Instant,
     /// The run of its process.
     pub incarnation: u64,
-    /// How old its horizon was; `None` before its first barrier.
-    pub horizon_ms: Option<u64>,
+    /// How old its last barrier was; `None` before its first barrier.
+    pub staleness_ms: Option<u64>,
     /// How many machines report to it.
     pub machines: u32,
     /// How many of them it had not heard for two report intervals.
@@ -90,7 +90,7 @@
             Peer {
                 at: now,
                 incarnation: gossip.incarnation,
-                horizon_ms: gossip.horizon_ms,
+                staleness_ms: gossip.staleness_ms,
                 machines: gossip.machines,
                 silent: gossip.silent,
                 writes: gossip.writes.clamp(0.0, MAX_WRITES),
@@ -113,7 +113,7 @@
         let limit = (node.settings.lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
             .fresh(node, now)
-            .filter(|(_, peer)| peer.horizon_ms.is_some_and(|age| age < limit))
+            .filter(|(_, peer)| peer.staleness_ms.is_some_and(|age| age < limit))
             .map(|(name, _)| name)
             .collect();
         names.push(node.name());
@@ -123,7 +123,7 @@
     /// Whether a peer hears the machines that it holds, as far as it has told: one
     /// or a quarter may be lost or on their way. One that is cut off from workers
     /// alone still talks to us and to the state service.
-    pub fn hears_machines(&self, node: &Node, peer: &str, now: Instant) -> bool {
+    pub fn hears_workers(&self, node: &Node, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(node, now);
         fresh.any(|(name, told)| name == peer && told.silent <= (told.machines / 4).max(1))
     }
@@ -215,21 +215,21 @@
 }
 
 /// Divides the state service's writes by what each controller would write.
-pub async fn keep_share(node: Rc<Node>) {
+pub async fn run_write_share(node: Rc<Node>) {
     loop {
         sleep(interval(&node)).await;
         // The lower rate comes into force without notice: it is kept to once
         // refusals show it, and the present one is tried again later.
-        let lowered = node.store.is_lowered() && node.view.borrow().upgraded();
+        let lowered = node.store.is_lowered() && node.replica.borrow().upgraded();
         let total = node.settings.write_rps(lowered) * USED_RATE;
         let mut others = node.peers.borrow().demands(&node, Instant::now());
         // A controller that is not heard and has no state lease either writes
         // nothing: it is cut off, or has ended, and its part is needed most just
         // then. Only when there was time for all to write their keys.
         if node.started.elapsed() > node.settings.lease() && node.has_state() {
-            let view = node.view.borrow();
+            let replica = node.replica.borrow();
             for (peer, demand) in node.settings.others.iter().zip(&mut others) {
-                if demand.is_none() && !view.nodes.contains_key(&peer.name) {
+                if demand.is_none() && !replica.nodes.contains_key(&peer.name) {
                     *demand = Some(0.0);
                 }
             }
@@ -279,16 +279,16 @@
 
 /// What this controller tells of itself now.
 fn gossip_of(node: &Node) -> Gossip {
-    let now = node.pulse();
+    let now = node.liveness_tick();
     let limit = node.settings.report() * 2;
-    let hands = node.hands.borrow();
-    let is_silent = |hand: &&Hand| now.saturating_duration_since(hand.heard) > limit;
+    let worker_sessions = node.worker_sessions.borrow();
+    let is_silent = |worker_session: &&WorkerSession| now.saturating_duration_since(worker_session.heard) > limit;
     Gossip {
         node: node.name().to_string(),
         incarnation: node.incarnation,
-        horizon_ms: node.horizon_age().map(|age| age.as_millis() as u64),
-        machines: hands.len() as u32,
-        silent: hands.values().filter(is_silent).count() as u32,
+        staleness_ms: node.replica_staleness().map(|age| age.as_millis() as u64),
+        machines: worker_sessions.len() as u32,
+        silent: worker_sessions.values().filter(is_silent).count() as u32,
         writes: node.store.demand(),
         refused: node.fleet.borrow().refused_now(now),
     }
--- a/src/model.rs
+++ b/src/model.rs
@@ -35,7 +35,7 @@
 
 /// Resources of a machine: what a task needs, what is free, or what is used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// CPUs.
     #[serde(rename = "c")]
     pub cpus: Amount,
@@ -47,10 +47,10 @@
     pub ram: Amount,
 }
 
-impl Room {
+impl Resources {
     /// All that a machine of this type has.
     pub fn of_type(t: &MachineType) -> Self {
-        Room {
+        Resources {
             cpus: Amount::room(t.cpus),
             gpus: Amount::room(t.gpus),
             ram: Amount::room(t.memory_gb),
@@ -59,22 +59,22 @@
 
     /// Whether it is nothing at all.
     pub fn is_empty(&self) -> bool {
-        *self == Room::default()
+        *self == Resources::default()
     }
 
     /// Whether a task that needs this much fits into it.
-    pub fn fits(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
     }
 
     /// The resources of so many equal tasks.
-    pub fn times(&self, n: usize) -> Room {
+    pub fn times(&self, n: usize) -> Resources {
         self.scaled(n as i64)
     }
 
     /// As `times`, with a sign.
-    pub fn scaled(&self, n: i64) -> Room {
-        Room {
+    pub fn scaled(&self, n: i64) -> Resources {
+        Resources {
             cpus: Amount(self.cpus.0.saturating_mul(n)),
             gpus: Amount(self.gpus.0.saturating_mul(n)),
             ram: Amount(self.ram.0.saturating_mul(n)),
@@ -82,7 +82,7 @@
     }
 
     /// How many tasks of `need` fit at once.
-    pub fn slots(&self, need: &Room) -> usize {
+    pub fn slots(&self, need: &Resources) -> usize {
         let part = |have: Amount, want: Amount| {
             if want.0 <= 0 {
                 usize::MAX
@@ -96,33 +96,33 @@
     }
 }
 
-impl Add for Room {
-    type Output = Room;
-    fn add(self, o: Room) -> Room {
-        Room {
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, o: Resources) -> Resources {
+        Resources {
             cpus: Amount(self.cpus.0 + o.cpus.0),
             gpus: Amount(self.gpus.0 + o.gpus.0),
             ram: Amount(self.ram.0 + o.ram.0),
         }
     }
 }
-impl Sub for Room {
-    type Output = Room;
-    fn sub(self, o: Room) -> Room {
-        Room {
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, o: Resources) -> Resources {
+        Resources {
             cpus: Amount(self.cpus.0 - o.cpus.0),
             gpus: Amount(self.gpus.0 - o.gpus.0),
             ram: Amount(self.ram.0 - o.ram.0),
         }
     }
 }
-impl AddAssign for Room {
-    fn add_assign(&mut self, o: Room) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, o: Resources) {
         *self = *self + o;
     }
 }
-impl SubAssign for Room {
-    fn sub_assign(&mut self, o: Room) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, o: Resources) {
         *self = *self - o;
     }
 }
@@ -151,7 +151,7 @@
 impl<'de> Deserialize<'de> for Ranges {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
-        if let Some(short) = crate::text::read_short_ranges(&text) {
+        if let Some(short) = crate::text::decode_ranges(&text) {
             return short.ok_or_else(|| serde::de::Error::custom("not a set of tasks"));
         }
         let mut ranges = Vec::new();
@@ -246,7 +246,7 @@
     pub tasks: u32,
     /// What each task takes of its machine.
     #[serde(rename = "r")]
-    pub need: Room,
+    pub need: Resources,
     /// The image that a machine needs before a task starts.
     #[serde(rename = "i")]
     pub image: String,
@@ -299,7 +299,7 @@
             kind: s.kind,
             priority: s.priority,
             tasks: s.tasks,
-            need: Room {
+            need: Resources {
                 cpus: Amount::need(s.cpus),
                 gpus: Amount::need(s.gpus),
                 ram: Amount::need(s.memory_gb),
@@ -395,7 +395,7 @@
 
 /// Whether a job has reached its final state, and which.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Final {
+pub enum JobStatus {
     /// It has not: tasks run, wait, or are still to start.
     #[default]
     #[serde(rename = "o")]
@@ -414,7 +414,7 @@
 pub struct Job {
     /// Whether it is over, and how it ended.
     #[serde(rename = "f", default)]
-    pub fin: Final,
+    pub status: JobStatus,
     /// What placing needs to know of it, while it is needed.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Spec>,
@@ -423,7 +423,7 @@
     pub tasks: u32,
     /// The revision at which it was accepted, near enough: the queue's order.
     #[serde(rename = "b", default)]
-    pub born: u64,
+    pub accepted_revision: u64,
     /// The last attempt number given out.
     #[serde(rename = "a", default)]
     pub attempt: u64,
@@ -473,13 +473,13 @@
 }
 
 impl Job {
-    /// A job that was just accepted; `born` is the revision at that time.
-    pub fn new(spec: Spec, born: u64) -> Self {
+    /// A job that was just accepted; `accepted_revision` is the revision at that time.
+    pub fn new(spec: Spec, accepted_revision: u64) -> Self {
         Job {
-            fin: Final::Open,
+            status: JobStatus::Open,
             tasks: spec.tasks,
             spec: Some(spec),
-            born,
+            accepted_revision,
             attempt: 0,
             next: 0,
             retry: Ranges::default(),
@@ -493,7 +493,7 @@
 
     /// Whether it is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
-        self.fin == Final::Open
+        self.status == JobStatus::Open
     }
 
     /// Whether the job rather than the machines is to blame for its failures.
@@ -541,8 +541,8 @@
 
     /// How many tasks are done.
     pub fn done_count(&self) -> u32 {
-        match self.fin {
-            Final::Done => self.tasks,
+        match self.status {
+            JobStatus::Done => self.tasks,
             _ => (self.next as usize).saturating_sub(self.retry.len() + self.booked()) as u32,
         }
     }
@@ -607,7 +607,7 @@
         if self.is_open() {
             match (outcome, gang) {
                 // A gang completes together: one done task proves all.
-                (Outcome::Done, true) => self.fin = Final::Done,
+                (Outcome::Done, true) => self.status = JobStatus::Done,
                 (Outcome::Done, false) => self.note_success(),
                 (_, true) => {
                     // One member lost breaks the attempt: all must go.
@@ -622,7 +622,7 @@
                 self.note_failure(machine, attempt);
             }
             if !gang && self.next == self.tasks && self.retry.is_empty() && self.runs.is_empty() {
-                self.fin = Final::Done;
+                self.status = JobStatus::Done;
             }
         }
         self.settle();
@@ -701,7 +701,7 @@
     /// Makes the job cancelled, unless it is over already.
     pub fn cancel(&mut self) {
         if self.is_open() {
-            self.fin = Final::Cancelled;
+            self.status = JobStatus::Cancelled;
             self.settle();
         }
     }
@@ -713,7 +713,7 @@
 pub struct Arrivals {
     /// The revision at which they were accepted.
     #[serde(rename = "b")]
-    pub born: u64,
+    pub accepted_revision: u64,
     /// The jobs by their ids.
     #[serde(rename = "j")]
     pub jobs: BTreeMap<String, Spec>,
@@ -735,12 +735,12 @@
 pub struct Team {
     /// The resources of all booked tasks.
     #[serde(rename = "u")]
-    pub used: Room,
+    pub used: Resources,
 }
 
 /// A machine that takes work, as its zone shard lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Slot {
+pub struct MachineSlot {
     /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
@@ -750,31 +750,31 @@
     /// When the record was last written. What has ended since is free, too:
     /// planning takes the type's room less the bookings that stand by then.
     #[serde(rename = "f", default)]
-    pub free: Room,
+    pub free: Resources,
     /// What tasks take there that nobody has booked, as its holder reported.
-    #[serde(rename = "o", default, skip_serializing_if = "Room::is_empty")]
-    pub unbooked: Room,
+    #[serde(rename = "o", default, skip_serializing_if = "Resources::is_empty")]
+    pub unbooked: Resources,
 }
 
 /// `zone/Z/PART`: free room per machine that takes work. One record a zone
 /// would outgrow `value_kb` at some hundred machines, and be written by all
 /// controllers at once; a machine stays in its part.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct ZoneShard {
     /// The machines by their ids.
     #[serde(rename = "m", default, deserialize_with = "crate::text::slots")]
-    pub machines: BTreeMap<String, Slot>,
+    pub machines: BTreeMap<String, MachineSlot>,
 }
 
 /// The most that a machine's slot can take of its part's record: its names,
 /// quotes and marks, and twice three amounts of up to nine digits.
-pub fn slot_bytes(machine: &str, kind: &str) -> usize {
+pub fn slot_entry_bytes(machine: &str, kind: &str) -> usize {
     machine.len() + kind.len() + 130
 }
 
 /// How far a rented machine has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Life {
+pub enum MachineLifecycle {
     /// Rented, not yet heard from.
     #[serde(rename = "b")]
     Booting,
@@ -795,7 +795,7 @@
 /// `machine/Z/PART`: the machines of one part, so that a takeover, a rental or
 /// a return of dozens costs a few writes. Each has a token of its own.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct MachineShard {
     /// The machines by their ids.
     #[serde(rename = "m", default, deserialize_with = "crate::text::members")]
     pub machines: BTreeMap<String, Machine>,
@@ -803,7 +803,7 @@
 
 /// The most that a machine takes of its group's record: names, quotes and
 /// marks, the incarnation and the token.
-pub fn machine_bytes(machine: &str, kind: &str, holder: usize) -> usize {
+pub fn machine_entry_bytes(machine: &str, kind: &str, holder: usize) -> usize {
     machine.len() + kind.len() + holder + 110
 }
 
@@ -826,7 +826,7 @@
     pub seen: (u64, u64),
     /// How far it has come.
     #[serde(rename = "f")]
-    pub life: Life,
+    pub life: MachineLifecycle,
     /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
@@ -850,7 +850,7 @@
             incarnation: 0,
             token: 0,
             seen: (0, 0),
-            life: Life::Booting,
+            life: MachineLifecycle::Booting,
             kind: kind.to_string(),
             zone: zone.to_string(),
             spot: false,
@@ -861,7 +861,7 @@
 
 /// `hire/ID`: a rental that is or may be under way, or whose machines are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct Rental {
     /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
@@ -890,7 +890,7 @@
 /// `fleet`: who rents; `node/N`: that controller N is up. Both are tied to the
 /// controller's state lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Renter {
+pub struct ControllerRecord {
     /// The controller's name.
     #[serde(rename = "h")]
     pub node: String,
@@ -903,7 +903,7 @@
     pub formats: u32,
 }
 
-/// The formats that this program reads and may write: 2 has short texts for
+/// The formats that this program reads and may write: 2 has compact encodings for
 /// parts, groups and runs, and jobs that await others.
 pub const FORMATS: u32 = 2;
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,8 +1,8 @@
-//! One controller: what its loops share. The loops that keep the view and the
+//! One controller: what its loops share. The loops that keep the replica and the
 //! horizon are in the submodules, the others with their subjects.
 
 mod clock;
-mod horizon;
+mod barrier;
 mod view_loop;
 
 pub use clock::skipped;
@@ -26,9 +26,9 @@
 use crate::placement::Reason;
 use crate::settings::Settings;
 use crate::store::{Budget, Class, Store, StoreError};
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Commit, Guard, Write, raw};
-use crate::workers::{Claim, EndKey, Hand, Proof};
+use crate::workers::{Claim, AttemptKey, WorkerSession, TerminationEvidence};
 
 /// The limits of the state service are shared by all controllers, which do not
 /// count for one another: together they keep to so much of them.
@@ -58,15 +58,15 @@
     /// When a question about a job was last answered here.
     pub answered: RefCell<HashMap<String, Instant>>,
     /// The state service's records, as far as they have been read.
-    pub view: RefCell<View>,
-    /// The revision that the view has reached, for those who wait on it.
+    pub replica: RefCell<Replica>,
+    /// The revision that the replica has reached, for those who wait on it.
     pub reached: watch::Sender<u64>,
     /// Wakes placement: something that it depends on has changed.
-    pub stir: Notify,
+    pub placement_wanted: Notify,
     /// Wakes the direct orders: bookings or reports of machines have changed.
-    pub poke: Notify,
-    /// The send time of the last barrier that the view has reached.
-    pub horizon: Cell<Option<Instant>>,
+    pub commands_wanted: Notify,
+    /// The send time of the last barrier that the replica has reached.
+    pub last_barrier: Cell<Option<Instant>>,
     barrier_wanted: Notify,
     barrier_started: Cell<u64>,
     barrier_done: watch::Sender<u64>,
@@ -75,14 +75,14 @@
     /// Machines with launches that wait for the next horizon.
     deferred_launches: RefCell<BTreeSet<String>>,
     watch_again: Notify,
-    /// Someone waits for the view: the next watch is opened without delay.
-    watch_soon: Notify,
+    /// Someone waits for the replica: the next watch is opened without delay.
+    watch_expedited: Notify,
     /// The machines that this controller holds.
-    pub hands: RefCell<HashMap<String, Hand>>,
+    pub worker_sessions: RefCell<HashMap<String, WorkerSession>>,
     /// Ends of tasks that wait to be recorded.
-    pub ends: RefCell<BTreeMap<EndKey, Proof>>,
+    pub ends: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
     /// Wakes the recording of ends.
-    pub ends_wanted: Notify,
+    pub terminations_wanted: Notify,
     /// Submissions that wait to be accepted.
     pub arrivals: RefCell<VecDeque<Arrival>>,
     /// Wakes the acceptance of submissions.
@@ -92,7 +92,7 @@
     /// Wakes the commits of claims.
     pub claims_wanted: Notify,
     /// Wakes the publication of room: a machine can take work from now on.
-    pub rooms_wanted: Notify,
+    pub publication_wanted: Notify,
     /// What the other controllers have told of themselves.
     pub peers: RefCell<Peers>,
     /// What is known of the rented machines, held here or not.
@@ -116,9 +116,9 @@
         let workers = workers.bounded(settings.order_connections(), crate::http::BODY_LIMIT * 4);
         let store_rng = SmallRng::seed_from_u64(rng.random());
         let store = new_store(&settings, client.clone(), store_rng, now);
-        let mut view = View::shrinking(settings.shrinks().then(|| settings.value_bytes()));
+        let mut replica = Replica::with_compact_limit(settings.limits_will_fall().then(|| settings.value_bytes()));
         let objectives = settings.deployment.objectives.iter();
-        view.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
+        replica.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Node {
             net,
             client,
@@ -129,26 +129,26 @@
             ran: Cell::new(now),
             lag: Cell::default(),
             answered: RefCell::default(),
-            view: RefCell::new(view),
+            replica: RefCell::new(replica),
             reached: watch::Sender::new(0),
-            stir: Notify::new(),
-            poke: Notify::new(),
-            horizon: Cell::new(None),
+            placement_wanted: Notify::new(),
+            commands_wanted: Notify::new(),
+            last_barrier: Cell::new(None),
             barrier_wanted: Notify::new(),
             barrier_started: Cell::new(0),
             barrier_done: watch::Sender::new(0),
             barrier_refused: watch::Sender::new(0),
             deferred_launches: RefCell::default(),
             watch_again: Notify::new(),
-            watch_soon: Notify::new(),
-            hands: RefCell::default(),
+            watch_expedited: Notify::new(),
+            worker_sessions: RefCell::default(),
             ends: RefCell::default(),
-            ends_wanted: Notify::new(),
+            terminations_wanted: Notify::new(),
             arrivals: RefCell::default(),
             arrivals_wanted: Notify::new(),
             claims: RefCell::default(),
             claims_wanted: Notify::new(),
-            rooms_wanted: Notify::new(),
+            publication_wanted: Notify::new(),
             peers: RefCell::default(),
             fleet: RefCell::default(),
             reasons: RefCell::default(),
@@ -169,7 +169,7 @@
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
-    /// Commits and lays the result over the view.
+    /// Commits and lays the result over the replica.
     pub async fn commit(
         &self,
         class: Class,
@@ -178,21 +178,21 @@
     ) -> Result<u64, StoreError> {
         let commit = Commit { guards, writes };
         let revision = self.store.commit(class, &commit).await?;
-        self.view.borrow_mut().overlay(&commit.writes, revision);
+        self.replica.borrow_mut().overlay(&commit.writes, revision);
         self.announce();
         Ok(revision)
     }
 
-    /// Tells the loops that the view has changed.
+    /// Tells the loops that the replica has changed.
     pub fn announce(&self) {
-        let revision = self.view.borrow().revision;
+        let revision = self.replica.borrow().revision;
         self.reached.send_if_modified(|r| {
             let newer = *r < revision;
             *r = revision.max(*r);
             newer
         });
-        self.stir.notify_one();
-        self.poke.notify_one();
+        self.placement_wanted.notify_one();
+        self.commands_wanted.notify_one();
     }
 
     /// Starts all loops of this controller; must run inside a `LocalSet`.
@@ -201,23 +201,23 @@
         let users = self.net.listen(self.settings.serve_on).await?;
         let mesh = self.net.listen(self.settings.mesh_addr).await?;
         let tasks = [
-            tokio::task::spawn_local(self.clone().keep_pulse()),
-            tokio::task::spawn_local(self.clone().keep_view()),
-            tokio::task::spawn_local(self.clone().keep_horizon()),
+            tokio::task::spawn_local(self.clone().run_liveness()),
+            tokio::task::spawn_local(self.clone().run_watch()),
+            tokio::task::spawn_local(self.clone().run_barriers()),
             tokio::task::spawn_local(crate::api::serve(self.clone(), users)),
             tokio::task::spawn_local(crate::mesh::listen(self.clone(), mesh)),
             tokio::task::spawn_local(crate::mesh::speak(self.clone())),
-            tokio::task::spawn_local(crate::mesh::keep_share(self.clone())),
-            tokio::task::spawn_local(crate::workers::keep_claims(self.clone())),
-            tokio::task::spawn_local(crate::workers::keep_orders(self.clone())),
-            tokio::task::spawn_local(crate::workers::keep_rooms(self.clone())),
-            tokio::task::spawn_local(crate::placement::keep_placing(self.clone())),
-            tokio::task::spawn_local(crate::fleet::keep_types(self.clone())),
-            tokio::task::spawn_local(crate::fleet::keep_leases(self.clone())),
-            tokio::task::spawn_local(crate::fleet::keep_fleet(self.clone())),
-            tokio::task::spawn_local(crate::fleet::keep_renting(self.clone())),
-            tokio::task::spawn_local(crate::api::keep_accepting(self.clone())),
-            tokio::task::spawn_local(crate::shrink::keep_small(self.clone())),
+            tokio::task::spawn_local(crate::mesh::run_write_share(self.clone())),
+            tokio::task::spawn_local(crate::workers::run_claims(self.clone())),
+            tokio::task::spawn_local(crate::workers::run_commands(self.clone())),
+            tokio::task::spawn_local(crate::workers::run_publication(self.clone())),
+            tokio::task::spawn_local(crate::placement::run_placement(self.clone())),
+            tokio::task::spawn_local(crate::fleet::run_type_refresh(self.clone())),
+            tokio::task::spawn_local(crate::fleet::run_lease_renewal(self.clone())),
+            tokio::task::spawn_local(crate::fleet::run_fleet(self.clone())),
+            tokio::task::spawn_local(crate::fleet::run_rentals(self.clone())),
+            tokio::task::spawn_local(crate::api::run_acceptance(self.clone())),
+            tokio::task::spawn_local(crate::compaction::run_compaction(self.clone())),
         ];
         tracing::info!(node = self.name(), on = %self.settings.serve_on, "started");
         let _abort = AbortAll(tasks.iter().map(|t| t.abort_handle()).collect());
--- a/src/node/horizon.rs
+++ b/src/node/barrier.rs
@@ -1,8 +1,8 @@
-//! The horizon: how recent the view surely is, by read barriers.
+//! The horizon: how recent the replica surely is, by read barriers.
 //!
-//! A barrier reads the store's revision and waits until the view has reached it.
-//! The view then holds everything that was committed before the read was sent, and
-//! this moment becomes the horizon.
+//! A barrier reads the store's revision and waits until the replica has reached it.
+//! The replica then holds everything that was committed before the read was sent, and
+//! this moment becomes the last barrier.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::settings::BARRIER_GAP_REQUESTS;
-use crate::view::BARRIER_KEY;
+use crate::replica::BARRIER_KEY;
 
 use super::Node;
 
 impl Node {
-    /// How old the horizon is; `None` before the first barrier.
-    pub fn horizon_age(&self) -> Option<Duration> {
-        self.horizon.get().map(|t| t.elapsed())
+    /// How old the last barrier is; `None` before the first barrier.
+    pub fn replica_staleness(&self) -> Option<Duration> {
+        self.last_barrier.get().map(|t| t.elapsed())
     }
 
     /// Safety 4: a controller that may have missed a cancellation for too
     /// long must not keep workers' leases alive.
-    pub fn may_answer_beats(&self) -> bool {
-        self.horizon_age()
-            .is_some_and(|age| age < self.settings.horizon_limit())
+    pub fn may_renew_leases(&self) -> bool {
+        self.replica_staleness()
+            .is_some_and(|age| age < self.settings.staleness_limit())
     }
 
     /// Whether the state service serves this controller, as far as is known.
     pub fn has_state(&self) -> bool {
         let limit = self.settings.lease() / 4;
-        self.horizon_age().is_some_and(|age| age < limit)
+        self.replica_staleness().is_some_and(|age| age < limit)
     }
 
     /// Has a machine's orders planned again with the next horizon, and asks for
@@ -46,16 +46,16 @@
 
     /// Takes over a new horizon, and has what waited for it planned again.
     fn set_horizon(&self, sent: Instant) {
-        self.horizon.set(Some(sent));
+        self.last_barrier.set(Some(sent));
         let mut deferred = self.deferred_launches.borrow_mut();
         if !deferred.is_empty() {
-            let changes = &mut self.view.borrow_mut().changes;
+            let changes = &mut self.replica.borrow_mut().changes;
             changes.machines.append(&mut deferred);
-            self.poke.notify_one();
+            self.commands_wanted.notify_one();
         }
     }
 
-    /// Waits until the view holds everything that was committed before this
+    /// Waits until the replica holds everything that was committed before this
     /// call. Many callers share one read of the revision.
     pub async fn barrier(&self, limit: Duration) -> bool {
         // The next barrier to start was surely sent after this moment.
@@ -68,14 +68,14 @@
         )
     }
 
-    /// Keeps the horizon and serves those who wait for a barrier.
-    pub async fn keep_horizon(self: Rc<Self>) {
+    /// Keeps the last barrier and serves those who wait for a barrier.
+    pub async fn run_barriers(self: Rc<Self>) {
         let idle = self.settings.barrier_pause();
         let gap = self.request_gap() * BARRIER_GAP_REQUESTS;
         loop {
             // A controller that has just started has workers whose leases run
             // out: its first barrier does not wait for anyone to ask.
-            if self.horizon.get().is_some() {
+            if self.last_barrier.get().is_some() {
                 let _ = timeout(idle, self.barrier_wanted.notified()).await;
             }
             let sent = Instant::now();
@@ -84,10 +84,10 @@
             match self.store.revision(BARRIER_KEY).await {
                 Ok(revision) => {
                     let limit = self.settings.lease() / 8;
-                    if self.view.borrow().revision < revision {
-                        self.hurry();
+                    if self.replica.borrow().revision < revision {
+                        self.expedite_watch();
                     }
-                    if self.view.borrow().loaded && self.wait_revision(revision, limit).await {
+                    if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
                         self.set_horizon(sent);
                         self.barrier_done.send_replace(number);
                     } else {
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -13,13 +13,13 @@
     /// finds its timers due and its workers' reports unread when it goes on: to
     /// count that as their silence would end the work of hundreds of healthy
     /// machines. Whoever concludes anything from silence begins with this.
-    pub fn pulse(&self) -> Instant {
+    pub fn liveness_tick(&self) -> Instant {
         let now = Instant::now();
         let gap = now.saturating_duration_since(self.ran.replace(now));
         if gap > self.settings.lease() / 8 {
             tracing::info!(gap_s = gap.as_secs_f64(), "stood still");
-            for hand in self.hands.borrow_mut().values_mut() {
-                hand.skip(gap, now);
+            for worker_session in self.worker_sessions.borrow_mut().values_mut() {
+                worker_session.skip(gap, now);
             }
             self.fleet.borrow_mut().skip(gap, now);
         }
@@ -27,10 +27,10 @@
     }
 
     /// Notices soon when this process has stood still, or falls behind.
-    pub async fn keep_pulse(self: Rc<Self>) {
+    pub async fn run_liveness(self: Rc<Self>) {
         let tick = self.settings.lease() / 32;
         loop {
-            let now = self.pulse();
+            let now = self.liveness_tick();
             sleep(tick).await;
             // Timers fire in steps of some milliseconds: a mean of a few.
             let late = now.elapsed().saturating_sub(tick);
--- a/src/node/view_loop.rs
+++ b/src/node/view_loop.rs
@@ -1,4 +1,4 @@
-//! Keeps the view up to date with the state service.
+//! Keeps the replica up to date with the state service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::store::StoreError;
-use crate::view::PREFIX;
+use crate::replica::PREFIX;
 
 use super::Node;
 
@@ -15,7 +15,7 @@
 
 /// How a watch has ended.
 enum Watched {
-    /// The view has been brought up to the answer.
+    /// The replica has been brought up to the answer.
     Advanced,
     /// Someone asked for a new watch, as this one may be stuck.
     Reopened,
@@ -25,7 +25,7 @@
 }
 
 impl Node {
-    /// Waits until the view has reached the revision; false if it takes too long.
+    /// Waits until the replica has reached the revision; false if it takes too long.
     /// The same for a user's request, which is not kept waiting once the state
     /// service has refused to serve the barrier.
     pub async fn barrier_unless_refused(&self, limit: Duration) -> bool {
@@ -72,18 +72,18 @@
             true => Some(self.store.watch(PREFIX, revision, Duration::ZERO).await?),
             false => None,
         };
-        let mut view = self.view.borrow_mut();
-        view.reload(pairs, revision);
+        let mut replica = self.replica.borrow_mut();
+        replica.reload(pairs, revision);
         if let Some(answer) = mended {
-            view.advance(answer.events, answer.revision);
+            replica.advance(answer.events, answer.revision);
         }
-        drop(view);
+        drop(replica);
         self.announce();
         Ok(())
     }
 
-    /// Keeps the view: a full read, then one watch after another.
-    pub async fn keep_view(self: Rc<Self>) {
+    /// Keeps the replica: a full read, then one watch after another.
+    pub async fn run_watch(self: Rc<Self>) {
         let gap = self.request_gap() * 2;
         // A watch brings every change since, however often a record was
         // written: after a long silence that is many times the state itself,
@@ -92,7 +92,7 @@
         let mut heard = Instant::now();
         let mut behind = false;
         loop {
-            if !self.view.borrow().loaded || behind || heard.elapsed() > stale {
+            if !self.replica.borrow().loaded || behind || heard.elapsed() > stale {
                 if let Err(error) = self.load().await {
                     tracing::debug!(%error, "state not read");
                     sleep(self.store.jitter(RETRY)).await;
@@ -111,14 +111,14 @@
             // Each opened watch counts as a request: while changes come in a
             // steady stream, they are taken some at a time.
             let pause = gap.saturating_sub(opened.elapsed());
-            let _ = timeout(pause, self.watch_soon.notified()).await;
+            let _ = timeout(pause, self.watch_expedited.notified()).await;
         }
     }
 
-    /// Watches until something changes, and brings the view up to that.
+    /// Watches until something changes, and brings the replica up to that.
     async fn watch_once(&self) -> Watched {
         let block = self.settings.lease() / 4;
-        let after = self.view.borrow().revision;
+        let after = self.replica.borrow().revision;
         let answer = tokio::select! {
             answer = self.store.watch(PREFIX, after, block) => answer,
             () = self.watch_again.notified() => {
@@ -128,9 +128,9 @@
         };
         match answer {
             Ok(answer) => {
-                let mut view = self.view.borrow_mut();
-                view.advance(answer.events, answer.revision);
-                drop(view);
+                let mut replica = self.replica.borrow_mut();
+                replica.advance(answer.events, answer.revision);
+                drop(replica);
                 self.announce();
                 Watched::Advanced
             }
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Something committed by others is known to be ahead of the view.
-    pub fn hurry(&self) {
-        self.watch_soon.notify_one();
+    /// Something committed by others is known to be ahead of the replica.
+    pub fn expedite_watch(&self) {
+        self.watch_expedited.notify_one();
     }
 }
--- a/src/ops/reason.rs
+++ b/src/ops/reason.rs
@@ -2,10 +2,10 @@
 
 use tokio::time::Instant;
 
-use crate::admission::Wait;
+use crate::admission::WaitReason;
 use crate::model::Job;
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// How many of the jobs that a job depends on its reason names.
 const NAMED_DEPENDENCIES: usize = 3;
@@ -28,10 +28,10 @@
     /// The reason of a job that is not over at `now`.
     pub(super) fn of(node: &Node, id: &str, job: &Job, now: Instant) -> Self {
         if !node.has_state() {
-            let age = node.horizon_age().map_or(0.0, |age| age.as_secs_f64());
+            let age = node.replica_staleness().map_or(0.0, |age| age.as_secs_f64());
             return PendingReason::new("the state service does not answer", age);
         }
-        if let Some(dependencies) = dependencies_text(&node.view.borrow(), id) {
+        if let Some(dependencies) = dependencies_text(&node.replica.borrow(), id) {
             return PendingReason::new(dependencies, 0.0);
         }
         if job.waiting() > 0 {
@@ -55,24 +55,24 @@
 }
 
 /// Why the last placement round has left tasks waiting.
-fn wait_text(wait: Wait) -> &'static str {
+fn wait_text(wait: WaitReason) -> &'static str {
     match wait {
-        Wait::NoRoom => "no machine has room for it",
-        Wait::NoZone => "no single zone has room for all of it",
-        Wait::TeamLimit => "its team is at its limit",
-        Wait::OldAttempt => "its earlier attempt is not surely gone yet",
-        Wait::BackOff => "its tasks fail; it is tried again later",
-        Wait::Fails => "its tasks fail on every machine; one is tried now and then",
-        Wait::Spread => "the zones that have room hold their share of it",
-        Wait::RecordFull => "as many of its tasks run as one record can hold",
-        Wait::Queue => "other work goes first",
-        Wait::Refused => "the cloud refuses the machines it needs",
+        WaitReason::NoRoom => "no machine has room for it",
+        WaitReason::NoZone => "no single zone has room for all of it",
+        WaitReason::TeamLimit => "its team is at its limit",
+        WaitReason::OldAttempt => "its earlier attempt is not surely gone yet",
+        WaitReason::BackOff => "its tasks fail; it is tried again later",
+        WaitReason::Fails => "its tasks fail on every machine; one is tried now and then",
+        WaitReason::Spread => "the zones that have room hold their share of it",
+        WaitReason::RecordFull => "as many of its tasks run as one record can hold",
+        WaitReason::Queue => "other work goes first",
+        WaitReason::Refused => "the cloud refuses the machines it needs",
     }
 }
 
 /// The jobs that have to be done before this one starts; `None` without any.
-fn dependencies_text(view: &View, id: &str) -> Option<String> {
-    let dependencies = view.awaited(id);
+fn dependencies_text(replica: &Replica, id: &str) -> Option<String> {
+    let dependencies = replica.awaited(id);
     if dependencies.is_empty() {
         return None;
     }
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -10,10 +10,10 @@
 use crate::admission::{self, Plan};
 use crate::api::state_of;
 use crate::fleet;
-use crate::model::{Final, Job, Life, Run, Spec};
+use crate::model::{JobStatus, Job, MachineLifecycle, Run, Spec};
 use crate::node::Node;
 use crate::settings::TeamTerms;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{JobStage, Kind};
 
 /// The most jobs that one page of the report names, and runs of one job.
@@ -25,7 +25,7 @@
 /// The state of a controller at one moment.
 pub(super) struct Snapshot<'a> {
     node: &'a Node,
-    view: Ref<'a, View>,
+    replica: Ref<'a, Replica>,
     now: Instant,
 }
 
@@ -42,17 +42,17 @@
     pub(super) fn new(node: &'a Node) -> Self {
         Snapshot {
             node,
-            view: node.view.borrow(),
+            replica: node.replica.borrow(),
             now: Instant::now(),
         }
     }
 
     /// One job; `None` for one that was never accepted.
     pub(super) fn job(&self, id: &str) -> Option<JobStory> {
-        let job = &self.view.jobs.get(id)?.value;
+        let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
-        let stage = state_of(&self.view, id)?.stage;
-        let is_open = self.view.state(id) == Some(Final::Open);
+        let stage = state_of(&self.replica, id)?.stage;
+        let is_open = self.replica.state(id) == Some(JobStatus::Open);
         let reason = is_open.then(|| self.reason(id, job));
         let runs = job.runs.iter().take(PAGE_SIZE);
         Some(JobStory {
@@ -77,19 +77,19 @@
     /// All teams, in the order of the settings.
     pub(super) fn teams(&self) -> Vec<TeamStory> {
         let settings = &self.node.settings;
-        let plan = Plan::of(&self.view);
+        let plan = Plan::of(&self.replica);
         let ages = self.node.ages.borrow();
-        let queue = admission::queue(&self.view, &plan, settings, &ages, self.now);
+        let queue = admission::queue(&self.replica, &plan, settings, &ages, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
     }
 
     fn team(&self, terms: &TeamTerms, queue: &[&str]) -> TeamStory {
-        let used = self.view.team_used(&terms.name);
+        let used = self.replica.team_used(&terms.name);
         let (cpus, gpus) = (used.cpus.units(), used.gpus.units());
         let waiting: Vec<(&str, &Job)> = queue
             .iter()
-            .filter_map(|id| Some((*id, &self.view.jobs.get(*id)?.value)))
+            .filter_map(|id| Some((*id, &self.replica.jobs.get(*id)?.value)))
             .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == terms.name))
             .collect();
         TeamStory {
@@ -124,7 +124,7 @@
         };
         Report {
             node: self.node.name().to_string(),
-            state_age_s: self.node.horizon_age().map(|age| age.as_secs_f64()),
+            state_age_s: self.node.replica_staleness().map(|age| age.as_secs_f64()),
             unfinished: unfinished.len(),
             late: count(|entry| entry.is_late),
             services_short: count(|entry| entry.spec.kind == Kind::Service),
@@ -138,10 +138,10 @@
     /// Jobs that are not over. A service that lacks no replica is not
     /// unfinished work.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
-        let ready = self.view.open.iter().map(|(_, id)| id.as_str());
-        let blocked = self.view.held().map(|(id, _)| id);
+        let ready = self.replica.open.iter().map(|(_, id)| id.as_str());
+        let blocked = self.replica.held().map(|(id, _)| id);
         ready.chain(blocked).filter_map(|id| {
-            let job = &self.view.jobs.get(id)?.value;
+            let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
             if spec.kind == Kind::Service && job.waiting() == 0 {
                 return None;
@@ -150,7 +150,7 @@
                 id,
                 job,
                 spec,
-                stage: state_of(&self.view, id)?.stage,
+                stage: state_of(&self.replica, id)?.stage,
                 is_late: self.is_late(id, job, spec),
             })
         })
@@ -174,13 +174,13 @@
 
     /// How many machines are in each state, and how many have work.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
-        let mut counts: BTreeMap<String, usize> = fleet::census(&self.view)
+        let mut counts: BTreeMap<String, usize> = fleet::census(&self.replica)
             .into_iter()
             .map(|(state, count)| (state.to_string(), count))
             .collect();
-        let machines = self.view.machines.iter();
+        let machines = self.replica.machines.iter();
         let with_work = machines.filter(|(id, machine)| {
-            machine.value.life != Life::Gone && self.view.bookings.contains_key(*id)
+            machine.value.life != MachineLifecycle::Gone && self.replica.bookings.contains_key(*id)
         });
         counts.insert(MACHINES_WITH_WORK.into(), with_work.count());
         counts
@@ -209,7 +209,7 @@
     /// Whether a job is past its own deadline, or has waiting tasks and is too
     /// late for all that it is to meet.
     fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let standing = self.view.standing(id, spec, self.now);
+        let standing = self.replica.standing(id, spec, self.now);
         if standing.left_s.is_some_and(|left| left < 0.0) {
             return true;
         }
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -15,8 +15,8 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use crate::model::{Final, Job, Spec};
-use crate::view::View;
+use crate::model::{JobStatus, Job, Spec};
+use crate::replica::Replica;
 use crate::wire::Priority;
 
 /// What the jobs that depend on one, directly or through others, demand of it.
@@ -37,7 +37,7 @@
     }
 }
 
-/// Indexes over the records of jobs that await others; a part of the [`View`].
+/// Indexes over the records of jobs that await others; a part of the [`Replica`].
 #[derive(Debug, Default)]
 pub struct Pipelines {
     /// Open jobs that wait, each with the ids that it still awaits.
@@ -100,22 +100,22 @@
     }
 }
 
-impl View {
+impl Replica {
     /// A job's final state, whether its own record says so or it follows from
     /// what it awaits; `None` if it is not known. Whoever tells anybody what
     /// became of a job, or decides by it, asks here.
-    pub fn state(&self, id: &str) -> Option<Final> {
-        let own = self.jobs.get(id)?.value.fin;
-        match own == Final::Open && self.pipelines.cancelled_by_dependency.contains(id) {
-            true => Some(Final::Cancelled),
+    pub fn state(&self, id: &str) -> Option<JobStatus> {
+        let own = self.jobs.get(id)?.value.status;
+        match own == JobStatus::Open && self.pipelines.cancelled_by_dependency.contains(id) {
+            true => Some(JobStatus::Cancelled),
             false => Some(own),
         }
     }
 
-    /// Whether all that a job awaits is done. That is final: a view that lags
+    /// Whether all that a job awaits is done. That is final: a replica that lags
     /// can only say so late.
     pub fn is_ready(&self, spec: &Spec) -> bool {
-        let done = |id: &String| self.state(id) == Some(Final::Done);
+        let done = |id: &String| self.state(id) == Some(JobStatus::Done);
         spec.awaits.iter().all(done)
     }
 
@@ -179,13 +179,13 @@
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
         };
-        match job.fin {
-            Final::Open => self.index_open_job(id),
-            Final::Done => {
+        match job.status {
+            JobStatus::Open => self.index_open_job(id),
+            JobStatus::Done => {
                 self.forget_demand(id);
                 self.unblock_dependents(id);
             }
-            Final::Cancelled => {
+            JobStatus::Cancelled => {
                 self.forget_demand(id);
                 self.cancel_dependents(id);
             }
@@ -196,13 +196,13 @@
         let spec = self.jobs.get(id).and_then(|e| e.value.spec.as_ref());
         let has_deadline = spec.is_some_and(|s| s.deadline_s.is_some());
         let awaits = spec.map_or(&[][..], |s| &s.awaits);
-        let is_cancelled = |a: &String| self.state(a) == Some(Final::Cancelled);
+        let is_cancelled = |a: &String| self.state(a) == Some(JobStatus::Cancelled);
         if awaits.iter().any(is_cancelled) {
             return self.cancel_with_dependency(id);
         }
         let left: Vec<String> = awaits
             .iter()
-            .filter(|a| self.state(a) != Some(Final::Done))
+            .filter(|a| self.state(a) != Some(JobStatus::Done))
             .cloned()
             .collect();
         if has_deadline {
@@ -219,7 +219,7 @@
 
     /// Takes back what followed from an open job's record.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
-        self.open.remove(&(old.born, id.to_string()));
+        self.open.remove(&(old.accepted_revision, id.to_string()));
         self.pipelines.cancelled_by_dependency.remove(id);
         self.remove_from_blocked(id);
     }
@@ -264,7 +264,7 @@
         if let Some(spec) = job.spec.as_ref().filter(|s| s.need.gpus.0 > 0) {
             self.gpu_spec = Some(spec.clone());
         }
-        self.open.insert((job.born, id.to_string()));
+        self.open.insert((job.accepted_revision, id.to_string()));
     }
 
     /// A job is done: those that awaited nothing else are ready.
--- a/src/record_trim.rs
+++ b/src/record_trim.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::model::{Job, Ranges, Room, Spec};
+use crate::model::{Job, Ranges, Resources, Spec};
 use crate::wire::MachineType;
 
 /// What trimming goes by, beside the job itself.
@@ -84,7 +84,7 @@
     let usable = |machine_type: &&MachineType| {
         let mut zones = machine_type.zones.iter();
         spec.allows_type(&machine_type.name)
-            && Room::of_type(machine_type).fits(&spec.need)
+            && Resources::of_type(machine_type).fits(&spec.need)
             && zones.any(|zone| spec.zone.as_ref().is_none_or(|only| only == zone))
     };
     let offered = context.machine_types.iter().filter(usable);
@@ -102,10 +102,10 @@
 
 /// A class is compared with those of the objectives, and shown to operators.
 fn shorten_class(spec: &mut Spec, context: &TrimContext) {
-    let is_aimed = |class: &String| context.aimed_classes.contains(class);
+    let has_objective = |class: &String| context.aimed_classes.contains(class);
     let mut class = spec.class.clone();
     shorten(&mut class);
-    if !is_aimed(&spec.class) && !is_aimed(&class) {
+    if !has_objective(&spec.class) && !has_objective(&class) {
         spec.class = class;
     }
 }
--- a/src/view.rs
+++ b/src/replica.rs
@@ -1,7 +1,7 @@
-//! The view: this controller's replica of the state under the shared prefix.
+//! The replica: this controller's replica of the state under the shared prefix.
 //!
 //! `revision` is what the watch has reached: everything up to it is here. A
-//! commit of our own is laid into the view at once (`overlay`), ahead of the
+//! commit of our own is laid into the replica at once (`overlay`), ahead of the
 //! watch, so that the next round does not decide on what it has just changed;
 //! entries beyond `revision` serve planning only, never a launch.
 
@@ -14,7 +14,7 @@
 use serde_json::value::RawValue;
 
 use crate::model::{
-    Arrivals, FORMATS, Final, Formats, Group, Hire, Job, Machine, Part, Ranges, Renter, Room, Slot,
+    Arrivals, FORMATS, JobStatus, Formats, MachineShard, Rental, Job, Machine, ZoneShard, Ranges, ControllerRecord, Resources, MachineSlot,
     Spec, Team, Types,
 };
 use crate::pipeline::Pipelines;
@@ -42,16 +42,16 @@
 pub fn team_key(name: &str) -> String {
     format!("{PREFIX}team/{name}")
 }
-/// A part's name in the view; its key has it behind `zone/`.
-pub fn part_id(zone: &str, part: &str) -> String {
+/// A part's name in the replica; its key has it behind `zone/`.
+pub fn shard_id(zone: &str, part: &str) -> String {
     format!("{zone}/{part}")
 }
 /// The key of a zone shard's record, by its id.
-pub fn part_key(id: &str) -> String {
+pub fn zone_shard_key(id: &str) -> String {
     format!("{PREFIX}zone/{id}")
 }
 /// A group's key; the name is its part's.
-pub fn group_key(id: &str) -> String {
+pub fn machine_shard_key(id: &str) -> String {
     format!("{PREFIX}machine/{id}")
 }
 /// The key that exists while a controller's state lease stands.
@@ -63,7 +63,7 @@
     format!("{PREFIX}new/{id}")
 }
 /// The key of a rental.
-pub fn hire_key(id: &str) -> String {
+pub fn rental_key(id: &str) -> String {
     format!("{PREFIX}hire/{id}")
 }
 
@@ -136,7 +136,7 @@
     pub kind: String,
     /// The zone.
     pub zone: Rc<str>,
-    /// The zone's number among `View::zone_names`.
+    /// The zone's number among `Replica::zone_names`.
     pub zone_at: usize,
     /// Whether they are spot machines.
     pub spot: bool,
@@ -146,20 +146,20 @@
 
 /// A machine that takes work, as small as planning can have it.
 #[derive(Debug, Clone, Copy)]
-pub struct Spot {
-    /// Its number among `View::machine_names`.
+pub struct PlanSlot {
+    /// Its number among `Replica::machine_names`.
     pub machine: u32,
-    /// The number of its part's key among `View::part_names`.
+    /// The number of its part's key among `Replica::zone_shard_names`.
     pub part: u32,
-    /// The number of its class among `View::classes`.
+    /// The number of its class among `Replica::classes`.
     pub class: u32,
-    /// In a plan: what is free. In the view: what unbooked tasks take.
-    pub free: Room,
+    /// In a plan: what is free. In the replica: what unbooked tasks take.
+    pub free: Resources,
 }
 
 /// This controller's replica of the state, with the indexes that planning uses.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct Replica {
     /// Complete up to here; 0 until the first full read.
     pub revision: u64,
     /// Whether the first full read is complete.
@@ -169,31 +169,31 @@
     /// What the teams' bookings take, by the teams' names.
     pub teams: Table<Team>,
     /// The zones' records, by `zone/part`.
-    pub parts: Table<Part>,
+    pub zone_shards: Table<ZoneShard>,
     /// All machines, each with the revision of its own last change.
     pub machines: Table<Machine>,
     /// The records that they stand in, by `zone/part`.
-    pub groups: Table<Group>,
+    pub machine_shards: Table<MachineShard>,
     /// Rentals by the names of their requests.
-    pub hires: Table<Hire>,
+    pub rentals: Table<Rental>,
     /// Jobs that were accepted together, by the names of those writes.
     pub arrivals: Table<Arrivals>,
     /// The cloud's machine types as last read.
     pub types: Entry<Types>,
     /// The controller that rents machines, if there is one.
-    pub fleet: Option<Entry<Renter>>,
+    pub fleet: Option<Entry<ControllerRecord>>,
     /// Which controllers know the newer formats.
     pub formats: Entry<Formats>,
     /// Controllers whose state lease stands.
-    pub nodes: Table<Renter>,
+    pub nodes: Table<ControllerRecord>,
     /// Jobs that are not final and await no others, in the order of acceptance:
     /// those that take part in anything.
     pub open: BTreeSet<(u64, String)>,
     /// Which jobs book something on a machine.
     pub bookings: HashMap<String, BTreeSet<String>>,
     /// What bookings take of each machine, by its number, and of each team.
-    booked: HashMap<u32, Room>,
-    team_booked: HashMap<String, Room>,
+    booked: HashMap<u32, Resources>,
+    team_booked: HashMap<String, Resources>,
     /// Removals of our own that the watch has not reached yet.
     removed: HashMap<String, u64>,
     /// Images that have been sent to a machine, the latest last. Memory only:
@@ -203,20 +203,20 @@
     /// The numbers of machines.
     pub machine_names: Names,
     /// The numbers of zone shards.
-    pub part_names: Names,
+    pub zone_shard_names: Names,
     /// The numbers of zones.
     pub zone_names: Names,
     /// The classes of machines, by their numbers.
     pub classes: Vec<Class>,
     class_numbers: HashMap<(String, String, bool), u32>,
     /// The parts' machines, ready for planning.
-    spots: BTreeMap<String, Vec<Spot>>,
+    spots: BTreeMap<String, Vec<PlanSlot>>,
     /// The part that has a machine's slot, by their numbers.
     slot_parts: HashMap<u32, u32>,
-    /// Parts that stand in the short text.
-    short_parts: BTreeSet<String>,
+    /// Parts that stand in the compact encoding.
+    compact_zone_shards: BTreeSet<String>,
     /// What a record may hold, where the limits are to fall: from the settings.
-    pub shrink_to: Option<usize>,
+    pub compact_limit: Option<usize>,
     /// Records that hold more, with what they hold.
     pub oversized: BTreeMap<String, usize>,
     /// Open jobs whose specification may leave too little of a record for their
@@ -242,7 +242,7 @@
 #[derive(Deserialize)]
 struct RawArrivals {
     #[serde(rename = "b")]
-    born: u64,
+    accepted_revision: u64,
     #[serde(rename = "j")]
     jobs: BTreeMap<String, Box<RawValue>>,
 }
@@ -298,13 +298,13 @@
     runs.keys().map(|k| k.0).collect()
 }
 
-impl View {
-    /// A view that is to hold its records to so many bytes, if the limits are
+impl Replica {
+    /// A replica that is to hold its records to so many bytes, if the limits are
     /// to fall.
-    pub fn shrinking(shrink_to: Option<usize>) -> Self {
-        View {
-            shrink_to,
-            ..View::default()
+    pub fn with_compact_limit(compact_limit: Option<usize>) -> Self {
+        Replica {
+            compact_limit,
+            ..Replica::default()
         }
     }
 
@@ -313,22 +313,22 @@
         let old = std::mem::take(self);
         let mut changes = old.changes;
         changes.machines.extend(old.machines.into_keys());
-        *self = View {
+        *self = Replica {
             images: old.images,
             image_names: old.image_names,
             machine_names: old.machine_names,
-            part_names: old.part_names,
+            zone_shard_names: old.zone_shard_names,
             zone_names: old.zone_names,
             classes: old.classes,
             class_numbers: old.class_numbers,
             gpu_spec: old.gpu_spec,
-            shrink_to: old.shrink_to,
+            compact_limit: old.compact_limit,
             aimed_classes: old.aimed_classes,
             changes,
             pipelines: old.pipelines.after_reload(),
             loaded: true,
             revision,
-            ..View::default()
+            ..Replica::default()
         };
         for pair in pairs {
             self.set(&pair.key, pair.version, Some(&pair.value));
@@ -351,7 +351,7 @@
         self.removed.retain(|_, v| *v > reached);
     }
 
-    /// Lays a commit of our own over the view, ahead of the watch.
+    /// Lays a commit of our own over the replica, ahead of the watch.
     pub fn overlay(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
@@ -376,7 +376,7 @@
             return;
         };
         let (table, id) = rest.split_once('/').unwrap_or((rest, ""));
-        if let Some(most) = self.shrink_to {
+        if let Some(most) = self.compact_limit {
             // Older news may come after newer: what looks at this looks at the
             // record itself then.
             match value.map(|v| v.get().len()).filter(|n| *n > most) {
@@ -395,21 +395,21 @@
             }
             "zone" => {
                 let part = value.and_then(|v| self.read(key, version, v));
-                if put(&mut self.parts, id, version, part) {
-                    match value.is_some_and(|v| crate::text::is_short_part(v.get())) {
-                        true => self.short_parts.insert(id.to_string()),
-                        false => self.short_parts.remove(id),
+                if put(&mut self.zone_shards, id, version, part) {
+                    match value.is_some_and(|v| crate::text::is_compact_zone_shard(v.get())) {
+                        true => self.compact_zone_shards.insert(id.to_string()),
+                        false => self.compact_zone_shards.remove(id),
                     };
-                    self.index_part(id);
+                    self.index_zone_shard(id);
                 }
             }
             "machine" => {
                 let group = value.and_then(|v| self.read(key, version, v));
-                self.set_group(id, version, group);
+                self.set_machine_shard(id, version, group);
             }
             "hire" => {
                 let hire = value.and_then(|v| self.read(key, version, v));
-                put(&mut self.hires, id, version, hire);
+                put(&mut self.rentals, id, version, hire);
             }
             "new" => {
                 self.set_arrivals(key, id, version, value);
@@ -473,7 +473,7 @@
         !self.unreadable.is_empty() && self.is_unreadable(&job_key(id))
     }
 
-    /// The version of a record that is not in the view: that of one which cannot
+    /// The version of a record that is not in the replica: that of one which cannot
     /// be read, or 0 as there is none. Guarding 0 where an unreadable record
     /// stands would be refused again and again.
     pub fn absent_version(&self, key: &str) -> u64 {
@@ -492,7 +492,7 @@
             return;
         };
         let mut arrivals = Arrivals {
-            born: raw.born,
+            accepted_revision: raw.accepted_revision,
             jobs: BTreeMap::new(),
         };
         let count = raw.jobs.len();
@@ -503,7 +503,7 @@
             match parse::<Spec>(&own_key, &text) {
                 Some(spec) => {
                     if !has_own {
-                        self.place_job(&job, 0, Job::new(spec.clone(), raw.born));
+                        self.place_job(&job, 0, Job::new(spec.clone(), raw.accepted_revision));
                     }
                     arrivals.jobs.insert(job, spec);
                 }
@@ -517,10 +517,10 @@
         put(&mut self.arrivals, id, version, whole.then_some(arrivals));
     }
 
-    fn set_group(&mut self, id: &str, version: u64, group: Option<Group>) {
-        let old = match self.groups.get(id) {
+    fn set_machine_shard(&mut self, id: &str, version: u64, group: Option<MachineShard>) {
+        let old = match self.machine_shards.get(id) {
             Some(e) if e.version >= version => return,
-            _ => self.groups.remove(id).map(|e| e.value),
+            _ => self.machine_shards.remove(id).map(|e| e.value),
         };
         let (zone, part) = id.split_once('/').unwrap_or((id, ""));
         let mut gone = old.unwrap_or_default().machines;
@@ -552,14 +552,14 @@
             self.changes.machines.insert(name);
         }
         if let Some(value) = group {
-            self.groups.insert(id.to_string(), Entry { version, value });
+            self.machine_shards.insert(id.to_string(), Entry { version, value });
         }
     }
 
     /// The version of a group's record, 0 if there is none.
-    pub fn group_version(&self, id: &str) -> u64 {
-        let absent = || self.absent_version(&group_key(id));
-        self.groups.get(id).map_or_else(absent, |e| e.version)
+    pub fn machine_shard_version(&self, id: &str) -> u64 {
+        let absent = || self.absent_version(&machine_shard_key(id));
+        self.machine_shards.get(id).map_or_else(absent, |e| e.version)
     }
 
     fn set_job(&mut self, id: &str, version: u64, job: Option<Job>) {
@@ -599,7 +599,7 @@
         }
     }
 
-    /// What else in the view follows from a job's runs.
+    /// What else in the replica follows from a job's runs.
     fn index_job(&mut self, id: &str, old: Option<Job>, job: &Option<Job>) {
         self.count(&old, -1);
         self.count(job, 1);
@@ -649,7 +649,7 @@
 
     fn place_job(&mut self, id: &str, version: u64, job: Job) {
         let value = job;
-        if self.shrink_to.is_some_and(|most| is_long(&value, most)) {
+        if self.compact_limit.is_some_and(|most| is_long(&value, most)) {
             self.long_jobs.insert(id.to_string());
         }
         self.jobs.insert(id.to_string(), Entry { version, value });
@@ -657,26 +657,26 @@
     }
 
     /// Makes a part's machines ready for planning.
-    fn index_part(&mut self, id: &str) {
-        let part = self.part_names.number(id);
+    fn index_zone_shard(&mut self, id: &str) {
+        let part = self.zone_shard_names.number(id);
         for spot in self.spots.remove(id).into_iter().flatten() {
             if self.slot_parts.get(&spot.machine) == Some(&part) {
                 self.slot_parts.remove(&spot.machine);
             }
         }
-        let Some(entry) = self.parts.get(id) else {
+        let Some(entry) = self.zone_shards.get(id) else {
             return;
         };
         let zone = id.split('/').next().unwrap_or(id).to_string();
-        let slots: Vec<(String, Slot)> = entry
+        let slots: Vec<(String, MachineSlot)> = entry
             .value
             .machines
             .iter()
             .map(|(m, s)| (m.clone(), s.clone()))
             .collect();
-        let spots: Vec<Spot> = slots
+        let spots: Vec<PlanSlot> = slots
             .into_iter()
-            .map(|(machine, slot)| Spot {
+            .map(|(machine, slot)| PlanSlot {
                 machine: self.machine_names.number(&machine),
                 part,
                 class: self.class(&slot.kind, &zone, slot.spot),
@@ -720,7 +720,7 @@
     }
 
     /// All machines that take work.
-    pub fn spots(&self) -> impl Iterator<Item = &Spot> {
+    pub fn spots(&self) -> impl Iterator<Item = &PlanSlot> {
         self.spots.values().flatten()
     }
 
@@ -746,20 +746,20 @@
     }
 
     /// What the bookings on this machine take.
-    pub fn booked_on(&self, machine: &str) -> Room {
+    pub fn booked_on(&self, machine: &str) -> Resources {
         let number = self.machine_names.find(machine);
         let booked = number.and_then(|n| self.booked.get(&n));
         booked.copied().unwrap_or_default()
     }
 
-    /// A machine that takes work, with its room as the bookings of this view
+    /// A machine that takes work, with its room as the bookings of this replica
     /// leave it. Whoever books more there writes its part, so that a commit
     /// guarded by the part's version counts on no less than this.
-    pub fn with_room(&self, spot: &Spot) -> Spot {
+    pub fn with_room(&self, spot: &PlanSlot) -> PlanSlot {
         let kind = self.class_type(&self.classes[spot.class as usize]);
         let booked = self.booked.get(&spot.machine).copied().unwrap_or_default();
-        let room = kind.map_or(Room::default(), Room::of_type);
-        Spot {
+        let room = kind.map_or(Resources::default(), Resources::of_type);
+        PlanSlot {
             free: room - booked - spot.free,
             ..*spot
         }
@@ -778,37 +778,37 @@
     }
 
     /// The slot that a machine has in its zone's record.
-    pub fn slot(&self, machine: &str) -> Option<&Slot> {
-        let part = self.parts.get(&*self.part_of(machine)?)?;
+    pub fn slot(&self, machine: &str) -> Option<&MachineSlot> {
+        let part = self.zone_shards.get(&*self.zone_shard_of(machine)?)?;
         part.value.machines.get(machine)
     }
 
     /// The part that has a machine's slot. Any of its home's may: they are
     /// merged while there is room, as a commit writes few.
-    pub fn part_of(&self, machine: &str) -> Option<Rc<str>> {
+    pub fn zone_shard_of(&self, machine: &str) -> Option<Rc<str>> {
         let number = self.machine_names.find(machine)?;
         let part = self.slot_parts.get(&number)?;
-        Some(self.part_names.name(*part))
+        Some(self.zone_shard_names.name(*part))
     }
 
-    /// Whether a part stands in the short text: nothing that was decided before
+    /// Whether a part stands in the compact encoding: nothing that was decided before
     /// these were written can change it any more, as its version is a newer one.
-    pub fn is_short_part(&self, id: &str) -> bool {
-        self.short_parts.contains(id)
+    pub fn is_compact_zone_shard(&self, id: &str) -> bool {
+        self.compact_zone_shards.contains(id)
     }
 
-    /// Whether records are written in their short texts: all controllers read
+    /// Whether records are written in their compact encodings: all controllers read
     /// them, and the limits are to fall. Otherwise they stand as ever.
-    pub fn is_short(&self) -> bool {
-        self.shrink_to.is_some() && self.upgraded()
+    pub fn uses_compact_encoding(&self) -> bool {
+        self.compact_limit.is_some() && self.upgraded()
     }
 
-    /// Whether a part's short text is within what a record may hold, with some
+    /// Whether a part's compact encoding is within what a record may hold, with some
     /// to spare for what unbooked tasks take.
-    pub fn fits_part(&self, part: &Part) -> bool {
-        let most = self.shrink_to.unwrap_or(usize::MAX) / 10 * 9;
+    pub fn fits_zone_shard(&self, part: &ZoneShard) -> bool {
+        let most = self.compact_limit.unwrap_or(usize::MAX) / 10 * 9;
         // Few machines never fill a record.
-        let short = || crate::text::short_part(part).map_or(0, |t| t.len());
+        let short = || crate::text::encode_zone_shard(part).map_or(0, |t| t.len());
         part.machines.len() < 8 || short() <= most
     }
 
@@ -820,8 +820,8 @@
 
     /// The length of a job's record as it stands, not trimmed.
     fn job_bytes(&self, job: &Job) -> usize {
-        let short = match self.is_short() {
-            true => crate::text::short_job(job),
+        let short = match self.uses_compact_encoding() {
+            true => crate::text::encode_job(job),
             false => None,
         };
         let text = short.or_else(|| serde_json::to_string(job).ok());
@@ -831,7 +831,7 @@
     /// The job as it has to be written if its record would exceed the coming
     /// limit, now or with the least that it runs at once; `None` where it fits.
     pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
-        let most = self.shrink_to.filter(|_| self.is_short())?;
+        let most = self.compact_limit.filter(|_| self.uses_compact_encoding())?;
         // Nearly all: told by a few lengths, as every write of a job asks.
         if !is_long(job, most) && self.job_bytes(job) <= most {
             return None;
@@ -839,7 +839,7 @@
         let context = TrimContext {
             machine_types: &self.types.value.types,
             aimed_classes: &self.aimed_classes,
-            is_done: &|id| self.state(id) == Some(Final::Done),
+            is_done: &|id| self.state(id) == Some(JobStatus::Done),
         };
         record_trim::trim_job(job, &context, |job| {
             self.job_bytes(job) <= most && (!is_long(job, most) || self.runs_within(job, most))
@@ -866,20 +866,20 @@
     pub fn put_job(&self, id: &str, job: &Job) -> Write {
         let trimmed = self.trimmed_job(job);
         let job = trimmed.as_ref().unwrap_or(job);
-        let short = || crate::text::short_job(job);
+        let short = || crate::text::encode_job(job);
         self.put(job_key(id), job, short)
     }
 
     /// The write of a zone shard's record, in the encoding in force.
-    pub fn put_part(&self, id: &str, part: &Part) -> Write {
-        let short = || crate::text::short_part(part);
-        self.put(part_key(id), part, short)
+    pub fn put_zone_shard(&self, id: &str, part: &ZoneShard) -> Write {
+        let short = || crate::text::encode_zone_shard(part);
+        self.put(zone_shard_key(id), part, short)
     }
 
     /// The write of a machine group's record, in the encoding in force.
-    pub fn put_group(&self, id: &str, group: &Group) -> Write {
-        let short = || crate::text::short_group(group);
-        self.put(group_key(id), group, short)
+    pub fn put_machine_shard(&self, id: &str, group: &MachineShard) -> Write {
+        let short = || crate::text::encode_machine_shard(group);
+        self.put(machine_shard_key(id), group, short)
     }
 
     fn put<T: serde::Serialize>(
@@ -888,7 +888,7 @@
         value: &T,
         short: impl FnOnce() -> Option<String>,
     ) -> Write {
-        let text = self.is_short().then(short).flatten();
+        let text = self.uses_compact_encoding().then(short).flatten();
         match text.and_then(|t| RawValue::from_string(t).ok()) {
             Some(value) => Write::Put {
                 key,
@@ -906,9 +906,9 @@
     }
 
     /// The version of a zone shard's record, 0 if there is none.
-    pub fn part_version(&self, id: &str) -> u64 {
-        let absent = || self.absent_version(&part_key(id));
-        self.parts.get(id).map_or_else(absent, |e| e.version)
+    pub fn zone_shard_version(&self, id: &str) -> u64 {
+        let absent = || self.absent_version(&zone_shard_key(id));
+        self.zone_shards.get(id).map_or_else(absent, |e| e.version)
     }
     /// The version of a team's record, 0 if there is none.
     pub fn team_version(&self, team: &str) -> u64 {
@@ -917,11 +917,11 @@
     }
     /// What the team's bookings take; as with a part, whoever books more
     /// writes the team's record.
-    pub fn team_used(&self, team: &str) -> Room {
+    pub fn team_used(&self, team: &str) -> Resources {
         self.team_booked.get(team).copied().unwrap_or_default()
     }
     /// What the bookings of every team take, by the teams' names.
-    pub fn teams_used(&self) -> &HashMap<String, Room> {
+    pub fn teams_used(&self) -> &HashMap<String, Resources> {
         &self.team_booked
     }
     /// The version of a job's record, 0 if it has none of its own.
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -3,16 +3,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-use super::plan::{Plan, UNNAMED};
+use super::plan::{Plan, UNASSIGNED};
 use crate::machines;
 use crate::model::{Amount, Spec};
-use crate::view::{Class, Spot, View};
+use crate::replica::{Class, PlanSlot, Replica};
 use crate::wire::{Kind, MachineType};
 
 /// Hints for choosing among machines with room; none of them is needed.
 pub struct Hints<'a> {
     /// The replica that is planned on.
-    pub view: &'a View,
+    pub replica: &'a Replica,
     /// The controller that plans: between machines that are as good, those of
     /// its own parts, where its commits meet no others.
     pub home: &'a str,
@@ -25,9 +25,9 @@
 
 impl<'a> Hints<'a> {
     /// Hints of a controller whose commit touches no parts yet.
-    pub fn new(view: &'a View, home: &'a str) -> Self {
+    pub fn new(replica: &'a Replica, home: &'a str) -> Self {
         Hints {
-            view,
+            replica,
             home,
             touched: BTreeSet::new(),
             lenient: false,
@@ -98,10 +98,10 @@
 }
 
 impl ClassFit {
-    fn new(spec: &Spec, view: &View, class: &Class) -> Self {
-        let machine_type = view.class_type(class);
+    fn new(spec: &Spec, replica: &Replica, class: &Class) -> Self {
+        let machine_type = replica.class_type(class);
         let gpus = machine_type.map_or(0.0, |t| t.gpus);
-        let usual_work_allowed = view
+        let usual_work_allowed = replica
             .gpu_spec
             .as_ref()
             .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
@@ -137,16 +137,16 @@
 
 impl<'a> Candidates<'a> {
     pub(super) fn new(spec: &'a Spec, hints: &'a Hints<'a>, care: Care) -> Self {
-        let view = hints.view;
-        let classes = view.classes.iter();
-        let parts = 0..view.part_names.len() as u32;
+        let replica = hints.replica;
+        let classes = replica.classes.iter();
+        let zone_shards = 0..replica.zone_shard_names.len() as u32;
         Candidates {
-            classes: classes.map(|c| ClassFit::new(spec, view, c)).collect(),
-            part_costs: parts.map(|part| part_cost(hints, part)).collect(),
+            classes: classes.map(|c| ClassFit::new(spec, replica, c)).collect(),
+            part_costs: zone_shards.map(|part| part_cost(hints, part)).collect(),
             spec,
             hints,
             care,
-            image: view.image(&spec.image),
+            image: replica.image(&spec.image),
             excluded: Vec::new(),
             only_parts: None,
         }
@@ -154,30 +154,30 @@
 
     /// Leaves these machines out.
     pub(super) fn without(mut self, machines: &[String]) -> Self {
-        let names = &self.hints.view.machine_names;
+        let names = &self.hints.replica.machine_names;
         self.excluded = machines.iter().filter_map(|m| names.find(m)).collect();
         self
     }
 
     /// Keeps to these parts, if there are any.
-    pub(super) fn within(mut self, parts: Option<[u32; 2]>) -> Self {
-        self.only_parts = parts;
+    pub(super) fn within(mut self, zone_shards: Option<[u32; 2]>) -> Self {
+        self.only_parts = zone_shards;
         self
     }
 
     /// What the machine's class means to the job.
-    pub(super) fn class(&self, spot: &Spot) -> &ClassFit {
+    pub(super) fn class(&self, spot: &PlanSlot) -> &ClassFit {
         &self.classes[spot.class as usize]
     }
 
     /// How many tasks of the accelerators' usual shape lose their place on
     /// this machine if the job's task takes it. Work without accelerators is
     /// kept off them only as far as it takes resources that they need.
-    fn loss(&self, spot: &Spot) -> i64 {
+    fn loss(&self, spot: &PlanSlot) -> i64 {
         if !self.class(spot).contended {
             return 0;
         }
-        match &self.hints.view.gpu_spec {
+        match &self.hints.replica.gpu_spec {
             Some(usual) => {
                 let after = spot.free - self.spec.need;
                 spot.free.slots(&usual.need) as i64 - after.slots(&usual.need) as i64
@@ -187,7 +187,7 @@
     }
 
     /// Whether a task of the job may go onto the machine.
-    fn is_open(&self, spot: &Spot) -> bool {
+    fn is_open(&self, spot: &PlanSlot) -> bool {
         let class = self.class(spot);
         if !class.allowed || !spot.free.fits(&self.spec.need) {
             return false;
@@ -195,9 +195,9 @@
         if self.excluded.contains(&spot.machine) {
             return false;
         }
-        if let Some(parts) = self.only_parts
-            && spot.part != UNNAMED
-            && !parts.contains(&spot.part)
+        if let Some(zone_shards) = self.only_parts
+            && spot.part != UNASSIGNED
+            && !zone_shards.contains(&spot.part)
         {
             return false;
         }
@@ -219,16 +219,16 @@
     /// Accelerators are kept for those that need them; then a service looks
     /// for its image first, as it should run at once; then the cheaper
     /// machine, and the tightest fit, so that others stay whole.
-    fn score(&self, spot: &Spot) -> Score {
-        let view = self.hints.view;
+    fn score(&self, spot: &PlanSlot) -> Score {
+        let replica = self.hints.replica;
         let class = self.class(spot);
         let spec = self.spec;
         let needs_gpus = spec.need.gpus.0 > 0;
-        let usual_slots = match &view.gpu_spec {
+        let usual_slots = match &replica.gpu_spec {
             Some(usual) if class.gpus.0 > 0 && !needs_gpus => spot.free.slots(&usual.need),
             _ => 0,
         };
-        let fetch_ms = match view.has_image(spot.machine, self.image) {
+        let fetch_ms = match replica.has_image(spot.machine, self.image) {
             true => 0,
             // Even where it takes no time, the image is better there already.
             false => class.fetch_ms.max(1),
@@ -314,7 +314,7 @@
     }
 
     /// The machine as it is offered after it was given that many tasks.
-    fn offer(&self, spot: &Spot, index: usize, given: i64) -> Offer {
+    fn offer(&self, spot: &PlanSlot, index: usize, given: i64) -> Offer {
         let score = self.score(spot);
         Offer {
             loss: score[0],
@@ -328,7 +328,7 @@
 /// What a part adds to the commit: nothing if it is written anyway, little if the
 /// planning controller is at home there.
 fn part_cost(hints: &Hints, part: u32) -> i64 {
-    let name = hints.view.part_names.name(part);
+    let name = hints.replica.zone_shard_names.name(part);
     let local_name = name.split_once('/').map_or("", |split| split.1);
     let own = machines::home_of(local_name) == hints.home;
     let touched = hints.touched.contains(&*name);
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/ends.rs
@@ -2,17 +2,17 @@
 
 use super::plan::Plan;
 use super::round_state::RoundState;
-use super::transaction::{Draft, Released};
-use crate::machines::{EndKey, Proof};
+use super::transaction::{Transaction, Released};
+use crate::machines::{AttemptKey, TerminationEvidence};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::Kind;
 
 /// Ends that a transaction takes in, and those that are void.
 #[derive(Default)]
 struct Ends {
-    recorded: Vec<EndKey>,
-    stale: Vec<EndKey>,
+    recorded: Vec<AttemptKey>,
+    stale: Vec<AttemptKey>,
 }
 
 /// Records ends in the transaction and gives their resources back to the plan;
@@ -23,12 +23,12 @@
 /// own, and begin where the last round stopped, so that none waits for ever.
 pub(super) fn record_ends(
     node: &Node,
-    view: &View,
+    replica: &Replica,
     state: &mut RoundState,
-    draft: &mut Draft,
+    transaction: &mut Transaction,
     plan: &mut Plan,
     limit_for_arrays: usize,
-) -> Vec<EndKey> {
+) -> Vec<AttemptKey> {
     let mut ends = Ends::default();
     {
         let pending = node.ends.borrow();
@@ -39,18 +39,18 @@
         let in_order = later.into_iter().chain(earlier);
         let in_order = in_order.filter(|(key, _)| !state.is_excluded(&key.job));
         let (arrays, others): (Vec<_>, Vec<_>) =
-            in_order.partition(|(key, _)| is_plain_array(view, key));
+            in_order.partition(|(key, _)| is_plain_array(replica, key));
         for (key, proof) in others {
-            ends.record(node, view, draft, plan, key, *proof);
+            ends.record(node, replica, transaction, plan, key, *proof);
         }
-        let limit = std::mem::replace(&mut draft.most, limit_for_arrays);
+        let limit = std::mem::replace(&mut transaction.most, limit_for_arrays);
         for (key, proof) in arrays {
-            let released = ends.record(node, view, draft, plan, key, *proof);
+            let released = ends.record(node, replica, transaction, plan, key, *proof);
             if released == Released::Full && state.next_end.is_none() {
                 state.next_end = Some(key.clone());
             }
         }
-        draft.most = limit;
+        transaction.most = limit;
     }
     let mut pending = node.ends.borrow_mut();
     for key in &ends.stale {
@@ -60,9 +60,9 @@
 }
 
 /// Whether the end is of an array that no other job depends on.
-fn is_plain_array(view: &View, key: &EndKey) -> bool {
-    let spec = view.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref());
-    spec.is_some_and(|s| s.kind == Kind::Array) && !view.is_needed(&key.job)
+fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
+    let spec = replica.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref());
+    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.is_needed(&key.job)
 }
 
 impl Ends {
@@ -70,17 +70,17 @@
     fn record(
         &mut self,
         node: &Node,
-        view: &View,
-        draft: &mut Draft,
+        replica: &Replica,
+        transaction: &mut Transaction,
         plan: &mut Plan,
-        key: &EndKey,
-        proof: Proof,
+        key: &AttemptKey,
+        proof: TerminationEvidence,
     ) -> Released {
-        let released = draft.release(key, proof, node.name(), node.incarnation);
+        let released = transaction.release(key, proof, node.name(), node.incarnation);
         match released {
             Released::Yes => {
-                if let Some(spec) = view.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref()) {
-                    plan.give(view, &key.machine, &spec.team, spec.need);
+                if let Some(spec) = replica.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref()) {
+                    plan.give(replica, &key.machine, &spec.team, spec.need);
                 }
                 self.recorded.push(key.clone());
             }
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -9,12 +9,12 @@
 use foldhash::HashMap;
 
 use super::candidates::{Candidates, Care, Hints};
-use super::plan::{Place, Plan, UNNAMED, team_slots};
-use super::reasons::Wait;
+use super::plan::{Place, Plan, UNASSIGNED, team_slots};
+use super::reasons::WaitReason;
 use super::record_size::record_slots;
 use crate::model::{Job, Spec};
 use crate::settings::Settings;
-use crate::view::Spot;
+use crate::replica::PlanSlot;
 use crate::wire::Kind;
 
 /// How many records of a transaction are not parts: the job and its team.
@@ -29,8 +29,8 @@
     hints: &Hints,
     settings: &Settings,
     care: Care,
-) -> Result<Vec<Place>, Wait> {
-    let view = hints.view;
+) -> Result<Vec<Place>, WaitReason> {
+    let replica = hints.replica;
     let request = Request {
         job,
         spec,
@@ -46,15 +46,15 @@
             let spot = &plan.spots[at];
             Place {
                 at,
-                machine: view.machine_names.name(spot.machine),
-                zone: view.classes[spot.class as usize].zone.clone(),
-                part: view.part_names.name(spot.part),
+                machine: replica.machine_names.name(spot.machine),
+                zone: replica.classes[spot.class as usize].zone.clone(),
+                part: replica.zone_shard_names.name(spot.part),
             }
         })
         .collect();
-    let slots = record_slots(job, &places, settings.value_bytes(), view.is_short());
+    let slots = record_slots(job, &places, settings.value_bytes(), replica.uses_compact_encoding());
     if slots == 0 || (spec.is_gang() && slots < places.len()) {
-        return Err(Wait::RecordFull);
+        return Err(WaitReason::RecordFull);
     }
     places.truncate(slots);
     Ok(places)
@@ -97,7 +97,7 @@
 impl Request<'_> {
     /// The machines that a job has failed on come last: for one that fails on all
     /// of them, when there is no other; for the rest, once it has waited for one.
-    fn find(&self) -> Result<Spots, Wait> {
+    fn find(&self) -> Result<Spots, WaitReason> {
         let job = self.job;
         let found = self.find_without(&job.failed_on);
         match found {
@@ -111,16 +111,16 @@
     /// Places that are not on these machines, in as many parts as one commit
     /// writes beside the job and its team.
     ///
-    /// What is guaranteed once short texts are written: a gang that fits into two
+    /// What is guaranteed once compact encodings are written: a gang that fits into two
     /// parts is admitted whole. A zone has one part for each controller that is at
     /// home in it, unless it has some hundreds of machines for each, so a required
     /// gang that fits its zone does where two are at home there at most. A
     /// preferred one that only more parts would hold waits as if there were no
     /// room, so that machines are rented for it. A service takes two parts if they
     /// hold all that waits of it; else it is admitted by parts, replica by replica.
-    fn find_without(&self, excluded: &[String]) -> Result<Spots, Wait> {
+    fn find_without(&self, excluded: &[String]) -> Result<Spots, WaitReason> {
         let found = self.find_within(None, excluded)?;
-        if self.spec.kind == Kind::Array || !self.hints.view.is_short() {
+        if self.spec.kind == Kind::Array || !self.hints.replica.uses_compact_encoding() {
             return Ok(found);
         }
         let txn_ops = self.settings.txn_ops();
@@ -129,14 +129,14 @@
         if tasks_by_part.len() <= max_parts {
             return Ok(found);
         }
-        let parts = self.parts_by_tasks(&tasks_by_part);
-        let pairs = (1..parts.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
+        let zone_shards = self.parts_by_tasks(&tasks_by_part);
+        let pairs = (1..zone_shards.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
         let narrow = pairs
-            .filter_map(|(a, b)| self.find_within(Some([parts[a], parts[b]]), excluded).ok())
+            .filter_map(|(a, b)| self.find_within(Some([zone_shards[a], zone_shards[b]]), excluded).ok())
             .find(|spots| spots.len() >= found.len());
         match narrow {
             Some(spots) => Ok(spots),
-            None if self.spec.is_gang() => Err(Wait::NoRoom),
+            None if self.spec.is_gang() => Err(WaitReason::NoRoom),
             None => Ok(found),
         }
     }
@@ -144,8 +144,8 @@
     /// How many of the places each part has.
     fn tasks_by_part(&self, spots: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
-        let parts = spots.iter().map(|at| self.plan.spots[*at].part);
-        for part in parts.filter(|part| *part != UNNAMED) {
+        let zone_shards = spots.iter().map(|at| self.plan.spots[*at].part);
+        for part in zone_shards.filter(|part| *part != UNASSIGNED) {
             *tasks.entry(part).or_default() += 1;
         }
         tasks
@@ -153,24 +153,24 @@
 
     /// All parts of the plan; those that hold most of the tasks come first.
     fn parts_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
-        let mut parts: Vec<u32> = self.plan.spots.iter().map(|spot| spot.part).collect();
-        parts.sort_unstable();
-        parts.dedup();
-        parts.retain(|part| *part != UNNAMED);
-        parts.sort_by_key(|part| Reverse(tasks.get(part).copied().unwrap_or(0)));
-        parts
+        let mut zone_shards: Vec<u32> = self.plan.spots.iter().map(|spot| spot.part).collect();
+        zone_shards.sort_unstable();
+        zone_shards.dedup();
+        zone_shards.retain(|part| *part != UNASSIGNED);
+        zone_shards.sort_by_key(|part| Reverse(tasks.get(part).copied().unwrap_or(0)));
+        zone_shards
     }
 
     /// Places in these parts, or in all: in one zone if the job wants that and a
     /// zone has room, else spread over the zones.
-    fn find_within(&self, parts: Option<[u32; 2]>, excluded: &[String]) -> Result<Spots, Wait> {
+    fn find_within(&self, zone_shards: Option<[u32; 2]>, excluded: &[String]) -> Result<Spots, WaitReason> {
         let spec = self.spec;
         let waiting = self.job.waiting();
         let limit = self.task_limit()?;
         let zone_caps = self.zone_caps();
         let candidates = Candidates::new(spec, self.hints, self.care)
             .without(excluded)
-            .within(parts);
+            .within(zone_shards);
         if spec.is_gang() || spec.one_zone {
             let best = best_zone(&candidates, self.plan, &zone_caps, limit);
             if let Some(spots) = best
@@ -180,33 +180,33 @@
             }
             if spec.one_zone {
                 return Err(match spec.is_gang() {
-                    true => Wait::NoZone,
-                    false => Wait::NoRoom,
+                    true => WaitReason::NoZone,
+                    false => WaitReason::NoRoom,
                 });
             }
         }
         let capped = zone_caps.iter().any(|cap| *cap < limit);
         let spots = candidates.fill(self.plan, &zone_caps, limit).spots;
         if spots.is_empty() || (spec.is_gang() && spots.len() < waiting) {
-            return Err(if capped { Wait::Spread } else { Wait::NoRoom });
+            return Err(if capped { WaitReason::Spread } else { WaitReason::NoRoom });
         }
         Ok(spots)
     }
 
     /// How many tasks wait that the team's limit lets run.
-    fn task_limit(&self) -> Result<usize, Wait> {
+    fn task_limit(&self) -> Result<usize, WaitReason> {
         let spec = self.spec;
         let waiting = self.job.waiting();
         if waiting == 0 {
-            return Err(Wait::OldAttempt);
+            return Err(WaitReason::OldAttempt);
         }
         let Some(terms) = self.settings.team(&spec.team) else {
-            return Err(Wait::TeamLimit);
+            return Err(WaitReason::TeamLimit);
         };
         let by_team = team_slots(terms, &self.plan.used(&spec.team), &spec.need);
         let limit = waiting.min(by_team);
         if limit == 0 || (spec.is_gang() && limit < waiting) {
-            return Err(Wait::TeamLimit);
+            return Err(WaitReason::TeamLimit);
         }
         Ok(limit)
     }
@@ -216,7 +216,7 @@
     fn zone_caps(&self) -> Vec<usize> {
         let spec = self.spec;
         let running = self.job.per_zone();
-        let zones = &self.hints.view.zone_names;
+        let zones = &self.hints.replica.zone_names;
         (0..zones.len() as u32)
             .map(|zone| {
                 let name = zones.name(zone);
@@ -256,9 +256,9 @@
 /// tasks yet are left to others: a reservation would not free them any sooner.
 pub fn hold_room(spec: &Spec, plan: &mut Plan, hints: &Hints) {
     let candidates = Candidates::new(spec, hints, Care::Strict);
-    let zones = hints.view.zone_names.len();
+    let zones = hints.replica.zone_names.len();
     let mut slots = vec![0; zones];
-    let allowed = |spot: &&Spot| candidates.class(spot).allowed;
+    let allowed = |spot: &&PlanSlot| candidates.class(spot).allowed;
     for spot in plan.spots.iter().filter(allowed) {
         slots[candidates.class(spot).zone] += spot.free.slots(&spec.need);
     }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,27 +1,27 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
-use crate::model::{Amount, Job, Room, Spec};
+use crate::model::{Amount, Job, Resources, Spec};
 use crate::pipeline::Standing;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamTerms};
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Kind, Priority};
 
 /// Whether an objective names the job's class.
-pub fn is_aimed(spec: &Spec, settings: &Settings) -> bool {
+pub fn has_objective(spec: &Spec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
 }
 
 /// Whether a job only fills what stands idle: low work without a deadline or an
 /// objective, which saves when it is stopped.
-pub fn is_filler(spec: &Spec, settings: &Settings) -> bool {
+pub fn is_opportunistic(spec: &Spec, settings: &Settings) -> bool {
     spec.kind == Kind::Array
         && spec.priority == Priority::Low
         && spec.deadline_s.is_none()
         && spec.checkpoint_s > 0.0
-        && !is_aimed(spec, settings)
+        && !has_objective(spec, settings)
 }
 
 /// Whether a job, started now, is too late for every objective of its class and
@@ -59,7 +59,7 @@
     spec: &Spec,
     plan: &Plan,
     settings: &Settings,
-    view: &View,
+    replica: &Replica,
     age: f64,
     standing: &Standing,
 ) -> JobFacts {
@@ -80,8 +80,8 @@
             Kind::Service => 2.0,
         },
         has_deadline: standing.left_s.is_some(),
-        boot_s: view.least_boot_s(),
-        aimed: is_aimed(spec, settings),
+        boot_s: replica.least_boot_s(),
+        aimed: has_objective(spec, settings),
     }
 }
 
@@ -95,7 +95,7 @@
 
 /// How a job's team stands to its guarantee in what the job mainly needs. A team
 /// without a guarantee counts as if it had one unit.
-fn team_standing(spec: &Spec, used: &Room, terms: Option<&TeamTerms>) -> TeamStanding {
+fn team_standing(spec: &Spec, used: &Resources, terms: Option<&TeamTerms>) -> TeamStanding {
     let Some(terms) = terms else {
         return TeamStanding {
             borrows: true,
@@ -132,7 +132,7 @@
 }
 
 /// Whether `tasks` more of this job stay within the team's guarantee.
-pub fn within_guarantee(terms: &TeamTerms, used: &Room, spec: &Spec, tasks: usize) -> bool {
+pub fn within_guarantee(terms: &TeamTerms, used: &Resources, spec: &Spec, tasks: usize) -> bool {
     let with = *used + spec.need.times(tasks);
     let guarantee = terms.guarantee();
     let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
