--- a/src/scheduler/machine_groups.rs
+++ b/src/scheduler/machine_groups.rs
@@ -4,29 +4,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
-use crate::model::{Group, Machine, machine_bytes, slot_bytes};
+use crate::model::{MachineShard, Machine, machine_entry_bytes, slot_entry_bytes};
 use crate::node::guard;
 use crate::settings::Settings;
 use crate::text;
-use crate::view::{View, group_key, part_id};
+use crate::replica::{Replica, machine_shard_key, shard_id};
 use crate::wire::{Guard, Write};
 
 /// About what a machine takes in a group's record.
 const MEMBER_BYTES: usize = 125;
 
 /// Groups of machines as one transaction will leave them.
-pub struct Groups<'a> {
-    view: &'a View,
-    edited: BTreeMap<String, Group>,
+pub struct MachineShardEdits<'a> {
+    replica: &'a Replica,
+    edited: BTreeMap<String, MachineShard>,
     /// Groups that must be as they are, too.
     guarded: BTreeSet<String>,
 }
 
-impl<'a> Groups<'a> {
+impl<'a> MachineShardEdits<'a> {
     /// No group is changed yet.
-    pub fn new(view: &'a View) -> Self {
-        Groups {
-            view,
+    pub fn new(replica: &'a Replica) -> Self {
+        MachineShardEdits {
+            replica,
             edited: BTreeMap::new(),
             guarded: BTreeSet::new(),
         }
@@ -46,7 +46,7 @@
     pub fn is_full(&self, ops: usize) -> bool {
         let guards = self.edited.len() + self.guarded.len();
         // The next may bring a whole group with it.
-        let sizes = self.view.groups.values().map(|g| g.value.machines.len());
+        let sizes = self.replica.machine_shards.values().map(|g| g.value.machines.len());
         let largest = sizes.max().unwrap_or(0).max(1);
         let bytes = self.bytes() + (largest + guards) * self.member_bytes();
         // One that is to be split is written as two.
@@ -63,27 +63,27 @@
 
     /// About what a machine takes in the text that its group will have.
     fn member_bytes(&self) -> usize {
-        match self.view.is_short() {
+        match self.replica.uses_compact_encoding() {
             true => text::MEMBER,
             false => MEMBER_BYTES,
         }
     }
 
-    /// Whether a group is too long for a record even in the short text. One
+    /// Whether a group is too long for a record even in the compact encoding. One
     /// whose part could still be changed by what was decided before these were
     /// written stays whole: its machines' slots must not be looked for elsewhere.
-    fn splits(&self, id: &str, group: &Group) -> bool {
-        let Some(limit) = self.view.shrink_to.filter(|_| self.view.is_short()) else {
+    fn splits(&self, id: &str, group: &MachineShard) -> bool {
+        let Some(limit) = self.replica.compact_limit.filter(|_| self.replica.uses_compact_encoding()) else {
             return false;
         };
         // The upper bound is quickly told.
         let upper_bound = |(name, machine): (&String, &Machine)| {
-            name.len() * 2 + machine_bytes("", &machine.kind, machine.holder.len())
+            name.len() * 2 + machine_entry_bytes("", &machine.kind, machine.holder.len())
         };
         group.machines.len() > 1
             && group.machines.iter().map(upper_bound).sum::<usize>() > limit
-            && self.view.is_short_part(id)
-            && text::short_group(group).is_some_and(|text| text.len() > limit)
+            && self.replica.is_compact_zone_shard(id)
+            && text::encode_machine_shard(group).is_some_and(|text| text.len() > limit)
     }
 
     /// Takes the last machines out of groups that are too long, into new ones
@@ -108,7 +108,7 @@
 
     /// The first id of a home's groups that is not taken.
     fn free_id(&self, home: &str) -> Option<String> {
-        let taken = |id: &String| self.view.groups.contains_key(id) || self.edited.contains_key(id);
+        let taken = |id: &String| self.replica.machine_shards.contains_key(id) || self.edited.contains_key(id);
         (0..)
             .map(|number| format!("{home}.{number}"))
             .find(|id| !taken(id))
@@ -121,9 +121,9 @@
 
     /// A group's machines, to be changed.
     pub fn edit(&mut self, id: &str) -> &mut BTreeMap<String, Machine> {
-        let view = self.view;
+        let replica = self.replica;
         let group = self.edited.entry(id.to_string()).or_insert_with(|| {
-            let known = view.groups.get(id).map(|e| e.value.clone());
+            let known = replica.machine_shards.get(id).map(|e| e.value.clone());
             known.unwrap_or_default()
         });
         &mut group.machines
@@ -131,7 +131,7 @@
 
     /// Puts a machine where its zone and part say.
     pub fn put(&mut self, name: &str, machine: Machine) {
-        let id = part_id(&machine.zone, &machine.part);
+        let id = shard_id(&machine.zone, &machine.part);
         self.edit(&id).insert(name.to_string(), machine);
     }
 
@@ -140,19 +140,19 @@
     /// for it. The home follows from the settings alone, and all of its parts
     /// are guarded: two controllers that take a machine up at once cannot put
     /// it into two.
-    pub fn new_part(&mut self, settings: &Settings, name: &str, kind: &str, zone: &str) -> String {
+    pub fn new_shard(&mut self, settings: &Settings, name: &str, kind: &str, zone: &str) -> String {
         let home = settings.home(name, zone);
         let sizes = MemberSizes {
-            short: self.view.is_short(),
+            short: self.replica.uses_compact_encoding(),
             longest_name: settings.longest_name(),
         };
         let mut found = None;
         let mut number = 0;
         loop {
             let part = format!("{home}.{number}");
-            let id = part_id(zone, &part);
+            let id = shard_id(zone, &part);
             let limit = part_limit(settings, sizes.short, number);
-            let known = self.view.groups.get(&id).map(|e| &e.value);
+            let known = self.replica.machine_shards.get(&id).map(|e| &e.value);
             let group = self.edited.get(&id).or(known);
             let used = group.map_or(0, |group| sizes.group(group));
             let added = sizes.member(name, kind);
@@ -175,20 +175,20 @@
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
         let guards = all
             .into_iter()
-            .map(|id| guard(group_key(id), self.view.group_version(id)))
+            .map(|id| guard(machine_shard_key(id), self.replica.machine_shard_version(id)))
             .collect();
         // An empty group stays: its parts are numbered without gaps.
         let writes = self
             .edited
             .iter()
-            .map(|(id, group)| self.view.put_group(id, group))
+            .map(|(id, group)| self.replica.put_machine_shard(id, group))
             .collect();
         (guards, writes)
     }
 }
 
 /// How long the records of a home's part of this number may become. Each part is a
-/// condition for the next: behind a few, those that wait for the short text are as
+/// condition for the next: behind a few, those that wait for the compact encoding are as
 /// long as records may be until then.
 fn part_limit(settings: &Settings, short: bool, number: usize) -> usize {
     let limit = match short || number < settings.txn_ops() {
@@ -200,24 +200,24 @@
 
 /// Estimates of what machines take in the records of their part.
 struct MemberSizes {
-    /// The records are written as short texts.
+    /// The records are written as compact encodings.
     short: bool,
     /// The length of the longest name of a controller.
     longest_name: usize,
 }
 
 impl MemberSizes {
-    /// What a machine of this name and kind takes. In the short text the machines'
+    /// What a machine of this name and kind takes. In the compact encoding the machines'
     /// slots stand in few parts by themselves, so that the group alone counts.
     fn member(&self, name: &str, kind: &str) -> usize {
         match self.short {
             true => text::member_bytes(name, kind, self.longest_name),
-            false => slot_bytes(name, kind).max(machine_bytes(name, kind, self.longest_name)),
+            false => slot_entry_bytes(name, kind).max(machine_entry_bytes(name, kind, self.longest_name)),
         }
     }
 
     /// What all machines of a group take.
-    fn group(&self, group: &Group) -> usize {
+    fn group(&self, group: &MachineShard) -> usize {
         if self.short {
             return text::group_bytes(&group.machines, self.longest_name);
         }
@@ -229,10 +229,10 @@
 }
 
 /// Takes the second half of a group's machines out of it, for a group of this id.
-fn second_half(group: &mut Group, id: &str) -> Group {
+fn second_half(group: &mut MachineShard, id: &str) -> MachineShard {
     let (zone, part) = id.split_once('/').unwrap_or((id, ""));
     let names: Vec<String> = group.machines.keys().cloned().collect();
-    let mut half = Group::default();
+    let mut half = MachineShard::default();
     for name in &names[names.len() / 2..] {
         if let Some(mut machine) = group.machines.remove(name) {
             machine.zone = zone.to_string();
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -11,7 +11,7 @@
 use crate::model::Job;
 use crate::node::Node;
 use crate::settings::Settings;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// Rendezvous hashing: every controller finds the same preferred one among
 /// those alive, and only the jobs of a lost one move.
@@ -47,19 +47,19 @@
 pub(super) fn jobs_to_place(
     node: &Node,
     state: &mut RoundState,
-    view: &View,
+    replica: &Replica,
     now: Instant,
 ) -> Vec<String> {
     let report_interval = node.settings.report();
     let takeover_delay = report_interval * 2;
     let peers = node.peers.borrow();
     let alive: Vec<&str> = peers.alive(node, now);
-    state.forget_closed_jobs(view);
+    state.forget_closed_jobs(replica);
     let mut ages = node.ages.borrow_mut();
-    ages.retain(|id, _| view.jobs.get(id).is_some_and(|e| e.value.is_open()));
+    ages.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
     let mut own = Vec::new();
-    for (_, id) in &view.open {
-        let Some(entry) = view.jobs.get(id) else {
+    for (_, id) in &replica.open {
+        let Some(entry) = replica.jobs.get(id) else {
             continue;
         };
         let job = &entry.value;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -5,32 +5,32 @@
 
 use foldhash::HashMap;
 
-use crate::model::{Amount, Room};
+use crate::model::{Amount, Resources};
 use crate::settings::TeamTerms;
-use crate::view::{Spot, View};
+use crate::replica::{PlanSlot, Replica};
 
 /// Stands for a machine that has no name yet, as it is not rented yet.
-pub const UNNAMED: u32 = u32::MAX;
+pub const UNASSIGNED: u32 = u32::MAX;
 
-/// Free room as a round plans with it: what the view's bookings leave, less
+/// Free room as a round plans with it: what the replica's bookings leave, less
 /// what the round has given out already. Copied often, so it holds no text.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// The machines that take work, with what is free on them.
-    pub spots: Vec<Spot>,
+    pub spots: Vec<PlanSlot>,
     /// The index of a machine in `spots`, by the machine's number.
     index: Vec<u32>,
     /// What each team uses.
-    pub teams: HashMap<String, Room>,
+    pub teams: HashMap<String, Resources>,
 }
 
 impl Plan {
-    /// The plan that a round on this view starts from.
-    pub fn of(view: &View) -> Self {
+    /// The plan that a round on this replica starts from.
+    pub fn of(replica: &Replica) -> Self {
         let mut plan = Plan {
-            spots: view.spots().map(|s| view.with_room(s)).collect(),
-            index: vec![UNNAMED; view.machine_names.len()],
-            teams: view.teams_used().clone(),
+            spots: replica.spots().map(|s| replica.with_room(s)).collect(),
+            index: vec![UNASSIGNED; replica.machine_names.len()],
+            teams: replica.teams_used().clone(),
         };
         for (at, spot) in plan.spots.iter().enumerate() {
             plan.index[spot.machine as usize] = at as u32;
@@ -39,29 +39,29 @@
     }
 
     /// What a team uses.
-    pub fn used(&self, team: &str) -> Room {
+    pub fn used(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// The index of a machine among the spots, if it takes work.
-    pub fn find(&self, view: &View, machine: &str) -> Option<usize> {
-        let number = view.machine_names.find(machine)?;
+    pub fn find(&self, replica: &Replica, machine: &str) -> Option<usize> {
+        let number = replica.machine_names.find(machine)?;
         let at = *self.index.get(number as usize)?;
-        (at != UNNAMED).then_some(at as usize)
+        (at != UNASSIGNED).then_some(at as usize)
     }
 
     /// Adds a machine that is not there yet.
-    pub fn add(&mut self, class: u32, free: Room) {
-        self.spots.push(Spot {
-            machine: UNNAMED,
-            part: UNNAMED,
+    pub fn add(&mut self, class: u32, free: Resources) {
+        self.spots.push(PlanSlot {
+            machine: UNASSIGNED,
+            part: UNASSIGNED,
             class,
             free,
         });
     }
 
     /// Takes one task's resources at this place.
-    pub fn take(&mut self, place: &Place, team: &str, need: Room) {
+    pub fn take(&mut self, place: &Place, team: &str, need: Resources) {
         self.spots[place.at].free -= need;
         match self.teams.get_mut(team) {
             Some(used) => *used += need,
@@ -72,20 +72,20 @@
     }
 
     /// Gives back resources that are, or will be, free again.
-    pub fn give(&mut self, view: &View, machine: &str, team: &str, room: Room) {
-        match self.find(view, machine) {
+    pub fn give(&mut self, replica: &Replica, machine: &str, team: &str, room: Resources) {
+        match self.find(replica, machine) {
             Some(at) => self.free(at, team, room),
             None => self.give_team(team, room),
         }
     }
 
     /// The same where the machine's index among the spots is known.
-    pub fn free(&mut self, at: usize, team: &str, room: Room) {
+    pub fn free(&mut self, at: usize, team: &str, room: Resources) {
         self.spots[at].free += room;
         self.give_team(team, room);
     }
 
-    fn give_team(&mut self, team: &str, room: Room) {
+    fn give_team(&mut self, team: &str, room: Resources) {
         if let Some(used) = self.teams.get_mut(team) {
             *used -= room;
         }
@@ -106,7 +106,7 @@
 }
 
 /// How many more tasks the team's limit lets run.
-pub fn team_slots(terms: &TeamTerms, used: &Room, need: &Room) -> usize {
+pub fn team_slots(terms: &TeamTerms, used: &Resources, need: &Resources) -> usize {
     let (cpus, gpus) = terms.limit();
     let slots = |cap: Option<Amount>, used: i64, need: i64| match cap {
         Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -10,11 +10,11 @@
 use super::plan::Plan;
 use super::round_search::{RoundSearch, VICTIM_SEARCHES};
 use super::round_state::RoundState;
-use super::transaction::Draft;
+use super::transaction::Transaction;
 use super::victims::{Victim, VictimSearch, places_wanted};
 use crate::model::{Job, Spec};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// How long a preemption is given to show its effect before the same job may
 /// preempt again, as a multiple of a gang's wait for its peers.
@@ -23,9 +23,9 @@
 /// The preemptions of one round.
 pub(super) struct Preemption<'a, 'v> {
     node: &'a Node,
-    view: &'v View,
+    replica: &'v Replica,
     state: &'a mut RoundState,
-    draft: &'a mut Draft<'v>,
+    transaction: &'a mut Transaction<'v>,
     search: &'a mut RoundSearch,
     hints: Hints<'a>,
     /// The plan as it will be: resources that are being cleared count as free,
@@ -46,21 +46,21 @@
     /// Prepares the preemptions of a round that ends with this plan.
     pub(super) fn new(
         node: &'a Node,
-        view: &'v View,
+        replica: &'v Replica,
         state: &'a mut RoundState,
-        draft: &'a mut Draft<'v>,
+        transaction: &'a mut Transaction<'v>,
         search: &'a mut RoundSearch,
         plan: &Plan,
         now: Instant,
     ) -> Preemption<'a, 'v> {
-        let expected = search.expected(view, plan).clone();
+        let expected = search.expected(replica, plan).clone();
         Preemption {
             node,
-            view,
+            replica,
             state,
-            draft,
+            transaction,
             search,
-            hints: Hints::new(view, node.name()),
+            hints: Hints::new(replica, node.name()),
             expected,
             changed: BTreeMap::new(),
             now,
@@ -73,7 +73,7 @@
             if self.search.victim_searches >= VICTIM_SEARCHES * 2 {
                 return;
             }
-            let Some(job) = self.view.jobs.get(id).map(|e| &e.value) else {
+            let Some(job) = self.replica.jobs.get(id).map(|e| &e.value) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
@@ -85,14 +85,14 @@
                 continue;
             };
             let touched = found.victims.iter().map(|v| v.job.as_str());
-            if !self.draft.fits_jobs(touched.chain([id.as_str()])) {
+            if !self.transaction.fits_jobs(touched.chain([id.as_str()])) {
                 return;
             }
             self.state.preempted_for.insert(id.clone(), self.now);
             for victim in &found.victims {
                 self.stop(victim, id);
             }
-            self.draft.change(id, |job| job.cleared = true);
+            self.transaction.change(id, |job| job.cleared = true);
             self.take_places(job, spec, found.care);
         }
     }
@@ -127,7 +127,7 @@
         missing: usize,
     ) -> Option<Found> {
         self.search.victim_searches += 1;
-        let running = self.search.running(self.node.name(), self.view, plan);
+        let running = self.search.running(self.node.name(), self.replica, plan);
         let search = VictimSearch {
             settings: &self.node.settings,
             hints: &self.hints,
@@ -151,17 +151,17 @@
             for_job,
             "preempted"
         );
-        let (view, expected) = (self.view, &mut self.expected);
+        let (replica, expected) = (self.replica, &mut self.expected);
         let value_bytes = self.node.settings.value_bytes();
-        self.draft.change(&victim.job, |stopped| {
+        self.transaction.change(&victim.job, |stopped| {
             if let Some(spec) = &stopped.spec {
                 let resources = spec.need.times(victim.tasks);
-                expected.give(view, &victim.machine, &spec.team, resources);
+                expected.give(replica, &victim.machine, &spec.team, resources);
             }
-            let fits = |job: &Job| view.fits_job(job, value_bytes);
+            let fits = |job: &Job| replica.fits_job(job, value_bytes);
             stopped.stop_tasks(&victim.machine, victim.tasks, fits);
         });
-        if let Some(stopped) = self.draft.job(&victim.job) {
+        if let Some(stopped) = self.transaction.job(&victim.job) {
             self.changed.insert(victim.job.clone(), stopped.clone());
         }
     }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -10,7 +10,7 @@
 use super::plan::Plan;
 use crate::model::{Job, Spec};
 use crate::settings::Settings;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// Whether a job has waited so long that it goes first: a bound on waiting
 /// that no order by size, team or lateness can push back. Only for what has
@@ -33,7 +33,7 @@
     /// The policy's keys.
     pub keys: Vec<f64>,
     /// The revision that the job was accepted at.
-    pub born: u64,
+    pub accepted_revision: u64,
 }
 
 /// How long each open job has been known here; a hint for the queue's order.
@@ -41,21 +41,21 @@
 
 /// All jobs with waiting tasks, the first to be placed first.
 pub fn queue<'a>(
-    view: &'a View,
+    replica: &'a Replica,
     plan: &Plan,
     settings: &Settings,
     ages: &Ages,
     now: Instant,
 ) -> Vec<&'a str> {
-    let mut queue: Vec<(Rank, &str)> = view
+    let mut queue: Vec<(Rank, &str)> = replica
         .open
         .iter()
-        .filter_map(|(born, id)| {
-            let job = &view.jobs.get(id)?.value;
+        .filter_map(|(accepted_revision, id)| {
+            let job = &replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
             let age = age_s(ages, id, now);
-            let standing = view.standing(id, spec, now);
-            let facts = facts(job, spec, plan, settings, view, age, &standing);
+            let standing = replica.standing(id, spec, now);
+            let facts = facts(job, spec, plan, settings, replica, age, &standing);
             let starves = starves(job, spec, settings, age);
             let rank = Rank {
                 doubtful: job.is_doubtful(),
@@ -65,7 +65,7 @@
                     true => Vec::new(),
                     false => settings.policy.queue_order(&facts),
                 },
-                born: *born,
+                accepted_revision: *accepted_revision,
             };
             Some((rank, id.as_str()))
         })
--- a/src/scheduler/reasons.rs
+++ b/src/scheduler/reasons.rs
@@ -8,7 +8,7 @@
 /// Why a job has to wait, as the decision found it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wait {
+pub enum WaitReason {
     /// No zone has room for the whole gang, or no machine for a task.
     NoRoom,
     /// No single zone holds a gang that must stay in one.
@@ -35,19 +35,19 @@
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Reason {
     /// Why it waits.
-    pub why: Wait,
+    pub why: WaitReason,
     /// Since when it has waited for that reason.
     #[serde(skip)]
     pub since: Instant,
 }
 
 /// Notes why a job waits. What the cloud says of its machines is kept.
-pub fn note(node: &Node, id: &str, why: Wait, now: Instant) {
+pub fn note(node: &Node, id: &str, why: WaitReason, now: Instant) {
     let mut reasons = node.reasons.borrow_mut();
     match reasons.get_mut(id) {
         Some(known) if known.why == why => {}
         // The controller that rents knows better why there is no room.
-        Some(known) if known.why == Wait::Refused && why == Wait::NoRoom => {}
+        Some(known) if known.why == WaitReason::Refused && why == WaitReason::NoRoom => {}
         _ => {
             tracing::debug!(job = id, ?why, "waits");
             reasons.insert(id.to_string(), Reason { why, since: now });
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -89,7 +89,7 @@
     SHORT_COUNTER_BYTES + spec + failed_on_bytes(longest_name)
 }
 
-/// The same for the short text: exact in what the runs and tasks can come to
+/// The same for the compact encoding: exact in what the runs and tasks can come to
 /// take, with the mark of a stop. A run that is split for a stop makes two; who
 /// stops has it stop as a whole where there is no room for that.
 fn short_record_slots(job: &Job, places: &[Place], value_bytes: usize) -> usize {
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -1,5 +1,5 @@
 //! One placement round: a transaction of recorded ends, bookings and
-//! preemptions, decided on one revision of the view.
+//! preemptions, decided on one revision of the replica.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 use super::plan::{Place, Plan};
 use super::preemption::{Preemption, forget_old_attempts};
 use super::queue::{age_s, queue, starves};
-use super::reasons::{Wait, note};
+use super::reasons::{WaitReason, note};
 use super::round_search::RoundSearch;
 use super::round_state::RoundState;
-use super::transaction::Draft;
-use crate::machines::EndKey;
-use crate::model::{Job, Room, Spec};
+use super::transaction::Transaction;
+use crate::machines::AttemptKey;
+use crate::model::{Job, Resources, Spec};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
 
 /// What one round has decided, as the transaction that records it.
@@ -26,7 +26,7 @@
     /// How many jobs it admits.
     pub(super) jobs: usize,
     /// The ends that it records.
-    pub(super) ends: Vec<EndKey>,
+    pub(super) ends: Vec<AttemptKey>,
     pub(super) guards: Vec<Guard>,
     pub(super) writes: Vec<Write>,
 }
@@ -35,15 +35,15 @@
 /// it can hold, in queue order. `None` when there is nothing to write.
 pub(super) fn decide(node: &Node, state: &mut RoundState) -> Option<Batch> {
     let now = Instant::now();
-    let view = node.view.borrow();
-    let own = jobs_to_place(node, state, &view, now);
+    let replica = node.replica.borrow();
+    let own = jobs_to_place(node, state, &replica, now);
     if own.is_empty() && !is_queue_due(node, state, now) && node.ends.borrow().is_empty() {
         return None;
     }
     state.queue_examined = Some(now);
     state.expire_exclusions(now);
     let alive = controllers_alive(node, now);
-    let mut round = Round::new(node, &view, state, &own, &alive, now);
+    let mut round = Round::new(node, &replica, state, &own, &alive, now);
     // Ends go first, as they free resources; but where gangs or services had
     // their places and the last commit no room for them, they go before the ends.
     let ends_first = !round.state.gangs_deferred;
@@ -55,7 +55,7 @@
     round.place_queue();
     let admitted = round.book_placements(ends_first);
     if !ends_first {
-        ends = round.record_ends(round.draft.most);
+        ends = round.record_ends(round.transaction.most);
     }
     if admitted == 0 {
         round.preempt();
@@ -79,14 +79,14 @@
 }
 
 /// The free resources that a round starts from.
-fn starting_plan(node: &Node, view: &View) -> Plan {
-    let mut plan = Plan::of(view);
+fn starting_plan(node: &Node, replica: &Replica) -> Plan {
+    let mut plan = Plan::of(replica);
     // A machine that receives no orders may stand in its part's record for a
     // while: what is placed there ends at once, and would be placed there again.
-    let hands = node.hands.borrow();
-    for (machine, _) in hands.iter().filter(|(_, h)| h.deaf_since.is_some()) {
-        if let Some(at) = plan.find(view, machine) {
-            plan.spots[at].free = Room::default();
+    let worker_sessions = node.worker_sessions.borrow();
+    for (machine, _) in worker_sessions.iter().filter(|(_, h)| h.unreachable_since.is_some()) {
+        if let Some(at) = plan.find(replica, machine) {
+            plan.spots[at].free = Resources::default();
         }
     }
     plan
@@ -104,13 +104,13 @@
     /// The job's tasks take these places.
     Place(Spec, Vec<Place>),
     /// The job waits.
-    Wait(Waiting),
+    WaitReason(Waiting),
 }
 
 /// How a job waits for the rest of the round.
 struct Waiting {
     spec: Spec,
-    why: Wait,
+    why: WaitReason,
     /// It has waited beyond the bound: resources are reserved for it.
     starving: bool,
     /// Other work may be preempted for it.
@@ -120,7 +120,7 @@
 /// One round in the making.
 struct Round<'a> {
     node: &'a Node,
-    view: &'a View,
+    replica: &'a Replica,
     state: &'a mut RoundState,
     now: Instant,
     /// The jobs that this controller places.
@@ -128,7 +128,7 @@
     /// The controllers that are up.
     alive: &'a [String],
     plan: Plan,
-    draft: Draft<'a>,
+    transaction: Transaction<'a>,
     search: RoundSearch,
     /// Parts that the transaction writes anyway.
     touched_parts: BTreeSet<String>,
@@ -140,7 +140,7 @@
 impl<'a> Round<'a> {
     fn new(
         node: &'a Node,
-        view: &'a View,
+        replica: &'a Replica,
         state: &'a mut RoundState,
         own: &'a [String],
         alive: &'a [String],
@@ -149,13 +149,13 @@
         let records = state.commit_size(node.settings.txn_ops());
         Round {
             node,
-            view,
+            replica,
             state,
             now,
             own: own.iter().map(String::as_str).collect(),
             alive,
-            plan: starting_plan(node, view),
-            draft: Draft::new(view, records),
+            plan: starting_plan(node, replica),
+            transaction: Transaction::new(replica, records),
             search: RoundSearch::default(),
             touched_parts: BTreeSet::new(),
             placements: Vec::new(),
@@ -167,17 +167,17 @@
     /// some are left for what is to be placed.
     fn limit_for_array_ends(&self) -> usize {
         match self.own.is_empty() {
-            true => self.draft.most,
-            false => self.draft.most * 5 / 8,
+            true => self.transaction.most,
+            false => self.transaction.most * 5 / 8,
         }
     }
 
-    fn record_ends(&mut self, limit_for_arrays: usize) -> Vec<EndKey> {
+    fn record_ends(&mut self, limit_for_arrays: usize) -> Vec<AttemptKey> {
         record_ends(
             self.node,
-            self.view,
+            self.replica,
             self.state,
-            &mut self.draft,
+            &mut self.transaction,
             &mut self.plan,
             limit_for_arrays,
         )
@@ -186,7 +186,7 @@
     /// Drops the reasons of jobs that wait no longer.
     fn forget_settled_reasons(&self) {
         let mut reasons = self.node.reasons.borrow_mut();
-        let jobs = &self.view.jobs;
+        let jobs = &self.replica.jobs;
         reasons.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
     }
 
@@ -194,17 +194,17 @@
     /// queue, whoever places them: a job that another controller places first
     /// keeps its resources in this plan, too.
     fn place_queue(&mut self) {
-        self.touched_parts = self.draft.parts();
+        self.touched_parts = self.transaction.zone_shards();
         let settings = &self.node.settings;
         let queue = {
             let ages = self.node.ages.borrow();
-            queue(self.view, &self.plan, settings, &ages, self.now)
+            queue(self.replica, &self.plan, settings, &ages, self.now)
         };
         for id in queue {
             let own = self.own.contains(id);
             match self.decide_job(id, own) {
                 Some(Decision::Place(spec, places)) => self.reserve(id, spec, places, own),
-                Some(Decision::Wait(waiting)) => self.leave_waiting(id, &waiting),
+                Some(Decision::WaitReason(waiting)) => self.leave_waiting(id, &waiting),
                 None => {}
             }
         }
@@ -213,9 +213,9 @@
     /// Decides whether a job is placed or waits; `None` if it is not considered
     /// in this round.
     fn decide_job(&mut self, id: &str, own: bool) -> Option<Decision> {
-        let job = self.draft.job(id).filter(|job| job.waiting() > 0)?;
+        let job = self.transaction.job(id).filter(|job| job.waiting() > 0)?;
         // A job that failed in this very transaction waits for the next.
-        let errors_before = self.view.jobs.get(id).map_or(0, |e| e.value.errors);
+        let errors_before = self.replica.jobs.get(id).map_or(0, |e| e.value.errors);
         if job.errors > errors_before
             || self
                 .state
@@ -240,15 +240,15 @@
                 Decision::Place(spec, places)
             }
             // It preempts nobody and has nothing reserved for it.
-            Err(_) if job.is_doubtful() => Decision::Wait(Waiting {
+            Err(_) if job.is_doubtful() => Decision::WaitReason(Waiting {
                 spec,
-                why: Wait::Fails,
+                why: WaitReason::Fails,
                 starving: false,
                 blocked: false,
             }),
             Err(why) => {
-                let no_room = matches!(why, Wait::NoRoom | Wait::NoZone | Wait::Spread);
-                Decision::Wait(Waiting {
+                let no_room = matches!(why, WaitReason::NoRoom | WaitReason::NoZone | WaitReason::Spread);
+                Decision::WaitReason(Waiting {
                     starving: no_room && self.is_starving(id, job, &spec),
                     blocked: own && no_room,
                     spec,
@@ -268,7 +268,7 @@
                 placer(&self.node.settings, id, &spec.team, alive).unwrap_or("")
             }
         };
-        let mut hints = Hints::new(self.view, home);
+        let mut hints = Hints::new(self.replica, home);
         if own {
             hints.touched = self.touched_parts.clone();
         }
@@ -287,8 +287,8 @@
             self.plan.take(place, &spec.team, spec.need);
         }
         if own {
-            let parts = places.iter().map(|place| place.part.to_string());
-            self.touched_parts.extend(parts);
+            let zone_shards = places.iter().map(|place| place.part.to_string());
+            self.touched_parts.extend(zone_shards);
             self.placements.push(Placement { id, spec, places });
         }
     }
@@ -298,7 +298,7 @@
         note(self.node, id, waiting.why, self.now);
         if waiting.starving {
             self.search
-                .reserve_for_first_gang(self.view, &mut self.plan, &waiting.spec);
+                .reserve_for_first_gang(self.replica, &mut self.plan, &waiting.spec);
         }
         if waiting.blocked {
             self.blocked.push(id.to_string());
@@ -313,17 +313,17 @@
     fn book_placements(&mut self, ends_first: bool) -> usize {
         let mut placements = std::mem::take(&mut self.placements);
         placements.sort_by_key(|p| {
-            p.spec.kind == Kind::Array && p.spec.awaits.is_empty() && !self.view.is_needed(p.id)
+            p.spec.kind == Kind::Array && p.spec.awaits.is_empty() && !self.replica.is_needed(p.id)
         });
         self.state.gangs_deferred = false;
         let mut admitted = 0;
         for placement in &placements {
             let Placement { id, spec, places } = placement;
-            let booked = self.draft.book(id, spec, places);
+            let booked = self.transaction.book(id, spec, places);
             if booked < places.len() {
                 // The rest go into the next commit, every other time before ends.
                 self.state.gangs_deferred |= ends_first && spec.kind != Kind::Array;
-                note(self.node, id, Wait::Queue, self.now);
+                note(self.node, id, WaitReason::Queue, self.now);
             }
             if booked > 0 {
                 admitted += 1;
@@ -342,15 +342,15 @@
             class = spec.class,
             tasks = booked,
             machine = &*places[0].machine,
-            kind = self.view.classes[class as usize].kind,
+            kind = self.replica.classes[class as usize].kind,
             "places"
         );
-        let job = self.draft.job(id);
+        let job = self.transaction.job(id);
         if job.is_none_or(|job| job.waiting() == 0) {
             self.node.reasons.borrow_mut().remove(*id);
         } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
             self.blocked.push((*id).to_string());
-            note(self.node, id, Wait::NoRoom, self.now);
+            note(self.node, id, WaitReason::NoRoom, self.now);
         }
     }
 
@@ -362,9 +362,9 @@
         }
         let mut preemption = Preemption::new(
             self.node,
-            self.view,
+            self.replica,
             self.state,
-            &mut self.draft,
+            &mut self.transaction,
             &mut self.search,
             &self.plan,
             self.now,
@@ -372,11 +372,11 @@
         preemption.run(&self.plan, &self.blocked);
     }
 
-    fn into_batch(self, admitted: usize, ends: Vec<EndKey>) -> Option<Batch> {
-        if self.draft.is_empty() {
+    fn into_batch(self, admitted: usize, ends: Vec<AttemptKey>) -> Option<Batch> {
+        if self.transaction.is_empty() {
             return None;
         }
-        let (guards, writes) = self.draft.into_commit();
+        let (guards, writes) = self.transaction.into_commit();
         Some(Batch {
             jobs: admitted,
             ends,
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -10,11 +10,11 @@
 use super::candidates::{Care, Hints};
 use super::fit::{count, fit, hold_room};
 use super::plan::{Place, Plan};
-use super::reasons::Wait;
+use super::reasons::WaitReason;
 use super::victims::{RunningJob, VictimSearch, places_wanted, running_jobs};
 use crate::model::{Job, Spec};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::Kind;
 
 /// How many searches for victims one round makes while it places jobs, and as
@@ -26,7 +26,7 @@
 struct NoFit {
     /// The fewest tasks that found none.
     tasks: usize,
-    why: Wait,
+    why: WaitReason,
 }
 
 /// What one round has found out already.
@@ -58,17 +58,17 @@
 
 impl RoundSearch {
     /// All jobs that run, worked out once a round.
-    pub(super) fn running(&mut self, node: &str, view: &View, plan: &Plan) -> Rc<Vec<RunningJob>> {
+    pub(super) fn running(&mut self, node: &str, replica: &Replica, plan: &Plan) -> Rc<Vec<RunningJob>> {
         let running = self
             .running
-            .get_or_insert_with(|| Rc::new(running_jobs(node, view, plan)));
+            .get_or_insert_with(|| Rc::new(running_jobs(node, replica, plan)));
         running.clone()
     }
 
     /// The plan with the resources that are being cleared counted as free.
-    pub(super) fn expected(&mut self, view: &View, plan: &Plan) -> &Plan {
+    pub(super) fn expected(&mut self, replica: &Replica, plan: &Plan) -> &Plan {
         self.expected
-            .get_or_insert_with(|| with_stopping_tasks(view, plan))
+            .get_or_insert_with(|| with_stopping_tasks(replica, plan))
     }
 
     /// Finds places for a job, unless a job of its shape has found none in this
@@ -81,7 +81,7 @@
         id: &str,
         job: &Job,
         spec: &Spec,
-    ) -> Result<Vec<Place>, Wait> {
+    ) -> Result<Vec<Place>, WaitReason> {
         let tasks = if spec.is_gang() { job.waiting() } else { 1 };
         let shape = shape(job, spec).filter(|_| job.failed_on.is_empty());
         if let Some(failed) = shape.and_then(|shape| self.failed.get(&shape))
@@ -90,7 +90,7 @@
             return Err(failed.why);
         }
         let found = self.search(node, hints, plan, id, job, spec);
-        if let (Some(shape), Err(why @ (Wait::NoRoom | Wait::NoZone))) = (shape, &found) {
+        if let (Some(shape), Err(why @ (WaitReason::NoRoom | WaitReason::NoZone))) = (shape, &found) {
             self.failed.insert(shape, NoFit { tasks, why: *why });
         }
         found
@@ -107,7 +107,7 @@
         id: &str,
         job: &Job,
         spec: &Spec,
-    ) -> Result<Vec<Place>, Wait> {
+    ) -> Result<Vec<Place>, WaitReason> {
         let settings = &node.settings;
         let strict = fit(job, spec, plan, hints, settings, Care::Strict);
         if strict.is_ok() || spec.kind == Kind::Array || spec.need.gpus.0 > 0 {
@@ -141,7 +141,7 @@
         spec: &Spec,
     ) -> bool {
         let settings = &node.settings;
-        let expected = self.expected(hints.view, plan).clone();
+        let expected = self.expected(hints.replica, plan).clone();
         let wanted = places_wanted(job, spec);
         if count(job, spec, &expected, hints, settings, Care::Strict) >= wanted {
             return true;
@@ -150,7 +150,7 @@
             return false;
         }
         self.victim_searches += 1;
-        let running = self.running(node.name(), hints.view, plan);
+        let running = self.running(node.name(), hints.replica, plan);
         let search = VictimSearch {
             settings,
             hints,
@@ -164,27 +164,27 @@
 
     /// Keeps the resources that the first starving gang waits for from what comes
     /// behind it: in the zone that has the most of them.
-    pub(super) fn reserve_for_first_gang(&mut self, view: &View, plan: &mut Plan, spec: &Spec) {
+    pub(super) fn reserve_for_first_gang(&mut self, replica: &Replica, plan: &mut Plan, spec: &Spec) {
         if !spec.is_gang() || self.reserved {
             return;
         }
         self.reserved = true;
         // Which controller places the gang is of no account here.
-        hold_room(spec, plan, &Hints::new(view, ""));
+        hold_room(spec, plan, &Hints::new(replica, ""));
     }
 }
 
 /// The plan with the resources of tasks that are being stopped counted as free.
-fn with_stopping_tasks(view: &View, plan: &Plan) -> Plan {
+fn with_stopping_tasks(replica: &Replica, plan: &Plan) -> Plan {
     let mut expected = plan.clone();
-    for (_, id) in &view.open {
-        let Some(job) = view.jobs.get(id).map(|e| &e.value) else {
+    for (_, id) in &replica.open {
+        let Some(job) = replica.jobs.get(id).map(|e| &e.value) else {
             continue;
         };
         let Some(spec) = &job.spec else { continue };
         for run in job.runs.iter().filter(|run| run.stop) {
             let resources = spec.need.times(run.tasks.len());
-            expected.give(view, &run.machine, &spec.team, resources);
+            expected.give(replica, &run.machine, &spec.team, resources);
         }
     }
     expected
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -5,11 +5,11 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use super::reasons::Wait;
-use crate::machines::EndKey;
+use super::reasons::WaitReason;
+use crate::machines::AttemptKey;
 use crate::model::Job;
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::Kind;
 
 /// How many records a commit writes while commits of the usual size are refused.
@@ -52,7 +52,7 @@
     /// When a round last went through the whole queue.
     pub(super) queue_examined: Option<Instant>,
     /// The first end of an array's task that the last commit had no room for.
-    pub(super) next_end: Option<EndKey>,
+    pub(super) next_end: Option<AttemptKey>,
     /// How many records the last commit wrote.
     pub(super) records_written: usize,
     /// The last commit was too long: the next one writes few records.
@@ -74,9 +74,9 @@
     }
 
     /// Drops what is remembered of jobs that are no longer open.
-    pub(super) fn forget_closed_jobs(&mut self, view: &View) {
+    pub(super) fn forget_closed_jobs(&mut self, replica: &Replica) {
         self.observed
-            .retain(|id, _| view.jobs.get(id).is_some_and(|e| e.value.is_open()));
+            .retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
         self.back_offs
             .retain(|id, _| self.observed.contains_key(id));
     }
@@ -115,10 +115,10 @@
         id: &str,
         job: &Job,
         now: Instant,
-    ) -> Option<Wait> {
+    ) -> Option<WaitReason> {
         let why = match job.is_doubtful() {
-            true => Wait::Fails,
-            false => Wait::BackOff,
+            true => WaitReason::Fails,
+            false => WaitReason::BackOff,
         };
         if self.back_offs.get(id).is_some_and(|b| b.until > now) {
             return Some(why);
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -13,24 +13,24 @@
 use crate::machines;
 use crate::node::Node;
 use crate::store::{Class, StoreError};
-use crate::view::job_key;
+use crate::replica::job_key;
 
 /// Runs placement rounds for ever: what has ended is recorded and what waits is
 /// placed, in one transaction a round.
-pub async fn keep_placing(node: Rc<Node>) {
+pub async fn run_placement(node: Rc<Node>) {
     let mut state = RoundState::default();
     let idle = node.settings.report() / 3;
     let shortest_pause = node.request_gap();
     let mut released: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = node.stir.notified() => {}
-            () = node.ends_wanted.notified() => {}
+            () = node.placement_wanted.notified() => {}
+            () = node.terminations_wanted.notified() => {}
             () = sleep(idle) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
         // its workers have moved to others.
-        if !node.view.borrow().loaded || !node.has_state() {
+        if !node.replica.borrow().loaded || !node.has_state() {
             continue;
         }
         // Both go through all machines, and are about leases and returns: a
@@ -78,7 +78,7 @@
 /// What follows a commit.
 #[derive(PartialEq, Eq)]
 enum Next {
-    /// Decide again on what the view shows now.
+    /// Decide again on what the replica shows now.
     DecideAgain,
     /// Stop until the next wake-up, as the state service cannot be reached.
     Pause,
@@ -106,7 +106,7 @@
             await_newer_view(node).await;
         }
         Err(error) => {
-            // The commit may have happened: the view tells after a barrier.
+            // The commit may have happened: the replica tells after a barrier.
             tracing::debug!(%error, "decisions not answered");
             if !node.barrier(node.settings.lease() / 4).await {
                 return Next::Pause;
@@ -126,10 +126,10 @@
     state.small_commits = true;
 }
 
-/// What has changed under the commit is on its way: waits until the view has it.
+/// What has changed under the commit is on its way: waits until the replica has it.
 async fn await_newer_view(node: &Rc<Node>) {
-    let before = node.view.borrow().revision;
-    node.hurry();
+    let before = node.replica.borrow().revision;
+    node.expedite_watch();
     node.wait_revision(before + 1, node.request_gap() * 8).await;
     sleep(node.store.jitter(node.request_gap() / 2)).await;
 }
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::plan::Place;
-use crate::machines::{EndKey, Proof};
-use crate::model::{Job, Life, Part, Room, Spec, Team};
+use crate::machines::{AttemptKey, TerminationEvidence};
+use crate::model::{Job, MachineLifecycle, ZoneShard, Resources, Spec, Team};
 use crate::node::{guard, put};
-use crate::view::{View, group_key, job_key, part_id, part_key, team_key};
+use crate::replica::{Replica, machine_shard_key, job_key, shard_id, zone_shard_key, team_key};
 use crate::wire::{Guard, Kind, Write};
 
 /// How many conditions a commit may have for each write that it may have, by the
@@ -24,7 +24,7 @@
 /// About what a machine takes in a part's record, and in a group's.
 pub const SLOT: usize = 110;
 
-/// The same in a part's short text.
+/// The same in a part's compact encoding.
 const SHORT_SLOT_BYTES: usize = 10;
 
 /// About what a job's spec, one of its runs and one of its tasks take in its record.
@@ -38,41 +38,41 @@
     SPEC_BYTES + job.runs.len() * RUN_BYTES + tasks * TASK_BYTES
 }
 
-/// A transaction in the making, on one revision of the view.
-pub struct Draft<'a> {
-    view: &'a View,
+/// A transaction in the making, on one revision of the replica.
+pub struct Transaction<'a> {
+    replica: &'a Replica,
     /// The most records that one commit may write.
     pub most: usize,
     /// The jobs that it writes, by id.
     pub jobs: BTreeMap<String, Job>,
-    teams: BTreeMap<String, Room>,
-    parts: BTreeMap<String, Part>,
+    teams: BTreeMap<String, Resources>,
+    zone_shards: BTreeMap<String, ZoneShard>,
     /// What this draft's ends free, by machine.
-    released: BTreeMap<String, Room>,
+    released: BTreeMap<String, Resources>,
     /// The same by team.
-    team_released: BTreeMap<String, Room>,
+    team_released: BTreeMap<String, Resources>,
     /// Groups of machines that must be as they are, but are not written.
-    groups: BTreeSet<String>,
+    machine_shards: BTreeSet<String>,
 }
 
-impl<'a> Draft<'a> {
+impl<'a> Transaction<'a> {
     /// An empty draft that may write `most` records.
-    pub fn new(view: &'a View, most: usize) -> Self {
-        Draft {
-            view,
+    pub fn new(replica: &'a Replica, most: usize) -> Self {
+        Transaction {
+            replica,
             most,
             jobs: BTreeMap::new(),
             teams: BTreeMap::new(),
-            parts: BTreeMap::new(),
+            zone_shards: BTreeMap::new(),
             released: BTreeMap::new(),
             team_released: BTreeMap::new(),
-            groups: BTreeSet::new(),
+            machine_shards: BTreeSet::new(),
         }
     }
 
     /// How many records it writes.
     pub fn len(&self) -> usize {
-        self.jobs.len() + self.teams.len() + self.parts.len()
+        self.jobs.len() + self.teams.len() + self.zone_shards.len()
     }
 
     /// Whether it writes nothing.
@@ -81,26 +81,26 @@
     }
 
     /// The parts that it writes.
-    pub fn parts(&self) -> BTreeSet<String> {
-        self.parts.keys().cloned().collect()
+    pub fn zone_shards(&self) -> BTreeSet<String> {
+        self.zone_shards.keys().cloned().collect()
     }
 
     /// A job as this draft has it.
     pub fn job(&self, id: &str) -> Option<&Job> {
-        let known = || self.view.jobs.get(id).map(|e| &e.value);
+        let known = || self.replica.jobs.get(id).map(|e| &e.value);
         self.jobs.get(id).or_else(known)
     }
 
     /// About how long it is as a request.
     fn bytes(&self) -> usize {
         let jobs: usize = self.jobs.values().map(job_bytes).sum();
-        let slots: usize = self.parts.values().map(|p| p.machines.len()).sum();
-        jobs + slots * self.slot_bytes() + (self.len() + self.groups.len()) * SLOT
+        let slots: usize = self.zone_shards.values().map(|p| p.machines.len()).sum();
+        jobs + slots * self.slot_entry_bytes() + (self.len() + self.machine_shards.len()) * SLOT
     }
 
     /// About what a machine takes in the text that its part will have.
-    fn slot_bytes(&self) -> usize {
-        if self.view.is_short() {
+    fn slot_entry_bytes(&self) -> usize {
+        if self.replica.uses_compact_encoding() {
             SHORT_SLOT_BYTES
         } else {
             SLOT
@@ -113,23 +113,23 @@
         &self,
         job: &str,
         team: Option<&str>,
-        parts: &BTreeSet<&str>,
+        zone_shards: &BTreeSet<&str>,
         machines: usize,
     ) -> bool {
-        let new_parts = || parts.iter().filter(|part| !self.parts.contains_key(**part));
+        let new_parts = || zone_shards.iter().filter(|part| !self.zone_shards.contains_key(**part));
         let machines_of = |part: &str| {
-            let known = self.view.parts.get(part);
+            let known = self.replica.zone_shards.get(part);
             known.map_or(0, |e| e.value.machines.len())
         };
         let part_bytes: usize = new_parts()
-            .map(|part| machines_of(part) * self.slot_bytes())
+            .map(|part| machines_of(part) * self.slot_entry_bytes())
             .sum();
         let new_job = !self.jobs.contains_key(job);
         let new_job_bytes = match new_job {
             true => self.job(job).map_or(0, job_bytes),
             false => 0,
         };
-        let more_bytes = part_bytes + new_job_bytes + machines * self.slot_bytes();
+        let more_bytes = part_bytes + new_job_bytes + machines * self.slot_entry_bytes();
         if self.bytes() + more_bytes > COMMIT_BYTES {
             return false;
         }
@@ -141,31 +141,31 @@
     /// The job's record in this transaction, which writes it from now on.
     fn edit_job(&mut self, id: &str) -> Option<&mut Job> {
         if !self.jobs.contains_key(id) {
-            let job = self.view.jobs.get(id)?.value.clone();
+            let job = self.replica.jobs.get(id)?.value.clone();
             self.jobs.insert(id.to_string(), job);
         }
         self.jobs.get_mut(id)
     }
 
-    /// The same of a team's record, recounted from the view and this draft's ends.
-    fn edit_team(&mut self, team: &str) -> &mut Room {
+    /// The same of a team's record, recounted from the replica and this draft's ends.
+    fn edit_team(&mut self, team: &str) -> &mut Resources {
         let released = self.team_released.get(team).copied().unwrap_or_default();
-        let used = self.view.team_used(team) - released;
+        let used = self.replica.team_used(team) - released;
         self.teams.entry(team.to_string()).or_insert(used)
     }
 
     /// The same of a part's record.
-    fn edit_part(&mut self, id: &str) -> &mut Part {
-        let (view, released) = (self.view, &self.released);
-        self.parts.entry(id.to_string()).or_insert_with(|| {
-            let known = view.parts.get(id).map(|e| e.value.clone());
+    fn edit_part(&mut self, id: &str) -> &mut ZoneShard {
+        let (replica, released) = (self.replica, &self.released);
+        self.zone_shards.entry(id.to_string()).or_insert_with(|| {
+            let known = replica.zone_shards.get(id).map(|e| e.value.clone());
             let mut part = known.unwrap_or_default();
             for (machine, slot) in &mut part.machines {
-                let room = view
+                let room = replica
                     .type_of(&slot.kind)
-                    .map_or(Room::default(), Room::of_type);
+                    .map_or(Resources::default(), Resources::of_type);
                 let ended = released.get(machine).copied().unwrap_or_default();
-                slot.free = room - view.booked_on(machine) - slot.unbooked + ended;
+                slot.free = room - replica.booked_on(machine) - slot.unbooked + ended;
             }
             part
         })
@@ -178,25 +178,25 @@
     /// on its group's record makes the commit depend on it.
     fn proven_by(
         &self,
-        key: &EndKey,
-        proof: Proof,
+        key: &AttemptKey,
+        proof: TerminationEvidence,
         node: &str,
         incarnation: u64,
     ) -> Option<String> {
-        let machine = &self.view.machines.get(&key.machine)?.value;
+        let machine = &self.replica.machines.get(&key.machine)?.value;
         let same_claim = machine.holder == node
             && machine.incarnation == incarnation
             && machine.token == proof.token;
-        let proven = machine.life == Life::Gone || same_claim;
-        proven.then(|| part_id(&machine.zone, &machine.part))
+        let proven = machine.life == MachineLifecycle::Gone || same_claim;
+        proven.then(|| shard_id(&machine.zone, &machine.part))
     }
 
     /// Releases a booking whose task is surely gone. `node` and `incarnation`
     /// are those of the controller that has the proof.
     pub fn release(
         &mut self,
-        key: &EndKey,
-        proof: Proof,
+        key: &AttemptKey,
+        proof: TerminationEvidence,
         node: &str,
         incarnation: u64,
     ) -> Released {
@@ -215,7 +215,7 @@
         // Neither the team's record nor the part's is written: what ends is
         // known to all from the job's, and the next booking there counts it.
         let max_groups = self.most * (GUARDS_PER_WRITE - 1);
-        let guards_full = self.groups.len() >= max_groups && !self.groups.contains(&group);
+        let guards_full = self.machine_shards.len() >= max_groups && !self.machine_shards.contains(&group);
         if guards_full || !self.has_room(&key.job, None, &BTreeSet::new(), 0) {
             return Released::Full;
         }
@@ -224,7 +224,7 @@
         }
         *self.released.entry(key.machine.clone()).or_default() += spec.need;
         *self.team_released.entry(spec.team).or_default() += spec.need;
-        self.groups.insert(group);
+        self.machine_shards.insert(group);
         Released::Yes
     }
 
@@ -232,9 +232,9 @@
     /// other jobs as many as there are. An array may have its places in more
     /// parts than any commit writes: the rest follow, or it would wait for ever.
     fn bookable<'p>(&self, id: &str, spec: &Spec, places: &'p [Place]) -> Vec<&'p Place> {
-        let parts: BTreeSet<&str> = places.iter().map(|place| &*place.part).collect();
+        let zone_shards: BTreeSet<&str> = places.iter().map(|place| &*place.part).collect();
         let machines: BTreeSet<usize> = places.iter().map(|place| place.at).collect();
-        if self.has_room(id, Some(&spec.team), &parts, machines.len()) {
+        if self.has_room(id, Some(&spec.team), &zone_shards, machines.len()) {
             return places.iter().collect();
         }
         if spec.is_gang() {
@@ -250,20 +250,20 @@
         spec: &Spec,
         places: &'p [Place],
     ) -> Vec<&'p Place> {
-        let mut parts: BTreeSet<&str> = BTreeSet::new();
+        let mut zone_shards: BTreeSet<&str> = BTreeSet::new();
         let mut machines: BTreeSet<usize> = BTreeSet::new();
         let mut bookable = Vec::new();
         for place in places {
-            let new_part = parts.insert(&place.part);
+            let new_shard = zone_shards.insert(&place.part);
             let new_machine = machines.insert(place.at);
-            if (!new_part && !new_machine)
-                || self.has_room(id, Some(&spec.team), &parts, machines.len())
+            if (!new_shard && !new_machine)
+                || self.has_room(id, Some(&spec.team), &zone_shards, machines.len())
             {
                 bookable.push(place);
                 continue;
             }
-            if new_part {
-                parts.remove(&*place.part);
+            if new_shard {
+                zone_shards.remove(&*place.part);
             }
             if new_machine {
                 machines.remove(&place.at);
@@ -280,9 +280,9 @@
             return 0;
         }
         // Safety 7: no task starts before all that its job awaits is done. That
-        // is final, so this view, which the commit is decided on, can only be
+        // is final, so this replica, which the commit is decided on, can only be
         // late in knowing it; what is launched follows from bookings alone.
-        if !self.view.is_ready(spec) {
+        if !self.replica.is_ready(spec) {
             return 0;
         }
         let Some(job) = self.edit_job(id) else {
@@ -328,19 +328,19 @@
         let mut guards = Vec::new();
         let mut writes = Vec::new();
         for (id, job) in &self.jobs {
-            guards.push(guard(job_key(id), self.view.job_version(id)));
-            writes.push(self.view.put_job(id, job));
+            guards.push(guard(job_key(id), self.replica.job_version(id)));
+            writes.push(self.replica.put_job(id, job));
         }
         for (name, used) in self.teams {
-            guards.push(guard(team_key(&name), self.view.team_version(&name)));
+            guards.push(guard(team_key(&name), self.replica.team_version(&name)));
             writes.push(put(team_key(&name), &Team { used }));
         }
-        for (id, part) in &self.parts {
-            guards.push(guard(part_key(id), self.view.part_version(id)));
-            writes.push(self.view.put_part(id, part));
+        for (id, part) in &self.zone_shards {
+            guards.push(guard(zone_shard_key(id), self.replica.zone_shard_version(id)));
+            writes.push(self.replica.put_zone_shard(id, part));
         }
-        for id in &self.groups {
-            guards.push(guard(group_key(id), self.view.group_version(id)));
+        for id in &self.machine_shards {
+            guards.push(guard(machine_shard_key(id), self.replica.machine_shard_version(id)));
         }
         (guards, writes)
     }
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -10,7 +10,7 @@
 use super::plan::{Place, Plan};
 use crate::model::{Job, Run, Spec};
 use crate::settings::{Settings, TeamTerms};
-use crate::view::View;
+use crate::replica::Replica;
 use crate::wire::{Kind, Priority};
 
 /// How often one search tries whether the job fits now.
@@ -39,7 +39,7 @@
 }
 
 /// Whether PROTOCOL lets work of `victim` be stopped for `job`. The priorities
-/// are those of the view, which count in the jobs that depend on either.
+/// are those of the replica, which count in the jobs that depend on either.
 pub fn may_preempt(
     job: (&Spec, Priority),
     job_in_guarantee: bool,
@@ -96,25 +96,25 @@
 }
 
 /// All open jobs that run.
-pub(super) fn running_jobs(node: &str, view: &View, plan: &Plan) -> Vec<RunningJob> {
-    let open = view.open.iter().filter_map(|(_, id)| {
-        let job = &view.jobs.get(id)?.value;
+pub(super) fn running_jobs(node: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
+    let open = replica.open.iter().filter_map(|(_, id)| {
+        let job = &replica.jobs.get(id)?.value;
         Some((id, job))
     });
     open.filter(|(_, job)| !job.runs.is_empty())
         .map(|(id, job)| RunningJob {
             job: id.clone(),
             order_class: order_class(node, id),
-            runs: stoppable_runs(job, view, plan),
+            runs: stoppable_runs(job, replica, plan),
         })
         .collect()
 }
 
 /// The job's runs that may be stopped, and where they stand in the plan.
-fn stoppable_runs(job: &Job, view: &View, plan: &Plan) -> Vec<RunningAt> {
+fn stoppable_runs(job: &Job, replica: &Replica, plan: &Plan) -> Vec<RunningAt> {
     let runs = job.runs.iter().enumerate().filter(|(_, run)| !run.stop);
     runs.filter_map(|(index, run)| {
-        let spot = plan.find(view, &run.machine)?;
+        let spot = plan.find(replica, &run.machine)?;
         Some(RunningAt { run: index, spot })
     })
     .collect()
@@ -127,7 +127,7 @@
     priority: Priority,
     without_image: bool,
     order_class: u64,
-    born: Reverse<u64>,
+    accepted_revision: Reverse<u64>,
 }
 
 /// A run that may be stopped for the job.
@@ -217,7 +217,7 @@
             id,
             job,
             spec,
-            priority: self.hints.view.priority(id, spec),
+            priority: self.hints.replica.priority(id, spec),
             care,
             in_guarantee,
         };
@@ -227,9 +227,9 @@
 
     /// The runs that may be stopped, the first to be stopped first.
     fn candidates(&self, preemptor: &Preemptor) -> Vec<Candidate<'a>> {
-        let view = self.hints.view;
-        let image = view.image(&preemptor.spec.image);
-        let allowed: Vec<bool> = view
+        let replica = self.hints.replica;
+        let image = replica.image(&preemptor.spec.image);
+        let allowed: Vec<bool> = replica
             .classes
             .iter()
             .map(|c| preemptor.spec.allows(&c.kind, &c.zone, c.spot))
@@ -238,17 +238,17 @@
         for running in self.running.iter().filter(|r| r.job != preemptor.id) {
             // As this round has left it so far.
             let changed = self.changed.get(&running.job);
-            let known = view.jobs.get(&running.job).map(|e| &e.value);
+            let known = replica.jobs.get(&running.job).map(|e| &e.value);
             let Some(job) = changed.or(known) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
             let terms = self.settings.team(&spec.team);
-            let priority = view.priority(&running.job, spec);
+            let priority = replica.priority(&running.job, spec);
             if !self.is_candidate(preemptor, spec, priority, terms) {
                 continue;
             }
-            let changed_runs = changed.map(|job| stoppable_runs(job, view, self.expected));
+            let changed_runs = changed.map(|job| stoppable_runs(job, replica, self.expected));
             for at in changed_runs.as_ref().unwrap_or(&running.runs) {
                 let spot = &self.expected.spots[at.spot];
                 if !allowed[spot.class as usize] {
@@ -256,9 +256,9 @@
                 }
                 let order = StopOrder {
                     priority,
-                    without_image: !view.has_image(spot.machine, image),
+                    without_image: !replica.has_image(spot.machine, image),
                     order_class: running.order_class,
-                    born: Reverse(job.born),
+                    accepted_revision: Reverse(job.accepted_revision),
                 };
                 candidates.push(Candidate {
                     order,
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -86,14 +86,14 @@
     /// heartbeat is still answered with 200. A cancelled task must be gone
     /// `cancel_s` after its user was told, and an answered heartbeat keeps it
     /// for up to `lease_s`.
-    pub fn horizon_limit(&self) -> Duration {
+    pub fn staleness_limit(&self) -> Duration {
         let workers = &self.deployment.workers;
         Duration::from_secs_f64(workers.cancel_s - workers.lease_s).saturating_sub(self.margin())
     }
 
     /// The pause between two read barriers that nobody has asked for.
     pub fn barrier_pause(&self) -> Duration {
-        self.horizon_limit().min(self.lease()) / BARRIER_PAUSES_PER_LIMIT
+        self.staleness_limit().min(self.lease()) / BARRIER_PAUSES_PER_LIMIT
     }
 
     /// The oldest horizon at which a launch may be ordered: another controller
@@ -171,7 +171,7 @@
 
     /// Whether values or transactions are to become smaller than they are: then
     /// records are written in the compact encoding, once all can read it.
-    pub fn shrinks(&self) -> bool {
+    pub fn limits_will_fall(&self) -> bool {
         let txn_ops = self.deployment.state.txn_ops;
         self.value_bytes() < self.longest_value() || self.txn_ops() < txn_ops
     }
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::model::{Amount, Room};
+use crate::model::{Amount, Resources};
 
 /// A team's guarantee and limit. A figure of 0 means none.
 #[derive(Debug, Clone, Deserialize)]
@@ -32,8 +32,8 @@
     }
 
     /// What is guaranteed to the team. Memory is not part of a guarantee.
-    pub fn guarantee(&self) -> Room {
-        Room {
+    pub fn guarantee(&self) -> Resources {
+        Resources {
             cpus: Amount::room(self.cpus),
             gpus: Amount::room(self.gpus),
             ram: Amount(0),
@@ -41,14 +41,14 @@
     }
 
     /// True when `used` stays within the team's limit.
-    pub fn allows(&self, used: &Room) -> bool {
+    pub fn allows(&self, used: &Resources) -> bool {
         let (cpus, gpus) = self.limit();
         cpus.is_none_or(|limit| used.cpus <= limit) && gpus.is_none_or(|limit| used.gpus <= limit)
     }
 
     /// True when the team is beyond its guarantee by as much as `part`, so that
     /// it still has all of it when that part is taken away.
-    pub fn lends(&self, used: &Room, part: &Room) -> bool {
+    pub fn lends(&self, used: &Resources, part: &Resources) -> bool {
         let guarantee = self.guarantee();
         let rest = *used - *part;
         let counts_gpus = part.gpus.0 > 0 && guarantee.gpus.0 > 0;
@@ -57,7 +57,7 @@
 
     /// True when `used` stays within the team's guarantee. Work that uses
     /// no accelerator is not held against a missing accelerator guarantee.
-    pub fn guarantees(&self, used: &Room) -> bool {
+    pub fn guarantees(&self, used: &Resources) -> bool {
         let guarantee = self.guarantee();
         used.cpus <= guarantee.cpus && used.gpus <= guarantee.gpus
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::http::{CallError, Client, Response};
-use crate::wire::{Commit, Hold, HoldRequest, PairPage, Refused, Revision, WatchAnswer, Write};
+use crate::wire::{Commit, StateLease, StateLeaseRequest, PairPage, Refused, Revision, WatchAnswer, Write};
 
 /// Who goes first when the budget is short: the earlier, the sooner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,9 +28,9 @@
     /// Commits of placement rounds.
     Round,
     /// Machines that start, drain, are returned or are gone.
-    Life,
+    Lifecycle,
     /// What can wait: publishing free room, moving services, removing records.
-    Room,
+    Publication,
 }
 
 const CLASSES: usize = 6;
@@ -46,8 +46,8 @@
             Class::Lease => -2.0,
             Class::Claim => 0.05,
             Class::Round => 0.1,
-            Class::Life => 0.2,
-            Class::Room => 0.3,
+            Class::Lifecycle => 0.2,
+            Class::Publication => 0.3,
         }
     }
 }
@@ -576,14 +576,14 @@
 
     /// Takes a state lease that ends if it is not renewed in time.
     pub async fn hold(&self, ttl: Duration) -> Result<u64, StoreError> {
-        let body = encode(&HoldRequest {
+        let body = encode(&StateLeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         })?;
         let r = self
             .call(Class::Lease, 0, "POST", "/holds", Some(body), self.patience)
             .await?;
         match r.status {
-            200 => Ok(r.parse::<Hold>()?.lease),
+            200 => Ok(r.parse::<StateLease>()?.lease),
             s => Err(StoreError::Refused(s)),
         }
     }
--- a/src/text.rs
+++ b/src/text.rs
@@ -1,6 +1,6 @@
-//! Compact encodings ("short texts") of the records that grow with machines and
+//! Compact encodings ("compact encodings") of the records that grow with machines and
 //! tasks: a part, a group, a job's runs. They are written once every controller
-//! reads them and the state service's limits are to fall (`View::is_short`), and
+//! reads them and the state service's limits are to fall (`Replica::uses_compact_encoding`), and
 //! are always read: each stands under the field of the plain encoding, which is of
 //! another shape.
 //!
@@ -14,7 +14,7 @@
 use serde::de::{Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Group, Job, Life, Machine, Part, Ranges, Room, Run, Slot};
+use crate::model::{MachineShard, Job, MachineLifecycle, Machine, ZoneShard, Ranges, Resources, Run, MachineSlot};
 
 const DIGITS: &[u8; 64] = b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz_~";
 
@@ -143,7 +143,7 @@
 }
 
 /// Reads a set of tasks that begins like the short form.
-pub fn read_short_ranges(text: &str) -> Option<Option<Ranges>> {
+pub fn decode_ranges(text: &str) -> Option<Option<Ranges>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
         let width = digit_value(*rest.as_bytes().first()?)? as usize;
@@ -188,8 +188,8 @@
     40 + patterns.iter().map(one).sum::<usize>()
 }
 
-/// A job's record in the short text; nothing where it has no such.
-pub fn short_job(job: &Job) -> Option<String> {
+/// A job's record in the compact encoding; nothing where it has no such.
+pub fn encode_job(job: &Job) -> Option<String> {
     let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
     let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
     let width = task_width(last);
@@ -203,7 +203,7 @@
             table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
             table.len() - 1
         });
-        // Names of as many kinds have no short text.
+        // Names of as many kinds have no compact encoding.
         let pattern = *DIGITS.get(at)?;
         text.push(' ');
         text.push(char::from(pattern));
@@ -237,8 +237,8 @@
 }
 
 fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
-    let mut parts = text.split(' ');
-    let width = read_number(parts.next()?)? as usize;
+    let mut zone_shards = text.split(' ');
+    let width = read_number(zone_shards.next()?)? as usize;
     let run = |part: &str| {
         let pattern = table.get(digit_value(*part.as_bytes().first()?)? as usize)?;
         let (number, rest) = part.get(1..)?.split_once('.')?;
@@ -252,7 +252,7 @@
             stop: rest.as_bytes()[mark] == b'!',
         })
     };
-    parts.map(run).collect()
+    zone_shards.map(run).collect()
 }
 
 /// A job's runs in either text.
@@ -327,10 +327,10 @@
     (folded.collect(), full)
 }
 
-/// A part's record in the short text: what is free is not written, as planning
+/// A part's record in the compact encoding: what is free is not written, as planning
 /// takes the type's room less what is booked and what unbooked tasks take.
-pub fn short_part(part: &Part) -> Option<String> {
-    let mut classes: BTreeMap<(&str, bool), Vec<(&str, &Slot)>> = BTreeMap::new();
+pub fn encode_zone_shard(part: &ZoneShard) -> Option<String> {
+    let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
     for (name, slot) in &part.machines {
         let class = classes.entry((&slot.kind, slot.spot)).or_default();
         class.push((name, slot));
@@ -343,7 +343,7 @@
                 .iter()
                 .filter(|(_, s)| !s.unbooked.is_empty())
                 .map(|(n, s)| {
-                    let Room { cpus, gpus, ram } = s.unbooked;
+                    let Resources { cpus, gpus, ram } = s.unbooked;
                     (n.to_string(), (cpus.0, gpus.0, ram.0))
                 })
                 .collect();
@@ -353,9 +353,9 @@
     Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
 }
 
-/// Whether a part's record is in the short text: a list, where the longer one
+/// Whether a part's record is in the compact encoding: a list, where the longer one
 /// has names.
-pub fn is_short_part(text: &str) -> bool {
+pub fn is_compact_zone_shard(text: &str) -> bool {
     let machines = text.split_once(':').map_or("", |(_, rest)| rest);
     machines.trim_start().starts_with('[')
 }
@@ -363,10 +363,10 @@
 /// A part's machines in either text.
 pub fn slots<'de, D: Deserializer<'de>>(
     deserializer: D,
-) -> Result<BTreeMap<String, Slot>, D::Error> {
+) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
     struct All;
     impl<'de> Visitor<'de> for All {
-        type Value = BTreeMap<String, Slot>;
+        type Value = BTreeMap<String, MachineSlot>;
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
             f.write_str("machines that take work")
         }
@@ -385,11 +385,11 @@
                 });
                 for name in numbered.chain(full) {
                     let taken = unbooked.get(&name).copied().unwrap_or_default();
-                    let slot = Slot {
+                    let slot = MachineSlot {
                         kind: kind.clone(),
                         spot: spot != 0,
-                        free: Room::default(),
-                        unbooked: Room {
+                        free: Resources::default(),
+                        unbooked: Resources {
                             cpus: crate::model::Amount(taken.0),
                             gpus: crate::model::Amount(taken.1),
                             ram: crate::model::Amount(taken.2),
@@ -409,7 +409,7 @@
 /// Machines of a group that have holder, incarnation, life, type and kind in
 /// common; of each prefix and width a text: number, token, session and report.
 #[derive(Debug, Serialize, Deserialize)]
-struct Members(String, u64, Life, String, u8, Vec<(String, usize, String)>);
+struct Members(String, u64, MachineLifecycle, String, u8, Vec<(String, usize, String)>);
 
 /// The most that a machine takes of its group's short record while its figures
 /// are of usual length.
@@ -443,8 +443,8 @@
 }
 
 /// A group's record in the compact encoding.
-pub fn short_group(group: &Group) -> Option<String> {
-    type Class<'a> = (&'a str, u64, Life, &'a str, bool);
+pub fn encode_machine_shard(group: &MachineShard) -> Option<String> {
+    type Class<'a> = (&'a str, u64, MachineLifecycle, &'a str, bool);
     let mut classes: BTreeMap<Class, BTreeMap<(&str, usize), String>> = BTreeMap::new();
     for (name, m) in &group.machines {
         let class = (m.holder.as_str(), m.incarnation, m.life, &*m.kind, m.spot);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -172,7 +172,7 @@
 
 /// Why a task has ended; PROTOCOL's `cause`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     /// It is complete, and its result is kept.
     #[serde(rename = "done")]
     Done,
@@ -213,7 +213,7 @@
     pub stage: TaskStage,
     /// Why it has ended, once it has; PROTOCOL's `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     /// Whether a stopped task's progress was saved; PROTOCOL's `kept`.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -261,7 +261,7 @@
 
 /// What a command tells a worker to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verb {
+pub enum CommandKind {
     /// Start an attempt of a task; PROTOCOL's `launch`.
     #[serde(rename = "launch")]
     Start,
@@ -275,10 +275,10 @@
 
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct WorkerCommand {
     /// What is to be done.
     #[serde(rename = "verb")]
-    pub verb: Verb,
+    pub verb: CommandKind,
     /// The task, such as `job-000412/3`; PROTOCOL's `board`.
     #[serde(rename = "board")]
     pub task: String,
@@ -292,19 +292,19 @@
 
 /// The response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct BeatAnswer {
+pub struct HeartbeatResponse {
     /// The fencing token; a worker drops a lower one than it has seen.
     /// PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 /// Direct commands, the body of `POST /orders`.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
+pub struct WorkerCommands {
     /// The fencing token; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub token: u64,
@@ -313,7 +313,7 @@
     pub session: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 /// The body of a 421 response to a heartbeat.
@@ -598,14 +598,14 @@
 
 /// A request for a state lease, the body of `POST /holds`.
 #[derive(Debug, Serialize)]
-pub struct HoldRequest {
+pub struct StateLeaseRequest {
     /// How long the lease lasts without being renewed, in milliseconds.
     pub ttl_ms: u64,
 }
 
 /// The response to a request for a state lease.
 #[derive(Debug, Deserialize)]
-pub struct Hold {
+pub struct StateLease {
     /// The id of the lease; PROTOCOL's `permit`.
     #[serde(rename = "permit")]
     pub lease: u64,
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -11,14 +11,14 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::draft::Groups;
-use crate::model::{Life, Machine};
+use crate::transaction::MachineShardEdits;
+use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
 use crate::store::{Class, StoreError};
-use crate::view::{group_key, part_id};
+use crate::replica::{machine_shard_key, shard_id};
 use crate::wire::{Guard, Report, Write};
 
-use super::Hand;
+use super::WorkerSession;
 
 /// How long a heartbeat waits for its claim: a worker drops an answer that takes
 /// 4 s, so one that cannot be claimed soon is refused while that still helps it.
@@ -29,7 +29,7 @@
 pub(super) enum ClaimProgress {
     /// Its commit is yet to be answered.
     Pending,
-    /// It is decided; whether the machine is held is seen in the view.
+    /// It is decided; whether the machine is held is seen in the replica.
     Decided,
     /// The state service serves this controller nothing at present. The claim is
     /// tried again, but no heartbeat is kept waiting for it.
@@ -43,7 +43,7 @@
     /// When it was last asked for: a worker that has gone on to another
     /// controller meanwhile is not to be drawn back.
     asked: Instant,
-    /// The machine's token in the view when it was asked for.
+    /// The machine's token in the replica when it was asked for.
     token: u64,
     /// The worker has to be told to stop something.
     urgent: bool,
@@ -71,11 +71,11 @@
     /// Whether this run of the controller holds the machine, as far as its view
     /// tells.
     pub fn holds(&self, id: &str) -> bool {
-        let view = self.view.borrow();
-        let hands = self.hands.borrow();
-        match (hands.get(id), view.machines.get(id)) {
-            (Some(hand), Some(machine)) => {
-                hand.token == machine.value.token && machine.value.incarnation == self.incarnation
+        let replica = self.replica.borrow();
+        let worker_sessions = self.worker_sessions.borrow();
+        match (worker_sessions.get(id), replica.machines.get(id)) {
+            (Some(worker_session), Some(machine)) => {
+                worker_session.token == machine.value.token && machine.value.incarnation == self.incarnation
             }
             _ => false,
         }
@@ -90,8 +90,8 @@
     ) -> watch::Receiver<ClaimProgress> {
         self.fleet.borrow_mut().remember(report);
         let asked = Instant::now();
-        let view = self.view.borrow();
-        let token = view.machines.get(id).map_or(0, |e| e.value.token);
+        let replica = self.replica.borrow();
+        let token = replica.machines.get(id).map_or(0, |e| e.value.token);
         let mut claims = self.claims.borrow_mut();
         let claim = claims.entry(id.to_string()).or_insert_with(|| Claim {
             progress: watch::Sender::new(ClaimProgress::Pending),
@@ -119,7 +119,7 @@
 }
 
 /// Commits the claims that heartbeats have asked for, several at a time.
-pub async fn keep_claims(node: Rc<Node>) {
+pub async fn run_claims(node: Rc<Node>) {
     loop {
         node.claims_wanted.notified().await;
         // Workers turn up together after a restart: let them gather.
@@ -134,7 +134,7 @@
                     tell_refused(&node);
                 }
                 sleep(node.store.jitter(node.request_gap() * 2)).await;
-                if !node.may_answer_beats() {
+                if !node.may_renew_leases() {
                     node.claims.borrow_mut().clear();
                 }
             }
@@ -156,10 +156,10 @@
     let StoreError::Limits(key) = error else {
         return;
     };
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let in_group = |id: &str| {
-        let machine = view.machines.get(id).map(|e| &e.value);
-        machine.is_none_or(|m| group_key(&part_id(&m.zone, &m.part)) == *key)
+        let machine = replica.machines.get(id).map(|e| &e.value);
+        machine.is_none_or(|m| machine_shard_key(&shard_id(&m.zone, &m.part)) == *key)
     };
     node.claims.borrow_mut().retain(|id, _| !in_group(id));
 }
@@ -190,12 +190,12 @@
 /// Drops claims of machines that another controller holds and whose workers have
 /// gone on meanwhile.
 fn drop_stale_claims(node: &Node) {
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let now = Instant::now();
     // A worker reports again, or has gone on, within this time.
     let fresh = node.settings.report() * 2;
     node.claims.borrow_mut().retain(|id, claim| {
-        let known = view.machines.get(id).map(|e| &e.value);
+        let known = replica.machines.get(id).map(|e| &e.value);
         let ours = known.is_none_or(|m| m.holder.is_empty() || m.holder == node.name());
         // If another was quicker and the worker is here all the same, its next
         // report asks again.
@@ -207,31 +207,31 @@
 /// Chooses claims for one commit, the urgent ones first.
 fn plan_claims(node: &Node) -> ClaimBatch {
     let ops = node.settings.txn_ops();
-    let view = node.view.borrow();
+    let replica = node.replica.borrow();
     let fleet = node.fleet.borrow();
     let claims = node.claims.borrow();
     let mut order: Vec<(&String, &Claim)> = claims.iter().collect();
     // Those whose workers wait for the answer come first.
     order.sort_by_key(|(_, c)| (!c.urgent, c.progress.is_closed()));
     let mut batch = ClaimBatch::default();
-    let mut groups = Groups::new(&view);
+    let mut machine_shards = MachineShardEdits::new(&replica);
     for (id, _) in order {
         let Some(report) = fleet.reports.get(id) else {
             batch.decided.push(id.clone());
             continue;
         };
-        let known = view.machines.get(id).map(|e| &e.value);
+        let known = replica.machines.get(id).map(|e| &e.value);
         // A machine of a group that is in the commit already adds nothing to it.
-        let group = known.map(|m| part_id(&m.zone, &m.part));
-        if groups.is_full(ops) && !group.is_some_and(|g| groups.has(&g)) {
+        let group = known.map(|m| shard_id(&m.zone, &m.part));
+        if machine_shards.is_full(ops) && !group.is_some_and(|g| machine_shards.has(&g)) {
             continue;
         }
         batch.decided.push(id.clone());
         let machine = match known {
             Some(machine) => machine.clone(),
-            None => new_machine(node, &mut groups, id, report),
+            None => new_machine(node, &mut machine_shards, id, report),
         };
-        if machine.life == Life::Gone {
+        if machine.life == MachineLifecycle::Gone {
             continue;
         }
         let machine = claimed(node, machine, report);
@@ -240,16 +240,16 @@
             token: machine.token,
             seen: machine.seen,
         });
-        groups.put(id, machine);
+        machine_shards.put(id, machine);
     }
-    (batch.guards, batch.writes) = groups.into_commit();
+    (batch.guards, batch.writes) = machine_shards.into_commit();
     batch
 }
 
 /// The record of a machine that has none yet.
-fn new_machine(node: &Node, groups: &mut Groups, id: &str, report: &Report) -> Machine {
+fn new_machine(node: &Node, machine_shards: &mut MachineShardEdits, id: &str, report: &Report) -> Machine {
     let (kind, zone) = (&report.kind, &report.zone);
-    let part = groups.new_part(&node.settings, id, kind, zone);
+    let part = machine_shards.new_shard(&node.settings, id, kind, zone);
     Machine {
         part,
         spot: report.spot,
@@ -259,8 +259,8 @@
 
 /// The record of a machine once this controller has claimed it.
 fn claimed(node: &Node, mut machine: Machine, report: &Report) -> Machine {
-    if machine.life == Life::Booting {
-        machine.life = Life::Active;
+    if machine.life == MachineLifecycle::Booting {
+        machine.life = MachineLifecycle::Active;
     }
     machine.token = machine.token.max(report.token) + 1;
     machine.holder = node.name().to_string();
@@ -276,7 +276,7 @@
 ) -> Result<u64, StoreError> {
     let result = node.commit(Class::Claim, guards, writes).await;
     if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
-        // An unanswered claim may have been carried out: then the view shows a
+        // An unanswered claim may have been carried out: then the replica shows a
         // token that is ours by name but not held, and the next try raises it
         // once more.
         node.barrier(node.settings.lease() / 8).await;
@@ -288,11 +288,11 @@
 /// throughout, has only taken a newer token: the commit of the claim shows that
 /// nobody else held the machine in between, and nothing was launched since.
 fn keep_proofs(node: &Node, taken: &[TakenClaim]) {
-    let hands = node.hands.borrow();
+    let worker_sessions = node.worker_sessions.borrow();
     let renewed: HashMap<&str, (u64, u64)> = taken
         .iter()
         .filter_map(|c| {
-            let before = hands.get(&c.machine)?.token;
+            let before = worker_sessions.get(&c.machine)?.token;
             Some((c.machine.as_str(), (before, c.token)))
         })
         .filter(|(_, (before, after))| before + 1 == *after)
@@ -314,13 +314,13 @@
         seen: (session, seq),
     } = claim;
     tracing::info!(machine, token, "claimed");
-    let mut hands = node.hands.borrow_mut();
-    let mut hand = Hand::new(token, revision, now);
-    if let Some(earlier) = hands.get(&machine) {
-        hand.follow(earlier);
+    let mut worker_sessions = node.worker_sessions.borrow_mut();
+    let mut worker_session = WorkerSession::new(token, revision, now);
+    if let Some(earlier) = worker_sessions.get(&machine) {
+        worker_session.follow(earlier);
     }
     // The report that asked for the claim is yet to be taken.
     let before = (session, seq.saturating_sub(1));
-    hand.newest_beat = hand.newest_beat.max(before);
-    hands.insert(machine, hand);
+    worker_session.newest_beat = worker_session.newest_beat.max(before);
+    worker_sessions.insert(machine, worker_session);
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -8,9 +8,9 @@
 
 use crate::http::{CallError, Deadlines, Response};
 use crate::node::Node;
-use crate::wire::{Order, Orders, Report, Verb};
+use crate::wire::{WorkerCommand, WorkerCommands, Report, CommandKind};
 
-use super::{Hand, Plan, reconcile};
+use super::{WorkerSession, Plan, reconcile};
 
 /// How long a worker waits for the answers to its own reports; longer calls to it
 /// are given up as well.
@@ -20,7 +20,7 @@
 struct Call {
     machine: String,
     addr: String,
-    body: Orders,
+    body: WorkerCommands,
     deadlines: Deadlines,
 }
 
@@ -30,8 +30,8 @@
     }
 }
 
-fn launches(orders: &[Order]) -> bool {
-    orders.iter().any(|o| o.verb == Verb::Start)
+fn launches(orders: &[WorkerCommand]) -> bool {
+    orders.iter().any(|o| o.verb == CommandKind::Start)
 }
 
 impl Node {
@@ -42,34 +42,34 @@
 
     /// The plan of a machine by the present view; empty if it is not held.
     pub(super) fn plan(&self, id: &str) -> Plan {
-        let hands = self.hands.borrow();
-        let Some(hand) = hands.get(id) else {
+        let worker_sessions = self.worker_sessions.borrow();
+        let Some(worker_session) = worker_sessions.get(id) else {
             return Plan::default();
         };
         reconcile(
             id,
-            hand,
-            &self.view.borrow(),
+            worker_session,
+            &self.replica.borrow(),
             &self.ends.borrow(),
             self.repeat(),
             Instant::now(),
         )
     }
 
-    /// Takes out launches that would follow from too old a view, and asks for the
+    /// Takes out launches that would follow from too old a replica, and asks for the
     /// read barrier after which they are planned again.
     pub(super) fn defer_old_launches(&self, id: &str, plan: &mut Plan) {
         let limit = self.settings.launch_limit();
-        if plan.defer_launches(self.horizon_age(), limit) {
+        if plan.defer_launches(self.replica_staleness(), limit) {
             self.want_horizon_for(id);
         }
     }
 
     /// Has a machine's orders worked out anew.
     pub(super) fn poke_machine(&self, id: &str) {
-        let changes = &mut self.view.borrow_mut().changes;
+        let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
-        self.poke.notify_one();
+        self.commands_wanted.notify_one();
     }
 
     fn known_report(&self, id: &str) -> Option<Report> {
@@ -77,23 +77,23 @@
     }
 
     /// Where the worker takes calls, and the session that it is in.
-    fn endpoint(&self, id: &str, hand: &Hand) -> Option<(String, u64)> {
+    fn endpoint(&self, id: &str, worker_session: &WorkerSession) -> Option<(String, u64)> {
         let fleet = self.fleet.borrow();
         let known = fleet.reports.get(id)?;
-        let session = hand.report.as_ref().map_or(known.session, |r| r.session);
+        let session = worker_session.report.as_ref().map_or(known.session, |r| r.session);
         Some((known.addr.clone(), session))
     }
 }
 
 /// Sends orders directly, whenever bookings or reports have changed: to the
 /// machines that these concern, and now and then to all.
-pub async fn keep_orders(node: Rc<Node>) {
+pub async fn run_commands(node: Rc<Node>) {
     let tick = node.settings.report() / 2;
     let mut swept = Instant::now();
     loop {
-        let _ = timeout(tick, node.poke.notified()).await;
-        let now = node.pulse();
-        let changed = std::mem::take(&mut node.view.borrow_mut().changes.machines);
+        let _ = timeout(tick, node.commands_wanted.notified()).await;
+        let now = node.liveness_tick();
+        let changed = std::mem::take(&mut node.replica.borrow_mut().changes.machines);
         let sweep = now.saturating_duration_since(swept) >= tick;
         if sweep {
             swept = now;
@@ -103,7 +103,7 @@
             continue;
         }
         let ids: Vec<String> = match sweep {
-            true => node.hands.borrow().keys().cloned().collect(),
+            true => node.worker_sessions.borrow().keys().cloned().collect(),
             false => changed.into_iter().collect(),
         };
         for id in ids {
@@ -116,7 +116,7 @@
 
 /// The call that a machine's worker is to get now, if any.
 fn next_call(node: &Node, id: &str, now: Instant) -> Option<Call> {
-    if !node.hands.borrow().contains_key(id) {
+    if !node.worker_sessions.borrow().contains_key(id) {
         return None;
     }
     if !node.holds(id) {
@@ -124,60 +124,60 @@
         return None;
     }
     let mut plan = node.plan(id);
-    node.queue_ends(std::mem::take(&mut plan.ends));
-    let mut hands = node.hands.borrow_mut();
-    let hand = hands.get_mut(id)?;
-    if !may_call(node, hand, now) {
+    node.queue_terminations(std::mem::take(&mut plan.ends));
+    let mut worker_sessions = node.worker_sessions.borrow_mut();
+    let worker_session = worker_sessions.get_mut(id)?;
+    if !may_call(node, worker_session, now) {
         return None;
     }
     node.defer_old_launches(id, &mut plan);
     // The first call tells the worker the token, with or without orders.
-    let first = hand.report.is_none();
+    let first = worker_session.report.is_none();
     if plan.orders.is_empty() && !first {
         return None;
     }
-    let (addr, session) = node.endpoint(id, hand)?;
-    hand.in_flight = true;
+    let (addr, session) = node.endpoint(id, worker_session)?;
+    worker_session.in_flight = true;
     for o in &plan.orders {
         tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
     }
-    hand.note_orders(&plan.orders, now);
+    worker_session.note_orders(&plan.orders, now);
     Some(Call {
         machine: id.to_string(),
         addr,
         deadlines: deadlines(node, launches(&plan.orders), now),
-        body: Orders {
-            token: hand.token,
+        body: WorkerCommands {
+            token: worker_session.token,
             session,
             orders: plan.orders,
         },
     })
 }
 
-/// Forgets a machine that another controller has claimed, once the view has
+/// Forgets a machine that another controller has claimed, once the replica has
 /// reached our own claim.
 fn drop_if_lost(node: &Node, id: &str) {
-    if node.view.borrow().revision >= node.hands.borrow()[id].claimed_at {
+    if node.replica.borrow().revision >= node.worker_sessions.borrow()[id].claimed_at {
         tracing::info!(machine = id, "claimed by another controller, or gone");
-        node.hands.borrow_mut().remove(id);
+        node.worker_sessions.borrow_mut().remove(id);
     }
 }
 
 /// Whether a worker may be called now. A call to a machine that is gone, hung or
 /// cut off takes a connection until it times out: hundreds of them would leave none
 /// for the rest. What is heard again has its orders by the answer.
-fn may_call(node: &Node, hand: &Hand, now: Instant) -> bool {
-    let silent = now.saturating_duration_since(hand.heard) > node.settings.report() * 2;
-    !hand.in_flight && !hand.unresolved && hand.quiet_until <= now && !silent
+fn may_call(node: &Node, worker_session: &WorkerSession, now: Instant) -> bool {
+    let silent = now.saturating_duration_since(worker_session.heard) > node.settings.report() * 2;
+    !worker_session.in_flight && !worker_session.unresolved && worker_session.quiet_until <= now && !silent
 }
 
 /// By when a call must be sent and answered. If this process stands still before
 /// it is sent, it is sent no more, as work may have been cancelled or moved since;
-/// a launch not once the horizon that it was planned with is too old for it.
+/// a launch not once the last barrier that it was planned with is too old for it.
 fn deadlines(node: &Node, launches: bool, decided: Instant) -> Deadlines {
     let answer = decided + WORKER_PATIENCE.min(node.settings.lease() / 4);
-    let horizon = node.horizon.get().filter(|_| launches);
-    let latest_launch = horizon.map(|sent| sent + node.settings.launch_limit());
+    let last_barrier = node.last_barrier.get().filter(|_| launches);
+    let latest_launch = last_barrier.map(|sent| sent + node.settings.launch_limit());
     Deadlines {
         send: latest_launch.map_or(answer, |latest| latest.min(answer)),
         answer,
@@ -190,42 +190,42 @@
     let now = Instant::now();
     let quiet_until = now + node.settings.report();
     let id = call.machine.as_str();
-    let mut hands = node.hands.borrow_mut();
-    let Some(hand) = hands.get_mut(id).filter(|h| h.token == call.body.token) else {
+    let mut worker_sessions = node.worker_sessions.borrow_mut();
+    let Some(worker_session) = worker_sessions.get_mut(id).filter(|h| h.token == call.body.token) else {
         return;
     };
-    hand.in_flight = false;
+    worker_session.in_flight = false;
     match result {
         Ok(answer) if answer.status == 200 || answer.status == 409 => {
-            let keep = take_answer(&node, hand, &call, &answer, now);
+            let keep = take_answer(&node, worker_session, &call, &answer, now);
             if !keep {
-                hands.remove(id);
+                worker_sessions.remove(id);
             }
         }
         Ok(answer) => {
             tracing::debug!(machine = id, status = answer.status, "orders refused");
-            hand.quiet_until = quiet_until;
+            worker_session.quiet_until = quiet_until;
         }
         Err(CallError::NotSent(cause)) => {
             // Surely not there: heartbeat answers carry the orders meanwhile.
             tracing::debug!(machine = id, cause, "orders not sent");
-            hand.quiet_until = quiet_until;
-            hand.withdraw_orders(&call.body.orders);
+            worker_session.quiet_until = quiet_until;
+            worker_session.withdraw_orders(&call.body.orders);
         }
         Err(error) => {
             tracing::debug!(machine = id, %error, "orders not answered");
-            hand.quiet_until = quiet_until;
+            worker_session.quiet_until = quiet_until;
             // Safety 3: an unanswered launch may be executed late. Only a higher
             // token that the worker has shown rules that out.
-            hand.unresolved |= call.launches();
-            if hand.unresolved
+            worker_session.unresolved |= call.launches();
+            if worker_session.unresolved
                 && let Some(report) = node.known_report(id)
             {
                 node.ask_claim(id, &report, true);
             }
         }
     }
-    drop(hands);
+    drop(worker_sessions);
     node.poke_machine(id);
 }
 
@@ -241,17 +241,17 @@
 
 /// Takes the report that a worker has answered a call with; false if it shows that
 /// another controller has claimed the machine.
-fn take_answer(node: &Node, hand: &mut Hand, call: &Call, answer: &Response, now: Instant) -> bool {
+fn take_answer(node: &Node, worker_session: &mut WorkerSession, call: &Call, answer: &Response, now: Instant) -> bool {
     let id = call.machine.as_str();
     let report = match answer.parse::<Report>() {
         Ok(report) => report,
         Err(error) => {
             tracing::debug!(machine = id, %error, "report not understood");
-            hand.unresolved |= call.launches();
+            worker_session.unresolved |= call.launches();
             return true;
         }
     };
-    hand.see(&report, node.settings.lease(), now);
+    worker_session.see(&report, node.settings.lease(), now);
     if report.token > call.body.token {
         tracing::info!(machine = id, "has seen a higher token");
         return false;
@@ -259,9 +259,9 @@
     if let Some(known) = node.fleet.borrow_mut().reports.get_mut(id) {
         known.session = report.session;
     }
-    let first = hand.report.is_none();
-    if hand.take(report, false) && first {
-        node.rooms_wanted.notify_one();
+    let first = worker_session.report.is_none();
+    if worker_session.take(report, false) && first {
+        node.publication_wanted.notify_one();
     }
     true
 }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,15 +1,15 @@
 //! `POST /agent/beat`: the answer to a worker's heartbeat.
 //!
 //! The answer renews the worker's lease and carries its orders, so it is given only
-//! by the holder of the machine, only while the view is recent (Safety 4), and only
+//! by the holder of the machine, only while the replica is recent (Safety 4), and only
 //! with the stops that the report calls for.
 
 use tokio::time::Instant;
 
 use crate::http::Response;
-use crate::model::{Life, Machine};
+use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::wire::{BeatAnswer, Order, Redirect, Report};
+use crate::wire::{HeartbeatResponse, WorkerCommand, Redirect, Report};
 
 use super::{Plan, must_stop, stops_of_cancelled};
 
@@ -25,7 +25,7 @@
 enum Answer {
     /// The worker executes the orders, and its lease is renewed if the token is
     /// not below the one that it has shown.
-    Orders { token: u64, orders: Vec<Order> },
+    WorkerCommands { token: u64, orders: Vec<WorkerCommand> },
     /// The worker is to report to this controller, or else to any other.
     Redirect(Option<String>),
     /// The worker is to try the next controller.
@@ -38,7 +38,7 @@
 impl Answer {
     fn without_orders(token: u64) -> Self {
         let orders = Vec::new();
-        Answer::Orders { token, orders }
+        Answer::WorkerCommands { token, orders }
     }
 
     fn unavailable(reason: &'static str) -> Self {
@@ -51,7 +51,7 @@
 
     fn into_response(self) -> Response {
         match self {
-            Answer::Orders { token, orders } => Response::json(200, &BeatAnswer { token, orders }),
+            Answer::WorkerCommands { token, orders } => Response::json(200, &HeartbeatResponse { token, orders }),
             Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
             Answer::Unavailable {
                 reason,
@@ -84,16 +84,16 @@
 
 impl Node {
     /// `POST /agent/beat`.
-    pub async fn beat(&self, report: Report) -> Response {
+    pub async fn heartbeat(&self, report: Report) -> Response {
         let answer = self.answer_heartbeat(report).await;
         answer.unwrap_or_else(|answer| answer).into_response()
     }
 
     async fn answer_heartbeat(&self, report: Report) -> Step<Answer> {
-        let received = self.pulse();
+        let received = self.liveness_tick();
         self.check_horizon()?;
         self.redirect_home(&report, received)?;
-        let machine = self.view.borrow().machines.get(&report.machine).cloned();
+        let machine = self.replica.borrow().machines.get(&report.machine).cloned();
         let heartbeat = Heartbeat {
             report,
             machine: machine.map(|entry| entry.value),
@@ -110,7 +110,7 @@
 
     /// Safety 4: a controller whose view may be too old renews no lease.
     fn check_horizon(&self) -> Step {
-        match self.may_answer_beats() {
+        match self.may_renew_leases() {
             true => Ok(()),
             false => Err(Answer::unavailable("cut off from the state service")),
         }
@@ -124,7 +124,7 @@
     }
 
     /// Refuses what the machine's record speaks against: it was returned, the
-    /// report is a late copy, no answer reaches the worker, or the view is older
+    /// report is a late copy, no answer reaches the worker, or the replica is older
     /// than the newest claim.
     fn check_record(&self, heartbeat: &Heartbeat) -> Step {
         let Some(machine) = &heartbeat.machine else {
@@ -132,7 +132,7 @@
         };
         let report = &heartbeat.report;
         let held = self.holds(heartbeat.id());
-        if matches!(machine.life, Life::Returning | Life::Gone) && !held {
+        if matches!(machine.life, MachineLifecycle::Returning | MachineLifecycle::Gone) && !held {
             return Err(Answer::Unavailable {
                 reason: "machine was returned",
                 retry_after_s: RETURNED_RETRY_S,
@@ -143,12 +143,12 @@
         }
         let lease = self.settings.lease();
         let mut fleet = self.fleet.borrow_mut();
-        if fleet.hears_nothing(report, machine.token, lease, heartbeat.received) {
+        if fleet.is_unreachable(report, machine.token, lease, heartbeat.received) {
             return Err(Answer::unavailable("it does not hear"));
         }
         if report.token > machine.token {
-            // Another controller has claimed it since; the view will tell which.
-            self.hands.borrow_mut().remove(heartbeat.id());
+            // Another controller has claimed it since; the replica will tell which.
+            self.worker_sessions.borrow_mut().remove(heartbeat.id());
             return Err(Answer::Redirect(None));
         }
         Ok(())
@@ -157,7 +157,7 @@
     /// Whether this controller, in this run or an earlier one, is recorded as the
     /// holder of the machine.
     fn is_recorded_holder(&self, machine: &Machine) -> bool {
-        machine.holder == self.name() && machine.token > 0 && machine.life != Life::Booting
+        machine.holder == self.name() && machine.token > 0 && machine.life != MachineLifecycle::Booting
     }
 
     /// Forgets a machine that was held here until another controller claimed it.
@@ -168,7 +168,7 @@
         if self.is_recorded_holder(machine) {
             return Ok(());
         }
-        match self.hands.borrow_mut().remove(heartbeat.id()) {
+        match self.worker_sessions.borrow_mut().remove(heartbeat.id()) {
             Some(_) => Err(Answer::Redirect(self.recorded_holder(machine))),
             None => Ok(()),
         }
@@ -183,7 +183,7 @@
             return Ok(());
         };
         let report = &heartbeat.report;
-        if self.holds(heartbeat.id()) || must_stop(report, &self.view.borrow()) {
+        if self.holds(heartbeat.id()) || must_stop(report, &self.replica.borrow()) {
             return Ok(());
         }
         self.ask_claim(heartbeat.id(), report, false);
@@ -235,18 +235,18 @@
     /// Takes the report over as the machine's newest, unless it is a late copy.
     fn take_report(&self, heartbeat: &Heartbeat) -> Step {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut doubted = false;
-        if let Some(hand) = self.hands.borrow_mut().get_mut(id) {
-            if !hand.hear(report, self.settings.lease(), heartbeat.received) {
+        let mut unconfirmed = false;
+        if let Some(worker_session) = self.worker_sessions.borrow_mut().get_mut(id) {
+            if !worker_session.record_heartbeat(report, self.settings.lease(), heartbeat.received) {
                 return Err(Answer::unavailable("a newer report has come"));
             }
-            let first = hand.report.is_none();
-            doubted = hand.doubted;
-            if hand.take(report.clone(), true) && first {
-                self.rooms_wanted.notify_one();
+            let first = worker_session.report.is_none();
+            unconfirmed = worker_session.unconfirmed;
+            if worker_session.take(report.clone(), true) && first {
+                self.publication_wanted.notify_one();
             }
         }
-        if doubted {
+        if unconfirmed {
             self.ask_claim(id, report, false);
         }
         if report.notice_s.is_some() {
@@ -259,18 +259,18 @@
     /// What the machine is to be told now; ends are queued at once.
     fn plan_answer(&self, heartbeat: &Heartbeat) -> Plan {
         let mut plan = self.plan(heartbeat.id());
-        self.queue_ends(std::mem::take(&mut plan.ends));
+        self.queue_terminations(std::mem::take(&mut plan.ends));
         plan
     }
 
     /// The answer that renews the lease.
     fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut hands = self.hands.borrow_mut();
-        let Some(hand) = hands.get_mut(id) else {
+        let mut worker_sessions = self.worker_sessions.borrow_mut();
+        let Some(worker_session) = worker_sessions.get_mut(id) else {
             return Err(Answer::unavailable("lost while answering"));
         };
-        if hand.in_flight {
+        if worker_session.in_flight {
             // What a direct call carries just now is not repeated here: the order
             // in which the two arrive would not be known.
             plan.orders.clear();
@@ -279,18 +279,18 @@
         // The horizon may have passed while the claim was awaited.
         self.check_horizon()?;
         // Safety 4: the answer renews the lease, so it ends what is cancelled.
-        for stop in stops_of_cancelled(report, &self.view.borrow()) {
+        for stop in stops_of_cancelled(report, &self.replica.borrow()) {
             if !plan.orders.contains(&stop) {
                 plan.orders.push(stop);
             }
         }
         if plan.launches() {
-            hand.offered = Some((report.session, report.seq));
+            worker_session.offered = Some((report.session, report.seq));
         }
-        hand.note_orders(&plan.orders, heartbeat.received);
-        hand.answered = heartbeat.received;
-        Ok(Answer::Orders {
-            token: hand.token,
+        worker_session.note_orders(&plan.orders, heartbeat.received);
+        worker_session.answered = heartbeat.received;
+        Ok(Answer::WorkerCommands {
+            token: worker_session.token,
             orders: plan.orders,
         })
     }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -6,41 +6,41 @@
 
 use tokio::time::Instant;
 
-use crate::model::{Final, Job, Life, Outcome, Run, Spec, split_task};
-use crate::view::{Entry, View};
-use crate::wire::{Order, Report, TaskReport, TaskStage, Verb, Why};
+use crate::model::{JobStatus, Job, MachineLifecycle, Outcome, Run, Spec, split_task};
+use crate::replica::{Entry, Replica};
+use crate::wire::{WorkerCommand, Report, TaskReport, TaskStage, CommandKind, ExitReason};
 
-use super::{EndKey, Hand, Proof};
+use super::{AttemptKey, WorkerSession, TerminationEvidence};
 
 /// What a worker is to be told, and which bookings are to be released.
 #[derive(Debug, Default, PartialEq)]
 pub struct Plan {
     /// Orders for the worker, to be executed in this order.
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
     /// Attempts that have ended, with their outcome.
-    pub ends: Vec<(EndKey, Outcome)>,
+    pub ends: Vec<(AttemptKey, Outcome)>,
 }
 
 impl Plan {
     /// Whether any of the orders starts a task.
     pub fn launches(&self) -> bool {
-        self.orders.iter().any(|o| o.verb == Verb::Start)
+        self.orders.iter().any(|o| o.verb == CommandKind::Start)
     }
 
-    /// Takes the launches out unless the view is recent enough for them: what an
+    /// Takes the launches out unless the replica is recent enough for them: what an
     /// older view books may have been cancelled at another controller since.
     /// True if any were taken out; they are planned again after a read barrier.
-    pub fn defer_launches(&mut self, horizon_age: Option<Duration>, limit: Duration) -> bool {
-        let recent = horizon_age.is_some_and(|age| age < limit);
+    pub fn defer_launches(&mut self, replica_staleness: Option<Duration>, limit: Duration) -> bool {
+        let recent = replica_staleness.is_some_and(|age| age < limit);
         if recent || !self.launches() {
             return false;
         }
-        self.orders.retain(|o| o.verb != Verb::Start);
+        self.orders.retain(|o| o.verb != CommandKind::Start);
         true
     }
 
-    fn order(&mut self, verb: Verb, task: &str, attempt: u64, grace_s: Option<f64>) {
-        self.orders.push(Order {
+    fn order(&mut self, verb: CommandKind, task: &str, attempt: u64, grace_s: Option<f64>) {
+        self.orders.push(WorkerCommand {
             verb,
             task: task.to_string(),
             attempt,
@@ -49,10 +49,10 @@
     }
 }
 
-fn outcome(why: Option<Why>) -> Outcome {
+fn outcome(why: Option<ExitReason>) -> Outcome {
     match why {
-        Some(Why::Done) => Outcome::Done,
-        Some(Why::Error | Why::Unknown) => Outcome::Failed,
+        Some(ExitReason::Done) => Outcome::Done,
+        Some(ExitReason::Error | ExitReason::Unknown) => Outcome::Failed,
         _ => Outcome::Lost,
     }
 }
@@ -71,26 +71,26 @@
 /// nothing is sent or recorded here.
 pub fn reconcile(
     id: &str,
-    hand: &Hand,
-    view: &View,
-    ends: &BTreeMap<EndKey, Proof>,
+    worker_session: &WorkerSession,
+    replica: &Replica,
+    ends: &BTreeMap<AttemptKey, TerminationEvidence>,
     repeat: Duration,
     now: Instant,
 ) -> Plan {
     let mut plan = Plan::default();
-    let (Some(report), Some(machine)) = (&hand.report, view.machines.get(id)) else {
+    let (Some(report), Some(machine)) = (&worker_session.report, replica.machines.get(id)) else {
         return plan;
     };
-    // Safety 2: act on bookings only once the view has reached our claim, and
-    // only while the claim is still ours as far as the view tells.
-    if view.revision < hand.claimed_at || machine.value.token != hand.token {
+    // Safety 2: act on bookings only once the replica has reached our claim, and
+    // only while the claim is still ours as far as the replica tells.
+    if replica.revision < worker_session.claimed_at || machine.value.token != worker_session.token {
         return plan;
     }
     let reconciler = Reconciler {
         machine: id,
         life: machine.value.life,
-        hand,
-        view,
+        worker_session,
+        replica,
         ends,
         repeat,
         now,
@@ -104,7 +104,7 @@
     }
     // Safety 3: only a report newer than every launch proves that a task that it
     // lacks is not there.
-    if hand.settled() {
+    if worker_session.settled() {
         reconciler.plan_missing(&reported, &mut plan);
     }
     plan
@@ -113,18 +113,18 @@
 /// What the plan of one machine depends on.
 struct Reconciler<'a> {
     machine: &'a str,
-    life: Life,
-    hand: &'a Hand,
-    view: &'a View,
+    life: MachineLifecycle,
+    worker_session: &'a WorkerSession,
+    replica: &'a Replica,
     /// Ends that wait to be recorded.
-    ends: &'a BTreeMap<EndKey, Proof>,
+    ends: &'a BTreeMap<AttemptKey, TerminationEvidence>,
     repeat: Duration,
     now: Instant,
 }
 
 impl Reconciler<'_> {
-    fn end_key(&self, job: &str, task: u32, attempt: u64) -> EndKey {
-        EndKey {
+    fn end_key(&self, job: &str, task: u32, attempt: u64) -> AttemptKey {
+        AttemptKey {
             job: job.to_string(),
             machine: self.machine.to_string(),
             attempt,
@@ -134,7 +134,7 @@
 
     /// Plans for a task that the worker reports.
     fn plan_reported(&self, job: &str, number: u32, task: &TaskReport, plan: &mut Plan) {
-        let entry = self.view.jobs.get(job);
+        let entry = self.replica.jobs.get(job);
         let booking = entry.and_then(|e| {
             let run = e.value.find(self.machine, task.attempt, number)?;
             Some((&e.value, run))
@@ -144,7 +144,7 @@
             Some(_) if ended => {
                 // Safety 3: with a launch that may be executed late neither the
                 // booking is released nor the attempt forgotten.
-                if !self.hand.unresolved {
+                if !self.worker_session.unresolved {
                     let key = self.end_key(job, number, task.attempt);
                     plan.ends.push((key, outcome(task.why)));
                 }
@@ -152,8 +152,8 @@
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if ended => {
                 // The end is on record, or was never ours to record.
-                if self.hand.settled() {
-                    plan.order(Verb::Forget, &task.task, task.attempt, None);
+                if self.worker_session.settled() {
+                    plan.order(CommandKind::Forget, &task.task, task.attempt, None);
                 }
             }
             None => self.stop_unbooked(task, plan),
@@ -163,7 +163,7 @@
     /// Stops a booked task whose job is over, whose run is to end, or whose
     /// machine is to be returned.
     fn stop_booked(&self, job: &Job, run: &Run, task: &TaskReport, plan: &mut Plan) {
-        let returning = matches!(self.life, Life::Returning | Life::Gone);
+        let returning = matches!(self.life, MachineLifecycle::Returning | MachineLifecycle::Gone);
         if job.is_open() && !run.stop && !returning {
             return;
         }
@@ -174,7 +174,7 @@
             Some((at, given)) => *given > grace_s || (!saving && self.is_overdue(*at)),
         };
         if wanted {
-            plan.order(Verb::Stop, &task.task, task.attempt, Some(grace_s));
+            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(grace_s));
         }
     }
 
@@ -182,13 +182,13 @@
     fn stop_unbooked(&self, task: &TaskReport, plan: &mut Plan) {
         let ordered = self.stop_ordered(task);
         if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
-            plan.order(Verb::Stop, &task.task, task.attempt, Some(0.0));
+            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
         }
     }
 
     /// When the task was last ordered to stop, and with how much grace.
     fn stop_ordered(&self, task: &TaskReport) -> Option<&(Instant, f64)> {
-        self.hand.stopped.get(&(task.task.clone(), task.attempt))
+        self.worker_session.stopped.get(&(task.task.clone(), task.attempt))
     }
 
     fn is_overdue(&self, ordered: Instant) -> bool {
@@ -197,7 +197,7 @@
 
     /// Plans for the bookings of which the report shows no task.
     fn plan_missing(&self, reported: &HashSet<(&str, u32, u64)>, plan: &mut Plan) {
-        for (job, entry) in self.view.jobs_on(self.machine) {
+        for (job, entry) in self.replica.jobs_on(self.machine) {
             let runs = entry.value.runs.iter();
             for run in runs.filter(|r| r.machine == self.machine) {
                 for number in run.tasks.iter() {
@@ -220,21 +220,21 @@
     ) {
         let key = self.end_key(job_id, number, run.attempt);
         let recording = self.ends.get(&key);
-        if recording.is_some_and(|proof| proof.token == self.hand.token) {
+        if recording.is_some_and(|proof| proof.token == self.worker_session.token) {
             return;
         }
         let task = format!("{job_id}/{number}");
-        let launched = self.hand.launched.contains(&(task.clone(), run.attempt));
+        let launched = self.worker_session.launched.contains(&(task.clone(), run.attempt));
         // A gang's member that was there and is gone has broken the attempt; an
         // independent task is simply launched again, but not where no order
         // arrives.
         let job = &entry.value;
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-        let lost = run.stop || self.hand.deaf_since.is_some() || (gang && launched);
-        if !job.is_open() || self.life != Life::Active || lost {
+        let lost = run.stop || self.worker_session.unreachable_since.is_some() || (gang && launched);
+        if !job.is_open() || self.life != MachineLifecycle::Active || lost {
             plan.ends.push((key, Outcome::Lost));
-        } else if entry.version <= self.view.revision {
-            plan.order(Verb::Start, &task, run.attempt, None);
+        } else if entry.version <= self.replica.revision {
+            plan.order(CommandKind::Start, &task, run.attempt, None);
         }
     }
 }
@@ -243,33 +243,33 @@
 /// a controller that cannot order that yet. A cancelled task would outlive
 /// `cancel_s` if its holder came back again and again before it could claim the
 /// machine.
-pub fn must_stop(report: &Report, view: &View) -> bool {
+pub fn must_stop(report: &Report, replica: &Replica) -> bool {
     let reported = report.tasks.iter().any(|task| {
         let Some((id, number)) = split_task(&task.task) else {
             return false;
         };
-        let job = view.jobs.get(id).map(|e| &e.value);
+        let job = replica.jobs.get(id).map(|e| &e.value);
         let stays = job.is_some_and(|job| {
             job.is_open() && job.find(&report.machine, task.attempt, number).is_some()
         });
         task.stage != TaskStage::Ended && !stays
     });
-    let mut booked = view.jobs_on(&report.machine);
+    let mut booked = replica.jobs_on(&report.machine);
     reported || booked.any(|(_, entry)| !entry.value.is_open())
 }
 
 /// The stops that an answer which renews the lease has to carry: for every task
 /// in that very report whose job is cancelled. What is final needs neither a
-/// report under our token nor a view that has reached our claim, and a stop may
+/// report under our token nor a replica that has reached our claim, and a stop may
 /// be repeated at any time: it is not left out because it was ordered a moment
 /// ago, or is in a direct call just now, as neither may ever arrive.
-pub fn stops_of_cancelled(report: &Report, view: &View) -> Vec<Order> {
+pub fn stops_of_cancelled(report: &Report, replica: &Replica) -> Vec<WorkerCommand> {
     let cancelled = |task: &&TaskReport| {
-        let job = split_task(&task.task).and_then(|(id, _)| view.jobs.get(id));
-        task.stage != TaskStage::Ended && job.is_some_and(|e| e.value.fin == Final::Cancelled)
+        let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
+        task.stage != TaskStage::Ended && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
     };
-    let stop = |task: &TaskReport| Order {
-        verb: Verb::Stop,
+    let stop = |task: &TaskReport| WorkerCommand {
+        verb: CommandKind::Stop,
         task: task.task.clone(),
         attempt: task.attempt,
         grace_s: Some(0.0),
--- a/src/workers/rooms.rs
+++ b/src/workers/rooms.rs
@@ -8,15 +8,15 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::draft::{COMMIT_BYTES, GUARDS_PER_WRITE};
-use crate::model::{Life, Machine, Part, Room, Slot, split_task};
+use crate::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
+use crate::model::{MachineLifecycle, Machine, ZoneShard, Resources, MachineSlot, split_task};
 use crate::node::{Node, guard};
 use crate::store::{Class, StoreError};
-use crate::view::{View, part_key};
+use crate::replica::{Replica, zone_shard_key};
 use crate::wire::{Guard, Report, TaskReport, TaskStage};
 
-use super::Hand;
-use super::parts::{Conditions, PartEdit, choose_part};
+use super::WorkerSession;
+use super::zone_shards::{Conditions, PartEdit, choose_part};
 
 /// A part's record is published at most once in this time, unless machines join.
 const INTERVAL: Duration = Duration::from_secs(5);
@@ -28,7 +28,7 @@
 type Published = HashMap<String, Instant>;
 
 /// Publishes the room of held machines where the parts' records differ.
-pub async fn keep_rooms(node: Rc<Node>) {
+pub async fn run_publication(node: Rc<Node>) {
     let mut published = Published::new();
     let mut joined: Option<Instant> = None;
     loop {
@@ -44,7 +44,7 @@
         // A machine that is in no record is rented for nothing, and work that
         // is sent to a silent one waits for its lease: neither stands behind
         // the rounds, which would have the whole budget while work waits.
-        let mut class = Class::Room;
+        let mut class = Class::Publication;
         if changes.iter().any(|c| c.members) {
             class = Class::Claim;
             joined = Some(Instant::now());
@@ -63,7 +63,7 @@
 async fn gather(node: &Node, joined: Option<Instant>) {
     let moment = node.request_gap() * 4;
     let apart = node.settings.report() / 4;
-    let _ = timeout(node.settings.report() / 3, node.rooms_wanted.notified()).await;
+    let _ = timeout(node.settings.report() / 3, node.publication_wanted.notified()).await;
     let since = joined.map_or(apart, |t| t.elapsed());
     sleep(moment.max(apart.saturating_sub(since))).await;
 }
@@ -77,8 +77,8 @@
 ) {
     while !changes.is_empty() {
         let (guards, writes) = {
-            let view = node.view.borrow();
-            let writes = changes.iter().map(|c| view.put_part(&c.id, &c.part));
+            let replica = node.replica.borrow();
+            let writes = changes.iter().map(|c| replica.put_zone_shard(&c.id, &c.part));
             (all_guards(&changes), writes.collect())
         };
         match node.commit(class, guards, writes).await {
@@ -88,11 +88,11 @@
                 tracing::debug!(?keys, "room not published");
                 let known = changes.len();
                 drop_conflicting(&mut changes, &keys, published);
-                node.hurry();
-                node.rooms_wanted.notify_one();
+                node.expedite_watch();
+                node.publication_wanted.notify_one();
                 // Where slots were put by what other parts of the commit hold,
                 // all of it is chosen anew.
-                if changes.len() == known || node.view.borrow().is_short() {
+                if changes.len() == known || node.replica.borrow().uses_compact_encoding() {
                     return;
                 }
             }
@@ -125,7 +125,7 @@
 /// A part's record as it should be.
 struct RoomChange {
     id: String,
-    part: Part,
+    part: ZoneShard,
     /// Machines join or leave.
     members: bool,
     /// All that has to be as it is.
@@ -135,19 +135,19 @@
 /// Parts of the zones' records that differ from what this controller knows of
 /// the machines that it holds; as many as one commit takes.
 fn room_changes(node: &Node, recent: &Published) -> Vec<RoomChange> {
-    let now = node.pulse();
-    let view = node.view.borrow();
-    let hands = node.hands.borrow();
-    let suspects = crate::fleet::suspects(node, &view, &hands);
-    let mut planner = RoomPlanner::new(node, &view, suspects, now);
-    for (id, hand) in hands.iter() {
-        let Some(machine) = view.machines.get(id).map(|e| &e.value) else {
+    let now = node.liveness_tick();
+    let replica = node.replica.borrow();
+    let worker_sessions = node.worker_sessions.borrow();
+    let suspects = crate::fleet::suspects(node, &replica, &worker_sessions);
+    let mut planner = RoomPlanner::new(node, &replica, suspects, now);
+    for (id, worker_session) in worker_sessions.iter() {
+        let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
             continue;
         };
-        if machine.incarnation != node.incarnation || machine.token != hand.token {
+        if machine.incarnation != node.incarnation || machine.token != worker_session.token {
             continue;
         }
-        match planner.listing(id, hand, machine) {
+        match planner.listing(id, worker_session, machine) {
             Listing::Unknown => {}
             Listing::TakesNone => planner.plan(id, machine, None, recent),
             Listing::Takes(slot) => planner.plan(id, machine, Some(slot), recent),
@@ -162,13 +162,13 @@
     Unknown,
     /// It takes no new work.
     TakesNone,
-    Takes(Slot),
+    Takes(MachineSlot),
 }
 
 /// Plans one commit of changed parts.
 struct RoomPlanner<'a> {
     node: &'a Node,
-    view: &'a View,
+    replica: &'a Replica,
     suspects: HashSet<String>,
     now: Instant,
     most_parts: usize,
@@ -181,16 +181,16 @@
 }
 
 impl<'a> RoomPlanner<'a> {
-    fn new(node: &'a Node, view: &'a View, suspects: HashSet<String>, now: Instant) -> Self {
+    fn new(node: &'a Node, replica: &'a Replica, suspects: HashSet<String>, now: Instant) -> Self {
         // Records that stand in the longer text may be as long as ever.
-        let longest = match view.is_short() {
+        let longest = match replica.uses_compact_encoding() {
             true => node.settings.value_bytes(),
             false => node.settings.longest_value(),
         };
         let most_parts = node.settings.txn_ops().min((COMMIT_BYTES / longest).max(1));
         RoomPlanner {
             node,
-            view,
+            replica,
             suspects,
             now,
             most_parts,
@@ -201,40 +201,40 @@
         }
     }
 
-    fn listing(&self, id: &str, hand: &Hand, machine: &Machine) -> Listing {
-        let hears = hand.deaf_since.is_none();
-        if machine.life != Life::Active || self.is_quiet(id, hand) || !hears {
+    fn listing(&self, id: &str, worker_session: &WorkerSession, machine: &Machine) -> Listing {
+        let hears = worker_session.unreachable_since.is_none();
+        if machine.life != MachineLifecycle::Active || self.is_quiet(id, worker_session) || !hears {
             return Listing::TakesNone;
         }
-        let kind = self.view.type_of(&machine.kind);
-        let (Some(report), Some(kind)) = (&hand.report, kind) else {
+        let kind = self.replica.type_of(&machine.kind);
+        let (Some(report), Some(kind)) = (&worker_session.report, kind) else {
             return Listing::Unknown;
         };
         let unbooked = self.unbooked(id, report);
-        Listing::Takes(Slot {
+        Listing::Takes(MachineSlot {
             kind: machine.kind.clone(),
             spot: machine.spot,
-            free: Room::of_type(kind) - self.view.booked_on(id) - unbooked,
+            free: Resources::of_type(kind) - self.replica.booked_on(id) - unbooked,
             unbooked,
         })
     }
 
     /// What has not been heard for most of a lease takes no new work until it is
     /// heard again; nor does a machine that is suspected of failing tasks.
-    fn is_quiet(&self, id: &str, hand: &Hand) -> bool {
+    fn is_quiet(&self, id: &str, worker_session: &WorkerSession) -> bool {
         let settings = &self.node.settings;
         let since = |t: Instant| self.now.saturating_duration_since(t);
-        let unshown = hand.report.is_none() && since(hand.claimed) > settings.report() * 2;
-        let silent = since(hand.beat) > settings.lease().mul_f64(QUIET_SHARE);
+        let unshown = worker_session.report.is_none() && since(worker_session.claimed) > settings.report() * 2;
+        let silent = since(worker_session.heartbeat) > settings.lease().mul_f64(QUIET_SHARE);
         unshown || silent || self.suspects.contains(id)
     }
 
     /// Tasks that nobody has booked here take room until they are gone.
-    fn unbooked(&self, id: &str, report: &Report) -> Room {
-        let mut unbooked = Room::default();
+    fn unbooked(&self, id: &str, report: &Report) -> Resources {
+        let mut unbooked = Resources::default();
         let needs = |task: &TaskReport| {
             let (job, number) = split_task(&task.task)?;
-            let job = &self.view.jobs.get(job)?.value;
+            let job = &self.replica.jobs.get(job)?.value;
             let here = job.find(id, task.attempt, number).is_some();
             let ended = task.stage == TaskStage::Ended;
             job.spec
@@ -250,8 +250,8 @@
 
     /// Puts the machine's slot into its part's record, or takes it out, where the
     /// record differs and the commit has room for it.
-    fn plan(&mut self, id: &str, machine: &Machine, slot: Option<Slot>, recent: &Published) {
-        let known = self.view.slot(id);
+    fn plan(&mut self, id: &str, machine: &Machine, slot: Option<MachineSlot>, recent: &Published) {
+        let known = self.replica.slot(id);
         // Room alone is no reason to write: bookings are known to all.
         let same = match (known, &slot) {
             (Some(a), Some(b)) => a.unbooked == b.unbooked,
@@ -261,7 +261,7 @@
         if same {
             return;
         }
-        let Some(part) = self.part_of(id, machine, slot.as_ref()) else {
+        let Some(part) = self.zone_shard_of(id, machine, slot.as_ref()) else {
             return;
         };
         // A machine that joins does not wait for the interval.
@@ -275,11 +275,11 @@
     }
 
     /// The part that the machine stands in, or is put into.
-    fn part_of(&mut self, id: &str, machine: &Machine, slot: Option<&Slot>) -> Option<String> {
-        if let Some(part) = self.view.part_of(id) {
+    fn zone_shard_of(&mut self, id: &str, machine: &Machine, slot: Option<&MachineSlot>) -> Option<String> {
+        if let Some(part) = self.replica.zone_shard_of(id) {
             return Some(part.to_string());
         }
-        let choice = choose_part(self.view, &self.edits, id, machine, slot)?;
+        let choice = choose_part(self.replica, &self.edits, id, machine, slot)?;
         if self.conditions.len() + choice.conditions.len() > self.most_guards {
             return None;
         }
@@ -291,11 +291,11 @@
         Some(choice.part)
     }
 
-    fn edit(&mut self, part: String, id: &str, slot: Option<Slot>, members: bool) {
-        let view = self.view;
+    fn edit(&mut self, part: String, id: &str, slot: Option<MachineSlot>, members: bool) {
+        let replica = self.replica;
         let edit = self.edits.entry(part).or_insert_with_key(|part| PartEdit {
-            record: view
-                .parts
+            record: replica
+                .zone_shards
                 .get(part)
                 .map(|e| e.value.clone())
                 .unwrap_or_default(),
@@ -310,7 +310,7 @@
         edit.record.machines.insert(id.to_string(), slot);
         // What nobody has booked is told only where there is room for it: a
         // machine that is not listed takes no work meanwhile.
-        if unbooked && !view.fits_part(&edit.record) {
+        if unbooked && !replica.fits_zone_shard(&edit.record) {
             edit.record.machines.remove(id);
         }
     }
@@ -328,7 +328,7 @@
 
     /// What must be as it is for the change of a part to hold.
     fn guards(&self, part: &str) -> Vec<Guard> {
-        let mut guards = vec![guard(part_key(part), self.view.part_version(part))];
+        let mut guards = vec![guard(zone_shard_key(part), self.replica.zone_shard_version(part))];
         let keys = self.condition_keys.get(part).into_iter().flatten();
         guards.extend(keys.map(|key| {
             let version = self.conditions.get(key).copied().unwrap_or(0);
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -29,8 +29,8 @@
     /// The home that the worker is to be sent to now: another controller than this,
     /// which is up and hears its workers.
     pub(super) fn send_home(&self, report: &Report, now: Instant) -> Option<String> {
-        let view = self.view.borrow();
-        let machine = view.machines.get(&report.machine).map(|e| &e.value);
+        let replica = self.replica.borrow();
+        let machine = replica.machines.get(&report.machine).map(|e| &e.value);
         let home = self.home_that_hears(report, machine, now)?;
         if home == self.name() || self.was_sent_home(&report.machine, now) {
             return None;
@@ -59,7 +59,7 @@
         let peers = self.peers.borrow();
         // A controller that does not hear its workers has lost them.
         let mut alive = peers.alive(self, now);
-        alive.retain(|n| *n == self.name() || peers.hears_machines(self, n, now));
+        alive.retain(|n| *n == self.name() || peers.hears_workers(self, n, now));
         let home = machine.map_or("", |m| home_of(&m.part));
         match alive.iter().find(|n| **n == home) {
             Some(home) => Some(home.to_string()),
@@ -123,12 +123,12 @@
         if home_of(&machine.part) == self.name() {
             return None;
         }
-        let view = self.view.borrow();
+        let replica = self.replica.borrow();
         let holder = machine.holder.as_str();
-        let up = view.nodes.get(holder)?.value.incarnation == machine.incarnation;
+        let up = replica.nodes.get(holder)?.value.incarnation == machine.incarnation;
         let peers = self.peers.borrow();
         let alive = peers.alive(self, now).contains(&holder);
-        if !up || !alive || !peers.hears_machines(self, holder, now) {
+        if !up || !alive || !peers.hears_workers(self, holder, now) {
             return None;
         }
         let mut fleet = self.fleet.borrow_mut();
--- a/src/workers/session.rs
+++ b/src/workers/session.rs
@@ -11,15 +11,15 @@
 
 use crate::node::skipped;
 use crate::settings::CLOCK_DRIFT;
-use crate::wire::{Order, Report, Verb};
+use crate::wire::{WorkerCommand, Report, CommandKind};
 
 /// What this controller knows of a machine that it holds, from the claim of its
 /// token on.
 #[derive(Debug)]
-pub struct Hand {
+pub struct WorkerSession {
     /// The token under which we claimed it.
     pub token: u64,
-    /// The revision of that claim: the view must have reached it, or bookings
+    /// The revision of that claim: the replica must have reached it, or bookings
     /// that an earlier holder acted on may be missing from it.
     pub claimed_at: u64,
     /// The newest report by (session, seq) that was made under our token.
@@ -28,7 +28,7 @@
     pub heard: Instant,
     /// When the last heartbeat came. A worker that answers direct orders but
     /// opens no connection of its own is heard, and its lease runs out all the same.
-    pub beat: Instant,
+    pub heartbeat: Instant,
     /// When this controller claimed it.
     pub claimed: Instant,
     /// When a heartbeat was last answered with 200; at first, the time of the claim.
@@ -56,22 +56,22 @@
     /// The worker's session, and when this controller first saw it.
     pub session: Option<(u64, Instant)>,
     /// Since when its reports have arrived while answers and orders have not.
-    pub deaf_since: Option<Instant>,
+    pub unreachable_since: Option<Instant>,
     /// It was silent for a whole lease: that it reports again does not tell
     /// whether answers reach it. Its reports count once it has answered a direct
     /// call or shown a newer token.
-    pub doubted: bool,
+    pub unconfirmed: bool,
 }
 
-impl Hand {
+impl WorkerSession {
     /// A machine that was claimed under `token` by the commit of this revision.
     pub fn new(token: u64, claimed_at: u64, now: Instant) -> Self {
-        Hand {
+        WorkerSession {
             token,
             claimed_at,
             report: None,
             heard: now,
-            beat: now,
+            heartbeat: now,
             claimed: now,
             answered: now,
             in_flight: false,
@@ -83,18 +83,18 @@
             quiet_until: now,
             newest_beat: (0, 0),
             session: None,
-            deaf_since: None,
-            doubted: false,
+            unreachable_since: None,
+            unconfirmed: false,
         }
     }
 
     /// Takes over what does not depend on the token from the claim before this.
-    pub fn follow(&mut self, earlier: &Hand) {
+    pub fn follow(&mut self, earlier: &WorkerSession) {
         self.failed_jobs.clone_from(&earlier.failed_jobs);
         self.newest_beat = earlier.newest_beat;
-        self.beat = earlier.beat;
+        self.heartbeat = earlier.heartbeat;
         self.session = earlier.session;
-        self.deaf_since = earlier.deaf_since;
+        self.unreachable_since = earlier.unreachable_since;
     }
 
     /// Takes a gap in which this process did not run out of every span of
@@ -102,22 +102,22 @@
     /// answer stays: that a lease ran out in the gap does not show that answers
     /// fail to reach the worker.
     pub fn skip(&mut self, gap: Duration, now: Instant) {
-        for at in [&mut self.heard, &mut self.beat, &mut self.claimed] {
+        for at in [&mut self.heard, &mut self.heartbeat, &mut self.claimed] {
             *at = skipped(*at, gap, now);
         }
-        self.deaf_since = self.deaf_since.map(|t| skipped(t, gap, now));
+        self.unreachable_since = self.unreachable_since.map(|t| skipped(t, gap, now));
         self.session = self.session.map(|(s, t)| (s, skipped(t, gap, now)));
     }
 
     /// Notes that a heartbeat has come; false for a late copy, which proves
     /// nothing: neither that the machine is alive, nor what runs there.
-    pub fn hear(&mut self, report: &Report, lease: Duration, now: Instant) -> bool {
+    pub fn record_heartbeat(&mut self, report: &Report, lease: Duration, now: Instant) -> bool {
         let at = (report.session, report.seq);
         if at <= self.newest_beat {
             return false;
         }
         self.newest_beat = at;
-        self.beat = now;
+        self.heartbeat = now;
         self.see(report, lease, now);
         true
     }
@@ -137,21 +137,21 @@
                 self.unresolved = false;
                 self.offered = None;
                 if since(self.answered) < lease && report.token == self.token {
-                    self.deaf_since = self.deaf_since.or(Some(now));
+                    self.unreachable_since = self.unreachable_since.or(Some(now));
                 }
                 self.session = Some((report.session, now));
             }
             Some((_, first)) if !unshown && since(first) > lease.mul_f64(1.25) => {
-                self.deaf_since = None;
+                self.unreachable_since = None;
             }
             Some(_) => {}
             None => self.session = Some((report.session, now)),
         }
         // A worker that cannot reach us has no lease, however well our orders
         // reach it: what is started there ends with each session.
-        let mute = since(self.beat) > lease;
+        let mute = since(self.heartbeat) > lease;
         if unshown || mute {
-            self.deaf_since = self.deaf_since.or(Some(now));
+            self.unreachable_since = self.unreachable_since.or(Some(now));
         }
     }
 
@@ -162,10 +162,10 @@
         if report.token != self.token {
             return false;
         }
-        if is_beat && self.doubted {
+        if is_beat && self.unconfirmed {
             return false;
         }
-        self.doubted = false;
+        self.unconfirmed = false;
         let at = (report.session, report.seq);
         if let Some(old) = &self.report
             && at <= (old.session, old.seq)
@@ -195,27 +195,27 @@
     }
 
     /// Notes what the worker is about to be told.
-    pub(super) fn note_orders(&mut self, orders: &[Order], now: Instant) {
+    pub(super) fn note_orders(&mut self, orders: &[WorkerCommand], now: Instant) {
         for order in orders {
             let attempt = (order.task.clone(), order.attempt);
             match order.verb {
-                Verb::Start => _ = self.launched.insert(attempt),
-                Verb::Stop => {
+                CommandKind::Start => _ = self.launched.insert(attempt),
+                CommandKind::Stop => {
                     let grace_s = order.grace_s.unwrap_or(0.0);
                     self.stopped.insert(attempt, (now, grace_s));
                 }
-                Verb::Forget => _ = self.launched.remove(&attempt),
+                CommandKind::Forget => _ = self.launched.remove(&attempt),
             }
         }
     }
 
     /// Takes back what was noted of orders that were surely not sent.
-    pub(super) fn withdraw_orders(&mut self, orders: &[Order]) {
+    pub(super) fn withdraw_orders(&mut self, orders: &[WorkerCommand]) {
         for order in orders {
             let attempt = (order.task.clone(), order.attempt);
             match order.verb {
-                Verb::Start => _ = self.launched.remove(&attempt),
-                Verb::Stop | Verb::Forget => _ = self.stopped.remove(&attempt),
+                CommandKind::Start => _ = self.launched.remove(&attempt),
+                CommandKind::Stop | CommandKind::Forget => _ = self.stopped.remove(&attempt),
             }
         }
     }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,13 +1,13 @@
 //! Ends of tasks: what proves that an attempt is over, and the queue of those that
 //! are to be recorded.
 
-use crate::model::{Life, Outcome};
+use crate::model::{MachineLifecycle, Outcome};
 use crate::node::Node;
-use crate::view::View;
+use crate::replica::Replica;
 
 /// A task's attempt on a machine whose booking is to be released.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EndKey {
+pub struct AttemptKey {
     /// The id of the job.
     pub job: String,
     /// The machine on which the task was booked.
@@ -22,7 +22,7 @@
 /// controller that loses a machine and claims it again may have let another launch
 /// the same attempt there meanwhile: what was proven before the new claim is void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Proof {
+pub struct TerminationEvidence {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The token of the claim under which that was proven.
@@ -31,29 +31,29 @@
 
 impl Node {
     /// Queues ends for the next commit that records some.
-    pub(super) fn queue_ends(&self, ends: Vec<(EndKey, Outcome)>) {
+    pub(super) fn queue_terminations(&self, ends: Vec<(AttemptKey, Outcome)>) {
         if ends.is_empty() {
             return;
         }
         for (key, outcome) in ends {
             self.queue_end(key, outcome);
         }
-        self.ends_wanted.notify_one();
+        self.terminations_wanted.notify_one();
     }
 
-    fn queue_end(&self, key: EndKey, outcome: Outcome) {
-        let mut hands = self.hands.borrow_mut();
+    fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
+        let mut worker_sessions = self.worker_sessions.borrow_mut();
         let mut queue = self.ends.borrow_mut();
-        let hand = hands.get_mut(&key.machine);
+        let worker_session = worker_sessions.get_mut(&key.machine);
         // Of a machine that is not held only the cloud's word proves an end.
-        let token = hand.as_ref().map_or(0, |h| h.token);
+        let token = worker_session.as_ref().map_or(0, |h| h.token);
         if queue.get(&key).is_some_and(|proof| proof.token >= token) {
             return;
         }
-        if let Some(hand) = hand {
+        if let Some(worker_session) = worker_session {
             match outcome {
-                Outcome::Failed => _ = hand.failed_jobs.insert(key.job.clone()),
-                Outcome::Done => hand.failed_jobs.clear(),
+                Outcome::Failed => _ = worker_session.failed_jobs.insert(key.job.clone()),
+                Outcome::Done => worker_session.failed_jobs.clear(),
                 Outcome::Lost => {}
             }
         }
@@ -65,53 +65,53 @@
             ?outcome,
             "ended"
         );
-        queue.insert(key, Proof { outcome, token });
+        queue.insert(key, TerminationEvidence { outcome, token });
     }
 }
 
 /// Releases the bookings on machines whose worker's lease is surely over.
 pub fn release_silent(node: &Node) {
-    let now = node.pulse();
+    let now = node.liveness_tick();
     let (lease, margin) = (node.settings.lease(), node.settings.margin());
     let mut lost = Vec::new();
     {
-        let mut hands = node.hands.borrow_mut();
-        let view = node.view.borrow();
-        for (id, hand) in hands.iter_mut() {
-            let held = view.machines.get(id).is_some_and(|m| {
-                m.value.token == hand.token && m.value.incarnation == node.incarnation
+        let mut worker_sessions = node.worker_sessions.borrow_mut();
+        let replica = node.replica.borrow();
+        for (id, worker_session) in worker_sessions.iter_mut() {
+            let held = replica.machines.get(id).is_some_and(|m| {
+                m.value.token == worker_session.token && m.value.incarnation == node.incarnation
             });
-            if !held || !hand.lease_is_over(lease, margin, now) {
+            if !held || !worker_session.lease_is_over(lease, margin, now) {
                 continue;
             }
             tracing::info!(machine = id, "silent for a whole lease: its tasks are gone");
-            lost.extend(all_bookings(&view, id));
+            lost.extend(all_bookings(&replica, id));
             // What it reports next counts as a new beginning.
-            hand.report = None;
-            hand.doubted = true;
-            hand.launched.clear();
+            worker_session.report = None;
+            worker_session.unconfirmed = true;
+            worker_session.launched.clear();
         }
     }
-    node.queue_ends(lost);
+    node.queue_terminations(lost);
 }
 
 /// Releases the bookings on machines that the cloud has confirmed as gone.
 pub fn release_gone(node: &Node) {
     let lost: Vec<_> = {
-        let view = node.view.borrow();
-        let machines = view.machines.iter();
-        let gone = machines.filter(|(_, m)| m.value.life == Life::Gone);
-        gone.flat_map(|(id, _)| all_bookings(&view, id)).collect()
+        let replica = node.replica.borrow();
+        let machines = replica.machines.iter();
+        let gone = machines.filter(|(_, m)| m.value.life == MachineLifecycle::Gone);
+        gone.flat_map(|(id, _)| all_bookings(&replica, id)).collect()
     };
-    node.queue_ends(lost);
+    node.queue_terminations(lost);
 }
 
 /// Every attempt that is booked on a machine, as lost.
-fn all_bookings(view: &View, machine: &str) -> Vec<(EndKey, Outcome)> {
+fn all_bookings(replica: &Replica, machine: &str) -> Vec<(AttemptKey, Outcome)> {
     let mut all = Vec::new();
-    for (job, entry) in view.jobs_on(machine) {
+    for (job, entry) in replica.jobs_on(machine) {
         for run in entry.value.runs.iter().filter(|r| r.machine == machine) {
-            let keys = run.tasks.iter().map(|task| EndKey {
+            let keys = run.tasks.iter().map(|task| AttemptKey {
                 job: job.to_string(),
                 machine: machine.to_string(),
                 attempt: run.attempt,
--- a/src/workers/parts.rs
+++ b/src/workers/zone_shards.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Machine, Part, Room, Slot};
-use crate::view::{View, group_key, part_id, part_key};
+use crate::model::{Machine, ZoneShard, Resources, MachineSlot};
+use crate::replica::{Replica, machine_shard_key, shard_id, zone_shard_key};
 
 use super::home_of;
 
 /// A part's record as a commit will leave it.
 #[derive(Default)]
 pub(super) struct PartEdit {
-    pub record: Part,
+    pub record: ZoneShard,
     /// Machines join or leave.
     pub members: bool,
 }
@@ -18,7 +18,7 @@
 /// The records that a choice depends on, with their versions.
 pub(super) type Conditions = BTreeMap<String, u64>;
 
-/// The part that a machine's slot is put into, with all that must be as the view
+/// The part that a machine's slot is put into, with all that must be as the replica
 /// has it.
 pub(super) struct PartChoice {
     pub part: String,
@@ -28,70 +28,70 @@
 /// Chooses the part for the slot of a machine that stands in none, so that the
 /// slot comes to stand in no other:
 ///
-/// - Before short texts, the part of its group, as ever. So it is while that part
-///   does not stand in the short text: a commit that an earlier version decided
+/// - Before compact encodings, the part of its group, as ever. So it is while that part
+///   does not stand in the compact encoding: a commit that an earlier version decided
 ///   may still arrive, and knows no condition but the part's.
 /// - Then the first part of its home with room. The group is a condition: only
 ///   its holder puts a machine anywhere, and a claim changes the group. So are
 ///   all parts up to that one, and the group's own: a commit of ours without an
 ///   answer, which may be carried out later, had chosen by them. None of these
-///   may be newer than what the view has wholly: a choice made elsewhere since
+///   may be newer than what the replica has wholly: a choice made elsewhere since
 ///   would be missing from it.
 pub(super) fn choose_part(
-    view: &View,
+    replica: &Replica,
     edits: &BTreeMap<String, PartEdit>,
     id: &str,
     machine: &Machine,
-    slot: Option<&Slot>,
+    slot: Option<&MachineSlot>,
 ) -> Option<PartChoice> {
-    let own = part_id(&machine.zone, &machine.part);
-    if !view.is_short() || !view.is_short_part(&own) {
+    let own = shard_id(&machine.zone, &machine.part);
+    if !replica.uses_compact_encoding() || !replica.is_compact_zone_shard(&own) {
         return Some(PartChoice {
             part: own,
             conditions: Conditions::new(),
         });
     }
     let mut conditions = Conditions::from([
-        (group_key(&own), view.group_version(&own)),
-        (part_key(&own), view.part_version(&own)),
+        (machine_shard_key(&own), replica.machine_shard_version(&own)),
+        (zone_shard_key(&own), replica.zone_shard_version(&own)),
     ]);
     // What is chosen must follow from these alone: not from what unbooked tasks
     // take there just now.
-    let slot = slot.map(|s| Slot {
-        unbooked: Room::default(),
+    let slot = slot.map(|s| MachineSlot {
+        unbooked: Resources::default(),
         ..s.clone()
     });
     let mut part = own;
     for number in 0.. {
-        let next = part_id(
+        let next = shard_id(
             &machine.zone,
             &format!("{}.{number}", home_of(&machine.part)),
         );
-        conditions.insert(part_key(&next), view.part_version(&next));
-        if has_room(view, edits, &next, id, slot.as_ref()) {
+        conditions.insert(zone_shard_key(&next), replica.zone_shard_version(&next));
+        if has_room(replica, edits, &next, id, slot.as_ref()) {
             part = next;
             break;
         }
     }
-    let whole = conditions.values().all(|v| *v <= view.revision);
+    let whole = conditions.values().all(|v| *v <= replica.revision);
     whole.then_some(PartChoice { part, conditions })
 }
 
 /// Whether the part, as edited so far, is empty or takes the slot besides.
 fn has_room(
-    view: &View,
+    replica: &Replica,
     edits: &BTreeMap<String, PartEdit>,
     part: &str,
     id: &str,
-    slot: Option<&Slot>,
+    slot: Option<&MachineSlot>,
 ) -> bool {
     let edited = edits.get(part).map(|p| &p.record);
-    let known = || view.parts.get(part).map(|e| &e.value);
+    let known = || replica.zone_shards.get(part).map(|e| &e.value);
     let mut record = edited.or_else(known).cloned().unwrap_or_default();
     if record.machines.is_empty() {
         return true;
     }
     let slot = slot.map(|s| (id.to_string(), s.clone()));
     record.machines.extend(slot);
-    view.fits_part(&record)
+    replica.fits_zone_shard(&record)
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use serde_json::json;
-use shelfhoist::admission::{self, Care, Hints, Plan, Wait};
-use shelfhoist::api::{Refusal, check_submission, read_submission, sheds};
-use shelfhoist::draft::{Draft, Released};
+use shelfhoist::admission::{self, Care, Hints, Plan, WaitReason};
+use shelfhoist::api::{Refusal, check_submission, read_submission, should_shed};
+use shelfhoist::transaction::{Transaction, Released};
 use shelfhoist::fleet::{Blame, blame};
 use shelfhoist::http::{CallError, Client, Parsed, Response, ServerLimits, parse_request, serve};
-use shelfhoist::machines::{self, EndKey, Hand, Proof, reconcile};
+use shelfhoist::machines::{self, AttemptKey, WorkerSession, TerminationEvidence, reconcile};
 use shelfhoist::model::*;
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::pipeline::Standing;
 use shelfhoist::settings::Settings;
-use shelfhoist::view::{View, group_key, job_key, part_id, part_key};
+use shelfhoist::replica::{Replica, machine_shard_key, job_key, shard_id, zone_shard_key};
 use shelfhoist::wire::*;
 use tokio::time::Instant;
 
@@ -121,14 +121,14 @@
     }
 }
 
-fn view_with_types() -> View {
-    let mut view = View::default();
-    view.types.value.types = vec![
+fn view_with_types() -> Replica {
+    let mut replica = Replica::default();
+    replica.types.value.types = vec![
         machine_type("small", 4.0, 0.0),
         machine_type("big", 8.0, 2.0),
     ];
-    view.loaded = true;
-    view
+    replica.loaded = true;
+    replica
 }
 
 #[test]
@@ -173,7 +173,7 @@
 #[test]
 fn submissions_that_can_never_run_are_told_from_those_not_decidable() {
     let set = settings();
-    let check = |edit: &[(&str, serde_json::Value)], view: &View| {
+    let check = |edit: &[(&str, serde_json::Value)], replica: &Replica| {
         let mut s = submission();
         for (k, v) in edit {
             s[*k] = v.clone();
@@ -181,14 +181,14 @@
         let Ok(s) = read_submission(s.to_string().as_bytes()) else {
             return 400;
         };
-        match check_submission(&s, &set, view) {
+        match check_submission(&s, &set, replica) {
             Ok(_) => 201,
             Err(Refusal::Malformed(_)) => 400,
             Err(Refusal::Never(_)) => 422,
             Err(Refusal::Unknown) => 503,
         }
     };
-    let view = view_with_types();
+    let replica = view_with_types();
     let cases: &[(&[(&str, serde_json::Value)], u16)] = &[
         (&[], 201),
         (&[("crew", json!("nobody"))], 422),
@@ -263,10 +263,10 @@
         (&[("name_id", json!("job-"))], 400),
     ];
     for (edit, status) in cases {
-        assert_eq!(check(edit, &view), *status, "{edit:?}");
+        assert_eq!(check(edit, &replica), *status, "{edit:?}");
     }
-    assert_eq!(check(&[], &View::default()), 503, "types not known yet");
-    assert_eq!(check(&[("crew", json!("nobody"))], &View::default()), 422);
+    assert_eq!(check(&[], &Replica::default()), 503, "types not known yet");
+    assert_eq!(check(&[("crew", json!("nobody"))], &Replica::default()), 422);
 }
 
 #[test]
@@ -327,34 +327,34 @@
     }
 }
 
-/// A view whose parts have these rooms: zone, machine, CPUs.
-fn view_with(rooms: &[(&str, &str, f64)]) -> View {
-    let mut view = view_with_types();
-    let mut parts: BTreeMap<&str, Part> = BTreeMap::new();
+/// A replica whose parts have these rooms: zone, machine, CPUs.
+fn view_with(rooms: &[(&str, &str, f64)]) -> Replica {
+    let mut replica = view_with_types();
+    let mut zone_shards: BTreeMap<&str, ZoneShard> = BTreeMap::new();
     for (zone, machine, cpus) in rooms {
         let kind = format!("of-{cpus}");
-        if view.type_of(&kind).is_none() {
-            view.types.value.types.push(machine_type(&kind, *cpus, 0.0));
+        if replica.type_of(&kind).is_none() {
+            replica.types.value.types.push(machine_type(&kind, *cpus, 0.0));
         }
-        let slot = Slot {
+        let slot = MachineSlot {
             kind,
             spot: false,
-            free: Room::default(),
-            unbooked: Room::default(),
+            free: Resources::default(),
+            unbooked: Resources::default(),
         };
-        let part = parts.entry(zone).or_default();
+        let part = zone_shards.entry(zone).or_default();
         part.machines.insert(machine.to_string(), slot);
     }
-    let key = |zone| part_key(&part_id(zone, "n0.0"));
-    let events = parts
+    let key = |zone| zone_shard_key(&shard_id(zone, "n0.0"));
+    let events = zone_shards
         .iter()
         .map(|(zone, part)| Event::put(key(zone), part, 3));
-    view.advance(events.collect(), 3);
-    view
+    replica.advance(events.collect(), 3);
+    replica
 }
 
-fn hints(view: &View) -> Hints<'_> {
-    Hints::new(view, "n0")
+fn hints(replica: &Replica) -> Hints<'_> {
+    Hints::new(replica, "n0")
 }
 
 /// KEP-2724, "Computing the assignment": required waits, preferred relaxes.
@@ -363,10 +363,10 @@
     let set = settings();
     let split = view_with(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
     let whole = view_with(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
-    let fit = |spec: &Spec, view: &View| {
+    let fit = |spec: &Spec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
-        let plan = Plan::of(view);
-        admission::fit(&job, spec, &plan, &hints(view), &set, Care::Lax).map(|places| {
+        let plan = Plan::of(replica);
+        admission::fit(&job, spec, &plan, &hints(replica), &set, Care::Lax).map(|places| {
             let mut zones = BTreeMap::new();
             for p in places {
                 *zones.entry(p.zone.to_string()).or_insert(0) += 1;
@@ -379,7 +379,7 @@
         ..s
     };
     let gang = spec(Kind::Gang, 3, 2.0);
-    assert_eq!(fit(&required(gang.clone()), &split), Err(Wait::NoZone));
+    assert_eq!(fit(&required(gang.clone()), &split), Err(WaitReason::NoZone));
     assert_eq!(
         fit(&gang, &split),
         Ok(vec![("a".into(), 2), ("b".into(), 1)])
@@ -390,7 +390,7 @@
     );
     // Preferred, too, stays in one zone where it can.
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
-    assert_eq!(fit(&spec(Kind::Gang, 5, 2.0), &split), Err(Wait::NoRoom));
+    assert_eq!(fit(&spec(Kind::Gang, 5, 2.0), &split), Err(WaitReason::NoRoom));
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
         fit(&spec(Kind::Array, 8, 2.0), &split),
@@ -408,7 +408,7 @@
         fit(&spec(Kind::Array, 20, 2.0), &wide),
         Ok(vec![("a".into(), 8)])
     );
-    assert_eq!(fit(&spec(Kind::Gang, 9, 2.0), &wide), Err(Wait::TeamLimit));
+    assert_eq!(fit(&spec(Kind::Gang, 9, 2.0), &wide), Err(WaitReason::TeamLimit));
 }
 
 /// Rule `wrong_place`: tasks that are still somewhere bind the others, those
@@ -416,9 +416,9 @@
 #[test]
 fn old_attempts_count_for_the_place() {
     let set = settings();
-    let view = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
-    let hints = hints(&view);
-    let plan = Plan::of(&view);
+    let replica = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
+    let hints = hints(&replica);
+    let plan = Plan::of(&replica);
     let s = Spec {
         one_zone: true,
         ..spec(Kind::Array, 3, 2.0)
@@ -433,7 +433,7 @@
     job.book("m9", "b", 1, 0);
     assert_eq!(
         admission::fit(&job, &gang, &plan, &hints, &set, Care::Lax),
-        Err(Wait::OldAttempt)
+        Err(WaitReason::OldAttempt)
     );
 }
 
@@ -471,7 +471,7 @@
     let t = array.retry.pop_first().expect("again");
     array.book("m", "a", 2, t);
     assert!(array.release("m", 2, 1, Outcome::Done));
-    assert_eq!((array.fin, array.spec.is_none()), (Final::Done, true));
+    assert_eq!((array.status, array.spec.is_none()), (JobStatus::Done, true));
 
     let mut gang = Job::new(spec(Kind::Gang, 2, 1.0), 1);
     gang.book("m", "a", 1, 0);
@@ -482,9 +482,9 @@
     assert!(broken.release("n", 1, 1, Outcome::Lost));
     assert_eq!(broken.waiting(), 2, "whole again once all are gone");
     assert!(gang.release("m", 1, 0, Outcome::Done));
-    assert_eq!(gang.fin, Final::Done);
+    assert_eq!(gang.status, JobStatus::Done);
     gang.cancel();
-    assert_eq!(gang.fin, Final::Done, "final states never change");
+    assert_eq!(gang.status, JobStatus::Done, "final states never change");
 }
 
 /// Work that only fills idle time is told from work that somebody waits for.
@@ -509,7 +509,7 @@
         let mut spec = work.clone();
         spec.checkpoint_s = 30.0;
         edit(&mut spec);
-        assert_eq!(admission::is_filler(&spec, &settings), filler, "{name}");
+        assert_eq!(admission::is_opportunistic(&spec, &settings), filler, "{name}");
     }
 }
 
@@ -529,7 +529,7 @@
         (report * 9, None, false),
     ] {
         assert_eq!(
-            sheds(lag, answered, &settings),
+            should_shed(lag, answered, &settings),
             shed,
             "{lag:?} {answered:?}"
         );
@@ -581,8 +581,8 @@
 }
 
 /// A machine `m` under our token 5 with one booking of job-1/0, attempt 1.
-fn held(kind: Kind, edit: impl FnOnce(&mut Job)) -> View {
-    let mut view = view_with_types();
+fn held(kind: Kind, edit: impl FnOnce(&mut Job)) -> Replica {
+    let mut replica = view_with_types();
     let mut job = Job::new(spec(kind, 1, 1.0), 1);
     job.take_fresh();
     job.book("m", "a", 1, 0);
@@ -592,25 +592,25 @@
         incarnation: 1,
         token: 5,
         seen: (0, 0),
-        life: Life::Active,
+        life: MachineLifecycle::Active,
         kind: "small".into(),
         zone: "a".into(),
         spot: false,
         part: "n0.0".into(),
     };
     let set = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
-    view.advance(
+    replica.advance(
         vec![
             set(job_key("job-1"), serde_json::to_value(&job).expect("job")),
             set(
-                group_key("a/n0.0"),
+                machine_shard_key("a/n0.0"),
                 json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}}),
             ),
-            set(part_key("a/n0.0"), json!({"m": {}})),
+            set(zone_shard_key("a/n0.0"), json!({"m": {}})),
         ],
         10,
     );
-    view
+    replica
 }
 
 fn report(seq: u64, token: u64, tasks: serde_json::Value) -> Report {
@@ -627,34 +627,34 @@
 fn what_a_commit_cannot_hold_is_booked_in_parts() {
     let set = settings();
     for (kind, want) in [(Kind::Array, 4), (Kind::Gang, 0)] {
-        let mut view = view_with(&[]);
+        let mut replica = view_with(&[]);
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
             let part = json!({"m": {format!("m{n}"): slot}});
-            view.advance(
-                vec![Event::put(part_key(&format!("a/n0.{n}")), &part, 3)],
+            replica.advance(
+                vec![Event::put(zone_shard_key(&format!("a/n0.{n}")), &part, 3)],
                 3,
             );
         }
         let mut wide = spec(kind, 9, 4.0);
         wide.need.ram = Amount(0);
-        view.jobs.insert(
+        replica.jobs.insert(
             "job-1".into(),
-            shelfhoist::view::Entry {
+            shelfhoist::replica::Entry {
                 version: 3,
                 value: Job::new(wide.clone(), 1),
             },
         );
-        let job = view.jobs["job-1"].value.clone();
-        let plan = Plan::of(&view);
+        let job = replica.jobs["job-1"].value.clone();
+        let plan = Plan::of(&replica);
         let mut terms = set.clone();
         terms.deployment.teams[0].cpus_max = 1e6;
-        let places = admission::fit(&job, &wide, &plan, &hints(&view), &terms, Care::Lax);
+        let places = admission::fit(&job, &wide, &plan, &hints(&replica), &terms, Care::Lax);
         let places = places.expect("room for all");
         assert_eq!(places.len(), 9);
-        let mut draft = Draft::new(&view, 6);
-        assert_eq!(draft.book("job-1", &wide, &places), want, "{kind:?}");
-        assert!(draft.len() <= 6);
+        let mut transaction = Transaction::new(&replica, 6);
+        assert_eq!(transaction.book("job-1", &wide, &places), want, "{kind:?}");
+        assert!(transaction.len() <= 6);
     }
 }
 
@@ -664,7 +664,7 @@
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let none = json!([]);
-    type Edit = fn(&mut Hand);
+    type Edit = fn(&mut WorkerSession);
     let plain: Edit = |_| {};
     let launched: Edit = |h| {
         h.launched.insert(("job-1/0".into(), 1));
@@ -754,15 +754,15 @@
         ),
     ];
     for (name, kind, token, tasks, edit, expected) in cases {
-        let view = held(*kind, |_| {});
+        let replica = held(*kind, |_| {});
         let now = Instant::now();
-        let mut hand = Hand::new(5, 9, now);
-        hand.take(report(7, *token, (*tasks).clone()), true);
-        edit(&mut hand);
+        let mut worker_session = WorkerSession::new(5, 9, now);
+        worker_session.take(report(7, *token, (*tasks).clone()), true);
+        edit(&mut worker_session);
         let plan = reconcile(
             "m",
-            &hand,
-            &view,
+            &worker_session,
+            &replica,
             &BTreeMap::new(),
             Duration::from_secs(2),
             now,
@@ -791,25 +791,25 @@
 fn an_ended_task_is_forgotten_only_once_recorded() {
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let now = Instant::now();
-    let mut hand = Hand::new(5, 9, now);
-    hand.take(report(7, 5, done), true);
+    let mut worker_session = WorkerSession::new(5, 9, now);
+    worker_session.take(report(7, 5, done), true);
     let recorded = held(Kind::Array, |j| {
         j.release("m", 1, 0, Outcome::Done);
     });
-    let plan = |hand: &Hand| {
+    let plan = |worker_session: &WorkerSession| {
         reconcile(
             "m",
-            hand,
+            worker_session,
             &recorded,
-            &BTreeMap::<EndKey, Proof>::new(),
+            &BTreeMap::<AttemptKey, TerminationEvidence>::new(),
             Duration::from_secs(2),
             now,
         )
     };
-    assert_eq!(plan(&hand).orders[0].verb, Verb::Forget);
-    hand.unresolved = true;
+    assert_eq!(plan(&worker_session).orders[0].verb, CommandKind::Forget);
+    worker_session.unresolved = true;
     assert!(
-        plan(&hand).orders.is_empty(),
+        plan(&worker_session).orders.is_empty(),
         "a late launch would start it again"
     );
 }
@@ -817,12 +817,12 @@
 #[test]
 fn older_reports_are_passed_over() {
     let now = Instant::now();
-    let mut hand = Hand::new(5, 9, now);
-    assert!(hand.take(report(7, 5, json!([])), true));
-    assert!(!hand.take(report(7, 5, json!([])), true), "the same again");
-    assert!(!hand.take(report(6, 5, json!([])), true), "late");
-    assert!(!hand.take(report(8, 4, json!([])), true), "another token");
-    assert!(hand.take(report(8, 5, json!([])), false));
+    let mut worker_session = WorkerSession::new(5, 9, now);
+    assert!(worker_session.take(report(7, 5, json!([])), true));
+    assert!(!worker_session.take(report(7, 5, json!([])), true), "the same again");
+    assert!(!worker_session.take(report(6, 5, json!([])), true), "late");
+    assert!(!worker_session.take(report(8, 4, json!([])), true), "another token");
+    assert!(worker_session.take(report(8, 5, json!([])), false));
 }
 
 /// A machine that was lost and claimed again: another controller may have
@@ -830,35 +830,35 @@
 /// the queue since before proves nothing any more.
 #[test]
 fn an_end_is_released_only_under_the_claim_that_proved_it() {
-    let cases: &[(&str, u64, Life, u64, Released)] = &[
-        ("the claim that stands", 5, Life::Active, 1, Released::Yes),
-        ("an earlier claim", 4, Life::Active, 1, Released::Stale),
-        ("another run's claim", 5, Life::Active, 2, Released::Stale),
-        ("the cloud's word", 0, Life::Gone, 2, Released::Yes),
+    let cases: &[(&str, u64, MachineLifecycle, u64, Released)] = &[
+        ("the claim that stands", 5, MachineLifecycle::Active, 1, Released::Yes),
+        ("an earlier claim", 4, MachineLifecycle::Active, 1, Released::Stale),
+        ("another run's claim", 5, MachineLifecycle::Active, 2, Released::Stale),
+        ("the cloud's word", 0, MachineLifecycle::Gone, 2, Released::Yes),
     ];
     for (name, token, life, incarnation, want) in cases {
-        let mut view = held(Kind::Array, |_| {});
-        let mut machine = view.machines["m"].value.clone();
+        let mut replica = held(Kind::Array, |_| {});
+        let mut machine = replica.machines["m"].value.clone();
         machine.life = *life;
         let group = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
-        view.advance(vec![Event::put(group_key("a/n0.0"), &group, 11)], 11);
-        let key = EndKey {
+        replica.advance(vec![Event::put(machine_shard_key("a/n0.0"), &group, 11)], 11);
+        let key = AttemptKey {
             job: "job-1".into(),
             machine: "m".into(),
             attempt: 1,
             task: 0,
         };
         let outcome = Outcome::Lost;
-        let proof = Proof {
+        let proof = TerminationEvidence {
             outcome,
             token: *token,
         };
-        let mut draft = Draft::new(&view, 12);
-        let got = draft.release(&key, proof, "n0", *incarnation);
+        let mut transaction = Transaction::new(&replica, 12);
+        let got = transaction.release(&key, proof, "n0", *incarnation);
         assert_eq!(&got, want, "{name}");
         // The commit depends on the machine's record, too.
-        let guards = draft.into_commit().0;
-        let on_group = guards.iter().any(|g| g.key == group_key("a/n0.0"));
+        let guards = transaction.into_commit().0;
+        let on_group = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
         assert_eq!(on_group, *want == Released::Yes, "{name}");
     }
 }
@@ -868,33 +868,33 @@
     let lease = Duration::from_secs(10);
     let margin = Duration::from_secs(1);
     let start = Instant::now();
-    let mut hand = Hand::new(5, 9, start);
+    let mut worker_session = WorkerSession::new(5, 9, start);
     let late = start + Duration::from_secs(12);
     assert!(
-        !hand.lease_is_over(lease, margin, late),
+        !worker_session.lease_is_over(lease, margin, late),
         "the token was never shown"
     );
-    hand.take(report(7, 5, json!([])), true);
-    assert!(hand.lease_is_over(lease, margin, late));
+    worker_session.take(report(7, 5, json!([])), true);
+    assert!(worker_session.lease_is_over(lease, margin, late));
     assert!(
-        !hand.lease_is_over(lease, margin, start + Duration::from_secs(11)),
+        !worker_session.lease_is_over(lease, margin, start + Duration::from_secs(11)),
         "margin"
     );
-    hand.unresolved = true;
+    worker_session.unresolved = true;
     assert!(
-        !hand.lease_is_over(lease, margin, late),
+        !worker_session.lease_is_over(lease, margin, late),
         "a launch may land late"
     );
-    hand.unresolved = false;
-    hand.answered = start + Duration::from_secs(5);
-    assert!(!hand.lease_is_over(lease, margin, late), "renewed since");
+    worker_session.unresolved = false;
+    worker_session.answered = start + Duration::from_secs(5);
+    assert!(!worker_session.lease_is_over(lease, margin, late), "renewed since");
 }
 
 #[test]
 fn the_horizon_leaves_time_for_the_lease() {
     let s = settings();
     let w = &s.deployment.workers;
-    let total = s.horizon_limit().as_secs_f64() + w.lease_s * 1.0005;
+    let total = s.staleness_limit().as_secs_f64() + w.lease_s * 1.0005;
     assert!(total < w.cancel_s && total > w.cancel_s * 0.95, "{total}");
 }
 
@@ -943,16 +943,16 @@
     let s = spec(Kind::Array, 100_000, 0.001);
     let names: Vec<String> = (0..40).map(|n| format!("host-{n:06}")).collect();
     let rooms: Vec<(&str, &str, f64)> = names.iter().map(|m| ("a", m.as_str(), 0.05)).collect();
-    let view = view_with(&rooms);
+    let replica = view_with(&rooms);
     let mut job = Job::new(s.clone(), 1);
     for _ in 0..20 {
-        let plan = Plan::of(&view);
-        let Ok(places) = admission::fit(&job, &s, &plan, &hints(&view), &set_wide, Care::Lax)
+        let plan = Plan::of(&replica);
+        let Ok(places) = admission::fit(&job, &s, &plan, &hints(&replica), &set_wide, Care::Lax)
         else {
             break;
         };
         let places: Vec<_> = places.iter().collect();
-        shelfhoist::draft::book(&mut job, &s, &places);
+        shelfhoist::transaction::book(&mut job, &s, &places);
         // What fails on some machines is noted, too.
         for run in job.runs.clone().iter().rev().take(FAILED_ON + 2) {
             let task = run.tasks.iter().next().expect("a task");
@@ -988,9 +988,9 @@
 fn a_team_lends_only_what_it_would_not_have_back() {
     let set = settings();
     let team = set.team("t").expect("team");
-    let room = |cpus: f64| Room {
+    let room = |cpus: f64| Resources {
         cpus: Amount::room(cpus),
-        ..Room::default()
+        ..Resources::default()
     };
     // 8 CPUs are guaranteed.
     for (used, part, lends) in [
@@ -1009,14 +1009,14 @@
 #[test]
 fn nothing_waits_beyond_the_bound() {
     let set = settings();
-    let mut view = view_with(&[("a", "m1", 8.0)]);
+    let mut replica = view_with(&[("a", "m1", 8.0)]);
     let small = Job::new(spec(Kind::Gang, 1, 1.0), 5);
     let large = Job::new(spec(Kind::Gang, 8, 2.0), 6);
     let mut stopped = large.clone();
     stopped.attempt = 1;
     let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
     let events = events.map(|(id, job)| Event::put(job_key(id), job, 7));
-    view.advance(events.to_vec(), 8);
+    replica.advance(events.to_vec(), 8);
     let now = Instant::now();
     let bound = Duration::from_secs_f64(set.starving_s());
     for (age, first) in [
@@ -1028,7 +1028,7 @@
         let ages = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
         let mut ages: admission::Ages = ages.into_iter().collect();
         ages.insert("job-1".into(), later);
-        let queue = admission::queue(&view, &Plan::of(&view), &set, &ages, later);
+        let queue = admission::queue(&replica, &Plan::of(&replica), &set, &ages, later);
         assert_eq!(queue[0], first, "{age:?}: {queue:?}");
     }
 }
@@ -1037,7 +1037,7 @@
 /// in the zone that has the most of it, and there only.
 #[test]
 fn room_is_held_for_a_large_gang() {
-    let view = view_with(&[
+    let replica = view_with(&[
         ("a", "m1", 4.0),
         ("a", "m2", 4.0),
         ("b", "m3", 4.0),
@@ -1047,10 +1047,10 @@
         one_zone: true,
         ..spec(Kind::Gang, 3, 4.0)
     };
-    let mut plan = Plan::of(&view);
-    admission::hold_room(&gang, &mut plan, &hints(&view));
+    let mut plan = Plan::of(&replica);
+    admission::hold_room(&gang, &mut plan, &hints(&replica));
     let free = |m: &str| {
-        plan.spots[plan.find(&view, m).expect("spot")]
+        plan.spots[plan.find(&replica, m).expect("spot")]
             .free
             .cpus
             .units()
@@ -1064,13 +1064,13 @@
 #[test]
 fn a_large_zone_stands_in_parts() {
     let set = settings();
-    let mut view = view_with_types();
+    let mut replica = view_with_types();
     let mut version = 10;
     for n in 0..800 {
         let name = format!("host-{n:06}");
-        let mut groups = shelfhoist::draft::Groups::new(&view);
+        let mut machine_shards = shelfhoist::transaction::MachineShardEdits::new(&replica);
         let machine = Machine {
-            part: groups.new_part(&set, &name, "grande-occhio", "a"),
+            part: machine_shards.new_shard(&set, &name, "grande-occhio", "a"),
             holder: "n0".into(),
             incarnation: u64::from(u32::MAX),
             token: 1_000_000,
@@ -1078,8 +1078,8 @@
             spot: true,
             ..Machine::new("grande-occhio", "a")
         };
-        groups.put(&name, machine);
-        let (guards, writes) = groups.into_commit();
+        machine_shards.put(&name, machine);
+        let (guards, writes) = machine_shards.into_commit();
         version += 1;
         for w in &writes {
             let Write::Put { key, value, .. } = w else {
@@ -1094,34 +1094,34 @@
         }
         // Every part of the home is a condition, and the next that is not yet.
         let home = set.home(&name, "a");
-        let parts = view
-            .groups
+        let zone_shards = replica
+            .machine_shards
             .keys()
             .filter(|k| k.starts_with(&format!("a/{home}.")));
-        assert!(guards.len() > parts.count().saturating_sub(1), "{guards:?}");
-        view.overlay(&writes, version);
+        assert!(guards.len() > zone_shards.count().saturating_sub(1), "{guards:?}");
+        replica.overlay(&writes, version);
     }
-    assert_eq!(view.machines.len(), 800);
-    let listed: usize = view.groups.values().map(|g| g.value.machines.len()).sum();
+    assert_eq!(replica.machines.len(), 800);
+    let listed: usize = replica.machine_shards.values().map(|g| g.value.machines.len()).sum();
     assert_eq!(listed, 800, "each stands in one part");
-    assert!(view.groups.len() > 4, "{}", view.groups.len());
+    assert!(replica.machine_shards.len() > 4, "{}", replica.machine_shards.len());
     // A takeover of all takes as many commits as it needs, each within what a
     // request may hold.
     let ops = set.txn_ops();
-    let mut left: Vec<String> = view.machines.keys().cloned().collect();
+    let mut left: Vec<String> = replica.machines.keys().cloned().collect();
     let mut commits = 0;
     while !left.is_empty() {
-        let mut groups = shelfhoist::draft::Groups::new(&view);
+        let mut machine_shards = shelfhoist::transaction::MachineShardEdits::new(&replica);
         left.retain(|name| {
-            let machine = &view.machines[name].value;
-            let group = part_id(&machine.zone, &machine.part);
-            if groups.is_full(ops) && !groups.has(&group) {
+            let machine = &replica.machines[name].value;
+            let group = shard_id(&machine.zone, &machine.part);
+            if machine_shards.is_full(ops) && !machine_shards.has(&group) {
                 return true;
             }
-            groups.put(name, machine.clone());
+            machine_shards.put(name, machine.clone());
             false
         });
-        let (guards, writes) = groups.into_commit();
+        let (guards, writes) = machine_shards.into_commit();
         let body = serde_json::to_vec(&Commit { guards, writes }).expect("commit");
         assert!(body.len() <= 64 * 1024, "{} bytes", body.len());
         commits += 1;
@@ -1153,24 +1153,24 @@
 /// counts from then on, whatever comes later or twice.
 #[test]
 fn arrivals_stand_for_their_jobs() {
-    let mut view = view_with_types();
+    let mut replica = view_with_types();
     let mut cancelled = Job::new(spec(Kind::Array, 1, 1.0), 1);
     cancelled.cancel();
     let new = |ids: &[&str]| Arrivals {
-        born: 1,
+        accepted_revision: 1,
         jobs: ids
             .iter()
             .map(|id| (id.to_string(), spec(Kind::Array, 2, 1.0)))
             .collect(),
     };
-    let key = shelfhoist::view::arrivals_key;
-    view.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
-    assert_eq!((view.job_version("job-1"), view.open.len()), (0, 2));
-    view.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
+    let key = shelfhoist::replica::arrivals_key;
+    replica.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
+    assert_eq!((replica.job_version("job-1"), replica.open.len()), (0, 2));
+    replica.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
     // A commit without an answer that was carried out late.
-    view.advance(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
-    assert!(!view.jobs["job-1"].value.is_open(), "a final state changed");
-    assert_eq!((view.job_version("job-1"), view.open.len()), (6, 1));
+    replica.advance(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
+    assert!(!replica.jobs["job-1"].value.is_open(), "a final state changed");
+    assert_eq!((replica.job_version("job-1"), replica.open.len()), (6, 1));
 }
 
 /// A holder that cannot give orders yet renews no lease where something has
@@ -1182,7 +1182,7 @@
     let ended = json!([{"board":"job-9/0","try":1,"stage":"ended","cause":"done"}]);
     let open = held(Kind::Service, |_| {});
     let over = held(Kind::Service, Job::cancel);
-    for (view, tasks, must_stop) in [
+    for (replica, tasks, must_stop) in [
         (&open, &running, false),
         (&over, &running, true),
         (&over, &json!([]), true),
@@ -1191,7 +1191,7 @@
     ] {
         let report = report(3, 5, tasks.clone());
         assert_eq!(
-            shelfhoist::machines::must_stop(&report, view),
+            shelfhoist::machines::must_stop(&report, replica),
             must_stop,
             "{tasks}"
         );
@@ -1210,26 +1210,26 @@
         {"board":"job-9/0","try":1,"stage":"running"},
     ]);
     let open = held(Kind::Service, |_| {});
-    let done = held(Kind::Gang, |j| j.fin = Final::Done);
+    let done = held(Kind::Gang, |j| j.status = JobStatus::Done);
     let over = held(Kind::Service, Job::cancel);
     for token in [0, 5, 9] {
         let report = report(3, token, tasks.clone());
-        for view in [&open, &done] {
-            assert_eq!(machines::stops_of_cancelled(&report, view), vec![]);
+        for replica in [&open, &done] {
+            assert_eq!(machines::stops_of_cancelled(&report, replica), vec![]);
         }
         let stops = machines::stops_of_cancelled(&report, &over);
         let told: Vec<_> = stops
             .iter()
             .map(|o| (o.verb, &*o.task, o.attempt))
             .collect();
-        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (Verb::Stop, t, 1));
+        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (CommandKind::Stop, t, 1));
         assert_eq!(told, all);
         assert!(stops.iter().all(|o| o.grace_s == Some(0.0)));
     }
 }
 
 /// Reports that arrive while answers do not: a session that rises although its
-/// beats were answered, or a token that is not taken up.
+/// heartbeats were answered, or a token that is not taken up.
 #[test]
 fn a_worker_that_hears_nothing_is_found_out() {
     let lease = Duration::from_secs(10);
@@ -1267,19 +1267,19 @@
     ];
     for (name, beats) in cases {
         let start = Instant::now();
-        let mut hand = Hand::new(5, 1, start);
+        let mut worker_session = WorkerSession::new(5, 1, start);
         for (n, (s, session, seq, token, deaf)) in beats.iter().enumerate() {
             let now = at(start, *s);
-            let beat = Report {
+            let heartbeat = Report {
                 session: *session,
                 ..report(*seq, *token, json!([]))
             };
-            assert!(hand.hear(&beat, lease, now), "{name} {n}");
-            hand.answered = now;
-            assert_eq!(hand.deaf_since.is_some(), *deaf, "{name} {n}");
+            assert!(worker_session.record_heartbeat(&heartbeat, lease, now), "{name} {n}");
+            worker_session.answered = now;
+            assert_eq!(worker_session.unreachable_since.is_some(), *deaf, "{name} {n}");
             // The same again, or an older one, is a late copy.
-            assert!(!hand.hear(&beat, lease, at(start, s + 500.0)), "{name} {n}");
-            assert_eq!(hand.heard, now, "{name} {n}: a copy kept it alive");
+            assert!(!worker_session.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)), "{name} {n}");
+            assert_eq!(worker_session.heard, now, "{name} {n}: a copy kept it alive");
         }
     }
 }
@@ -1290,8 +1290,8 @@
 fn a_worker_that_cannot_report_is_found_out() {
     let lease = Duration::from_secs(10);
     let start = Instant::now();
-    let mut hand = Hand::new(5, 1, start);
-    // Seconds, session, number, whether it is a beat, whether it counts as one
+    let mut worker_session = WorkerSession::new(5, 1, start);
+    // Seconds, session, number, whether it is a heartbeat, whether it counts as one
     // that takes no work.
     for (s, session, seq, beats, found) in [
         (1.0, 1, 1, true, false),
@@ -1311,11 +1311,11 @@
             ..report(seq, 5, json!([]))
         };
         match beats {
-            true => assert!(hand.hear(&report, lease, now), "{s}"),
-            false => hand.see(&report, lease, now),
+            true => assert!(worker_session.record_heartbeat(&report, lease, now), "{s}"),
+            false => worker_session.see(&report, lease, now),
         }
-        hand.answered = if beats { now } else { hand.answered };
-        assert_eq!(hand.deaf_since.is_some(), found, "{s}");
+        worker_session.answered = if beats { now } else { worker_session.answered };
+        assert_eq!(worker_session.unreachable_since.is_some(), found, "{s}");
     }
 }
 
@@ -1426,9 +1426,9 @@
     Job::new(spec, 7)
 }
 
-fn ended(fin: Final) -> Job {
+fn ended(status: JobStatus) -> Job {
     Job {
-        fin,
+        status,
         spec: None,
         ..after(&[], Priority::Low, 0.0, None)
     }
@@ -1439,7 +1439,7 @@
 #[test]
 fn what_needs_a_job_passes_its_priority_and_deadline_on() {
     use Priority::*;
-    let mut view = view_with_types();
+    let mut replica = view_with_types();
     let jobs = [
         // A diamond with a tail, and one that nothing needs.
         ("job-1", after(&[], Low, 15.0, None)),
@@ -1450,19 +1450,19 @@
         ("job-6", after(&[], Normal, 5.0, Some(30.0))),
     ];
     let mut at = 10;
-    let mut set = |view: &mut View, id: &str, job: &Job| {
+    let mut set = |replica: &mut Replica, id: &str, job: &Job| {
         at += 1;
-        view.advance(vec![Event::put(job_key(id), job, at)], at);
+        replica.advance(vec![Event::put(job_key(id), job, at)], at);
     };
     // In no order of theirs: the last first.
     for (id, job) in jobs.iter().rev() {
-        set(&mut view, id, job);
+        set(&mut replica, id, job);
     }
-    let check = |view: &View, step: &str, expected: &[(&str, Priority, Option<f64>)]| {
+    let check = |replica: &Replica, step: &str, expected: &[(&str, Priority, Option<f64>)]| {
         let now = Instant::now();
         for (id, priority, left_s) in expected {
-            let spec = view.jobs[*id].value.spec.as_ref().expect("open");
-            let standing = view.standing(id, spec, now);
+            let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
+            let standing = replica.standing(id, spec, now);
             assert_eq!(standing.priority, *priority, "{step}: {id}");
             let near = match (standing.left_s, left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
@@ -1472,7 +1472,7 @@
         }
     };
     check(
-        &view,
+        &replica,
         "all open",
         &[
             ("job-1", High, Some(26.0)), // 60 - 1 - 8 - 25
@@ -1483,9 +1483,9 @@
             ("job-6", Normal, Some(30.0)),
         ],
     );
-    set(&mut view, "job-5", &ended(Final::Cancelled));
+    set(&mut replica, "job-5", &ended(JobStatus::Cancelled));
     check(
-        &view,
+        &replica,
         "the tail cancelled",
         &[
             ("job-1", High, Some(67.0)),
@@ -1494,9 +1494,9 @@
             ("job-4", High, Some(100.0)),
         ],
     );
-    set(&mut view, "job-4", &ended(Final::Cancelled));
+    set(&mut replica, "job-4", &ended(JobStatus::Cancelled));
     check(
-        &view,
+        &replica,
         "the join cancelled",
         &[
             ("job-1", Normal, Some(480.0)),
@@ -1504,10 +1504,10 @@
             ("job-3", Normal, Some(500.0)),
         ],
     );
-    assert_eq!(view.open.len(), 2, "job-1 and job-6");
-    set(&mut view, "job-1", &ended(Final::Done));
-    assert_eq!(view.open.len(), 3, "job-2, job-3 and job-6");
-    assert_eq!(view.held().count(), 0);
+    assert_eq!(replica.open.len(), 2, "job-1 and job-6");
+    set(&mut replica, "job-1", &ended(JobStatus::Done));
+    assert_eq!(replica.open.len(), 3, "job-2, job-3 and job-6");
+    assert_eq!(replica.held().count(), 0);
 }
 
 /// Lateness goes by the deadline of what needs a job, too.
@@ -1577,13 +1577,13 @@
 #[test]
 fn states_follow_from_the_records_in_any_order() {
     use Priority::Low;
-    let first = |fin: Final| match fin {
-        Final::Open => after(&[], Low, 5.0, None),
-        fin => ended(fin),
+    let first = |status: JobStatus| match status {
+        JobStatus::Open => after(&[], Low, 5.0, None),
+        status => ended(status),
     };
-    let jobs = |fin: Final, other: Final| {
+    let jobs = |status: JobStatus, other: JobStatus| {
         vec![
-            ("job-1", first(fin)),
+            ("job-1", first(status)),
             ("job-2", first(other)),
             ("job-3", after(&["job-1"], Low, 5.0, Some(50.0))),
             ("job-4", after(&["job-2", "job-3"], Low, 5.0, None)),
@@ -1591,7 +1591,7 @@
             ("job-6", after(&["job-2"], Low, 5.0, None)),
         ]
     };
-    use Final::*;
+    use JobStatus::*;
     // What the first two are -> states of all, and the open ones.
     let cases = [
         ((Open, Open), [Open; 6], vec!["job-1", "job-2"]),
@@ -1616,8 +1616,8 @@
             vec!["job-3", "job-6"],
         ),
     ];
-    for ((fin, other), states, open) in cases {
-        let jobs = jobs(fin, other);
+    for ((status, other), states, open) in cases {
+        let jobs = jobs(status, other);
         // Every order in which six records can come in.
         let mut orders = vec![vec![]];
         for n in 0..jobs.len() {
@@ -1632,41 +1632,41 @@
                 })
                 .collect();
         }
-        let check = |view: &View, how: &str| {
+        let check = |replica: &Replica, how: &str| {
             for ((id, _), state) in jobs.iter().zip(states) {
-                assert_eq!(view.state(id), Some(state), "{fin:?} {other:?} {how}: {id}");
+                assert_eq!(replica.state(id), Some(state), "{status:?} {other:?} {how}: {id}");
             }
-            let got: Vec<&str> = view.open.iter().map(|(_, id)| id.as_str()).collect();
-            assert_eq!(got, open, "{fin:?} {other:?} {how}");
+            let got: Vec<&str> = replica.open.iter().map(|(_, id)| id.as_str()).collect();
+            assert_eq!(got, open, "{status:?} {other:?} {how}");
             let doomed = states.iter().zip(&jobs);
             let doomed = doomed.filter(|(s, (_, job))| **s == Cancelled && job.is_open());
-            assert_eq!(view.doomed().count(), doomed.count(), "{how}");
+            assert_eq!(replica.doomed().count(), doomed.count(), "{how}");
             let held = 6 - open.len() - states.iter().filter(|s| **s != Open).count();
-            assert_eq!(view.held().count(), held, "{how}");
+            assert_eq!(replica.held().count(), held, "{how}");
         };
         for order in &orders {
-            let mut view = View::default();
+            let mut replica = Replica::default();
             for (step, n) in order.iter().enumerate() {
                 let (id, job) = &jobs[*n];
                 let at = step as u64 + 1;
-                view.advance(vec![Event::put(job_key(id), job, at)], at);
+                replica.advance(vec![Event::put(job_key(id), job, at)], at);
             }
-            check(&view, &format!("{order:?}"));
+            check(&replica, &format!("{order:?}"));
         }
         // All open at first, in one arrival; then the first two change.
         let specs = self::jobs_of(&jobs);
-        let mut view = View::default();
-        let key = shelfhoist::view::arrivals_key("x");
+        let mut replica = Replica::default();
+        let key = shelfhoist::replica::arrivals_key("x");
         let arrivals = Arrivals {
-            born: 7,
+            accepted_revision: 7,
             jobs: specs,
         };
-        view.advance(vec![Event::put(key, &arrivals, 1)], 1);
+        replica.advance(vec![Event::put(key, &arrivals, 1)], 1);
         for (n, (id, job)) in jobs[..2].iter().enumerate() {
             let at = n as u64 + 2;
-            view.advance(vec![Event::put(job_key(id), job, at)], at);
+            replica.advance(vec![Event::put(job_key(id), job, at)], at);
         }
-        check(&view, "arrivals");
+        check(&replica, "arrivals");
         // A full read finds the same.
         let mut pairs: Vec<Pair> = Vec::new();
         for (id, job) in &jobs {
@@ -1675,8 +1675,8 @@
                     .expect("pair"),
             );
         }
-        view.reload(pairs, 9);
-        check(&view, "reload");
+        replica.reload(pairs, 9);
+        check(&replica, "reload");
     }
 }
 
@@ -1693,25 +1693,25 @@
 #[test]
 fn what_waits_is_not_booked() {
     let set = settings();
-    for (fin, booked) in [(Final::Open, 0), (Final::Cancelled, 0), (Final::Done, 2)] {
-        let mut view = view_with(&[("a", "m", 8.0)]);
+    for (status, booked) in [(JobStatus::Open, 0), (JobStatus::Cancelled, 0), (JobStatus::Done, 2)] {
+        let mut replica = view_with(&[("a", "m", 8.0)]);
         let second = after(&["job-1"], Priority::Low, 5.0, None);
-        view.advance(
+        replica.advance(
             vec![
-                Event::put(job_key("job-1"), &ended(fin), 4),
+                Event::put(job_key("job-1"), &ended(status), 4),
                 Event::put(job_key("job-2"), &second, 4),
             ],
             4,
         );
-        let plan = Plan::of(&view);
+        let plan = Plan::of(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = admission::fit(&second, &spec, &plan, &hints(&view), &set, Care::Lax);
-        let mut draft = Draft::new(&view, 9);
-        let got = draft.book("job-2", &spec, &places.expect("places"));
-        assert_eq!(got, booked, "{fin:?}");
-        let left = draft.job("job-2").and_then(|j| j.spec.as_ref());
+        let places = admission::fit(&second, &spec, &plan, &hints(&replica), &set, Care::Lax);
+        let mut transaction = Transaction::new(&replica, 9);
+        let got = transaction.book("job-2", &spec, &places.expect("places"));
+        assert_eq!(got, booked, "{status:?}");
+        let left = transaction.job("job-2").and_then(|j| j.spec.as_ref());
         let left = left.map_or(0, |s| s.awaits.len());
-        assert_eq!(left, usize::from(booked == 0), "{fin:?}");
+        assert_eq!(left, usize::from(booked == 0), "{status:?}");
     }
 }
 
