--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -12,16 +12,16 @@
 use shelfhoist::machines::home_of;
 use shelfhoist::mesh::{Gossip, decode, encode};
 use shelfhoist::model::{
-    Amount, Arrivals, Final, Formats, Group, Hire, Job, Life, Machine, Part, Ranges, Renter, Room,
-    Run, Slot, Spec, Team, Types,
+    Amount, Arrivals, JobStatus, Formats, MachineShard, Rental, Job, MachineLifecycle, Machine, ZoneShard, Ranges, ControllerRecord, Resources,
+    Run, MachineSlot, Spec, Team, Types,
 };
-use shelfhoist::view::{self, View};
+use shelfhoist::replica::{self, Replica};
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
 
 // --- values ---------------------------------------------------------------------
 
-fn room(cpus: i64, gpus: i64, ram: i64) -> Room {
-    Room {
+fn room(cpus: i64, gpus: i64, ram: i64) -> Resources {
+    Resources {
         cpus: Amount(cpus),
         gpus: Amount(gpus),
         ram: Amount(ram),
@@ -113,7 +113,7 @@
 /// Its tasks are told to stop.
 fn cancelled_job() -> Job {
     Job {
-        fin: Final::Cancelled,
+        status: JobStatus::Cancelled,
         runs: vec![run("host-000231", 1, &[(0, 3)], true)],
         attempt: 1,
         next: 4,
@@ -121,9 +121,9 @@
     }
 }
 
-fn final_job(fin: Final) -> Job {
+fn final_job(status: JobStatus) -> Job {
     Job {
-        fin,
+        status,
         spec: None,
         attempt: 3,
         next: 40,
@@ -133,7 +133,7 @@
 
 fn arrivals() -> Arrivals {
     Arrivals {
-        born: 7,
+        accepted_revision: 7,
         jobs: BTreeMap::from([
             ("job-000001".into(), full_spec()),
             ("job-000002".into(), bare_spec(Kind::Array, Priority::Low)),
@@ -141,15 +141,15 @@
     }
 }
 
-fn part() -> Part {
-    let slot = |kind: &str, spot, free, unbooked| Slot {
+fn part() -> ZoneShard {
+    let slot = |kind: &str, spot, free, unbooked| MachineSlot {
         kind: kind.into(),
         spot,
         free,
         unbooked,
     };
-    let none = Room::default();
-    Part {
+    let none = Resources::default();
+    ZoneShard {
         machines: BTreeMap::from([
             ("gpu-box".into(), slot("g16", false, none, none)),
             (
@@ -162,7 +162,7 @@
     }
 }
 
-fn part_with_free_room() -> Part {
+fn part_with_free_room() -> ZoneShard {
     let mut part = part();
     for slot in part.machines.values_mut() {
         slot.free = room(6000, 1000, 12000);
@@ -170,7 +170,7 @@
     part
 }
 
-fn group() -> Group {
+fn group() -> MachineShard {
     let machine = |holder: &str, number: u64, life| Machine {
         holder: holder.into(),
         incarnation: 4_000_000_000 * number.min(1),
@@ -180,21 +180,21 @@
         spot: number == 1,
         ..Machine::new("g8", "")
     };
-    Group {
+    MachineShard {
         machines: BTreeMap::from([
-            ("gpu-box".into(), machine("bay-2", 6, Life::Active)),
-            ("host-000231".into(), machine("bay-1", 1, Life::Active)),
-            ("host-000232".into(), machine("", 0, Life::Booting)),
-            ("host-000233".into(), machine("bay-2", 2, Life::Draining)),
-            ("host-000234".into(), machine("bay-1", 3, Life::Returning)),
-            ("host-000235".into(), machine("bay-1", 4, Life::Gone)),
-            ("host-000236".into(), machine("bay-2", 5, Life::Active)),
+            ("gpu-box".into(), machine("bay-2", 6, MachineLifecycle::Active)),
+            ("host-000231".into(), machine("bay-1", 1, MachineLifecycle::Active)),
+            ("host-000232".into(), machine("", 0, MachineLifecycle::Booting)),
+            ("host-000233".into(), machine("bay-2", 2, MachineLifecycle::Draining)),
+            ("host-000234".into(), machine("bay-1", 3, MachineLifecycle::Returning)),
+            ("host-000235".into(), machine("bay-1", 4, MachineLifecycle::Gone)),
+            ("host-000236".into(), machine("bay-2", 5, MachineLifecycle::Active)),
         ]),
     }
 }
 
-fn hire(spot: bool, machines: &[&str]) -> Hire {
-    Hire {
+fn hire(spot: bool, machines: &[&str]) -> Rental {
+    Rental {
         kind: "g8".into(),
         zone: "a".into(),
         spot,
@@ -215,8 +215,8 @@
     }
 }
 
-fn renter(formats: u32) -> Renter {
-    Renter {
+fn renter(formats: u32) -> ControllerRecord {
+    ControllerRecord {
         node: "bay-1".into(),
         incarnation: 4_000_000_000,
         formats,
@@ -234,7 +234,7 @@
     Gossip {
         node: "bay-1".into(),
         incarnation: 4_000_000_000,
-        horizon_ms: Some(1250),
+        staleness_ms: Some(1250),
         machines: 300,
         silent: 7,
         writes: 12.5,
@@ -256,12 +256,12 @@
 }
 
 /// A replica that writes the plain texts, or the short ones.
-fn replica(short: bool) -> View {
-    let mut replica = View::shrinking(Some(2048));
+fn replica(short: bool) -> Replica {
+    let mut replica = Replica::with_compact_limit(Some(2048));
     let all = if short { 2 } else { 0 };
     let formats = json!({"n": {}, "a": all});
     replica.advance(vec![Event::put("sh/formats".into(), &formats, 1)], 1);
-    assert_eq!(replica.is_short(), short);
+    assert_eq!(replica.uses_compact_encoding(), short);
     replica
 }
 
@@ -320,8 +320,8 @@
     job_texts(&dependent_job(), DEPENDENT_JOB, DEPENDENT_JOB);
     job_texts(&running_job(), RUNNING_JOB, RUNNING_JOB_SHORT);
     job_texts(&cancelled_job(), CANCELLED_JOB, CANCELLED_JOB_SHORT);
-    job_texts(&final_job(Final::Done), DONE_JOB, DONE_JOB);
-    job_texts(&final_job(Final::Cancelled), ABORTED_JOB, ABORTED_JOB);
+    job_texts(&final_job(JobStatus::Done), DONE_JOB, DONE_JOB);
+    job_texts(&final_job(JobStatus::Cancelled), ABORTED_JOB, ABORTED_JOB);
 }
 
 /// What may be left out has its value of old.
@@ -334,8 +334,8 @@
     };
     reads(&job, "{}");
     reads(&job, r#"{"s":null,"field of a later version":[1]}"#);
-    reads(&Part::default(), "{}");
-    reads(&Group::default(), "{}");
+    reads(&ZoneShard::default(), "{}");
+    reads(&MachineShard::default(), "{}");
     reads(&Formats::default(), "{}");
 }
 
@@ -356,7 +356,7 @@
     same(&formats(), FORMATS_RECORD);
 }
 
-/// Of the short text what is free is left out: nobody reads it.
+/// Of the compact encoding what is free is left out: nobody reads it.
 #[test]
 fn parts_are_stored_byte_for_byte() {
     same(&part_with_free_room(), PART);
@@ -364,23 +364,23 @@
     let key = "sh/zone/a/bay-1.0";
     let (plain, short) = (replica(false), replica(true));
     writes(
-        &plain.put_part("a/bay-1.0", &part_with_free_room()),
+        &plain.put_zone_shard("a/bay-1.0", &part_with_free_room()),
         key,
         PART,
     );
     writes(
-        &short.put_part("a/bay-1.0", &part_with_free_room()),
+        &short.put_zone_shard("a/bay-1.0", &part_with_free_room()),
         key,
         PART_SHORT,
     );
-    writes(&short.put_part("a/bay-1.0", &part()), key, PART_SHORT);
+    writes(&short.put_zone_shard("a/bay-1.0", &part()), key, PART_SHORT);
     writes(
-        &short.put_part("a/bay-1.0", &Part::default()),
+        &short.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
         key,
         r#"{"m":[]}"#,
     );
     writes(
-        &plain.put_part("a/bay-1.0", &Part::default()),
+        &plain.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
         key,
         r#"{"m":{}}"#,
     );
@@ -392,10 +392,10 @@
     reads(&group(), GROUP_SHORT);
     let key = "sh/machine/a/bay-1.0";
     for text in [GROUP, GROUP_SHORT] {
-        let group: Group = serde_json::from_str(text).expect("a group");
-        writes(&replica(false).put_group("a/bay-1.0", &group), key, GROUP);
+        let group: MachineShard = serde_json::from_str(text).expect("a group");
+        writes(&replica(false).put_machine_shard("a/bay-1.0", &group), key, GROUP);
         writes(
-            &replica(true).put_group("a/bay-1.0", &group),
+            &replica(true).put_machine_shard("a/bay-1.0", &group),
             key,
             GROUP_SHORT,
         );
@@ -405,19 +405,19 @@
 #[test]
 fn keys_are_the_same() {
     for (key, text) in [
-        (view::job_key("job-000412"), "sh/job/job-000412"),
-        (view::team_key("vision"), "sh/team/vision"),
-        (view::part_id("a", "bay-1.0"), "a/bay-1.0"),
-        (view::part_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
-        (view::group_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
-        (view::node_key("bay-1"), "sh/node/bay-1"),
-        (view::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
-        (view::hire_key("r-17"), "sh/hire/r-17"),
-        (view::PREFIX.into(), "sh/"),
-        (view::BARRIER_KEY.into(), "sh-barrier"),
-        (view::FLEET_KEY.into(), "sh/fleet"),
-        (view::TYPES_KEY.into(), "sh/types"),
-        (view::FORMATS_KEY.into(), "sh/formats"),
+        (replica::job_key("job-000412"), "sh/job/job-000412"),
+        (replica::team_key("vision"), "sh/team/vision"),
+        (replica::shard_id("a", "bay-1.0"), "a/bay-1.0"),
+        (replica::zone_shard_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
+        (replica::machine_shard_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
+        (replica::node_key("bay-1"), "sh/node/bay-1"),
+        (replica::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
+        (replica::rental_key("r-17"), "sh/hire/r-17"),
+        (replica::PREFIX.into(), "sh/"),
+        (replica::BARRIER_KEY.into(), "sh-barrier"),
+        (replica::FLEET_KEY.into(), "sh/fleet"),
+        (replica::TYPES_KEY.into(), "sh/types"),
+        (replica::FORMATS_KEY.into(), "sh/formats"),
         (home_of("bay-1.0").into(), "bay-1"),
     ] {
         assert_eq!(key, text);
@@ -430,7 +430,7 @@
 #[test]
 fn mesh_frames_are_sent_byte_for_byte() {
     let before_its_first_barrier = Gossip {
-        horizon_ms: None,
+        staleness_ms: None,
         refused: Vec::new(),
         ..gossip()
     };
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -13,7 +13,7 @@
 use shelfhoist::machines::Plan;
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
-use shelfhoist::wire::{Order, Verb};
+use shelfhoist::wire::{WorkerCommand, CommandKind};
 use stand_ins::{Shape, World, addr, in_world, job};
 use tokio::time::{Instant, sleep};
 
@@ -21,8 +21,8 @@
     Duration::from_secs_f64(s)
 }
 
-fn order(verb: Verb) -> Order {
-    Order {
+fn order(verb: CommandKind) -> WorkerCommand {
+    WorkerCommand {
         verb,
         task: "job-1/0".to_string(),
         attempt: 1,
@@ -33,7 +33,7 @@
 /// Without a recent horizon all launches are held, and nothing else is.
 #[test]
 fn only_a_recent_view_launches() {
-    use Verb::{Forget, Start, Stop};
+    use CommandKind::{Forget, Start, Stop};
     let limit = secs(1.0);
     let cases = [
         ("recent", Some(secs(0.9)), vec![Start], vec![Start], false),
@@ -69,7 +69,7 @@
             ends: Vec::new(),
         };
         assert_eq!(plan.defer_launches(age, limit), deferred, "{name}");
-        let left: Vec<Verb> = plan.orders.iter().map(|o| o.verb).collect();
+        let left: Vec<CommandKind> = plan.orders.iter().map(|o| o.verb).collect();
         assert_eq!(left, expected, "{name}");
     }
 }
@@ -102,7 +102,7 @@
         assert!(limit >= lease / 16, "{name}");
         assert!(limit >= (interval * 2).min(lease / 4), "{name}");
         assert!(limit <= (interval * 2).max(lease / 16), "{name}");
-        assert!(settings.barrier_pause() <= settings.horizon_limit() / 20);
+        assert!(settings.barrier_pause() <= settings.staleness_limit() / 20);
     }
 }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The state service's limits fall: short texts, parts that are merged, groups
+//! The state service's limits fall: compact encodings, parts that are merged, groups
 //! that are split, and a deployment that goes on throughout.
 
 // Each file of tests uses a part of them.
@@ -12,13 +12,13 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use shelfhoist::admission::{self, Care, Hints, Place, Plan, Wait, least_record, record_slots};
-use shelfhoist::draft::{Draft, Groups, book};
+use shelfhoist::admission::{self, Care, Hints, Place, Plan, WaitReason, least_record, record_slots};
+use shelfhoist::transaction::{Transaction, MachineShardEdits, book};
 use shelfhoist::model::*;
 use shelfhoist::settings::Settings;
-use shelfhoist::view::{FORMATS_KEY, TYPES_KEY, View, group_key, job_key, part_key};
+use shelfhoist::replica::{FORMATS_KEY, TYPES_KEY, Replica, machine_shard_key, job_key, zone_shard_key};
 use shelfhoist::wire::{Event, Kind, Priority, Write};
-use shelfhoist::{shrink, text};
+use shelfhoist::{compaction, text};
 use stand_ins::{Shape, StateLimits, Trouble, World, in_world, job};
 use tokio::time::{Instant, sleep};
 
@@ -63,29 +63,29 @@
     same_bytes::<Job>(DONE_JOB);
     same_bytes::<Arrivals>(ARRIVALS);
     same_bytes::<Team>(TEAM);
-    let part: Part = same_bytes(PART);
+    let part: ZoneShard = same_bytes(PART);
     assert_eq!(part.machines["host-000231"].unbooked.cpus, Amount(2000));
-    let group: Group = same_bytes(GROUP);
+    let group: MachineShard = same_bytes(GROUP);
     assert_eq!(group.machines.len(), 5);
-    same_bytes::<Hire>(HIRE);
+    same_bytes::<Rental>(HIRE);
     same_bytes::<Types>(TYPES);
-    same_bytes::<Renter>(RENTER);
-    // And through the short text and back, byte for byte; of a part all but what
+    same_bytes::<ControllerRecord>(RENTER);
+    // And through the compact encoding and back, byte for byte; of a part all but what
     // is free, which nobody reads.
-    let again: Job = read(text::short_job(&job));
+    let again: Job = read(text::encode_job(&job));
     assert_eq!(serde_json::to_string(&again).expect("text"), JOB);
-    let again: Group = read(text::short_group(&group));
+    let again: MachineShard = read(text::encode_machine_shard(&group));
     assert_eq!(serde_json::to_string(&again).expect("text"), GROUP);
-    let again: Part = read(text::short_part(&part));
+    let again: ZoneShard = read(text::encode_zone_shard(&part));
     assert_eq!(again, without_free(&part));
 }
 
-// --- short texts ---------------------------------------------------------------
+// --- compact encodings ---------------------------------------------------------------
 
-fn without_free(part: &Part) -> Part {
+fn without_free(part: &ZoneShard) -> ZoneShard {
     let mut part = part.clone();
     for slot in part.machines.values_mut() {
-        slot.free = Room::default();
+        slot.free = Resources::default();
     }
     part
 }
@@ -121,7 +121,7 @@
         kind,
         priority: Priority::Normal,
         tasks,
-        need: Room {
+        need: Resources {
             cpus: Amount(2000),
             gpus: Amount(0),
             ram: Amount(1800),
@@ -172,7 +172,7 @@
                     stop: rng.random(),
                 });
             }
-            let again: Job = read(text::short_job(&job));
+            let again: Job = read(text::encode_job(&job));
             assert_eq!(again, job);
         }
     }
@@ -181,7 +181,7 @@
     for n in 0..70 {
         job.book(&format!("{n}-of-another-name"), "a", 1, n);
     }
-    assert_eq!(text::short_job(&job), None);
+    assert_eq!(text::encode_job(&job), None);
     for bad in [
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 1A.1:0001"}}"#,
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 0A.1:001"}}"#,
@@ -200,28 +200,28 @@
 fn short_texts_of_parts_and_groups_are_read_back() {
     let mut rng = SmallRng::seed_from_u64(8);
     for count in [0, 1, 2, 90, 400] {
-        let mut part = Part::default();
-        let mut group = Group::default();
+        let mut part = ZoneShard::default();
+        let mut group = MachineShard::default();
         for n in 0..count {
             let n = n * rng.random_range(1..3);
             let kind = ["small", "\"big\" one"][rng.random_range(0..2)];
             let unbooked = match n % 9 {
                 4 => spec(Kind::Array, 1).need,
-                _ => Room::default(),
+                _ => Resources::default(),
             };
-            let slot = Slot {
+            let slot = MachineSlot {
                 kind: kind.into(),
                 spot: rng.random(),
-                free: Room::default(),
+                free: Resources::default(),
                 unbooked,
             };
             part.machines.insert(name(n), slot);
             let lives = [
-                Life::Booting,
-                Life::Active,
-                Life::Draining,
-                Life::Returning,
-                Life::Gone,
+                MachineLifecycle::Booting,
+                MachineLifecycle::Active,
+                MachineLifecycle::Draining,
+                MachineLifecycle::Returning,
+                MachineLifecycle::Gone,
             ];
             let machine = Machine {
                 holder: format!("bay-{}", n % 3),
@@ -234,18 +234,18 @@
             };
             group.machines.insert(name(n), machine);
         }
-        assert_eq!(read::<Part>(text::short_part(&part)), part);
-        assert_eq!(read::<Group>(text::short_group(&group)), group);
-        assert!(text::is_short_part(&text::short_part(&part).expect("text")));
+        assert_eq!(read::<ZoneShard>(text::encode_zone_shard(&part)), part);
+        assert_eq!(read::<MachineShard>(text::encode_machine_shard(&group)), group);
+        assert!(text::is_compact_zone_shard(&text::encode_zone_shard(&part).expect("text")));
         let long = serde_json::to_string(&part).expect("text");
-        assert!(!text::is_short_part(&long));
+        assert!(!text::is_compact_zone_shard(&long));
     }
     for bad in [
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,"1.2.3"]]]]}"#,
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,"1.2.3.4.5"]]]]}"#,
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,""]]]]}"#,
     ] {
-        assert!(serde_json::from_str::<Group>(bad).is_err(), "{bad}");
+        assert!(serde_json::from_str::<MachineShard>(bad).is_err(), "{bad}");
     }
 }
 
@@ -253,15 +253,15 @@
 /// and a hundred and more in a group.
 #[test]
 fn a_home_stands_in_one_part() {
-    let mut part = Part::default();
-    let mut group = Group::default();
+    let mut part = ZoneShard::default();
+    let mut group = MachineShard::default();
     for n in (0..320).map(|n| n * 2) {
         let kind = ["bancone", "cavalletto", "trave", "occhio", "grande-occhio"][n / 2 % 5];
-        let slot = Slot {
+        let slot = MachineSlot {
             kind: kind.into(),
             spot: n % 3 == 0,
-            free: Room::default(),
-            unbooked: Room::default(),
+            free: Resources::default(),
+            unbooked: Resources::default(),
         };
         part.machines.insert(format!("host-{n:06}"), slot);
         if n < 220 {
@@ -270,16 +270,16 @@
                 incarnation: u64::from(u32::MAX),
                 token: 60,
                 seen: (3, 4000),
-                life: Life::Active,
+                life: MachineLifecycle::Active,
                 spot: n % 3 == 0,
                 ..Machine::new(kind, "")
             };
             group.machines.insert(format!("host-{n:06}"), machine);
         }
     }
-    let bytes = text::short_part(&part).expect("text").len();
+    let bytes = text::encode_zone_shard(&part).expect("text").len();
     assert!(bytes <= LIMIT * 9 / 10, "{bytes} bytes for 320 machines");
-    let bytes = text::short_group(&group).expect("text").len();
+    let bytes = text::encode_machine_shard(&group).expect("text").len();
     assert!(bytes <= LIMIT, "{bytes} bytes for 110 machines");
 }
 
@@ -350,7 +350,7 @@
             }
             widest = widest.max(job.booked());
             let check = |job: &Job| {
-                let bytes = text::short_job(job).expect("text").len();
+                let bytes = text::encode_job(job).expect("text").len();
                 assert!(bytes <= LIMIT, "{bytes} bytes in round {round}");
             };
             check(&job);
@@ -369,7 +369,7 @@
                 job.release(&machine, attempt, task, outcome);
                 check(&job);
             }
-            let fits = |job: &Job| text::short_job(job).is_some_and(|t| t.len() <= LIMIT);
+            let fits = |job: &Job| text::encode_job(job).is_some_and(|t| t.len() <= LIMIT);
             if let Some(machine) = job.runs.first().map(|r| r.machine.clone()) {
                 job.stop_tasks(&machine, 2, fits);
                 check(&job);
@@ -381,15 +381,15 @@
 
 // --- parts and groups ------------------------------------------------------------
 
-/// A view whose records are to be short, of parts and groups as production left
+/// A replica whose records are to be short, of parts and groups as production left
 /// them.
-fn production_view(groups: usize, each: usize) -> View {
-    let mut view = View::shrinking(Some(LIMIT));
+fn production_view(machine_shards: usize, each: usize) -> Replica {
+    let mut replica = Replica::with_compact_limit(Some(LIMIT));
     let formats = json!({"n": {"n0": 2}, "a": 2});
     let mut events = vec![Event::put(FORMATS_KEY.into(), &formats, 1)];
-    for g in 0..groups {
-        let mut group = Group::default();
-        let mut part = Part::default();
+    for g in 0..machine_shards {
+        let mut group = MachineShard::default();
+        let mut part = ZoneShard::default();
         for n in 0..each {
             let name = format!("host-{:06}", (g * each + n) * 3);
             let machine = Machine {
@@ -397,62 +397,62 @@
                 incarnation: u64::from(u32::MAX),
                 token: u64::MAX - 7,
                 seen: (u64::MAX, u64::MAX),
-                life: Life::Active,
+                life: MachineLifecycle::Active,
                 ..Machine::new("grande-occhio", "a")
             };
             group.machines.insert(name.clone(), machine);
-            let slot = Slot {
+            let slot = MachineSlot {
                 kind: "grande-occhio".into(),
                 spot: false,
-                free: Room::default(),
-                unbooked: Room::default(),
+                free: Resources::default(),
+                unbooked: Resources::default(),
             };
             part.machines.insert(name, slot);
         }
         let id = format!("a/n0.{g}");
-        events.push(Event::put(group_key(&id), &group, 2 + g as u64));
-        events.push(Event::put(part_key(&id), &part, 2 + g as u64));
+        events.push(Event::put(machine_shard_key(&id), &group, 2 + g as u64));
+        events.push(Event::put(zone_shard_key(&id), &part, 2 + g as u64));
     }
-    view.advance(events, 100);
-    view
+    replica.advance(events, 100);
+    replica
 }
 
-/// A group that is too long in its short text, too, is split in the commit that
+/// A group that is too long in its compact encoding, too, is split in the commit that
 /// writes it: none is lost, doubled or changed, whichever record comes first.
 #[test]
 fn a_long_group_is_split_in_one_commit() {
-    let mut view = production_view(1, 60);
-    let before = view.machines.clone();
+    let mut replica = production_view(1, 60);
+    let before = replica.machines.clone();
     // While what an older version decided may still arrive, it stays whole.
-    let mut groups = Groups::new(&view);
-    groups.edit("a/n0.0");
-    assert_eq!(groups.into_commit().1.len(), 1);
-    let part = view.parts["a/n0.0"].value.clone();
-    let write = view.put_part("a/n0.0", &part);
-    view.overlay(&[write], 101);
-    assert!(view.is_short_part("a/n0.0"));
+    let mut machine_shards = MachineShardEdits::new(&replica);
+    machine_shards.edit("a/n0.0");
+    assert_eq!(machine_shards.into_commit().1.len(), 1);
+    let part = replica.zone_shards["a/n0.0"].value.clone();
+    let write = replica.put_zone_shard("a/n0.0", &part);
+    replica.overlay(&[write], 101);
+    assert!(replica.is_compact_zone_shard("a/n0.0"));
     let mut version = 102;
-    while view.groups.values().any(|g| {
-        let text = text::short_group(&g.value).expect("text");
+    while replica.machine_shards.values().any(|g| {
+        let text = text::encode_machine_shard(&g.value).expect("text");
         text.len() > LIMIT
     }) {
-        let long = view.groups.iter().find(|(_, g)| {
-            let text = text::short_group(&g.value).expect("text");
+        let long = replica.machine_shards.iter().find(|(_, g)| {
+            let text = text::encode_machine_shard(&g.value).expect("text");
             text.len() > LIMIT
         });
         let id = long.expect("a long one").0.clone();
         // A part that is not there yet has to be, before a second split.
-        let writes = [view.put_part(
+        let writes = [replica.put_zone_shard(
             &id,
-            &view
-                .parts
+            &replica
+                .zone_shards
                 .get(&id)
-                .map_or(Part::default(), |p| p.value.clone()),
+                .map_or(ZoneShard::default(), |p| p.value.clone()),
         )];
-        view.overlay(&writes, version);
-        let mut groups = Groups::new(&view);
-        groups.edit(&id);
-        let (guards, mut writes) = groups.into_commit();
+        replica.overlay(&writes, version);
+        let mut machine_shards = MachineShardEdits::new(&replica);
+        machine_shards.edit(&id);
+        let (guards, mut writes) = machine_shards.into_commit();
         assert_eq!(writes.len(), 2, "{id}");
         for w in &writes {
             assert!(guards.iter().any(|g| g.key == w.key()), "{}", w.key());
@@ -460,21 +460,21 @@
         if version % 2 == 0 {
             writes.reverse();
         }
-        view.overlay(&writes, version + 1);
+        replica.overlay(&writes, version + 1);
         version += 2;
     }
-    assert_eq!(view.machines.len(), before.len());
-    let listed: usize = view.groups.values().map(|g| g.value.machines.len()).sum();
+    assert_eq!(replica.machines.len(), before.len());
+    let listed: usize = replica.machine_shards.values().map(|g| g.value.machines.len()).sum();
     assert_eq!(listed, before.len());
     for (name, machine) in &before {
-        let now = &view.machines[name].value;
+        let now = &replica.machines[name].value;
         let as_before = Machine {
             part: machine.value.part.clone(),
             ..now.clone()
         };
         assert_eq!(as_before, machine.value);
         let group = format!("{}/{}", now.zone, now.part);
-        assert!(view.groups[&group].value.machines.contains_key(name));
+        assert!(replica.machine_shards[&group].value.machines.contains_key(name));
     }
 }
 
@@ -482,23 +482,23 @@
 /// it stands; a booking that counted on the old part meets a conflict.
 #[test]
 fn parts_are_merged() {
-    let mut view = production_view(6, 54);
+    let mut replica = production_view(6, 54);
     let tended = |_: &str| true;
-    assert!(shrink::merge(&view, &HashMap::new(), &tended).is_none());
+    assert!(compaction::merge(&replica, &HashMap::new(), &tended).is_none());
     let mut version = 200;
     for g in 0..6 {
         let id = format!("a/n0.{g}");
-        let write = view.put_part(&id, &view.parts[&id].value);
+        let write = replica.put_zone_shard(&id, &replica.zone_shards[&id].value);
         version += 1;
-        view.overlay(&[write], version);
+        replica.overlay(&[write], version);
     }
     let mut steps = 0;
-    while let Some((guards, mut writes)) = shrink::merge(&view, &HashMap::new(), &tended) {
+    while let Some((guards, mut writes)) = compaction::merge(&replica, &HashMap::new(), &tended) {
         assert_eq!((guards.len(), writes.len()), (2, 2));
         for w in &writes {
             let id = w.key().trim_start_matches("sh/zone/");
             let guard = guards.iter().find(|g| g.key == w.key()).expect("a guard");
-            assert_eq!(guard.version, view.part_version(id));
+            assert_eq!(guard.version, replica.zone_shard_version(id));
             let Write::Put { value, .. } = w else {
                 panic!("{w:?}")
             };
@@ -508,16 +508,16 @@
             writes.reverse();
         }
         version += 1;
-        view.overlay(&writes, version);
+        replica.overlay(&writes, version);
         steps += 1;
-        assert_eq!(view.spots().count(), 6 * 54);
-        for name in view.machines.keys() {
-            let part = view.part_of(name).expect("a part").to_string();
-            assert!(view.parts[&part].value.machines.contains_key(name));
-            assert!(view.slot(name).is_some());
+        assert_eq!(replica.spots().count(), 6 * 54);
+        for name in replica.machines.keys() {
+            let part = replica.zone_shard_of(name).expect("a part").to_string();
+            assert!(replica.zone_shards[&part].value.machines.contains_key(name));
+            assert!(replica.slot(name).is_some());
         }
     }
-    let filled = view.parts.values().filter(|p| !p.value.machines.is_empty());
+    let filled = replica.zone_shards.values().filter(|p| !p.value.machines.is_empty());
     assert_eq!(filled.count(), 1, "after {steps}");
 }
 
@@ -536,18 +536,18 @@
     ];
     let mut number = 0;
     for (id, machines) in [("a/n0.0", 3), ("a/n1.0", 3), ("b/n2.0", 5), ("b/n3.0", 2)] {
-        let mut part = Part::default();
+        let mut part = ZoneShard::default();
         for _ in 0..machines {
             number += 1;
-            let slot = Slot {
+            let slot = MachineSlot {
                 kind: "big".into(),
                 spot: false,
-                free: Room::default(),
-                unbooked: Room::default(),
+                free: Resources::default(),
+                unbooked: Resources::default(),
             };
             part.machines.insert(format!("host-{number:06}"), slot);
         }
-        events.push(Event::put(part_key(id), &part, 2));
+        events.push(Event::put(zone_shard_key(id), &part, 2));
     }
     let mut gang = spec(Kind::Gang, 8);
     gang.team = "t".into();
@@ -562,26 +562,26 @@
         let job = Job::new(spec.clone(), 1);
         let mut events = events.clone();
         events.push(Event::put(job_key("job-1"), &job, 3));
-        let mut view = View::shrinking(Some(LIMIT));
-        view.advance(events, 5);
-        let plan = Plan::of(&view);
-        let hints = Hints::new(&view, "n0");
+        let mut replica = Replica::with_compact_limit(Some(LIMIT));
+        replica.advance(events, 5);
+        let plan = Plan::of(&replica);
+        let hints = Hints::new(&replica, "n0");
         let found = admission::fit(&job, &spec, &plan, &hints, &set, Care::Lax);
         let Ok(places) = found else {
             // It fits the rooms of three parts only: machines are rented for it.
             assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
-            assert_eq!(found, Err(Wait::NoRoom));
+            assert_eq!(found, Err(WaitReason::NoRoom));
             continue;
         };
         assert_eq!(places.len(), tasks as usize, "{kind:?}");
-        let parts: BTreeSet<&str> = places.iter().map(|p| &*p.part).collect();
-        let mut draft = Draft::new(&view, set.txn_ops());
-        let booked = draft.book("job-1", &spec, &places);
-        assert!(draft.into_commit().1.len() <= set.txn_ops());
+        let zone_shards: BTreeSet<&str> = places.iter().map(|p| &*p.part).collect();
+        let mut transaction = Transaction::new(&replica, set.txn_ops());
+        let booked = transaction.book("job-1", &spec, &places);
+        assert!(transaction.into_commit().1.len() <= set.txn_ops());
         match kind {
-            Kind::Gang => assert_eq!((parts.len(), booked), (2, 8)),
+            Kind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
             // Replica by replica: the rest go into the next commit.
-            _ => assert!(parts.len() > 2 && (5..9).contains(&booked), "{booked}"),
+            _ => assert!(zone_shards.len() > 2 && (5..9).contains(&booked), "{booked}"),
         }
     }
 }
@@ -743,7 +743,7 @@
     };
     let of = |s: &Settings| {
         let rates = (s.write_rps(false), s.write_rps(true), s.rps(true));
-        (s.value_bytes(), s.txn_ops(), rates, s.shrinks())
+        (s.value_bytes(), s.txn_ops(), rates, s.limits_will_fall())
     };
     let now = (8192, 12, (90.0, 90.0, 200.0), false);
     for (next, expected) in [
@@ -902,7 +902,7 @@
 /// An upgrade, one controller after another, with jobs running; one ends before
 /// its turn and comes back with the older program. Until the last has its turn
 /// all that stands in the state is what production reads and writes itself; then
-/// the short texts come, jobs may await others, and all goes on as the limits
+/// the compact encodings come, jobs may await others, and all goes on as the limits
 /// fall.
 #[test]
 fn controllers_are_upgraded_one_after_another() {
@@ -974,7 +974,7 @@
         let w = World::of(53, yard()).await;
         sleep(Duration::from_secs(15)).await;
         let mut arrivals = Arrivals {
-            born: 1,
+            accepted_revision: 1,
             jobs: Default::default(),
         };
         let jobs: Vec<Value> = (700..716).map(|n| job(n, "batch", 2, 2.0)).collect();
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -10,8 +10,8 @@
 
 use serde_json::json;
 use shelfhoist::api::read_submission;
-use shelfhoist::model::{Final, Job, Spec};
-use shelfhoist::view::{View, job_key};
+use shelfhoist::model::{JobStatus, Job, Spec};
+use shelfhoist::replica::{Replica, job_key};
 use shelfhoist::wire::Event;
 use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, in_world, job};
 use tokio::time::{Instant, sleep};
@@ -374,26 +374,26 @@
         };
         let (first, next) = (record(1, &[]), record(2, &["job-000001"]));
         let spec = next.spec.clone().expect("a spec");
-        let mut view = View::default();
+        let mut replica = Replica::default();
         let put = |id: &str, job: &Job, at: u64| Event::put(job_key(id), job, at);
-        view.advance(vec![put("job-000001", &first, 2)], 2);
-        view.advance(vec![put("job-000002", &next, 3)], 3);
-        let left_s = |view: &View| {
-            let standing = view.standing("job-000002", &spec, Instant::now());
+        replica.advance(vec![put("job-000001", &first, 2)], 2);
+        replica.advance(vec![put("job-000002", &next, 3)], 3);
+        let left_s = |replica: &Replica| {
+            let standing = replica.standing("job-000002", &spec, Instant::now());
             standing.left_s.expect("a deadline").round()
         };
-        assert_eq!(left_s(&view), 100.0);
+        assert_eq!(left_s(&replica), 100.0);
         sleep(secs(30.0)).await;
-        assert_eq!(left_s(&view), 70.0, "blocked");
+        assert_eq!(left_s(&replica), 70.0, "blocked");
         let done = Job {
-            fin: Final::Done,
+            status: JobStatus::Done,
             spec: None,
             ..first
         };
-        view.advance(vec![put("job-000001", &done, 4)], 4);
-        assert!(view.is_ready(&spec));
-        assert_eq!(left_s(&view), 70.0, "just ready");
+        replica.advance(vec![put("job-000001", &done, 4)], 4);
+        assert!(replica.is_ready(&spec));
+        assert_eq!(left_s(&replica), 70.0, "just ready");
         sleep(secs(10.0)).await;
-        assert_eq!(left_s(&view), 60.0, "ready");
+        assert_eq!(left_s(&replica), 60.0, "ready");
     });
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -2,9 +2,9 @@
 
 use serde_json::json;
 use shelfhoist::admission::{self, Care, Hints, Plan};
-use shelfhoist::model::{Job, Part, Room, Slot, Spec};
+use shelfhoist::model::{Job, ZoneShard, Resources, MachineSlot, Spec};
 use shelfhoist::settings::Settings;
-use shelfhoist::view::{View, part_id, part_key};
+use shelfhoist::replica::{Replica, shard_id, zone_shard_key};
 use shelfhoist::wire::{Event, Kind, MachineType, Submission};
 
 fn settings() -> Settings {
@@ -28,14 +28,14 @@
 
 /// One machine of each of two types that differ in how fast they fetch images.
 /// The slower one is the smaller: without a difference it would be filled first.
-fn view(fetch_gb_per_s: [f64; 2]) -> View {
-    let mut view = View::default();
-    let mut part = Part::default();
+fn replica(fetch_gb_per_s: [f64; 2]) -> Replica {
+    let mut replica = Replica::default();
+    let mut part = ZoneShard::default();
     for ((name, cpus), fetch) in [("small", 4.0), ("large", 8.0)]
         .into_iter()
         .zip(fetch_gb_per_s)
     {
-        view.types.value.types.push(MachineType {
+        replica.types.value.types.push(MachineType {
             name: name.into(),
             cpus,
             gpus: 0.0,
@@ -47,18 +47,18 @@
             boot_s: 20.0,
             zones: vec!["a".into()],
         });
-        let slot = Slot {
+        let slot = MachineSlot {
             kind: name.into(),
             spot: false,
-            free: Room::default(),
-            unbooked: Room::default(),
+            free: Resources::default(),
+            unbooked: Resources::default(),
         };
         part.machines.insert(format!("m-{name}"), slot);
     }
-    view.loaded = true;
-    let event = Event::put(part_key(&part_id("a", "n0.0")), &part, 3);
-    view.advance(vec![event], 3);
-    view
+    replica.loaded = true;
+    let event = Event::put(zone_shard_key(&shard_id("a", "n0.0")), &part, 3);
+    replica.advance(vec![event], 3);
+    replica
 }
 
 fn job(kind: Kind) -> Spec {
@@ -74,11 +74,11 @@
 }
 
 fn chosen(kind: Kind, fetch_gb_per_s: [f64; 2]) -> String {
-    let view = view(fetch_gb_per_s);
+    let replica = replica(fetch_gb_per_s);
     let spec = job(kind);
     let waiting = Job::new(spec.clone(), 1);
-    let hints = Hints::new(&view, "n0");
-    let plan = Plan::of(&view);
+    let hints = Hints::new(&replica, "n0");
+    let plan = Plan::of(&replica);
     let places = admission::fit(&waiting, &spec, &plan, &hints, &settings(), Care::Strict);
     places.expect("there is room")[0].machine.to_string()
 }
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use shelfhoist::model::{Amount, Final, Job, Ranges, Room, Run, Spec};
+use shelfhoist::model::{Amount, JobStatus, Job, Ranges, Resources, Run, Spec};
 use shelfhoist::record_trim::{TrimContext, trim_job};
 use shelfhoist::text;
-use shelfhoist::view::{FORMATS_KEY, TYPES_KEY, View, job_key};
+use shelfhoist::replica::{FORMATS_KEY, TYPES_KEY, Replica, job_key};
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
 
 const LIMIT: usize = 2048;
@@ -41,7 +41,7 @@
         kind,
         priority: Priority::Normal,
         tasks: 40,
-        need: Room {
+        need: Resources {
             cpus: Amount(2000),
             gpus: Amount(0),
             ram: Amount(1000),
@@ -80,7 +80,7 @@
 }
 
 fn length(job: &Job) -> usize {
-    text::short_job(job).expect("text").len()
+    text::encode_job(job).expect("text").len()
 }
 
 fn trimmed(job: &Job, aimed: &[&str], limit: usize) -> Option<Job> {
@@ -107,20 +107,20 @@
 #[test]
 fn a_closed_job_keeps_what_its_last_runs_need() {
     for kind in [Kind::Array, Kind::Gang, Kind::Service] {
-        for fin in [Final::Cancelled, Final::Done] {
+        for status in [JobStatus::Cancelled, JobStatus::Done] {
             let job = Job {
-                fin,
+                status,
                 ..running(kind)
             };
             assert!(length(&job) > LIMIT, "{}", length(&job));
             let short = trimmed(&job, &[], LIMIT).expect("trimmed");
             assert!(length(&short) < 600, "{}", length(&short));
-            assert_eq!(short.fin, job.fin);
+            assert_eq!(short.status, job.status);
             assert_eq!(short.runs, job.runs);
             assert_eq!(short.booked(), job.booked());
             assert_eq!(short.done_count(), job.done_count());
             assert_eq!(short.waiting(), job.waiting());
-            assert_eq!((short.tasks, short.born), (job.tasks, job.born));
+            assert_eq!((short.tasks, short.accepted_revision), (job.tasks, job.accepted_revision));
             assert_eq!(short.attempt, job.attempt);
             let (before, after) = (spec(&job), spec(&short));
             assert_eq!(after.team, before.team);
@@ -210,7 +210,7 @@
                     });
                     zones.collect::<Vec<_>>()
                 };
-                let fits = Room::of_type(machine_type).fits(&spec(&job).need);
+                let fits = Resources::of_type(machine_type).fits(&spec(&job).need);
                 if fits {
                     assert_eq!(allows(&short), allows(&job), "{named:?} {zone:?}");
                 } else {
@@ -258,8 +258,8 @@
     assert_eq!(image(wide.clone()), wide);
 }
 
-fn replica(formats: u32) -> View {
-    let mut replica = View::shrinking(Some(LIMIT));
+fn replica(formats: u32) -> Replica {
+    let mut replica = Replica::with_compact_limit(Some(LIMIT));
     let events = vec![
         Event::put(FORMATS_KEY.into(), &json!({"n": {}, "a": formats}), 1),
         Event::put(TYPES_KEY.into(), &json!({"types": offered()}), 1),
@@ -268,7 +268,7 @@
     replica
 }
 
-fn written(replica: &View, job: &Job) -> Job {
+fn written(replica: &Replica, job: &Job) -> Job {
     let Write::Put { value, .. } = replica.put_job("job-000007", job) else {
         panic!("not a record")
     };
@@ -276,7 +276,7 @@
 }
 
 /// The replica trims in the commit that writes the record, once all versions
-/// read the short text, and knows those that leave no room for their tasks.
+/// read the compact encoding, and knows those that leave no room for their tasks.
 #[test]
 fn records_are_trimmed_as_they_are_written() {
     let job = running(Kind::Array);
--- a/tests/rule_checker.rs
+++ b/tests/rule_checker.rs
@@ -39,10 +39,10 @@
     Record(&'static str, Value),
     /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
     PollFor(f64, Vec<(&'static str, u16)>),
-    Wait(f64),
+    WaitReason(f64),
 }
 
-use Step::{Cancel, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo, Wait};
+use Step::{Cancel, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo, WaitReason};
 
 /// A history that goes on in two ways.
 struct Case {
@@ -76,7 +76,7 @@
             Lose(machine) => world.lose(&format!("host-{machine:06}")),
             Record(key, value) => world.state.write(key, &value),
             PollFor(seconds, jobs) => poll_for(world, controller, seconds, &jobs).await,
-            Wait(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
+            WaitReason(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         }
     }
 }
@@ -104,7 +104,7 @@
 }
 
 /// What the checker reports of a history.
-async fn violations_of(parts: [Vec<Step>; 2]) -> Vec<String> {
+async fn violations_of(zone_shards: [Vec<Step>; 2]) -> Vec<String> {
     let shape = Shape {
         controllers: 1,
         locations: vec!["a"],
@@ -115,7 +115,7 @@
     let controller = ScriptedController::serve(&world).await;
     // The machines boot, and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
-    for steps in parts {
+    for steps in zone_shards {
         play(&world, &controller, steps).await;
     }
     world.violations()
@@ -189,17 +189,17 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Hang(0, 60.0),
-                    Wait(5.0),
+                    WaitReason(5.0),
                 ]
             },
-            lawful: || vec![Wait(7.0), Launch(1, "job-000001/0")],
+            lawful: || vec![WaitReason(7.0), Launch(1, "job-000001/0")],
             violation: || vec![Launch(1, "job-000001/0")],
         },
         Case {
             name: "a task that has ended may start again",
             rule: Rule::RanTwice,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), Wait(4.0)],
-            lawful: || vec![Wait(2.0), Launch(1, "job-000001/0")],
+            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            lawful: || vec![WaitReason(2.0), Launch(1, "job-000001/0")],
             violation: || vec![Launch(1, "job-000001/0")],
         },
     ]
@@ -220,17 +220,17 @@
                     Launch(1, "job-000001/3"),
                     Launch(2, "job-000001/4"),
                     Launch(2, "job-000001/5"),
-                    Wait(1.0),
+                    WaitReason(1.0),
                 ]
             },
             lawful: || {
                 vec![
                     Stop(0, "job-000001/0"),
                     Launch(3, "job-000001/6"),
-                    Wait(1.0),
+                    WaitReason(1.0),
                 ]
             },
-            violation: || vec![Launch(3, "job-000001/6"), Wait(1.0)],
+            violation: || vec![Launch(3, "job-000001/6"), WaitReason(1.0)],
         },
         Case {
             name: "two jobs of one team, or of two",
@@ -244,8 +244,8 @@
                     Launch(0, "job-000001/0"),
                 ]
             },
-            lawful: || vec![Launch(1, "job-000003/0"), Wait(1.0)],
-            violation: || vec![Launch(1, "job-000002/0"), Wait(1.0)],
+            lawful: || vec![Launch(1, "job-000003/0"), WaitReason(1.0)],
+            violation: || vec![Launch(1, "job-000002/0"), WaitReason(1.0)],
         },
     ]
 }
@@ -314,11 +314,11 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(29.0),
+                    WaitReason(29.0),
                 ]
             },
-            lawful: || vec![Stop(0, "job-000001/0"), Wait(3.0)],
-            violation: || vec![Wait(3.0)],
+            lawful: || vec![Stop(0, "job-000001/0"), WaitReason(3.0)],
+            violation: || vec![WaitReason(3.0)],
         },
         Case {
             name: "a second confirmation gives no more time",
@@ -328,13 +328,13 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(20.0),
+                    WaitReason(20.0),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(9.0),
+                    WaitReason(9.0),
                 ]
             },
-            lawful: || vec![Stop(0, "job-000001/0"), Wait(3.0)],
-            violation: || vec![Wait(3.0)],
+            lawful: || vec![Stop(0, "job-000001/0"), WaitReason(3.0)],
+            violation: || vec![WaitReason(3.0)],
         },
         Case {
             name: "a start",
@@ -343,13 +343,13 @@
                 vec![
                     Submit(long_batch(1)),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(29.0),
+                    WaitReason(29.0),
                 ]
             },
             lawful: || vec![Launch(0, "job-000001/0"), Stop(0, "job-000001/0")],
             violation: || {
                 vec![
-                    Wait(2.0),
+                    WaitReason(2.0),
                     Launch(0, "job-000001/0"),
                     Stop(0, "job-000001/0"),
                 ]
@@ -363,14 +363,14 @@
                     Submit(short_batch(1)),
                     Submit(after(job(2, "daemon", 1, 0.0), &[FIRST])),
                     Launch(0, "job-000001/0"),
-                    Wait(6.0),
+                    WaitReason(6.0),
                     Launch(1, "job-000002/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(29.0),
+                    WaitReason(29.0),
                 ]
             },
-            lawful: || vec![Stop(1, "job-000002/0"), Wait(3.0)],
-            violation: || vec![Wait(3.0)],
+            lawful: || vec![Stop(1, "job-000002/0"), WaitReason(3.0)],
+            violation: || vec![WaitReason(3.0)],
         },
     ]
 }
@@ -456,18 +456,18 @@
         Case {
             name: "a task still runs",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), Wait(4.0)],
-            lawful: || vec![Wait(2.0), Poll(FIRST, 200, "done")],
+            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            lawful: || vec![WaitReason(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
             name: "one task of two has never run",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(2)), Launch(0, "job-000001/0"), Wait(6.0)],
+            before: || vec![Submit(short_batch(2)), Launch(0, "job-000001/0"), WaitReason(6.0)],
             lawful: || {
                 vec![
                     Launch(1, "job-000001/1"),
-                    Wait(6.0),
+                    WaitReason(6.0),
                     Poll(FIRST, 200, "done"),
                 ]
             },
@@ -477,8 +477,8 @@
             name: "a stopped task has not completed",
             rule: Rule::NotDone,
             before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0")],
-            lawful: || vec![Wait(6.0), Poll(FIRST, 200, "done")],
-            violation: || vec![Stop(0, "job-000001/0"), Wait(6.0), Poll(FIRST, 200, "done")],
+            lawful: || vec![WaitReason(6.0), Poll(FIRST, 200, "done")],
+            violation: || vec![Stop(0, "job-000001/0"), WaitReason(6.0), Poll(FIRST, 200, "done")],
         },
         Case {
             name: "a gang's tasks complete together",
@@ -488,17 +488,17 @@
                     Submit(job(1, "gang", 2, 5.0)),
                     Launch(0, "job-000001/0"),
                     Launch(1, "job-000001/1"),
-                    Wait(4.0),
+                    WaitReason(4.0),
                 ]
             },
-            lawful: || vec![Wait(2.0), Poll(FIRST, 200, "done")],
+            lawful: || vec![WaitReason(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
             name: "a cancellation and a submission are told so, too",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), Wait(4.0)],
-            lawful: || vec![Wait(2.0), Cancel(FIRST, 200, "done")],
+            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            lawful: || vec![WaitReason(2.0), Cancel(FIRST, 200, "done")],
             violation: || vec![Cancel(FIRST, 200, "done")],
         },
     ]
@@ -509,7 +509,7 @@
         vec![
             Submit(short_batch(1)),
             Launch(0, "job-000001/0"),
-            Wait(6.0),
+            WaitReason(6.0),
             Poll(FIRST, 200, "done"),
         ]
     };
@@ -517,7 +517,7 @@
         vec![
             Submit(short_batch(1)),
             Launch(0, "job-000001/0"),
-            Wait(6.0),
+            WaitReason(6.0),
             Cancel(FIRST, 200, "aborted"),
         ]
     };
@@ -596,10 +596,10 @@
                     Submit(short_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Launch(0, "job-000001/0"),
-                    Wait(4.0),
+                    WaitReason(4.0),
                 ]
             },
-            lawful: || vec![Wait(2.0), Launch(1, "job-000002/0")],
+            lawful: || vec![WaitReason(2.0), Launch(1, "job-000002/0")],
             violation: || vec![Launch(1, "job-000002/0")],
         },
         Case {
@@ -610,12 +610,12 @@
                     Submit(long_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Cancel(FIRST, 200, "aborted"),
-                    Wait(29.0),
+                    WaitReason(29.0),
                     Poll(SECOND, 200, "queued"),
                 ])
             },
-            lawful: || vec![Wait(2.0), Poll(SECOND, 200, "aborted")],
-            violation: || vec![Wait(2.0), Poll(SECOND, 200, "queued")],
+            lawful: || vec![WaitReason(2.0), Poll(SECOND, 200, "aborted")],
+            violation: || vec![WaitReason(2.0), Poll(SECOND, 200, "queued")],
         },
         Case {
             name: "a task of a job that nobody submitted",
@@ -627,7 +627,7 @@
         Case {
             name: "no task was started",
             rule: Rule::NothingRan,
-            before: || vec![Submit(long_batch(1)), Wait(5.0)],
+            before: || vec![Submit(long_batch(1)), WaitReason(5.0)],
             lawful: || vec![Launch(0, "job-000001/0")],
             violation: Vec::new,
         },
@@ -726,12 +726,12 @@
 #[test]
 fn what_follows_a_violation_is_still_judged() {
     in_world(|| async {
-        let unknown = vec![Launch(0, "job-000002/0"), Wait(1.0)];
+        let unknown = vec![Launch(0, "job-000002/0"), WaitReason(1.0)];
         let second = vec![
             Submit(long_batch(1)),
             Launch(0, "job-000001/0"),
             Cancel(FIRST, 200, "aborted"),
-            Wait(32.0),
+            WaitReason(32.0),
         ];
         let reported = violations_of([unknown, second]).await;
         let rules: Vec<&str> = reported
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -422,10 +422,10 @@
         for i in 0..CONTROLLERS {
             let mut answers = Vec::new();
             for seq in 100..107 {
-                let beat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
+                let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
                     "yard": "a", "loaners": false, "shift": 1, "tally": seq, "baton": 1,
                     "recall_s": null, "boards": []});
-                let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&beat)).await;
+                let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
                 answers.push((status, body["baton"].as_u64()));
                 // As a worker reports; no answer keeps it waiting.
                 sleep(Duration::from_secs(1)).await;
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -27,14 +27,14 @@
                 }
                 ("POST", "/rentals") => {
                     let hire = body["hire"].as_str().unwrap_or("").to_string();
-                    if let Some(known) = self.hires.borrow().get(&hire) {
+                    if let Some(known) = self.rentals.borrow().get(&hire) {
                         return Response::json(200, known);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
                         .map(|_| self.boot(&body))
                         .collect();
                     let answer = json!({"bays": names});
-                    self.hires.borrow_mut().insert(hire, answer.clone());
+                    self.rentals.borrow_mut().insert(hire, answer.clone());
                     Response::json(200, &answer)
                 }
                 ("POST", "/rentals/return") => {
@@ -86,7 +86,7 @@
             true => vec![],
             false => vec![
                 spawn_local(self.clone().listen(worker.clone())),
-                spawn_local(self.clone().beat(worker.clone())),
+                spawn_local(self.clone().heartbeat(worker.clone())),
             ],
         };
         self.workers
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -4,7 +4,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-use shelfhoist::model::Group;
+use shelfhoist::model::MachineShard;
 use shelfhoist::net::Net;
 use shelfhoist::node::Node;
 use tokio::sync::watch;
@@ -80,7 +80,7 @@
                 .and_then(|k| k.split_once('/'));
             let Some((_, part)) = part else { continue };
             let home = part.split('.').next().unwrap_or("");
-            let group: Group = serde_json::from_str(&group.to_string()).expect("group");
+            let group: MachineShard = serde_json::from_str(&group.to_string()).expect("group");
             for machine in group.machines.into_values() {
                 all.push((home.to_string(), machine.holder));
             }
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -148,7 +148,7 @@
     pub workers: RefCell<BTreeMap<String, Rented>>,
     pub(super) jobs: RefCell<HashMap<String, Value>>,
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
-    pub(super) hires: RefCell<HashMap<String, Value>>,
+    pub(super) rentals: RefCell<HashMap<String, Value>>,
     pub broken: RefCell<Vec<String>>,
     pub shape: Shape,
     /// Machines that were ever rented.
@@ -218,7 +218,7 @@
             workers: RefCell::default(),
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
-            hires: RefCell::default(),
+            rentals: RefCell::default(),
             broken: RefCell::default(),
             starts: Cell::new(0),
             late_starts: RefCell::default(),
@@ -249,7 +249,7 @@
             let handler = move |request| state.clone().answer(i, request);
             self.serve_at(state_addr(i), handler).await;
         }
-        spawn_local(self.state.clone().keep_leases());
+        spawn_local(self.state.clone().run_lease_renewal());
         let cloud = self.clone();
         let handler = move |request| cloud.clone().cloud(request);
         self.serve_at(addr(CLOUD), handler).await;
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use shelfhoist::http::{Request, Response, query_value};
-use shelfhoist::model::{Group, Part};
+use shelfhoist::model::{MachineShard, ZoneShard};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
@@ -154,7 +154,7 @@
 
     /// State leases end with their keys. In an outage none does, and after it
     /// each has its full time again.
-    pub(super) async fn keep_leases(self: Rc<Self>) {
+    pub(super) async fn run_lease_renewal(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(50)).await;
             let now = Instant::now();
@@ -469,11 +469,11 @@
             let text = value.to_string();
             let names: Option<Vec<String>> = match table {
                 "sh/zone/" => {
-                    let part = serde_json::from_str::<Part>(&text);
+                    let part = serde_json::from_str::<ZoneShard>(&text);
                     part.ok().map(|part| part.machines.into_keys().collect())
                 }
                 _ => {
-                    let group = serde_json::from_str::<Group>(&text);
+                    let group = serde_json::from_str::<MachineShard>(&text);
                     group.ok().map(|group| group.machines.into_keys().collect())
                 }
             };
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -21,7 +21,7 @@
 pub(super) struct Task {
     attempt: u64,
     ends: Option<Instant>,
-    why: Option<Why>,
+    why: Option<ExitReason>,
 }
 
 /// One machine's worker, by the protocol's rules for tokens and leases.
@@ -47,7 +47,7 @@
     pub(super) hangs_until: Cell<Option<Instant>>,
     /// Direct orders are held up for as long.
     pub orders_held: Cell<Duration>,
-    /// Beats it has sent, for copies that come late.
+    /// Heartbeats it has sent, for copies that come late.
     pub sent: RefCell<Vec<Vec<u8>>>,
 }
 
@@ -84,18 +84,18 @@
         }
     }
 
-    fn execute(&self, world: &World, orders: &[Order]) {
+    fn execute(&self, world: &World, orders: &[WorkerCommand]) {
         self.note_ends(&world.finished);
         for o in orders {
             let mut tasks = self.tasks.borrow_mut();
             match o.verb {
-                Verb::Start => {
+                CommandKind::Start => {
                     if tasks.get(&o.task).is_some_and(|t| t.attempt == o.attempt) {
                         continue;
                     }
                     let run = world.run_time(&o.task);
                     let fails = self.sick.get() || world.is_mistaken(&o.task);
-                    let why = fails.then_some(Why::Error);
+                    let why = fails.then_some(ExitReason::Error);
                     // The result of a task that has once ended is kept.
                     let run = match world.finished.borrow().contains(&o.task) {
                         true => Some(Duration::ZERO),
@@ -107,18 +107,18 @@
                     drop(tasks);
                     world.check_start(&o.task, self);
                 }
-                Verb::Stop => {
+                CommandKind::Stop => {
                     if let Some(t) = tasks.get_mut(&o.task)
                         && t.attempt == o.attempt
                         && t.why.is_none()
                         && t.ends.is_none_or(|e| e > Instant::now())
                     {
-                        t.why = Some(Why::Stopped);
+                        t.why = Some(ExitReason::Stopped);
                     }
                 }
-                Verb::Forget => {
+                CommandKind::Forget => {
                     if let Some(task) = tasks.remove(&o.task) {
-                        if task.why.is_none_or(|w| w == Why::Done)
+                        if task.why.is_none_or(|w| w == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
                         {
                             world.finished.borrow_mut().insert(o.task.clone());
@@ -216,7 +216,7 @@
         let handler = Rc::new(move |r: Request| -> shelfhoist::http::Answer {
             let (world, w) = (self.clone(), worker.clone());
             Box::pin(async move {
-                let Ok(orders) = serde_json::from_slice::<Orders>(&r.body) else {
+                let Ok(orders) = serde_json::from_slice::<WorkerCommands>(&r.body) else {
                     return Response::empty(400);
                 };
                 if w.deaf.get() {
@@ -239,7 +239,7 @@
         serve(listener, LIMITS, handler).await;
     }
 
-    pub(super) async fn beat(self: Rc<Self>, w: Rc<Worker>) {
+    pub(super) async fn heartbeat(self: Rc<Self>, w: Rc<Worker>) {
         sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
         w.renewed.set(Instant::now());
         let net = Net::Fabric(self.fabric.clone(), w.port);
@@ -282,7 +282,7 @@
                     sleep(Duration::from_secs(1)).await;
                 }
                 Ok(r) if r.status == 200 => {
-                    let a: BeatAnswer = r.parse().expect("answer");
+                    let a: HeartbeatResponse = r.parse().expect("answer");
                     if a.token >= w.token.get() && session == w.session.get() {
                         let news = a.token > w.token.get();
                         w.token.set(a.token);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{Value, json};
 use shelfhoist::model::{Arrivals, FORMATS, Job, Spec};
-use shelfhoist::view::{FORMATS_KEY, arrivals_key, job_key};
+use shelfhoist::replica::{FORMATS_KEY, arrivals_key, job_key};
 use stand_ins::{Shape, StateLimits, Trouble, World, after, in_world, job};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -123,7 +123,7 @@
         let one = Job::new(spec_of(&waiting[0]), 1);
         let one = serde_json::to_value(&one).expect("text");
         let together = Arrivals {
-            born: 2,
+            accepted_revision: 2,
             jobs: (11..14)
                 .map(|n| (format!("job-{n:06}"), spec_of(&waiting[n - 10])))
                 .collect(),
