--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -8,10 +8,11 @@
 use tokio::time::{Instant, sleep};
 
 use super::users::is_hopeless;
-use crate::model::{Arrivals, Job, Spec};
 use crate::node::{Node, guard, put};
-use crate::store::{Class, StoreError};
-use crate::replica::{arrivals_key, job_key};
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::{arrivals_key, job_key};
+use crate::state::records::{Arrivals, Job, Spec};
 use crate::wire::{Guard, Write};
 
 /// What became of a submission that was to be accepted.
@@ -54,7 +55,7 @@
     loop {
         node.arrivals_wanted.notified().await;
         while !node.arrivals.borrow().is_empty() {
-            node.store.ready(Class::Accept, 1).await;
+            node.store.ready(RequestClass::Accept, 1).await;
             let begun = Instant::now();
             let batch = take_batch(&node);
             if !batch.is_empty() {
@@ -98,7 +99,7 @@
 /// Commits a batch, and tells those who wait.
 async fn commit_batch(node: &Node, batch: Vec<Arrival>) {
     let (guards, write) = batch_commit(node, &batch);
-    match node.commit(Class::Accept, guards, vec![write]).await {
+    match node.commit(RequestClass::Accept, guards, vec![write]).await {
         Ok(_) => {
             tracing::debug!(jobs = batch.len(), "accepted");
             for arrival in batch {
@@ -136,7 +137,16 @@
     let number = node.rng.borrow_mut().random::<u64>();
     let key = arrivals_key(&format!("{}-{number:x}", node.name()));
     guards.push(guard(key.clone(), 0));
-    (guards, put(key, &Arrivals { accepted_revision, jobs }))
+    (
+        guards,
+        put(
+            key,
+            &Arrivals {
+                accepted_revision,
+                jobs,
+            },
+        ),
+    )
 }
 
 /// Those whose keys have failed are known by now, to another controller or by a
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -14,6 +14,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use health::up;
+use users::{query, submit, withdraw};
+
 use crate::http::{Request, Response, ServerLimits};
 use crate::net::Listener;
 use crate::node::Node;
@@ -24,9 +27,6 @@
 pub use users::{should_shed, state_of};
 pub use validation::{Refusal, check_submission, read_submission};
 
-use health::up;
-use users::{query, submit, withdraw};
-
 /// How long a request may take to arrive in full.
 const ARRIVAL_LIMIT: Duration = Duration::from_secs(5);
 
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -13,11 +13,13 @@
 use super::acceptance::{Acceptance, Arrival};
 use super::validation::{Refusal, check_submission, read_submission};
 use crate::http::Response;
-use crate::model::{JobStatus, Job, Spec, is_job_id};
 use crate::node::{Node, guard};
 use crate::settings::Settings;
-use crate::store::{Class, StoreError};
-use crate::replica::{Entry, Replica, job_key};
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::job_key;
+use crate::state::records::{Job, JobStatus, Spec, is_job_id};
+use crate::state::replica::{Entry, Replica};
 use crate::wire::{JobStage, JobState, Submission};
 
 /// The longest that a submission or a withdrawal takes; their users wait 5 s.
@@ -294,7 +296,7 @@
     job.cancel();
     let guards = vec![guard(job_key(id), known.version)];
     let writes = vec![node.replica.borrow().put_job(id, &job)];
-    node.commit(Class::Accept, guards, writes).await?;
+    node.commit(RequestClass::Accept, guards, writes).await?;
     tracing::debug!(job = id, "cancelled");
     let state = JobState {
         id,
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use crate::admission;
-use crate::model::{JobStatus, Resources, Spec, is_job_id};
+use crate::scheduler;
 use crate::settings::{Settings, TeamTerms};
-use crate::replica::Replica;
+use crate::state::records::{JobStatus, Resources, Spec, is_job_id};
+use crate::state::replica::Replica;
 use crate::wire::{Kind, Submission};
 
 /// The most tasks that a job may have.
@@ -136,7 +136,8 @@
     check_team_limit(&spec, team)?;
     check_awaited_jobs(&spec, replica)?;
     // What is done stays done: nothing needs to remember it.
-    spec.awaits.retain(|id| replica.state(id) != Some(JobStatus::Done));
+    spec.awaits
+        .retain(|id| replica.state(id) != Some(JobStatus::Done));
     check_record_size(&spec, settings, replica)?;
     Ok(spec)
 }
@@ -222,7 +223,7 @@
 fn least_running_record(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
     let machine = longest_name(replica.machines.keys());
     let zone = longest_name(settings.deployment.zones.iter());
-    admission::least_record(spec, machine, zone)
+    scheduler::least_record(spec, machine, zone)
 }
 
 fn longest_name<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -12,6 +12,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use client::ControllerArgs;
+use error::CliError;
 use rand::{Rng, SeedableRng};
 use tracing::level_filters::LevelFilter;
 
@@ -23,9 +25,6 @@
 pub use error::{EXIT_FAILED, EXIT_UNDONE, EXIT_WRONG, LogLevelError};
 pub use render::{explain, job_text, report_text, span_text, teams_text};
 
-use client::ControllerArgs;
-use error::CliError;
-
 /// The exit code of a command that was carried out.
 const EXIT_DONE: u8 = 0;
 
--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::machines::{AttemptKey, WorkerSession};
-use crate::model::{JobStatus, Job};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{Job, JobStatus};
+use crate::state::replica::Replica;
+use crate::workers::{AttemptKey, WorkerSession};
 
 /// One of so many machines held may be suspect at once.
 const SUSPECT_FRACTION: usize = 4;
@@ -47,7 +47,12 @@
 
 /// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
 /// on all machines alike, and would send one after another away.
-pub(super) fn health(node: &Node, replica: &Replica, machine: &str, worker_session: &WorkerSession) -> Health {
+pub(super) fn health(
+    node: &Node,
+    replica: &Replica,
+    machine: &str,
+    worker_session: &WorkerSession,
+) -> Health {
     let mut unknown = 0;
     for id in &worker_session.failed_jobs {
         let Some(job) = replica.jobs.get(id) else {
@@ -86,7 +91,11 @@
 /// Machines that take no new work until it is known whose fault the failures
 /// there are: a quarter of those held at most, or many jobs with a mistake
 /// would leave no room to tell.
-pub fn suspects(node: &Node, replica: &Replica, worker_sessions: &HashMap<String, WorkerSession>) -> HashSet<String> {
+pub fn suspects(
+    node: &Node,
+    replica: &Replica,
+    worker_sessions: &HashMap<String, WorkerSession>,
+) -> HashSet<String> {
     let mut found: Vec<(usize, &String)> = worker_sessions
         .iter()
         .filter(|(_, worker_session)| worker_session.failed_jobs.len() > 1)
--- a/src/cloud/boots.rs
+++ b/src/cloud/boots.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 use super::offers::Offer;
-use crate::model::MachineLifecycle;
 use crate::node::skipped;
-use crate::replica::Replica;
+use crate::state::records::MachineLifecycle;
+use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
 /// PROTOCOL: a boot usually takes at most so many times what the cloud says.
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -6,7 +6,7 @@
 
 use crate::http::Response;
 use crate::node::Node;
-use crate::store::Bucket;
+use crate::state::budget::Bucket;
 
 /// How long the cloud is left alone when it refuses calls.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -5,13 +5,13 @@
 
 use super::headroom::spare_places;
 use super::offers::price_of;
-use crate::admission::{self, Care, Hints, Plan};
-use crate::transaction::MachineShardEdits;
-use crate::model::{MachineLifecycle, Machine, Outcome, Resources};
 use crate::node::{Node, guard};
+use crate::scheduler::{self, Care, Hints, MachineShardEdits, Plan};
 use crate::settings::Settings;
-use crate::store::Class;
-use crate::replica::{Replica, job_key, zone_shard_key};
+use crate::state::budget::RequestClass;
+use crate::state::keys::{job_key, zone_shard_key};
+use crate::state::records::{Machine, MachineLifecycle, Outcome, Resources};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
 
 /// Places for so many of the usual jobs on accelerators stay free.
@@ -38,7 +38,7 @@
         writes,
     } = eviction;
     let services = writes.len().saturating_sub(MACHINE_WRITES);
-    match node.commit(Class::Publication, guards, writes).await {
+    match node.commit(RequestClass::Publication, guards, writes).await {
         Ok(_) => tracing::info!(machine, services, "emptied: its services move"),
         Err(error) => tracing::debug!(machine, %error, "not emptied"),
     }
@@ -168,7 +168,7 @@
         plan.teams.entry(spec.team.clone()).and_modify(|used| {
             *used -= spec.need.times(count);
         });
-        match admission::fit(
+        match scheduler::fit(
             &moved,
             &spec,
             plan,
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -7,11 +7,11 @@
 use super::boots::booting;
 use super::headroom::{headroom, spare_places};
 use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedRentals};
-use crate::admission::{self, Ages, Care, Hints, Plan, WaitReason};
-use crate::model::{DOUBT, Rental, Job, Resources, Spec};
 use crate::node::Node;
 use crate::policy::JobFacts;
-use crate::replica::Replica;
+use crate::scheduler::{self, Ages, Care, Hints, Plan, WaitReason};
+use crate::state::records::{DOUBT, Job, Rental, Resources, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
 /// A fraction of a task below which what is still missing rents nothing.
@@ -30,7 +30,7 @@
     let max_rentals = node.settings.txn_ops().saturating_sub(2).max(1);
     let ages = node.ages.borrow();
     let mut planner = Planner::new(node, &replica, &ages, now);
-    let queue = admission::queue(&replica, &planner.plan, &node.settings, &ages, now);
+    let queue = scheduler::queue(&replica, &planner.plan, &node.settings, &ages, now);
     for id in queue {
         planner.plan_job(id);
     }
@@ -146,7 +146,15 @@
         });
         let standing = self.replica.standing(id, spec, self.now);
         let settings = &self.node.settings;
-        let facts = admission::facts(job, spec, &self.plan, settings, self.replica, age, &standing);
+        let facts = scheduler::facts(
+            job,
+            spec,
+            &self.plan,
+            settings,
+            self.replica,
+            age,
+            &standing,
+        );
         Some(JobDemand {
             id,
             spec,
@@ -163,7 +171,7 @@
     fn place(&mut self, demand: &mut JobDemand) {
         let settings = &self.node.settings;
         let spec = demand.spec;
-        match admission::fit(
+        match scheduler::fit(
             &demand.planned,
             spec,
             &self.plan,
@@ -176,7 +184,7 @@
                     self.plan.take(place, &spec.team, spec.need);
                 }
                 let places: Vec<_> = places.iter().collect();
-                crate::transaction::book(&mut demand.planned, spec, &places);
+                crate::scheduler::book(&mut demand.planned, spec, &places);
             }
             // More room there does not help: it has its share already.
             Err(_) if spec.spread => demand.excluded_zones.extend(demand.last_zone.take()),
@@ -191,7 +199,7 @@
         match self.node.settings.team(&spec.team) {
             Some(terms) => {
                 let used = self.plan.used(&spec.team);
-                waiting.min(admission::team_slots(terms, &used, &spec.need))
+                waiting.min(scheduler::team_slots(terms, &used, &spec.need))
             }
             None => waiting,
         }
@@ -214,7 +222,7 @@
             }
             // What does not wait for room yet is not told so.
             if self.replica.awaited(demand.id).is_empty() {
-                crate::placement::note(self.node, demand.id, WaitReason::Refused, self.now);
+                crate::scheduler::note(self.node, demand.id, WaitReason::Refused, self.now);
             }
             return Step::Done;
         };
@@ -345,7 +353,7 @@
 /// have. Where nothing is there that could hold it, it may a few times more, or
 /// three faulty machines in a row would be the end of a job in order.
 fn may_rent_for_doubtful(replica: &Replica, job: &Job, spec: &Spec) -> bool {
-    let holds = |class: &crate::replica::Class| {
+    let holds = |class: &crate::state::replica::MachineClass| {
         let room = replica.class_type(class).map(Resources::of_type);
         spec.allows(&class.kind, &class.zone, class.spot)
             && room.is_some_and(|room| room.fits(&spec.need))
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -2,11 +2,11 @@
 //! what runs there saves its progress while there is time.
 
 use super::life::set_life;
-use crate::transaction::COMMIT_BYTES;
-use crate::model::{Job, MachineLifecycle, Spec};
 use crate::node::{Node, guard};
-use crate::store::Class;
-use crate::replica::job_key;
+use crate::scheduler::COMMIT_BYTES;
+use crate::state::budget::RequestClass;
+use crate::state::keys::job_key;
+use crate::state::records::{Job, MachineLifecycle, Spec};
 use crate::wire::{Guard, Kind, Write};
 
 /// Machines with a spot notice take no new work, and gangs that can save are
@@ -23,7 +23,7 @@
         }
         let (guards, writes) = stops_for_drain(node, &id);
         if !writes.is_empty()
-            && let Err(error) = node.commit(Class::Lifecycle, guards, writes).await
+            && let Err(error) = node.commit(RequestClass::Lifecycle, guards, writes).await
         {
             tracing::debug!(machine = id, %error, "drain not committed");
         }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,10 +1,10 @@
 //! Places kept ready for the next gang on accelerators.
 
-use crate::admission::{self, Plan};
-use crate::model::Job;
 use crate::node::Node;
 use crate::pipeline::Standing;
-use crate::replica::Replica;
+use crate::scheduler::{self, Plan};
+use crate::state::records::Job;
+use crate::state::replica::Replica;
 
 /// How many tasks of the accelerators' usual shape there should be places
 /// for beyond those that run: none when no such job is open.
@@ -23,7 +23,7 @@
     }
     let next = Job::new(gpu.clone(), 0);
     let standing = Standing::of(gpu);
-    let facts = admission::facts(&next, gpu, plan, &node.settings, replica, 0.0, &standing);
+    let facts = scheduler::facts(&next, gpu, plan, &node.settings, replica, 0.0, &standing);
     let jobs = node.settings.policy.headroom(&facts);
     (jobs * f64::from(gpu.tasks)).round() as usize
 }
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -11,11 +11,11 @@
 use super::offers::{cheapest_place, machine_facts, price_of};
 use super::removal::{Reason, Removal};
 use super::state::FleetState;
-use crate::admission::{self, Plan};
-use crate::model::{MachineLifecycle, Machine, Resources};
 use crate::node::Node;
+use crate::scheduler::{self, Plan};
 use crate::settings::Settings;
-use crate::replica::Replica;
+use crate::state::records::{Machine, MachineLifecycle, Resources};
+use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
 /// How many times the cheapest price a machine may cost that is kept for work
@@ -37,8 +37,10 @@
     let mut removals = Vec::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
-        if matches!(machine.life, MachineLifecycle::Active | MachineLifecycle::Draining)
-            && let Some(kind) = replica.type_of(&machine.kind)
+        if matches!(
+            machine.life,
+            MachineLifecycle::Active | MachineLifecycle::Draining
+        ) && let Some(kind) = replica.type_of(&machine.kind)
         {
             removals.extend(review.removal_of(&mut fleet, id, machine, kind));
         }
@@ -80,7 +82,11 @@
         kind: &MachineType,
     ) -> Option<Removal> {
         if self.is_orphaned(fleet, id, machine) {
-            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Orphaned));
+            return Some(Removal::new(
+                id,
+                MachineLifecycle::Returning,
+                Reason::Orphaned,
+            ));
         }
         let booked = self.replica.bookings.contains_key(id);
         if booked && self.stays_for_work(fleet, id, machine, kind) {
@@ -89,7 +95,11 @@
         }
         let since = *fleet.empty_since.entry(id.to_string()).or_insert(self.now);
         if machine.life == MachineLifecycle::Draining {
-            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Drained));
+            return Some(Removal::new(
+                id,
+                MachineLifecycle::Returning,
+                Reason::Drained,
+            ));
         }
         let idle = self.now.saturating_duration_since(since);
         let facts = machine_facts(kind, machine.spot);
@@ -172,13 +182,19 @@
             && spec.is_some_and(|spec| {
                 let slots = Resources::of_type(kind).slots(&spec.need).max(1) as f64;
                 let max_price = cheapest_place(replica, spec) * MAX_FILLER_PRICE_RATIO;
-                admission::is_opportunistic(spec, settings) && price_of(kind, spot) / slots > max_price
+                scheduler::is_opportunistic(spec, settings)
+                    && price_of(kind, spot) / slots > max_price
             })
     })
 }
 
 /// Machines that should have come up by now; notes those that are late.
-fn overdue_boots(node: &Node, replica: &Replica, fleet: &mut FleetState, now: Instant) -> Vec<Removal> {
+fn overdue_boots(
+    node: &Node,
+    replica: &Replica,
+    fleet: &mut FleetState,
+    now: Instant,
+) -> Vec<Removal> {
     let is_up = |id: &str| {
         let machine = replica.machines.get(id).map(|entry| &entry.value);
         machine.is_some_and(|machine| machine.life == MachineLifecycle::Active)
@@ -201,7 +217,11 @@
             fleet.boots.note_failure(id, pause, now);
         }
         if age_s > limit_s {
-            removals.push(Removal::new(id, MachineLifecycle::Returning, Reason::NeverCameUp));
+            removals.push(Removal::new(
+                id,
+                MachineLifecycle::Returning,
+                Reason::NeverCameUp,
+            ));
             fleet.boots.note_failure(id, pause * 2, now);
         }
     }
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -6,10 +6,12 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::model::{FORMATS, ControllerRecord};
 use crate::node::{Node, guard, put};
-use crate::store::{Class, StoreError};
-use crate::replica::{FLEET_KEY, FORMATS_KEY, Replica, node_key};
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
+use crate::state::records::{ControllerRecord, FORMATS};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Write, raw};
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
@@ -85,7 +87,7 @@
         return Ok(());
     }
     let rents = guards.iter().any(|guard| guard.key == FLEET_KEY);
-    match node.commit(Class::Lease, guards, writes).await {
+    match node.commit(RequestClass::Lease, guards, writes).await {
         Ok(_) => {
             if rents {
                 tracing::info!("renting from now on");
--- a/src/cloud/life.rs
+++ b/src/cloud/life.rs
@@ -2,11 +2,12 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use crate::transaction::{COMMIT_BYTES, MachineShardEdits};
-use crate::model::{MachineLifecycle, Machine, ZoneShard};
 use crate::node::{Node, guard};
-use crate::store::Class;
-use crate::replica::{Replica, shard_id, zone_shard_key};
+use crate::scheduler::{COMMIT_BYTES, MachineShardEdits};
+use crate::state::budget::RequestClass;
+use crate::state::keys::{shard_id, zone_shard_key};
+use crate::state::records::{Machine, MachineLifecycle, ZoneShard};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
 
 /// A machine's next state.
@@ -48,7 +49,7 @@
     if writes.is_empty() {
         return changed;
     }
-    if let Err(error) = node.commit(Class::Lifecycle, guards, writes).await {
+    if let Err(error) = node.commit(RequestClass::Lifecycle, guards, writes).await {
         tracing::debug!(?changes, %error, "lives not changed");
         changed.clear();
     }
@@ -110,9 +111,11 @@
         // writes are for groups, the other half is for parts.
         let for_groups = self.max_writes / 2;
         let for_parts = self.max_writes - for_groups;
-        let groups_full = self.machine_shards.is_full(for_groups) || self.machine_shards.bytes() > COMMIT_BYTES / 3;
+        let groups_full = self.machine_shards.is_full(for_groups)
+            || self.machine_shards.bytes() > COMMIT_BYTES / 3;
         let parts_full = self.zone_shards.len() >= for_parts;
-        (self.zone_shards.contains_key(part) || !parts_full) && (self.machine_shards.has(group) || !groups_full)
+        (self.zone_shards.contains_key(part) || !parts_full)
+            && (self.machine_shards.has(group) || !groups_full)
     }
 
     /// Takes a machine out of its part's record. The part is guarded even if
@@ -132,7 +135,10 @@
     fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
         let (mut guards, mut writes) = self.machine_shards.into_commit();
         for (id, part) in self.zone_shards {
-            guards.push(guard(zone_shard_key(&id), self.replica.zone_shard_version(&id)));
+            guards.push(guard(
+                zone_shard_key(&id),
+                self.replica.zone_shard_version(&id),
+            ));
             if part.changed {
                 writes.push(self.replica.put_zone_shard(&id, &part.record));
             }
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -8,11 +8,11 @@
 use super::life::{LifeChange, set_lives};
 use super::rentals::rental_of;
 use super::state::FleetState;
-use crate::transaction::MachineShardEdits;
-use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::store::Class;
-use crate::replica::Replica;
+use crate::scheduler::MachineShardEdits;
+use crate::state::budget::RequestClass;
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::replica::Replica;
 use crate::wire::{ListedMachine, ListedStage, MachineList};
 
 /// How long, over the list's lag, a machine that is gone may still be listed.
@@ -109,7 +109,9 @@
             // A late list.
         } else if rental_of(replica, &machine.id).is_some() {
             if has_failed {
-                differences.new.extend(rented_but_not_up(replica, &machine.id));
+                differences
+                    .new
+                    .extend(rented_but_not_up(replica, &machine.id));
             }
         } else if unanswered {
             // The answer to a rental that is under way will name it.
@@ -153,7 +155,8 @@
                 continue;
             }
             let mut machine = machine.clone();
-            machine.part = machine_shards.new_shard(&node.settings, id, &machine.kind, &machine.zone);
+            machine.part =
+                machine_shards.new_shard(&node.settings, id, &machine.kind, &machine.zone);
             recorded.push((id, machine.life));
             machine_shards.put(id, machine);
         }
@@ -162,7 +165,7 @@
     if writes.is_empty() {
         return;
     }
-    match node.commit(Class::Lifecycle, guards, writes).await {
+    match node.commit(RequestClass::Lifecycle, guards, writes).await {
         Ok(_) => {
             for (machine, life) in recorded {
                 tracing::info!(machine, ?life, "taken up");
--- a/src/cloud/offers.rs
+++ b/src/cloud/offers.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::state::FleetState;
-use crate::admission::Care;
-use crate::model::{Rental, Resources, Spec};
 use crate::policy::MachineFacts;
-use crate::replica::Replica;
+use crate::scheduler::Care;
+use crate::state::records::{Rental, Resources, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
 /// The most machines that one rental may ask for, by the protocol.
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -3,9 +3,9 @@
 
 use super::life::{LifeChange, set_lives};
 use super::list::{NewMachine, record_machines, rented_but_not_up};
-use crate::model::MachineLifecycle;
 use crate::node::Node;
-use crate::store::Class;
+use crate::state::budget::RequestClass;
+use crate::state::records::MachineLifecycle;
 
 /// Why a machine leaves service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     if decide(node).is_empty() {
         return;
     }
-    node.store.ready(Class::Lifecycle, 1).await;
+    node.store.ready(RequestClass::Lifecycle, 1).await;
     if !node.has_state() {
         return;
     }
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -9,10 +9,11 @@
 use super::demand::demand;
 use super::offers::Offer;
 use crate::http::Response;
-use crate::model::Rental;
 use crate::node::{Node, guard, put};
-use crate::store::Class;
-use crate::replica::{Entry, FLEET_KEY, Replica, rental_key};
+use crate::state::budget::RequestClass;
+use crate::state::keys::{FLEET_KEY, rental_key};
+use crate::state::records::Rental;
+use crate::state::replica::{Entry, Replica};
 use crate::wire::{MachineNames, RentRequest, Write};
 
 /// Rents what is missing, apart from the rest: work waits for it.
@@ -56,7 +57,7 @@
         Some(renter) => guards.push(guard(FLEET_KEY.to_string(), renter.version)),
         None => return,
     }
-    match node.commit(Class::Lease, guards, writes).await {
+    match node.commit(RequestClass::Lease, guards, writes).await {
         Ok(_) => call_unanswered(node),
         Err(error) => tracing::debug!(%error, "rental not recorded"),
     }
@@ -103,7 +104,7 @@
         true => Write::Delete { key },
         false => put(key, &rental),
     };
-    if let Err(error) = node.commit(Class::Lease, guards, vec![write]).await {
+    if let Err(error) = node.commit(RequestClass::Lease, guards, vec![write]).await {
         // The next pass asks the cloud again and gets the same names.
         tracing::debug!(%error, "rental not settled");
     }
@@ -139,7 +140,9 @@
         let replica = node.replica.borrow();
         // The workers of some may have been quicker than the answer.
         rental.machines = names.machines;
-        rental.machines.retain(|id| !replica.machines.contains_key(id));
+        rental
+            .machines
+            .retain(|id| !replica.machines.contains_key(id));
     }
     if uses_compact_encoding {
         tracing::info!(
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -6,11 +6,12 @@
 
 use super::life::{LifeChange, set_lives};
 use super::rentals::rental_of;
-use crate::transaction::MachineShardEdits;
-use crate::model::{Rental, MachineLifecycle};
 use crate::node::{Node, guard, put};
-use crate::store::Class;
-use crate::replica::{Replica, rental_key, shard_id};
+use crate::scheduler::MachineShardEdits;
+use crate::state::budget::RequestClass;
+use crate::state::keys::{rental_key, shard_id};
+use crate::state::records::{MachineLifecycle, Rental};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, MachineNames, Write};
 
 /// The most machines that one call returns.
@@ -38,7 +39,8 @@
 }
 
 fn machines_in(replica: &Replica, life: MachineLifecycle) -> impl Iterator<Item = &String> {
-    replica.machines
+    replica
+        .machines
         .iter()
         .filter(move |(_, entry)| entry.value.life == life)
         .map(|(id, _)| id)
@@ -84,7 +86,7 @@
 async fn drop_records(node: &Node, ids: &[String]) {
     let (guards, writes) = record_drops(node, ids);
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Publication, guards, writes).await
+        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
     {
         tracing::debug!(%error, "records of gone machines stay");
     }
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -2,8 +2,8 @@
 //! what follows from others.
 
 use crate::node::{Node, guard, put};
-use crate::store::Class;
-use crate::replica::{arrivals_key, rental_key, job_key};
+use crate::state::budget::RequestClass;
+use crate::state::keys::{arrivals_key, job_key, rental_key};
 use crate::wire::{Guard, Write};
 
 /// Drops what has served its turn: rentals whose machines all have a record of
@@ -29,7 +29,7 @@
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Publication, guards, writes).await
+        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
     {
         tracing::debug!(%error, "settled records stay");
     }
@@ -41,7 +41,8 @@
 pub(super) async fn settle_cancelled(node: &Node) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
         let replica = node.replica.borrow();
-        replica.doomed()
+        replica
+            .doomed()
             .filter_map(|id| {
                 let mut job = replica.jobs.get(id)?.value.clone();
                 job.cancel();
@@ -52,7 +53,7 @@
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(Class::Publication, guards, writes).await
+        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
     {
         tracing::debug!(%error, "cancelled jobs not settled yet");
     }
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -10,10 +10,10 @@
 
 use super::blame::{Health, health};
 use super::removal::{Reason, Removal};
-use crate::machines::WorkerSession;
-use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::replica::Replica;
+use crate::workers::WorkerSession;
 
 /// How many leases a machine may be silent before it is returned. When its
 /// lease is surely over its work is free to go elsewhere (`release_silent`), and
@@ -102,16 +102,35 @@
 
 impl Review<'_> {
     /// Whether a machine should leave.
-    fn removal_of(&self, id: &str, machine: &Machine, worker_session: &WorkerSession) -> Option<Removal> {
-        let is_held = machine.token == worker_session.token && machine.incarnation == self.node.incarnation;
-        if !is_held || !matches!(machine.life, MachineLifecycle::Active | MachineLifecycle::Draining) {
+    fn removal_of(
+        &self,
+        id: &str,
+        machine: &Machine,
+        worker_session: &WorkerSession,
+    ) -> Option<Removal> {
+        let is_held =
+            machine.token == worker_session.token && machine.incarnation == self.node.incarnation;
+        if !is_held
+            || !matches!(
+                machine.life,
+                MachineLifecycle::Active | MachineLifecycle::Draining
+            )
+        {
             return None;
         }
         if silence(worker_session, self.now) > self.silence_limit(machine, worker_session) {
-            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Silent));
+            return Some(Removal::new(
+                id,
+                MachineLifecycle::Returning,
+                Reason::Silent,
+            ));
         }
         if self.is_unreachable(worker_session) {
-            return Some(Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable));
+            return Some(Removal::new(
+                id,
+                MachineLifecycle::Returning,
+                Reason::Unreachable,
+            ));
         }
         let is_active = machine.life == MachineLifecycle::Active;
         (is_active && health(self.node, self.replica, id, worker_session) == Health::Faulty)
@@ -141,7 +160,8 @@
     /// orders did not.
     fn is_unreachable(&self, worker_session: &WorkerSession) -> bool {
         let limit = self.node.settings.lease() * UNREACHABLE_LEASES;
-        worker_session.unreachable_since
+        worker_session
+            .unreachable_since
             .is_some_and(|since| self.now.saturating_duration_since(since) > limit)
     }
 }
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -9,7 +9,7 @@
 use super::boots::{Backoff, BootHistory};
 use super::offers::Offer;
 use crate::node::skipped;
-use crate::store::Bucket;
+use crate::state::budget::Bucket;
 use crate::wire::Report;
 
 /// A worker that has not taken up its token for longer than this times its
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::headroom::spare_places;
-use crate::admission::Plan;
-use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::scheduler::Plan;
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::replica::Replica;
 
 /// Machines by state, for the report.
 pub fn census(replica: &Replica) -> BTreeMap<&'static str, usize> {
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -7,10 +7,10 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::model::Types;
 use crate::node::{Node, guard, put};
-use crate::store::Class;
-use crate::replica::TYPES_KEY;
+use crate::state::budget::RequestClass;
+use crate::state::keys::TYPES_KEY;
+use crate::state::records::Types;
 use crate::wire::MachineTypes;
 
 /// The types are read again after so many times the list's lag.
@@ -52,7 +52,7 @@
     let version = known.version.max(unreadable);
     let guards = vec![guard(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
-    if let Err(error) = node.commit(Class::Lease, guards, writes).await {
+    if let Err(error) = node.commit(RequestClass::Lease, guards, writes).await {
         tracing::debug!(%error, "types not recorded");
         node.fleet.borrow_mut().types_read_at = None;
     }
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::machines::WorkerSession;
 use crate::net::{Listener, Stream};
 use crate::node::Node;
+use crate::workers::WorkerSession;
 
 /// What one controller tells of itself, sent a few times in a lease. The order
 /// of the fields is the frame's.
@@ -234,7 +234,7 @@
                 }
             }
         }
-        let share = crate::store::write_share(total, node.store.demand(), &others);
+        let share = crate::state::budget::write_share(total, node.store.demand(), &others);
         let count = node.settings.deployment.count as f64;
         let requests = node.settings.rps(lowered) / count * USED_RATE;
         node.store.set_requests(requests);
@@ -282,7 +282,9 @@
     let now = node.liveness_tick();
     let limit = node.settings.report() * 2;
     let worker_sessions = node.worker_sessions.borrow();
-    let is_silent = |worker_session: &&WorkerSession| now.saturating_duration_since(worker_session.heard) > limit;
+    let is_silent = |worker_session: &&WorkerSession| {
+        now.saturating_duration_since(worker_session.heard) > limit
+    };
     Gossip {
         node: node.name().to_string(),
         incarnation: node.incarnation,
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,9 +1,9 @@
 //! One controller: what its loops share. The loops that keep the replica and the
 //! horizon are in the submodules, the others with their subjects.
 
-mod clock;
 mod barrier;
-mod view_loop;
+mod clock;
+mod replica_loop;
 
 pub use clock::skipped;
 
@@ -17,18 +17,18 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-use crate::admission::Ages;
 use crate::api::Arrival;
-use crate::fleet::FleetState;
+use crate::cloud::FleetState;
 use crate::http::Client;
 use crate::mesh::Peers;
 use crate::net::Net;
-use crate::placement::Reason;
+use crate::scheduler::{Ages, Reason};
 use crate::settings::Settings;
-use crate::store::{Budget, Class, Store, StoreError};
-use crate::replica::Replica;
+use crate::state::budget::{Budget, RequestClass};
+use crate::state::client::{Store, StoreError};
+use crate::state::replica::Replica;
 use crate::wire::{Commit, Guard, Write, raw};
-use crate::workers::{Claim, AttemptKey, WorkerSession, TerminationEvidence};
+use crate::workers::{AttemptKey, Claim, TerminationEvidence, WorkerSession};
 
 /// The limits of the state service are shared by all controllers, which do not
 /// count for one another: together they keep to so much of them.
@@ -116,7 +116,9 @@
         let workers = workers.bounded(settings.order_connections(), crate::http::BODY_LIMIT * 4);
         let store_rng = SmallRng::seed_from_u64(rng.random());
         let store = new_store(&settings, client.clone(), store_rng, now);
-        let mut replica = Replica::with_compact_limit(settings.limits_will_fall().then(|| settings.value_bytes()));
+        let mut replica = Replica::with_compact_limit(
+            settings.limits_will_fall().then(|| settings.value_bytes()),
+        );
         let objectives = settings.deployment.objectives.iter();
         replica.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Node {
@@ -172,7 +174,7 @@
     /// Commits and lays the result over the replica.
     pub async fn commit(
         &self,
-        class: Class,
+        class: RequestClass,
         guards: Vec<Guard>,
         writes: Vec<Write>,
     ) -> Result<u64, StoreError> {
@@ -211,13 +213,13 @@
             tokio::task::spawn_local(crate::workers::run_claims(self.clone())),
             tokio::task::spawn_local(crate::workers::run_commands(self.clone())),
             tokio::task::spawn_local(crate::workers::run_publication(self.clone())),
-            tokio::task::spawn_local(crate::placement::run_placement(self.clone())),
-            tokio::task::spawn_local(crate::fleet::run_type_refresh(self.clone())),
-            tokio::task::spawn_local(crate::fleet::run_lease_renewal(self.clone())),
-            tokio::task::spawn_local(crate::fleet::run_fleet(self.clone())),
-            tokio::task::spawn_local(crate::fleet::run_rentals(self.clone())),
+            tokio::task::spawn_local(crate::scheduler::run_placement(self.clone())),
+            tokio::task::spawn_local(crate::cloud::run_type_refresh(self.clone())),
+            tokio::task::spawn_local(crate::cloud::run_lease_renewal(self.clone())),
+            tokio::task::spawn_local(crate::cloud::run_fleet(self.clone())),
+            tokio::task::spawn_local(crate::cloud::run_rentals(self.clone())),
             tokio::task::spawn_local(crate::api::run_acceptance(self.clone())),
-            tokio::task::spawn_local(crate::compaction::run_compaction(self.clone())),
+            tokio::task::spawn_local(crate::state::compaction::run_compaction(self.clone())),
         ];
         tracing::info!(node = self.name(), on = %self.settings.serve_on, "started");
         let _abort = AbortAll(tasks.iter().map(|t| t.abort_handle()).collect());
--- a/src/node/barrier.rs
+++ b/src/node/barrier.rs
@@ -9,10 +9,9 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::settings::BARRIER_GAP_REQUESTS;
-use crate::replica::BARRIER_KEY;
-
 use super::Node;
+use crate::settings::BARRIER_GAP_REQUESTS;
+use crate::state::keys::BARRIER_KEY;
 
 impl Node {
     /// How old the last barrier is; `None` before the first barrier.
--- a/src/node/view_loop.rs
+++ b/src/node/replica_loop.rs
@@ -5,10 +5,9 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::store::StoreError;
-use crate::replica::PREFIX;
-
 use super::Node;
+use crate::state::client::StoreError;
+use crate::state::keys::PREFIX;
 
 /// The pause before a read that has failed is tried again, with jitter.
 const RETRY: Duration = Duration::from_millis(200);
@@ -38,6 +37,7 @@
         }
     }
 
+    /// Waits until the replica has reached a revision; false if it takes longer.
     pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
         let mut reached = self.reached.subscribe();
         matches!(
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -10,13 +10,13 @@
 mod reason;
 mod snapshot;
 
+use snapshot::Snapshot;
+
 use crate::http::{Response, query_value};
 use crate::node::Node;
 
 pub use messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
 
-use snapshot::Snapshot;
-
 /// The response to `GET /ops/job/{id}`: a [`JobStory`].
 pub fn job(node: &Node, id: &str) -> Response {
     match Snapshot::new(node).job(id) {
--- a/src/ops/reason.rs
+++ b/src/ops/reason.rs
@@ -2,10 +2,10 @@
 
 use tokio::time::Instant;
 
-use crate::admission::WaitReason;
-use crate::model::Job;
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::scheduler::WaitReason;
+use crate::state::records::Job;
+use crate::state::replica::Replica;
 
 /// How many of the jobs that a job depends on its reason names.
 const NAMED_DEPENDENCIES: usize = 3;
@@ -28,7 +28,9 @@
     /// The reason of a job that is not over at `now`.
     pub(super) fn of(node: &Node, id: &str, job: &Job, now: Instant) -> Self {
         if !node.has_state() {
-            let age = node.replica_staleness().map_or(0.0, |age| age.as_secs_f64());
+            let age = node
+                .replica_staleness()
+                .map_or(0.0, |age| age.as_secs_f64());
             return PendingReason::new("the state service does not answer", age);
         }
         if let Some(dependencies) = dependencies_text(&node.replica.borrow(), id) {
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -7,13 +7,13 @@
 
 use super::messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
 use super::reason::PendingReason;
-use crate::admission::{self, Plan};
 use crate::api::state_of;
-use crate::fleet;
-use crate::model::{JobStatus, Job, MachineLifecycle, Run, Spec};
+use crate::cloud;
 use crate::node::Node;
+use crate::scheduler::{self, Plan};
 use crate::settings::TeamTerms;
-use crate::replica::Replica;
+use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{JobStage, Kind};
 
 /// The most jobs that one page of the report names, and runs of one job.
@@ -79,7 +79,7 @@
         let settings = &self.node.settings;
         let plan = Plan::of(&self.replica);
         let ages = self.node.ages.borrow();
-        let queue = admission::queue(&self.replica, &plan, settings, &ages, self.now);
+        let queue = scheduler::queue(&self.replica, &plan, settings, &ages, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
     }
@@ -174,7 +174,7 @@
 
     /// How many machines are in each state, and how many have work.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
-        let mut counts: BTreeMap<String, usize> = fleet::census(&self.replica)
+        let mut counts: BTreeMap<String, usize> = cloud::census(&self.replica)
             .into_iter()
             .map(|(state, count)| (state.to_string(), count))
             .collect();
@@ -214,7 +214,7 @@
             return true;
         }
         let settings = &self.node.settings;
-        job.waiting() > 0 && admission::is_late(spec, settings, self.age_s(id), &standing)
+        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &standing)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -15,8 +15,8 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use crate::model::{JobStatus, Job, Spec};
-use crate::replica::Replica;
+use crate::state::records::{Job, JobStatus, Spec};
+use crate::state::replica::Replica;
 use crate::wire::Priority;
 
 /// What the jobs that depend on one, directly or through others, demand of it.
@@ -57,6 +57,7 @@
 /// What a job's place in the queue goes by, with what needs it counted in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Standing {
+    /// The highest priority of the job and of those that need it.
     pub priority: Priority,
     /// The seconds left until its deadline, or until the tightest of those that
     /// need it, less the work between.
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -6,7 +6,6 @@
 use winnow::ascii::multispace0;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated};
 use winnow::error::{ContextError, ErrMode, StrContext};
-use winnow::prelude::*;
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{one_of, take_while};
 
@@ -16,6 +15,8 @@
     SyntaxKind, SyntaxNode, UnaryOperator,
 };
 
+use winnow::prelude::*;
+
 type Input<'a> = LocatingSlice<&'a str>;
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use super::plan::{Plan, UNASSIGNED};
-use crate::machines;
-use crate::model::{Amount, Spec};
-use crate::replica::{Class, PlanSlot, Replica};
+use crate::state::records::{Amount, Spec};
+use crate::state::replica::{MachineClass, PlanSlot, Replica};
 use crate::wire::{Kind, MachineType};
+use crate::workers;
 
 /// Hints for choosing among machines with room; none of them is needed.
 pub struct Hints<'a> {
@@ -98,7 +98,7 @@
 }
 
 impl ClassFit {
-    fn new(spec: &Spec, replica: &Replica, class: &Class) -> Self {
+    fn new(spec: &Spec, replica: &Replica, class: &MachineClass) -> Self {
         let machine_type = replica.class_type(class);
         let gpus = machine_type.map_or(0.0, |t| t.gpus);
         let usual_work_allowed = replica
@@ -330,7 +330,7 @@
 fn part_cost(hints: &Hints, part: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(part);
     let local_name = name.split_once('/').map_or("", |split| split.1);
-    let own = machines::home_of(local_name) == hints.home;
+    let own = workers::home_of(local_name) == hints.home;
     let touched = hints.touched.contains(&*name);
     match (touched, own) {
         (true, _) => 0,
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/ends.rs
@@ -2,11 +2,11 @@
 
 use super::plan::Plan;
 use super::round_state::RoundState;
-use super::transaction::{Transaction, Released};
-use crate::machines::{AttemptKey, TerminationEvidence};
+use super::transaction::{Released, Transaction};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::replica::Replica;
 use crate::wire::Kind;
+use crate::workers::{AttemptKey, TerminationEvidence};
 
 /// Ends that a transaction takes in, and those that are void.
 #[derive(Default)]
@@ -61,7 +61,10 @@
 
 /// Whether the end is of an array that no other job depends on.
 fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
-    let spec = replica.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref());
+    let spec = replica
+        .jobs
+        .get(&key.job)
+        .and_then(|e| e.value.spec.as_ref());
     spec.is_some_and(|s| s.kind == Kind::Array) && !replica.is_needed(&key.job)
 }
 
@@ -79,7 +82,11 @@
         let released = transaction.release(key, proof, node.name(), node.incarnation);
         match released {
             Released::Yes => {
-                if let Some(spec) = replica.jobs.get(&key.job).and_then(|e| e.value.spec.as_ref()) {
+                if let Some(spec) = replica
+                    .jobs
+                    .get(&key.job)
+                    .and_then(|e| e.value.spec.as_ref())
+                {
                     plan.give(replica, &key.machine, &spec.team, spec.need);
                 }
                 self.recorded.push(key.clone());
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -12,9 +12,9 @@
 use super::plan::{Place, Plan, UNASSIGNED, team_slots};
 use super::reasons::WaitReason;
 use super::record_size::record_slots;
-use crate::model::{Job, Spec};
 use crate::settings::Settings;
-use crate::replica::PlanSlot;
+use crate::state::records::{Job, Spec};
+use crate::state::replica::PlanSlot;
 use crate::wire::Kind;
 
 /// How many records of a transaction are not parts: the job and its team.
@@ -52,7 +52,12 @@
             }
         })
         .collect();
-    let slots = record_slots(job, &places, settings.value_bytes(), replica.uses_compact_encoding());
+    let slots = record_slots(
+        job,
+        &places,
+        settings.value_bytes(),
+        replica.uses_compact_encoding(),
+    );
     if slots == 0 || (spec.is_gang() && slots < places.len()) {
         return Err(WaitReason::RecordFull);
     }
@@ -132,7 +137,10 @@
         let zone_shards = self.parts_by_tasks(&tasks_by_part);
         let pairs = (1..zone_shards.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
         let narrow = pairs
-            .filter_map(|(a, b)| self.find_within(Some([zone_shards[a], zone_shards[b]]), excluded).ok())
+            .filter_map(|(a, b)| {
+                self.find_within(Some([zone_shards[a], zone_shards[b]]), excluded)
+                    .ok()
+            })
             .find(|spots| spots.len() >= found.len());
         match narrow {
             Some(spots) => Ok(spots),
@@ -163,7 +171,11 @@
 
     /// Places in these parts, or in all: in one zone if the job wants that and a
     /// zone has room, else spread over the zones.
-    fn find_within(&self, zone_shards: Option<[u32; 2]>, excluded: &[String]) -> Result<Spots, WaitReason> {
+    fn find_within(
+        &self,
+        zone_shards: Option<[u32; 2]>,
+        excluded: &[String],
+    ) -> Result<Spots, WaitReason> {
         let spec = self.spec;
         let waiting = self.job.waiting();
         let limit = self.task_limit()?;
@@ -188,7 +200,11 @@
         let capped = zone_caps.iter().any(|cap| *cap < limit);
         let spots = candidates.fill(self.plan, &zone_caps, limit).spots;
         if spots.is_empty() || (spec.is_gang() && spots.len() < waiting) {
-            return Err(if capped { WaitReason::Spread } else { WaitReason::NoRoom });
+            return Err(if capped {
+                WaitReason::Spread
+            } else {
+                WaitReason::NoRoom
+            });
         }
         Ok(spots)
     }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,11 +1,11 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
-use crate::model::{Amount, Job, Resources, Spec};
 use crate::pipeline::Standing;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamTerms};
-use crate::replica::Replica;
+use crate::state::records::{Amount, Job, Resources, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{Kind, Priority};
 
 /// Whether an objective names the job's class.
--- a/src/scheduler/machine_groups.rs
+++ b/src/scheduler/machine_groups.rs
@@ -4,11 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
-use crate::model::{MachineShard, Machine, machine_entry_bytes, slot_entry_bytes};
 use crate::node::guard;
 use crate::settings::Settings;
-use crate::text;
-use crate::replica::{Replica, machine_shard_key, shard_id};
+use crate::state::encoding;
+use crate::state::keys::{machine_shard_key, shard_id};
+use crate::state::records::{Machine, MachineShard, machine_entry_bytes, slot_entry_bytes};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
 
 /// About what a machine takes in a group's record.
@@ -46,7 +47,11 @@
     pub fn is_full(&self, ops: usize) -> bool {
         let guards = self.edited.len() + self.guarded.len();
         // The next may bring a whole group with it.
-        let sizes = self.replica.machine_shards.values().map(|g| g.value.machines.len());
+        let sizes = self
+            .replica
+            .machine_shards
+            .values()
+            .map(|g| g.value.machines.len());
         let largest = sizes.max().unwrap_or(0).max(1);
         let bytes = self.bytes() + (largest + guards) * self.member_bytes();
         // One that is to be split is written as two.
@@ -64,7 +69,7 @@
     /// About what a machine takes in the text that its group will have.
     fn member_bytes(&self) -> usize {
         match self.replica.uses_compact_encoding() {
-            true => text::MEMBER,
+            true => encoding::MEMBER,
             false => MEMBER_BYTES,
         }
     }
@@ -73,7 +78,11 @@
     /// whose part could still be changed by what was decided before these were
     /// written stays whole: its machines' slots must not be looked for elsewhere.
     fn splits(&self, id: &str, group: &MachineShard) -> bool {
-        let Some(limit) = self.replica.compact_limit.filter(|_| self.replica.uses_compact_encoding()) else {
+        let Some(limit) = self
+            .replica
+            .compact_limit
+            .filter(|_| self.replica.uses_compact_encoding())
+        else {
             return false;
         };
         // The upper bound is quickly told.
@@ -83,7 +92,7 @@
         group.machines.len() > 1
             && group.machines.iter().map(upper_bound).sum::<usize>() > limit
             && self.replica.is_compact_zone_shard(id)
-            && text::encode_machine_shard(group).is_some_and(|text| text.len() > limit)
+            && encoding::encode_machine_shard(group).is_some_and(|text| text.len() > limit)
     }
 
     /// Takes the last machines out of groups that are too long, into new ones
@@ -108,7 +117,9 @@
 
     /// The first id of a home's groups that is not taken.
     fn free_id(&self, home: &str) -> Option<String> {
-        let taken = |id: &String| self.replica.machine_shards.contains_key(id) || self.edited.contains_key(id);
+        let taken = |id: &String| {
+            self.replica.machine_shards.contains_key(id) || self.edited.contains_key(id)
+        };
         (0..)
             .map(|number| format!("{home}.{number}"))
             .find(|id| !taken(id))
@@ -175,7 +186,12 @@
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
         let guards = all
             .into_iter()
-            .map(|id| guard(machine_shard_key(id), self.replica.machine_shard_version(id)))
+            .map(|id| {
+                guard(
+                    machine_shard_key(id),
+                    self.replica.machine_shard_version(id),
+                )
+            })
             .collect();
         // An empty group stays: its parts are numbered without gaps.
         let writes = self
@@ -211,15 +227,17 @@
     /// slots stand in few parts by themselves, so that the group alone counts.
     fn member(&self, name: &str, kind: &str) -> usize {
         match self.short {
-            true => text::member_bytes(name, kind, self.longest_name),
-            false => slot_entry_bytes(name, kind).max(machine_entry_bytes(name, kind, self.longest_name)),
+            true => encoding::member_bytes(name, kind, self.longest_name),
+            false => {
+                slot_entry_bytes(name, kind).max(machine_entry_bytes(name, kind, self.longest_name))
+            }
         }
     }
 
     /// What all machines of a group take.
     fn group(&self, group: &MachineShard) -> usize {
         if self.short {
-            return text::group_bytes(&group.machines, self.longest_name);
+            return encoding::group_bytes(&group.machines, self.longest_name);
         }
         let machines = group.machines.iter();
         machines
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -36,7 +36,7 @@
 
 pub use candidates::{Care, Hints};
 pub use fit::{count, fit, hold_room};
-pub use job_facts::{facts, has_objective, is_opportunistic, is_late, within_guarantee};
+pub use job_facts::{facts, has_objective, is_late, is_opportunistic, within_guarantee};
 pub use machine_groups::MachineShardEdits;
 pub use ownership::{placer, preferred};
 pub use plan::{Place, Plan, UNASSIGNED, team_slots};
@@ -45,5 +45,5 @@
 pub use record_size::{least_record, record_slots};
 pub use round_state::back_off;
 pub use rounds::run_placement;
-pub use transaction::{COMMIT_BYTES, Transaction, GUARDS_PER_WRITE, Released, SLOT, book};
+pub use transaction::{COMMIT_BYTES, GUARDS_PER_WRITE, Released, SLOT, Transaction, book};
 pub use victims::{Victim, may_preempt};
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -8,10 +8,10 @@
 
 use super::reasons::note;
 use super::round_state::RoundState;
-use crate::model::Job;
 use crate::node::Node;
 use crate::settings::Settings;
-use crate::replica::Replica;
+use crate::state::records::Job;
+use crate::state::replica::Replica;
 
 /// Rendezvous hashing: every controller finds the same preferred one among
 /// those alive, and only the jobs of a lost one move.
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -5,9 +5,9 @@
 
 use foldhash::HashMap;
 
-use crate::model::{Amount, Resources};
 use crate::settings::TeamTerms;
-use crate::replica::{PlanSlot, Replica};
+use crate::state::records::{Amount, Resources};
+use crate::state::replica::{PlanSlot, Replica};
 
 /// Stands for a machine that has no name yet, as it is not rented yet.
 pub const UNASSIGNED: u32 = u32::MAX;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -12,9 +12,9 @@
 use super::round_state::RoundState;
 use super::transaction::Transaction;
 use super::victims::{Victim, VictimSearch, places_wanted};
-use crate::model::{Job, Spec};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{Job, Spec};
+use crate::state::replica::Replica;
 
 /// How long a preemption is given to show its effect before the same job may
 /// preempt again, as a multiple of a gang's wait for its peers.
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -8,9 +8,9 @@
 
 use super::job_facts::facts;
 use super::plan::Plan;
-use crate::model::{Job, Spec};
 use crate::settings::Settings;
-use crate::replica::Replica;
+use crate::state::records::{Job, Spec};
+use crate::state::replica::Replica;
 
 /// Whether a job has waited so long that it goes first: a bound on waiting
 /// that no order by size, team or lateness can push back. Only for what has
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 
 use super::plan::Place;
-use crate::model::{FAILED_ON, Job, Run, Spec};
-use crate::text;
+use crate::state::encoding;
+use crate::state::records::{FAILED_ON, Job, Run, Spec};
 use crate::wire::Kind;
 
 /// What the keys, the counters, and the mark of a run that was split for a stop
@@ -93,7 +93,7 @@
 /// take, with the mark of a stop. A run that is split for a stop makes two; who
 /// stops has it stop as a whole where there is no room for that.
 fn short_record_slots(job: &Job, places: &[Place], value_bytes: usize) -> usize {
-    let task_bytes = text::task_bytes(job.tasks);
+    let task_bytes = encoding::task_bytes(job.tasks);
     let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
     let mut new_runs = NewRuns::new(job);
     let mut size = short_bytes_now(job, places, task_bytes);
@@ -119,9 +119,9 @@
 fn short_bytes_now(job: &Job, places: &[Place], task_bytes: usize) -> usize {
     let running = job.runs.iter().map(|run| (&*run.machine, &*run.zone));
     let coming = places.iter().map(|place| (&*place.machine, &*place.zone));
-    let run_bytes = |run: &Run| text::run_bytes(run.attempt);
+    let run_bytes = |run: &Run| encoding::run_bytes(run.attempt);
     short_fixed_bytes(job, longest_machine_name(job, places))
-        + text::table_bytes(running.chain(coming))
+        + encoding::table_bytes(running.chain(coming))
         + (job.booked() + job.retry.len()) * task_bytes
         + job.runs.iter().map(run_bytes).sum::<usize>()
 }
@@ -150,7 +150,7 @@
     /// What the run of a retried task adds at this place.
     fn retried_task_bytes(&mut self, place: &Place) -> usize {
         match self.retried.insert(place.at) {
-            true => text::run_bytes(self.retry_attempt),
+            true => encoding::run_bytes(self.retry_attempt),
             false => 0,
         }
     }
@@ -158,7 +158,7 @@
     /// What the run of a task adds at this place that has never run.
     fn fresh_task_bytes(&mut self, place: &Place) -> usize {
         let new = !self.running.contains(&*place.machine) && self.fresh.insert(place.at);
-        if new { text::run_bytes(1) } else { 0 }
+        if new { encoding::run_bytes(1) } else { 0 }
     }
 }
 
@@ -172,7 +172,7 @@
         Kind::Gang => spec.tasks as usize,
         _ => 1,
     };
-    let task_bytes = text::run_bytes(LONG_ATTEMPT) + text::task_bytes(spec.tasks);
-    let table_bytes = text::table_bytes([(name, zone)].into_iter());
+    let task_bytes = encoding::run_bytes(LONG_ATTEMPT) + encoding::task_bytes(spec.tasks);
+    let table_bytes = encoding::table_bytes([(name, zone)].into_iter());
     short_fixed_bytes(&job, name.len()) + table_bytes + tasks * task_bytes
 }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -15,11 +15,11 @@
 use super::round_search::RoundSearch;
 use super::round_state::RoundState;
 use super::transaction::Transaction;
-use crate::machines::AttemptKey;
-use crate::model::{Job, Resources, Spec};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{Job, Resources, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
+use crate::workers::AttemptKey;
 
 /// What one round has decided, as the transaction that records it.
 pub(super) struct Batch {
@@ -84,7 +84,10 @@
     // A machine that receives no orders may stand in its part's record for a
     // while: what is placed there ends at once, and would be placed there again.
     let worker_sessions = node.worker_sessions.borrow();
-    for (machine, _) in worker_sessions.iter().filter(|(_, h)| h.unreachable_since.is_some()) {
+    for (machine, _) in worker_sessions
+        .iter()
+        .filter(|(_, h)| h.unreachable_since.is_some())
+    {
         if let Some(at) = plan.find(replica, machine) {
             plan.spots[at].free = Resources::default();
         }
@@ -247,7 +250,10 @@
                 blocked: false,
             }),
             Err(why) => {
-                let no_room = matches!(why, WaitReason::NoRoom | WaitReason::NoZone | WaitReason::Spread);
+                let no_room = matches!(
+                    why,
+                    WaitReason::NoRoom | WaitReason::NoZone | WaitReason::Spread
+                );
                 Decision::WaitReason(Waiting {
                     starving: no_room && self.is_starving(id, job, &spec),
                     blocked: own && no_room,
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -12,9 +12,9 @@
 use super::plan::{Place, Plan};
 use super::reasons::WaitReason;
 use super::victims::{RunningJob, VictimSearch, places_wanted, running_jobs};
-use crate::model::{Job, Spec};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{Job, Spec};
+use crate::state::replica::Replica;
 use crate::wire::Kind;
 
 /// How many searches for victims one round makes while it places jobs, and as
@@ -58,7 +58,12 @@
 
 impl RoundSearch {
     /// All jobs that run, worked out once a round.
-    pub(super) fn running(&mut self, node: &str, replica: &Replica, plan: &Plan) -> Rc<Vec<RunningJob>> {
+    pub(super) fn running(
+        &mut self,
+        node: &str,
+        replica: &Replica,
+        plan: &Plan,
+    ) -> Rc<Vec<RunningJob>> {
         let running = self
             .running
             .get_or_insert_with(|| Rc::new(running_jobs(node, replica, plan)));
@@ -90,7 +95,8 @@
             return Err(failed.why);
         }
         let found = self.search(node, hints, plan, id, job, spec);
-        if let (Some(shape), Err(why @ (WaitReason::NoRoom | WaitReason::NoZone))) = (shape, &found) {
+        if let (Some(shape), Err(why @ (WaitReason::NoRoom | WaitReason::NoZone))) = (shape, &found)
+        {
             self.failed.insert(shape, NoFit { tasks, why: *why });
         }
         found
@@ -164,7 +170,12 @@
 
     /// Keeps the resources that the first starving gang waits for from what comes
     /// behind it: in the zone that has the most of them.
-    pub(super) fn reserve_for_first_gang(&mut self, replica: &Replica, plan: &mut Plan, spec: &Spec) {
+    pub(super) fn reserve_for_first_gang(
+        &mut self,
+        replica: &Replica,
+        plan: &mut Plan,
+        spec: &Spec,
+    ) {
         if !spec.is_gang() || self.reserved {
             return;
         }
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -6,11 +6,11 @@
 use tokio::time::Instant;
 
 use super::reasons::WaitReason;
-use crate::machines::AttemptKey;
-use crate::model::Job;
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::Job;
+use crate::state::replica::Replica;
 use crate::wire::Kind;
+use crate::workers::AttemptKey;
 
 /// How many records a commit writes while commits of the usual size are refused.
 const RECORDS_OF_A_SMALL_COMMIT: usize = 4;
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -10,10 +10,11 @@
 
 use super::round::{Batch, decide};
 use super::round_state::RoundState;
-use crate::machines;
 use crate::node::Node;
-use crate::store::{Class, StoreError};
-use crate::replica::job_key;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::job_key;
+use crate::workers;
 
 /// Runs placement rounds for ever: what has ended is recorded and what waits is
 /// placed, in one transaction a round.
@@ -37,8 +38,8 @@
         // few times a report interval is soon enough.
         if released.is_none_or(|at| at.elapsed() > idle / 2) {
             released = Some(Instant::now());
-            machines::release_silent(&node);
-            machines::release_gone(&node);
+            workers::release_silent(&node);
+            workers::release_gone(&node);
         }
         let begun = Instant::now();
         run_rounds(&node, &mut state).await;
@@ -62,7 +63,7 @@
         sleep(gap).await;
         // The budget comes first, so that decisions are not stale when sent.
         let wanted = (state.records_written / 2).max(1);
-        node.store.ready(Class::Round, wanted).await;
+        node.store.ready(RequestClass::Round, wanted).await;
         let deciding = Instant::now();
         let Some(batch) = decide(node, state) else {
             return;
@@ -87,7 +88,10 @@
 /// Sends one round's transaction and deals with its answer.
 async fn commit(node: &Rc<Node>, state: &mut RoundState, batch: Batch) -> Next {
     let ends = batch.ends;
-    match node.commit(Class::Round, batch.guards, batch.writes).await {
+    match node
+        .commit(RequestClass::Round, batch.guards, batch.writes)
+        .await
+    {
         Ok(_) => {
             state.small_commits = false;
             tracing::debug!(jobs = batch.jobs, ends = ends.len(), "decided");
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -7,11 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::plan::Place;
-use crate::machines::{AttemptKey, TerminationEvidence};
-use crate::model::{Job, MachineLifecycle, ZoneShard, Resources, Spec, Team};
 use crate::node::{guard, put};
-use crate::replica::{Replica, machine_shard_key, job_key, shard_id, zone_shard_key, team_key};
+use crate::state::keys::{job_key, machine_shard_key, shard_id, team_key, zone_shard_key};
+use crate::state::records::{Job, MachineLifecycle, Resources, Spec, Team, ZoneShard};
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
+use crate::workers::{AttemptKey, TerminationEvidence};
 
 /// How many conditions a commit may have for each write that it may have, by the
 /// protocol.
@@ -116,7 +117,11 @@
         zone_shards: &BTreeSet<&str>,
         machines: usize,
     ) -> bool {
-        let new_parts = || zone_shards.iter().filter(|part| !self.zone_shards.contains_key(**part));
+        let new_parts = || {
+            zone_shards
+                .iter()
+                .filter(|part| !self.zone_shards.contains_key(**part))
+        };
         let machines_of = |part: &str| {
             let known = self.replica.zone_shards.get(part);
             known.map_or(0, |e| e.value.machines.len())
@@ -215,7 +220,8 @@
         // Neither the team's record nor the part's is written: what ends is
         // known to all from the job's, and the next booking there counts it.
         let max_groups = self.most * (GUARDS_PER_WRITE - 1);
-        let guards_full = self.machine_shards.len() >= max_groups && !self.machine_shards.contains(&group);
+        let guards_full =
+            self.machine_shards.len() >= max_groups && !self.machine_shards.contains(&group);
         if guards_full || !self.has_room(&key.job, None, &BTreeSet::new(), 0) {
             return Released::Full;
         }
@@ -336,11 +342,17 @@
             writes.push(put(team_key(&name), &Team { used }));
         }
         for (id, part) in &self.zone_shards {
-            guards.push(guard(zone_shard_key(id), self.replica.zone_shard_version(id)));
+            guards.push(guard(
+                zone_shard_key(id),
+                self.replica.zone_shard_version(id),
+            ));
             writes.push(self.replica.put_zone_shard(id, part));
         }
         for id in &self.machine_shards {
-            guards.push(guard(machine_shard_key(id), self.replica.machine_shard_version(id)));
+            guards.push(guard(
+                machine_shard_key(id),
+                self.replica.machine_shard_version(id),
+            ));
         }
         (guards, writes)
     }
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -8,9 +8,9 @@
 use super::fit::{count, fit};
 use super::job_facts::within_guarantee;
 use super::plan::{Place, Plan};
-use crate::model::{Job, Run, Spec};
 use crate::settings::{Settings, TeamTerms};
-use crate::replica::Replica;
+use crate::state::records::{Job, Run, Spec};
+use crate::state::replica::Replica;
 use crate::wire::{Kind, Priority};
 
 /// How often one search tries whether the job fits now.
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -49,8 +49,8 @@
         let in_zone = self.controllers_with_zones().filter(|(_, z)| *z == zone);
         let in_zone = in_zone.map(|(name, _)| name);
         let anywhere = self.controllers_with_zones().map(|(name, _)| name);
-        crate::placement::preferred(machine, in_zone)
-            .or_else(|| crate::placement::preferred(machine, anywhere))
+        crate::scheduler::preferred(machine, in_zone)
+            .or_else(|| crate::scheduler::preferred(machine, anywhere))
             .unwrap_or(&self.node)
     }
 
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::model::{Amount, Resources};
+use crate::state::records::{Amount, Resources};
 
 /// A team's guarantee and limit. A figure of 0 means none.
 #[derive(Debug, Clone, Deserialize)]
--- a/src/store.rs
+++ b/src/state/client.rs
@@ -12,179 +12,11 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, sleep};
 
+use super::budget::{Budget, CLASSES, Demand, RequestClass};
 use crate::http::{CallError, Client, Response};
-use crate::wire::{Commit, StateLease, StateLeaseRequest, PairPage, Refused, Revision, WatchAnswer, Write};
-
-/// Who goes first when the budget is short: the earlier, the sooner.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
-    /// Accepting and cancelling jobs, reading the revision, watching.
-    Accept,
-    /// The state lease, rentals, and reading pages of the state.
-    Lease,
-    /// Claims and rounds wait with `Store::ready` before they decide, then go
-    /// at once, into debt if need be: a commit that waits goes stale.
-    Claim,
-    /// Commits of placement rounds.
-    Round,
-    /// Machines that start, drain, are returned or are gone.
-    Lifecycle,
-    /// What can wait: publishing free room, moving services, removing records.
-    Publication,
-}
-
-const CLASSES: usize = 6;
-
-impl Class {
-    /// The share of a full burst that this class must leave for those before;
-    /// below nothing, how far into debt it may go.
-    fn reserve(self) -> f64 {
-        match self {
-            // Few, and somebody waits: they may take what the larger ones are
-            // to leave in the seconds that follow.
-            Class::Accept => -3.0,
-            Class::Lease => -2.0,
-            Class::Claim => 0.05,
-            Class::Round => 0.1,
-            Class::Lifecycle => 0.2,
-            Class::Publication => 0.3,
-        }
-    }
-}
-
-/// What may be taken at a rate, with some to spare for a burst.
-#[derive(Debug, Clone, Copy)]
-pub struct Bucket {
-    rate: f64,
-    burst: f64,
-    level: f64,
-    at: Instant,
-}
-
-impl Bucket {
-    /// A full bucket; `rate` is a second's, `burst` the most that it holds.
-    pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
-        Bucket {
-            rate,
-            burst,
-            level: burst,
-            at: now,
-        }
-    }
-    fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = now;
-    }
-    /// Takes one, or says how long to wait.
-    pub fn take_one(&mut self, now: Instant) -> Result<(), Duration> {
-        self.refill(now);
-        match self.wait(1.0, 0.0) {
-            Some(wait) => Err(wait),
-            None => {
-                self.level -= 1.0;
-                Ok(())
-            }
-        }
-    }
-    /// How long until `n` can be taken with `reserve` of the burst left over.
-    /// Half a burst is enough for the largest: it goes into debt, as what
-    /// waits for more would wait behind all that is small.
-    fn wait(&self, n: f64, reserve: f64) -> Option<Duration> {
-        let need = n.min(self.burst * 0.5) + self.burst * reserve;
-        let short = need - self.level;
-        (short > 1e-9).then(|| Duration::from_secs_f64(short / self.rate))
-    }
-}
-
-/// How much this controller would write: what it has written of late, and more
-/// the longer it had to wait for its budget.
-#[derive(Debug, Default, Clone, Copy)]
-struct Demand {
-    written: f64,
-    waited: f64,
-    at: Option<Instant>,
-}
-
-impl Demand {
-    /// The span over which demand is averaged, in seconds.
-    const SPAN: f64 = 4.0;
-
-    fn note(&mut self, written: f64, waited: f64, now: Instant) {
-        let passed = self
-            .at
-            .map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
-        let kept = (-passed / Self::SPAN).exp();
-        self.written = self.written * kept + written / Self::SPAN;
-        self.waited = (self.waited * kept + waited / Self::SPAN).min(1.0);
-        self.at = Some(now);
-    }
-}
-
-/// This controller's part of what all may write together, by what each would;
-/// `others` holds what is known of the others, nothing for those not heard of.
-/// Each keeps some, to begin with, and none is given more than it could use.
-pub fn write_share(total: f64, mine: f64, others: &[Option<f64>]) -> f64 {
-    let even = total / (others.len() + 1) as f64;
-    let least = even / 4.0;
-    let all: f64 = others.iter().map(|d| d.map_or(even, |d| d + least)).sum();
-    let share = total * (mine + least) / (all + mine + least);
-    share.clamp(least, even * 3.0)
-}
-
-/// The budget of requests and of written keys; pure but for the clock.
-#[derive(Debug)]
-pub struct Budget {
-    requests: Bucket,
-    writes: Bucket,
-}
-
-impl Budget {
-    /// A full budget of requests and written keys a second.
-    pub fn new(rps: f64, write_rps: f64, now: Instant) -> Self {
-        Budget {
-            requests: Bucket::new(rps, rps, now),
-            writes: Bucket::new(write_rps, write_rps, now),
-        }
-    }
-
-    /// How long until a request with `writes` written keys may go.
-    pub fn wait(&mut self, class: Class, writes: usize, now: Instant) -> Option<Duration> {
-        self.requests.refill(now);
-        self.writes.refill(now);
-        let reserve = class.reserve();
-        let wait = self.requests.wait(1.0, reserve);
-        if writes == 0 {
-            return wait;
-        }
-        wait.max(self.writes.wait(writes as f64, reserve))
-    }
-
-    /// A new share of what all controllers may write together.
-    pub fn share(&mut self, write_rps: f64, now: Instant) {
-        self.writes.refill(now);
-        self.writes.rate = write_rps;
-        self.writes.burst = write_rps;
-    }
-
-    /// What this controller may ask a second from now on.
-    pub fn requests(&mut self, rps: f64, now: Instant) {
-        self.requests.refill(now);
-        self.requests.rate = rps;
-        self.requests.burst = rps;
-    }
-
-    /// What a refused request was to write was not written.
-    pub fn give_back(&mut self, writes: usize) {
-        self.writes.level = (self.writes.level + writes as f64).min(self.writes.burst);
-    }
-
-    /// Takes a request whether it is there or not.
-    pub fn force(&mut self, writes: usize) {
-        self.requests.level -= 1.0;
-        self.writes.level -= writes as f64;
-    }
-}
+use crate::wire::{
+    Commit, PairPage, Refused, Revision, StateLease, StateLeaseRequest, WatchAnswer, Write,
+};
 
 /// Why the state service did not do as asked.
 #[derive(Debug, thiserror::Error)]
@@ -236,11 +68,11 @@
 /// Counts among those that wait to write, for as long as it lives.
 struct Turn<'a> {
     waiting: &'a RefCell<[usize; CLASSES]>,
-    class: Class,
+    class: RequestClass,
 }
 
 impl<'a> Turn<'a> {
-    fn new(waiting: &'a RefCell<[usize; CLASSES]>, class: Class) -> Self {
+    fn new(waiting: &'a RefCell<[usize; CLASSES]>, class: RequestClass) -> Self {
         waiting.borrow_mut()[class as usize] += 1;
         Turn { waiting, class }
     }
@@ -257,7 +89,7 @@
     /// How many of each class wait to write.
     waiting: RefCell<[usize; CLASSES]>,
     /// Which class wrote last.
-    last: Cell<Option<Class>>,
+    last: Cell<Option<RequestClass>>,
     client: Rc<Client>,
     addr: SocketAddrV4,
     budget: RefCell<Budget>,
@@ -330,9 +162,8 @@
     pub fn demand(&self) -> f64 {
         self.note_demand(0, Duration::ZERO);
         let demand = self.demand.get();
-        // One that has come to write nothing wants to all the same.
         let waiting: usize = self.waiting.borrow().iter().sum();
-        demand.written * (1.0 + demand.waited) + demand.waited * waiting as f64
+        demand.wanted(waiting)
     }
 
     /// Sets this controller's share of the writes.
@@ -372,12 +203,12 @@
 
     /// Waits until the budget has `writes` written keys for this class, and
     /// takes nothing: for those who decide late, on what they know by then.
-    pub async fn ready(&self, class: Class, writes: usize) {
+    pub async fn ready(&self, class: RequestClass, writes: usize) {
         self.wait_turn(class, writes, false).await;
     }
 
-    async fn admit(&self, class: Class, writes: usize) {
-        if matches!(class, Class::Round | Class::Claim) {
+    async fn admit(&self, class: RequestClass, writes: usize) {
+        if matches!(class, RequestClass::Round | RequestClass::Claim) {
             self.budget.borrow_mut().force(writes);
         } else {
             self.wait_turn(class, writes, true).await;
@@ -389,14 +220,14 @@
     }
 
     /// Waits for the budget and for those that go first.
-    async fn wait_turn(&self, class: Class, writes: usize, take: bool) {
+    async fn wait_turn(&self, class: RequestClass, writes: usize, take: bool) {
         let _turn = (writes > 0).then(|| Turn::new(&self.waiting, class));
         loop {
             let now = Instant::now();
             let pause = self
                 .pause
                 .get()
-                .filter(|t| class > Class::Lease && *t > now);
+                .filter(|t| class > RequestClass::Lease && *t > now);
             let wait = match pause {
                 Some(until) => until - now,
                 None if writes > 0 && self.others_first(class) => self.patience / 50,
@@ -426,14 +257,18 @@
 
     /// Whether a class before this one waits to write. Claims and rounds take
     /// turns: neither may hold up the other for long.
-    fn others_first(&self, class: Class) -> bool {
+    fn others_first(&self, class: RequestClass) -> bool {
         let waiting = self.waiting.borrow();
-        let waits = |c: Class| waiting[c as usize] > 0;
+        let waits = |c: RequestClass| waiting[c as usize] > 0;
         let just = self.last.get();
         match class {
-            Class::Claim if just == Some(Class::Claim) && waits(Class::Round) => true,
-            Class::Round if just == Some(Class::Claim) => {
-                waits(Class::Accept) || waits(Class::Lease)
+            RequestClass::Claim
+                if just == Some(RequestClass::Claim) && waits(RequestClass::Round) =>
+            {
+                true
+            }
+            RequestClass::Round if just == Some(RequestClass::Claim) => {
+                waits(RequestClass::Accept) || waits(RequestClass::Lease)
             }
             _ => waiting[..class as usize].iter().any(|n| *n > 0),
         }
@@ -441,7 +276,7 @@
 
     async fn call(
         &self,
-        class: Class,
+        class: RequestClass,
         writes: usize,
         method: &str,
         path: &str,
@@ -473,7 +308,7 @@
     }
 
     /// Sends a transaction, and returns the revision of its changes.
-    pub async fn commit(&self, class: Class, commit: &Commit) -> Result<u64, StoreError> {
+    pub async fn commit(&self, class: RequestClass, commit: &Commit) -> Result<u64, StoreError> {
         let body = encode(commit)?;
         if body.len() > crate::http::BODY_LIMIT {
             tracing::error!(bytes = body.len(), writes = commit.writes.len(), "too long");
@@ -528,7 +363,7 @@
     pub async fn revision(&self, key: &str) -> Result<u64, StoreError> {
         let path = format!("/store/{key}");
         let r = self
-            .call(Class::Accept, 0, "GET", &path, None, self.patience)
+            .call(RequestClass::Accept, 0, "GET", &path, None, self.patience)
             .await?;
         match r.status {
             404 => Ok(r.parse::<Revision>()?.revision),
@@ -543,7 +378,7 @@
             path.push_str(&format!("&after={after}"));
         }
         let r = self
-            .call(Class::Lease, 0, "GET", &path, None, self.patience)
+            .call(RequestClass::Lease, 0, "GET", &path, None, self.patience)
             .await?;
         match r.status {
             200 => Ok(r.parse()?),
@@ -565,7 +400,7 @@
         // An outage keeps watches open: a little patience beyond the block.
         let limit = block + self.patience;
         let r = self
-            .call(Class::Accept, 0, "GET", &path, None, limit)
+            .call(RequestClass::Accept, 0, "GET", &path, None, limit)
             .await?;
         match r.status {
             200 => Ok(r.parse()?),
@@ -580,7 +415,14 @@
             ttl_ms: ttl.as_millis() as u64,
         })?;
         let r = self
-            .call(Class::Lease, 0, "POST", "/holds", Some(body), self.patience)
+            .call(
+                RequestClass::Lease,
+                0,
+                "POST",
+                "/holds",
+                Some(body),
+                self.patience,
+            )
             .await?;
         match r.status {
             200 => Ok(r.parse::<StateLease>()?.lease),
@@ -593,7 +435,7 @@
         let path = format!("/holds/{lease}/extend");
         let body = Some(b"{}".to_vec());
         let r = self
-            .call(Class::Lease, 0, "POST", &path, body, self.patience)
+            .call(RequestClass::Lease, 0, "POST", &path, body, self.patience)
             .await?;
         match r.status {
             200 => Ok(()),
--- a/src/compaction.rs
+++ b/src/state/compaction.rs
@@ -9,17 +9,21 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::transaction::MachineShardEdits;
-use crate::machines::home_of;
-use crate::model::ZoneShard;
 use crate::node::{Node, guard};
-use crate::store::{Class, StoreError};
-use crate::replica::{PREFIX, Replica, machine_shard_key, job_key, zone_shard_key};
+use crate::scheduler::MachineShardEdits;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::{PREFIX, job_key, machine_shard_key, zone_shard_key};
+use crate::state::records::ZoneShard;
+use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
+use crate::workers::home_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
 type Step = (Vec<Guard>, Vec<Write>);
 
+/// Writes records anew that are to be shorter, a commit at a time, as the budget
+/// allows.
 pub async fn run_compaction(node: Rc<Node>) {
     let tick = node.settings.report() / 4;
     // Records that could not be written as they were, and until when they wait.
@@ -64,7 +68,7 @@
 
 /// Parts come by turns with the rounds: until they are few a gang may have its
 /// places in more of them than a commit writes. The rest stands behind.
-fn step(node: &Node, left: &HashMap<String, Instant>) -> Option<(Class, Step)> {
+fn step(node: &Node, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
     let replica = node.replica.borrow();
     let tended = |id: &str| {
         let part = id.split_once('/').map_or("", |p| p.1);
@@ -72,8 +76,13 @@
     };
     compact_zone_shards(&replica, left, &tended, node.settings.txn_ops())
         .or_else(|| merge(&replica, left, &tended))
-        .map(|step| (Class::Claim, step))
-        .or_else(|| Some((Class::Lifecycle, oversized(node, &replica, left, &tended)?)))
+        .map(|step| (RequestClass::Claim, step))
+        .or_else(|| {
+            Some((
+                RequestClass::Lifecycle,
+                oversized(node, &replica, left, &tended)?,
+            ))
+        })
 }
 
 /// Parts that do not stand in the compact encoding yet, one for each group, there or
@@ -85,7 +94,10 @@
     most: usize,
 ) -> Option<Step> {
     let mut step = Step::default();
-    let ids = replica.machine_shards.keys().chain(replica.zone_shards.keys());
+    let ids = replica
+        .machine_shards
+        .keys()
+        .chain(replica.zone_shards.keys());
     for id in ids.filter(|id| tended(id) && !replica.is_compact_zone_shard(id)) {
         let key = zone_shard_key(id);
         let known = step.0.iter().any(|g| g.key == key);
@@ -93,7 +105,8 @@
             continue;
         }
         let part = replica.zone_shards.get(id).map(|e| e.value.clone());
-        step.1.push(replica.put_zone_shard(id, &part.unwrap_or_default()));
+        step.1
+            .push(replica.put_zone_shard(id, &part.unwrap_or_default()));
         step.0.push(guard(key, replica.zone_shard_version(id)));
     }
     (!step.1.is_empty()).then_some(step)
@@ -112,7 +125,10 @@
             continue;
         };
         let Ok(number) = number.parse() else { continue };
-        if !tended(id) || !replica.is_compact_zone_shard(id) || left.contains_key(&zone_shard_key(id)) {
+        if !tended(id)
+            || !replica.is_compact_zone_shard(id)
+            || left.contains_key(&zone_shard_key(id))
+        {
             continue;
         }
         homes
@@ -139,7 +155,8 @@
                 })
             });
         if let Some((from, to, all)) = found {
-            let guards = [from, to].map(|id| guard(zone_shard_key(id), replica.zone_shard_version(id)));
+            let guards =
+                [from, to].map(|id| guard(zone_shard_key(id), replica.zone_shard_version(id)));
             let writes = vec![
                 replica.put_zone_shard(from, &ZoneShard::default()),
                 replica.put_zone_shard(to, &all),
@@ -161,7 +178,7 @@
     let peers = node.peers.borrow();
     let alive = peers.alive(node, Instant::now());
     let is_preferred = |id: &str| {
-        let preferred = crate::placement::preferred(id, alive.iter().copied());
+        let preferred = crate::scheduler::preferred(id, alive.iter().copied());
         preferred == Some(node.name())
     };
     let mut found: Vec<(u64, &str, &str)> = Vec::new();
--- /dev/null
+++ b/src/state/encoding/job.rs
@@ -0,0 +1,147 @@
+//! The compact encoding of a job's runs.
+
+use std::fmt;
+
+use serde::de::{Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
+use serde::{Deserialize, Serialize};
+
+use super::digits::{COMPACT_MARK, DIGITS, digit_value, push_number, read_number};
+use super::names::{join_name, split_name};
+use super::tasks::{push_tasks, read_tasks, task_width};
+use crate::state::records::{Job, Ranges, Run};
+
+// --- a job -------------------------------------------------------------------
+
+/// Machines whose names have a prefix and a width in common, in one zone; with
+/// width 0 one machine.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+struct NamePattern(String, usize, String);
+
+/// What a run takes beside its tasks: its name pattern, the machine's number, the
+/// attempt, the mark of a stop and two marks between.
+pub fn run_bytes(attempt: u64) -> usize {
+    let mut digits = String::new();
+    push_number(&mut digits, attempt);
+    1 + 5 + 1 + digits.len() + 1 + 1 + 1
+}
+
+/// What a task of the job takes.
+pub fn task_bytes(tasks: u32) -> usize {
+    task_width([tasks.saturating_sub(1)].into_iter())
+}
+
+/// What the table of patterns takes for machines of these names and zones, and all
+/// that stands around it.
+pub fn table_bytes<'a>(machines: impl Iterator<Item = (&'a str, &'a str)>) -> usize {
+    let mut patterns: Vec<(&str, usize, &str)> = machines
+        .map(|(name, zone)| {
+            let (prefix, width, _) = split_name(name);
+            (prefix, width, zone)
+        })
+        .collect();
+    patterns.sort_unstable();
+    patterns.dedup();
+    let text = |s: &str| serde_json::to_string(s).map_or(0, |t| t.len());
+    let one = |(prefix, _, zone): &(&str, usize, &str)| text(prefix) + text(zone) + 6;
+    40 + patterns.iter().map(one).sum::<usize>()
+}
+
+/// A job's record in the compact encoding; nothing where it has no such.
+pub fn encode_job(job: &Job) -> Option<String> {
+    let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
+    let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
+    let width = task_width(last);
+    let mut table: Vec<NamePattern> = Vec::new();
+    let mut text = String::new();
+    push_number(&mut text, width as u64);
+    for run in &job.runs {
+        let (prefix, digits, number) = split_name(&run.machine);
+        let same = |k: &NamePattern| k.0 == prefix && k.1 == digits && k.2 == run.zone;
+        let at = table.iter().position(same).unwrap_or_else(|| {
+            table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
+            table.len() - 1
+        });
+        // Names of as many kinds have no compact encoding.
+        let pattern = *DIGITS.get(at)?;
+        text.push(' ');
+        text.push(char::from(pattern));
+        push_number(&mut text, u64::from(number));
+        text.push('.');
+        push_number(&mut text, run.attempt);
+        text.push(if run.stop { '!' } else { ':' });
+        push_tasks(&mut text, &run.tasks, width);
+    }
+    let mut retry = String::from(COMPACT_MARK);
+    push_number(&mut retry, width as u64);
+    push_tasks(&mut retry, &job.retry, width);
+    let bare = Job {
+        runs: Vec::new(),
+        retry: Ranges::default(),
+        spec: job.spec.clone(),
+        failed_on: job.failed_on.clone(),
+        ..*job
+    };
+    let mut record = serde_json::to_string(&bare).ok()?;
+    record.pop()?;
+    if !job.retry.is_empty() {
+        record.push_str(&format!(",\"q\":\"{retry}\""));
+    }
+    if !job.runs.is_empty() {
+        let table = serde_json::to_string(&table).ok()?;
+        record.push_str(&format!(",\"r\":{{\"k\":{table},\"t\":\"{text}\"}}"));
+    }
+    record.push('}');
+    Some(record)
+}
+
+fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
+    let mut zone_shards = text.split(' ');
+    let width = read_number(zone_shards.next()?)? as usize;
+    let run = |part: &str| {
+        let pattern = table.get(digit_value(*part.as_bytes().first()?)? as usize)?;
+        let (number, rest) = part.get(1..)?.split_once('.')?;
+        let mark = rest.find(['!', ':'])?;
+        let number = u32::try_from(read_number(number)?).ok()?;
+        Some(Run {
+            machine: join_name(&pattern.0, pattern.1, number),
+            zone: pattern.2.clone(),
+            attempt: read_number(&rest[..mark])?,
+            tasks: read_tasks(&rest[mark + 1..], width)?,
+            stop: rest.as_bytes()[mark] == b'!',
+        })
+    };
+    zone_shards.map(run).collect()
+}
+
+/// A job's runs in either text.
+pub fn runs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Run>, D::Error> {
+    struct Runs;
+    impl<'de> Visitor<'de> for Runs {
+        type Value = Vec<Run>;
+        fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+            f.write_str("runs")
+        }
+        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<Run>, A::Error> {
+            let mut runs = Vec::new();
+            while let Some(run) = seq.next_element()? {
+                runs.push(run);
+            }
+            Ok(runs)
+        }
+        fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Vec<Run>, A::Error> {
+            let mut table: Vec<NamePattern> = Vec::new();
+            let mut text = String::new();
+            while let Some(key) = map.next_key::<String>()? {
+                match key.as_str() {
+                    "k" => table = map.next_value()?,
+                    "t" => text = map.next_value()?,
+                    _ => {
+                        map.next_value::<serde::de::IgnoredAny>()?;
+                    }
+                }
+            }
+            read_runs(&table, &text).ok_or_else(|| A::Error::custom("not a text of runs"))
+        }
+    }
+    deserializer.deserialize_any(Runs)
+}
--- /dev/null
+++ b/src/state/encoding/machine_shard.rs
@@ -0,0 +1,148 @@
+//! The compact encoding of machine shards.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use serde::de::{Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
+use serde::{Deserialize, Serialize};
+
+use super::digits::{push_number, read_number};
+use super::names::{join_name, split_name};
+use crate::state::records::{Machine, MachineLifecycle, MachineShard};
+
+// --- a group -----------------------------------------------------------------
+
+/// Machines of a group that have holder, incarnation, life, type and kind in
+/// common; of each prefix and width a text: number, token, session and report.
+#[derive(Debug, Serialize, Deserialize)]
+struct Members(
+    String,
+    u64,
+    MachineLifecycle,
+    String,
+    u8,
+    Vec<(String, usize, String)>,
+);
+
+/// The most that a machine takes of its group's short record while its figures
+/// are of usual length.
+pub const MEMBER: usize = 22;
+
+/// What a class of machines takes there, beside its names.
+const CLASS: usize = 60;
+
+/// The most that the group may come to take with its machines' figures grown
+/// and each in another state.
+pub fn group_bytes(group: &BTreeMap<String, Machine>, longest_holder: usize) -> usize {
+    let mut kinds: Vec<&str> = group.values().map(|m| m.kind.as_str()).collect();
+    kinds.sort_unstable();
+    kinds.dedup();
+    let kinds: usize = kinds.iter().map(|k| k.len() + longest_holder + CLASS).sum();
+    let names = group.keys().map(|n| match split_name(n) {
+        (name, 0, _) => name.len() + MEMBER + 8,
+        _ => MEMBER,
+    });
+    // Two holders and two lives at a time.
+    kinds * 3 + names.sum::<usize>()
+}
+
+/// What one more machine may add to a group, a type that is new there included.
+pub fn member_bytes(name: &str, kind: &str, longest_holder: usize) -> usize {
+    let name = match split_name(name) {
+        (name, 0, _) => name.len() + 8,
+        _ => 0,
+    };
+    MEMBER + name + (kind.len() + longest_holder + CLASS) * 3
+}
+
+/// A group's record in the compact encoding.
+pub fn encode_machine_shard(group: &MachineShard) -> Option<String> {
+    type RequestClass<'a> = (&'a str, u64, MachineLifecycle, &'a str, bool);
+    let mut classes: BTreeMap<RequestClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
+    for (name, m) in &group.machines {
+        let class = (m.holder.as_str(), m.incarnation, m.life, &*m.kind, m.spot);
+        let (prefix, width, number) = split_name(name);
+        let texts = classes.entry(class).or_default();
+        let text = texts.entry((prefix, width)).or_default();
+        if !text.is_empty() {
+            text.push(' ');
+        }
+        push_number(text, u64::from(number));
+        for figure in [m.token, m.seen.0, m.seen.1] {
+            text.push('.');
+            push_number(text, figure);
+        }
+    }
+    let members: Vec<Members> = classes
+        .into_iter()
+        .map(|((holder, incarnation, life, kind, spot), texts)| {
+            let texts = texts.into_iter();
+            let texts = texts.map(|((prefix, width), text)| (prefix.to_string(), width, text));
+            Members(
+                holder.to_string(),
+                incarnation,
+                life,
+                kind.to_string(),
+                u8::from(spot),
+                texts.collect(),
+            )
+        })
+        .collect();
+    Some(format!(
+        "{{\"m\":{}}}",
+        serde_json::to_string(&members).ok()?
+    ))
+}
+
+fn read_member(text: &str) -> Option<(u32, u64, (u64, u64))> {
+    let mut figures = text.split('.').map(read_number);
+    let mut next = || figures.next().flatten();
+    let number = u32::try_from(next()?).ok()?;
+    let member = (number, next()?, (next()?, next()?));
+    figures.next().is_none().then_some(member)
+}
+
+/// A group's machines in either text.
+pub fn members<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<BTreeMap<String, Machine>, D::Error> {
+    struct All;
+    impl<'de> Visitor<'de> for All {
+        type Value = BTreeMap<String, Machine>;
+        fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+            f.write_str("machines")
+        }
+        fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
+            let mut all = BTreeMap::new();
+            while let Some((name, machine)) = map.next_entry()? {
+                all.insert(name, machine);
+            }
+            Ok(all)
+        }
+        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
+            let mut all = BTreeMap::new();
+            while let Some(class) = seq.next_element()? {
+                let Members(holder, incarnation, life, kind, spot, texts) = class;
+                for (prefix, width, text) in texts {
+                    for one in text.split(' ') {
+                        let Some((number, token, seen)) = read_member(one) else {
+                            return Err(A::Error::custom("not a text of machines"));
+                        };
+                        let machine = Machine {
+                            holder: holder.clone(),
+                            incarnation,
+                            token,
+                            seen,
+                            life,
+                            spot: spot != 0,
+                            ..Machine::new(&kind, "")
+                        };
+                        all.insert(join_name(&prefix, width, number), machine);
+                    }
+                }
+            }
+            Ok(all)
+        }
+    }
+    deserializer.deserialize_any(All)
+}
--- /dev/null
+++ b/src/state/encoding/mod.rs
@@ -0,0 +1,21 @@
+//! Compact encodings of the records that grow with machines and tasks: zone
+//! shards, machine shards, a job's runs. They are written once every controller
+//! reads them and the state service's limits are to fall
+//! (`Replica::uses_compact_encoding`), and read always: each stands under the
+//! field of the plain encoding, which is of another shape.
+//!
+//! Numbers are in base 64, by an alphabet that JSON leaves as it is. A name is
+//! its number after a common prefix where it ends in digits; else it stands in
+//! full.
+
+mod digits;
+mod job;
+mod machine_shard;
+mod names;
+mod tasks;
+mod zone_shard;
+
+pub use job::{encode_job, run_bytes, runs, table_bytes, task_bytes};
+pub use machine_shard::{MEMBER, encode_machine_shard, group_bytes, member_bytes, members};
+pub use tasks::decode_ranges;
+pub use zone_shard::{encode_zone_shard, is_compact_zone_shard, slots};
--- /dev/null
+++ b/src/state/encoding/zone_shard.rs
@@ -0,0 +1,100 @@
+//! The compact encoding of zone shards.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
+use serde::{Deserialize, Serialize};
+
+use super::names::{fold_names, join_name};
+use crate::state::records::{MachineSlot, Ranges, Resources, ZoneShard};
+
+// --- a part ------------------------------------------------------------------
+
+/// Machines of one type and kind in a part: ranges of numbers by prefix and
+/// width, names in full, and what unbooked tasks take of some.
+#[derive(Debug, Serialize, Deserialize)]
+struct Slots(
+    String,
+    u8,
+    Vec<(String, usize, Ranges)>,
+    Vec<String>,
+    BTreeMap<String, (i64, i64, i64)>,
+);
+
+/// A part's record in the compact encoding: what is free is not written, as planning
+/// takes the type's room less what is booked and what unbooked tasks take.
+pub fn encode_zone_shard(part: &ZoneShard) -> Option<String> {
+    let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
+    for (name, slot) in &part.machines {
+        let class = classes.entry((&slot.kind, slot.spot)).or_default();
+        class.push((name, slot));
+    }
+    let slots: Vec<Slots> = classes
+        .into_iter()
+        .map(|((kind, spot), machines)| {
+            let (folded, full) = fold_names(machines.iter().map(|(n, _)| *n));
+            let unbooked = machines
+                .iter()
+                .filter(|(_, s)| !s.unbooked.is_empty())
+                .map(|(n, s)| {
+                    let Resources { cpus, gpus, ram } = s.unbooked;
+                    (n.to_string(), (cpus.0, gpus.0, ram.0))
+                })
+                .collect();
+            Slots(kind.to_string(), u8::from(spot), folded, full, unbooked)
+        })
+        .collect();
+    Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
+}
+
+/// Whether a part's record is in the compact encoding: a list, where the longer one
+/// has names.
+pub fn is_compact_zone_shard(text: &str) -> bool {
+    let machines = text.split_once(':').map_or("", |(_, rest)| rest);
+    machines.trim_start().starts_with('[')
+}
+
+/// A part's machines in either text.
+pub fn slots<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
+    struct All;
+    impl<'de> Visitor<'de> for All {
+        type Value = BTreeMap<String, MachineSlot>;
+        fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+            f.write_str("machines that take work")
+        }
+        fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
+            let mut all = BTreeMap::new();
+            while let Some((name, slot)) = map.next_entry()? {
+                all.insert(name, slot);
+            }
+            Ok(all)
+        }
+        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
+            let mut all = BTreeMap::new();
+            while let Some(Slots(kind, spot, folded, full, unbooked)) = seq.next_element()? {
+                let numbered = folded.iter().flat_map(|(prefix, width, numbers)| {
+                    numbers.iter().map(|n| join_name(prefix, *width, n))
+                });
+                for name in numbered.chain(full) {
+                    let taken = unbooked.get(&name).copied().unwrap_or_default();
+                    let slot = MachineSlot {
+                        kind: kind.clone(),
+                        spot: spot != 0,
+                        free: Resources::default(),
+                        unbooked: Resources {
+                            cpus: crate::state::records::Amount(taken.0),
+                            gpus: crate::state::records::Amount(taken.1),
+                            ram: crate::state::records::Amount(taken.2),
+                        },
+                    };
+                    all.insert(name, slot);
+                }
+            }
+            Ok(all)
+        }
+    }
+    deserializer.deserialize_any(All)
+}
--- /dev/null
+++ b/src/state/keys.rs
@@ -0,0 +1,56 @@
+//! The keys under which records stand in the state service.
+
+/// All keys of the service begin with this; one watch covers them.
+pub const PREFIX: &str = "sh/";
+
+/// A key that never exists: reading it tells the current revision.
+pub const BARRIER_KEY: &str = "sh-barrier";
+
+/// The key of the controller that rents machines.
+pub const FLEET_KEY: &str = "sh/fleet";
+
+/// The key of the cloud's machine types.
+pub const TYPES_KEY: &str = "sh/types";
+
+/// The key of the record formats that all controllers can read.
+pub const FORMATS_KEY: &str = "sh/formats";
+
+/// The key of a job's record.
+pub fn job_key(id: &str) -> String {
+    format!("{PREFIX}job/{id}")
+}
+
+/// The key of a team's record.
+pub fn team_key(name: &str) -> String {
+    format!("{PREFIX}team/{name}")
+}
+
+/// A part's name in the replica; its key has it behind `zone/`.
+pub fn shard_id(zone: &str, part: &str) -> String {
+    format!("{zone}/{part}")
+}
+
+/// The key of a zone shard's record, by its id.
+pub fn zone_shard_key(id: &str) -> String {
+    format!("{PREFIX}zone/{id}")
+}
+
+/// A group's key; the name is its part's.
+pub fn machine_shard_key(id: &str) -> String {
+    format!("{PREFIX}machine/{id}")
+}
+
+/// The key that exists while a controller's state lease stands.
+pub fn node_key(name: &str) -> String {
+    format!("{PREFIX}node/{name}")
+}
+
+/// The key of jobs that were accepted together.
+pub fn arrivals_key(id: &str) -> String {
+    format!("{PREFIX}new/{id}")
+}
+
+/// The key of a rental.
+pub fn rental_key(id: &str) -> String {
+    format!("{PREFIX}hire/{id}")
+}
--- a/src/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::model::{Job, Ranges, Resources, Spec};
+use crate::state::records::{Job, Ranges, Resources, Spec};
 use crate::wire::MachineType;
 
 /// What trimming goes by, beside the job itself.
--- /dev/null
+++ b/src/state/records/controller.rs
@@ -0,0 +1,60 @@
+//! Records of controllers and of the formats that they know.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+/// `fleet`: who rents; `node/N`: that controller N is up. Both are tied to the
+/// controller's state lease.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ControllerRecord {
+    /// The controller's name.
+    #[serde(rename = "h")]
+    pub node: String,
+    /// Which of the controller's starts it is from.
+    #[serde(rename = "i")]
+    pub incarnation: u64,
+    /// The newest formats that its program knows. Programs from before there
+    /// were any leave it out, and pass over it.
+    #[serde(rename = "v", default, skip_serializing_if = "super::is_zero")]
+    pub formats: u32,
+}
+
+/// The formats that this program reads and may write: 2 has compact encodings for
+/// parts, groups and runs, and jobs that await others.
+pub const FORMATS: u32 = 2;
+
+/// `formats`: which controllers have been seen to run a program that knows the
+/// newer formats, and whether all have. A controller is never seen to go back:
+/// one that ends before its turn in an upgrade has not been seen yet. What an
+/// older program could not read, or would spoil, is written only once `all`
+/// stands here; that is for good.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Formats {
+    /// The newest format that each controller can read, by their names.
+    #[serde(rename = "n", default)]
+    pub nodes: BTreeMap<String, u32>,
+    /// The newest format that every controller can read.
+    #[serde(rename = "a", default)]
+    pub all: u32,
+}
+
+impl Formats {
+    /// The record as it should be, once these controllers have been seen; all
+    /// that the settings name have to be before anything new is written.
+    pub fn with<'a>(
+        &self,
+        seen: impl Iterator<Item = (&'a str, u32)>,
+        configured: &[&str],
+    ) -> Formats {
+        let mut next = self.clone();
+        for (name, formats) in seen.filter(|(_, f)| *f > 0) {
+            let known = next.nodes.entry(name.to_string()).or_default();
+            *known = formats.max(*known);
+        }
+        let of = |name: &&str| next.nodes.get(*name).copied().unwrap_or(0);
+        let least = configured.iter().map(of).min().unwrap_or(0);
+        next.all = next.all.max(least);
+        next
+    }
+}
--- /dev/null
+++ b/src/state/records/machine.rs
@@ -0,0 +1,165 @@
+//! Records of machines, their zone shards, and rentals.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use super::resources::Resources;
+use crate::wire::MachineType;
+
+/// A machine that takes work, as its zone shard lists it.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct MachineSlot {
+    /// The machine type.
+    #[serde(rename = "t")]
+    pub kind: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
+    pub spot: bool,
+    /// When the record was last written. What has ended since is free, too:
+    /// planning takes the type's room less the bookings that stand by then.
+    #[serde(rename = "f", default)]
+    pub free: Resources,
+    /// What tasks take there that nobody has booked, as its holder reported.
+    #[serde(rename = "o", default, skip_serializing_if = "Resources::is_empty")]
+    pub unbooked: Resources,
+}
+
+/// `zone/Z/PART`: free room per machine that takes work. One record a zone
+/// would outgrow `value_kb` at some hundred machines, and be written by all
+/// controllers at once; a machine stays in its part.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct ZoneShard {
+    /// The machines by their ids.
+    #[serde(
+        rename = "m",
+        default,
+        deserialize_with = "crate::state::encoding::slots"
+    )]
+    pub machines: BTreeMap<String, MachineSlot>,
+}
+
+/// The most that a machine's slot can take of its part's record: its names,
+/// quotes and marks, and twice three amounts of up to nine digits.
+pub fn slot_entry_bytes(machine: &str, kind: &str) -> usize {
+    machine.len() + kind.len() + 130
+}
+
+/// How far a rented machine has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum MachineLifecycle {
+    /// Rented, not yet heard from.
+    #[serde(rename = "b")]
+    Booting,
+    /// Takes work.
+    #[serde(rename = "a")]
+    Active,
+    /// Takes no new work.
+    #[serde(rename = "d")]
+    Draining,
+    /// Goes back to the cloud; never undone.
+    #[serde(rename = "r")]
+    Returning,
+    /// The cloud has confirmed: nothing on it exists any more.
+    #[serde(rename = "g")]
+    Gone,
+}
+
+/// `machine/Z/PART`: the machines of one part, so that a takeover, a rental or
+/// a return of dozens costs a few writes. Each has a token of its own.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct MachineShard {
+    /// The machines by their ids.
+    #[serde(
+        rename = "m",
+        default,
+        deserialize_with = "crate::state::encoding::members"
+    )]
+    pub machines: BTreeMap<String, Machine>,
+}
+
+/// The most that a machine takes of its group's record: names, quotes and
+/// marks, the incarnation and the token.
+pub fn machine_entry_bytes(machine: &str, kind: &str, holder: usize) -> usize {
+    machine.len() + kind.len() + holder + 110
+}
+
+/// One machine, as its group has it.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Machine {
+    /// The controller that commands it; empty if none has claimed it.
+    #[serde(rename = "h", default)]
+    pub holder: String,
+    /// The incarnation of the holder that bumped the token: after a restart
+    /// the same node must bump it again before it gives orders.
+    #[serde(rename = "i", default)]
+    pub incarnation: u64,
+    /// The fencing token of the holder's commands.
+    #[serde(rename = "k", default)]
+    pub token: u64,
+    /// Session and number of the report that it was last claimed on: one that
+    /// is no newer is a late copy, whoever it comes to.
+    #[serde(rename = "s", default)]
+    pub seen: (u64, u64),
+    /// How far it has come.
+    #[serde(rename = "f")]
+    pub life: MachineLifecycle,
+    /// The machine type.
+    #[serde(rename = "t")]
+    pub kind: String,
+    /// Zone and part are the record's key: not written again.
+    #[serde(skip)]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
+    pub spot: bool,
+    /// The part of its zone's record that it belongs to, from its first record
+    /// on: the name of its home controller and a number.
+    #[serde(skip)]
+    pub part: String,
+}
+
+impl Machine {
+    /// One that nobody has claimed yet.
+    pub fn new(kind: &str, zone: &str) -> Self {
+        Machine {
+            holder: String::new(),
+            incarnation: 0,
+            token: 0,
+            seen: (0, 0),
+            life: MachineLifecycle::Booting,
+            kind: kind.to_string(),
+            zone: zone.to_string(),
+            spot: false,
+            part: String::new(),
+        }
+    }
+}
+
+/// `hire/ID`: a rental that is or may be under way, or whose machines are.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Rental {
+    /// The machine type.
+    #[serde(rename = "t")]
+    pub kind: String,
+    /// The zone.
+    #[serde(rename = "z")]
+    pub zone: String,
+    /// Whether spot machines are rented.
+    #[serde(rename = "l", default)]
+    pub spot: bool,
+    /// How many machines were requested.
+    #[serde(rename = "n")]
+    pub count: u32,
+    /// What the cloud has answered; empty until then. One write records all
+    /// machines of a rental: they boot until their workers are claimed.
+    #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
+    pub machines: Vec<String>,
+}
+
+/// `types`: the cloud's machine types as last read.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct Types {
+    /// All machine types.
+    pub types: Vec<MachineType>,
+}
--- /dev/null
+++ b/src/state/records/mod.rs
@@ -0,0 +1,48 @@
+//! What the state service keeps: jobs, teams, zones, machines and rentals.
+//!
+//! Records are small JSON values with short field names, as `value_kb` bounds
+//! each of them. Everything here is plain data and pure functions.
+
+mod controller;
+mod job;
+mod machine;
+mod ranges;
+mod resources;
+mod spec;
+
+pub use controller::{ControllerRecord, FORMATS, Formats};
+pub use job::{Arrivals, DOUBT, FAILED_ON, Job, JobStatus, Outcome, Run, Team};
+pub use machine::{
+    Machine, MachineLifecycle, MachineShard, MachineSlot, Rental, Types, ZoneShard,
+    machine_entry_bytes, slot_entry_bytes,
+};
+pub use ranges::Ranges;
+pub use resources::{Amount, Resources};
+pub use spec::Spec;
+
+pub(super) fn is_false(b: &bool) -> bool {
+    !b
+}
+
+pub(super) fn is_zero_u64(n: &u64) -> bool {
+    *n == 0
+}
+
+pub(super) fn is_zero(n: &u32) -> bool {
+    *n == 0
+}
+
+/// Splits `job-000412/3` into the job and the task's number.
+pub fn split_task(task: &str) -> Option<(&str, u32)> {
+    let (job, n) = task.rsplit_once('/')?;
+    if n.is_empty() || (n.len() > 1 && n.starts_with('0')) {
+        return None;
+    }
+    Some((job, n.parse().ok()?))
+}
+
+/// Ids look like `job-000412`: the word, a dash and digits.
+pub fn is_job_id(id: &str) -> bool {
+    id.strip_prefix("job-")
+        .is_some_and(|d| (1..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+}
--- /dev/null
+++ b/src/state/records/resources.rs
@@ -0,0 +1,127 @@
+//! Processors, accelerators and memory in whole thousandths.
+
+use std::ops::{Add, AddAssign, Sub, SubAssign};
+
+use serde::{Deserialize, Serialize};
+
+use crate::wire::MachineType;
+
+/// A thousandth of a unit. Whole numbers, so that every controller adds up to
+/// the same figure.
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct Amount(pub i64);
+
+impl Amount {
+    /// What a task needs: rounded up.
+    pub fn need(x: f64) -> Self {
+        Amount((x * 1000.0 - 1e-6).ceil().max(0.0) as i64)
+    }
+    /// What a machine or a limit gives: rounded down.
+    pub fn room(x: f64) -> Self {
+        Amount((x * 1000.0 + 1e-6).floor().max(0.0) as i64)
+    }
+    /// The amount in whole units, as people write it.
+    pub fn units(self) -> f64 {
+        self.0 as f64 / 1000.0
+    }
+}
+
+/// Resources of a machine: what a task needs, what is free, or what is used.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Resources {
+    /// CPUs.
+    #[serde(rename = "c")]
+    pub cpus: Amount,
+    /// Accelerators.
+    #[serde(rename = "g")]
+    pub gpus: Amount,
+    /// Memory, in GB.
+    #[serde(rename = "m")]
+    pub ram: Amount,
+}
+
+impl Resources {
+    /// All that a machine of this type has.
+    pub fn of_type(t: &MachineType) -> Self {
+        Resources {
+            cpus: Amount::room(t.cpus),
+            gpus: Amount::room(t.gpus),
+            ram: Amount::room(t.memory_gb),
+        }
+    }
+
+    /// Whether it is nothing at all.
+    pub fn is_empty(&self) -> bool {
+        *self == Resources::default()
+    }
+
+    /// Whether a task that needs this much fits into it.
+    pub fn fits(&self, need: &Resources) -> bool {
+        need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
+    }
+
+    /// The resources of so many equal tasks.
+    pub fn times(&self, n: usize) -> Resources {
+        self.scaled(n as i64)
+    }
+
+    /// As `times`, with a sign.
+    pub fn scaled(&self, n: i64) -> Resources {
+        Resources {
+            cpus: Amount(self.cpus.0.saturating_mul(n)),
+            gpus: Amount(self.gpus.0.saturating_mul(n)),
+            ram: Amount(self.ram.0.saturating_mul(n)),
+        }
+    }
+
+    /// How many tasks of `need` fit at once.
+    pub fn slots(&self, need: &Resources) -> usize {
+        let part = |have: Amount, want: Amount| {
+            if want.0 <= 0 {
+                usize::MAX
+            } else {
+                (have.0.max(0) / want.0) as usize
+            }
+        };
+        part(self.cpus, need.cpus)
+            .min(part(self.gpus, need.gpus))
+            .min(part(self.ram, need.ram))
+    }
+}
+
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, o: Resources) -> Resources {
+        Resources {
+            cpus: Amount(self.cpus.0 + o.cpus.0),
+            gpus: Amount(self.gpus.0 + o.gpus.0),
+            ram: Amount(self.ram.0 + o.ram.0),
+        }
+    }
+}
+
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, o: Resources) -> Resources {
+        Resources {
+            cpus: Amount(self.cpus.0 - o.cpus.0),
+            gpus: Amount(self.gpus.0 - o.gpus.0),
+            ram: Amount(self.ram.0 - o.ram.0),
+        }
+    }
+}
+
+impl AddAssign for Resources {
+    fn add_assign(&mut self, o: Resources) {
+        *self = *self + o;
+    }
+}
+
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, o: Resources) {
+        *self = *self - o;
+    }
+}
--- /dev/null
+++ b/src/state/replica/writes.rs
@@ -0,0 +1,122 @@
+//! Records as this controller may write them: plain or in the compact encoding.
+
+use serde_json::value::RawValue;
+
+use super::Replica;
+use super::index::is_long;
+use crate::state::keys::{job_key, machine_shard_key, zone_shard_key};
+use crate::state::record_trim::{self, TrimContext};
+use crate::state::records::{FORMATS, Job, JobStatus, MachineShard, ZoneShard};
+use crate::wire::Write;
+
+impl Replica {
+    /// Whether records are written in their compact encodings: all controllers read
+    /// them, and the limits are to fall. Otherwise they stand as ever.
+    pub fn uses_compact_encoding(&self) -> bool {
+        self.compact_limit.is_some() && self.upgraded()
+    }
+
+    /// Whether a part's compact encoding is within what a record may hold, with some
+    /// to spare for what unbooked tasks take.
+    pub fn fits_zone_shard(&self, part: &ZoneShard) -> bool {
+        let most = self.compact_limit.unwrap_or(usize::MAX) / 10 * 9;
+        // Few machines never fill a record.
+        let short = || crate::state::encoding::encode_zone_shard(part).map_or(0, |t| t.len());
+        part.machines.len() < 8 || short() <= most
+    }
+
+    /// Whether a job's record, as it will be written, is within `most` bytes.
+    pub fn fits_job(&self, job: &Job, most: usize) -> bool {
+        let trimmed = self.trimmed_job(job);
+        self.job_bytes(trimmed.as_ref().unwrap_or(job)) <= most
+    }
+
+    /// The length of a job's record as it stands, not trimmed.
+    pub(super) fn job_bytes(&self, job: &Job) -> usize {
+        let short = match self.uses_compact_encoding() {
+            true => crate::state::encoding::encode_job(job),
+            false => None,
+        };
+        let text = short.or_else(|| serde_json::to_string(job).ok());
+        text.map_or(usize::MAX, |t| t.len())
+    }
+
+    /// The job as it has to be written if its record would exceed the coming
+    /// limit, now or with the least that it runs at once; `None` where it fits.
+    pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
+        let most = self
+            .compact_limit
+            .filter(|_| self.uses_compact_encoding())?;
+        // Nearly all: told by a few lengths, as every write of a job asks.
+        if !is_long(job, most) && self.job_bytes(job) <= most {
+            return None;
+        }
+        let context = TrimContext {
+            machine_types: &self.types.value.types,
+            aimed_classes: &self.aimed_classes,
+            is_done: &|id| self.state(id) == Some(JobStatus::Done),
+        };
+        record_trim::trim_job(job, &context, |job| {
+            self.job_bytes(job) <= most && (!is_long(job, most) || self.runs_within(job, most))
+        })
+    }
+
+    /// Whether an open job's record leaves room for the least that it runs.
+    fn runs_within(&self, job: &Job, most: usize) -> bool {
+        let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
+            return true;
+        };
+        let longest = |names: &mut dyn Iterator<Item = &str>| {
+            let longest = names.max_by_key(|name| name.len());
+            longest.unwrap_or_default().to_string()
+        };
+        let machine = longest(&mut self.machines.keys().map(String::as_str));
+        let zone = longest(&mut self.zone_names.all());
+        // What it awaits leaves its record before any of its tasks comes in.
+        let least = crate::scheduler::least_record(spec, &machine, &zone);
+        least.saturating_sub(spec.awaits_bytes()) <= most
+    }
+
+    /// The write of a job's record, in the encoding in force.
+    pub fn put_job(&self, id: &str, job: &Job) -> Write {
+        let trimmed = self.trimmed_job(job);
+        let job = trimmed.as_ref().unwrap_or(job);
+        let short = || crate::state::encoding::encode_job(job);
+        self.put(job_key(id), job, short)
+    }
+
+    /// The write of a zone shard's record, in the encoding in force.
+    pub fn put_zone_shard(&self, id: &str, part: &ZoneShard) -> Write {
+        let short = || crate::state::encoding::encode_zone_shard(part);
+        self.put(zone_shard_key(id), part, short)
+    }
+
+    /// The write of a machine group's record, in the encoding in force.
+    pub fn put_machine_shard(&self, id: &str, group: &MachineShard) -> Write {
+        let short = || crate::state::encoding::encode_machine_shard(group);
+        self.put(machine_shard_key(id), group, short)
+    }
+
+    fn put<T: serde::Serialize>(
+        &self,
+        key: String,
+        value: &T,
+        short: impl FnOnce() -> Option<String>,
+    ) -> Write {
+        let text = self.uses_compact_encoding().then(short).flatten();
+        match text.and_then(|t| RawValue::from_string(t).ok()) {
+            Some(value) => Write::Put {
+                key,
+                value,
+                lease: None,
+            },
+            None => crate::node::put(key, value),
+        }
+    }
+
+    /// Safety 8: whether every controller of the deployment reads the newer
+    /// formats, so that they may be written.
+    pub fn upgraded(&self) -> bool {
+        self.formats.value.all >= FORMATS
+    }
+}
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -11,15 +11,15 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::transaction::MachineShardEdits;
-use crate::model::{MachineLifecycle, Machine};
+use super::WorkerSession;
 use crate::node::Node;
-use crate::store::{Class, StoreError};
-use crate::replica::{machine_shard_key, shard_id};
+use crate::scheduler::MachineShardEdits;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::{machine_shard_key, shard_id};
+use crate::state::records::{Machine, MachineLifecycle};
 use crate::wire::{Guard, Report, Write};
 
-use super::WorkerSession;
-
 /// How long a heartbeat waits for its claim: a worker drops an answer that takes
 /// 4 s, so one that cannot be claimed soon is refused while that still helps it.
 const CLAIM_WAIT: Duration = Duration::from_millis(3200);
@@ -75,7 +75,8 @@
         let worker_sessions = self.worker_sessions.borrow();
         match (worker_sessions.get(id), replica.machines.get(id)) {
             (Some(worker_session), Some(machine)) => {
-                worker_session.token == machine.value.token && machine.value.incarnation == self.incarnation
+                worker_session.token == machine.value.token
+                    && machine.value.incarnation == self.incarnation
             }
             _ => false,
         }
@@ -126,7 +127,7 @@
         sleep(node.request_gap() * 2).await;
         while !node.claims.borrow().is_empty() {
             // They stand in few records, however many they are.
-            node.store.ready(Class::Claim, 1).await;
+            node.store.ready(RequestClass::Claim, 1).await;
             if let Err(error) = commit_some(&node).await {
                 tracing::debug!(%error, "claims not committed");
                 drop_claims_beyond_limits(&node, &error);
@@ -247,7 +248,12 @@
 }
 
 /// The record of a machine that has none yet.
-fn new_machine(node: &Node, machine_shards: &mut MachineShardEdits, id: &str, report: &Report) -> Machine {
+fn new_machine(
+    node: &Node,
+    machine_shards: &mut MachineShardEdits,
+    id: &str,
+    report: &Report,
+) -> Machine {
     let (kind, zone) = (&report.kind, &report.zone);
     let part = machine_shards.new_shard(&node.settings, id, kind, zone);
     Machine {
@@ -274,7 +280,7 @@
     guards: Vec<Guard>,
     writes: Vec<Write>,
 ) -> Result<u64, StoreError> {
-    let result = node.commit(Class::Claim, guards, writes).await;
+    let result = node.commit(RequestClass::Claim, guards, writes).await;
     if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
         // An unanswered claim may have been carried out: then the replica shows a
         // token that is ours by name but not held, and the next try raises it
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -6,11 +6,10 @@
 
 use tokio::time::{Instant, timeout};
 
+use super::{Plan, WorkerSession, reconcile};
 use crate::http::{CallError, Deadlines, Response};
 use crate::node::Node;
-use crate::wire::{WorkerCommand, WorkerCommands, Report, CommandKind};
-
-use super::{WorkerSession, Plan, reconcile};
+use crate::wire::{CommandKind, Report, WorkerCommand, WorkerCommands};
 
 /// How long a worker waits for the answers to its own reports; longer calls to it
 /// are given up as well.
@@ -80,7 +79,10 @@
     fn endpoint(&self, id: &str, worker_session: &WorkerSession) -> Option<(String, u64)> {
         let fleet = self.fleet.borrow();
         let known = fleet.reports.get(id)?;
-        let session = worker_session.report.as_ref().map_or(known.session, |r| r.session);
+        let session = worker_session
+            .report
+            .as_ref()
+            .map_or(known.session, |r| r.session);
         Some((known.addr.clone(), session))
     }
 }
@@ -168,7 +170,10 @@
 /// for the rest. What is heard again has its orders by the answer.
 fn may_call(node: &Node, worker_session: &WorkerSession, now: Instant) -> bool {
     let silent = now.saturating_duration_since(worker_session.heard) > node.settings.report() * 2;
-    !worker_session.in_flight && !worker_session.unresolved && worker_session.quiet_until <= now && !silent
+    !worker_session.in_flight
+        && !worker_session.unresolved
+        && worker_session.quiet_until <= now
+        && !silent
 }
 
 /// By when a call must be sent and answered. If this process stands still before
@@ -191,7 +196,10 @@
     let quiet_until = now + node.settings.report();
     let id = call.machine.as_str();
     let mut worker_sessions = node.worker_sessions.borrow_mut();
-    let Some(worker_session) = worker_sessions.get_mut(id).filter(|h| h.token == call.body.token) else {
+    let Some(worker_session) = worker_sessions
+        .get_mut(id)
+        .filter(|h| h.token == call.body.token)
+    else {
         return;
     };
     worker_session.in_flight = false;
@@ -241,7 +249,13 @@
 
 /// Takes the report that a worker has answered a call with; false if it shows that
 /// another controller has claimed the machine.
-fn take_answer(node: &Node, worker_session: &mut WorkerSession, call: &Call, answer: &Response, now: Instant) -> bool {
+fn take_answer(
+    node: &Node,
+    worker_session: &mut WorkerSession,
+    call: &Call,
+    answer: &Response,
+    now: Instant,
+) -> bool {
     let id = call.machine.as_str();
     let report = match answer.parse::<Report>() {
         Ok(report) => report,
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -6,12 +6,11 @@
 
 use tokio::time::Instant;
 
+use super::{Plan, must_stop, stops_of_cancelled};
 use crate::http::Response;
-use crate::model::{MachineLifecycle, Machine};
 use crate::node::Node;
-use crate::wire::{HeartbeatResponse, WorkerCommand, Redirect, Report};
-
-use super::{Plan, must_stop, stops_of_cancelled};
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::wire::{HeartbeatResponse, Redirect, Report, WorkerCommand};
 
 /// A worker drops answers with a lower token than it has shown, so this one keeps
 /// it at this controller without renewing its lease.
@@ -25,7 +24,10 @@
 enum Answer {
     /// The worker executes the orders, and its lease is renewed if the token is
     /// not below the one that it has shown.
-    WorkerCommands { token: u64, orders: Vec<WorkerCommand> },
+    WorkerCommands {
+        token: u64,
+        orders: Vec<WorkerCommand>,
+    },
     /// The worker is to report to this controller, or else to any other.
     Redirect(Option<String>),
     /// The worker is to try the next controller.
@@ -51,7 +53,9 @@
 
     fn into_response(self) -> Response {
         match self {
-            Answer::WorkerCommands { token, orders } => Response::json(200, &HeartbeatResponse { token, orders }),
+            Answer::WorkerCommands { token, orders } => {
+                Response::json(200, &HeartbeatResponse { token, orders })
+            }
             Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
             Answer::Unavailable {
                 reason,
@@ -132,7 +136,11 @@
         };
         let report = &heartbeat.report;
         let held = self.holds(heartbeat.id());
-        if matches!(machine.life, MachineLifecycle::Returning | MachineLifecycle::Gone) && !held {
+        if matches!(
+            machine.life,
+            MachineLifecycle::Returning | MachineLifecycle::Gone
+        ) && !held
+        {
             return Err(Answer::Unavailable {
                 reason: "machine was returned",
                 retry_after_s: RETURNED_RETRY_S,
@@ -157,7 +165,9 @@
     /// Whether this controller, in this run or an earlier one, is recorded as the
     /// holder of the machine.
     fn is_recorded_holder(&self, machine: &Machine) -> bool {
-        machine.holder == self.name() && machine.token > 0 && machine.life != MachineLifecycle::Booting
+        machine.holder == self.name()
+            && machine.token > 0
+            && machine.life != MachineLifecycle::Booting
     }
 
     /// Forgets a machine that was held here until another controller claimed it.
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -9,12 +9,12 @@
 mod claims;
 mod commands;
 mod heartbeat;
-mod zone_shards;
 mod reconcile;
 mod rooms;
 mod routing;
 mod session;
 mod termination;
+mod zone_shards;
 
 pub use claims::{Claim, run_claims};
 pub use commands::run_commands;
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -6,11 +6,10 @@
 
 use tokio::time::Instant;
 
-use crate::model::{JobStatus, Job, MachineLifecycle, Outcome, Run, Spec, split_task};
-use crate::replica::{Entry, Replica};
-use crate::wire::{WorkerCommand, Report, TaskReport, TaskStage, CommandKind, ExitReason};
-
-use super::{AttemptKey, WorkerSession, TerminationEvidence};
+use super::{AttemptKey, TerminationEvidence, WorkerSession};
+use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
+use crate::state::replica::{Entry, Replica};
+use crate::wire::{CommandKind, ExitReason, Report, TaskReport, TaskStage, WorkerCommand};
 
 /// What a worker is to be told, and which bookings are to be released.
 #[derive(Debug, Default, PartialEq)]
@@ -163,7 +162,10 @@
     /// Stops a booked task whose job is over, whose run is to end, or whose
     /// machine is to be returned.
     fn stop_booked(&self, job: &Job, run: &Run, task: &TaskReport, plan: &mut Plan) {
-        let returning = matches!(self.life, MachineLifecycle::Returning | MachineLifecycle::Gone);
+        let returning = matches!(
+            self.life,
+            MachineLifecycle::Returning | MachineLifecycle::Gone
+        );
         if job.is_open() && !run.stop && !returning {
             return;
         }
@@ -188,7 +190,9 @@
 
     /// When the task was last ordered to stop, and with how much grace.
     fn stop_ordered(&self, task: &TaskReport) -> Option<&(Instant, f64)> {
-        self.worker_session.stopped.get(&(task.task.clone(), task.attempt))
+        self.worker_session
+            .stopped
+            .get(&(task.task.clone(), task.attempt))
     }
 
     fn is_overdue(&self, ordered: Instant) -> bool {
@@ -224,13 +228,17 @@
             return;
         }
         let task = format!("{job_id}/{number}");
-        let launched = self.worker_session.launched.contains(&(task.clone(), run.attempt));
+        let launched = self
+            .worker_session
+            .launched
+            .contains(&(task.clone(), run.attempt));
         // A gang's member that was there and is gone has broken the attempt; an
         // independent task is simply launched again, but not where no order
         // arrives.
         let job = &entry.value;
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-        let lost = run.stop || self.worker_session.unreachable_since.is_some() || (gang && launched);
+        let lost =
+            run.stop || self.worker_session.unreachable_since.is_some() || (gang && launched);
         if !job.is_open() || self.life != MachineLifecycle::Active || lost {
             plan.ends.push((key, Outcome::Lost));
         } else if entry.version <= self.replica.revision {
@@ -266,7 +274,8 @@
 pub fn stops_of_cancelled(report: &Report, replica: &Replica) -> Vec<WorkerCommand> {
     let cancelled = |task: &&TaskReport| {
         let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
-        task.stage != TaskStage::Ended && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
+        task.stage != TaskStage::Ended
+            && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
     };
     let stop = |task: &TaskReport| WorkerCommand {
         verb: CommandKind::Stop,
--- a/src/workers/rooms.rs
+++ b/src/workers/rooms.rs
@@ -8,15 +8,18 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
-use crate::model::{MachineLifecycle, Machine, ZoneShard, Resources, MachineSlot, split_task};
-use crate::node::{Node, guard};
-use crate::store::{Class, StoreError};
-use crate::replica::{Replica, zone_shard_key};
-use crate::wire::{Guard, Report, TaskReport, TaskStage};
-
 use super::WorkerSession;
 use super::zone_shards::{Conditions, PartEdit, choose_part};
+use crate::node::{Node, guard};
+use crate::scheduler::{COMMIT_BYTES, GUARDS_PER_WRITE};
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::keys::zone_shard_key;
+use crate::state::records::{
+    Machine, MachineLifecycle, MachineSlot, Resources, ZoneShard, split_task,
+};
+use crate::state::replica::Replica;
+use crate::wire::{Guard, Report, TaskReport, TaskStage};
 
 /// A part's record is published at most once in this time, unless machines join.
 const INTERVAL: Duration = Duration::from_secs(5);
@@ -44,9 +47,9 @@
         // A machine that is in no record is rented for nothing, and work that
         // is sent to a silent one waits for its lease: neither stands behind
         // the rounds, which would have the whole budget while work waits.
-        let mut class = Class::Publication;
+        let mut class = RequestClass::Publication;
         if changes.iter().any(|c| c.members) {
-            class = Class::Claim;
+            class = RequestClass::Claim;
             joined = Some(Instant::now());
             node.store.ready(class, changes.len()).await;
             changes = room_changes(&node, &published);
@@ -63,7 +66,11 @@
 async fn gather(node: &Node, joined: Option<Instant>) {
     let moment = node.request_gap() * 4;
     let apart = node.settings.report() / 4;
-    let _ = timeout(node.settings.report() / 3, node.publication_wanted.notified()).await;
+    let _ = timeout(
+        node.settings.report() / 3,
+        node.publication_wanted.notified(),
+    )
+    .await;
     let since = joined.map_or(apart, |t| t.elapsed());
     sleep(moment.max(apart.saturating_sub(since))).await;
 }
@@ -71,14 +78,16 @@
 /// Commits the changes; where others were quicker, those that do not conflict.
 async fn publish(
     node: &Node,
-    class: Class,
+    class: RequestClass,
     mut changes: Vec<RoomChange>,
     published: &mut Published,
 ) {
     while !changes.is_empty() {
         let (guards, writes) = {
             let replica = node.replica.borrow();
-            let writes = changes.iter().map(|c| replica.put_zone_shard(&c.id, &c.part));
+            let writes = changes
+                .iter()
+                .map(|c| replica.put_zone_shard(&c.id, &c.part));
             (all_guards(&changes), writes.collect())
         };
         match node.commit(class, guards, writes).await {
@@ -138,7 +147,7 @@
     let now = node.liveness_tick();
     let replica = node.replica.borrow();
     let worker_sessions = node.worker_sessions.borrow();
-    let suspects = crate::fleet::suspects(node, &replica, &worker_sessions);
+    let suspects = crate::cloud::suspects(node, &replica, &worker_sessions);
     let mut planner = RoomPlanner::new(node, &replica, suspects, now);
     for (id, worker_session) in worker_sessions.iter() {
         let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
@@ -224,7 +233,8 @@
     fn is_quiet(&self, id: &str, worker_session: &WorkerSession) -> bool {
         let settings = &self.node.settings;
         let since = |t: Instant| self.now.saturating_duration_since(t);
-        let unshown = worker_session.report.is_none() && since(worker_session.claimed) > settings.report() * 2;
+        let unshown = worker_session.report.is_none()
+            && since(worker_session.claimed) > settings.report() * 2;
         let silent = since(worker_session.heartbeat) > settings.lease().mul_f64(QUIET_SHARE);
         unshown || silent || self.suspects.contains(id)
     }
@@ -275,7 +285,12 @@
     }
 
     /// The part that the machine stands in, or is put into.
-    fn zone_shard_of(&mut self, id: &str, machine: &Machine, slot: Option<&MachineSlot>) -> Option<String> {
+    fn zone_shard_of(
+        &mut self,
+        id: &str,
+        machine: &Machine,
+        slot: Option<&MachineSlot>,
+    ) -> Option<String> {
         if let Some(part) = self.replica.zone_shard_of(id) {
             return Some(part.to_string());
         }
@@ -328,7 +343,10 @@
 
     /// What must be as it is for the change of a part to hold.
     fn guards(&self, part: &str) -> Vec<Guard> {
-        let mut guards = vec![guard(zone_shard_key(part), self.replica.zone_shard_version(part))];
+        let mut guards = vec![guard(
+            zone_shard_key(part),
+            self.replica.zone_shard_version(part),
+        )];
         let keys = self.condition_keys.get(part).into_iter().flatten();
         guards.extend(keys.map(|key| {
             let version = self.conditions.get(key).copied().unwrap_or(0);
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -7,8 +7,8 @@
 
 use tokio::time::Instant;
 
-use crate::model::Machine;
 use crate::node::Node;
+use crate::state::records::Machine;
 use crate::wire::Report;
 
 /// For so many leases a worker is left alone that did not reach its home.
@@ -105,7 +105,7 @@
             .filter(|n| zone_of(n) == zone)
             .collect();
         let choice = if there.is_empty() { alive } else { &there };
-        crate::placement::preferred(machine, choice.iter().copied()).map(str::to_string)
+        crate::scheduler::preferred(machine, choice.iter().copied()).map(str::to_string)
     }
 
     /// The controller that holds a machine, if it is up and hears its workers: a
--- a/src/workers/session.rs
+++ b/src/workers/session.rs
@@ -11,7 +11,7 @@
 
 use crate::node::skipped;
 use crate::settings::CLOCK_DRIFT;
-use crate::wire::{WorkerCommand, Report, CommandKind};
+use crate::wire::{CommandKind, Report, WorkerCommand};
 
 /// What this controller knows of a machine that it holds, from the claim of its
 /// token on.
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,9 +1,9 @@
 //! Ends of tasks: what proves that an attempt is over, and the queue of those that
 //! are to be recorded.
 
-use crate::model::{MachineLifecycle, Outcome};
 use crate::node::Node;
-use crate::replica::Replica;
+use crate::state::records::{MachineLifecycle, Outcome};
+use crate::state::replica::Replica;
 
 /// A task's attempt on a machine whose booking is to be released.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -101,7 +101,8 @@
         let replica = node.replica.borrow();
         let machines = replica.machines.iter();
         let gone = machines.filter(|(_, m)| m.value.life == MachineLifecycle::Gone);
-        gone.flat_map(|(id, _)| all_bookings(&replica, id)).collect()
+        gone.flat_map(|(id, _)| all_bookings(&replica, id))
+            .collect()
     };
     node.queue_terminations(lost);
 }
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Machine, ZoneShard, Resources, MachineSlot};
-use crate::replica::{Replica, machine_shard_key, shard_id, zone_shard_key};
-
 use super::home_of;
+use crate::state::keys::{machine_shard_key, shard_id, zone_shard_key};
+use crate::state::records::{Machine, MachineSlot, Resources, ZoneShard};
+use crate::state::replica::Replica;
 
 /// A part's record as a commit will leave it.
 #[derive(Default)]
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,18 +6,19 @@
 use std::time::Duration;
 
 use serde_json::json;
-use shelfhoist::admission::{self, Care, Hints, Plan, WaitReason};
 use shelfhoist::api::{Refusal, check_submission, read_submission, should_shed};
-use shelfhoist::transaction::{Transaction, Released};
-use shelfhoist::fleet::{Blame, blame};
+use shelfhoist::cloud::{Blame, blame};
 use shelfhoist::http::{CallError, Client, Parsed, Response, ServerLimits, parse_request, serve};
-use shelfhoist::machines::{self, AttemptKey, WorkerSession, TerminationEvidence, reconcile};
-use shelfhoist::model::*;
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::pipeline::Standing;
+use shelfhoist::scheduler::{self, Care, Hints, Plan, WaitReason};
+use shelfhoist::scheduler::{Released, Transaction};
 use shelfhoist::settings::Settings;
-use shelfhoist::replica::{Replica, machine_shard_key, job_key, shard_id, zone_shard_key};
+use shelfhoist::state::keys::{job_key, machine_shard_key, shard_id, zone_shard_key};
+use shelfhoist::state::records::*;
+use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::*;
+use shelfhoist::workers::{self, AttemptKey, TerminationEvidence, WorkerSession, reconcile};
 use tokio::time::Instant;
 
 fn settings_json() -> serde_json::Value {
@@ -266,7 +267,10 @@
         assert_eq!(check(edit, &replica), *status, "{edit:?}");
     }
     assert_eq!(check(&[], &Replica::default()), 503, "types not known yet");
-    assert_eq!(check(&[("crew", json!("nobody"))], &Replica::default()), 422);
+    assert_eq!(
+        check(&[("crew", json!("nobody"))], &Replica::default()),
+        422
+    );
 }
 
 #[test]
@@ -334,7 +338,11 @@
     for (zone, machine, cpus) in rooms {
         let kind = format!("of-{cpus}");
         if replica.type_of(&kind).is_none() {
-            replica.types.value.types.push(machine_type(&kind, *cpus, 0.0));
+            replica
+                .types
+                .value
+                .types
+                .push(machine_type(&kind, *cpus, 0.0));
         }
         let slot = MachineSlot {
             kind,
@@ -366,7 +374,7 @@
     let fit = |spec: &Spec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::of(replica);
-        admission::fit(&job, spec, &plan, &hints(replica), &set, Care::Lax).map(|places| {
+        scheduler::fit(&job, spec, &plan, &hints(replica), &set, Care::Lax).map(|places| {
             let mut zones = BTreeMap::new();
             for p in places {
                 *zones.entry(p.zone.to_string()).or_insert(0) += 1;
@@ -379,7 +387,10 @@
         ..s
     };
     let gang = spec(Kind::Gang, 3, 2.0);
-    assert_eq!(fit(&required(gang.clone()), &split), Err(WaitReason::NoZone));
+    assert_eq!(
+        fit(&required(gang.clone()), &split),
+        Err(WaitReason::NoZone)
+    );
     assert_eq!(
         fit(&gang, &split),
         Ok(vec![("a".into(), 2), ("b".into(), 1)])
@@ -390,7 +401,10 @@
     );
     // Preferred, too, stays in one zone where it can.
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
-    assert_eq!(fit(&spec(Kind::Gang, 5, 2.0), &split), Err(WaitReason::NoRoom));
+    assert_eq!(
+        fit(&spec(Kind::Gang, 5, 2.0), &split),
+        Err(WaitReason::NoRoom)
+    );
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
         fit(&spec(Kind::Array, 8, 2.0), &split),
@@ -408,7 +422,10 @@
         fit(&spec(Kind::Array, 20, 2.0), &wide),
         Ok(vec![("a".into(), 8)])
     );
-    assert_eq!(fit(&spec(Kind::Gang, 9, 2.0), &wide), Err(WaitReason::TeamLimit));
+    assert_eq!(
+        fit(&spec(Kind::Gang, 9, 2.0), &wide),
+        Err(WaitReason::TeamLimit)
+    );
 }
 
 /// Rule `wrong_place`: tasks that are still somewhere bind the others, those
@@ -426,13 +443,13 @@
     let mut job = Job::new(s.clone(), 1);
     let task = job.take_fresh().expect("one");
     job.book("m9", "b", 1, task);
-    let places = admission::fit(&job, &s, &plan, &hints, &set, Care::Lax).expect("fits");
+    let places = scheduler::fit(&job, &s, &plan, &hints, &set, Care::Lax).expect("fits");
     assert!(places.iter().all(|p| &*p.zone == "b"), "{places:?}");
     let gang = spec(Kind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
-        admission::fit(&job, &gang, &plan, &hints, &set, Care::Lax),
+        scheduler::fit(&job, &gang, &plan, &hints, &set, Care::Lax),
         Err(WaitReason::OldAttempt)
     );
 }
@@ -471,7 +488,10 @@
     let t = array.retry.pop_first().expect("again");
     array.book("m", "a", 2, t);
     assert!(array.release("m", 2, 1, Outcome::Done));
-    assert_eq!((array.status, array.spec.is_none()), (JobStatus::Done, true));
+    assert_eq!(
+        (array.status, array.spec.is_none()),
+        (JobStatus::Done, true)
+    );
 
     let mut gang = Job::new(spec(Kind::Gang, 2, 1.0), 1);
     gang.book("m", "a", 1, 0);
@@ -509,7 +529,11 @@
         let mut spec = work.clone();
         spec.checkpoint_s = 30.0;
         edit(&mut spec);
-        assert_eq!(admission::is_opportunistic(&spec, &settings), filler, "{name}");
+        assert_eq!(
+            scheduler::is_opportunistic(&spec, &settings),
+            filler,
+            "{name}"
+        );
     }
 }
 
@@ -640,7 +664,7 @@
         wide.need.ram = Amount(0);
         replica.jobs.insert(
             "job-1".into(),
-            shelfhoist::replica::Entry {
+            shelfhoist::state::replica::Entry {
                 version: 3,
                 value: Job::new(wide.clone(), 1),
             },
@@ -649,7 +673,7 @@
         let plan = Plan::of(&replica);
         let mut terms = set.clone();
         terms.deployment.teams[0].cpus_max = 1e6;
-        let places = admission::fit(&job, &wide, &plan, &hints(&replica), &terms, Care::Lax);
+        let places = scheduler::fit(&job, &wide, &plan, &hints(&replica), &terms, Care::Lax);
         let places = places.expect("room for all");
         assert_eq!(places.len(), 9);
         let mut transaction = Transaction::new(&replica, 6);
@@ -819,9 +843,15 @@
     let now = Instant::now();
     let mut worker_session = WorkerSession::new(5, 9, now);
     assert!(worker_session.take(report(7, 5, json!([])), true));
-    assert!(!worker_session.take(report(7, 5, json!([])), true), "the same again");
+    assert!(
+        !worker_session.take(report(7, 5, json!([])), true),
+        "the same again"
+    );
     assert!(!worker_session.take(report(6, 5, json!([])), true), "late");
-    assert!(!worker_session.take(report(8, 4, json!([])), true), "another token");
+    assert!(
+        !worker_session.take(report(8, 4, json!([])), true),
+        "another token"
+    );
     assert!(worker_session.take(report(8, 5, json!([])), false));
 }
 
@@ -831,17 +861,44 @@
 #[test]
 fn an_end_is_released_only_under_the_claim_that_proved_it() {
     let cases: &[(&str, u64, MachineLifecycle, u64, Released)] = &[
-        ("the claim that stands", 5, MachineLifecycle::Active, 1, Released::Yes),
-        ("an earlier claim", 4, MachineLifecycle::Active, 1, Released::Stale),
-        ("another run's claim", 5, MachineLifecycle::Active, 2, Released::Stale),
-        ("the cloud's word", 0, MachineLifecycle::Gone, 2, Released::Yes),
+        (
+            "the claim that stands",
+            5,
+            MachineLifecycle::Active,
+            1,
+            Released::Yes,
+        ),
+        (
+            "an earlier claim",
+            4,
+            MachineLifecycle::Active,
+            1,
+            Released::Stale,
+        ),
+        (
+            "another run's claim",
+            5,
+            MachineLifecycle::Active,
+            2,
+            Released::Stale,
+        ),
+        (
+            "the cloud's word",
+            0,
+            MachineLifecycle::Gone,
+            2,
+            Released::Yes,
+        ),
     ];
     for (name, token, life, incarnation, want) in cases {
         let mut replica = held(Kind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
         machine.life = *life;
         let group = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
-        replica.advance(vec![Event::put(machine_shard_key("a/n0.0"), &group, 11)], 11);
+        replica.advance(
+            vec![Event::put(machine_shard_key("a/n0.0"), &group, 11)],
+            11,
+        );
         let key = AttemptKey {
             job: "job-1".into(),
             machine: "m".into(),
@@ -887,7 +944,10 @@
     );
     worker_session.unresolved = false;
     worker_session.answered = start + Duration::from_secs(5);
-    assert!(!worker_session.lease_is_over(lease, margin, late), "renewed since");
+    assert!(
+        !worker_session.lease_is_over(lease, margin, late),
+        "renewed since"
+    );
 }
 
 #[test]
@@ -921,11 +981,11 @@
         ..with("u", Production)
     };
     assert!(
-        !admission::may_preempt((&with("t", High), High), true, (&service, Production), true),
+        !scheduler::may_preempt((&with("t", High), High), true, (&service, Production), true),
         "a service is not ended for a guarantee"
     );
     for (job, inside, victim, borrows, expected) in cases {
-        let got = admission::may_preempt(
+        let got = scheduler::may_preempt(
             (&with(job.0, job.1), job.1),
             inside,
             (&with(victim.0, victim.1), victim.1),
@@ -947,12 +1007,12 @@
     let mut job = Job::new(s.clone(), 1);
     for _ in 0..20 {
         let plan = Plan::of(&replica);
-        let Ok(places) = admission::fit(&job, &s, &plan, &hints(&replica), &set_wide, Care::Lax)
+        let Ok(places) = scheduler::fit(&job, &s, &plan, &hints(&replica), &set_wide, Care::Lax)
         else {
             break;
         };
         let places: Vec<_> = places.iter().collect();
-        shelfhoist::transaction::book(&mut job, &s, &places);
+        shelfhoist::scheduler::book(&mut job, &s, &places);
         // What fails on some machines is noted, too.
         for run in job.runs.clone().iter().rev().take(FAILED_ON + 2) {
             let task = run.tasks.iter().next().expect("a task");
@@ -1026,9 +1086,9 @@
     ] {
         let later = now + bound * 2;
         let ages = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
-        let mut ages: admission::Ages = ages.into_iter().collect();
+        let mut ages: scheduler::Ages = ages.into_iter().collect();
         ages.insert("job-1".into(), later);
-        let queue = admission::queue(&replica, &Plan::of(&replica), &set, &ages, later);
+        let queue = scheduler::queue(&replica, &Plan::of(&replica), &set, &ages, later);
         assert_eq!(queue[0], first, "{age:?}: {queue:?}");
     }
 }
@@ -1048,7 +1108,7 @@
         ..spec(Kind::Gang, 3, 4.0)
     };
     let mut plan = Plan::of(&replica);
-    admission::hold_room(&gang, &mut plan, &hints(&replica));
+    scheduler::hold_room(&gang, &mut plan, &hints(&replica));
     let free = |m: &str| {
         plan.spots[plan.find(&replica, m).expect("spot")]
             .free
@@ -1068,7 +1128,7 @@
     let mut version = 10;
     for n in 0..800 {
         let name = format!("host-{n:06}");
-        let mut machine_shards = shelfhoist::transaction::MachineShardEdits::new(&replica);
+        let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         let machine = Machine {
             part: machine_shards.new_shard(&set, &name, "grande-occhio", "a"),
             holder: "n0".into(),
@@ -1098,20 +1158,31 @@
             .machine_shards
             .keys()
             .filter(|k| k.starts_with(&format!("a/{home}.")));
-        assert!(guards.len() > zone_shards.count().saturating_sub(1), "{guards:?}");
+        assert!(
+            guards.len() > zone_shards.count().saturating_sub(1),
+            "{guards:?}"
+        );
         replica.overlay(&writes, version);
     }
     assert_eq!(replica.machines.len(), 800);
-    let listed: usize = replica.machine_shards.values().map(|g| g.value.machines.len()).sum();
+    let listed: usize = replica
+        .machine_shards
+        .values()
+        .map(|g| g.value.machines.len())
+        .sum();
     assert_eq!(listed, 800, "each stands in one part");
-    assert!(replica.machine_shards.len() > 4, "{}", replica.machine_shards.len());
+    assert!(
+        replica.machine_shards.len() > 4,
+        "{}",
+        replica.machine_shards.len()
+    );
     // A takeover of all takes as many commits as it needs, each within what a
     // request may hold.
     let ops = set.txn_ops();
     let mut left: Vec<String> = replica.machines.keys().cloned().collect();
     let mut commits = 0;
     while !left.is_empty() {
-        let mut machine_shards = shelfhoist::transaction::MachineShardEdits::new(&replica);
+        let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         left.retain(|name| {
             let machine = &replica.machines[name].value;
             let group = shard_id(&machine.zone, &machine.part);
@@ -1163,13 +1234,16 @@
             .map(|id| (id.to_string(), spec(Kind::Array, 2, 1.0)))
             .collect(),
     };
-    let key = shelfhoist::replica::arrivals_key;
+    let key = shelfhoist::state::keys::arrivals_key;
     replica.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
     assert_eq!((replica.job_version("job-1"), replica.open.len()), (0, 2));
     replica.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
     // A commit without an answer that was carried out late.
     replica.advance(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
-    assert!(!replica.jobs["job-1"].value.is_open(), "a final state changed");
+    assert!(
+        !replica.jobs["job-1"].value.is_open(),
+        "a final state changed"
+    );
     assert_eq!((replica.job_version("job-1"), replica.open.len()), (6, 1));
 }
 
@@ -1191,7 +1265,7 @@
     ] {
         let report = report(3, 5, tasks.clone());
         assert_eq!(
-            shelfhoist::machines::must_stop(&report, replica),
+            shelfhoist::workers::must_stop(&report, replica),
             must_stop,
             "{tasks}"
         );
@@ -1215,9 +1289,9 @@
     for token in [0, 5, 9] {
         let report = report(3, token, tasks.clone());
         for replica in [&open, &done] {
-            assert_eq!(machines::stops_of_cancelled(&report, replica), vec![]);
+            assert_eq!(workers::stops_of_cancelled(&report, replica), vec![]);
         }
-        let stops = machines::stops_of_cancelled(&report, &over);
+        let stops = workers::stops_of_cancelled(&report, &over);
         let told: Vec<_> = stops
             .iter()
             .map(|o| (o.verb, &*o.task, o.attempt))
@@ -1274,12 +1348,25 @@
                 session: *session,
                 ..report(*seq, *token, json!([]))
             };
-            assert!(worker_session.record_heartbeat(&heartbeat, lease, now), "{name} {n}");
+            assert!(
+                worker_session.record_heartbeat(&heartbeat, lease, now),
+                "{name} {n}"
+            );
             worker_session.answered = now;
-            assert_eq!(worker_session.unreachable_since.is_some(), *deaf, "{name} {n}");
+            assert_eq!(
+                worker_session.unreachable_since.is_some(),
+                *deaf,
+                "{name} {n}"
+            );
             // The same again, or an older one, is a late copy.
-            assert!(!worker_session.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)), "{name} {n}");
-            assert_eq!(worker_session.heard, now, "{name} {n}: a copy kept it alive");
+            assert!(
+                !worker_session.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
+                "{name} {n}"
+            );
+            assert_eq!(
+                worker_session.heard, now,
+                "{name} {n}: a copy kept it alive"
+            );
         }
     }
 }
@@ -1322,7 +1409,7 @@
 /// The writes that all controllers may make are shared by what each would.
 #[test]
 fn writes_are_shared_by_demand() {
-    let share = shelfhoist::store::write_share;
+    let share = shelfhoist::state::budget::write_share;
     let even = share(30.0, 5.0, &[Some(5.0); 4]);
     assert!((even - 6.0).abs() < 0.01, "{even}");
     assert!(share(30.0, 9.0, &[Some(1.0); 4]) > 12.0);
@@ -1519,7 +1606,7 @@
         {"kind": "deadline", "class": "d", "target": 0.9},
     ]);
     let set = Settings::parse(&set.to_string()).expect("settings");
-    // Class, own deadline, left of the effective one, asked for, age -> late.
+    // RequestClass, own deadline, left of the effective one, asked for, age -> late.
     // The estimate is 10 s.
     let cases = [
         ("x", None, None, false, 999.0, false),
@@ -1547,7 +1634,7 @@
             left_s,
             asked,
         };
-        let got = admission::is_late(&spec, &set, age, &standing);
+        let got = scheduler::is_late(&spec, &set, age, &standing);
         assert_eq!(got, expected, "{case:?}");
     }
 }
@@ -1567,7 +1654,7 @@
         (High, High, false),
         (Low, High, false),
     ] {
-        let got = admission::may_preempt((&low, ours), false, (&low, theirs), false);
+        let got = scheduler::may_preempt((&low, ours), false, (&low, theirs), false);
         assert_eq!(got, expected, "{ours:?} {theirs:?}");
     }
 }
@@ -1634,7 +1721,11 @@
         }
         let check = |replica: &Replica, how: &str| {
             for ((id, _), state) in jobs.iter().zip(states) {
-                assert_eq!(replica.state(id), Some(state), "{status:?} {other:?} {how}: {id}");
+                assert_eq!(
+                    replica.state(id),
+                    Some(state),
+                    "{status:?} {other:?} {how}: {id}"
+                );
             }
             let got: Vec<&str> = replica.open.iter().map(|(_, id)| id.as_str()).collect();
             assert_eq!(got, open, "{status:?} {other:?} {how}");
@@ -1656,7 +1747,7 @@
         // All open at first, in one arrival; then the first two change.
         let specs = self::jobs_of(&jobs);
         let mut replica = Replica::default();
-        let key = shelfhoist::replica::arrivals_key("x");
+        let key = shelfhoist::state::keys::arrivals_key("x");
         let arrivals = Arrivals {
             accepted_revision: 7,
             jobs: specs,
@@ -1693,7 +1784,11 @@
 #[test]
 fn what_waits_is_not_booked() {
     let set = settings();
-    for (status, booked) in [(JobStatus::Open, 0), (JobStatus::Cancelled, 0), (JobStatus::Done, 2)] {
+    for (status, booked) in [
+        (JobStatus::Open, 0),
+        (JobStatus::Cancelled, 0),
+        (JobStatus::Done, 2),
+    ] {
         let mut replica = view_with(&[("a", "m", 8.0)]);
         let second = after(&["job-1"], Priority::Low, 5.0, None);
         replica.advance(
@@ -1705,7 +1800,7 @@
         );
         let plan = Plan::of(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = admission::fit(&second, &spec, &plan, &hints(&replica), &set, Care::Lax);
+        let places = scheduler::fit(&second, &spec, &plan, &hints(&replica), &set, Care::Lax);
         let mut transaction = Transaction::new(&replica, 9);
         let got = transaction.book("job-2", &spec, &places.expect("places"));
         assert_eq!(got, booked, "{status:?}");
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,14 +9,15 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use shelfhoist::machines::home_of;
 use shelfhoist::mesh::{Gossip, decode, encode};
-use shelfhoist::model::{
-    Amount, Arrivals, JobStatus, Formats, MachineShard, Rental, Job, MachineLifecycle, Machine, ZoneShard, Ranges, ControllerRecord, Resources,
-    Run, MachineSlot, Spec, Team, Types,
+use shelfhoist::state::keys;
+use shelfhoist::state::records::{
+    Amount, Arrivals, ControllerRecord, Formats, Job, JobStatus, Machine, MachineLifecycle,
+    MachineShard, MachineSlot, Ranges, Rental, Resources, Run, Spec, Team, Types, ZoneShard,
 };
-use shelfhoist::replica::{self, Replica};
+use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
+use shelfhoist::workers::home_of;
 
 // --- values ---------------------------------------------------------------------
 
@@ -182,13 +183,34 @@
     };
     MachineShard {
         machines: BTreeMap::from([
-            ("gpu-box".into(), machine("bay-2", 6, MachineLifecycle::Active)),
-            ("host-000231".into(), machine("bay-1", 1, MachineLifecycle::Active)),
-            ("host-000232".into(), machine("", 0, MachineLifecycle::Booting)),
-            ("host-000233".into(), machine("bay-2", 2, MachineLifecycle::Draining)),
-            ("host-000234".into(), machine("bay-1", 3, MachineLifecycle::Returning)),
-            ("host-000235".into(), machine("bay-1", 4, MachineLifecycle::Gone)),
-            ("host-000236".into(), machine("bay-2", 5, MachineLifecycle::Active)),
+            (
+                "gpu-box".into(),
+                machine("bay-2", 6, MachineLifecycle::Active),
+            ),
+            (
+                "host-000231".into(),
+                machine("bay-1", 1, MachineLifecycle::Active),
+            ),
+            (
+                "host-000232".into(),
+                machine("", 0, MachineLifecycle::Booting),
+            ),
+            (
+                "host-000233".into(),
+                machine("bay-2", 2, MachineLifecycle::Draining),
+            ),
+            (
+                "host-000234".into(),
+                machine("bay-1", 3, MachineLifecycle::Returning),
+            ),
+            (
+                "host-000235".into(),
+                machine("bay-1", 4, MachineLifecycle::Gone),
+            ),
+            (
+                "host-000236".into(),
+                machine("bay-2", 5, MachineLifecycle::Active),
+            ),
         ]),
     }
 }
@@ -393,7 +415,11 @@
     let key = "sh/machine/a/bay-1.0";
     for text in [GROUP, GROUP_SHORT] {
         let group: MachineShard = serde_json::from_str(text).expect("a group");
-        writes(&replica(false).put_machine_shard("a/bay-1.0", &group), key, GROUP);
+        writes(
+            &replica(false).put_machine_shard("a/bay-1.0", &group),
+            key,
+            GROUP,
+        );
         writes(
             &replica(true).put_machine_shard("a/bay-1.0", &group),
             key,
@@ -405,19 +431,19 @@
 #[test]
 fn keys_are_the_same() {
     for (key, text) in [
-        (replica::job_key("job-000412"), "sh/job/job-000412"),
-        (replica::team_key("vision"), "sh/team/vision"),
-        (replica::shard_id("a", "bay-1.0"), "a/bay-1.0"),
-        (replica::zone_shard_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
-        (replica::machine_shard_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
-        (replica::node_key("bay-1"), "sh/node/bay-1"),
-        (replica::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
-        (replica::rental_key("r-17"), "sh/hire/r-17"),
-        (replica::PREFIX.into(), "sh/"),
-        (replica::BARRIER_KEY.into(), "sh-barrier"),
-        (replica::FLEET_KEY.into(), "sh/fleet"),
-        (replica::TYPES_KEY.into(), "sh/types"),
-        (replica::FORMATS_KEY.into(), "sh/formats"),
+        (keys::job_key("job-000412"), "sh/job/job-000412"),
+        (keys::team_key("vision"), "sh/team/vision"),
+        (keys::shard_id("a", "bay-1.0"), "a/bay-1.0"),
+        (keys::zone_shard_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
+        (keys::machine_shard_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
+        (keys::node_key("bay-1"), "sh/node/bay-1"),
+        (keys::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
+        (keys::rental_key("r-17"), "sh/hire/r-17"),
+        (keys::PREFIX.into(), "sh/"),
+        (keys::BARRIER_KEY.into(), "sh-barrier"),
+        (keys::FLEET_KEY.into(), "sh/fleet"),
+        (keys::TYPES_KEY.into(), "sh/types"),
+        (keys::FORMATS_KEY.into(), "sh/formats"),
         (home_of("bay-1.0").into(), "bay-1"),
     ] {
         assert_eq!(key, text);
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -10,10 +10,10 @@
 
 use serde_json::json;
 use shelfhoist::http::{CallError, Client, Deadlines, Handler, Response, ServerLimits, serve};
-use shelfhoist::machines::Plan;
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
-use shelfhoist::wire::{WorkerCommand, CommandKind};
+use shelfhoist::wire::{CommandKind, WorkerCommand};
+use shelfhoist::workers::Plan;
 use stand_ins::{Shape, World, addr, in_world, job};
 use tokio::time::{Instant, sleep};
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -12,13 +12,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use shelfhoist::admission::{self, Care, Hints, Place, Plan, WaitReason, least_record, record_slots};
-use shelfhoist::transaction::{Transaction, MachineShardEdits, book};
-use shelfhoist::model::*;
+use shelfhoist::scheduler::{
+    self, Care, Hints, Place, Plan, WaitReason, least_record, record_slots,
+};
+use shelfhoist::scheduler::{MachineShardEdits, Transaction, book};
 use shelfhoist::settings::Settings;
-use shelfhoist::replica::{FORMATS_KEY, TYPES_KEY, Replica, machine_shard_key, job_key, zone_shard_key};
+use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key, machine_shard_key, zone_shard_key};
+use shelfhoist::state::records::*;
+use shelfhoist::state::replica::Replica;
+use shelfhoist::state::{compaction, encoding};
 use shelfhoist::wire::{Event, Kind, Priority, Write};
-use shelfhoist::{compaction, text};
 use stand_ins::{Shape, StateLimits, Trouble, World, in_world, job};
 use tokio::time::{Instant, sleep};
 
@@ -72,11 +75,11 @@
     same_bytes::<ControllerRecord>(RENTER);
     // And through the compact encoding and back, byte for byte; of a part all but what
     // is free, which nobody reads.
-    let again: Job = read(text::encode_job(&job));
+    let again: Job = read(encoding::encode_job(&job));
     assert_eq!(serde_json::to_string(&again).expect("text"), JOB);
-    let again: MachineShard = read(text::encode_machine_shard(&group));
+    let again: MachineShard = read(encoding::encode_machine_shard(&group));
     assert_eq!(serde_json::to_string(&again).expect("text"), GROUP);
-    let again: ZoneShard = read(text::encode_zone_shard(&part));
+    let again: ZoneShard = read(encoding::encode_zone_shard(&part));
     assert_eq!(again, without_free(&part));
 }
 
@@ -172,7 +175,7 @@
                     stop: rng.random(),
                 });
             }
-            let again: Job = read(text::encode_job(&job));
+            let again: Job = read(encoding::encode_job(&job));
             assert_eq!(again, job);
         }
     }
@@ -181,7 +184,7 @@
     for n in 0..70 {
         job.book(&format!("{n}-of-another-name"), "a", 1, n);
     }
-    assert_eq!(text::encode_job(&job), None);
+    assert_eq!(encoding::encode_job(&job), None);
     for bad in [
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 1A.1:0001"}}"#,
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 0A.1:001"}}"#,
@@ -234,11 +237,16 @@
             };
             group.machines.insert(name(n), machine);
         }
-        assert_eq!(read::<ZoneShard>(text::encode_zone_shard(&part)), part);
-        assert_eq!(read::<MachineShard>(text::encode_machine_shard(&group)), group);
-        assert!(text::is_compact_zone_shard(&text::encode_zone_shard(&part).expect("text")));
+        assert_eq!(read::<ZoneShard>(encoding::encode_zone_shard(&part)), part);
+        assert_eq!(
+            read::<MachineShard>(encoding::encode_machine_shard(&group)),
+            group
+        );
+        assert!(encoding::is_compact_zone_shard(
+            &encoding::encode_zone_shard(&part).expect("text")
+        ));
         let long = serde_json::to_string(&part).expect("text");
-        assert!(!text::is_compact_zone_shard(&long));
+        assert!(!encoding::is_compact_zone_shard(&long));
     }
     for bad in [
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,"1.2.3"]]]]}"#,
@@ -277,9 +285,9 @@
             group.machines.insert(format!("host-{n:06}"), machine);
         }
     }
-    let bytes = text::encode_zone_shard(&part).expect("text").len();
+    let bytes = encoding::encode_zone_shard(&part).expect("text").len();
     assert!(bytes <= LIMIT * 9 / 10, "{bytes} bytes for 320 machines");
-    let bytes = text::encode_machine_shard(&group).expect("text").len();
+    let bytes = encoding::encode_machine_shard(&group).expect("text").len();
     assert!(bytes <= LIMIT, "{bytes} bytes for 110 machines");
 }
 
@@ -350,7 +358,7 @@
             }
             widest = widest.max(job.booked());
             let check = |job: &Job| {
-                let bytes = text::encode_job(job).expect("text").len();
+                let bytes = encoding::encode_job(job).expect("text").len();
                 assert!(bytes <= LIMIT, "{bytes} bytes in round {round}");
             };
             check(&job);
@@ -369,7 +377,7 @@
                 job.release(&machine, attempt, task, outcome);
                 check(&job);
             }
-            let fits = |job: &Job| text::encode_job(job).is_some_and(|t| t.len() <= LIMIT);
+            let fits = |job: &Job| encoding::encode_job(job).is_some_and(|t| t.len() <= LIMIT);
             if let Some(machine) = job.runs.first().map(|r| r.machine.clone()) {
                 job.stop_tasks(&machine, 2, fits);
                 check(&job);
@@ -433,11 +441,11 @@
     assert!(replica.is_compact_zone_shard("a/n0.0"));
     let mut version = 102;
     while replica.machine_shards.values().any(|g| {
-        let text = text::encode_machine_shard(&g.value).expect("text");
+        let text = encoding::encode_machine_shard(&g.value).expect("text");
         text.len() > LIMIT
     }) {
         let long = replica.machine_shards.iter().find(|(_, g)| {
-            let text = text::encode_machine_shard(&g.value).expect("text");
+            let text = encoding::encode_machine_shard(&g.value).expect("text");
             text.len() > LIMIT
         });
         let id = long.expect("a long one").0.clone();
@@ -464,7 +472,11 @@
         version += 2;
     }
     assert_eq!(replica.machines.len(), before.len());
-    let listed: usize = replica.machine_shards.values().map(|g| g.value.machines.len()).sum();
+    let listed: usize = replica
+        .machine_shards
+        .values()
+        .map(|g| g.value.machines.len())
+        .sum();
     assert_eq!(listed, before.len());
     for (name, machine) in &before {
         let now = &replica.machines[name].value;
@@ -474,7 +486,12 @@
         };
         assert_eq!(as_before, machine.value);
         let group = format!("{}/{}", now.zone, now.part);
-        assert!(replica.machine_shards[&group].value.machines.contains_key(name));
+        assert!(
+            replica.machine_shards[&group]
+                .value
+                .machines
+                .contains_key(name)
+        );
     }
 }
 
@@ -517,7 +534,10 @@
             assert!(replica.slot(name).is_some());
         }
     }
-    let filled = replica.zone_shards.values().filter(|p| !p.value.machines.is_empty());
+    let filled = replica
+        .zone_shards
+        .values()
+        .filter(|p| !p.value.machines.is_empty());
     assert_eq!(filled.count(), 1, "after {steps}");
 }
 
@@ -566,7 +586,7 @@
         replica.advance(events, 5);
         let plan = Plan::of(&replica);
         let hints = Hints::new(&replica, "n0");
-        let found = admission::fit(&job, &spec, &plan, &hints, &set, Care::Lax);
+        let found = scheduler::fit(&job, &spec, &plan, &hints, &set, Care::Lax);
         let Ok(places) = found else {
             // It fits the rooms of three parts only: machines are rented for it.
             assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
@@ -581,7 +601,10 @@
         match kind {
             Kind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
             // Replica by replica: the rest go into the next commit.
-            _ => assert!(zone_shards.len() > 2 && (5..9).contains(&booked), "{booked}"),
+            _ => assert!(
+                zone_shards.len() > 2 && (5..9).contains(&booked),
+                "{booked}"
+            ),
         }
     }
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -4,8 +4,8 @@
 
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
 use shelfhoist::ops::{JobStory, Report, TeamStory};
-use shelfhoist::placement::{back_off, preferred};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
+use shelfhoist::scheduler::{back_off, preferred};
 
 fn facts() -> JobFacts {
     JobFacts {
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -10,8 +10,9 @@
 
 use serde_json::json;
 use shelfhoist::api::read_submission;
-use shelfhoist::model::{JobStatus, Job, Spec};
-use shelfhoist::replica::{Replica, job_key};
+use shelfhoist::state::keys::job_key;
+use shelfhoist::state::records::{Job, JobStatus, Spec};
+use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::Event;
 use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, in_world, job};
 use tokio::time::{Instant, sleep};
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,10 +1,11 @@
 //! Among machines with room, those where a job's tasks start soonest.
 
 use serde_json::json;
-use shelfhoist::admission::{self, Care, Hints, Plan};
-use shelfhoist::model::{Job, ZoneShard, Resources, MachineSlot, Spec};
+use shelfhoist::scheduler::{self, Care, Hints, Plan};
 use shelfhoist::settings::Settings;
-use shelfhoist::replica::{Replica, shard_id, zone_shard_key};
+use shelfhoist::state::keys::{shard_id, zone_shard_key};
+use shelfhoist::state::records::{Job, MachineSlot, Resources, Spec, ZoneShard};
+use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Submission};
 
 fn settings() -> Settings {
@@ -79,7 +80,7 @@
     let waiting = Job::new(spec.clone(), 1);
     let hints = Hints::new(&replica, "n0");
     let plan = Plan::of(&replica);
-    let places = admission::fit(&waiting, &spec, &plan, &hints, &settings(), Care::Strict);
+    let places = scheduler::fit(&waiting, &spec, &plan, &hints, &settings(), Care::Strict);
     places.expect("there is room")[0].machine.to_string()
 }
 
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -4,10 +4,11 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use shelfhoist::model::{Amount, JobStatus, Job, Ranges, Resources, Run, Spec};
-use shelfhoist::record_trim::{TrimContext, trim_job};
-use shelfhoist::text;
-use shelfhoist::replica::{FORMATS_KEY, TYPES_KEY, Replica, job_key};
+use shelfhoist::state::encoding;
+use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key};
+use shelfhoist::state::record_trim::{TrimContext, trim_job};
+use shelfhoist::state::records::{Amount, Job, JobStatus, Ranges, Resources, Run, Spec};
+use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
 
 const LIMIT: usize = 2048;
@@ -80,7 +81,7 @@
 }
 
 fn length(job: &Job) -> usize {
-    text::encode_job(job).expect("text").len()
+    encoding::encode_job(job).expect("text").len()
 }
 
 fn trimmed(job: &Job, aimed: &[&str], limit: usize) -> Option<Job> {
@@ -120,7 +121,10 @@
             assert_eq!(short.booked(), job.booked());
             assert_eq!(short.done_count(), job.done_count());
             assert_eq!(short.waiting(), job.waiting());
-            assert_eq!((short.tasks, short.accepted_revision), (job.tasks, job.accepted_revision));
+            assert_eq!(
+                (short.tasks, short.accepted_revision),
+                (job.tasks, job.accepted_revision)
+            );
             assert_eq!(short.attempt, job.attempt);
             let (before, after) = (spec(&job), spec(&short));
             assert_eq!(after.team, before.team);
--- a/tests/rule_checker.rs
+++ b/tests/rule_checker.rs
@@ -198,7 +198,13 @@
         Case {
             name: "a task that has ended may start again",
             rule: Rule::RanTwice,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            before: || {
+                vec![
+                    Submit(short_batch(1)),
+                    Launch(0, "job-000001/0"),
+                    WaitReason(4.0),
+                ]
+            },
             lawful: || vec![WaitReason(2.0), Launch(1, "job-000001/0")],
             violation: || vec![Launch(1, "job-000001/0")],
         },
@@ -456,14 +462,26 @@
         Case {
             name: "a task still runs",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            before: || {
+                vec![
+                    Submit(short_batch(1)),
+                    Launch(0, "job-000001/0"),
+                    WaitReason(4.0),
+                ]
+            },
             lawful: || vec![WaitReason(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
             name: "one task of two has never run",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(2)), Launch(0, "job-000001/0"), WaitReason(6.0)],
+            before: || {
+                vec![
+                    Submit(short_batch(2)),
+                    Launch(0, "job-000001/0"),
+                    WaitReason(6.0),
+                ]
+            },
             lawful: || {
                 vec![
                     Launch(1, "job-000001/1"),
@@ -478,7 +496,13 @@
             rule: Rule::NotDone,
             before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0")],
             lawful: || vec![WaitReason(6.0), Poll(FIRST, 200, "done")],
-            violation: || vec![Stop(0, "job-000001/0"), WaitReason(6.0), Poll(FIRST, 200, "done")],
+            violation: || {
+                vec![
+                    Stop(0, "job-000001/0"),
+                    WaitReason(6.0),
+                    Poll(FIRST, 200, "done"),
+                ]
+            },
         },
         Case {
             name: "a gang's tasks complete together",
@@ -497,7 +521,13 @@
         Case {
             name: "a cancellation and a submission are told so, too",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0"), WaitReason(4.0)],
+            before: || {
+                vec![
+                    Submit(short_batch(1)),
+                    Launch(0, "job-000001/0"),
+                    WaitReason(4.0),
+                ]
+            },
             lawful: || vec![WaitReason(2.0), Cancel(FIRST, 200, "done")],
             violation: || vec![Cancel(FIRST, 200, "done")],
         },
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -11,7 +11,8 @@
 use serde_json::json;
 use shelfhoist::http::Client;
 use shelfhoist::net::{Fabric, Net};
-use shelfhoist::store::{Budget, Class, Store};
+use shelfhoist::state::budget::{Budget, RequestClass};
+use shelfhoist::state::client::Store;
 use shelfhoist::wire::{Commit, Write};
 use stand_ins::{CONTROLLERS, Scenario, Trouble, controller, in_world, job, state_addr};
 use tokio::time::{Instant, sleep};
@@ -692,7 +693,7 @@
             writes: (0..30).map(write).collect(),
         };
         // Into debt, for half a minute at this share.
-        assert!(store.commit(Class::Round, &commit).await.is_err());
+        assert!(store.commit(RequestClass::Round, &commit).await.is_err());
         let began = Instant::now();
         let grow = async {
             sleep(Duration::from_secs(2)).await;
@@ -700,7 +701,7 @@
             assert!(store.demand() > 0.5, "{}", store.demand());
             store.set_share(100.0);
         };
-        tokio::join!(store.ready(Class::Round, 8), grow);
+        tokio::join!(store.ready(RequestClass::Round, 8), grow);
         let took = began.elapsed();
         assert!(took < Duration::from_secs(4), "{took:?}");
         assert!(took > Duration::from_secs(2), "{took:?}");
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -4,9 +4,9 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-use shelfhoist::model::MachineShard;
 use shelfhoist::net::Net;
 use shelfhoist::node::Node;
+use shelfhoist::state::records::MachineShard;
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use shelfhoist::http::{Request, Response, query_value};
-use shelfhoist::model::{MachineShard, ZoneShard};
+use shelfhoist::state::records::{MachineShard, ZoneShard};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use shelfhoist::model::{Arrivals, FORMATS, Job, Spec};
-use shelfhoist::replica::{FORMATS_KEY, arrivals_key, job_key};
+use shelfhoist::state::keys::{FORMATS_KEY, arrivals_key, job_key};
+use shelfhoist::state::records::{Arrivals, FORMATS, Job, Spec};
 use stand_ins::{Shape, StateLimits, Trouble, World, after, in_world, job};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
