--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -6,7 +6,7 @@
 use super::plan::{Plan, UNASSIGNED};
 use crate::state::records::{Amount, Spec};
 use crate::state::replica::{MachineClass, PlanSlot, Replica};
-use crate::wire::{Kind, MachineType};
+use crate::wire::Kind;
 use crate::workers;
 
 /// Hints for choosing among machines with room; none of them is needed.
@@ -84,23 +84,11 @@
     /// 1 if a cheaper kind would do, else 0.
     costly: i64,
     pub(super) zone: usize,
-    /// How long its machines take to fetch the job's image, in milliseconds.
-    fetch_ms: i64,
-}
-
-/// How long a machine of this type takes to fetch an image of this size, in
-/// milliseconds; 0 if the type does not tell.
-fn fetch_ms(image_gb: f64, machine_type: &MachineType) -> i64 {
-    match machine_type.fetch_gb_per_s > 0.0 {
-        true => (image_gb / machine_type.fetch_gb_per_s * 1000.0).ceil() as i64,
-        false => 0,
-    }
 }
 
 impl ClassFit {
     fn new(spec: &Spec, replica: &Replica, class: &MachineClass) -> Self {
-        let machine_type = replica.class_type(class);
-        let gpus = machine_type.map_or(0.0, |t| t.gpus);
+        let gpus = replica.class_type(class).map_or(0.0, |t| t.gpus);
         let usual_work_allowed = replica
             .gpu_spec
             .as_ref()
@@ -111,7 +99,6 @@
             contended: gpus > 0.0 && spec.need.gpus.0 == 0 && usual_work_allowed,
             costly: i64::from(spec.spot && !class.spot),
             zone: class.zone_at,
-            fetch_ms: machine_type.map_or(0, |t| fetch_ms(spec.image_gb, t)),
         }
     }
 }
@@ -228,22 +215,18 @@
             Some(usual) if class.gpus.0 > 0 && !needs_gpus => spot.free.slots(&usual.need),
             _ => 0,
         };
-        let fetch_ms = match replica.has_image(spot.machine, self.image) {
-            true => 0,
-            // Even where it takes no time, the image is better there already.
-            false => class.fetch_ms.max(1),
-        };
+        let no_image = i64::from(!replica.has_image(spot.machine, self.image));
         let part_cost = self.part_costs.get(spot.part as usize);
         let part_cost = part_cost.copied().unwrap_or(i64::MAX);
         // A service stays for long and would keep a costly machine rented.
         let is_service = spec.kind == Kind::Service;
         let keeps_rented = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
         let (third, fourth, fifth) = match spec.kind {
-            Kind::Service => (fetch_ms, class.costly, part_cost),
+            Kind::Service => (no_image, class.costly, part_cost),
             // Their ends come often: where they are this controller's own,
             // nobody else writes the records.
-            Kind::Array => (class.costly, part_cost, fetch_ms),
-            Kind::Gang => (class.costly, fetch_ms, part_cost),
+            Kind::Array => (class.costly, part_cost, no_image),
+            Kind::Gang => (class.costly, no_image, part_cost),
         };
         [
             self.loss(spot),
