--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -17,7 +17,7 @@
 /// Places for so many of the usual jobs on accelerators stay free.
 const KEPT_GANGS: usize = 2;
 
-/// Writes of the commit beside the jobs' records: the machine's group and part.
+/// Writes of the commit beside the jobs' records: the machine's machine shard and zone shard.
 const MACHINE_WRITES: usize = 2;
 
 /// Empties a machine whose accelerators nobody needs, when the services that
@@ -187,20 +187,20 @@
     }
 }
 
-/// Drains the machine, takes it out of its part's record, and stops its
+/// Drains the machine, takes it out of its zone shard's record, and stops its
 /// services there.
 fn eviction_of(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
     let id = candidate.id;
     let mut machine = replica.machines.get(id)?.value.clone();
     machine.life = MachineLifecycle::Draining;
     let shard_id = replica.zone_shard_of(id)?.to_string();
-    let part = replica.zone_shards.get(&shard_id)?;
-    let mut record = part.value.clone();
+    let shard = replica.zone_shards.get(&shard_id)?;
+    let mut record = shard.value.clone();
     record.machines.remove(id);
     let mut machine_shards = MachineShardEdits::new(replica);
     machine_shards.put(id, machine);
     let (mut guards, mut writes) = machine_shards.into_commit();
-    guards.push(guard(zone_shard_key(&shard_id), part.version));
+    guards.push(guard(zone_shard_key(&shard_id), shard.version));
     writes.push(replica.put_zone_shard(&shard_id, &record));
     for job_id in &candidate.services {
         let mut job = replica.jobs[*job_id].value.clone();
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -344,7 +344,7 @@
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
     };
-    let held = replica.held();
+    let held = replica.blocked();
     held.filter(|(_, left)| left.iter().all(ends_soon))
         .collect()
 }
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -1,7 +1,7 @@
 //! Draining of machines that the cloud takes back: no new work goes there, and
 //! what runs there saves its progress while there is time.
 
-use super::life::set_life;
+use super::lifecycle::set_life;
 use crate::node::{Node, guard};
 use crate::scheduler::COMMIT_BYTES;
 use crate::state::budget::RequestClass;
--- a/src/cloud/life.rs
+++ b/src/cloud/lifecycle.rs
@@ -32,9 +32,9 @@
     changed.contains(id)
 }
 
-/// Writes machines' new states, taking them out of their parts' records unless
+/// Writes machines' new states, taking them out of their zone shards' records unless
 /// they stay active; as many as one commit holds, and tells which. Guarded by
-/// the parts, too, so that no booking slips in between.
+/// the zone shards, too, so that no booking slips in between.
 pub(super) async fn set_lives(node: &Node, changes: &[LifeChange]) -> HashSet<String> {
     let (mut changed, guards, writes) = {
         let replica = node.replica.borrow();
@@ -56,8 +56,8 @@
     changed
 }
 
-/// A part's record that a commit guards, and writes if a machine leaves it.
-struct EditedPart {
+/// A zone shard's record that a commit guards, and writes if a machine leaves it.
+struct EditedShard {
     record: ZoneShard,
     changed: bool,
 }
@@ -68,7 +68,7 @@
     /// The most writes that one commit may have.
     max_writes: usize,
     machine_shards: MachineShardEdits<'a>,
-    zone_shards: BTreeMap<String, EditedPart>,
+    zone_shards: BTreeMap<String, EditedShard>,
     /// The machines whose states it changes.
     changed: HashSet<String>,
 }
@@ -91,56 +91,59 @@
             return;
         };
         let mut machine = entry.value.clone();
-        let group = shard_id(&machine.zone, &machine.part);
-        let part = self.replica.zone_shard_of(id);
-        let part = part.map_or_else(|| group.clone(), |part| part.to_string());
-        if !may_become(&machine, change.life) || !self.has_room(&group, &part) {
+        let machine_shard = shard_id(&machine.zone, &machine.shard);
+        let shard = self.replica.zone_shard_of(id);
+        let shard = shard.map_or_else(|| machine_shard.clone(), |shard| shard.to_string());
+        if !may_become(&machine, change.life) || !self.has_room(&machine_shard, &shard) {
             return;
         }
         machine.life = change.life;
         self.machine_shards.put(id, machine);
         self.changed.insert(id.clone());
         if change.life != MachineLifecycle::Active {
-            self.leave_part(id, part);
+            self.leave_shard(id, shard);
         }
     }
 
-    /// Whether the records of a group and of a part fit into the commit.
-    fn has_room(&self, group: &str, part: &str) -> bool {
-        // A group and perhaps its part, which is about as long: half of the
-        // writes are for groups, the other half is for parts.
-        let for_groups = self.max_writes / 2;
-        let for_parts = self.max_writes - for_groups;
-        let groups_full = self.machine_shards.is_full(for_groups)
+    /// Whether the records of a machine shard and of a zone shard fit into the commit.
+    fn has_room(&self, machine_shard: &str, shard: &str) -> bool {
+        // A machine shard and perhaps its zone shard, which is about as long: half of the
+        // writes are for machine shards, the other half is for zone shards.
+        let for_machine_shards = self.max_writes / 2;
+        let for_shards = self.max_writes - for_machine_shards;
+        let machine_shards_full = self.machine_shards.is_full(for_machine_shards)
             || self.machine_shards.bytes() > COMMIT_BYTES / 3;
-        let parts_full = self.zone_shards.len() >= for_parts;
-        (self.zone_shards.contains_key(part) || !parts_full)
-            && (self.machine_shards.has(group) || !groups_full)
+        let shards_full = self.zone_shards.len() >= for_shards;
+        (self.zone_shards.contains_key(shard) || !shards_full)
+            && (self.machine_shards.has(machine_shard) || !machine_shards_full)
     }
 
-    /// Takes a machine out of its part's record. The part is guarded even if
+    /// Takes a machine out of its zone shard's record. The zone shard is guarded even if
     /// the machine is not in its record: its holder could be putting it there
     /// just now.
-    fn leave_part(&mut self, id: &str, part: String) {
-        let Some(entry) = self.replica.zone_shards.get(&part) else {
+    fn leave_shard(&mut self, id: &str, shard: String) {
+        let Some(entry) = self.replica.zone_shards.get(&shard) else {
             return;
         };
-        let edited = self.zone_shards.entry(part).or_insert_with(|| EditedPart {
-            record: entry.value.clone(),
-            changed: false,
-        });
+        let edited = self
+            .zone_shards
+            .entry(shard)
+            .or_insert_with(|| EditedShard {
+                record: entry.value.clone(),
+                changed: false,
+            });
         edited.changed |= edited.record.machines.remove(id).is_some();
     }
 
     fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
         let (mut guards, mut writes) = self.machine_shards.into_commit();
-        for (id, part) in self.zone_shards {
+        for (id, shard) in self.zone_shards {
             guards.push(guard(
                 zone_shard_key(&id),
                 self.replica.zone_shard_version(&id),
             ));
-            if part.changed {
-                writes.push(self.replica.put_zone_shard(&id, &part.record));
+            if shard.changed {
+                writes.push(self.replica.put_zone_shard(&id, &shard.record));
             }
         }
         (guards, writes)
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::life::{LifeChange, set_lives};
+use super::lifecycle::{LifeChange, set_lives};
 use super::rentals::rental_of;
 use super::state::FleetState;
 use crate::node::Node;
@@ -155,7 +155,7 @@
                 continue;
             }
             let mut machine = machine.clone();
-            machine.part =
+            machine.shard =
                 machine_shards.new_shard(&node.settings, id, &machine.kind, &machine.zone);
             recorded.push((id, machine.life));
             machine_shards.put(id, machine);
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -14,7 +14,7 @@
 mod headroom;
 mod idle;
 mod leases;
-mod life;
+mod lifecycle;
 mod list;
 mod offers;
 mod removal;
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,7 +1,7 @@
 //! Removal of machines from service: decided, decided again once the budget of
 //! writes is there, and then written.
 
-use super::life::{LifeChange, set_lives};
+use super::lifecycle::{LifeChange, set_lives};
 use super::list::{NewMachine, record_machines, rented_but_not_up};
 use crate::node::Node;
 use crate::state::budget::RequestClass;
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::life::{LifeChange, set_lives};
+use super::lifecycle::{LifeChange, set_lives};
 use super::rentals::rental_of;
 use crate::node::{Node, guard, put};
 use crate::scheduler::MachineShardEdits;
@@ -100,7 +100,7 @@
     let mut machine_shards = MachineShardEdits::new(&replica);
     let mut rentals: BTreeMap<&String, Rental> = BTreeMap::new();
     for id in gone {
-        // Nothing was booked meanwhile: its part has lost it, and its group
+        // Nothing was booked meanwhile: its zone shard has lost it, and its machine shard
         // is guarded.
         let Some(machine) = replica.machines.get(id).map(|entry| &entry.value) else {
             continue;
@@ -109,16 +109,16 @@
             continue;
         }
         let rental = rental_of(&replica, id);
-        let group = shard_id(&machine.zone, &machine.part);
-        let has_group = machine_shards.has(&group);
+        let machine_shard = shard_id(&machine.zone, &machine.shard);
+        let has_machine_shard = machine_shards.has(&machine_shard);
         let adds_rental = rental.is_some_and(|(name, _)| !rentals.contains_key(name));
-        let added = usize::from(!has_group) + usize::from(adds_rental);
+        let added = usize::from(!has_machine_shard) + usize::from(adds_rental);
         if machine_shards.len() + rentals.len() + added > max_writes
-            || (!has_group && machine_shards.is_full(max_writes))
+            || (!has_machine_shard && machine_shards.is_full(max_writes))
         {
             continue;
         }
-        machine_shards.edit(&group).remove(id);
+        machine_shards.edit(&machine_shard).remove(id);
         if let Some((name, entry)) = rental {
             let rental = rentals.entry(name).or_insert_with(|| entry.value.clone());
             rental.machines.retain(|machine| machine != id);
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -42,7 +42,7 @@
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
         let replica = node.replica.borrow();
         replica
-            .doomed()
+            .cancelled_with_dependency()
             .filter_map(|id| {
                 let mut job = replica.jobs.get(id)?.value.clone();
                 job.cancel();
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -110,7 +110,7 @@
     classes
 }
 
-/// Active machines that stand in no part's record: nobody counts on them yet.
+/// Active machines that stand in no zone shard's record: nobody counts on them yet.
 fn unlisted_machines(replica: &Replica) -> usize {
     let active = replica.machines.iter().filter(|(_, e)| is_active(&e.value));
     active.filter(|(id, _)| replica.slot(id).is_none()).count()
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -224,7 +224,7 @@
         let total = node.settings.write_rps(lowered) * USED_RATE;
         let mut others = node.peers.borrow().demands(&node, Instant::now());
         // A controller that is not heard and has no state lease either writes
-        // nothing: it is cut off, or has ended, and its part is needed most just
+        // nothing: it is cut off, or has ended, and its zone shard is needed most just
         // then. Only when there was time for all to write their keys.
         if node.started.elapsed() > node.settings.lease() && node.has_state() {
             let replica = node.replica.borrow();
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,5 +1,5 @@
 //! One controller: what its loops share. The loops that keep the replica and the
-//! horizon are in the submodules, the others with their subjects.
+//! last barrier are in the submodules, the others with their subjects.
 
 mod barrier;
 mod clock;
@@ -72,7 +72,7 @@
     barrier_done: watch::Sender<u64>,
     /// The last barrier that the state service refused to serve.
     barrier_refused: watch::Sender<u64>,
-    /// Machines with launches that wait for the next horizon.
+    /// Machines with launches that wait for the next read barrier.
     deferred_launches: RefCell<BTreeSet<String>>,
     watch_again: Notify,
     /// Someone waits for the replica: the next watch is opened without delay.
--- a/src/node/barrier.rs
+++ b/src/node/barrier.rs
@@ -1,4 +1,4 @@
-//! The horizon: how recent the replica surely is, by read barriers.
+//! The last barrier: how recent the replica surely is, by read barriers.
 //!
 //! A barrier reads the store's revision and waits until the replica has reached it.
 //! The replica then holds everything that was committed before the read was sent, and
@@ -32,10 +32,10 @@
         self.replica_staleness().is_some_and(|age| age < limit)
     }
 
-    /// Has a machine's orders planned again with the next horizon, and asks for
+    /// Has a machine's orders planned again after the next read barrier, and asks for
     /// one. Only the first machine asks: where the state service refuses, barriers
     /// are tried again in their normal interval.
-    pub fn want_horizon_for(&self, machine: &str) {
+    pub fn request_barrier_for(&self, machine: &str) {
         let mut deferred = self.deferred_launches.borrow_mut();
         if deferred.is_empty() {
             self.barrier_wanted.notify_one();
@@ -43,8 +43,8 @@
         deferred.insert(machine.to_string());
     }
 
-    /// Takes over a new horizon, and has what waited for it planned again.
-    fn set_horizon(&self, sent: Instant) {
+    /// Takes over a newer read barrier, and has what waited for it planned again.
+    fn set_last_barrier(&self, sent: Instant) {
         self.last_barrier.set(Some(sent));
         let mut deferred = self.deferred_launches.borrow_mut();
         if !deferred.is_empty() {
@@ -87,7 +87,7 @@
                         self.expedite_watch();
                     }
                     if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
-                        self.set_horizon(sent);
+                        self.set_last_barrier(sent);
                         self.barrier_done.send_replace(number);
                     } else {
                         // The watch is stuck, or its connection is dead.
--- a/src/node/replica_loop.rs
+++ b/src/node/replica_loop.rs
@@ -66,7 +66,7 @@
         }
         tracing::info!(keys = pairs.len(), revision, "state read");
         // Pages read at different revisions may together show a removed key
-        // or half of a commit: bookings without the part that they changed.
+        // or half of a commit: bookings without the zone shard that they changed.
         // The events after the oldest mend both, before anyone decides.
         let mended = match newest > revision {
             true => Some(self.store.watch(PREFIX, revision, Duration::ZERO).await?),
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -139,7 +139,7 @@
     /// unfinished work.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
         let ready = self.replica.open.iter().map(|(_, id)| id.as_str());
-        let blocked = self.replica.held().map(|(id, _)| id);
+        let blocked = self.replica.blocked().map(|(id, _)| id);
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -121,7 +121,7 @@
     }
 
     /// Open jobs that wait for others, with those that they still await.
-    pub fn held(&self) -> impl Iterator<Item = (&str, &[String])> {
+    pub fn blocked(&self) -> impl Iterator<Item = (&str, &[String])> {
         let blocked = self.pipelines.blocked.iter();
         blocked.map(|(id, left)| (id.as_str(), left.as_slice()))
     }
@@ -133,7 +133,7 @@
 
     /// Jobs that are cancelled with another, and whose own records are yet to
     /// say so.
-    pub fn doomed(&self) -> impl Iterator<Item = &str> {
+    pub fn cancelled_with_dependency(&self) -> impl Iterator<Item = &str> {
         self.pipelines
             .cancelled_by_dependency
             .iter()
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -14,7 +14,7 @@
     /// The replica that is planned on.
     pub replica: &'a Replica,
     /// The controller that plans: between machines that are as good, those of
-    /// its own parts, where its commits meet no others.
+    /// its own zone shards, where its commits meet no others.
     pub home: &'a str,
     /// Parts that the commit in the making writes anyway come before those.
     pub touched: BTreeSet<String>,
@@ -24,7 +24,7 @@
 }
 
 impl<'a> Hints<'a> {
-    /// Hints of a controller whose commit touches no parts yet.
+    /// Hints of a controller whose commit touches no zone shards yet.
     pub fn new(replica: &'a Replica, home: &'a str) -> Self {
         Hints {
             replica,
@@ -110,16 +110,16 @@
     care: Care,
     /// By class number.
     classes: Vec<ClassFit>,
-    /// By part number: how much its part adds to the commit. Places that are as
-    /// good are taken from few parts, as each is a record to write.
-    part_costs: Vec<i64>,
+    /// By zone shard number: how much its zone shard adds to the commit. Places that are as
+    /// good are taken from few zone shards, as each is a record to write.
+    shard_costs: Vec<i64>,
     image: Option<u32>,
     /// Machines that the job has just failed on, by number: the fault may be
     /// theirs, and what fails at once is the first to have room again.
     excluded: Vec<u32>,
-    /// The only parts whose machines it may take, if not all may be; what is not
+    /// The only zone shards whose machines it may take, if not all may be; what is not
     /// rented yet may come into any.
-    only_parts: Option<[u32; 2]>,
+    only_shards: Option<[u32; 2]>,
 }
 
 impl<'a> Candidates<'a> {
@@ -129,13 +129,13 @@
         let zone_shards = 0..replica.zone_shard_names.len() as u32;
         Candidates {
             classes: classes.map(|c| ClassFit::new(spec, replica, c)).collect(),
-            part_costs: zone_shards.map(|part| part_cost(hints, part)).collect(),
+            shard_costs: zone_shards.map(|shard| shard_cost(hints, shard)).collect(),
             spec,
             hints,
             care,
             image: replica.image(&spec.image),
             excluded: Vec::new(),
-            only_parts: None,
+            only_shards: None,
         }
     }
 
@@ -146,9 +146,9 @@
         self
     }
 
-    /// Keeps to these parts, if there are any.
+    /// Keeps to these zone shards, if there are any.
     pub(super) fn within(mut self, zone_shards: Option<[u32; 2]>) -> Self {
-        self.only_parts = zone_shards;
+        self.only_shards = zone_shards;
         self
     }
 
@@ -182,9 +182,9 @@
         if self.excluded.contains(&spot.machine) {
             return false;
         }
-        if let Some(zone_shards) = self.only_parts
-            && spot.part != UNASSIGNED
-            && !zone_shards.contains(&spot.part)
+        if let Some(zone_shards) = self.only_shards
+            && spot.shard != UNASSIGNED
+            && !zone_shards.contains(&spot.shard)
         {
             return false;
         }
@@ -216,17 +216,17 @@
             _ => 0,
         };
         let no_image = i64::from(!replica.has_image(spot.machine, self.image));
-        let part_cost = self.part_costs.get(spot.part as usize);
-        let part_cost = part_cost.copied().unwrap_or(i64::MAX);
+        let shard_cost = self.shard_costs.get(spot.shard as usize);
+        let shard_cost = shard_cost.copied().unwrap_or(i64::MAX);
         // A service stays for long and would keep a costly machine rented.
         let is_service = spec.kind == Kind::Service;
         let keeps_rented = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
         let (third, fourth, fifth) = match spec.kind {
-            Kind::Service => (no_image, class.costly, part_cost),
+            Kind::Service => (no_image, class.costly, shard_cost),
             // Their ends come often: where they are this controller's own,
             // nobody else writes the records.
-            Kind::Array => (class.costly, part_cost, no_image),
-            Kind::Gang => (class.costly, no_image, part_cost),
+            Kind::Array => (class.costly, shard_cost, no_image),
+            Kind::Gang => (class.costly, no_image, shard_cost),
         };
         [
             self.loss(spot),
@@ -308,17 +308,17 @@
     }
 }
 
-/// What a part adds to the commit: nothing if it is written anyway, little if the
+/// What a zone shard adds to the commit: nothing if it is written anyway, little if the
 /// planning controller is at home there.
-fn part_cost(hints: &Hints, part: u32) -> i64 {
-    let name = hints.replica.zone_shard_names.name(part);
+fn shard_cost(hints: &Hints, shard: u32) -> i64 {
+    let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
     let own = workers::home_of(local_name) == hints.home;
     let touched = hints.touched.contains(&*name);
     match (touched, own) {
         (true, _) => 0,
         (_, true) => 1,
-        _ => 2 + i64::from(part),
+        _ => 2 + i64::from(shard),
     }
 }
 
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -17,7 +17,7 @@
 use crate::state::replica::PlanSlot;
 use crate::wire::Kind;
 
-/// How many records of a transaction are not parts: the job and its team.
+/// How many records of a transaction are not zone shards: the job and its team.
 const RECORDS_BESIDE_PARTS: usize = 2;
 
 /// Finds places for a job's waiting tasks: all of a gang's or none, as many
@@ -48,7 +48,7 @@
                 at,
                 machine: replica.machine_names.name(spot.machine),
                 zone: replica.classes[spot.class as usize].zone.clone(),
-                part: replica.zone_shard_names.name(spot.part),
+                shard: replica.zone_shard_names.name(spot.shard),
             }
         })
         .collect();
@@ -113,28 +113,28 @@
         }
     }
 
-    /// Places that are not on these machines, in as many parts as one commit
+    /// Places that are not on these machines, in as many zone shards as one commit
     /// writes beside the job and its team.
     ///
     /// What is guaranteed once compact encodings are written: a gang that fits into two
-    /// parts is admitted whole. A zone has one part for each controller that is at
+    /// zone shards is admitted whole. A zone has one zone shard for each controller that is at
     /// home in it, unless it has some hundreds of machines for each, so a required
     /// gang that fits its zone does where two are at home there at most. A
-    /// preferred one that only more parts would hold waits as if there were no
-    /// room, so that machines are rented for it. A service takes two parts if they
-    /// hold all that waits of it; else it is admitted by parts, replica by replica.
+    /// preferred one that only more zone shards would hold waits as if there were no
+    /// room, so that machines are rented for it. A service takes two zone shards if they
+    /// hold all that waits of it; else it is admitted by zone shards, replica by replica.
     fn find_without(&self, excluded: &[String]) -> Result<Spots, WaitReason> {
         let found = self.find_within(None, excluded)?;
         if self.spec.kind == Kind::Array || !self.hints.replica.uses_compact_encoding() {
             return Ok(found);
         }
         let txn_ops = self.settings.txn_ops();
-        let max_parts = txn_ops.saturating_sub(RECORDS_BESIDE_PARTS).max(1);
-        let tasks_by_part = self.tasks_by_part(&found);
-        if tasks_by_part.len() <= max_parts {
+        let max_shards = txn_ops.saturating_sub(RECORDS_BESIDE_PARTS).max(1);
+        let tasks_by_shard = self.tasks_by_shard(&found);
+        if tasks_by_shard.len() <= max_shards {
             return Ok(found);
         }
-        let zone_shards = self.parts_by_tasks(&tasks_by_part);
+        let zone_shards = self.shards_by_tasks(&tasks_by_shard);
         let pairs = (1..zone_shards.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
         let narrow = pairs
             .filter_map(|(a, b)| {
@@ -149,27 +149,27 @@
         }
     }
 
-    /// How many of the places each part has.
-    fn tasks_by_part(&self, spots: &[usize]) -> HashMap<u32, usize> {
+    /// How many of the places each zone shard has.
+    fn tasks_by_shard(&self, spots: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
-        let zone_shards = spots.iter().map(|at| self.plan.spots[*at].part);
-        for part in zone_shards.filter(|part| *part != UNASSIGNED) {
-            *tasks.entry(part).or_default() += 1;
+        let zone_shards = spots.iter().map(|at| self.plan.spots[*at].shard);
+        for shard in zone_shards.filter(|shard| *shard != UNASSIGNED) {
+            *tasks.entry(shard).or_default() += 1;
         }
         tasks
     }
 
-    /// All parts of the plan; those that hold most of the tasks come first.
-    fn parts_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
-        let mut zone_shards: Vec<u32> = self.plan.spots.iter().map(|spot| spot.part).collect();
+    /// All zone shards of the plan; those that hold most of the tasks come first.
+    fn shards_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
+        let mut zone_shards: Vec<u32> = self.plan.spots.iter().map(|spot| spot.shard).collect();
         zone_shards.sort_unstable();
         zone_shards.dedup();
-        zone_shards.retain(|part| *part != UNASSIGNED);
-        zone_shards.sort_by_key(|part| Reverse(tasks.get(part).copied().unwrap_or(0)));
+        zone_shards.retain(|shard| *shard != UNASSIGNED);
+        zone_shards.sort_by_key(|shard| Reverse(tasks.get(shard).copied().unwrap_or(0)));
         zone_shards
     }
 
-    /// Places in these parts, or in all: in one zone if the job wants that and a
+    /// Places in these zone shards, or in all: in one zone if the job wants that and a
     /// zone has room, else spread over the zones.
     fn find_within(
         &self,
--- a/src/scheduler/machine_groups.rs
+++ b/src/scheduler/machine_shards.rs
@@ -1,4 +1,4 @@
-//! Groups of machines as one transaction will leave them. A group's record says
+//! Machine shards as one transaction will leave them. A machine shard's record says
 //! which controller holds each of its machines.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,10 +12,10 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
 
-/// About what a machine takes in a group's record.
+/// About what a machine takes in a machine shard's record.
 const MEMBER_BYTES: usize = 125;
 
-/// Groups of machines as one transaction will leave them.
+/// Machine shards as one transaction will leave them.
 pub struct MachineShardEdits<'a> {
     replica: &'a Replica,
     edited: BTreeMap<String, MachineShard>,
@@ -24,7 +24,7 @@
 }
 
 impl<'a> MachineShardEdits<'a> {
-    /// No group is changed yet.
+    /// No machine shard is changed yet.
     pub fn new(replica: &'a Replica) -> Self {
         MachineShardEdits {
             replica,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// How many groups are changed.
+    /// How many machine shards are changed.
     pub fn len(&self) -> usize {
         self.edited.len()
     }
 
-    /// Whether no group is changed.
+    /// Whether no machine shard is changed.
     pub fn is_empty(&self) -> bool {
         self.edited.is_empty()
     }
@@ -46,7 +46,7 @@
     /// Whether a commit of `ops` writes, with its conditions, can hold no more.
     pub fn is_full(&self, ops: usize) -> bool {
         let guards = self.edited.len() + self.guarded.len();
-        // The next may bring a whole group with it.
+        // The next may bring a whole machine shard with it.
         let sizes = self
             .replica
             .machine_shards
@@ -66,7 +66,7 @@
         all * self.member_bytes()
     }
 
-    /// About what a machine takes in the text that its group will have.
+    /// About what a machine takes in the text that its machine shard will have.
     fn member_bytes(&self) -> usize {
         match self.replica.uses_compact_encoding() {
             true => encoding::MEMBER,
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Whether a group is too long for a record even in the compact encoding. One
+    /// Whether a machine shard is too long for a record even in the compact encoding. One
     /// whose part could still be changed by what was decided before these were
     /// written stays whole: its machines' slots must not be looked for elsewhere.
-    fn splits(&self, id: &str, group: &MachineShard) -> bool {
+    fn splits(&self, id: &str, machine_shard: &MachineShard) -> bool {
         let Some(limit) = self
             .replica
             .compact_limit
@@ -89,13 +89,18 @@
         let upper_bound = |(name, machine): (&String, &Machine)| {
             name.len() * 2 + machine_entry_bytes("", &machine.kind, machine.holder.len())
         };
-        group.machines.len() > 1
-            && group.machines.iter().map(upper_bound).sum::<usize>() > limit
+        machine_shard.machines.len() > 1
+            && machine_shard
+                .machines
+                .iter()
+                .map(upper_bound)
+                .sum::<usize>()
+                > limit
             && self.replica.is_compact_zone_shard(id)
-            && encoding::encode_machine_shard(group).is_some_and(|text| text.len() > limit)
+            && encoding::encode_machine_shard(machine_shard).is_some_and(|text| text.len() > limit)
     }
 
-    /// Takes the last machines out of groups that are too long, into new ones
+    /// Takes the last machines out of machine shards that are too long, into new ones
     /// of the same home. Both are in the commit, under guard: no machine is lost
     /// or doubled.
     fn split_long(&mut self) {
@@ -108,14 +113,14 @@
             let Some(free) = self.free_id(home) else {
                 continue;
             };
-            if let Some(group) = self.edited.get_mut(&id) {
-                let half = second_half(group, &free);
+            if let Some(machine_shard) = self.edited.get_mut(&id) {
+                let half = second_half(machine_shard, &free);
                 self.edited.insert(free, half);
             }
         }
     }
 
-    /// The first id of a home's groups that is not taken.
+    /// The first id of a home's machine shards that is not taken.
     fn free_id(&self, home: &str) -> Option<String> {
         let taken = |id: &String| {
             self.replica.machine_shards.contains_key(id) || self.edited.contains_key(id)
@@ -125,30 +130,30 @@
             .find(|id| !taken(id))
     }
 
-    /// Whether a group is changed.
+    /// Whether a machine shard is changed.
     pub fn has(&self, id: &str) -> bool {
         self.edited.contains_key(id)
     }
 
-    /// A group's machines, to be changed.
+    /// A machine shard's machines, to be changed.
     pub fn edit(&mut self, id: &str) -> &mut BTreeMap<String, Machine> {
         let replica = self.replica;
-        let group = self.edited.entry(id.to_string()).or_insert_with(|| {
+        let machine_shard = self.edited.entry(id.to_string()).or_insert_with(|| {
             let known = replica.machine_shards.get(id).map(|e| e.value.clone());
             known.unwrap_or_default()
         });
-        &mut group.machines
+        &mut machine_shard.machines
     }
 
     /// Puts a machine where its zone and part say.
     pub fn put(&mut self, name: &str, machine: Machine) {
-        let id = shard_id(&machine.zone, &machine.part);
+        let id = shard_id(&machine.zone, &machine.shard);
         self.edit(&id).insert(name.to_string(), machine);
     }
 
-    /// The part that a machine without a record belongs to from now on: the
+    /// The zone shard that a machine without a record belongs to from now on: the
     /// first of its home controller's, in its zone, whose records have room
-    /// for it. The home follows from the settings alone, and all of its parts
+    /// for it. The home follows from the settings alone, and all of its zone shards
     /// are guarded: two controllers that take a machine up at once cannot put
     /// it into two.
     pub fn new_shard(&mut self, settings: &Settings, name: &str, kind: &str, zone: &str) -> String {
@@ -160,27 +165,27 @@
         let mut found = None;
         let mut number = 0;
         loop {
-            let part = format!("{home}.{number}");
-            let id = shard_id(zone, &part);
-            let limit = part_limit(settings, sizes.short, number);
+            let shard = format!("{home}.{number}");
+            let id = shard_id(zone, &shard);
+            let limit = shard_limit(settings, sizes.short, number);
             let known = self.replica.machine_shards.get(&id).map(|e| &e.value);
-            let group = self.edited.get(&id).or(known);
-            let used = group.map_or(0, |group| sizes.group(group));
+            let machine_shard = self.edited.get(&id).or(known);
+            let used = machine_shard.map_or(0, |machine_shard| sizes.machine_shard(machine_shard));
             let added = sizes.member(name, kind);
             self.guarded.insert(id);
-            // One that alone is too long for a record still has a part.
+            // One that alone is too long for a record still has a zone shard.
             if found.is_none() && (used == 0 || used + added <= limit) {
-                found = Some(part);
+                found = Some(shard);
             }
             // Parts are taken in order: behind one that is not there is none.
-            if group.is_none() {
+            if machine_shard.is_none() {
                 return found.unwrap_or(format!("{home}.{number}"));
             }
             number += 1;
         }
     }
 
-    /// Guards every group that it depends on, and writes those that it changes.
+    /// Guards every machine shard that it depends on, and writes those that it changes.
     pub fn into_commit(mut self) -> (Vec<Guard>, Vec<Write>) {
         self.split_long();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
@@ -193,20 +198,20 @@
                 )
             })
             .collect();
-        // An empty group stays: its parts are numbered without gaps.
+        // An empty machine shard stays: shards are numbered without gaps.
         let writes = self
             .edited
             .iter()
-            .map(|(id, group)| self.replica.put_machine_shard(id, group))
+            .map(|(id, machine_shard)| self.replica.put_machine_shard(id, machine_shard))
             .collect();
         (guards, writes)
     }
 }
 
-/// How long the records of a home's part of this number may become. Each part is a
+/// How long the records of a home's shard of this number may become. Each zone shard is a
 /// condition for the next: behind a few, those that wait for the compact encoding are as
 /// long as records may be until then.
-fn part_limit(settings: &Settings, short: bool, number: usize) -> usize {
+fn shard_limit(settings: &Settings, short: bool, number: usize) -> usize {
     let limit = match short || number < settings.txn_ops() {
         true => settings.value_bytes(),
         false => settings.longest_value(),
@@ -224,7 +229,7 @@
 
 impl MemberSizes {
     /// What a machine of this name and kind takes. In the compact encoding the machines'
-    /// slots stand in few parts by themselves, so that the group alone counts.
+    /// slots stand in few zone shards by themselves, so that the machine shard alone counts.
     fn member(&self, name: &str, kind: &str) -> usize {
         match self.short {
             true => encoding::member_bytes(name, kind, self.longest_name),
@@ -234,27 +239,27 @@
         }
     }
 
-    /// What all machines of a group take.
-    fn group(&self, group: &MachineShard) -> usize {
+    /// What all machines of a machine shard take.
+    fn machine_shard(&self, machine_shard: &MachineShard) -> usize {
         if self.short {
-            return encoding::group_bytes(&group.machines, self.longest_name);
+            return encoding::machine_shard_bytes(&machine_shard.machines, self.longest_name);
         }
-        let machines = group.machines.iter();
+        let machines = machine_shard.machines.iter();
         machines
             .map(|(name, machine)| self.member(name, &machine.kind))
             .sum()
     }
 }
 
-/// Takes the second half of a group's machines out of it, for a group of this id.
-fn second_half(group: &mut MachineShard, id: &str) -> MachineShard {
-    let (zone, part) = id.split_once('/').unwrap_or((id, ""));
-    let names: Vec<String> = group.machines.keys().cloned().collect();
+/// Takes the second half of a machine shard's machines out of it, for a machine shard of this id.
+fn second_half(machine_shard: &mut MachineShard, id: &str) -> MachineShard {
+    let (zone, shard) = id.split_once('/').unwrap_or((id, ""));
+    let names: Vec<String> = machine_shard.machines.keys().cloned().collect();
     let mut half = MachineShard::default();
     for name in &names[names.len() / 2..] {
-        if let Some(mut machine) = group.machines.remove(name) {
+        if let Some(mut machine) = machine_shard.machines.remove(name) {
             machine.zone = zone.to_string();
-            machine.part = part.to_string();
+            machine.shard = shard.to_string();
             half.machines.insert(name.clone(), machine);
         }
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -13,14 +13,14 @@
 //! | `preemption`, `victims` | stopping running work for jobs that find no room |
 //! | `ends` | recorded ends of tasks |
 //! | `record_size` | how many bookings a job's record holds |
-//! | `transaction`, `machine_groups` | records as a transaction will leave them |
+//! | `transaction`, `machine_shards` | records as a transaction will leave them |
 //! | `reasons` | why a job waits |
 
 mod candidates;
 mod ends;
 mod fit;
 mod job_facts;
-mod machine_groups;
+mod machine_shards;
 mod ownership;
 mod plan;
 mod preemption;
@@ -37,7 +37,7 @@
 pub use candidates::{Care, Hints};
 pub use fit::{count, fit, hold_room};
 pub use job_facts::{facts, has_objective, is_late, is_opportunistic, within_guarantee};
-pub use machine_groups::MachineShardEdits;
+pub use machine_shards::MachineShardEdits;
 pub use ownership::{placer, preferred};
 pub use plan::{Place, Plan, UNASSIGNED, team_slots};
 pub use queue::{Ages, Rank, queue, starves};
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -28,7 +28,10 @@
     /// The plan that a round on this replica starts from.
     pub fn of(replica: &Replica) -> Self {
         let mut plan = Plan {
-            spots: replica.spots().map(|s| replica.with_room(s)).collect(),
+            spots: replica
+                .spots()
+                .map(|s| replica.with_free_resources(s))
+                .collect(),
             index: vec![UNASSIGNED; replica.machine_names.len()],
             teams: replica.teams_used().clone(),
         };
@@ -54,7 +57,7 @@
     pub fn add(&mut self, class: u32, free: Resources) {
         self.spots.push(PlanSlot {
             machine: UNASSIGNED,
-            part: UNASSIGNED,
+            shard: UNASSIGNED,
             class,
             free,
         });
@@ -102,7 +105,7 @@
     /// The machine's zone.
     pub zone: Rc<str>,
     /// The part of the zone's record that has the machine.
-    pub part: Rc<str>,
+    pub shard: Rc<str>,
 }
 
 /// How many more tasks the team's limit lets run.
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -81,7 +81,7 @@
 /// The free resources that a round starts from.
 fn starting_plan(node: &Node, replica: &Replica) -> Plan {
     let mut plan = Plan::of(replica);
-    // A machine that receives no orders may stand in its part's record for a
+    // A machine that receives no orders may stand in its zone shard's record for a
     // while: what is placed there ends at once, and would be placed there again.
     let worker_sessions = node.worker_sessions.borrow();
     for (machine, _) in worker_sessions
@@ -134,7 +134,7 @@
     transaction: Transaction<'a>,
     search: RoundSearch,
     /// Parts that the transaction writes anyway.
-    touched_parts: BTreeSet<String>,
+    touched_shards: BTreeSet<String>,
     placements: Vec<Placement<'a>>,
     /// Own jobs that other work may be preempted for.
     blocked: Vec<String>,
@@ -160,7 +160,7 @@
             plan: starting_plan(node, replica),
             transaction: Transaction::new(replica, records),
             search: RoundSearch::default(),
-            touched_parts: BTreeSet::new(),
+            touched_shards: BTreeSet::new(),
             placements: Vec::new(),
             blocked: Vec::new(),
         }
@@ -197,7 +197,7 @@
     /// queue, whoever places them: a job that another controller places first
     /// keeps its resources in this plan, too.
     fn place_queue(&mut self) {
-        self.touched_parts = self.transaction.zone_shards();
+        self.touched_shards = self.transaction.zone_shards();
         let settings = &self.node.settings;
         let queue = {
             let ages = self.node.ages.borrow();
@@ -276,7 +276,7 @@
         };
         let mut hints = Hints::new(self.replica, home);
         if own {
-            hints.touched = self.touched_parts.clone();
+            hints.touched = self.touched_shards.clone();
         }
         hints.lenient = self.state.unchanged_for(id, self.now) > self.node.settings.lease();
         hints
@@ -293,8 +293,8 @@
             self.plan.take(place, &spec.team, spec.need);
         }
         if own {
-            let zone_shards = places.iter().map(|place| place.part.to_string());
-            self.touched_parts.extend(zone_shards);
+            let zone_shards = places.iter().map(|place| place.shard.to_string());
+            self.touched_shards.extend(zone_shards);
             self.placements.push(Placement { id, spec, places });
         }
     }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -107,7 +107,7 @@
         }
         Err(StoreError::Conflict(keys)) => {
             tracing::debug!(?keys, "conflict");
-            await_newer_view(node).await;
+            await_newer_replica(node).await;
         }
         Err(error) => {
             // The commit may have happened: the replica tells after a barrier.
@@ -131,7 +131,7 @@
 }
 
 /// What has changed under the commit is on its way: waits until the replica has it.
-async fn await_newer_view(node: &Rc<Node>) {
+async fn await_newer_replica(node: &Rc<Node>) {
     let before = node.replica.borrow().revision;
     node.expedite_watch();
     node.wait_revision(before + 1, node.request_gap() * 8).await;
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -18,14 +18,14 @@
 /// protocol.
 pub const GUARDS_PER_WRITE: usize = 4;
 
-/// What a commit may hold in all, by the protocol, less a part for what the
+/// What a commit may hold in all, by the protocol, less a zone shard for what the
 /// estimates below leave out.
 pub const COMMIT_BYTES: usize = crate::http::BODY_LIMIT * 9 / 10;
 
-/// About what a machine takes in a part's record, and in a group's.
+/// About what a machine takes in a zone shard's record, and in a machine shard's.
 pub const SLOT: usize = 110;
 
-/// The same in a part's compact encoding.
+/// The same in a zone shard's compact encoding.
 const SHORT_SLOT_BYTES: usize = 10;
 
 /// About what a job's spec, one of its runs and one of its tasks take in its record.
@@ -81,7 +81,7 @@
         self.len() == 0
     }
 
-    /// The parts that it writes.
+    /// The zone shards that it writes.
     pub fn zone_shards(&self) -> BTreeSet<String> {
         self.zone_shards.keys().cloned().collect()
     }
@@ -99,7 +99,7 @@
         jobs + slots * self.slot_entry_bytes() + (self.len() + self.machine_shards.len()) * SLOT
     }
 
-    /// About what a machine takes in the text that its part will have.
+    /// About what a machine takes in the text that its zone shard will have.
     fn slot_entry_bytes(&self) -> usize {
         if self.replica.uses_compact_encoding() {
             SHORT_SLOT_BYTES
@@ -117,29 +117,29 @@
         zone_shards: &BTreeSet<&str>,
         machines: usize,
     ) -> bool {
-        let new_parts = || {
+        let new_shards = || {
             zone_shards
                 .iter()
-                .filter(|part| !self.zone_shards.contains_key(**part))
+                .filter(|shard| !self.zone_shards.contains_key(**shard))
         };
-        let machines_of = |part: &str| {
-            let known = self.replica.zone_shards.get(part);
+        let machines_of = |shard: &str| {
+            let known = self.replica.zone_shards.get(shard);
             known.map_or(0, |e| e.value.machines.len())
         };
-        let part_bytes: usize = new_parts()
-            .map(|part| machines_of(part) * self.slot_entry_bytes())
+        let shard_bytes: usize = new_shards()
+            .map(|shard| machines_of(shard) * self.slot_entry_bytes())
             .sum();
         let new_job = !self.jobs.contains_key(job);
         let new_job_bytes = match new_job {
             true => self.job(job).map_or(0, job_bytes),
             false => 0,
         };
-        let more_bytes = part_bytes + new_job_bytes + machines * self.slot_entry_bytes();
+        let more_bytes = shard_bytes + new_job_bytes + machines * self.slot_entry_bytes();
         if self.bytes() + more_bytes > COMMIT_BYTES {
             return false;
         }
         let new_team = team.is_some_and(|team| !self.teams.contains_key(team));
-        let new_records = usize::from(new_job) + usize::from(new_team) + new_parts().count();
+        let new_records = usize::from(new_job) + usize::from(new_team) + new_shards().count();
         self.len() + new_records <= self.most
     }
 
@@ -159,28 +159,28 @@
         self.teams.entry(team.to_string()).or_insert(used)
     }
 
-    /// The same of a part's record.
-    fn edit_part(&mut self, id: &str) -> &mut ZoneShard {
+    /// The same of a zone shard's record.
+    fn edit_zone_shard(&mut self, id: &str) -> &mut ZoneShard {
         let (replica, released) = (self.replica, &self.released);
         self.zone_shards.entry(id.to_string()).or_insert_with(|| {
             let known = replica.zone_shards.get(id).map(|e| e.value.clone());
-            let mut part = known.unwrap_or_default();
-            for (machine, slot) in &mut part.machines {
+            let mut shard = known.unwrap_or_default();
+            for (machine, slot) in &mut shard.machines {
                 let room = replica
                     .type_of(&slot.kind)
                     .map_or(Resources::default(), Resources::of_type);
                 let ended = released.get(machine).copied().unwrap_or_default();
                 slot.free = room - replica.booked_on(machine) - slot.unbooked + ended;
             }
-            part
+            shard
         })
     }
 
-    /// The group whose record proves an end, if it still does.
+    /// The machine shard whose record proves an end, if it still does.
     ///
     /// Safety 3: what proved the end holds only while the machine is still ours by
     /// the claim that it was proven under, or once it is gone for good; the guard
-    /// on its group's record makes the commit depend on it.
+    /// on its machine shard's record makes the commit depend on it.
     fn proven_by(
         &self,
         key: &AttemptKey,
@@ -193,7 +193,7 @@
             && machine.incarnation == incarnation
             && machine.token == proof.token;
         let proven = machine.life == MachineLifecycle::Gone || same_claim;
-        proven.then(|| shard_id(&machine.zone, &machine.part))
+        proven.then(|| shard_id(&machine.zone, &machine.shard))
     }
 
     /// Releases a booking whose task is surely gone. `node` and `incarnation`
@@ -205,7 +205,7 @@
         node: &str,
         incarnation: u64,
     ) -> Released {
-        let Some(group) = self.proven_by(key, proof, node, incarnation) else {
+        let Some(machine_shard) = self.proven_by(key, proof, node, incarnation) else {
             return Released::Stale;
         };
         let Some(job) = self.job(&key.job) else {
@@ -217,11 +217,11 @@
         if job.find(&key.machine, key.attempt, key.task).is_none() {
             return Released::Stale;
         }
-        // Neither the team's record nor the part's is written: what ends is
+        // Neither the team's record nor the zone shard's is written: what ends is
         // known to all from the job's, and the next booking there counts it.
-        let max_groups = self.most * (GUARDS_PER_WRITE - 1);
-        let guards_full =
-            self.machine_shards.len() >= max_groups && !self.machine_shards.contains(&group);
+        let max_machine_shards = self.most * (GUARDS_PER_WRITE - 1);
+        let guards_full = self.machine_shards.len() >= max_machine_shards
+            && !self.machine_shards.contains(&machine_shard);
         if guards_full || !self.has_room(&key.job, None, &BTreeSet::new(), 0) {
             return Released::Full;
         }
@@ -230,15 +230,15 @@
         }
         *self.released.entry(key.machine.clone()).or_default() += spec.need;
         *self.team_released.entry(spec.team).or_default() += spec.need;
-        self.machine_shards.insert(group);
+        self.machine_shards.insert(machine_shard);
         Released::Yes
     }
 
     /// The places that this commit has room for: all of a gang's or none, of
     /// other jobs as many as there are. An array may have its places in more
-    /// parts than any commit writes: the rest follow, or it would wait for ever.
+    /// zone shards than any commit writes: the rest follow, or it would wait for ever.
     fn bookable<'p>(&self, id: &str, spec: &Spec, places: &'p [Place]) -> Vec<&'p Place> {
-        let zone_shards: BTreeSet<&str> = places.iter().map(|place| &*place.part).collect();
+        let zone_shards: BTreeSet<&str> = places.iter().map(|place| &*place.shard).collect();
         let machines: BTreeSet<usize> = places.iter().map(|place| place.at).collect();
         if self.has_room(id, Some(&spec.team), &zone_shards, machines.len()) {
             return places.iter().collect();
@@ -260,7 +260,7 @@
         let mut machines: BTreeSet<usize> = BTreeSet::new();
         let mut bookable = Vec::new();
         for place in places {
-            let new_shard = zone_shards.insert(&place.part);
+            let new_shard = zone_shards.insert(&place.shard);
             let new_machine = machines.insert(place.at);
             if (!new_shard && !new_machine)
                 || self.has_room(id, Some(&spec.team), &zone_shards, machines.len())
@@ -269,7 +269,7 @@
                 continue;
             }
             if new_shard {
-                zone_shards.remove(&*place.part);
+                zone_shards.remove(&*place.shard);
             }
             if new_machine {
                 machines.remove(&place.at);
@@ -300,7 +300,7 @@
         book(job, spec, &places);
         for place in &places {
             if let Some(slot) = self
-                .edit_part(&place.part)
+                .edit_zone_shard(&place.shard)
                 .machines
                 .get_mut(&*place.machine)
             {
@@ -341,12 +341,12 @@
             guards.push(guard(team_key(&name), self.replica.team_version(&name)));
             writes.push(put(team_key(&name), &Team { used }));
         }
-        for (id, part) in &self.zone_shards {
+        for (id, shard) in &self.zone_shards {
             guards.push(guard(
                 zone_shard_key(id),
                 self.replica.zone_shard_version(id),
             ));
-            writes.push(self.replica.put_zone_shard(id, part));
+            writes.push(self.replica.put_zone_shard(id, shard));
         }
         for id in &self.machine_shards {
             guards.push(guard(
--- a/src/state/compaction.rs
+++ b/src/state/compaction.rs
@@ -1,5 +1,5 @@
 //! Once compact encodings may be written, what stands in longer ones comes below the
-//! limits that are to fall, in the background: parts of this controller's homes
+//! limits that are to fall, in the background: zone shards of this controller's homes
 //! take the compact encoding and are merged, and records that are too long are written
 //! anew, the oldest first. Nothing waits for this: whoever writes such a record
 //! meanwhile writes the compact encoding by itself.
@@ -71,8 +71,8 @@
 fn step(node: &Node, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
     let replica = node.replica.borrow();
     let tended = |id: &str| {
-        let part = id.split_once('/').map_or("", |p| p.1);
-        tends(node, &replica, home_of(part))
+        let shard = id.split_once('/').map_or("", |p| p.1);
+        tends(node, &replica, home_of(shard))
     };
     compact_zone_shards(&replica, left, &tended, node.settings.txn_ops())
         .or_else(|| merge(&replica, left, &tended))
@@ -85,7 +85,7 @@
         })
 }
 
-/// Parts that do not stand in the compact encoding yet, one for each group, there or
+/// Zone shards that do not stand in the compact encoding yet, one for each machine shard, there or
 /// not: from then on a commit that was decided before cannot change them.
 fn compact_zone_shards(
     replica: &Replica,
@@ -104,9 +104,9 @@
         if step.1.len() == most || left.contains_key(&key) || known {
             continue;
         }
-        let part = replica.zone_shards.get(id).map(|e| e.value.clone());
+        let shard = replica.zone_shards.get(id).map(|e| e.value.clone());
         step.1
-            .push(replica.put_zone_shard(id, &part.unwrap_or_default()));
+            .push(replica.put_zone_shard(id, &shard.unwrap_or_default()));
         step.0.push(guard(key, replica.zone_shard_version(id)));
     }
     (!step.1.is_empty()).then_some(step)
@@ -147,8 +147,8 @@
                 if last.machines.is_empty() {
                     return None;
                 }
-                zone_shards[..at].iter().find_map(|(_, id, part)| {
-                    let mut all = (*part).clone();
+                zone_shards[..at].iter().find_map(|(_, id, shard)| {
+                    let mut all = (*shard).clone();
                     let more = last.machines.iter().map(|(n, s)| (n.clone(), s.clone()));
                     all.machines.extend(more);
                     replica.fits_zone_shard(&all).then_some((*from, *id, all))
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -10,9 +10,9 @@
 use super::names::{join_name, split_name};
 use crate::state::records::{Machine, MachineLifecycle, MachineShard};
 
-// --- a group -----------------------------------------------------------------
+// --- a machine shard -----------------------------------------------------------------
 
-/// Machines of a group that have holder, incarnation, life, type and kind in
+/// Machines of a machine shard that have holder, incarnation, life, type and kind in
 /// common; of each prefix and width a text: number, token, session and report.
 #[derive(Debug, Serialize, Deserialize)]
 struct Members(
@@ -24,21 +24,24 @@
     Vec<(String, usize, String)>,
 );
 
-/// The most that a machine takes of its group's short record while its figures
+/// The most that a machine takes of its machine shard's short record while its figures
 /// are of usual length.
 pub const MEMBER: usize = 22;
 
 /// What a class of machines takes there, beside its names.
 const CLASS: usize = 60;
 
-/// The most that the group may come to take with its machines' figures grown
+/// The most that the machine shard may come to take with its machines' figures grown
 /// and each in another state.
-pub fn group_bytes(group: &BTreeMap<String, Machine>, longest_holder: usize) -> usize {
-    let mut kinds: Vec<&str> = group.values().map(|m| m.kind.as_str()).collect();
+pub fn machine_shard_bytes(
+    machine_shard: &BTreeMap<String, Machine>,
+    longest_holder: usize,
+) -> usize {
+    let mut kinds: Vec<&str> = machine_shard.values().map(|m| m.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
     let kinds: usize = kinds.iter().map(|k| k.len() + longest_holder + CLASS).sum();
-    let names = group.keys().map(|n| match split_name(n) {
+    let names = machine_shard.keys().map(|n| match split_name(n) {
         (name, 0, _) => name.len() + MEMBER + 8,
         _ => MEMBER,
     });
@@ -46,7 +49,7 @@
     kinds * 3 + names.sum::<usize>()
 }
 
-/// What one more machine may add to a group, a type that is new there included.
+/// What one more machine may add to a machine shard, a type that is new there included.
 pub fn member_bytes(name: &str, kind: &str, longest_holder: usize) -> usize {
     let name = match split_name(name) {
         (name, 0, _) => name.len() + 8,
@@ -55,11 +58,11 @@
     MEMBER + name + (kind.len() + longest_holder + CLASS) * 3
 }
 
-/// A group's record in the compact encoding.
-pub fn encode_machine_shard(group: &MachineShard) -> Option<String> {
+/// A machine shard's record in the compact encoding.
+pub fn encode_machine_shard(machine_shard: &MachineShard) -> Option<String> {
     type RequestClass<'a> = (&'a str, u64, MachineLifecycle, &'a str, bool);
     let mut classes: BTreeMap<RequestClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
-    for (name, m) in &group.machines {
+    for (name, m) in &machine_shard.machines {
         let class = (m.holder.as_str(), m.incarnation, m.life, &*m.kind, m.spot);
         let (prefix, width, number) = split_name(name);
         let texts = classes.entry(class).or_default();
@@ -102,7 +105,7 @@
     figures.next().is_none().then_some(member)
 }
 
-/// A group's machines in either text.
+/// A machine shard's machines in either text.
 pub fn members<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, Machine>, D::Error> {
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -9,9 +9,9 @@
 use super::names::{fold_names, join_name};
 use crate::state::records::{MachineSlot, Ranges, Resources, ZoneShard};
 
-// --- a part ------------------------------------------------------------------
+// --- a zone shard ------------------------------------------------------------------
 
-/// Machines of one type and kind in a part: ranges of numbers by prefix and
+/// Machines of one type and kind in a zone shard: ranges of numbers by prefix and
 /// width, names in full, and what unbooked tasks take of some.
 #[derive(Debug, Serialize, Deserialize)]
 struct Slots(
@@ -22,11 +22,11 @@
     BTreeMap<String, (i64, i64, i64)>,
 );
 
-/// A part's record in the compact encoding: what is free is not written, as planning
+/// A zone shard's record in the compact encoding: what is free is not written, as planning
 /// takes the type's room less what is booked and what unbooked tasks take.
-pub fn encode_zone_shard(part: &ZoneShard) -> Option<String> {
+pub fn encode_zone_shard(shard: &ZoneShard) -> Option<String> {
     let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
-    for (name, slot) in &part.machines {
+    for (name, slot) in &shard.machines {
         let class = classes.entry((&slot.kind, slot.spot)).or_default();
         class.push((name, slot));
     }
@@ -48,14 +48,14 @@
     Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
 }
 
-/// Whether a part's record is in the compact encoding: a list, where the longer one
+/// Whether a zone shard's record is in the compact encoding: a list, where the longer one
 /// has names.
 pub fn is_compact_zone_shard(text: &str) -> bool {
     let machines = text.split_once(':').map_or("", |(_, rest)| rest);
     machines.trim_start().starts_with('[')
 }
 
-/// A part's machines in either text.
+/// A zone shard's machines in either text.
 pub fn slots<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -25,9 +25,9 @@
     format!("{PREFIX}team/{name}")
 }
 
-/// A part's name in the replica; its key has it behind `zone/`.
-pub fn shard_id(zone: &str, part: &str) -> String {
-    format!("{zone}/{part}")
+/// A zone shard's name in the replica; its key has it behind `zone/`.
+pub fn shard_id(zone: &str, shard: &str) -> String {
+    format!("{zone}/{shard}")
 }
 
 /// The key of a zone shard's record, by its id.
@@ -35,7 +35,7 @@
     format!("{PREFIX}zone/{id}")
 }
 
-/// A group's key; the name is its part's.
+/// A machine shard's key; the name is its zone shard's.
 pub fn machine_shard_key(id: &str) -> String {
     format!("{PREFIX}machine/{id}")
 }
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -21,7 +21,7 @@
 }
 
 /// The formats that this program reads and may write: 2 has compact encodings for
-/// parts, groups and runs, and jobs that await others.
+/// zone shards, machine shards and runs, and jobs that await others.
 pub const FORMATS: u32 = 2;
 
 /// `formats`: which controllers have been seen to run a program that knows the
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -27,7 +27,7 @@
 
 /// `zone/Z/PART`: free room per machine that takes work. One record a zone
 /// would outgrow `value_kb` at some hundred machines, and be written by all
-/// controllers at once; a machine stays in its part.
+/// controllers at once; a machine stays in its zone shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneShard {
     /// The machines by their ids.
@@ -39,7 +39,7 @@
     pub machines: BTreeMap<String, MachineSlot>,
 }
 
-/// The most that a machine's slot can take of its part's record: its names,
+/// The most that a machine's slot can take of its zone shard's record: its names,
 /// quotes and marks, and twice three amounts of up to nine digits.
 pub fn slot_entry_bytes(machine: &str, kind: &str) -> usize {
     machine.len() + kind.len() + 130
@@ -65,7 +65,7 @@
     Gone,
 }
 
-/// `machine/Z/PART`: the machines of one part, so that a takeover, a rental or
+/// `machine/Z/PART`: the machines of one zone shard, so that a takeover, a rental or
 /// a return of dozens costs a few writes. Each has a token of its own.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineShard {
@@ -78,13 +78,13 @@
     pub machines: BTreeMap<String, Machine>,
 }
 
-/// The most that a machine takes of its group's record: names, quotes and
+/// The most that a machine takes of its machine shard's record: names, quotes and
 /// marks, the incarnation and the token.
 pub fn machine_entry_bytes(machine: &str, kind: &str, holder: usize) -> usize {
     machine.len() + kind.len() + holder + 110
 }
 
-/// One machine, as its group has it.
+/// One machine, as its machine shard has it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     /// The controller that commands it; empty if none has claimed it.
@@ -116,7 +116,7 @@
     /// The part of its zone's record that it belongs to, from its first record
     /// on: the name of its home controller and a number.
     #[serde(skip)]
-    pub part: String,
+    pub shard: String,
 }
 
 impl Machine {
@@ -131,7 +131,7 @@
             kind: kind.to_string(),
             zone: zone.to_string(),
             spot: false,
-            part: String::new(),
+            shard: String::new(),
         }
     }
 }
--- a/src/state/replica/index.rs
+++ b/src/state/replica/index.rs
@@ -96,18 +96,18 @@
         &mut self,
         id: &str,
         version: u64,
-        group: Option<MachineShard>,
+        machine_shard: Option<MachineShard>,
     ) {
         let old = match self.machine_shards.get(id) {
             Some(e) if e.version >= version => return,
             _ => self.machine_shards.remove(id).map(|e| e.value),
         };
-        let (zone, part) = id.split_once('/').unwrap_or((id, ""));
+        let (zone, shard) = id.split_once('/').unwrap_or((id, ""));
         let mut gone = old.unwrap_or_default().machines;
-        for (name, machine) in group.iter().flat_map(|g| &g.machines) {
+        for (name, machine) in machine_shard.iter().flat_map(|g| &g.machines) {
             let machine = Machine {
                 zone: zone.to_string(),
-                part: part.to_string(),
+                shard: shard.to_string(),
                 ..machine.clone()
             };
             gone.remove(name);
@@ -119,9 +119,9 @@
             self.machines.insert(name.clone(), Entry { version, value });
         }
         for name in gone.into_keys() {
-            // It stands in another group now: a commit that moves it brings
+            // It stands in another machine shard now: a commit that moves it brings
             // both, in any order.
-            let here = |e: &Entry<Machine>| e.value.zone == zone && e.value.part == part;
+            let here = |e: &Entry<Machine>| e.value.zone == zone && e.value.shard == shard;
             if !self.machines.get(&name).is_some_and(here) {
                 continue;
             }
@@ -131,7 +131,7 @@
             self.machines.remove(&name);
             self.changes.machines.insert(name);
         }
-        if let Some(value) = group {
+        if let Some(value) = machine_shard {
             self.machine_shards
                 .insert(id.to_string(), Entry { version, value });
         }
@@ -231,12 +231,12 @@
         self.index_job_dependencies(id);
     }
 
-    /// Makes a part's machines ready for planning.
+    /// Makes a zone shard's machines ready for planning.
     pub(super) fn index_zone_shard(&mut self, id: &str) {
-        let part = self.zone_shard_names.number(id);
+        let shard = self.zone_shard_names.number(id);
         for spot in self.spots.remove(id).into_iter().flatten() {
-            if self.slot_parts.get(&spot.machine) == Some(&part) {
-                self.slot_parts.remove(&spot.machine);
+            if self.slot_shards.get(&spot.machine) == Some(&shard) {
+                self.slot_shards.remove(&spot.machine);
             }
         }
         let Some(entry) = self.zone_shards.get(id) else {
@@ -253,13 +253,13 @@
             .into_iter()
             .map(|(machine, slot)| PlanSlot {
                 machine: self.machine_names.number(&machine),
-                part,
+                shard,
                 class: self.class(&slot.kind, &zone, slot.spot),
                 free: slot.unbooked,
             })
             .collect();
         for spot in &spots {
-            self.slot_parts.insert(spot.machine, part);
+            self.slot_shards.insert(spot.machine, shard);
         }
         self.spots.insert(id.to_string(), spots);
     }
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -64,8 +64,8 @@
 pub struct PlanSlot {
     /// Its number among `Replica::machine_names`.
     pub machine: u32,
-    /// The number of its part's key among `Replica::zone_shard_names`.
-    pub part: u32,
+    /// The number of its zone shard's key among `Replica::zone_shard_names`.
+    pub shard: u32,
     /// The number of its class among `Replica::classes`.
     pub class: u32,
     /// In a plan: what is free. In the replica: what unbooked tasks take.
@@ -124,10 +124,10 @@
     /// The classes of machines, by their numbers.
     pub classes: Vec<MachineClass>,
     class_numbers: HashMap<(String, String, bool), u32>,
-    /// The parts' machines, ready for planning.
+    /// The zone shards' machines, ready for planning.
     spots: BTreeMap<String, Vec<PlanSlot>>,
-    /// The part that has a machine's slot, by their numbers.
-    slot_parts: HashMap<u32, u32>,
+    /// The zone shard that has a machine's slot, by their numbers.
+    slot_shards: HashMap<u32, u32>,
     /// Parts that stand in the compact encoding.
     compact_zone_shards: BTreeSet<String>,
     /// What a record may hold, where the limits are to fall: from the settings.
@@ -272,8 +272,8 @@
                 put(&mut self.teams, id, version, team);
             }
             "zone" => {
-                let part = value.and_then(|v| self.read(key, version, v));
-                if put(&mut self.zone_shards, id, version, part) {
+                let shard = value.and_then(|v| self.read(key, version, v));
+                if put(&mut self.zone_shards, id, version, shard) {
                     match value
                         .is_some_and(|v| crate::state::encoding::is_compact_zone_shard(v.get()))
                     {
@@ -284,8 +284,8 @@
                 }
             }
             "machine" => {
-                let group = value.and_then(|v| self.read(key, version, v));
-                self.set_machine_shard(id, version, group);
+                let machine_shard = value.and_then(|v| self.read(key, version, v));
+                self.set_machine_shard(id, version, machine_shard);
             }
             "hire" => {
                 let hire = value.and_then(|v| self.read(key, version, v));
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -9,7 +9,7 @@
 use crate::state::records::{Job, MachineSlot, Resources};
 
 impl Replica {
-    /// The version of a group's record, 0 if there is none.
+    /// The version of a machine shard's record, 0 if there is none.
     pub fn machine_shard_version(&self, id: &str) -> u64 {
         let absent = || self.absent_version(&machine_shard_key(id));
         self.machine_shards
@@ -62,9 +62,9 @@
     }
 
     /// A machine that takes work, with its room as the bookings of this replica
-    /// leave it. Whoever books more there writes its part, so that a commit
-    /// guarded by the part's version counts on no less than this.
-    pub fn with_room(&self, spot: &PlanSlot) -> PlanSlot {
+    /// leave it. Whoever books more there writes its zone shard, so that a commit
+    /// guarded by the zone shard's version counts on no less than this.
+    pub fn with_free_resources(&self, spot: &PlanSlot) -> PlanSlot {
         let kind = self.class_type(&self.classes[spot.class as usize]);
         let booked = self.booked.get(&spot.machine).copied().unwrap_or_default();
         let room = kind.map_or(Resources::default(), Resources::of_type);
@@ -88,19 +88,19 @@
 
     /// The slot that a machine has in its zone's record.
     pub fn slot(&self, machine: &str) -> Option<&MachineSlot> {
-        let part = self.zone_shards.get(&*self.zone_shard_of(machine)?)?;
-        part.value.machines.get(machine)
+        let shard = self.zone_shards.get(&*self.zone_shard_of(machine)?)?;
+        shard.value.machines.get(machine)
     }
 
-    /// The part that has a machine's slot. Any of its home's may: they are
+    /// The zone shard that has a machine's slot. Any of its home's may: they are
     /// merged while there is room, as a commit writes few.
     pub fn zone_shard_of(&self, machine: &str) -> Option<Rc<str>> {
         let number = self.machine_names.find(machine)?;
-        let part = self.slot_parts.get(&number)?;
-        Some(self.zone_shard_names.name(*part))
+        let shard = self.slot_shards.get(&number)?;
+        Some(self.zone_shard_names.name(*shard))
     }
 
-    /// Whether a part stands in the compact encoding: nothing that was decided before
+    /// Whether a zone shard stands in the compact encoding: nothing that was decided before
     /// these were written can change it any more, as its version is a newer one.
     pub fn is_compact_zone_shard(&self, id: &str) -> bool {
         self.compact_zone_shards.contains(id)
@@ -118,7 +118,7 @@
         self.teams.get(team).map_or_else(absent, |e| e.version)
     }
 
-    /// What the team's bookings take; as with a part, whoever books more
+    /// What the team's bookings take; as with a zone shard, whoever books more
     /// writes the team's record.
     pub fn team_used(&self, team: &str) -> Resources {
         self.team_booked.get(team).copied().unwrap_or_default()
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -16,13 +16,13 @@
         self.compact_limit.is_some() && self.upgraded()
     }
 
-    /// Whether a part's compact encoding is within what a record may hold, with some
+    /// Whether a zone shard's compact encoding is within what a record may hold, with some
     /// to spare for what unbooked tasks take.
-    pub fn fits_zone_shard(&self, part: &ZoneShard) -> bool {
+    pub fn fits_zone_shard(&self, shard: &ZoneShard) -> bool {
         let most = self.compact_limit.unwrap_or(usize::MAX) / 10 * 9;
         // Few machines never fill a record.
-        let short = || crate::state::encoding::encode_zone_shard(part).map_or(0, |t| t.len());
-        part.machines.len() < 8 || short() <= most
+        let short = || crate::state::encoding::encode_zone_shard(shard).map_or(0, |t| t.len());
+        shard.machines.len() < 8 || short() <= most
     }
 
     /// Whether a job's record, as it will be written, is within `most` bytes.
@@ -86,15 +86,15 @@
     }
 
     /// The write of a zone shard's record, in the encoding in force.
-    pub fn put_zone_shard(&self, id: &str, part: &ZoneShard) -> Write {
-        let short = || crate::state::encoding::encode_zone_shard(part);
-        self.put(zone_shard_key(id), part, short)
+    pub fn put_zone_shard(&self, id: &str, shard: &ZoneShard) -> Write {
+        let short = || crate::state::encoding::encode_zone_shard(shard);
+        self.put(zone_shard_key(id), shard, short)
     }
 
-    /// The write of a machine group's record, in the encoding in force.
-    pub fn put_machine_shard(&self, id: &str, group: &MachineShard) -> Write {
-        let short = || crate::state::encoding::encode_machine_shard(group);
-        self.put(machine_shard_key(id), group, short)
+    /// The write of a machine shard's record, in the encoding in force.
+    pub fn put_machine_shard(&self, id: &str, machine_shard: &MachineShard) -> Write {
+        let short = || crate::state::encoding::encode_machine_shard(machine_shard);
+        self.put(machine_shard_key(id), machine_shard, short)
     }
 
     fn put<T: serde::Serialize>(
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Drops the claims in a group that is too long to be written. The same commit
+/// Drops the claims in a machine shard that is too long to be written. The same commit
 /// would be refused again: they are asked for anew with the next reports of their
 /// workers, and the rest go on.
 fn drop_claims_beyond_limits(node: &Node, error: &StoreError) {
@@ -158,11 +158,13 @@
         return;
     };
     let replica = node.replica.borrow();
-    let in_group = |id: &str| {
+    let in_machine_shard = |id: &str| {
         let machine = replica.machines.get(id).map(|e| &e.value);
-        machine.is_none_or(|m| machine_shard_key(&shard_id(&m.zone, &m.part)) == *key)
+        machine.is_none_or(|m| machine_shard_key(&shard_id(&m.zone, &m.shard)) == *key)
     };
-    node.claims.borrow_mut().retain(|id, _| !in_group(id));
+    node.claims
+        .borrow_mut()
+        .retain(|id, _| !in_machine_shard(id));
 }
 
 /// Commits as many of the claims as one commit takes, and answers them.
@@ -222,9 +224,9 @@
             continue;
         };
         let known = replica.machines.get(id).map(|e| &e.value);
-        // A machine of a group that is in the commit already adds nothing to it.
-        let group = known.map(|m| shard_id(&m.zone, &m.part));
-        if machine_shards.is_full(ops) && !group.is_some_and(|g| machine_shards.has(&g)) {
+        // A machine of a machine shard that is in the commit already adds nothing to it.
+        let machine_shard = known.map(|m| shard_id(&m.zone, &m.shard));
+        if machine_shards.is_full(ops) && !machine_shard.is_some_and(|g| machine_shards.has(&g)) {
             continue;
         }
         batch.decided.push(id.clone());
@@ -255,9 +257,9 @@
     report: &Report,
 ) -> Machine {
     let (kind, zone) = (&report.kind, &report.zone);
-    let part = machine_shards.new_shard(&node.settings, id, kind, zone);
+    let shard = machine_shards.new_shard(&node.settings, id, kind, zone);
     Machine {
-        part,
+        shard,
         spot: report.spot,
         ..Machine::new(kind, zone)
     }
@@ -327,6 +329,6 @@
     }
     // The report that asked for the claim is yet to be taken.
     let before = (session, seq.saturating_sub(1));
-    worker_session.newest_beat = worker_session.newest_beat.max(before);
+    worker_session.newest_heartbeat = worker_session.newest_heartbeat.max(before);
     worker_sessions.insert(machine, worker_session);
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -60,7 +60,7 @@
     pub(super) fn defer_old_launches(&self, id: &str, plan: &mut Plan) {
         let limit = self.settings.launch_limit();
         if plan.defer_launches(self.replica_staleness(), limit) {
-            self.want_horizon_for(id);
+            self.request_barrier_for(id);
         }
     }
 
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -95,7 +95,7 @@
 
     async fn answer_heartbeat(&self, report: Report) -> Step<Answer> {
         let received = self.liveness_tick();
-        self.check_horizon()?;
+        self.check_staleness()?;
         self.redirect_home(&report, received)?;
         let machine = self.replica.borrow().machines.get(&report.machine).cloned();
         let heartbeat = Heartbeat {
@@ -113,7 +113,7 @@
     }
 
     /// Safety 4: a controller whose view may be too old renews no lease.
-    fn check_horizon(&self) -> Step {
+    fn check_staleness(&self) -> Step {
         match self.may_renew_leases() {
             true => Ok(()),
             false => Err(Answer::unavailable("cut off from the state service")),
@@ -286,8 +286,8 @@
             plan.orders.clear();
         }
         self.defer_old_launches(id, &mut plan);
-        // The horizon may have passed while the claim was awaited.
-        self.check_horizon()?;
+        // The bound may have passed while the claim was awaited.
+        self.check_staleness()?;
         // Safety 4: the answer renews the lease, so it ends what is cancelled.
         for stop in stops_of_cancelled(report, &self.replica.borrow()) {
             if !plan.orders.contains(&stop) {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -9,8 +9,8 @@
 mod claims;
 mod commands;
 mod heartbeat;
+mod publication;
 mod reconcile;
-mod rooms;
 mod routing;
 mod session;
 mod termination;
@@ -18,8 +18,8 @@
 
 pub use claims::{Claim, run_claims};
 pub use commands::run_commands;
+pub use publication::run_publication;
 pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
-pub use rooms::run_publication;
 pub use routing::home_of;
 pub use session::WorkerSession;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
--- a/src/workers/rooms.rs
+++ b/src/workers/publication.rs
@@ -1,4 +1,4 @@
-//! Publishes which machines take work, and what room they have: the parts of the
+//! Publishes which machines take work, and what room they have: the zone shards of the
 //! zones' records, where these differ from what this controller knows of the
 //! machines that it holds.
 
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::WorkerSession;
-use super::zone_shards::{Conditions, PartEdit, choose_part};
+use super::zone_shards::{Conditions, ShardEdit, choose_shard};
 use crate::node::{Node, guard};
 use crate::scheduler::{COMMIT_BYTES, GUARDS_PER_WRITE};
 use crate::state::budget::RequestClass;
@@ -21,16 +21,16 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Report, TaskReport, TaskStage};
 
-/// A part's record is published at most once in this time, unless machines join.
+/// A zone shard's record is published at most once in this time, unless machines join.
 const INTERVAL: Duration = Duration::from_secs(5);
 
 /// The share of a lease after which a silent machine takes no new work.
 const QUIET_SHARE: f64 = 0.6;
 
-/// When each part's record was last published here.
+/// When each zone shard's record was last published here.
 type Published = HashMap<String, Instant>;
 
-/// Publishes the room of held machines where the parts' records differ.
+/// Publishes the room of held machines where the zone shards' records differ.
 pub async fn run_publication(node: Rc<Node>) {
     let mut published = Published::new();
     let mut joined: Option<Instant> = None;
@@ -62,7 +62,7 @@
 
 /// Waits until room has changed. Machines that can take work from now on gather
 /// for a moment, and while many of them boot for a little longer: each time costs
-/// a write a part.
+/// a write a zone shard.
 async fn gather(node: &Node, joined: Option<Instant>) {
     let moment = node.request_gap() * 4;
     let apart = node.settings.report() / 4;
@@ -87,7 +87,7 @@
             let replica = node.replica.borrow();
             let writes = changes
                 .iter()
-                .map(|c| replica.put_zone_shard(&c.id, &c.part));
+                .map(|c| replica.put_zone_shard(&c.id, &c.shard));
             (all_guards(&changes), writes.collect())
         };
         match node.commit(class, guards, writes).await {
@@ -99,7 +99,7 @@
                 drop_conflicting(&mut changes, &keys, published);
                 node.expedite_watch();
                 node.publication_wanted.notify_one();
-                // Where slots were put by what other parts of the commit hold,
+                // Where slots were put by what other zone shards of the commit hold,
                 // all of it is chosen anew.
                 if changes.len() == known || node.replica.borrow().uses_compact_encoding() {
                     return;
@@ -131,10 +131,10 @@
     });
 }
 
-/// A part's record as it should be.
+/// A zone shard's record as it should be.
 struct RoomChange {
     id: String,
-    part: ZoneShard,
+    shard: ZoneShard,
     /// Machines join or leave.
     members: bool,
     /// All that has to be as it is.
@@ -165,7 +165,7 @@
     planner.into_changes()
 }
 
-/// What a part's record should say of a machine.
+/// What a zone shard's record should say of a machine.
 enum Listing {
     /// Not known yet: the record stays as it is.
     Unknown,
@@ -174,19 +174,19 @@
     Takes(MachineSlot),
 }
 
-/// Plans one commit of changed parts.
+/// Plans one commit of changed zone shards.
 struct RoomPlanner<'a> {
     node: &'a Node,
     replica: &'a Replica,
     suspects: HashSet<String>,
     now: Instant,
-    most_parts: usize,
+    most_shards: usize,
     most_guards: usize,
     /// What the slots that are put somewhere depend on.
     conditions: Conditions,
     /// The keys of these conditions, by part.
     condition_keys: BTreeMap<String, BTreeSet<String>>,
-    edits: BTreeMap<String, PartEdit>,
+    edits: BTreeMap<String, ShardEdit>,
 }
 
 impl<'a> RoomPlanner<'a> {
@@ -196,14 +196,14 @@
             true => node.settings.value_bytes(),
             false => node.settings.longest_value(),
         };
-        let most_parts = node.settings.txn_ops().min((COMMIT_BYTES / longest).max(1));
+        let most_shards = node.settings.txn_ops().min((COMMIT_BYTES / longest).max(1));
         RoomPlanner {
             node,
             replica,
             suspects,
             now,
-            most_parts,
-            most_guards: most_parts * (GUARDS_PER_WRITE - 1),
+            most_shards,
+            most_guards: most_shards * (GUARDS_PER_WRITE - 1),
             conditions: Conditions::new(),
             condition_keys: BTreeMap::new(),
             edits: BTreeMap::new(),
@@ -258,7 +258,7 @@
         unbooked
     }
 
-    /// Puts the machine's slot into its part's record, or takes it out, where the
+    /// Puts the machine's slot into its zone shard's record, or takes it out, where the
     /// record differs and the commit has room for it.
     fn plan(&mut self, id: &str, machine: &Machine, slot: Option<MachineSlot>, recent: &Published) {
         let known = self.replica.slot(id);
@@ -271,51 +271,54 @@
         if same {
             return;
         }
-        let Some(part) = self.zone_shard_of(id, machine, slot.as_ref()) else {
+        let Some(shard) = self.zone_shard_of(id, machine, slot.as_ref()) else {
             return;
         };
         // A machine that joins does not wait for the interval.
         let joins = known.is_none();
-        let full = self.edits.len() == self.most_parts && !self.edits.contains_key(&part);
-        if full || (recent.contains_key(&part) && !joins) {
+        let full = self.edits.len() == self.most_shards && !self.edits.contains_key(&shard);
+        if full || (recent.contains_key(&shard) && !joins) {
             return;
         }
         let members = known.is_some() != slot.is_some();
-        self.edit(part, id, slot, members);
+        self.edit(shard, id, slot, members);
     }
 
-    /// The part that the machine stands in, or is put into.
+    /// The zone shard that the machine stands in, or is put into.
     fn zone_shard_of(
         &mut self,
         id: &str,
         machine: &Machine,
         slot: Option<&MachineSlot>,
     ) -> Option<String> {
-        if let Some(part) = self.replica.zone_shard_of(id) {
-            return Some(part.to_string());
+        if let Some(shard) = self.replica.zone_shard_of(id) {
+            return Some(shard.to_string());
         }
-        let choice = choose_part(self.replica, &self.edits, id, machine, slot)?;
+        let choice = choose_shard(self.replica, &self.edits, id, machine, slot)?;
         if self.conditions.len() + choice.conditions.len() > self.most_guards {
             return None;
         }
         for (key, version) in choice.conditions {
             self.conditions.insert(key.clone(), version);
-            let keys = self.condition_keys.entry(choice.part.clone());
+            let keys = self.condition_keys.entry(choice.shard.clone());
             keys.or_default().insert(key);
         }
-        Some(choice.part)
+        Some(choice.shard)
     }
 
-    fn edit(&mut self, part: String, id: &str, slot: Option<MachineSlot>, members: bool) {
+    fn edit(&mut self, shard: String, id: &str, slot: Option<MachineSlot>, members: bool) {
         let replica = self.replica;
-        let edit = self.edits.entry(part).or_insert_with_key(|part| PartEdit {
-            record: replica
-                .zone_shards
-                .get(part)
-                .map(|e| e.value.clone())
-                .unwrap_or_default(),
-            members: false,
-        });
+        let edit = self
+            .edits
+            .entry(shard)
+            .or_insert_with_key(|shard| ShardEdit {
+                record: replica
+                    .zone_shards
+                    .get(shard)
+                    .map(|e| e.value.clone())
+                    .unwrap_or_default(),
+                members: false,
+            });
         edit.members |= members;
         let Some(slot) = slot else {
             edit.record.machines.remove(id);
@@ -335,19 +338,19 @@
         let changes = edits.into_iter().map(|(id, edit)| RoomChange {
             guards: self.guards(&id),
             id,
-            part: edit.record,
+            shard: edit.record,
             members: edit.members,
         });
         changes.collect()
     }
 
-    /// What must be as it is for the change of a part to hold.
-    fn guards(&self, part: &str) -> Vec<Guard> {
+    /// What must be as it is for the change of a zone shard to hold.
+    fn guards(&self, shard: &str) -> Vec<Guard> {
         let mut guards = vec![guard(
-            zone_shard_key(part),
-            self.replica.zone_shard_version(part),
+            zone_shard_key(shard),
+            self.replica.zone_shard_version(shard),
         )];
-        let keys = self.condition_keys.get(part).into_iter().flatten();
+        let keys = self.condition_keys.get(shard).into_iter().flatten();
         guards.extend(keys.map(|key| {
             let version = self.conditions.get(key).copied().unwrap_or(0);
             guard(key.clone(), version)
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -1,6 +1,6 @@
 //! Which controller a worker should report to.
 //!
-//! A machine has a home, the controller whose name its part bears: commits on its
+//! A machine has a home, the controller whose name its zone shard bears: commits on its
 //! work conflict with no others there. A worker is sent home when its home is up
 //! and hears its workers, and back to the holder of its machine when it has lost
 //! that for a moment. Each is done seldom, as the worker may not reach it.
@@ -14,9 +14,9 @@
 /// For so many leases a worker is left alone that did not reach its home.
 const LEASES_NOT_SENT_HOME: u32 = 3;
 
-/// The controller whose name a part bears.
-pub fn home_of(part: &str) -> &str {
-    part.rsplit_once('.').map_or("", |(home, _)| home)
+/// The controller whose name a zone shard bears.
+pub fn home_of(shard: &str) -> &str {
+    shard.rsplit_once('.').map_or("", |(home, _)| home)
 }
 
 impl Node {
@@ -31,7 +31,7 @@
     pub(super) fn send_home(&self, report: &Report, now: Instant) -> Option<String> {
         let replica = self.replica.borrow();
         let machine = replica.machines.get(&report.machine).map(|e| &e.value);
-        let home = self.home_that_hears(report, machine, now)?;
+        let home = self.reachable_home(report, machine, now)?;
         if home == self.name() || self.was_sent_home(&report.machine, now) {
             return None;
         }
@@ -50,7 +50,7 @@
 
     /// The controller of the machine's part, or one in its zone, as reports that
     /// cross no zone survive when zones are cut off from one another.
-    fn home_that_hears(
+    fn reachable_home(
         &self,
         report: &Report,
         machine: Option<&Machine>,
@@ -60,7 +60,7 @@
         // A controller that does not hear its workers has lost them.
         let mut alive = peers.alive(self, now);
         alive.retain(|n| *n == self.name() || peers.hears_workers(self, n, now));
-        let home = machine.map_or("", |m| home_of(&m.part));
+        let home = machine.map_or("", |m| home_of(&m.shard));
         match alive.iter().find(|n| **n == home) {
             Some(home) => Some(home.to_string()),
             None => self.nearest(&report.machine, &report.zone, &alive),
@@ -120,7 +120,7 @@
         now: Instant,
     ) -> Option<String> {
         let machine = machine.filter(|m| m.holder != self.name() && m.token > 0)?;
-        if home_of(&machine.part) == self.name() {
+        if home_of(&machine.shard) == self.name() {
             return None;
         }
         let replica = self.replica.borrow();
--- a/src/workers/session.rs
+++ b/src/workers/session.rs
@@ -52,7 +52,7 @@
     pub quiet_until: Instant,
     /// The newest heartbeat, whatever its token. A worker has one in flight at
     /// most: an older one is a late copy, and nobody waits for its answer.
-    pub newest_beat: (u64, u64),
+    pub newest_heartbeat: (u64, u64),
     /// The worker's session, and when this controller first saw it.
     pub session: Option<(u64, Instant)>,
     /// Since when its reports have arrived while answers and orders have not.
@@ -81,7 +81,7 @@
             stopped: HashMap::new(),
             failed_jobs: BTreeSet::new(),
             quiet_until: now,
-            newest_beat: (0, 0),
+            newest_heartbeat: (0, 0),
             session: None,
             unreachable_since: None,
             unconfirmed: false,
@@ -91,7 +91,7 @@
     /// Takes over what does not depend on the token from the claim before this.
     pub fn follow(&mut self, earlier: &WorkerSession) {
         self.failed_jobs.clone_from(&earlier.failed_jobs);
-        self.newest_beat = earlier.newest_beat;
+        self.newest_heartbeat = earlier.newest_heartbeat;
         self.heartbeat = earlier.heartbeat;
         self.session = earlier.session;
         self.unreachable_since = earlier.unreachable_since;
@@ -113,10 +113,10 @@
     /// nothing: neither that the machine is alive, nor what runs there.
     pub fn record_heartbeat(&mut self, report: &Report, lease: Duration, now: Instant) -> bool {
         let at = (report.session, report.seq);
-        if at <= self.newest_beat {
+        if at <= self.newest_heartbeat {
             return false;
         }
-        self.newest_beat = at;
+        self.newest_heartbeat = at;
         self.heartbeat = now;
         self.see(report, lease, now);
         true
@@ -158,11 +158,11 @@
     /// Takes a report if it is newer than what is known and was made under
     /// our token; true if it was taken. Safety 3: an older report proves nothing about what has
     /// been launched since.
-    pub fn take(&mut self, report: Report, is_beat: bool) -> bool {
+    pub fn take(&mut self, report: Report, is_heartbeat: bool) -> bool {
         if report.token != self.token {
             return false;
         }
-        if is_beat && self.unconfirmed {
+        if is_heartbeat && self.unconfirmed {
             return false;
         }
         self.unconfirmed = false;
@@ -174,7 +174,7 @@
         }
         // A heartbeat newer than the one whose answer carried launches was made
         // after that answer was executed or dropped.
-        if is_beat && self.offered.is_some_and(|o| at > o) {
+        if is_heartbeat && self.offered.is_some_and(|o| at > o) {
             self.offered = None;
         }
         let here: HashSet<(&str, u64)> = report
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -331,7 +331,7 @@
     }
 }
 
-/// A replica whose parts have these rooms: zone, machine, CPUs.
+/// A replica whose zone shards have these rooms: zone, machine, CPUs.
 fn view_with(rooms: &[(&str, &str, f64)]) -> Replica {
     let mut replica = view_with_types();
     let mut zone_shards: BTreeMap<&str, ZoneShard> = BTreeMap::new();
@@ -350,13 +350,13 @@
             free: Resources::default(),
             unbooked: Resources::default(),
         };
-        let part = zone_shards.entry(zone).or_default();
-        part.machines.insert(machine.to_string(), slot);
+        let shard = zone_shards.entry(zone).or_default();
+        shard.machines.insert(machine.to_string(), slot);
     }
     let key = |zone| zone_shard_key(&shard_id(zone, "n0.0"));
     let events = zone_shards
         .iter()
-        .map(|(zone, part)| Event::put(key(zone), part, 3));
+        .map(|(zone, shard)| Event::put(key(zone), shard, 3));
     replica.advance(events.collect(), 3);
     replica
 }
@@ -620,7 +620,7 @@
         kind: "small".into(),
         zone: "a".into(),
         spot: false,
-        part: "n0.0".into(),
+        shard: "n0.0".into(),
     };
     let set = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
     replica.advance(
@@ -645,18 +645,18 @@
     .expect("report")
 }
 
-/// An array may have its places in more parts than a commit writes, a gang goes
+/// An array may have its places in more zone shards than a commit writes, a gang goes
 /// whole or not at all.
 #[test]
-fn what_a_commit_cannot_hold_is_booked_in_parts() {
+fn what_a_commit_cannot_hold_is_booked_by_several() {
     let set = settings();
     for (kind, want) in [(Kind::Array, 4), (Kind::Gang, 0)] {
         let mut replica = view_with(&[]);
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
-            let part = json!({"m": {format!("m{n}"): slot}});
+            let shard = json!({"m": {format!("m{n}"): slot}});
             replica.advance(
-                vec![Event::put(zone_shard_key(&format!("a/n0.{n}")), &part, 3)],
+                vec![Event::put(zone_shard_key(&format!("a/n0.{n}")), &shard, 3)],
                 3,
             );
         }
@@ -894,9 +894,9 @@
         let mut replica = held(Kind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
         machine.life = *life;
-        let group = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
+        let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
         replica.advance(
-            vec![Event::put(machine_shard_key("a/n0.0"), &group, 11)],
+            vec![Event::put(machine_shard_key("a/n0.0"), &machine_shard, 11)],
             11,
         );
         let key = AttemptKey {
@@ -915,8 +915,8 @@
         assert_eq!(&got, want, "{name}");
         // The commit depends on the machine's record, too.
         let guards = transaction.into_commit().0;
-        let on_group = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
-        assert_eq!(on_group, *want == Released::Yes, "{name}");
+        let on_machine_shard = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
+        assert_eq!(on_machine_shard, *want == Released::Yes, "{name}");
     }
 }
 
@@ -1053,14 +1053,18 @@
         ..Resources::default()
     };
     // 8 CPUs are guaranteed.
-    for (used, part, lends) in [
+    for (used, shard, lends) in [
         (8.0, 2.0, false),
         (9.0, 2.0, false),
         (10.0, 2.0, true),
         (16.0, 8.0, true),
         (15.0, 8.0, false),
     ] {
-        assert_eq!(team.lends(&room(used), &room(part)), lends, "{used} {part}");
+        assert_eq!(
+            team.lends(&room(used), &room(shard)),
+            lends,
+            "{used} {shard}"
+        );
     }
 }
 
@@ -1118,11 +1122,11 @@
     assert_eq!(["m1", "m2", "m3", "m4"].map(free), [0.0, 0.0, 4.0, 1.0]);
 }
 
-/// Machines of a zone stand in parts that stay within `value_kb`, each machine
+/// Machines of a zone stand in zone shards that stay within `value_kb`, each machine
 /// in one of its home's; two controllers that take up the same new machine at
 /// once cannot both succeed.
 #[test]
-fn a_large_zone_stands_in_parts() {
+fn a_large_zone_stands_in_several_shards() {
     let set = settings();
     let mut replica = view_with_types();
     let mut version = 10;
@@ -1130,7 +1134,7 @@
         let name = format!("host-{n:06}");
         let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         let machine = Machine {
-            part: machine_shards.new_shard(&set, &name, "grande-occhio", "a"),
+            shard: machine_shards.new_shard(&set, &name, "grande-occhio", "a"),
             holder: "n0".into(),
             incarnation: u64::from(u32::MAX),
             token: 1_000_000,
@@ -1185,8 +1189,8 @@
         let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         left.retain(|name| {
             let machine = &replica.machines[name].value;
-            let group = shard_id(&machine.zone, &machine.part);
-            if machine_shards.is_full(ops) && !machine_shards.has(&group) {
+            let machine_shard = shard_id(&machine.zone, &machine.shard);
+            if machine_shards.is_full(ops) && !machine_shards.has(&machine_shard) {
                 return true;
             }
             machine_shards.put(name, machine.clone());
@@ -1594,7 +1598,7 @@
     assert_eq!(replica.open.len(), 2, "job-1 and job-6");
     set(&mut replica, "job-1", &ended(JobStatus::Done));
     assert_eq!(replica.open.len(), 3, "job-2, job-3 and job-6");
-    assert_eq!(replica.held().count(), 0);
+    assert_eq!(replica.blocked().count(), 0);
 }
 
 /// Lateness goes by the deadline of what needs a job, too.
@@ -1729,11 +1733,16 @@
             }
             let got: Vec<&str> = replica.open.iter().map(|(_, id)| id.as_str()).collect();
             assert_eq!(got, open, "{status:?} {other:?} {how}");
-            let doomed = states.iter().zip(&jobs);
-            let doomed = doomed.filter(|(s, (_, job))| **s == Cancelled && job.is_open());
-            assert_eq!(replica.doomed().count(), doomed.count(), "{how}");
+            let cancelled_with_dependency = states.iter().zip(&jobs);
+            let cancelled_with_dependency =
+                cancelled_with_dependency.filter(|(s, (_, job))| **s == Cancelled && job.is_open());
+            assert_eq!(
+                replica.cancelled_with_dependency().count(),
+                cancelled_with_dependency.count(),
+                "{how}"
+            );
             let held = 6 - open.len() - states.iter().filter(|s| **s != Open).count();
-            assert_eq!(replica.held().count(), held, "{how}");
+            assert_eq!(replica.blocked().count(), held, "{how}");
         };
         for order in &orders {
             let mut replica = Replica::default();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -142,7 +142,7 @@
     }
 }
 
-fn part() -> ZoneShard {
+fn shard() -> ZoneShard {
     let slot = |kind: &str, spot, free, unbooked| MachineSlot {
         kind: kind.into(),
         spot,
@@ -163,15 +163,15 @@
     }
 }
 
-fn part_with_free_room() -> ZoneShard {
-    let mut part = part();
-    for slot in part.machines.values_mut() {
+fn shard_with_free_resources() -> ZoneShard {
+    let mut shard = shard();
+    for slot in shard.machines.values_mut() {
         slot.free = room(6000, 1000, 12000);
     }
-    part
+    shard
 }
 
-fn group() -> MachineShard {
+fn machine_shard() -> MachineShard {
     let machine = |holder: &str, number: u64, life| Machine {
         holder: holder.into(),
         incarnation: 4_000_000_000 * number.min(1),
@@ -380,22 +380,26 @@
 
 /// Of the compact encoding what is free is left out: nobody reads it.
 #[test]
-fn parts_are_stored_byte_for_byte() {
-    same(&part_with_free_room(), PART);
-    reads(&part(), PART_SHORT);
+fn zone_shards_are_stored_byte_for_byte() {
+    same(&shard_with_free_resources(), PART);
+    reads(&shard(), PART_SHORT);
     let key = "sh/zone/a/bay-1.0";
     let (plain, short) = (replica(false), replica(true));
     writes(
-        &plain.put_zone_shard("a/bay-1.0", &part_with_free_room()),
+        &plain.put_zone_shard("a/bay-1.0", &shard_with_free_resources()),
         key,
         PART,
     );
     writes(
-        &short.put_zone_shard("a/bay-1.0", &part_with_free_room()),
+        &short.put_zone_shard("a/bay-1.0", &shard_with_free_resources()),
+        key,
+        PART_SHORT,
+    );
+    writes(
+        &short.put_zone_shard("a/bay-1.0", &shard()),
         key,
         PART_SHORT,
     );
-    writes(&short.put_zone_shard("a/bay-1.0", &part()), key, PART_SHORT);
     writes(
         &short.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
         key,
@@ -409,19 +413,19 @@
 }
 
 #[test]
-fn groups_are_stored_byte_for_byte() {
-    same(&group(), GROUP);
-    reads(&group(), GROUP_SHORT);
+fn machine_shards_are_stored_byte_for_byte() {
+    same(&machine_shard(), GROUP);
+    reads(&machine_shard(), GROUP_SHORT);
     let key = "sh/machine/a/bay-1.0";
     for text in [GROUP, GROUP_SHORT] {
-        let group: MachineShard = serde_json::from_str(text).expect("a group");
+        let machine_shard: MachineShard = serde_json::from_str(text).expect("a group");
         writes(
-            &replica(false).put_machine_shard("a/bay-1.0", &group),
+            &replica(false).put_machine_shard("a/bay-1.0", &machine_shard),
             key,
             GROUP,
         );
         writes(
-            &replica(true).put_machine_shard("a/bay-1.0", &group),
+            &replica(true).put_machine_shard("a/bay-1.0", &machine_shard),
             key,
             GROUP_SHORT,
         );
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Without a recent horizon all launches are held, and nothing else is.
+/// Without a recent last barrier all launches are held, and nothing else is.
 #[test]
 fn only_a_recent_view_launches() {
     use CommandKind::{Forget, Start, Stop};
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The state service's limits fall: compact encodings, parts that are merged, groups
+//! The state service's limits fall: compact encodings, zone shards that are merged, machine shards
 //! that are split, and a deployment that goes on throughout.
 
 // Each file of tests uses a part of them.
@@ -66,31 +66,31 @@
     same_bytes::<Job>(DONE_JOB);
     same_bytes::<Arrivals>(ARRIVALS);
     same_bytes::<Team>(TEAM);
-    let part: ZoneShard = same_bytes(PART);
-    assert_eq!(part.machines["host-000231"].unbooked.cpus, Amount(2000));
-    let group: MachineShard = same_bytes(GROUP);
-    assert_eq!(group.machines.len(), 5);
+    let shard: ZoneShard = same_bytes(PART);
+    assert_eq!(shard.machines["host-000231"].unbooked.cpus, Amount(2000));
+    let machine_shard: MachineShard = same_bytes(GROUP);
+    assert_eq!(machine_shard.machines.len(), 5);
     same_bytes::<Rental>(HIRE);
     same_bytes::<Types>(TYPES);
     same_bytes::<ControllerRecord>(RENTER);
-    // And through the compact encoding and back, byte for byte; of a part all but what
+    // And through the compact encoding and back, byte for byte; of a zone shard all but what
     // is free, which nobody reads.
     let again: Job = read(encoding::encode_job(&job));
     assert_eq!(serde_json::to_string(&again).expect("text"), JOB);
-    let again: MachineShard = read(encoding::encode_machine_shard(&group));
+    let again: MachineShard = read(encoding::encode_machine_shard(&machine_shard));
     assert_eq!(serde_json::to_string(&again).expect("text"), GROUP);
-    let again: ZoneShard = read(encoding::encode_zone_shard(&part));
-    assert_eq!(again, without_free(&part));
+    let again: ZoneShard = read(encoding::encode_zone_shard(&shard));
+    assert_eq!(again, without_free(&shard));
 }
 
 // --- compact encodings ---------------------------------------------------------------
 
-fn without_free(part: &ZoneShard) -> ZoneShard {
-    let mut part = part.clone();
-    for slot in part.machines.values_mut() {
+fn without_free(shard: &ZoneShard) -> ZoneShard {
+    let mut shard = shard.clone();
+    for slot in shard.machines.values_mut() {
         slot.free = Resources::default();
     }
-    part
+    shard
 }
 
 /// Names that are not like the cloud's, or only nearly.
@@ -200,11 +200,11 @@
 }
 
 #[test]
-fn short_texts_of_parts_and_groups_are_read_back() {
+fn compact_encodings_of_shards_are_read_back() {
     let mut rng = SmallRng::seed_from_u64(8);
     for count in [0, 1, 2, 90, 400] {
-        let mut part = ZoneShard::default();
-        let mut group = MachineShard::default();
+        let mut shard = ZoneShard::default();
+        let mut machine_shard = MachineShard::default();
         for n in 0..count {
             let n = n * rng.random_range(1..3);
             let kind = ["small", "\"big\" one"][rng.random_range(0..2)];
@@ -218,7 +218,7 @@
                 free: Resources::default(),
                 unbooked,
             };
-            part.machines.insert(name(n), slot);
+            shard.machines.insert(name(n), slot);
             let lives = [
                 MachineLifecycle::Booting,
                 MachineLifecycle::Active,
@@ -235,17 +235,20 @@
                 spot: rng.random(),
                 ..Machine::new(kind, "")
             };
-            group.machines.insert(name(n), machine);
+            machine_shard.machines.insert(name(n), machine);
         }
-        assert_eq!(read::<ZoneShard>(encoding::encode_zone_shard(&part)), part);
         assert_eq!(
-            read::<MachineShard>(encoding::encode_machine_shard(&group)),
-            group
+            read::<ZoneShard>(encoding::encode_zone_shard(&shard)),
+            shard
+        );
+        assert_eq!(
+            read::<MachineShard>(encoding::encode_machine_shard(&machine_shard)),
+            machine_shard
         );
         assert!(encoding::is_compact_zone_shard(
-            &encoding::encode_zone_shard(&part).expect("text")
+            &encoding::encode_zone_shard(&shard).expect("text")
         ));
-        let long = serde_json::to_string(&part).expect("text");
+        let long = serde_json::to_string(&shard).expect("text");
         assert!(!encoding::is_compact_zone_shard(&long));
     }
     for bad in [
@@ -257,12 +260,12 @@
     }
 }
 
-/// The machines of a home stand in one part, however their numbers fall apart,
-/// and a hundred and more in a group.
+/// The machines of a home stand in one zone shard, however their numbers fall apart,
+/// and a hundred and more in a machine shard.
 #[test]
-fn a_home_stands_in_one_part() {
-    let mut part = ZoneShard::default();
-    let mut group = MachineShard::default();
+fn a_home_stands_in_one_zone_shard() {
+    let mut shard = ZoneShard::default();
+    let mut machine_shard = MachineShard::default();
     for n in (0..320).map(|n| n * 2) {
         let kind = ["bancone", "cavalletto", "trave", "occhio", "grande-occhio"][n / 2 % 5];
         let slot = MachineSlot {
@@ -271,7 +274,7 @@
             free: Resources::default(),
             unbooked: Resources::default(),
         };
-        part.machines.insert(format!("host-{n:06}"), slot);
+        shard.machines.insert(format!("host-{n:06}"), slot);
         if n < 220 {
             let machine = Machine {
                 holder: "bay-1".into(),
@@ -282,12 +285,16 @@
                 spot: n % 3 == 0,
                 ..Machine::new(kind, "")
             };
-            group.machines.insert(format!("host-{n:06}"), machine);
+            machine_shard
+                .machines
+                .insert(format!("host-{n:06}"), machine);
         }
     }
-    let bytes = encoding::encode_zone_shard(&part).expect("text").len();
+    let bytes = encoding::encode_zone_shard(&shard).expect("text").len();
     assert!(bytes <= LIMIT * 9 / 10, "{bytes} bytes for 320 machines");
-    let bytes = encoding::encode_machine_shard(&group).expect("text").len();
+    let bytes = encoding::encode_machine_shard(&machine_shard)
+        .expect("text")
+        .len();
     assert!(bytes <= LIMIT, "{bytes} bytes for 110 machines");
 }
 
@@ -312,7 +319,7 @@
         at,
         machine: format!("host-{:06}", at * 17).into(),
         zone: ["capannone-nord", "capannone-sud", "ufficio-porto"][at % 3].into(),
-        part: "capannone-nord/bay-1.0".into(),
+        shard: "capannone-nord/bay-1.0".into(),
     };
     (0..machines * each).map(|n| place(n / each)).collect()
 }
@@ -387,17 +394,17 @@
     }
 }
 
-// --- parts and groups ------------------------------------------------------------
+// --- zone shards and machine shards ------------------------------------------------------------
 
-/// A replica whose records are to be short, of parts and groups as production left
+/// A replica whose records are to be short, of zone shards and machine shards as production left
 /// them.
 fn production_view(machine_shards: usize, each: usize) -> Replica {
     let mut replica = Replica::with_compact_limit(Some(LIMIT));
     let formats = json!({"n": {"n0": 2}, "a": 2});
     let mut events = vec![Event::put(FORMATS_KEY.into(), &formats, 1)];
     for g in 0..machine_shards {
-        let mut group = MachineShard::default();
-        let mut part = ZoneShard::default();
+        let mut machine_shard = MachineShard::default();
+        let mut shard = ZoneShard::default();
         for n in 0..each {
             let name = format!("host-{:06}", (g * each + n) * 3);
             let machine = Machine {
@@ -408,35 +415,39 @@
                 life: MachineLifecycle::Active,
                 ..Machine::new("grande-occhio", "a")
             };
-            group.machines.insert(name.clone(), machine);
+            machine_shard.machines.insert(name.clone(), machine);
             let slot = MachineSlot {
                 kind: "grande-occhio".into(),
                 spot: false,
                 free: Resources::default(),
                 unbooked: Resources::default(),
             };
-            part.machines.insert(name, slot);
+            shard.machines.insert(name, slot);
         }
         let id = format!("a/n0.{g}");
-        events.push(Event::put(machine_shard_key(&id), &group, 2 + g as u64));
-        events.push(Event::put(zone_shard_key(&id), &part, 2 + g as u64));
+        events.push(Event::put(
+            machine_shard_key(&id),
+            &machine_shard,
+            2 + g as u64,
+        ));
+        events.push(Event::put(zone_shard_key(&id), &shard, 2 + g as u64));
     }
     replica.advance(events, 100);
     replica
 }
 
-/// A group that is too long in its compact encoding, too, is split in the commit that
+/// A machine shard that is too long in its compact encoding, too, is split in the commit that
 /// writes it: none is lost, doubled or changed, whichever record comes first.
 #[test]
-fn a_long_group_is_split_in_one_commit() {
+fn a_long_machine_shard_is_split_in_one_commit() {
     let mut replica = production_view(1, 60);
     let before = replica.machines.clone();
     // While what an older version decided may still arrive, it stays whole.
     let mut machine_shards = MachineShardEdits::new(&replica);
     machine_shards.edit("a/n0.0");
     assert_eq!(machine_shards.into_commit().1.len(), 1);
-    let part = replica.zone_shards["a/n0.0"].value.clone();
-    let write = replica.put_zone_shard("a/n0.0", &part);
+    let shard = replica.zone_shards["a/n0.0"].value.clone();
+    let write = replica.put_zone_shard("a/n0.0", &shard);
     replica.overlay(&[write], 101);
     assert!(replica.is_compact_zone_shard("a/n0.0"));
     let mut version = 102;
@@ -449,7 +460,7 @@
             text.len() > LIMIT
         });
         let id = long.expect("a long one").0.clone();
-        // A part that is not there yet has to be, before a second split.
+        // A zone shard that is not there yet has to be, before a second split.
         let writes = [replica.put_zone_shard(
             &id,
             &replica
@@ -481,13 +492,13 @@
     for (name, machine) in &before {
         let now = &replica.machines[name].value;
         let as_before = Machine {
-            part: machine.value.part.clone(),
+            shard: machine.value.shard.clone(),
             ..now.clone()
         };
         assert_eq!(as_before, machine.value);
-        let group = format!("{}/{}", now.zone, now.part);
+        let machine_shard = format!("{}/{}", now.zone, now.shard);
         assert!(
-            replica.machine_shards[&group]
+            replica.machine_shards[&machine_shard]
                 .value
                 .machines
                 .contains_key(name)
@@ -498,7 +509,7 @@
 /// Parts are merged by twos while there is room, and each machine is found where
 /// it stands; a booking that counted on the old part meets a conflict.
 #[test]
-fn parts_are_merged() {
+fn zone_shards_are_merged() {
     let mut replica = production_view(6, 54);
     let tended = |_: &str| true;
     assert!(compaction::merge(&replica, &HashMap::new(), &tended).is_none());
@@ -529,8 +540,13 @@
         steps += 1;
         assert_eq!(replica.spots().count(), 6 * 54);
         for name in replica.machines.keys() {
-            let part = replica.zone_shard_of(name).expect("a part").to_string();
-            assert!(replica.zone_shards[&part].value.machines.contains_key(name));
+            let shard = replica.zone_shard_of(name).expect("a part").to_string();
+            assert!(
+                replica.zone_shards[&shard]
+                    .value
+                    .machines
+                    .contains_key(name)
+            );
             assert!(replica.slot(name).is_some());
         }
     }
@@ -541,9 +557,9 @@
     assert_eq!(filled.count(), 1, "after {steps}");
 }
 
-/// Places in as few parts as one commit writes beside the job and its team.
+/// Places in as few zone shards as one commit writes beside the job and its team.
 #[test]
-fn a_gang_is_looked_for_in_two_parts() {
+fn a_gang_is_looked_for_in_two_zone_shards() {
     let mut shape = yard();
     shape.state["next"] = next();
     let set = shape.settings(0);
@@ -556,7 +572,7 @@
     ];
     let mut number = 0;
     for (id, machines) in [("a/n0.0", 3), ("a/n1.0", 3), ("b/n2.0", 5), ("b/n3.0", 2)] {
-        let mut part = ZoneShard::default();
+        let mut shard = ZoneShard::default();
         for _ in 0..machines {
             number += 1;
             let slot = MachineSlot {
@@ -565,9 +581,9 @@
                 free: Resources::default(),
                 unbooked: Resources::default(),
             };
-            part.machines.insert(format!("host-{number:06}"), slot);
+            shard.machines.insert(format!("host-{number:06}"), slot);
         }
-        events.push(Event::put(zone_shard_key(id), &part, 2));
+        events.push(Event::put(zone_shard_key(id), &shard, 2));
     }
     let mut gang = spec(Kind::Gang, 8);
     gang.team = "t".into();
@@ -588,13 +604,13 @@
         let hints = Hints::new(&replica, "n0");
         let found = scheduler::fit(&job, &spec, &plan, &hints, &set, Care::Lax);
         let Ok(places) = found else {
-            // It fits the rooms of three parts only: machines are rented for it.
+            // It fits the rooms of three zone shards only: machines are rented for it.
             assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
             assert_eq!(found, Err(WaitReason::NoRoom));
             continue;
         };
         assert_eq!(places.len(), tasks as usize, "{kind:?}");
-        let zone_shards: BTreeSet<&str> = places.iter().map(|p| &*p.part).collect();
+        let zone_shards: BTreeSet<&str> = places.iter().map(|p| &*p.shard).collect();
         let mut transaction = Transaction::new(&replica, set.txn_ops());
         let booked = transaction.book("job-1", &spec, &places);
         assert!(transaction.into_commit().1.len() <= set.txn_ops());
@@ -849,7 +865,7 @@
             wide[field] = json!("a-name-that-is-long".repeat(10));
         }
         let large = w.submit(wide).await;
-        // Parts and groups are small enough, the record of this job is not.
+        // Zone and machine shards are small enough, the record of this job is not.
         w.state.limits.set(StateLimits {
             value_bytes: 3000,
             txn_ops: 12,
--- a/tests/meetings/any_two.rs
+++ b/tests/meetings/any_two.rs
@@ -329,8 +329,8 @@
     settle(&world, &format!("{faults:?}, {seed}"), &ids).await;
 }
 
-/// The pairs whose number leaves `part` of `of`; `MEETINGS_FROM` gives other seeds.
-fn pairs_meet(part: usize, of: usize) {
+/// The pairs whose number leaves `shard` of `of`; `MEETINGS_FROM` gives other seeds.
+fn pairs_meet(shard: usize, of: usize) {
     let from = std::env::var("MEETINGS_FROM")
         .ok()
         .and_then(|s| s.parse().ok());
@@ -339,7 +339,7 @@
     for (n, a) in Fault::ALL.into_iter().enumerate() {
         for (m, b) in Fault::ALL.into_iter().enumerate().skip(n) {
             number += 1;
-            if number % of == part {
+            if number % of == shard {
                 let seed = from + 20 * n as u64 + m as u64;
                 let scenario = Scenario::new(seed)
                     .cancel_s([30.0, 15.0][seed as usize % 2])
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -197,13 +197,13 @@
     }))
     .expect("report");
     let text = report_text(&report);
-    for part in [
+    for shard in [
         "1 jobs are unfinished, 1 of them late.",
         "LATE job-1 (board-sort of t): queued, 1 tasks left, known for 5 min 0 s; no machine has room for it (for 2 min 0 s)",
         "The cloud refuses: occhio in porto.",
         "Machines: 3 active.",
     ] {
-        assert!(text.contains(part), "{part}\n{text}");
+        assert!(text.contains(shard), "{shard}\n{text}");
     }
     let teams: Vec<TeamStory> = serde_json::from_value(serde_json::json!([{
         "team": "t", "cpus_used": 12.0, "cpus_guaranteed": 8.0, "cpus_limit": 16.0,
--- a/tests/rule_checker.rs
+++ b/tests/rule_checker.rs
@@ -664,9 +664,14 @@
         Case {
             name: "a machine in two groups",
             rule: Rule::Misplaced,
-            before: || beside(vec![Record("sh/machine/a", group_of("host-000000"))]),
-            lawful: || vec![Record("sh/machine/b", group_of("host-000001"))],
-            violation: || vec![Record("sh/machine/b", group_of("host-000000"))],
+            before: || {
+                beside(vec![Record(
+                    "sh/machine/a",
+                    machine_shard_of("host-000000"),
+                )])
+            },
+            lawful: || vec![Record("sh/machine/b", machine_shard_of("host-000001"))],
+            violation: || vec![Record("sh/machine/b", machine_shard_of("host-000000"))],
         },
         Case {
             name: "a machine in two shards",
@@ -678,8 +683,8 @@
     ]
 }
 
-/// The stored record of a group with one machine.
-fn group_of(machine: &str) -> Value {
+/// The stored record of a machine shard with one machine.
+fn machine_shard_of(machine: &str) -> Value {
     json!({"m": {machine: {"h": "n0", "i": 1, "k": 1, "s": [1, 1], "f": "a", "t": "big"}}})
 }
 
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -230,7 +230,7 @@
         sleep(Duration::from_secs(20)).await;
         assert_eq!(w.running(&service), 4);
         let before = w.starts.get();
-        w.part_zones();
+        w.shard_zones();
         sleep(Duration::from_secs(30)).await;
         assert_eq!((w.running(&service), w.starts.get()), (4, before));
         w.assert_kept();
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -74,14 +74,15 @@
     pub fn holders(&self) -> Vec<(String, String)> {
         let pairs = self.state.pairs.borrow();
         let mut all = Vec::new();
-        for (key, (group, _)) in pairs.iter() {
-            let part = key
+        for (key, (machine_shard, _)) in pairs.iter() {
+            let shard = key
                 .strip_prefix("sh/machine/")
                 .and_then(|k| k.split_once('/'));
-            let Some((_, part)) = part else { continue };
-            let home = part.split('.').next().unwrap_or("");
-            let group: MachineShard = serde_json::from_str(&group.to_string()).expect("group");
-            for machine in group.machines.into_values() {
+            let Some((_, shard)) = shard else { continue };
+            let home = shard.split('.').next().unwrap_or("");
+            let machine_shard: MachineShard =
+                serde_json::from_str(&machine_shard.to_string()).expect("group");
+            for machine in machine_shard.machines.into_values() {
                 all.push((home.to_string(), machine.holder));
             }
         }
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Zones a and b no longer reach each other.
-    pub fn part_zones(&self) {
+    pub fn shard_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
                 self.fabric.cut(w.port, controller(i));
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -40,7 +40,7 @@
     TooEarly,
     /// A job that awaits a cancelled one is not called cancelled in time.
     Orphaned,
-    /// A machine stands in two shards or two groups of the stored records.
+    /// A machine stands in two shards or two machine shards of the stored records.
     Misplaced,
 }
 
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -78,7 +78,7 @@
     pub too_many: Cell<usize>,
     /// What may be written at once, and when that was.
     level: Cell<Option<(f64, Instant)>>,
-    /// Machines that stood in two parts or in two groups at a revision.
+    /// Machines that stood in two zone shards or in two machine shards at a revision.
     pub misplaced: RefCell<Vec<String>>,
     /// Controllers whose records are those of the program in production: they do
     /// not tell of any formats, nor record what others tell.
@@ -459,7 +459,7 @@
         refused
     }
 
-    /// Each machine stands in one part and one group at most.
+    /// Each machine stands in one zone shard and one machine shard at most.
     fn check_places(&self, pairs: &BTreeMap<String, (Value, u64)>, table: &str, at: u64) {
         let mut seen: HashMap<String, String> = HashMap::new();
         for (key, (value, _)) in pairs.range(table.to_string()..) {
@@ -469,12 +469,14 @@
             let text = value.to_string();
             let names: Option<Vec<String>> = match table {
                 "sh/zone/" => {
-                    let part = serde_json::from_str::<ZoneShard>(&text);
-                    part.ok().map(|part| part.machines.into_keys().collect())
+                    let shard = serde_json::from_str::<ZoneShard>(&text);
+                    shard.ok().map(|shard| shard.machines.into_keys().collect())
                 }
                 _ => {
-                    let group = serde_json::from_str::<MachineShard>(&text);
-                    group.ok().map(|group| group.machines.into_keys().collect())
+                    let machine_shard = serde_json::from_str::<MachineShard>(&text);
+                    machine_shard
+                        .ok()
+                        .map(|machine_shard| machine_shard.machines.into_keys().collect())
                 }
             };
             let Some(names) = names else {
