--- /dev/null
+++ b/tests/decisions/setup.rs
@@ -0,0 +1,183 @@
+//! What the tables of decisions are set up with.
+
+use std::collections::BTreeMap;
+
+use serde_json::json;
+
+use shelfhoist::scheduler::Hints;
+use shelfhoist::settings::Settings;
+use shelfhoist::state::keys::{job_key, machine_shard_key, shard_id, zone_shard_key};
+use shelfhoist::state::replica::Replica;
+
+use shelfhoist::state::records::*;
+use shelfhoist::wire::*;
+
+pub fn settings_json() -> serde_json::Value {
+    json!({
+        "node": "n0", "location": "a", "serve_on": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
+        "others": [{"node": "n1", "location": "b", "addr": "127.0.0.2:2"}],
+        "external": {"cloud": "127.0.0.9:1", "state": "127.0.0.9:2"},
+        "deployment": {
+            "count": 2, "zones": ["a", "b"],
+            "teams": [{"name": "t", "cpus": 8.0, "cpus_max": 16.0, "gpus": 0.0, "gpus_max": 0.0},
+                      {"name": "u", "cpus": 8.0, "cpus_max": 16.0}],
+            "workers": {"report_s": 1.0, "lease_s": 10.0, "gang_wait_s": 30.0,
+                        "gang_peer_s": 5.0, "cancel_s": 40.0},
+            "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16},
+            "cloud": {"rps": 4.0, "list_lag_s": 10.0},
+            "machine_limits": {"cpu": 0.1, "memory_mb": 64.0, "sockets": 500},
+            "clock_off_ms": 5.0
+        }
+    })
+}
+
+pub fn settings() -> Settings {
+    Settings::parse(&settings_json().to_string()).expect("good settings")
+}
+
+pub fn submission() -> serde_json::Value {
+    json!({"name_id":"job-000412","lot":"x","crew":"t","cut":"gang","urgency":"normal","boards":2,
+        "vcpus":2.0,"cards":0.0,"ram_gb":4.0,"blueprint":"i","pull_gb":1.0,"grades":null,
+        "yard":null,"same_place":true,"scatter":false,"loaners":false,
+        "expect_s":10.0,"notch_s":0.0,"stow_s":0.0,"due_s":null})
+}
+
+pub fn machine_type(name: &str, cpus: f64, gpus: f64) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cpus,
+        gpus,
+        memory_gb: 64.0,
+        cache_gb: 10.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.3,
+        boot_s: 20.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+pub fn view_with_types() -> Replica {
+    let mut replica = Replica::default();
+    replica.types.value.types = vec![
+        machine_type("small", 4.0, 0.0),
+        machine_type("big", 8.0, 2.0),
+    ];
+    replica.loaded = true;
+    replica
+}
+
+pub fn spec(kind: Kind, tasks: u32, cpus: f64) -> Spec {
+    let mut s = submission();
+    s["cut"] = serde_json::to_value(kind).expect("kind");
+    s["boards"] = json!(tasks);
+    s["vcpus"] = json!(cpus);
+    let s: Submission = serde_json::from_value(s).expect("submission");
+    Spec {
+        one_zone: false,
+        ..Spec::from(&s)
+    }
+}
+
+/// A replica whose zone shards have these rooms: zone, machine, CPUs.
+pub fn view_with(rooms: &[(&str, &str, f64)]) -> Replica {
+    let mut replica = view_with_types();
+    let mut zone_shards: BTreeMap<&str, ZoneShard> = BTreeMap::new();
+    for (zone, machine, cpus) in rooms {
+        let kind = format!("of-{cpus}");
+        if replica.type_of(&kind).is_none() {
+            replica
+                .types
+                .value
+                .types
+                .push(machine_type(&kind, *cpus, 0.0));
+        }
+        let slot = MachineSlot {
+            kind,
+            spot: false,
+            free: Resources::default(),
+            unbooked: Resources::default(),
+        };
+        let shard = zone_shards.entry(zone).or_default();
+        shard.machines.insert(machine.to_string(), slot);
+    }
+    let key = |zone| zone_shard_key(&shard_id(zone, "n0.0"));
+    let events = zone_shards
+        .iter()
+        .map(|(zone, shard)| Event::put(key(zone), shard, 3));
+    replica.advance(events.collect(), 3);
+    replica
+}
+
+pub fn hints(replica: &Replica) -> Hints<'_> {
+    Hints::new(replica, "n0")
+}
+
+/// A machine `m` under our token 5 with one booking of job-1/0, attempt 1.
+pub fn held(kind: Kind, edit: impl FnOnce(&mut Job)) -> Replica {
+    let mut replica = view_with_types();
+    let mut job = Job::new(spec(kind, 1, 1.0), 1);
+    job.take_fresh();
+    job.book("m", "a", 1, 0);
+    edit(&mut job);
+    let machine = Machine {
+        holder: "n0".into(),
+        incarnation: 1,
+        token: 5,
+        seen: (0, 0),
+        life: MachineLifecycle::Active,
+        kind: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        shard: "n0.0".into(),
+    };
+    let set = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
+    replica.advance(
+        vec![
+            set(job_key("job-1"), serde_json::to_value(&job).expect("job")),
+            set(
+                machine_shard_key("a/n0.0"),
+                json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}}),
+            ),
+            set(zone_shard_key("a/n0.0"), json!({"m": {}})),
+        ],
+        10,
+    );
+    replica
+}
+
+pub fn report(seq: u64, token: u64, tasks: serde_json::Value) -> Report {
+    serde_json::from_value(
+        json!({"bay":"m","endpoint":"127.0.0.1:5","grade":"small","yard":"a",
+        "loaners":false,"shift":1,"tally":seq,"baton":token,"boards":tasks}),
+    )
+    .expect("report")
+}
+
+/// A job after others, as its record has it.
+pub fn after(awaits: &[&str], priority: Priority, estimate_s: f64, deadline_s: Option<f64>) -> Job {
+    let spec = Spec {
+        priority,
+        estimate_s,
+        deadline_s,
+        awaits: awaits.iter().map(|id| id.to_string()).collect(),
+        ..spec(Kind::Array, 2, 1.0)
+    };
+    Job::new(spec, 7)
+}
+
+pub fn ended(status: JobStatus) -> Job {
+    Job {
+        status,
+        spec: None,
+        ..after(&[], Priority::Low, 0.0, None)
+    }
+}
+
+pub fn jobs_of(jobs: &[(&str, Job)]) -> BTreeMap<String, Spec> {
+    let open = |job: &Job| job.spec.clone();
+    let none = after(&[], Priority::Low, 5.0, None);
+    jobs.iter()
+        .map(|(id, job)| (id.to_string(), open(job).or(open(&none)).expect("a spec")))
+        .collect()
+}
--- /dev/null
+++ b/tests/decisions/workers.rs
@@ -0,0 +1,495 @@
+//! Reports, evidence of ends, leases and failing machines.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use serde_json::json;
+use tokio::time::Instant;
+
+use super::setup::{held, report, settings, spec};
+use shelfhoist::cloud::{Blame, blame};
+use shelfhoist::scheduler::{Released, Transaction};
+use shelfhoist::state::keys::machine_shard_key;
+use shelfhoist::workers::{self, AttemptKey, TerminationEvidence, WorkerSession, reconcile};
+
+use shelfhoist::state::records::*;
+use shelfhoist::wire::*;
+
+/// A job that fails on several machines is to blame itself, until it succeeds
+/// anywhere; a machine is, where what failed on it succeeds elsewhere.
+#[test]
+fn failures_are_blamed_on_the_job_or_on_the_machine() {
+    use Outcome::{Done, Failed, Lost};
+    type Ends = &'static [(&'static str, u64, Outcome)];
+    let cases: [(Ends, u32, Blame); 8] = [
+        (&[("m", 1, Failed)], 1, Blame::Unknown),
+        // However many tasks of an attempt fail, the back-off counts one.
+        (&[("m", 1, Failed), ("m", 1, Failed)], 1, Blame::Unknown),
+        (&[("m", 1, Failed), ("n", 2, Failed)], 2, Blame::Unknown),
+        (
+            &[("m", 1, Failed), ("n", 1, Failed), ("o", 1, Failed)],
+            1,
+            Blame::Job,
+        ),
+        (&[("m", 1, Failed), ("n", 1, Done)], 0, Blame::Machine),
+        (&[("m", 1, Failed), ("n", 1, Lost)], 1, Blame::Unknown),
+        (&[("n", 1, Done), ("m", 2, Failed)], 1, Blame::Unknown),
+        (
+            &[
+                ("m", 1, Failed),
+                ("n", 1, Failed),
+                ("o", 1, Failed),
+                ("p", 2, Done),
+            ],
+            0,
+            Blame::Machine,
+        ),
+    ];
+    for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
+        let mut job = Job::new(spec(Kind::Array, 9, 1.0), 1);
+        for (machine, attempt, outcome) in ends {
+            let task = job.take_fresh().expect("waiting");
+            job.book(machine, "a", *attempt, task);
+            assert!(job.release(machine, *attempt, task, *outcome));
+        }
+        assert_eq!((job.errors, blame(&job, "m")), (errors, whose), "case {n}");
+        let mut cancelled = job.clone();
+        cancelled.cancel();
+        assert_eq!(blame(&cancelled, "m"), Blame::Job, "case {n}");
+    }
+}
+
+/// Safety 2 and 3: what a report proves, and what it does not.
+#[test]
+fn only_a_newer_report_under_our_token_proves_an_end() {
+    let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
+    let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
+    let none = json!([]);
+    type Edit = fn(&mut WorkerSession);
+    let plain: Edit = |_| {};
+    let launched: Edit = |h| {
+        h.launched.insert(("job-1/0".into(), 1));
+    };
+    let cases: &[(&str, Kind, u64, &serde_json::Value, Edit, &str)] = &[
+        ("absent: launch", Kind::Array, 5, &none, plain, "launch"),
+        (
+            "absent array task: launch again",
+            Kind::Array,
+            5,
+            &none,
+            launched,
+            "launch",
+        ),
+        (
+            "absent gang task that was there: gone",
+            Kind::Gang,
+            5,
+            &none,
+            launched,
+            "end lost",
+        ),
+        ("running: nothing", Kind::Array, 5, &running, plain, ""),
+        (
+            "done: recorded first, not forgotten",
+            Kind::Array,
+            5,
+            &done,
+            plain,
+            "end done",
+        ),
+        (
+            "an older token proves nothing",
+            Kind::Gang,
+            4,
+            &none,
+            launched,
+            "",
+        ),
+        (
+            "a call under way: no verdict",
+            Kind::Gang,
+            5,
+            &none,
+            |h| {
+                h.launched.insert(("job-1/0".into(), 1));
+                h.in_flight = true;
+            },
+            "",
+        ),
+        (
+            "an unanswered launch may land late",
+            Kind::Gang,
+            5,
+            &none,
+            |h| {
+                h.launched.insert(("job-1/0".into(), 1));
+                h.unresolved = true;
+            },
+            "",
+        ),
+        (
+            "nor is an end released meanwhile",
+            Kind::Array,
+            5,
+            &done,
+            |h| h.unresolved = true,
+            "",
+        ),
+        (
+            "a launch in a beat answer is on its way",
+            Kind::Array,
+            5,
+            &none,
+            |h| {
+                h.offered = Some((1, 99));
+            },
+            "",
+        ),
+        (
+            "the view has not reached the claim",
+            Kind::Array,
+            5,
+            &none,
+            |h| h.claimed_at = 11,
+            "",
+        ),
+    ];
+    for (name, kind, token, tasks, edit, expected) in cases {
+        let replica = held(*kind, |_| {});
+        let now = Instant::now();
+        let mut worker_session = WorkerSession::new(5, 9, now);
+        worker_session.take(report(7, *token, (*tasks).clone()), true);
+        edit(&mut worker_session);
+        let plan = reconcile(
+            "m",
+            &worker_session,
+            &replica,
+            &BTreeMap::new(),
+            Duration::from_secs(2),
+            now,
+        );
+        let mut got: Vec<String> = plan
+            .orders
+            .iter()
+            .map(|o| {
+                serde_json::to_value(o.verb)
+                    .expect("verb")
+                    .as_str()
+                    .unwrap_or("")
+                    .to_string()
+            })
+            .collect();
+        got.extend(
+            plan.ends
+                .iter()
+                .map(|(_, o)| format!("end {o:?}").to_lowercase()),
+        );
+        assert_eq!(got.join(" "), *expected, "{name}");
+    }
+}
+
+#[test]
+fn an_ended_task_is_forgotten_only_once_recorded() {
+    let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
+    let now = Instant::now();
+    let mut worker_session = WorkerSession::new(5, 9, now);
+    worker_session.take(report(7, 5, done), true);
+    let recorded = held(Kind::Array, |j| {
+        j.release("m", 1, 0, Outcome::Done);
+    });
+    let plan = |worker_session: &WorkerSession| {
+        reconcile(
+            "m",
+            worker_session,
+            &recorded,
+            &BTreeMap::<AttemptKey, TerminationEvidence>::new(),
+            Duration::from_secs(2),
+            now,
+        )
+    };
+    assert_eq!(plan(&worker_session).orders[0].verb, CommandKind::Forget);
+    worker_session.unresolved = true;
+    assert!(
+        plan(&worker_session).orders.is_empty(),
+        "a late launch would start it again"
+    );
+}
+
+#[test]
+fn older_reports_are_passed_over() {
+    let now = Instant::now();
+    let mut worker_session = WorkerSession::new(5, 9, now);
+    assert!(worker_session.take(report(7, 5, json!([])), true));
+    assert!(
+        !worker_session.take(report(7, 5, json!([])), true),
+        "the same again"
+    );
+    assert!(!worker_session.take(report(6, 5, json!([])), true), "late");
+    assert!(
+        !worker_session.take(report(8, 4, json!([])), true),
+        "another token"
+    );
+    assert!(worker_session.take(report(8, 5, json!([])), false));
+}
+
+/// A machine that was lost and claimed again: another controller may have
+/// launched the same attempt there in between, so that an end which waited in
+/// the queue since before proves nothing any more.
+#[test]
+fn an_end_is_released_only_under_the_claim_that_proved_it() {
+    let cases: &[(&str, u64, MachineLifecycle, u64, Released)] = &[
+        (
+            "the claim that stands",
+            5,
+            MachineLifecycle::Active,
+            1,
+            Released::Yes,
+        ),
+        (
+            "an earlier claim",
+            4,
+            MachineLifecycle::Active,
+            1,
+            Released::Stale,
+        ),
+        (
+            "another run's claim",
+            5,
+            MachineLifecycle::Active,
+            2,
+            Released::Stale,
+        ),
+        (
+            "the cloud's word",
+            0,
+            MachineLifecycle::Gone,
+            2,
+            Released::Yes,
+        ),
+    ];
+    for (name, token, life, incarnation, want) in cases {
+        let mut replica = held(Kind::Array, |_| {});
+        let mut machine = replica.machines["m"].value.clone();
+        machine.life = *life;
+        let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
+        replica.advance(
+            vec![Event::put(machine_shard_key("a/n0.0"), &machine_shard, 11)],
+            11,
+        );
+        let key = AttemptKey {
+            job: "job-1".into(),
+            machine: "m".into(),
+            attempt: 1,
+            task: 0,
+        };
+        let outcome = Outcome::Lost;
+        let proof = TerminationEvidence {
+            outcome,
+            token: *token,
+        };
+        let mut transaction = Transaction::new(&replica, 12);
+        let got = transaction.release(&key, proof, "n0", *incarnation);
+        assert_eq!(&got, want, "{name}");
+        // The commit depends on the machine's record, too.
+        let guards = transaction.into_commit().0;
+        let on_machine_shard = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
+        assert_eq!(on_machine_shard, *want == Released::Yes, "{name}");
+    }
+}
+
+#[test]
+fn a_silent_lease_is_over_only_for_its_holder_throughout() {
+    let lease = Duration::from_secs(10);
+    let margin = Duration::from_secs(1);
+    let start = Instant::now();
+    let mut worker_session = WorkerSession::new(5, 9, start);
+    let late = start + Duration::from_secs(12);
+    assert!(
+        !worker_session.lease_is_over(lease, margin, late),
+        "the token was never shown"
+    );
+    worker_session.take(report(7, 5, json!([])), true);
+    assert!(worker_session.lease_is_over(lease, margin, late));
+    assert!(
+        !worker_session.lease_is_over(lease, margin, start + Duration::from_secs(11)),
+        "margin"
+    );
+    worker_session.unresolved = true;
+    assert!(
+        !worker_session.lease_is_over(lease, margin, late),
+        "a launch may land late"
+    );
+    worker_session.unresolved = false;
+    worker_session.answered = start + Duration::from_secs(5);
+    assert!(
+        !worker_session.lease_is_over(lease, margin, late),
+        "renewed since"
+    );
+}
+
+#[test]
+fn the_horizon_leaves_time_for_the_lease() {
+    let s = settings();
+    let w = &s.deployment.workers;
+    let total = s.staleness_limit().as_secs_f64() + w.lease_s * 1.0005;
+    assert!(total < w.cancel_s && total > w.cancel_s * 0.95, "{total}");
+}
+
+/// A holder that cannot give orders yet renews no lease where something has
+/// to end: a cancelled task would live on.
+#[test]
+fn leases_are_not_renewed_by_who_cannot_stop() {
+    let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
+    let other = json!([{"board":"job-9/0","try":1,"stage":"running"}]);
+    let ended = json!([{"board":"job-9/0","try":1,"stage":"ended","cause":"done"}]);
+    let open = held(Kind::Service, |_| {});
+    let over = held(Kind::Service, Job::cancel);
+    for (replica, tasks, must_stop) in [
+        (&open, &running, false),
+        (&over, &running, true),
+        (&over, &json!([]), true),
+        (&open, &other, true),
+        (&open, &ended, false),
+    ] {
+        let report = report(3, 5, tasks.clone());
+        assert_eq!(
+            shelfhoist::workers::must_stop(&report, replica),
+            must_stop,
+            "{tasks}"
+        );
+    }
+}
+
+/// What renews a lease ends what is cancelled, by that very report: whatever was
+/// told before, under whatever token the report was made.
+#[test]
+fn every_answer_stops_what_the_report_shows_as_cancelled() {
+    let tasks = json!([
+        {"board":"job-1/0","try":1,"stage":"running"},
+        {"board":"job-1/1","try":1,"stage":"pulling"},
+        {"board":"job-1/2","try":1,"stage":"flushing"},
+        {"board":"job-1/3","try":2,"stage":"ended","cause":"stopped"},
+        {"board":"job-9/0","try":1,"stage":"running"},
+    ]);
+    let open = held(Kind::Service, |_| {});
+    let done = held(Kind::Gang, |j| j.status = JobStatus::Done);
+    let over = held(Kind::Service, Job::cancel);
+    for token in [0, 5, 9] {
+        let report = report(3, token, tasks.clone());
+        for replica in [&open, &done] {
+            assert_eq!(workers::stops_of_cancelled(&report, replica), vec![]);
+        }
+        let stops = workers::stops_of_cancelled(&report, &over);
+        let told: Vec<_> = stops
+            .iter()
+            .map(|o| (o.verb, &*o.task, o.attempt))
+            .collect();
+        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (CommandKind::Stop, t, 1));
+        assert_eq!(told, all);
+        assert!(stops.iter().all(|o| o.grace_s == Some(0.0)));
+    }
+}
+
+/// Reports that arrive while answers do not: a session that rises although its
+/// heartbeats were answered, or a token that is not taken up.
+#[test]
+fn a_worker_that_hears_nothing_is_found_out() {
+    let lease = Duration::from_secs(10);
+    let at = |start: Instant, s: f64| start + Duration::from_secs_f64(s);
+    // (seconds, session, number, token) and whether it is deaf after that.
+    type Beat = (f64, u64, u64, u64, bool);
+    let cases: &[(&str, &[Beat])] = &[
+        ("well", &[(1.0, 1, 1, 5, false), (12.0, 1, 12, 5, false)]),
+        (
+            "deaf",
+            &[
+                (1.0, 1, 1, 5, false),
+                (9.0, 1, 9, 5, false),
+                (12.0, 2, 12, 5, true),
+            ],
+        ),
+        (
+            "silent, then back",
+            &[(1.0, 1, 1, 5, false), (40.0, 2, 2, 5, false)],
+        ),
+        (
+            "hears again",
+            &[
+                (1.0, 1, 1, 5, false),
+                (9.0, 1, 9, 5, false),
+                (12.0, 2, 12, 5, true),
+                (20.0, 2, 20, 5, true),
+                (26.0, 2, 26, 5, false),
+            ],
+        ),
+        (
+            "token not taken up",
+            &[(1.0, 1, 1, 4, false), (11.0, 1, 11, 4, true)],
+        ),
+    ];
+    for (name, beats) in cases {
+        let start = Instant::now();
+        let mut worker_session = WorkerSession::new(5, 1, start);
+        for (n, (s, session, seq, token, deaf)) in beats.iter().enumerate() {
+            let now = at(start, *s);
+            let heartbeat = Report {
+                session: *session,
+                ..report(*seq, *token, json!([]))
+            };
+            assert!(
+                worker_session.record_heartbeat(&heartbeat, lease, now),
+                "{name} {n}"
+            );
+            worker_session.answered = now;
+            assert_eq!(
+                worker_session.unreachable_since.is_some(),
+                *deaf,
+                "{name} {n}"
+            );
+            // The same again, or an older one, is a late copy.
+            assert!(
+                !worker_session.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
+                "{name} {n}"
+            );
+            assert_eq!(
+                worker_session.heard, now,
+                "{name} {n}: a copy kept it alive"
+            );
+        }
+    }
+}
+
+/// A worker that answers orders but sends no report has no lease: its session
+/// rises again and again, and what is started there ends each time.
+#[test]
+fn a_worker_that_cannot_report_is_found_out() {
+    let lease = Duration::from_secs(10);
+    let start = Instant::now();
+    let mut worker_session = WorkerSession::new(5, 1, start);
+    // Seconds, session, number, whether it is a heartbeat, whether it counts as one
+    // that takes no work.
+    for (s, session, seq, beats, found) in [
+        (1.0, 1, 1, true, false),
+        (5.0, 1, 2, false, false),
+        (9.0, 1, 3, false, false),
+        (11.5, 2, 4, false, true),
+        (16.0, 2, 5, false, true),
+        (22.0, 3, 6, false, true),
+        // It reaches us again; one whole lease has to pass in one session.
+        (25.0, 4, 7, true, true),
+        (31.0, 4, 8, true, true),
+        (38.0, 4, 9, true, false),
+    ] {
+        let now = start + Duration::from_secs_f64(s);
+        let report = Report {
+            session,
+            ..report(seq, 5, json!([]))
+        };
+        match beats {
+            true => assert!(worker_session.record_heartbeat(&report, lease, now), "{s}"),
+            false => worker_session.see(&report, lease, now),
+        }
+        worker_session.answered = if beats { now } else { worker_session.answered };
+        assert_eq!(worker_session.unreachable_since.is_some(), found, "{s}");
+    }
+}
