--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -56,7 +56,7 @@
     /// bookings count against shares.
     pub fn new(replica: &Replica, settings: &Settings) -> Option<Self> {
         replica.has_shares().then(|| BookingAccounts {
-            own: ControllerName::from(settings.node.as_str()),
+            own: ControllerName::from(settings.controller_name.as_str()),
             ledger: replica.ledger(settings),
             change: Change::default(),
             uses: BTreeMap::new(),
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -10,8 +10,8 @@
 use super::messages::{
     ControllerShare, MoveAnswer, MoveReport, MoveRequest, ShareReport, TeamShares,
 };
+use crate::controller::Controller;
 use crate::http::Response;
-use crate::node::Node;
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -36,12 +36,12 @@
 const FEATURE_OFF: &str = "shares are off";
 
 /// The answer to `GET /ops/shares`, of one team if one is named.
-pub fn shares(node: &Node, team: Option<&str>) -> Response {
-    let replica = node.replica.borrow();
-    if let Some(refusal) = refusal(node, &replica) {
+pub fn shares(controller: &Controller, team: Option<&str>) -> Response {
+    let replica = controller.replica.borrow();
+    if let Some(refusal) = refusal(controller, &replica) {
         return refusal;
     }
-    let ledger = replica.ledger(&node.settings);
+    let ledger = replica.ledger(&controller.settings);
     if team.is_some_and(|team| !ledger.teams.contains_key(team)) {
         return Response::error(404, "no such team");
     }
@@ -60,29 +60,29 @@
 }
 
 /// The answer to `GET /ops/shares/moves`, of one move if one is named.
-pub fn moves(node: &Node, id: Option<&str>) -> Response {
-    let replica = node.replica.borrow();
-    if let Some(refusal) = refusal(node, &replica) {
+pub fn moves(controller: &Controller, id: Option<&str>) -> Response {
+    let replica = controller.replica.borrow();
+    if let Some(refusal) = refusal(controller, &replica) {
         return refusal;
     }
     match id {
-        Some(id) => match move_answer(&replica, &node.settings, id) {
+        Some(id) => match move_answer(&replica, &controller.settings, id) {
             Some(answer) => Response::json(200, &answer),
             None => Response::error(404, "no such move"),
         },
-        None => Response::json(200, &latest_moves(&replica, &node.settings)),
+        None => Response::json(200, &latest_moves(&replica, &controller.settings)),
     }
 }
 
 /// Why nothing can be said of shares here, if so.
-fn refusal(node: &Node, replica: &Replica) -> Option<Response> {
+fn refusal(controller: &Controller, replica: &Replica) -> Option<Response> {
     if !replica.loaded {
         return Some(Response::unavailable(
             "the state is not read yet",
             RETRY_AFTER_S,
         ));
     }
-    let off = !node.settings.features.shares.enabled && replica.pool.is_none();
+    let off = !controller.settings.features.shares.enabled && replica.pool.is_none();
     off.then(|| Response::error(422, FEATURE_OFF))
 }
 
@@ -165,25 +165,28 @@
 }
 
 /// The answer to `POST /ops/shares/move`.
-pub async fn move_share(node: &Node, body: &[u8]) -> Response {
+pub async fn move_share(controller: &Controller, body: &[u8]) -> Response {
     let Ok(request) = serde_json::from_slice::<MoveRequest>(body) else {
         return Response::error(400, "not a move");
     };
     for _ in 0..ATTEMPTS {
-        if !node.has_state() {
+        if !controller.has_state() {
             break;
         }
-        match decide(node, &request) {
+        match decide(controller, &request) {
             Decision::Answer(response) => return response,
             Decision::Commit(guards, writes) => {
-                match node.commit(RequestClass::Accept, guards, writes).await {
+                match controller
+                    .commit(RequestClass::Accept, guards, writes)
+                    .await
+                {
                     Ok(_) => continue,
-                    Err(StoreError::Conflict(_)) => node.expedite_watch(),
+                    Err(StoreError::Conflict(_)) => controller.expedite_watch(),
                     Err(error) if error.is_refusal() => break,
                     Err(error) => tracing::debug!(%error, "move not answered"),
                 }
                 // What has come between is on its way; or the commit was carried out.
-                if !node.barrier(node.settings.lease() / 8).await {
+                if !controller.barrier(controller.settings.lease() / 8).await {
                     break;
                 }
             }
@@ -199,13 +202,13 @@
 
 /// What is to be done about a move: it is known already, it is wrong, or it is to be
 /// committed.
-fn decide(node: &Node, request: &MoveRequest) -> Decision {
-    let replica = node.replica.borrow();
-    if let Some(refusal) = refusal(node, &replica) {
+fn decide(controller: &Controller, request: &MoveRequest) -> Decision {
+    let replica = controller.replica.borrow();
+    if let Some(refusal) = refusal(controller, &replica) {
         return Decision::Answer(refusal);
     }
     if let Some(entry) = replica.moves.get(&request.id) {
-        return Decision::Answer(repeated(node, &replica, request, &entry.value));
+        return Decision::Answer(repeated(controller, &replica, request, &entry.value));
     }
     let wrong = |problem: &str| Decision::Answer(Response::error(400, problem));
     if !is_valid_id(&request.id) {
@@ -214,13 +217,13 @@
     let Some(amount) = request.amount.resources() else {
         return wrong("an amount is negative, too large or not a number");
     };
-    let controllers = node.settings.controllers();
+    let controllers = controller.settings.controllers();
     for name in [&request.from, &request.to] {
         if !controllers.contains(&name.as_str()) {
             return wrong(&format!("no controller {name}"));
         }
     }
-    let ledger = replica.ledger(&node.settings);
+    let ledger = replica.ledger(&controller.settings);
     let team = TeamName::from(request.team.as_str());
     if !ledger.teams.contains_key(&team) {
         return wrong(&format!("no team {team}"));
@@ -265,12 +268,17 @@
 }
 
 /// The answer to a move whose id is known.
-fn repeated(node: &Node, replica: &Replica, request: &MoveRequest, known: &MoveRecord) -> Response {
+fn repeated(
+    controller: &Controller,
+    replica: &Replica,
+    request: &MoveRequest,
+    known: &MoveRecord,
+) -> Response {
     let is_same = known.team.as_str() == request.team
         && known.from.as_str() == request.from
         && known.to.as_str() == request.to
         && Some(known.amount) == request.amount.resources();
-    match move_answer(replica, &node.settings, &request.id) {
+    match move_answer(replica, &controller.settings, &request.id) {
         Some(answer) if is_same => Response::json(200, &answer),
         _ => Response::error(400, "the id stands for another move"),
     }
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use super::CommitParts;
+use crate::controller::Controller;
 use crate::hash::preferred;
-use crate::node::Node;
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -46,33 +46,33 @@
 }
 
 /// Takes one step after another, as the budget allows.
-pub async fn run_shares(node: Rc<Node>) {
-    let tick = node.settings.report() / node.settings.features.shares.passes_per_report;
+pub async fn run_shares(controller: Rc<Controller>) {
+    let tick = controller.settings.report() / controller.settings.features.shares.passes_per_report;
     loop {
-        sleep(node.store.jitter(tick)).await;
-        while has_step(&node) {
-            if !take_step(&node).await {
+        sleep(controller.store.jitter(tick)).await;
+        while has_step(&controller) {
+            if !take_step(&controller).await {
                 break;
             }
         }
     }
 }
 
-fn has_step(node: &Node) -> bool {
-    node.replica.borrow().loaded && node.has_state() && step_of(node).is_some()
+fn has_step(controller: &Controller) -> bool {
+    controller.replica.borrow().loaded && controller.has_state() && step_of(controller).is_some()
 }
 
 /// Decides the next step once the budget is there, and commits it; false if the loop
 /// is to pause.
-async fn take_step(node: &Node) -> bool {
-    node.store.ready(RequestClass::Lifecycle, 1).await;
-    if !node.has_state() {
+async fn take_step(controller: &Controller) -> bool {
+    controller.store.ready(RequestClass::Lifecycle, 1).await;
+    if !controller.has_state() {
         return false;
     }
-    let Some(step) = step_of(node) else {
+    let Some(step) = step_of(controller) else {
         return false;
     };
-    let committed = node
+    let committed = controller
         .commit(RequestClass::Lifecycle, step.guards, step.writes)
         .await;
     match committed {
@@ -82,31 +82,32 @@
         }
         Err(StoreError::Conflict(keys)) => {
             tracing::debug!(step = step.what, ?keys, "shares: conflict");
-            node.expedite_watch();
+            controller.expedite_watch();
             false
         }
         Err(error) => {
             // It may have happened: the replica tells after a barrier, and nothing more
             // is decided before.
             tracing::debug!(step = step.what, %error, "shares: not answered");
-            node.barrier(node.settings.lease() / 4).await;
+            controller.barrier(controller.settings.lease() / 4).await;
             false
         }
     }
 }
 
-fn step_of(node: &Node) -> Option<Step> {
-    let replica = node.replica.borrow();
-    let peers = node.peers.borrow();
-    let alive = peers.alive(node, Instant::now());
-    next_step(&replica, &node.settings, &alive)
+fn step_of(controller: &Controller) -> Option<Step> {
+    let replica = controller.replica.borrow();
+    let peers = controller.peers.borrow();
+    let alive = peers.alive(controller, Instant::now());
+    next_step(&replica, &controller.settings, &alive)
 }
 
 /// The next step that this controller takes, with these controllers up.
 pub fn next_step(replica: &Replica, settings: &Settings, alive: &[&str]) -> Option<Step> {
     replica.shares_since()?;
-    let is_mine =
-        |subject: &str| preferred(subject, alive.iter().copied()) == Some(settings.node.as_str());
+    let is_mine = |subject: &str| {
+        preferred(subject, alive.iter().copied()) == Some(settings.controller_name.as_str())
+    };
     let wanted = is_wanted(replica, settings);
     if !wanted && replica.pool.is_none() {
         return None;
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::users::is_hopeless;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::commit::{guard, put};
@@ -50,17 +50,17 @@
 
 /// Accepts submissions, as many at once as have gathered while the budget or
 /// the last commit was waited for: a rush costs few writes.
-pub async fn run_acceptance(node: Rc<Node>) {
+pub async fn run_acceptance(controller: Rc<Controller>) {
     // The first does not wait; those behind it gather for a moment.
-    let gather = node.request_gap() * 4;
+    let gather = controller.request_gap() * 4;
     loop {
-        node.arrivals_wanted.notified().await;
-        while !node.arrivals.borrow().is_empty() {
-            node.store.ready(RequestClass::Accept, 1).await;
+        controller.arrivals_wanted.notified().await;
+        while !controller.arrivals.borrow().is_empty() {
+            controller.store.ready(RequestClass::Accept, 1).await;
             let begun = Instant::now();
-            let batch = take_batch(&node);
+            let batch = take_batch(&controller);
             if !batch.is_empty() {
-                commit_batch(&node, batch).await;
+                commit_batch(&controller, batch).await;
             }
             sleep(gather.saturating_sub(begun.elapsed())).await;
         }
@@ -68,14 +68,14 @@
 }
 
 /// Takes as many of those that wait as one record and one commit hold.
-fn take_batch(node: &Node) -> Vec<Arrival> {
+fn take_batch(controller: &Controller) -> Vec<Arrival> {
     // Each is a condition, and the record of all of them one more.
-    let most_jobs = node.settings.txn_ops() * 2;
-    let most_bytes = node.settings.value_bytes() * 9 / 10;
+    let most_jobs = controller.settings.txn_ops() * 2;
+    let most_bytes = controller.settings.value_bytes() * 9 / 10;
     let mut batch: Vec<Arrival> = Vec::new();
     let mut bytes = 0;
     while batch.len() < most_jobs {
-        let Some(next) = node.arrivals.borrow_mut().pop_front() else {
+        let Some(next) = controller.arrivals.borrow_mut().pop_front() else {
             break;
         };
         // Its user has gone, or asks again.
@@ -83,13 +83,13 @@
             continue;
         }
         let is_twice = batch.iter().any(|a| a.id == next.id);
-        if is_twice || node.replica.borrow().jobs.contains_key(&next.id) {
+        if is_twice || controller.replica.borrow().jobs.contains_key(&next.id) {
             next.answer(Acceptance::KnownBefore);
             continue;
         }
         bytes += next.bytes().unwrap_or(most_bytes);
         if bytes > most_bytes && !batch.is_empty() {
-            node.arrivals.borrow_mut().push_front(next);
+            controller.arrivals.borrow_mut().push_front(next);
             break;
         }
         batch.push(next);
@@ -98,34 +98,37 @@
 }
 
 /// Commits a batch, and tells those who wait.
-async fn commit_batch(node: &Node, batch: Vec<Arrival>) {
-    let (guards, write) = batch_commit(node, &batch);
-    match node.commit(RequestClass::Accept, guards, vec![write]).await {
+async fn commit_batch(controller: &Controller, batch: Vec<Arrival>) {
+    let (guards, write) = batch_commit(controller, &batch);
+    match controller
+        .commit(RequestClass::Accept, guards, vec![write])
+        .await
+    {
         Ok(_) => {
             tracing::debug!(jobs = batch.len(), "accepted");
             for arrival in batch {
                 arrival.answer(Acceptance::Committed);
             }
         }
-        Err(StoreError::Conflict(keys)) => sort_out(node, batch, &keys),
-        Err(error) if is_hopeless(node, &error) => {
+        Err(StoreError::Conflict(keys)) => sort_out(controller, batch, &keys),
+        Err(error) if is_hopeless(controller, &error) => {
             tracing::debug!(%error, "not accepted: all who wait are told to come back");
             drop(batch);
-            node.arrivals.borrow_mut().clear();
+            controller.arrivals.borrow_mut().clear();
         }
         Err(error) => {
             tracing::debug!(%error, "not accepted");
             // It may have happened. Trying again is harmless: jobs that two
             // such records name are one job.
-            put_back(node, batch);
-            sleep(node.store.jitter(node.request_gap() * 4)).await;
+            put_back(controller, batch);
+            sleep(controller.store.jitter(controller.request_gap() * 4)).await;
         }
     }
 }
 
 /// One job stands in a record of its own, several in a record of arrivals.
-fn batch_commit(node: &Node, batch: &[Arrival]) -> (Vec<Guard>, Write) {
-    let accepted_revision = node.replica.borrow().revision;
+fn batch_commit(controller: &Controller, batch: &[Arrival]) -> (Vec<Guard>, Write) {
+    let accepted_revision = controller.replica.borrow().revision;
     let mut guards: Vec<Guard> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
     if let [one] = batch {
         let job = Job::new(one.spec.clone(), accepted_revision);
@@ -135,8 +138,8 @@
         .iter()
         .map(|a| (a.id.clone(), a.spec.clone()))
         .collect();
-    let number = node.rng.borrow_mut().random::<u64>();
-    let key = arrivals_key(&format!("{}-{number:x}", node.name()));
+    let number = controller.rng.borrow_mut().random::<u64>();
+    let key = arrivals_key(&format!("{}-{number:x}", controller.name()));
     guards.push(guard(key.clone(), 0));
     (
         guards,
@@ -152,19 +155,19 @@
 
 /// Those whose keys have failed are known by now, to another controller or by a
 /// commit of our own that got no answer; the rest go into the next commit.
-fn sort_out(node: &Node, batch: Vec<Arrival>, failed: &[String]) {
+fn sort_out(controller: &Controller, batch: Vec<Arrival>, failed: &[String]) {
     let (known, rest): (Vec<Arrival>, Vec<Arrival>) = batch
         .into_iter()
         .partition(|a| failed.contains(&job_key(&a.id)));
     for arrival in known {
         arrival.answer(Acceptance::KnownBefore);
     }
-    put_back(node, rest);
+    put_back(controller, rest);
 }
 
 /// Puts these first in line again, in their order.
-fn put_back(node: &Node, batch: Vec<Arrival>) {
-    let mut arrivals = node.arrivals.borrow_mut();
+fn put_back(controller: &Controller, batch: Vec<Arrival>) {
+    let mut arrivals = controller.arrivals.borrow_mut();
     for arrival in batch.into_iter().rev() {
         arrivals.push_front(arrival);
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -18,9 +18,9 @@
 use users::{query, submit, withdraw};
 
 use crate::accounting;
+use crate::controller::Controller;
 use crate::http::{Request, Response, ServerLimits, query_value};
 use crate::net::Listener;
-use crate::node::Node;
 use crate::ops;
 use crate::wire::Report;
 
@@ -34,36 +34,40 @@
 const REPORT_PATH: &str = "/agent/beat";
 
 /// Serves until dropped. Must run inside a `LocalSet`.
-pub async fn serve(node: Rc<Node>, listener: Listener) {
+pub async fn serve(controller: Rc<Controller>, listener: Listener) {
     let limits = ServerLimits {
-        connections: node.settings.served_connections(),
-        idle: node.settings.lease() * 4,
+        connections: controller.settings.served_connections(),
+        idle: controller.settings.lease() * 4,
         arrive: ARRIVAL_LIMIT,
         // One connection a machine, while there are connections for all.
         stays: |request| request.path == REPORT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::Answer {
-        let node = node.clone();
-        Box::pin(async move { route(&node, request).await })
+        let controller = controller.clone();
+        Box::pin(async move { route(&controller, request).await })
     });
     crate::http::serve(listener, limits, handler).await;
 }
 
-async fn route(node: &Rc<Node>, request: Request) -> Response {
+async fn route(controller: &Rc<Controller>, request: Request) -> Response {
     if let Some(rest) = request.path.strip_prefix("/submissions/") {
-        return route_job(node, &request.method, rest).await;
+        return route_job(controller, &request.method, rest).await;
     }
     match (request.method.as_str(), request.path.as_str()) {
-        ("GET", "/up") => up(node),
-        ("POST", REPORT_PATH) => report(node, &request.body).await,
-        ("POST", "/submissions") => submit(node, &request.body).await,
-        ("GET", "/ops/teams") => ops::teams(node),
-        ("GET", "/ops/report") => ops::report(node, &request.query),
-        ("GET", "/ops/shares") => accounting::shares(node, query_value(&request.query, "team")),
-        ("GET", "/ops/shares/moves") => accounting::moves(node, query_value(&request.query, "id")),
-        ("POST", "/ops/shares/move") => accounting::move_share(node, &request.body).await,
+        ("GET", "/up") => up(controller),
+        ("POST", REPORT_PATH) => report(controller, &request.body).await,
+        ("POST", "/submissions") => submit(controller, &request.body).await,
+        ("GET", "/ops/teams") => ops::teams(controller),
+        ("GET", "/ops/report") => ops::report(controller, &request.query),
+        ("GET", "/ops/shares") => {
+            accounting::shares(controller, query_value(&request.query, "team"))
+        }
+        ("GET", "/ops/shares/moves") => {
+            accounting::moves(controller, query_value(&request.query, "id"))
+        }
+        ("POST", "/ops/shares/move") => accounting::move_share(controller, &request.body).await,
         ("GET", path) if path.starts_with("/ops/job/") => {
-            ops::job(node, path.trim_start_matches("/ops/job/"))
+            ops::job(controller, path.trim_start_matches("/ops/job/"))
         }
         (
             _,
@@ -75,10 +79,10 @@
 }
 
 /// Routes what concerns one job; `rest` is the path behind `/submissions/`.
-async fn route_job(node: &Rc<Node>, method: &str, rest: &str) -> Response {
+async fn route_job(controller: &Rc<Controller>, method: &str, rest: &str) -> Response {
     match (method, rest.strip_suffix("/withdraw")) {
-        ("POST", Some(id)) => withdraw(node, id).await,
-        ("GET", None) => query(node, rest).await,
+        ("POST", Some(id)) => withdraw(controller, id).await,
+        ("GET", None) => query(controller, rest).await,
         _ => method_not_allowed(),
     }
 }
@@ -88,9 +92,9 @@
 }
 
 /// `POST /agent/beat`: a worker's report.
-async fn report(node: &Rc<Node>, body: &[u8]) -> Response {
+async fn report(controller: &Rc<Controller>, body: &[u8]) -> Response {
     match serde_json::from_slice::<Report>(body) {
-        Ok(report) => node.heartbeat(report).await,
+        Ok(report) => controller.heartbeat(report).await,
         Err(_) => Response::error(400, "not a report"),
     }
 }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -12,8 +12,8 @@
 
 use super::acceptance::{Acceptance, Arrival};
 use super::validation::{Refusal, check_submission, read_submission};
+use crate::controller::Controller;
 use crate::http::Response;
-use crate::node::Node;
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -78,52 +78,52 @@
 }
 
 /// The state of a job that is over. It never changes, so it needs no barrier.
-fn final_state(node: &Node, id: &str) -> Option<Response> {
-    let replica = node.replica.borrow();
+fn final_state(controller: &Controller, id: &str) -> Option<Response> {
+    let replica = controller.replica.borrow();
     let state = state_of(&replica, id).filter(JobState::is_final)?;
     Some(Response::json(200, &state))
 }
 
-fn is_known(node: &Node, id: &str) -> bool {
-    node.replica.borrow().jobs.contains_key(id)
+fn is_known(controller: &Controller, id: &str) -> bool {
+    controller.replica.borrow().jobs.contains_key(id)
 }
 
 /// `POST /submissions`.
-pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
+pub(super) async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
     let began = Instant::now();
     let submission = match read_submission(body) {
         Ok(submission) => submission,
         Err(refusal) => return refused(refusal),
     };
-    if let Some(answer) = answer_known_job(node, &submission.id, ACCEPT_WAIT).await {
+    if let Some(answer) = answer_known_job(controller, &submission.id, ACCEPT_WAIT).await {
         return answer;
     }
-    if let Some(answer) = cannot_accept_now(node, &submission) {
+    if let Some(answer) = cannot_accept_now(controller, &submission) {
         return answer;
     }
     let left = || ACCEPT_WAIT.saturating_sub(began.elapsed());
-    let spec = match decide(node, &submission, left()).await {
+    let spec = match decide(controller, &submission, left()).await {
         Ok(spec) => spec,
         Err(answer) => return answer,
     };
-    accept(node, &submission.id, spec, left()).await
+    accept(controller, &submission.id, spec, left()).await
 }
 
 /// A known job gets its state, whatever the repeated body says.
-async fn answer_known_job(node: &Node, id: &str, limit: Duration) -> Option<Response> {
-    if node.replica.borrow().is_unreadable_job(id) {
+async fn answer_known_job(controller: &Controller, id: &str, limit: Duration) -> Option<Response> {
+    if controller.replica.borrow().is_unreadable_job(id) {
         return Some(record_unreadable());
     }
-    match is_known(node, id) {
-        true => Some(query_within(node, id, limit).await),
+    match is_known(controller, id) {
+        true => Some(query_within(controller, id, limit).await),
         false => None,
     }
 }
 
 /// What cannot be taken now is refused at once, with when to come back.
-fn cannot_accept_now(node: &Node, submission: &Submission) -> Option<Response> {
-    let replica = node.replica.borrow();
-    if !replica.loaded || !node.has_state() {
+fn cannot_accept_now(controller: &Controller, submission: &Submission) -> Option<Response> {
+    let replica = controller.replica.borrow();
+    if !replica.loaded || !controller.has_state() {
         return Some(state_unavailable());
     }
     // Safety 8: a program that does not know `awaits` would start the job at
@@ -140,17 +140,27 @@
 /// good is decided on a replica that has passed a barrier: it may else lag behind
 /// the acceptance of this very id, by a controller that knew other machine types,
 /// or behind that of a job that it awaits.
-async fn decide(node: &Node, submission: &Submission, limit: Duration) -> Result<Spec, Response> {
-    let check = || check_submission(submission, &node.settings, &node.replica.borrow());
+async fn decide(
+    controller: &Controller,
+    submission: &Submission,
+    limit: Duration,
+) -> Result<Spec, Response> {
+    let check = || {
+        check_submission(
+            submission,
+            &controller.settings,
+            &controller.replica.borrow(),
+        )
+    };
     match check() {
         Ok(spec) => return Ok(spec),
         Err(Refusal::Unknown) => return Err(refused(Refusal::Unknown)),
         Err(Refusal::Never(_) | Refusal::Malformed(_)) => {}
     }
-    if !node.barrier_unless_refused(limit).await {
+    if !controller.barrier_unless_refused(limit).await {
         return Err(state_unavailable());
     }
-    match answer_known_job(node, &submission.id, QUERY_WAIT).await {
+    match answer_known_job(controller, &submission.id, QUERY_WAIT).await {
         Some(answer) => Err(answer),
         None => check().map_err(refused),
     }
@@ -158,7 +168,7 @@
 
 /// Safety 1: accepted means committed. The commit's guard makes a repeat, here or
 /// at another controller, find the first one.
-async fn accept(node: &Node, id: &str, spec: Spec, limit: Duration) -> Response {
+async fn accept(controller: &Controller, id: &str, spec: Spec, limit: Duration) -> Response {
     let (done, committed) = oneshot::channel();
     let owned_id = id.to_string();
     let arrival = Arrival {
@@ -166,11 +176,11 @@
         spec,
         done,
     };
-    node.arrivals.borrow_mut().push_back(arrival);
-    node.arrivals_wanted.notify_one();
+    controller.arrivals.borrow_mut().push_back(arrival);
+    controller.arrivals_wanted.notify_one();
     match timeout(limit, committed).await {
-        Ok(Ok(Acceptance::Committed)) => accepted(node, id),
-        Ok(Ok(Acceptance::KnownBefore)) => query_within(node, id, QUERY_WAIT).await,
+        Ok(Ok(Acceptance::Committed)) => accepted(controller, id),
+        Ok(Ok(Acceptance::KnownBefore)) => query_within(controller, id, QUERY_WAIT).await,
         // The loop has given it up, or takes too long.
         Ok(Err(_)) | Err(_) => state_unavailable(),
     }
@@ -179,8 +189,8 @@
 /// The commit's answer may have taken long: whoever found the job meanwhile may
 /// have cancelled it, and been told so; or it awaits one that is cancelled, and
 /// is cancelled from the start.
-fn accepted(node: &Node, id: &str) -> Response {
-    if let Some(answer) = final_state(node, id) {
+fn accepted(controller: &Controller, id: &str) -> Response {
+    if let Some(answer) = final_state(controller, id) {
         return answer;
     }
     let state = JobState {
@@ -202,34 +212,34 @@
 }
 
 /// `GET /submissions/{id}`.
-pub(super) async fn query(node: &Node, id: &str) -> Response {
-    let age = node.answered.borrow().get(id).map(Instant::elapsed);
-    let is_open = node.replica.borrow().state(id) == Some(JobStatus::Open);
-    if is_open && should_shed(node.lag(), age, &node.settings) {
+pub(super) async fn query(controller: &Controller, id: &str) -> Response {
+    let age = controller.answered.borrow().get(id).map(Instant::elapsed);
+    let is_open = controller.replica.borrow().state(id) == Some(JobStatus::Open);
+    if is_open && should_shed(controller.lag(), age, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
-    let response = query_within(node, id, QUERY_WAIT).await;
+    let response = query_within(controller, id, QUERY_WAIT).await;
     if is_open && response.status == 200 {
-        let mut answered = node.answered.borrow_mut();
+        let mut answered = controller.answered.borrow_mut();
         answered.insert(id.to_string(), Instant::now());
     }
     response
 }
 
-async fn query_within(node: &Node, id: &str, limit: Duration) -> Response {
+async fn query_within(controller: &Controller, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
         return no_such_job();
     }
-    if let Some(answer) = final_state(node, id) {
+    if let Some(answer) = final_state(controller, id) {
         return answer;
     }
     // Safety 1: anything else must not be older than what another controller
     // has told; 404 included. Without the state service that is not to be had,
     // and nobody is kept waiting for it.
-    if !node.has_state() || !node.barrier_unless_refused(limit).await {
+    if !controller.has_state() || !controller.barrier_unless_refused(limit).await {
         return state_unavailable();
     }
-    let replica = node.replica.borrow();
+    let replica = controller.replica.borrow();
     if replica.is_unreadable_job(id) {
         return record_unreadable();
     }
@@ -240,32 +250,32 @@
 }
 
 /// `POST /submissions/{id}/withdraw`.
-pub(super) async fn withdraw(node: &Rc<Node>, id: &str) -> Response {
+pub(super) async fn withdraw(controller: &Rc<Controller>, id: &str) -> Response {
     if !is_job_id(id) {
         return no_such_job();
     }
     // All waits together, that for the write budget included.
-    let answer = timeout(ACCEPT_WAIT, cancel(node, id)).await;
+    let answer = timeout(ACCEPT_WAIT, cancel(controller, id)).await;
     answer.unwrap_or_else(|_| state_unavailable())
 }
 
 /// Tries until the job is over, or nothing is gained by another try.
-async fn cancel(node: &Node, id: &str) -> Response {
-    let pause = || sleep(node.store.jitter(node.request_gap() * 4));
+async fn cancel(controller: &Controller, id: &str) -> Response {
+    let pause = || sleep(controller.store.jitter(controller.request_gap() * 4));
     let mut is_fresh = false;
     loop {
-        if let Some(answer) = final_state(node, id) {
+        if let Some(answer) = final_state(controller, id) {
             return answer;
         }
-        if !node.has_state() {
+        if !controller.has_state() {
             return state_unavailable();
         }
-        if node.replica.borrow().is_unreadable_job(id) {
+        if controller.replica.borrow().is_unreadable_job(id) {
             return record_unreadable();
         }
-        let known = node.replica.borrow().jobs.get(id).cloned();
+        let known = controller.replica.borrow().jobs.get(id).cloned();
         match known {
-            Some(job) => match commit_cancellation(node, id, &job).await {
+            Some(job) => match commit_cancellation(controller, id, &job).await {
                 Ok(response) => return response,
                 // Surely not executed: the same may be tried again.
                 Err(StoreError::Refused(429)) => {
@@ -274,14 +284,14 @@
                 }
                 // It changed meanwhile: look again.
                 Err(StoreError::Conflict(_)) => {}
-                Err(error) if is_hopeless(node, &error) => return state_unavailable(),
+                Err(error) if is_hopeless(controller, &error) => return state_unavailable(),
                 // It may have changed.
                 Err(_) => pause().await,
             },
             None if is_fresh => return no_such_job(),
             None => is_fresh = true,
         }
-        if !node.barrier_unless_refused(QUERY_WAIT).await {
+        if !controller.barrier_unless_refused(QUERY_WAIT).await {
             return state_unavailable();
         }
     }
@@ -289,15 +299,17 @@
 
 /// Commits the cancellation of an open job; the answer to its user once it is.
 async fn commit_cancellation(
-    node: &Node,
+    controller: &Controller,
     id: &str,
     known: &Entry<Job>,
 ) -> Result<Response, StoreError> {
     let mut job = known.value.clone();
     job.cancel();
     let guards = vec![guard(job_key(id), known.version)];
-    let writes = vec![node.replica.borrow().put_job(id, &job)];
-    node.commit(RequestClass::Accept, guards, writes).await?;
+    let writes = vec![controller.replica.borrow().put_job(id, &job)];
+    controller
+        .commit(RequestClass::Accept, guards, writes)
+        .await?;
     tracing::debug!(job = id, "cancelled");
     let state = JobState {
         id,
@@ -310,7 +322,7 @@
 
 /// Whether nothing is gained by trying a user's commit again for now: the state
 /// service serves nothing here, or would refuse the same again.
-pub(super) fn is_hopeless(node: &Node, error: &StoreError) -> bool {
+pub(super) fn is_hopeless(controller: &Controller, error: &StoreError) -> bool {
     let same_again = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
-    same_again || error.is_refusal() || !node.has_state()
+    same_again || error.is_refusal() || !controller.has_state()
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,9 +19,9 @@
 use share::ShareCommand;
 use tracing::level_filters::LevelFilter;
 
-use crate::controller;
+use crate::controller::Controller;
+use crate::daemon;
 use crate::net::Net;
-use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::{Features, Settings};
 
@@ -150,7 +150,7 @@
     local
         .block_on(&runtime()?, async {
             let seed = rand::rngs::SmallRng::from_os_rng().random();
-            controller::run(Node::new(settings, Net::System, seed)).await
+            daemon::run(Controller::new(settings, Net::System, seed)).await
         })
         .map_err(CliError::Controller)?;
     Ok(EXIT_DONE)
@@ -170,7 +170,7 @@
     let settings = Settings::load(file)?;
     println!(
         "settings are right: {} of {} controllers, {} zones, {} teams",
-        settings.node,
+        settings.controller_name,
         settings.deployment.count,
         settings.deployment.zones.len(),
         settings.deployment.teams.len()
--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{Job, JobStatus};
 use crate::state::replica::Replica;
-use crate::workers::{AttemptKey, WorkerSession};
+use crate::workers::{AttemptKey, OwnedWorker};
 
 /// One of so many machines held may be suspect at once.
 const SUSPECT_FRACTION: usize = 4;
@@ -48,17 +48,17 @@
 /// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
 /// on all machines alike, and would send one after another away.
 pub(super) fn health(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
     machine: &str,
-    worker_session: &WorkerSession,
+    owned_worker: &OwnedWorker,
 ) -> Health {
     let mut unknown = 0;
-    for id in &worker_session.failed_jobs {
+    for id in &owned_worker.failed_jobs {
         let Some(job) = replica.jobs.get(id) else {
             continue;
         };
-        if has_unrecorded_end(node, id, machine) {
+        if has_unrecorded_end(controller, id, machine) {
             unknown += 1;
             continue;
         }
@@ -76,14 +76,14 @@
 
 /// Whether the end of a job's task on a machine is still to be recorded: the
 /// job's record does not hold that failure yet.
-fn has_unrecorded_end(node: &Node, job: &str, machine: &str) -> bool {
+fn has_unrecorded_end(controller: &Controller, job: &str, machine: &str) -> bool {
     let first = AttemptKey {
         job: job.to_string(),
         machine: machine.to_string(),
         attempt: 0,
         task: 0,
     };
-    let ends = node.ends.borrow();
+    let ends = controller.ends.borrow();
     let next = ends.range(first..).next();
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
@@ -92,18 +92,20 @@
 /// there are: a quarter of those held at most, or many jobs with a mistake
 /// would leave no room to tell.
 pub fn suspects(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
-    worker_sessions: &HashMap<String, WorkerSession>,
+    owned_workers: &HashMap<String, OwnedWorker>,
 ) -> HashSet<String> {
-    let mut found: Vec<(usize, &String)> = worker_sessions
+    let mut found: Vec<(usize, &String)> = owned_workers
         .iter()
-        .filter(|(_, worker_session)| worker_session.failed_jobs.len() > 1)
-        .filter(|(id, worker_session)| health(node, replica, id, worker_session) == Health::Suspect)
-        .map(|(id, worker_session)| (worker_session.failed_jobs.len(), id))
+        .filter(|(_, owned_worker)| owned_worker.failed_jobs.len() > 1)
+        .filter(|(id, owned_worker)| {
+            health(controller, replica, id, owned_worker) == Health::Suspect
+        })
+        .map(|(id, owned_worker)| (owned_worker.failed_jobs.len(), id))
         .collect();
     found.sort_by(|a, b| b.cmp(a));
-    let limit = (worker_sessions.len() / SUSPECT_FRACTION).max(1);
+    let limit = (owned_workers.len() / SUSPECT_FRACTION).max(1);
     let found = found.into_iter().take(limit);
     found.map(|(_, id)| id.clone()).collect()
 }
--- a/src/cloud/boots.rs
+++ b/src/cloud/boots.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::offers::Offer;
-use crate::node::skipped;
+use crate::controller::skipped;
 use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::{Instant, sleep};
 
+use crate::controller::Controller;
 use crate::http::Response;
-use crate::node::Node;
 use crate::state::budget::Bucket;
 
 /// How long the cloud is left alone when it refuses calls.
@@ -14,7 +14,7 @@
 /// The part of the cloud's rate limit that is used.
 const USED_RATE: f64 = 0.9;
 
-impl Node {
+impl Controller {
     /// Whether this controller rents: the record says so, and its state lease
     /// stands as far as is known.
     pub fn is_renter(&self) -> bool {
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -5,7 +5,7 @@
 
 use super::headroom::spare_places;
 use super::offers::price_of;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::{self, Care, Hints, MachineShardEdits, Plan};
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
@@ -23,23 +23,26 @@
 
 /// Empties a machine whose accelerators nobody needs, when the services that
 /// keep it rented have room elsewhere: they move, and it goes back.
-pub(super) async fn consolidate(node: &Node) {
-    let pause = node.settings.lease();
-    let last = node.fleet.borrow().consolidated_at;
+pub(super) async fn consolidate(controller: &Controller) {
+    let pause = controller.settings.lease();
+    let last = controller.fleet.borrow().consolidated_at;
     if last.is_some_and(|last| last.elapsed() <= pause) {
         return;
     }
-    let Some(eviction) = find_eviction(node) else {
+    let Some(eviction) = find_eviction(controller) else {
         return;
     };
-    node.fleet.borrow_mut().consolidated_at = Some(Instant::now());
+    controller.fleet.borrow_mut().consolidated_at = Some(Instant::now());
     let Eviction {
         machine,
         guards,
         writes,
     } = eviction;
     let services = writes.len().saturating_sub(MACHINE_WRITES);
-    match node.commit(RequestClass::Publication, guards, writes).await {
+    match controller
+        .commit(RequestClass::Publication, guards, writes)
+        .await
+    {
         Ok(_) => tracing::info!(machine, services, "emptied: its services move"),
         Err(error) => tracing::debug!(machine, %error, "not emptied"),
     }
@@ -60,17 +63,17 @@
     gain: f64,
 }
 
-fn find_eviction(node: &Node) -> Option<Eviction> {
-    let replica = node.replica.borrow();
+fn find_eviction(controller: &Controller) -> Option<Eviction> {
+    let replica = controller.replica.borrow();
     let gpu = replica.gpu_spec.as_ref()?;
     if gpu_work_waits(&replica) {
         return None;
     }
     let search = Search {
         replica: &replica,
-        settings: &node.settings,
+        settings: &controller.settings,
         plan: Plan::of(&replica),
-        hints: Hints::new(&replica, node.name()),
+        hints: Hints::new(&replica, controller.name()),
         kept_places: KEPT_GANGS * gpu.tasks as usize,
     };
     let candidate = search.best()?;
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -7,7 +7,7 @@
 use super::boots::booting;
 use super::headroom::{headroom, spare_places};
 use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedRentals};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::policy::JobFacts;
 use crate::scheduler::{self, Ages, Care, Hints, Plan, WaitReason};
 use crate::state::records::{DOUBT, Job, Rental, Spec};
@@ -19,18 +19,18 @@
 
 /// What to rent: room for the jobs, in queue order, whose tasks fit neither
 /// the free room nor what is coming, and for the next gang on accelerators.
-pub(super) fn demand(node: &Node) -> Vec<Rental> {
-    register_offers(node);
-    let replica = node.replica.borrow();
+pub(super) fn demand(controller: &Controller) -> Vec<Rental> {
+    register_offers(controller);
+    let replica = controller.replica.borrow();
     if replica.types.value.types.is_empty() {
         return Vec::new();
     }
     let now = Instant::now();
     // The rentals are committed together, beside the renter's own key.
-    let max_rentals = node.settings.txn_ops().saturating_sub(2).max(1);
-    let ages = node.ages.borrow();
-    let mut planner = Planner::new(node, &replica, &ages, now);
-    let queue = scheduler::queue(&replica, &planner.plan, &node.settings, &ages, now);
+    let max_rentals = controller.settings.txn_ops().saturating_sub(2).max(1);
+    let ages = controller.ages.borrow();
+    let mut planner = Planner::new(controller, &replica, &ages, now);
+    let queue = scheduler::queue(&replica, &planner.plan, &controller.settings, &ages, now);
     for id in queue {
         planner.plan_job(id);
     }
@@ -46,7 +46,7 @@
 /// Plans rentals for one job after another, each with what is left of the room
 /// by those before it.
 struct Planner<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'a Replica,
     ages: &'a Ages,
     hints: Hints<'a>,
@@ -84,11 +84,11 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(node: &'a Node, replica: &'a Replica, ages: &'a Ages, now: Instant) -> Self {
+    fn new(controller: &'a Controller, replica: &'a Replica, ages: &'a Ages, now: Instant) -> Self {
         let mut plan = Plan::of(replica);
-        add_coming_room(&mut plan, node, replica);
+        add_coming_room(&mut plan, controller, replica);
         Planner {
-            node,
+            controller,
             replica,
             ages,
             hints: Hints::new(replica, ""),
@@ -145,7 +145,7 @@
             self.now.saturating_duration_since(*first).as_secs_f64()
         });
         let standing = self.replica.standing(id, spec, self.now);
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         let facts = scheduler::facts(
             job,
             spec,
@@ -169,7 +169,7 @@
 
     /// Gives the job's tasks places in the planned room, as many as fit.
     fn place(&mut self, demand: &mut JobDemand) {
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         let spec = demand.spec;
         match scheduler::fit(
             &demand.planned,
@@ -196,7 +196,7 @@
     fn unplaced(&self, demand: &JobDemand) -> usize {
         let spec = demand.spec;
         let waiting = demand.planned.waiting();
-        match self.node.settings.team(&spec.team) {
+        match self.controller.settings.team(&spec.team) {
             Some(terms) => {
                 let used = self.plan.used(&spec.team);
                 waiting.min(scheduler::team_slots(terms, &used, &spec.need))
@@ -222,7 +222,7 @@
             }
             // What does not wait for room yet is not told so.
             if self.replica.awaited(demand.id).is_empty() {
-                crate::scheduler::note(self.node, demand.id, WaitReason::Refused, self.now);
+                crate::scheduler::note(self.controller, demand.id, WaitReason::Refused, self.now);
             }
             return Step::Done;
         };
@@ -239,7 +239,7 @@
     /// How many slots the job needs more; none if what others leave is enough.
     fn wanted_slots(&mut self, demand: &JobDemand, unplaced: usize) -> Option<usize> {
         let spec = demand.spec;
-        let policy = &self.node.settings.policy;
+        let policy = &self.controller.settings.policy;
         let mut wanted = unplaced as f64;
         if spec.kind == Kind::Array {
             // Tasks that run one after another in the window need less
@@ -265,7 +265,7 @@
         let Some(gpu) = &self.replica.gpu_spec else {
             return;
         };
-        let wanted = headroom(self.node, self.replica, &self.plan);
+        let wanted = headroom(self.controller, self.replica, &self.plan);
         let excluded_zones = HashSet::new();
         let bounds = OfferBounds {
             care: Care::Lax,
@@ -288,7 +288,7 @@
         wanted: usize,
         bounds: &OfferBounds,
     ) -> Option<(&'a MachineType, Offer)> {
-        let fleet = self.node.fleet.borrow();
+        let fleet = self.controller.fleet.borrow();
         let search = OfferSearch {
             replica: self.replica,
             fleet: &fleet,
@@ -315,8 +315,8 @@
 /// Room that is on its way: booting machines and recorded rentals. Not those
 /// that are late: another is rented in their stead, and they are used if they
 /// come all the same.
-fn add_coming_room(plan: &mut Plan, node: &Node, replica: &Replica) {
-    let boots = &node.fleet.borrow().boots;
+fn add_coming_room(plan: &mut Plan, controller: &Controller, replica: &Replica) {
+    let boots = &controller.fleet.borrow().boots;
     let mut add = |kind: &str, zone: &str, spot: bool| {
         if let Some(kind) = replica.type_of(kind) {
             add_room(plan, replica, kind, zone, spot);
@@ -366,8 +366,8 @@
 }
 
 /// Every offer is known as a class of machines before the plan counts on it.
-fn register_offers(node: &Node) {
-    let mut replica = node.replica.borrow_mut();
+fn register_offers(controller: &Controller) {
+    let mut replica = controller.replica.borrow_mut();
     for kind in replica.types.value.types.clone() {
         for zone in &kind.zones {
             for spot in [true, false] {
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -2,7 +2,7 @@
 //! what runs there saves its progress while there is time.
 
 use super::lifecycle::set_life;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::COMMIT_BYTES;
 use crate::state::budget::RequestClass;
 use crate::state::commit::guard;
@@ -12,19 +12,21 @@
 
 /// Machines with a spot notice take no new work, and gangs that can save are
 /// told to while there is time.
-pub(super) async fn drain_recalled(node: &Node) {
-    let ids: Vec<String> = node.fleet.borrow_mut().recalled.drain().collect();
+pub(super) async fn drain_recalled(controller: &Controller) {
+    let ids: Vec<String> = controller.fleet.borrow_mut().recalled.drain().collect();
     for id in ids {
-        if is_active_here(node, &id) {
+        if is_active_here(controller, &id) {
             tracing::info!(machine = id, "is being taken back: draining");
-            if !set_life(node, &id, MachineLifecycle::Draining).await {
-                node.fleet.borrow_mut().recalled.insert(id.clone());
+            if !set_life(controller, &id, MachineLifecycle::Draining).await {
+                controller.fleet.borrow_mut().recalled.insert(id.clone());
                 continue;
             }
         }
-        let (guards, writes) = stops_for_drain(node, &id);
+        let (guards, writes) = stops_for_drain(controller, &id);
         if !writes.is_empty()
-            && let Err(error) = node.commit(RequestClass::Lifecycle, guards, writes).await
+            && let Err(error) = controller
+                .commit(RequestClass::Lifecycle, guards, writes)
+                .await
         {
             tracing::debug!(machine = id, %error, "drain not committed");
         }
@@ -32,17 +34,17 @@
 }
 
 /// Whether a machine takes work and is held by this controller.
-fn is_active_here(node: &Node, id: &str) -> bool {
-    let replica = node.replica.borrow();
+fn is_active_here(controller: &Controller, id: &str) -> bool {
+    let replica = controller.replica.borrow();
     let machine = replica.machines.get(id).map(|entry| &entry.value);
-    machine.is_some_and(|machine| machine.life == MachineLifecycle::Active) && node.holds(id)
+    machine.is_some_and(|machine| machine.life == MachineLifecycle::Active) && controller.holds(id)
 }
 
 /// The commit that stops the work on a machine that can save its progress; as
 /// much of it as one commit holds.
-fn stops_for_drain(node: &Node, machine: &str) -> (Vec<Guard>, Vec<Write>) {
-    let replica = node.replica.borrow();
-    let max_writes = node.settings.txn_ops();
+fn stops_for_drain(controller: &Controller, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+    let replica = controller.replica.borrow();
+    let max_writes = controller.settings.txn_ops();
     let mut guards = Vec::new();
     let mut writes = Vec::new();
     let mut bytes = 0;
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,6 +1,6 @@
 //! Places kept ready for the next gang on accelerators.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::pipeline::Standing;
 use crate::scheduler::{self, Plan};
 use crate::state::records::Job;
@@ -8,7 +8,7 @@
 
 /// How many tasks of the accelerators' usual shape there should be places
 /// for beyond those that run: none when no such job is open.
-pub(super) fn headroom(node: &Node, replica: &Replica, plan: &Plan) -> usize {
+pub(super) fn headroom(controller: &Controller, replica: &Replica, plan: &Plan) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
@@ -23,8 +23,16 @@
     }
     let next = Job::new(gpu.clone(), 0);
     let standing = Standing::of(gpu);
-    let facts = scheduler::facts(&next, gpu, plan, &node.settings, replica, 0.0, &standing);
-    let jobs = node.settings.policy.headroom(&facts);
+    let facts = scheduler::facts(
+        &next,
+        gpu,
+        plan,
+        &controller.settings,
+        replica,
+        0.0,
+        &standing,
+    );
+    let jobs = controller.settings.policy.headroom(&facts);
     (jobs * f64::from(gpu.tasks)).round() as usize
 }
 
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -11,7 +11,7 @@
 use super::offers::{cheapest_place, machine_facts, price_of};
 use super::removal::{Reason, Removal};
 use super::state::FleetState;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
 use crate::settings::Settings;
 use crate::state::records::{Machine, MachineLifecycle};
@@ -29,11 +29,11 @@
 const ORPHANED_LEASES: u32 = 3;
 
 /// Machines that the renter sends away, and why.
-pub(super) fn unneeded_machines(node: &Node) -> Vec<Removal> {
-    let now = node.liveness_tick();
-    let replica = node.replica.borrow();
-    let mut fleet = node.fleet.borrow_mut();
-    let mut review = Review::new(node, &replica, now);
+pub(super) fn unneeded_machines(controller: &Controller) -> Vec<Removal> {
+    let now = controller.liveness_tick();
+    let replica = controller.replica.borrow();
+    let mut fleet = controller.fleet.borrow_mut();
+    let mut review = Review::new(controller, &replica, now);
     let mut removals = Vec::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
@@ -45,14 +45,14 @@
             removals.extend(review.removal_of(&mut fleet, id, machine, kind));
         }
     }
-    removals.extend(overdue_boots(node, &replica, &mut fleet, now));
+    removals.extend(overdue_boots(controller, &replica, &mut fleet, now));
     forget_unknown(&replica, &mut fleet);
     removals
 }
 
 /// One pass over the machines that are up.
 struct Review<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'a Replica,
     now: Instant,
     /// Places that stay ready for the next gang on accelerators.
@@ -62,13 +62,13 @@
 }
 
 impl<'a> Review<'a> {
-    fn new(node: &'a Node, replica: &'a Replica, now: Instant) -> Self {
+    fn new(controller: &'a Controller, replica: &'a Replica, now: Instant) -> Self {
         let plan = Plan::of(replica);
         Review {
-            node,
+            controller,
             replica,
             now,
-            headroom: headroom(node, replica, &plan),
+            headroom: headroom(controller, replica, &plan),
             spare: spare_places(replica, &plan, None),
         }
     }
@@ -103,7 +103,7 @@
         }
         let idle = self.now.saturating_duration_since(since);
         let facts = machine_facts(kind, machine.spot);
-        let idle_limit = Duration::from_secs_f64(self.node.settings.policy.idle_s(&facts));
+        let idle_limit = Duration::from_secs_f64(self.controller.settings.policy.idle_s(&facts));
         if idle <= idle_limit || self.is_headroom(machine, kind) {
             return None;
         }
@@ -122,7 +122,7 @@
             return false;
         }
         let first = *fleet.first_seen.entry(id.to_string()).or_insert(self.now);
-        let limit = self.node.settings.lease() * ORPHANED_LEASES;
+        let limit = self.controller.settings.lease() * ORPHANED_LEASES;
         self.now.saturating_duration_since(first) > limit
     }
 
@@ -136,7 +136,13 @@
         machine: &Machine,
         kind: &MachineType,
     ) -> bool {
-        if !only_costly_fillers(self.replica, &self.node.settings, id, kind, machine.spot) {
+        if !only_costly_fillers(
+            self.replica,
+            &self.controller.settings,
+            id,
+            kind,
+            machine.spot,
+        ) {
             return true;
         }
         let draining = machine.life == MachineLifecycle::Draining;
@@ -190,7 +196,7 @@
 
 /// Machines that should have come up by now; notes those that are late.
 fn overdue_boots(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
     fleet: &mut FleetState,
     now: Instant,
@@ -208,7 +214,7 @@
         let (id, zone) = (machine.id, machine.zone);
         let first = *fleet.first_seen.entry(id.to_string()).or_insert(now);
         let facts = machine_facts(kind, machine.spot);
-        let limit_s = node.settings.policy.boot_limit_s(&facts);
+        let limit_s = controller.settings.policy.boot_limit_s(&facts);
         let age_s = now.saturating_duration_since(first).as_secs_f64();
         let late_s = fleet.boots.late_after_s(kind, zone, limit_s);
         let pause = Duration::from_secs_f64(late_s);
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::commit::{guard, put};
@@ -17,20 +17,20 @@
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
-pub async fn run_lease_renewal(node: Rc<Node>) {
-    let tick = node.settings.lease() / 16;
+pub async fn run_lease_renewal(controller: Rc<Controller>) {
+    let tick = controller.settings.lease() / 16;
     let retry = tick / 16;
     loop {
-        if !node.replica.borrow().loaded {
+        if !controller.replica.borrow().loaded {
             sleep(retry).await;
             continue;
         }
-        match keep_lease(&node).await {
+        match keep_lease(&controller).await {
             Ok(Progress::NewLease) => continue,
             Ok(Progress::Kept) => {}
             Err(error) => tracing::debug!(%error, "state lease"),
         }
-        sleep(node.store.jitter(tick)).await;
+        sleep(controller.store.jitter(tick)).await;
     }
 }
 
@@ -45,36 +45,40 @@
 
 /// Keeps this controller's state lease, the key that says it is up, and, when
 /// nobody has it, the key that says who rents.
-async fn keep_lease(node: &Node) -> Result<Progress, StoreError> {
-    let ttl = node.settings.lease() / 2;
-    let held = node.fleet.borrow().lease;
+async fn keep_lease(controller: &Controller) -> Result<Progress, StoreError> {
+    let ttl = controller.settings.lease() / 2;
+    let held = controller.fleet.borrow().lease;
     let Some(lease) = held else {
-        let lease = node.store.hold(ttl).await?;
-        let mut fleet = node.fleet.borrow_mut();
+        let lease = controller.store.hold(ttl).await?;
+        let mut fleet = controller.fleet.borrow_mut();
         fleet.lease = Some(lease);
         fleet.lease_extended_at = Some(Instant::now());
         return Ok(Progress::NewLease);
     };
-    if extend_if_due(node, lease, ttl).await? {
-        sign_keys(node, lease).await?;
+    if extend_if_due(controller, lease, ttl).await? {
+        sign_keys(controller, lease).await?;
     }
     Ok(Progress::Kept)
 }
 
 /// Whether the lease still stands.
-async fn extend_if_due(node: &Node, lease: u64, ttl: Duration) -> Result<bool, StoreError> {
-    let extended_at = node.fleet.borrow().lease_extended_at;
+async fn extend_if_due(
+    controller: &Controller,
+    lease: u64,
+    ttl: Duration,
+) -> Result<bool, StoreError> {
+    let extended_at = controller.fleet.borrow().lease_extended_at;
     if extended_at.is_some_and(|extended| extended.elapsed() <= ttl / 4) {
         return Ok(true);
     }
-    match node.store.extend(lease).await {
+    match controller.store.extend(lease).await {
         Ok(()) => {
-            node.fleet.borrow_mut().lease_extended_at = Some(Instant::now());
+            controller.fleet.borrow_mut().lease_extended_at = Some(Instant::now());
             Ok(true)
         }
         Err(StoreError::NoLease) => {
             tracing::info!("the state lease has run out");
-            node.fleet.borrow_mut().lease = None;
+            controller.fleet.borrow_mut().lease = None;
             Ok(false)
         }
         Err(error) => Err(error),
@@ -82,13 +86,13 @@
 }
 
 /// Writes the keys that do not say yet what they should.
-async fn sign_keys(node: &Node, lease: u64) -> Result<(), StoreError> {
-    let (guards, writes) = missing_keys(node, &node.replica.borrow(), lease);
+async fn sign_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
+    let (guards, writes) = missing_keys(controller, &controller.replica.borrow(), lease);
     if writes.is_empty() {
         return Ok(());
     }
     let rents = guards.iter().any(|guard| guard.key == FLEET_KEY);
-    match node.commit(RequestClass::Lease, guards, writes).await {
+    match controller.commit(RequestClass::Lease, guards, writes).await {
         Ok(_) => {
             if rents {
                 tracing::info!("renting from now on");
@@ -96,7 +100,7 @@
             Ok(())
         }
         Err(StoreError::NoLease) => {
-            node.fleet.borrow_mut().lease = None;
+            controller.fleet.borrow_mut().lease = None;
             Ok(())
         }
         Err(error) => Err(error),
@@ -105,11 +109,15 @@
 
 /// The commit that ties to the lease what is not tied to it, and that adds the
 /// formats which other controllers have been seen to know.
-fn missing_keys(node: &Node, replica: &Replica, lease: u64) -> (Vec<Guard>, Vec<Write>) {
+fn missing_keys(
+    controller: &Controller,
+    replica: &Replica,
+    lease: u64,
+) -> (Vec<Guard>, Vec<Write>) {
     let me = ControllerRecord {
-        node: node.name().to_string(),
-        incarnation: node.incarnation,
-        formats: node.settings.formats(),
+        controller: controller.name().to_string(),
+        incarnation: controller.incarnation,
+        formats: controller.settings.formats(),
     };
     let mut guards = Vec::new();
     let mut writes = Vec::new();
@@ -121,10 +129,10 @@
             lease: Some(lease),
         });
     };
-    match replica.nodes.get(node.name()) {
+    match replica.nodes.get(controller.name()) {
         Some(entry) if entry.value == me => {}
         other => {
-            let key = node_key(node.name());
+            let key = node_key(controller.name());
             let absent = replica.absent_version(&key);
             sign(key, other.map_or(absent, |entry| entry.version));
         }
@@ -133,7 +141,7 @@
         None => sign(FLEET_KEY.to_string(), replica.absent_version(FLEET_KEY)),
         // An earlier run of this process rented, and its state lease still
         // stands: it is surely over, and nobody else may rent till then.
-        Some(entry) if entry.value.node == me.node && entry.value != me => {
+        Some(entry) if entry.value.controller == me.controller && entry.value != me => {
             sign(FLEET_KEY.to_string(), entry.version);
         }
         Some(_) => {}
@@ -144,9 +152,9 @@
         .nodes
         .iter()
         .map(|(name, entry)| (name.as_str(), entry.value.formats));
-    let next = known.value.with(seen, &node.settings.controllers());
+    let next = known.value.with(seen, &controller.settings.controllers());
     let unreadable = replica.is_unreadable(FORMATS_KEY);
-    if replica.nodes.contains_key(node.name()) && (next != known.value || unreadable) {
+    if replica.nodes.contains_key(controller.name()) && (next != known.value || unreadable) {
         let version = known.version.max(replica.absent_version(FORMATS_KEY));
         guards.push(guard(FORMATS_KEY.to_string(), version));
         writes.push(put(FORMATS_KEY.to_string(), &next));
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::{COMMIT_BYTES, MachineShardEdits};
 use crate::state::budget::RequestClass;
 use crate::state::commit::guard;
@@ -28,18 +28,18 @@
 }
 
 /// Writes one machine's new state; whether it is written.
-pub(super) async fn set_life(node: &Node, id: &str, life: MachineLifecycle) -> bool {
-    let changed = set_lives(node, &[LifeChange::new(id, life)]).await;
+pub(super) async fn set_life(controller: &Controller, id: &str, life: MachineLifecycle) -> bool {
+    let changed = set_lives(controller, &[LifeChange::new(id, life)]).await;
     changed.contains(id)
 }
 
 /// Writes machines' new states, taking them out of their zone shards' records unless
 /// they stay active; as many as one commit holds, and tells which. Guarded by
 /// the zone shards, too, so that no booking slips in between.
-pub(super) async fn set_lives(node: &Node, changes: &[LifeChange]) -> HashSet<String> {
+pub(super) async fn set_lives(controller: &Controller, changes: &[LifeChange]) -> HashSet<String> {
     let (mut changed, guards, writes) = {
-        let replica = node.replica.borrow();
-        let mut commit = LifeCommit::new(&replica, node.settings.txn_ops());
+        let replica = controller.replica.borrow();
+        let mut commit = LifeCommit::new(&replica, controller.settings.txn_ops());
         for change in changes {
             commit.add(change);
         }
@@ -50,7 +50,10 @@
     if writes.is_empty() {
         return changed;
     }
-    if let Err(error) = node.commit(RequestClass::Lifecycle, guards, writes).await {
+    if let Err(error) = controller
+        .commit(RequestClass::Lifecycle, guards, writes)
+        .await
+    {
         tracing::debug!(?changes, %error, "lives not changed");
         changed.clear();
     }
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -9,7 +9,7 @@
 use super::lifecycle::{LifeChange, set_lives};
 use super::rentals::rental_of;
 use super::state::FleetState;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
 use crate::state::records::{Machine, MachineLifecycle};
@@ -40,43 +40,43 @@
 }
 
 /// Reads the cloud's list when it is due, and carries out what it shows.
-pub(super) async fn reconcile_list(node: &Node) {
-    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
-    let read_at = node.fleet.borrow().list_read_at;
+pub(super) async fn reconcile_list(controller: &Controller) {
+    let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
+    let read_at = controller.fleet.borrow().list_read_at;
     if read_at.is_some_and(|read| read.elapsed() <= lag) {
         return;
     }
-    let Some(listed) = read_list(node).await else {
+    let Some(listed) = read_list(controller).await else {
         return;
     };
-    node.fleet.borrow_mut().list_read_at = Some(Instant::now());
+    controller.fleet.borrow_mut().list_read_at = Some(Instant::now());
     let differences = {
-        let replica = node.replica.borrow();
-        let mut fleet = node.fleet.borrow_mut();
+        let replica = controller.replica.borrow();
+        let mut fleet = controller.fleet.borrow_mut();
         fleet
             .gone
             .retain(|_, since| since.elapsed() < lag * GONE_LAGS);
         fleet
             .unrecorded
             .retain(|id, _| !replica.machines.contains_key(id));
-        compare(&replica, &mut fleet, &listed, node.settings.lease())
+        compare(&replica, &mut fleet, &listed, controller.settings.lease())
     };
-    record_machines(node, &differences.new).await;
+    record_machines(controller, &differences.new).await;
     let returning: Vec<LifeChange> = differences
         .failed
         .iter()
         .map(|id| LifeChange::new(id, MachineLifecycle::Returning))
         .collect();
-    set_lives(node, &returning).await;
+    set_lives(controller, &returning).await;
 }
 
 /// All pages of the cloud's list.
-async fn read_list(node: &Node) -> Option<Vec<ListedMachine>> {
+async fn read_list(controller: &Controller) -> Option<Vec<ListedMachine>> {
     let mut all = Vec::new();
     let mut after = String::new();
     loop {
         let path = format!("/rentals?after={after}&limit=500");
-        let response = node.cloud("GET", &path, None).await?;
+        let response = controller.cloud("GET", &path, None).await?;
         let list = response.parse::<MachineList>().ok()?;
         let Some(last) = list.machines.last() else {
             return Some(all);
@@ -149,18 +149,19 @@
 
 /// Records machines that have no record: rented ones that have not come up,
 /// which go back, and listed ones that nobody knows.
-pub(super) async fn record_machines(node: &Node, machines: &[NewMachine]) {
-    let max_writes = node.settings.txn_ops();
+pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
+    let max_writes = controller.settings.txn_ops();
     let mut recorded = Vec::new();
     let (guards, writes) = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let mut machine_shards = MachineShardEdits::new(&replica);
         for NewMachine { id, machine } in machines {
             if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
                 continue;
             }
             let mut machine = machine.clone();
-            let shard = machine_shards.new_shard(&node.settings, id, &machine.kind, &machine.zone);
+            let shard =
+                machine_shards.new_shard(&controller.settings, id, &machine.kind, &machine.zone);
             let Some(shard) = shard else {
                 continue;
             };
@@ -173,7 +174,10 @@
     if writes.is_empty() {
         return;
     }
-    match node.commit(RequestClass::Lifecycle, guards, writes).await {
+    match controller
+        .commit(RequestClass::Lifecycle, guards, writes)
+        .await
+    {
         Ok(_) => {
             for (machine, life) in recorded {
                 tracing::info!(machine, ?life, "taken up");
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -3,7 +3,7 @@
 
 use super::lifecycle::{LifeChange, set_lives};
 use super::list::{NewMachine, record_machines, rented_but_not_up};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 
@@ -66,38 +66,41 @@
 /// Decides which machines leave, and carries it out. What is found is decided
 /// again once the budget is there: it may have waited, or this process may have
 /// stood still, and who was silent may have been heard meanwhile.
-pub(super) async fn remove_machines(node: &Node, decide: fn(&Node) -> Vec<Removal>) {
-    if decide(node).is_empty() {
+pub(super) async fn remove_machines(
+    controller: &Controller,
+    decide: fn(&Controller) -> Vec<Removal>,
+) {
+    if decide(controller).is_empty() {
         return;
     }
-    node.store.ready(RequestClass::Lifecycle, 1).await;
-    if !node.has_state() {
+    controller.store.ready(RequestClass::Lifecycle, 1).await;
+    if !controller.has_state() {
         return;
     }
     let (recorded, unrecorded): (Vec<Removal>, Vec<Removal>) = {
-        let removals = decide(node);
-        let replica = node.replica.borrow();
+        let removals = decide(controller);
+        let replica = controller.replica.borrow();
         removals
             .into_iter()
             .partition(|removal| replica.machines.contains_key(&removal.machine))
     };
-    change_recorded(node, &recorded).await;
+    change_recorded(controller, &recorded).await;
     let never_up: Vec<NewMachine> = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         unrecorded
             .iter()
             .filter_map(|removal| rented_but_not_up(&replica, &removal.machine))
             .collect()
     };
-    record_machines(node, &never_up).await;
+    record_machines(controller, &never_up).await;
 }
 
-async fn change_recorded(node: &Node, removals: &[Removal]) {
+async fn change_recorded(controller: &Controller, removals: &[Removal]) {
     let changes: Vec<LifeChange> = removals
         .iter()
         .map(|removal| LifeChange::new(&removal.machine, removal.life))
         .collect();
-    let changed = set_lives(node, &changes).await;
+    let changed = set_lives(controller, &changes).await;
     for removal in removals {
         if changed.contains(&removal.machine) {
             tracing::info!(
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -8,8 +8,8 @@
 
 use super::demand::demand;
 use super::offers::Offer;
+use crate::controller::Controller;
 use crate::http::Response;
-use crate::node::Node;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::{FLEET_KEY, rental_key};
@@ -18,30 +18,34 @@
 use crate::wire::{MachineNames, RentRequest, Write};
 
 /// Rents what is missing, apart from the rest: work waits for it.
-pub async fn run_rentals(node: Rc<Node>) {
-    let tick = node.settings.report().min(node.settings.lease() / 8) / 2;
+pub async fn run_rentals(controller: Rc<Controller>) {
+    let tick = controller
+        .settings
+        .report()
+        .min(controller.settings.lease() / 8)
+        / 2;
     loop {
-        sleep(node.store.jitter(tick)).await;
-        if node.replica.borrow().loaded && node.is_renter() && node.has_state() {
-            rent(&node).await;
+        sleep(controller.store.jitter(tick)).await;
+        if controller.replica.borrow().loaded && controller.is_renter() && controller.has_state() {
+            rent(&controller).await;
         }
     }
 }
 
-async fn rent(node: &Rc<Node>) {
-    call_unanswered(node);
+async fn rent(controller: &Rc<Controller>) {
+    call_unanswered(controller);
     // What an answer that is awaited refuses is not asked for again.
-    if !node.fleet.borrow().calling.is_empty() {
+    if !controller.fleet.borrow().calling.is_empty() {
         return;
     }
-    let rentals = demand(node);
+    let rentals = demand(controller);
     if rentals.is_empty() {
         return;
     }
     let mut guards = Vec::new();
     let mut writes = Vec::new();
     for rental in rentals {
-        let id = new_rental_id(node);
+        let id = new_rental_id(controller);
         tracing::info!(
             kind = rental.kind,
             zone = rental.zone,
@@ -54,58 +58,61 @@
         writes.push(put(rental_key(&id), &rental));
     }
     // Who has stood still, and rents no more, finds out by this.
-    match node.replica.borrow().fleet.as_ref() {
+    match controller.replica.borrow().fleet.as_ref() {
         Some(renter) => guards.push(guard(FLEET_KEY.to_string(), renter.version)),
         None => return,
     }
-    match node.commit(RequestClass::Lease, guards, writes).await {
-        Ok(_) => call_unanswered(node),
+    match controller.commit(RequestClass::Lease, guards, writes).await {
+        Ok(_) => call_unanswered(controller),
         Err(error) => tracing::debug!(%error, "rental not recorded"),
     }
 }
 
 /// A name that no other rental has had.
-fn new_rental_id(node: &Node) -> String {
-    let number = node.rng.borrow_mut().random::<u64>();
-    format!("{}-{number:x}", node.name())
+fn new_rental_id(controller: &Controller) -> String {
+    let number = controller.rng.borrow_mut().random::<u64>();
+    format!("{}-{number:x}", controller.name())
 }
 
 /// Calls the cloud for every recorded rental until it has answered: repeating
 /// a request by its name rents nothing twice.
-fn call_unanswered(node: &Rc<Node>) {
-    let replica = node.replica.borrow();
-    let mut fleet = node.fleet.borrow_mut();
+fn call_unanswered(controller: &Rc<Controller>) {
+    let replica = controller.replica.borrow();
+    let mut fleet = controller.fleet.borrow_mut();
     for (id, entry) in &replica.rentals {
         if entry.value.machines.is_empty() && fleet.calling.insert(id.clone()) {
-            let node = node.clone();
+            let controller = controller.clone();
             let id = id.clone();
             let rental = entry.clone();
             tokio::task::spawn_local(async move {
-                complete_rental(&node, &id, rental).await;
-                node.fleet.borrow_mut().calling.remove(&id);
+                complete_rental(&controller, &id, rental).await;
+                controller.fleet.borrow_mut().calling.remove(&id);
             });
         }
     }
 }
 
 /// Calls the cloud for one recorded rental, and records the answer.
-async fn complete_rental(node: &Node, id: &str, recorded: Entry<Rental>) {
+async fn complete_rental(controller: &Controller, id: &str, recorded: Entry<Rental>) {
     let Entry {
         version,
         value: mut rental,
     } = recorded;
-    let Some(response) = request_rental(node, id, version, &rental).await else {
+    let Some(response) = request_rental(controller, id, version, &rental).await else {
         return;
     };
-    let fell_short = take_answer(node, &mut rental, &response);
-    note_capacity(node, &rental, fell_short);
+    let fell_short = take_answer(controller, &mut rental, &response);
+    note_capacity(controller, &rental, fell_short);
     let key = rental_key(id);
     let guards = vec![guard(key.clone(), version)];
     let write = match rental.machines.is_empty() {
         true => Write::Delete { key },
         false => put(key, &rental),
     };
-    if let Err(error) = node.commit(RequestClass::Lease, guards, vec![write]).await {
+    if let Err(error) = controller
+        .commit(RequestClass::Lease, guards, vec![write])
+        .await
+    {
         // The next pass asks the cloud again and gets the same names.
         tracing::debug!(%error, "rental not settled");
     }
@@ -113,7 +120,12 @@
 
 /// Asks the cloud for a rental's machines, if its record still stands as it was
 /// when the call's turn has come.
-async fn request_rental(node: &Node, id: &str, version: u64, rental: &Rental) -> Option<Response> {
+async fn request_rental(
+    controller: &Controller,
+    id: &str,
+    version: u64,
+    rental: &Rental,
+) -> Option<Response> {
     let request = RentRequest {
         request: id,
         kind: &rental.kind,
@@ -123,22 +135,24 @@
     };
     let body = serde_json::to_vec(&request).ok()?;
     let stands = || {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let recorded = replica.rentals.get(id);
         recorded.is_some_and(|entry| entry.version == version)
     };
-    node.cloud_if("POST", "/rentals", Some(body), stands).await
+    controller
+        .cloud_if("POST", "/rentals", Some(body), stands)
+        .await
 }
 
 /// Takes the machines that the cloud has delivered into the rental; whether
 /// they are fewer than was asked for.
-fn take_answer(node: &Node, rental: &mut Rental, response: &Response) -> bool {
+fn take_answer(controller: &Controller, rental: &mut Rental, response: &Response) -> bool {
     let mut fell_short = true;
     if response.status == 200
         && let Ok(names) = response.parse::<MachineNames>()
     {
         fell_short = (names.machines.len() as u32) < rental.count;
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         // The workers of some may have been quicker than the answer.
         rental.machines = names.machines;
         rental
@@ -159,11 +173,11 @@
 }
 
 /// Notes whether the cloud had capacity for the rental's offer.
-fn note_capacity(node: &Node, rental: &Rental, fell_short: bool) {
+fn note_capacity(controller: &Controller, rental: &Rental, fell_short: bool) {
     let offer = Offer::of_rental(rental);
-    let mut fleet = node.fleet.borrow_mut();
+    let mut fleet = controller.fleet.borrow_mut();
     if fell_short {
-        let pause = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
+        let pause = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
         fleet.note_refusal(offer, pause, Instant::now());
     } else {
         fleet.clear_refusal(&offer);
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -7,7 +7,7 @@
 
 use super::lifecycle::{LifeChange, set_lives};
 use super::rentals::rental_of;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
@@ -20,24 +20,24 @@
 const MAX_RETURNED: usize = 100;
 
 /// Returns what is to go, and drops the records of what is gone.
-pub(super) async fn finish_returns(node: &Node) {
+pub(super) async fn finish_returns(controller: &Controller) {
     let (returning, gone) = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let returning = machines_in(&replica, MachineLifecycle::Returning)
             .take(MAX_RETURNED)
             .cloned()
             .collect::<Vec<_>>();
         let gone = machines_in(&replica, MachineLifecycle::Gone)
             .filter(|id| !replica.bookings.contains_key(*id))
-            .take(node.settings.txn_ops())
+            .take(controller.settings.txn_ops())
             .cloned()
             .collect::<Vec<_>>();
         (returning, gone)
     };
-    if !returning.is_empty() && return_to_cloud(node, &returning).await {
-        record_returned(node, returning).await;
+    if !returning.is_empty() && return_to_cloud(controller, &returning).await {
+        record_returned(controller, returning).await;
     }
-    drop_records(node, &gone).await;
+    drop_records(controller, &gone).await;
 }
 
 fn machines_in(replica: &Replica, life: MachineLifecycle) -> impl Iterator<Item = &String> {
@@ -49,23 +49,25 @@
 }
 
 /// Whether the cloud has taken the machines back.
-async fn return_to_cloud(node: &Node, machines: &[String]) -> bool {
+async fn return_to_cloud(controller: &Controller, machines: &[String]) -> bool {
     let names = MachineNames {
         machines: machines.to_vec(),
     };
     let Ok(body) = serde_json::to_vec(&names) else {
         return false;
     };
-    let response = node.cloud("POST", "/rentals/return", Some(body)).await;
+    let response = controller
+        .cloud("POST", "/rentals/return", Some(body))
+        .await;
     response.is_some_and(|response| response.status == 200)
 }
 
 /// Records that machines are gone.
-async fn record_returned(node: &Node, returned: Vec<String>) {
+async fn record_returned(controller: &Controller, returned: Vec<String>) {
     let now = Instant::now();
     // Nothing is booked on most: their records go at once.
     let (booked, empty): (Vec<String>, Vec<String>) = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let is_booked = |id: &String| replica.bookings.contains_key(id);
         returned.iter().cloned().partition(is_booked)
     };
@@ -73,9 +75,9 @@
         .iter()
         .map(|id| LifeChange::new(id, MachineLifecycle::Gone))
         .collect();
-    set_lives(node, &changes).await;
-    drop_records(node, &empty).await;
-    let mut fleet = node.fleet.borrow_mut();
+    set_lives(controller, &changes).await;
+    drop_records(controller, &empty).await;
+    let mut fleet = controller.fleet.borrow_mut();
     for id in returned {
         fleet.reports.remove(&id);
         fleet.empty_since.remove(&id);
@@ -85,10 +87,12 @@
 }
 
 /// Drops the records of machines that the cloud has taken back.
-async fn drop_records(node: &Node, ids: &[String]) {
-    let (guards, writes) = record_drops(node, ids);
+async fn drop_records(controller: &Controller, ids: &[String]) {
+    let (guards, writes) = record_drops(controller, ids);
     if !writes.is_empty()
-        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
+        && let Err(error) = controller
+            .commit(RequestClass::Publication, guards, writes)
+            .await
     {
         tracing::debug!(%error, "records of gone machines stay");
     }
@@ -96,11 +100,11 @@
 
 /// The commit that drops the records of gone machines, and their names from the
 /// rental that may still list them: they would count as booting again.
-fn record_drops(node: &Node, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
-    let replica = node.replica.borrow();
+fn record_drops(controller: &Controller, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
+    let replica = controller.replica.borrow();
     // The pool is written with them.
     let has_pool = replica.pool.is_some();
-    let max_writes = node.settings.txn_ops() - usize::from(has_pool);
+    let max_writes = controller.settings.txn_ops() - usize::from(has_pool);
     let mut leaving = Resources::default();
     let mut machine_shards = MachineShardEdits::new(&replica);
     let mut rentals: BTreeMap<&String, Rental> = BTreeMap::new();
@@ -146,7 +150,7 @@
     }
     // Capacity falls in the commit that takes machines off the record, or before: while
     // shares hold more than what remains, the machines stay on record.
-    let ledger = replica.ledger(&node.settings);
+    let ledger = replica.ledger(&controller.settings);
     match release_machines(&ledger, leaving) {
         Ok(pool) => {
             guards.push(guard(POOL_KEY.to_string(), replica.pool_version()));
--- a/src/cloud/rounds.rs
+++ b/src/cloud/rounds.rs
@@ -13,35 +13,39 @@
 use super::settling::{settle_cancelled, settle_records};
 use super::silent::failing_machines;
 use super::summary::log_fleet;
-use crate::node::Node;
+use crate::controller::Controller;
 
 /// Removes the machines that this controller holds and that fail; the renter
 /// also keeps the fleet as a whole.
-pub async fn run_fleet(node: Rc<Node>) {
+pub async fn run_fleet(controller: Rc<Controller>) {
     loop {
-        let tick = node.settings.report().min(node.settings.lease() / 8) / 2;
-        sleep(node.store.jitter(tick)).await;
-        if !node.replica.borrow().loaded {
+        let tick = controller
+            .settings
+            .report()
+            .min(controller.settings.lease() / 8)
+            / 2;
+        sleep(controller.store.jitter(tick)).await;
+        if !controller.replica.borrow().loaded {
             continue;
         }
-        if node.has_state() {
-            drain_recalled(&node).await;
-            remove_machines(&node, failing_machines).await;
+        if controller.has_state() {
+            drain_recalled(&controller).await;
+            remove_machines(&controller, failing_machines).await;
         }
-        if !node.is_renter() || !node.has_state() {
+        if !controller.is_renter() || !controller.has_state() {
             continue;
         }
-        maintain_fleet(&node).await;
+        maintain_fleet(&controller).await;
     }
 }
 
 /// One pass of the renter over the fleet.
-async fn maintain_fleet(node: &Rc<Node>) {
-    log_fleet(node);
-    finish_returns(node).await;
-    settle_records(node).await;
-    settle_cancelled(node).await;
-    reconcile_list(node).await;
-    remove_machines(node, unneeded_machines).await;
-    consolidate(node).await;
+async fn maintain_fleet(controller: &Rc<Controller>) {
+    log_fleet(controller);
+    finish_returns(controller).await;
+    settle_records(controller).await;
+    settle_cancelled(controller).await;
+    reconcile_list(controller).await;
+    remove_machines(controller, unneeded_machines).await;
+    consolidate(controller).await;
 }
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -1,7 +1,7 @@
 //! Records that have served their turn, and jobs' records that are still to say
 //! what follows from others.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::{arrivals_key, job_key, rental_key};
@@ -10,9 +10,9 @@
 /// Drops what has served its turn: rentals whose machines all have a record of
 /// their own, arrivals whose jobs all have. Those records never go while this
 /// one stands (`returns::record_drops`) or at all, so what the replica shows holds.
-pub(super) async fn settle_records(node: &Node) {
+pub(super) async fn settle_records(controller: &Controller) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let rentals = replica.rentals.iter().filter(|(_, entry)| {
             let machines = &entry.value.machines;
             !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
@@ -25,12 +25,14 @@
         let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
         rentals
             .chain(arrivals)
-            .take(node.settings.txn_ops())
+            .take(controller.settings.txn_ops())
             .map(|(key, version)| (guard(key.clone(), version), Write::Delete { key }))
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
+        && let Err(error) = controller
+            .commit(RequestClass::Publication, guards, writes)
+            .await
     {
         tracing::debug!(%error, "settled records stay");
     }
@@ -39,9 +41,9 @@
 /// Writes onto jobs' own records that they are cancelled with what they await:
 /// some at a time, in any order. All controllers know it without, and what it
 /// follows from stays: final records are never dropped.
-pub(super) async fn settle_cancelled(node: &Node) {
+pub(super) async fn settle_cancelled(controller: &Controller) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         replica
             .cancelled_with_dependency()
             .filter_map(|id| {
@@ -50,11 +52,13 @@
                 let version = replica.job_version(id);
                 Some((guard(job_key(id), version), put(job_key(id), &job)))
             })
-            .take(node.settings.txn_ops())
+            .take(controller.settings.txn_ops())
             .unzip()
     };
     if !writes.is_empty()
-        && let Err(error) = node.commit(RequestClass::Publication, guards, writes).await
+        && let Err(error) = controller
+            .commit(RequestClass::Publication, guards, writes)
+            .await
     {
         tracing::debug!(%error, "cancelled jobs not settled yet");
     }
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -10,10 +10,10 @@
 
 use super::blame::{Health, health};
 use super::removal::{Reason, Removal};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
-use crate::workers::WorkerSession;
+use crate::workers::OwnedWorker;
 
 /// How many leases a machine may be silent before it is returned. When its
 /// lease is surely over its work is free to go elsewhere (`release_silent`), and
@@ -34,24 +34,27 @@
 const MIN_PARTITIONED: usize = 4;
 
 /// Machines held by this controller that should leave, and why.
-pub(super) fn failing_machines(node: &Node) -> Vec<Removal> {
-    let now = node.liveness_tick();
-    let replica = node.replica.borrow();
-    let worker_sessions = node.worker_sessions.borrow();
+pub(super) fn failing_machines(controller: &Controller) -> Vec<Removal> {
+    let now = controller.liveness_tick();
+    let replica = controller.replica.borrow();
+    let owned_workers = controller.owned_workers.borrow();
     let review = Review {
-        node,
+        controller,
         replica: &replica,
         now,
-        partitioned: partitioned_zones(node, &replica, &worker_sessions, now),
+        partitioned: partitioned_zones(controller, &replica, &owned_workers, now),
     };
-    let unreachable = node.fleet.borrow().unreachable(node.settings.lease(), now);
+    let unreachable = controller
+        .fleet
+        .borrow()
+        .unreachable(controller.settings.lease(), now);
     let mut removals: Vec<Removal> = unreachable
         .iter()
         .map(|id| Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable))
         .collect();
-    removals.extend(worker_sessions.iter().filter_map(|(id, worker_session)| {
+    removals.extend(owned_workers.iter().filter_map(|(id, owned_worker)| {
         let machine = replica.machines.get(id).map(|entry| &entry.value)?;
-        review.removal_of(id, machine, worker_session)
+        review.removal_of(id, machine, owned_worker)
     }));
     removals
 }
@@ -59,9 +62,9 @@
 /// Zones of which most machines that this controller holds are silent at once:
 /// they are partitioned off rather than lost, and come back together.
 fn partitioned_zones(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
-    worker_sessions: &HashMap<String, WorkerSession>,
+    owned_workers: &HashMap<String, OwnedWorker>,
     now: Instant,
 ) -> HashSet<String> {
     #[derive(Default)]
@@ -69,13 +72,13 @@
         all: usize,
         silent: usize,
     }
-    let limit = node.settings.lease();
+    let limit = controller.settings.lease();
     let mut zones: HashMap<&str, Count> = HashMap::new();
-    for (id, worker_session) in worker_sessions {
+    for (id, owned_worker) in owned_workers {
         if let Some(entry) = replica.machines.get(id) {
             let count = zones.entry(&entry.value.zone).or_default();
             count.all += 1;
-            count.silent += usize::from(silence(worker_session, now) > limit);
+            count.silent += usize::from(silence(owned_worker, now) > limit);
         }
     }
     let is_partitioned =
@@ -88,13 +91,13 @@
 }
 
 /// For how long nothing has come from a worker.
-fn silence(worker_session: &WorkerSession, now: Instant) -> Duration {
-    now.saturating_duration_since(worker_session.heard)
+fn silence(owned_worker: &OwnedWorker, now: Instant) -> Duration {
+    now.saturating_duration_since(owned_worker.heard)
 }
 
 /// One pass over the machines that this controller holds.
 struct Review<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'a Replica,
     now: Instant,
     partitioned: HashSet<String>,
@@ -106,10 +109,10 @@
         &self,
         id: &str,
         machine: &Machine,
-        worker_session: &WorkerSession,
+        owned_worker: &OwnedWorker,
     ) -> Option<Removal> {
-        let is_held =
-            machine.token == worker_session.token && machine.incarnation == self.node.incarnation;
+        let is_held = machine.token == owned_worker.token
+            && machine.incarnation == self.controller.incarnation;
         if !is_held
             || !matches!(
                 machine.life,
@@ -118,14 +121,14 @@
         {
             return None;
         }
-        if silence(worker_session, self.now) > self.silence_limit(machine, worker_session) {
+        if silence(owned_worker, self.now) > self.silence_limit(machine, owned_worker) {
             return Some(Removal::new(
                 id,
                 MachineLifecycle::Returning,
                 Reason::Silent,
             ));
         }
-        if self.is_unreachable(worker_session) {
+        if self.is_unreachable(owned_worker) {
             return Some(Removal::new(
                 id,
                 MachineLifecycle::Returning,
@@ -133,21 +136,21 @@
             ));
         }
         let is_active = machine.life == MachineLifecycle::Active;
-        (is_active && health(self.node, self.replica, id, worker_session) == Health::Faulty)
+        (is_active && health(self.controller, self.replica, id, owned_worker) == Health::Faulty)
             .then(|| Removal::new(id, MachineLifecycle::Draining, Reason::Faulty))
     }
 
     /// How long a machine may be silent.
-    fn silence_limit(&self, machine: &Machine, worker_session: &WorkerSession) -> Duration {
-        let lease = self.node.settings.lease();
-        let report = worker_session.report.as_ref();
+    fn silence_limit(&self, machine: &Machine, owned_worker: &OwnedWorker) -> Duration {
+        let lease = self.controller.settings.lease();
+        let report = owned_worker.report.as_ref();
         if report.is_some_and(|report| report.notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
-            return lease.min(self.node.settings.report() * RECALLED_REPORTS);
+            return lease.min(self.controller.settings.report() * RECALLED_REPORTS);
         }
         // With a launch that may land late only the cloud can end the doubt.
-        if worker_session.unresolved {
+        if owned_worker.unresolved {
             return lease;
         }
         match self.partitioned.contains(&machine.zone) {
@@ -158,9 +161,9 @@
 
     /// Whether a worker's reports have arrived for too long while answers and
     /// orders did not.
-    fn is_unreachable(&self, worker_session: &WorkerSession) -> bool {
-        let limit = self.node.settings.lease() * UNREACHABLE_LEASES;
-        worker_session
+    fn is_unreachable(&self, owned_worker: &OwnedWorker) -> bool {
+        let limit = self.controller.settings.lease() * UNREACHABLE_LEASES;
+        owned_worker
             .unreachable_since
             .is_some_and(|since| self.now.saturating_duration_since(since) > limit)
     }
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -8,7 +8,7 @@
 
 use super::boots::{Backoff, BootHistory};
 use super::offers::Offer;
-use crate::node::skipped;
+use crate::controller::skipped;
 use crate::state::budget::Bucket;
 use crate::wire::Report;
 
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::headroom::spare_places;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::Plan;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
@@ -28,16 +28,16 @@
 }
 
 /// One line a while on what is rented and how full it is, for a replay.
-pub(super) fn log_fleet(node: &Node) {
+pub(super) fn log_fleet(controller: &Controller) {
     {
-        let mut fleet = node.fleet.borrow_mut();
-        let interval = node.settings.lease();
+        let mut fleet = controller.fleet.borrow_mut();
+        let interval = controller.settings.lease();
         if fleet.logged_at.is_some_and(|at| at.elapsed() < interval) {
             return;
         }
         fleet.logged_at = Some(Instant::now());
     }
-    let replica = node.replica.borrow();
+    let replica = controller.replica.borrow();
     let plan = Plan::of(&replica);
     let places: Vec<(&str, usize)> = replica
         .zone_names
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::TYPES_KEY;
@@ -18,43 +18,43 @@
 const REFRESH_LAGS: u32 = 3;
 
 /// Keeps the machine types in the state as the cloud tells them.
-pub async fn run_type_refresh(node: Rc<Node>) {
-    let tick = node.settings.report() / 3;
+pub async fn run_type_refresh(controller: Rc<Controller>) {
+    let tick = controller.settings.report() / 3;
     loop {
         // Until the types are known nobody can accept anything.
-        let known = !node.replica.borrow().types.value.types.is_empty();
+        let known = !controller.replica.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
-        if node.is_renter() && is_due(&node) {
-            refresh(&node).await;
+        if controller.is_renter() && is_due(&controller) {
+            refresh(&controller).await;
         }
     }
 }
 
-fn is_due(node: &Node) -> bool {
-    let lag = Duration::from_secs_f64(node.settings.deployment.cloud.list_lag_s);
-    let read_at = node.fleet.borrow().types_read_at;
+fn is_due(controller: &Controller) -> bool {
+    let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
+    let read_at = controller.fleet.borrow().types_read_at;
     read_at.is_none_or(|read| read.elapsed() > lag * REFRESH_LAGS)
 }
 
-async fn refresh(node: &Node) {
-    let Some(response) = node.cloud("GET", "/flavors", None).await else {
+async fn refresh(controller: &Controller) {
+    let Some(response) = controller.cloud("GET", "/flavors", None).await else {
         return;
     };
     let Ok(MachineTypes { types }) = response.parse::<MachineTypes>() else {
         return;
     };
-    node.fleet.borrow_mut().types_read_at = Some(Instant::now());
+    controller.fleet.borrow_mut().types_read_at = Some(Instant::now());
     let types = Types { types };
-    let known = node.replica.borrow().types.clone();
-    let unreadable = node.replica.borrow().absent_version(TYPES_KEY);
+    let known = controller.replica.borrow().types.clone();
+    let unreadable = controller.replica.borrow().absent_version(TYPES_KEY);
     if known.value == types && unreadable == 0 {
         return;
     }
     let version = known.version.max(unreadable);
     let guards = vec![guard(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
-    if let Err(error) = node.commit(RequestClass::Lease, guards, writes).await {
+    if let Err(error) = controller.commit(RequestClass::Lease, guards, writes).await {
         tracing::debug!(%error, "types not recorded");
-        node.fleet.borrow_mut().types_read_at = None;
+        controller.fleet.borrow_mut().types_read_at = None;
     }
 }
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -25,36 +25,36 @@
 
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
-pub async fn run_compaction(node: Rc<Node>) {
-    let tick = node.settings.report() / 4;
+pub async fn run_compaction(controller: Rc<Controller>) {
+    let tick = controller.settings.report() / 4;
     // Records that could not be written as they were, and until when they wait.
     let mut left: HashMap<String, Instant> = HashMap::new();
     loop {
-        if !node.replica.borrow().uses_compact_encoding() {
+        if !controller.replica.borrow().uses_compact_encoding() {
             sleep(tick).await;
             continue;
         }
-        sleep(node.store.jitter(tick)).await;
-        if !node.replica.borrow().uses_compact_encoding() || !node.has_state() {
+        sleep(controller.store.jitter(tick)).await;
+        if !controller.replica.borrow().uses_compact_encoding() || !controller.has_state() {
             continue;
         }
         let now = Instant::now();
         left.retain(|_, until| *until > now);
-        let Some((class, _)) = step(&node, &left) else {
+        let Some((class, _)) = step(&controller, &left) else {
             continue;
         };
-        node.store.ready(class, 2).await;
+        controller.store.ready(class, 2).await;
         // Decided on what is known once the budget is there.
-        let Some((class, (guards, writes))) = step(&node, &left) else {
+        let Some((class, (guards, writes))) = step(&controller, &left) else {
             continue;
         };
         let keys: Vec<String> = writes.iter().map(|w| w.key().to_string()).collect();
-        match node.commit(class, guards, writes).await {
+        match controller.commit(class, guards, writes).await {
             Ok(_) => tracing::debug!(?keys, "shortened"),
-            Err(StoreError::Conflict(_)) => node.expedite_watch(),
+            Err(StoreError::Conflict(_)) => controller.expedite_watch(),
             Err(error) => {
                 tracing::debug!(?keys, %error, "not shortened");
-                let again = now + node.settings.lease();
+                let again = now + controller.settings.lease();
                 left.extend(keys.into_iter().map(|k| (k, again)));
             }
         }
@@ -63,26 +63,26 @@
 
 /// Whether this controller looks after a home: its own; the renter after those
 /// whose controller is not up.
-fn tends(node: &Node, replica: &Replica, home: &str) -> bool {
-    home == node.name() || (node.is_renter() && !replica.nodes.contains_key(home))
+fn tends(controller: &Controller, replica: &Replica, home: &str) -> bool {
+    home == controller.name() || (controller.is_renter() && !replica.nodes.contains_key(home))
 }
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
 /// places in more of them than a commit writes. The rest comes last.
-fn step(node: &Node, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
-    let replica = node.replica.borrow();
+fn step(controller: &Controller, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
+    let replica = controller.replica.borrow();
     let tended = |id: &str| {
         let shard = id.split_once('/').map_or("", |p| p.1);
-        tends(node, &replica, home_of(shard))
+        tends(controller, &replica, home_of(shard))
     };
-    compact_zone_shards(&replica, left, &tended, node.settings.txn_ops())
+    compact_zone_shards(&replica, left, &tended, controller.settings.txn_ops())
         .or_else(|| split_long(&replica, left, &tended))
         .or_else(|| merge(&replica, left, &tended))
         .map(|step| (RequestClass::Claim, step))
         .or_else(|| {
             Some((
                 RequestClass::Lifecycle,
-                oversized(node, &replica, left, &tended)?,
+                oversized(controller, &replica, left, &tended)?,
             ))
         })
 }
@@ -208,16 +208,16 @@
 /// Records that are longer than any may be later, and open jobs whose records
 /// leave no room for their tasks; the oldest first.
 fn oversized(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
 ) -> Option<Step> {
-    let peers = node.peers.borrow();
-    let alive = peers.alive(node, Instant::now());
+    let peers = controller.peers.borrow();
+    let alive = peers.alive(controller, Instant::now());
     let is_preferred = |id: &str| {
         let preferred = crate::hash::preferred(id, alive.iter().copied());
-        preferred == Some(node.name())
+        preferred == Some(controller.name())
     };
     let mut found: Vec<(u64, &str, &str)> = Vec::new();
     for key in replica.oversized.keys().filter(|k| !left.contains_key(*k)) {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,51 +1,216 @@
-//! A controller: all loops on one node, wired together. The node and what it is made of
-//! know none of them.
+//! One controller: what its loops share. The loops that keep the replica and the
+//! last barrier are in the submodules, the others with their subjects.
 
+mod barrier;
+mod clock;
+mod replica_loop;
+
+pub use clock::skipped;
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
+use std::time::Duration;
 
-use crate::node::Node;
-use crate::{accounting, api, cloud, compaction, mesh, scheduler, workers};
-
-/// Starts all loops of this controller; must run inside a `LocalSet`. They end with the
-/// returned future.
-pub async fn run(node: Rc<Node>) -> std::io::Result<()> {
-    let users = node.net.listen(node.settings.serve_on).await?;
-    let mesh = node.net.listen(node.settings.mesh_addr).await?;
-    let tasks = [
-        tokio::task::spawn_local(node.clone().run_liveness()),
-        tokio::task::spawn_local(node.clone().run_watch()),
-        tokio::task::spawn_local(node.clone().run_barriers()),
-        tokio::task::spawn_local(api::serve(node.clone(), users)),
-        tokio::task::spawn_local(mesh::listen(node.clone(), mesh)),
-        tokio::task::spawn_local(mesh::speak(node.clone())),
-        tokio::task::spawn_local(mesh::run_write_share(node.clone())),
-        tokio::task::spawn_local(workers::run_claims(node.clone())),
-        tokio::task::spawn_local(workers::run_commands(node.clone())),
-        tokio::task::spawn_local(workers::run_publication(node.clone())),
-        tokio::task::spawn_local(scheduler::run_placement(node.clone())),
-        tokio::task::spawn_local(cloud::run_type_refresh(node.clone())),
-        tokio::task::spawn_local(cloud::run_lease_renewal(node.clone())),
-        tokio::task::spawn_local(cloud::run_fleet(node.clone())),
-        tokio::task::spawn_local(cloud::run_rentals(node.clone())),
-        tokio::task::spawn_local(api::run_acceptance(node.clone())),
-        tokio::task::spawn_local(compaction::run_compaction(node.clone())),
-        tokio::task::spawn_local(accounting::run_shares(node.clone())),
-    ];
-    tracing::info!(node = node.name(), on = %node.settings.serve_on, "started");
-    let _abort = AbortAll(tasks.iter().map(|t| t.abort_handle()).collect());
-    for task in tasks {
-        let _ = task.await;
-    }
-    Ok(())
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use tokio::sync::{Notify, watch};
+use tokio::time::Instant;
+
+use crate::api::Arrival;
+use crate::cloud::FleetState;
+use crate::http::Client;
+use crate::mesh::Peers;
+use crate::net::Net;
+use crate::scheduler::{Ages, Reason};
+use crate::settings::Settings;
+use crate::state::budget::{Budget, RequestClass};
+use crate::state::client::{Store, StoreError};
+use crate::state::replica::Replica;
+use crate::wire::{Commit, Guard, Write};
+use crate::workers::{AttemptKey, Claim, OwnedWorker, TerminationEvidence};
+
+/// The limits of the state service are shared by all controllers, which do not
+/// count for one another: together they keep to so much of them.
+const BUDGET_SHARE: f64 = 0.97;
+
+/// What the loops of one controller share; all of them run on one thread.
+pub struct Controller {
+    /// The settings that the controller was started with.
+    pub settings: Settings,
+    /// The network that it listens and calls on.
+    pub net: Net,
+    /// For the state service and the cloud.
+    pub client: Rc<Client>,
+    /// For orders to workers: bounded, as there are many of them.
+    pub workers: Client,
+    /// The state service, with this controller's share of its budget.
+    pub store: Store,
+    /// Tells this run of the process from the earlier ones of the same name.
+    pub incarnation: u64,
+    /// When this process was started.
+    pub started: Instant,
+    /// When this process last ran, as far as it has noticed.
+    ran: Cell<Instant>,
+    /// The recent mean of how late its timers fire: it grows where the work exceeds
+    /// the share of the processor.
+    lag: Cell<Duration>,
+    /// When a question about a job was last answered here.
+    pub answered: RefCell<HashMap<String, Instant>>,
+    /// The state service's records, as far as they have been read.
+    pub replica: RefCell<Replica>,
+    /// The revision that the replica has reached, for those who wait on it.
+    pub reached: watch::Sender<u64>,
+    /// Wakes placement: something that it depends on has changed.
+    pub placement_wanted: Notify,
+    /// Wakes the direct orders: bookings or reports of machines have changed.
+    pub commands_wanted: Notify,
+    /// The send time of the last barrier that the replica has reached.
+    pub last_barrier: Cell<Option<Instant>>,
+    barrier_wanted: Notify,
+    barrier_started: Cell<u64>,
+    barrier_done: watch::Sender<u64>,
+    /// The last barrier that the state service refused to serve.
+    barrier_refused: watch::Sender<u64>,
+    /// Machines with launches that wait for the next read barrier.
+    deferred_launches: RefCell<BTreeSet<String>>,
+    watch_again: Notify,
+    /// Someone waits for the replica: the next watch is opened without delay.
+    watch_expedited: Notify,
+    /// The machines that this controller holds.
+    pub owned_workers: RefCell<HashMap<String, OwnedWorker>>,
+    /// Ends of tasks that wait to be recorded.
+    pub ends: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
+    /// Wakes the recording of ends.
+    pub terminations_wanted: Notify,
+    /// Submissions that wait to be accepted.
+    pub arrivals: RefCell<VecDeque<Arrival>>,
+    /// Wakes the acceptance of submissions.
+    pub arrivals_wanted: Notify,
+    /// Claims that wait to be committed, by machine.
+    pub claims: RefCell<BTreeMap<String, Claim>>,
+    /// How many heartbeats wait for their claims, each with its connection.
+    pub claims_awaited: Cell<usize>,
+    /// Wakes the commits of claims.
+    pub claims_wanted: Notify,
+    /// Wakes the publication of room: a machine can take work from now on.
+    pub publication_wanted: Notify,
+    /// What the other controllers have told of themselves.
+    pub peers: RefCell<Peers>,
+    /// What is known of the rented machines, held here or not.
+    pub fleet: RefCell<FleetState>,
+    /// Why each open job waits, as the decision that made it wait said.
+    pub reasons: RefCell<HashMap<String, Reason>>,
+    /// When each open job was first seen here.
+    pub ages: RefCell<Ages>,
+    /// Randomness for spreading load; nothing secret.
+    pub rng: RefCell<SmallRng>,
 }
 
-/// Ends the loops when the controller is dropped, as tests do.
-struct AbortAll(Vec<tokio::task::AbortHandle>);
+impl Controller {
+    /// A controller that has not started any loop yet.
+    pub fn new(settings: Settings, net: Net, seed: u64) -> Rc<Self> {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let now = Instant::now();
+        let client = Client::new(net.clone(), settings.lease());
+        let client = Rc::new(client.bounded(usize::MAX, settings.answer_bytes()));
+        let workers = Client::new(net.clone(), settings.lease());
+        let workers = workers.bounded(settings.order_connections(), crate::http::BODY_LIMIT * 4);
+        let store_rng = SmallRng::seed_from_u64(rng.random());
+        let store = new_store(&settings, client.clone(), store_rng, now);
+        let mut replica = Replica::with_compact_limit(
+            settings.limits_will_fall().then(|| settings.value_bytes()),
+        );
+        let objectives = settings.deployment.objectives.iter();
+        replica.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
+        Rc::new(Controller {
+            net,
+            client,
+            workers,
+            store,
+            incarnation: rng.random_range(1..u64::from(u32::MAX)),
+            started: now,
+            ran: Cell::new(now),
+            lag: Cell::default(),
+            answered: RefCell::default(),
+            replica: RefCell::new(replica),
+            reached: watch::Sender::new(0),
+            placement_wanted: Notify::new(),
+            commands_wanted: Notify::new(),
+            last_barrier: Cell::new(None),
+            barrier_wanted: Notify::new(),
+            barrier_started: Cell::new(0),
+            barrier_done: watch::Sender::new(0),
+            barrier_refused: watch::Sender::new(0),
+            deferred_launches: RefCell::default(),
+            watch_again: Notify::new(),
+            watch_expedited: Notify::new(),
+            owned_workers: RefCell::default(),
+            ends: RefCell::default(),
+            terminations_wanted: Notify::new(),
+            arrivals: RefCell::default(),
+            arrivals_wanted: Notify::new(),
+            claims: RefCell::default(),
+            claims_awaited: Cell::new(0),
+            claims_wanted: Notify::new(),
+            publication_wanted: Notify::new(),
+            peers: RefCell::default(),
+            fleet: RefCell::default(),
+            reasons: RefCell::default(),
+            ages: RefCell::default(),
+            rng: RefCell::new(rng),
+            settings,
+        })
+    }
 
-impl Drop for AbortAll {
-    fn drop(&mut self) {
-        for task in &self.0 {
-            task.abort();
-        }
+    /// The controller's name.
+    pub fn name(&self) -> &str {
+        &self.settings.controller_name
     }
+
+    /// The span in which this controller may make one request of its share.
+    pub fn request_gap(&self) -> Duration {
+        let rps = self.settings.rps(self.store.is_lowered());
+        Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
+    }
+
+    /// Commits and lays the result over the replica.
+    pub async fn commit(
+        &self,
+        class: RequestClass,
+        guards: Vec<Guard>,
+        writes: Vec<Write>,
+    ) -> Result<u64, StoreError> {
+        let commit = Commit { guards, writes };
+        let revision = self.store.commit(class, &commit).await?;
+        self.replica.borrow_mut().overlay(&commit.writes, revision);
+        self.announce();
+        Ok(revision)
+    }
+
+    /// Tells the loops that the replica has changed.
+    pub fn announce(&self) {
+        let revision = self.replica.borrow().revision;
+        self.reached.send_if_modified(|r| {
+            let newer = *r < revision;
+            *r = revision.max(*r);
+            newer
+        });
+        self.placement_wanted.notify_one();
+        self.commands_wanted.notify_one();
+    }
+}
+
+/// The state service as a controller of these settings calls it.
+fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> Store {
+    let count = settings.deployment.count as f64;
+    let budget = Budget::new(
+        settings.rps(false) / count * BUDGET_SHARE,
+        settings.write_rps(false) / count * BUDGET_SHARE,
+        now,
+    );
+    // Answers take milliseconds, now and then hundreds of them.
+    let patience = settings.deployment.workers.lease_s / 8.0;
+    let patience = Duration::from_secs_f64(patience.clamp(0.5, 2.0));
+    Store::new(client, settings.external.state, budget, patience, rng)
 }
--- a/src/node/barrier.rs
+++ b/src/controller/barrier.rs
@@ -9,11 +9,11 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Node;
+use super::Controller;
 use crate::settings::BARRIER_GAP_REQUESTS;
 use crate::state::keys::BARRIER_KEY;
 
-impl Node {
+impl Controller {
     /// How old the last barrier is; `None` before the first barrier.
     pub fn replica_staleness(&self) -> Option<Duration> {
         self.last_barrier.get().map(|t| t.elapsed())
--- a/src/node/clock.rs
+++ b/src/controller/clock.rs
@@ -5,9 +5,9 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::Node;
+use super::Controller;
 
-impl Node {
+impl Controller {
     /// The time, once what this process did not see of it has been taken out of
     /// all spans of silence. A controller that stood still, for whatever cause,
     /// finds its timers due and its workers' reports unread when it goes on: to
@@ -18,8 +18,8 @@
         let gap = now.saturating_duration_since(self.ran.replace(now));
         if gap > self.settings.lease() / 8 {
             tracing::info!(gap_s = gap.as_secs_f64(), "stood still");
-            for worker_session in self.worker_sessions.borrow_mut().values_mut() {
-                worker_session.skip(gap, now);
+            for owned_worker in self.owned_workers.borrow_mut().values_mut() {
+                owned_worker.skip(gap, now);
             }
             self.fleet.borrow_mut().skip(gap, now);
         }
--- a/src/node/replica_loop.rs
+++ b/src/controller/replica_loop.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Node;
+use super::Controller;
 use crate::state::client::StoreError;
 use crate::state::keys::PREFIX;
 
@@ -23,7 +23,7 @@
     Failed,
 }
 
-impl Node {
+impl Controller {
     /// Waits until the replica has reached the revision; false if it takes too long.
     /// The same for a user's request, which is not kept waiting once the state
     /// service has refused to serve the barrier.
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -16,9 +16,9 @@
 /// Rendezvous hashing: every controller finds the same preferred one among
 /// those alive, and only the jobs of a lost one move.
 pub fn preferred<'a>(job: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    alive.max_by_key(|node| {
+    alive.max_by_key(|controller| {
         let mut hasher = DefaultHasher::new();
-        (job, node).hash(&mut hasher);
-        (hasher.finish(), *node)
+        (job, controller).hash(&mut hasher);
+        (hasher.finish(), *controller)
     })
 }
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -11,16 +11,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::controller::Controller;
 use crate::net::{Listener, Stream};
-use crate::node::Node;
-use crate::workers::WorkerSession;
+use crate::workers::OwnedWorker;
 
 /// What one controller tells of itself, sent a few times in a lease. The order
 /// of the fields is the frame's.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct Gossip {
     /// The controller's name.
-    pub node: String,
+    pub controller: String,
     /// The run of its process.
     pub incarnation: u64,
     /// How old its last barrier is; `None` before its first barrier.
@@ -78,15 +78,15 @@
 pub struct Peers(HashMap<String, Peer>);
 
 /// The time between two frames to one peer.
-fn interval(node: &Node) -> Duration {
-    (node.settings.lease() / 20).min(Duration::from_secs(1))
+fn interval(controller: &Controller) -> Duration {
+    (controller.settings.lease() / 20).min(Duration::from_secs(1))
 }
 
 impl Peers {
     /// Takes in what a controller tells.
     pub fn take(&mut self, gossip: Gossip, now: Instant) {
         self.0.insert(
-            gossip.node,
+            gossip.controller,
             Peer {
                 at: now,
                 incarnation: gossip.incarnation,
@@ -100,8 +100,8 @@
     }
 
     /// Those that were heard of late.
-    fn fresh(&self, node: &Node, now: Instant) -> impl Iterator<Item = (&str, &Peer)> {
-        let limit = interval(node) * FRESH_INTERVALS;
+    fn fresh(&self, controller: &Controller, now: Instant) -> impl Iterator<Item = (&str, &Peer)> {
+        let limit = interval(controller) * FRESH_INTERVALS;
         self.0
             .iter()
             .filter(move |(_, peer)| now.saturating_duration_since(peer.at) < limit)
@@ -109,48 +109,48 @@
     }
 
     /// This controller and those that were heard of late with state contact.
-    pub fn alive<'a>(&'a self, node: &'a Node, now: Instant) -> Vec<&'a str> {
-        let limit = (node.settings.lease() / 4).as_millis() as u64;
+    pub fn alive<'a>(&'a self, controller: &'a Controller, now: Instant) -> Vec<&'a str> {
+        let limit = (controller.settings.lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
-            .fresh(node, now)
+            .fresh(controller, now)
             .filter(|(_, peer)| peer.staleness_ms.is_some_and(|age| age < limit))
             .map(|(name, _)| name)
             .collect();
-        names.push(node.name());
+        names.push(controller.name());
         names
     }
 
     /// Whether a peer hears the machines that it holds, as far as it has told: one
     /// or a quarter may be lost or on their way. One that is cut off from workers
     /// alone still talks to us and to the state service.
-    pub fn hears_workers(&self, node: &Node, peer: &str, now: Instant) -> bool {
-        let mut fresh = self.fresh(node, now);
+    pub fn hears_workers(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
+        let mut fresh = self.fresh(controller, now);
         fresh.any(|(name, told)| name == peer && told.silent <= (told.machines / 4).max(1))
     }
 
     /// What the other controllers would write a second; nothing for those that
     /// have not been heard of late.
-    pub fn demands(&self, node: &Node, now: Instant) -> Vec<Option<f64>> {
+    pub fn demands(&self, controller: &Controller, now: Instant) -> Vec<Option<f64>> {
         let fresh: HashMap<&str, f64> = self
-            .fresh(node, now)
+            .fresh(controller, now)
             .map(|(name, peer)| (name, peer.writes))
             .collect();
-        let others = node.settings.others.iter();
+        let others = controller.settings.others.iter();
         others
             .map(|other| fresh.get(other.name.as_str()).copied())
             .collect()
     }
 
     /// What the cloud has refused the others.
-    pub fn refused(&self, node: &Node, now: Instant) -> Vec<String> {
-        self.fresh(node, now)
+    pub fn refused(&self, controller: &Controller, now: Instant) -> Vec<String> {
+        self.fresh(controller, now)
             .flat_map(|(_, peer)| peer.refused.iter().cloned())
             .collect()
     }
 
     /// Whether some other controller is served by the state service.
-    pub fn state_serves_another(&self, node: &Node, now: Instant) -> bool {
-        self.alive(node, now).len() > 1
+    pub fn state_serves_another(&self, controller: &Controller, now: Instant) -> bool {
+        self.alive(controller, now).len() > 1
     }
 }
 
@@ -171,11 +171,11 @@
 }
 
 /// Accepts the other controllers' connections.
-pub async fn listen(node: Rc<Node>, mut listener: Listener) {
+pub async fn listen(controller: Rc<Controller>, mut listener: Listener) {
     loop {
         match listener.accept().await {
             Ok(stream) => {
-                tokio::task::spawn_local(receive(node.clone(), stream));
+                tokio::task::spawn_local(receive(controller.clone(), stream));
             }
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
@@ -183,17 +183,17 @@
 }
 
 /// Takes in one peer's frames until it sends none or a bad one.
-async fn receive(node: Rc<Node>, mut stream: Stream) {
-    let patience = interval(&node) * 10;
+async fn receive(controller: Rc<Controller>, mut stream: Stream) {
+    let patience = interval(&controller) * 10;
     loop {
         let Ok(Ok(body)) = timeout(patience, read_frame(&mut stream)).await else {
             return;
         };
-        let others = &node.settings.others;
-        let is_known = |gossip: &Gossip| others.iter().any(|peer| peer.name == gossip.node);
+        let others = &controller.settings.others;
+        let is_known = |gossip: &Gossip| others.iter().any(|peer| peer.name == gossip.controller);
         match decode(&body) {
             Some(gossip) if is_known(&gossip) => {
-                node.peers.borrow_mut().take(gossip, Instant::now());
+                controller.peers.borrow_mut().take(gossip, Instant::now());
             }
             _ => return,
         }
@@ -215,53 +215,56 @@
 }
 
 /// Divides the state service's writes by what each controller would write.
-pub async fn run_write_share(node: Rc<Node>) {
+pub async fn run_write_share(controller: Rc<Controller>) {
     loop {
-        sleep(interval(&node)).await;
+        sleep(interval(&controller)).await;
         // The lower rate comes into force without notice: it is kept to once
         // refusals show it, and the present one is tried again later.
-        let lowered = node.store.is_lowered() && node.replica.borrow().upgraded();
-        let total = node.settings.write_rps(lowered) * USED_RATE;
-        let mut others = node.peers.borrow().demands(&node, Instant::now());
+        let lowered = controller.store.is_lowered() && controller.replica.borrow().upgraded();
+        let total = controller.settings.write_rps(lowered) * USED_RATE;
+        let mut others = controller
+            .peers
+            .borrow()
+            .demands(&controller, Instant::now());
         // A controller that is not heard and has no state lease either writes
         // nothing: it is cut off, or has ended, and its zone shard is needed most just
         // then. Only when there was time for all to write their keys.
-        if node.started.elapsed() > node.settings.lease() && node.has_state() {
-            let replica = node.replica.borrow();
-            for (peer, demand) in node.settings.others.iter().zip(&mut others) {
+        if controller.started.elapsed() > controller.settings.lease() && controller.has_state() {
+            let replica = controller.replica.borrow();
+            for (peer, demand) in controller.settings.others.iter().zip(&mut others) {
                 if demand.is_none() && !replica.nodes.contains_key(&peer.name) {
                     *demand = Some(0.0);
                 }
             }
         }
-        let share = crate::state::budget::write_share(total, node.store.demand(), &others);
-        let count = node.settings.deployment.count as f64;
-        let requests = node.settings.rps(lowered) / count * USED_RATE;
-        node.store.set_requests(requests);
-        node.store.set_share(share);
+        let share = crate::state::budget::write_share(total, controller.store.demand(), &others);
+        let count = controller.settings.deployment.count as f64;
+        let requests = controller.settings.rps(lowered) / count * USED_RATE;
+        controller.store.set_requests(requests);
+        controller.store.set_share(share);
     }
 }
 
 /// Tells the other controllers of this one.
-pub async fn speak(node: Rc<Node>) {
-    for peer in node.settings.others.clone() {
-        tokio::task::spawn_local(speak_to(node.clone(), peer.addr));
+pub async fn speak(controller: Rc<Controller>) {
+    for peer in controller.settings.others.clone() {
+        tokio::task::spawn_local(speak_to(controller.clone(), peer.addr));
     }
 }
 
-async fn speak_to(node: Rc<Node>, addr: SocketAddrV4) {
+async fn speak_to(controller: Rc<Controller>, addr: SocketAddrV4) {
     let mut stream: Option<Stream> = None;
     loop {
-        sleep(interval(&node)).await;
+        sleep(interval(&controller)).await;
         if stream.is_none() {
-            let dial = node.net.dial(addr);
-            stream = timeout(interval(&node), dial)
+            let dial = controller.net.dial(addr);
+            stream = timeout(interval(&controller), dial)
                 .await
                 .ok()
                 .and_then(Result::ok);
         }
         let Some(open) = &mut stream else { continue };
-        let Some(frame) = encode(&gossip_of(&node)) else {
+        let Some(frame) = encode(&gossip_of(&controller)) else {
             continue;
         };
         // Each frame is acknowledged: a connection to a process that ended
@@ -270,7 +273,7 @@
             open.write_all(&frame).await?;
             open.read_u8().await
         };
-        match timeout(interval(&node) * 2, exchange).await {
+        match timeout(interval(&controller) * 2, exchange).await {
             Ok(Ok(ACK)) => {}
             _ => stream = None,
         }
@@ -278,20 +281,21 @@
 }
 
 /// What this controller tells of itself now.
-fn gossip_of(node: &Node) -> Gossip {
-    let now = node.liveness_tick();
-    let limit = node.settings.report() * 2;
-    let worker_sessions = node.worker_sessions.borrow();
-    let is_silent = |worker_session: &&WorkerSession| {
-        now.saturating_duration_since(worker_session.heard) > limit
-    };
+fn gossip_of(controller: &Controller) -> Gossip {
+    let now = controller.liveness_tick();
+    let limit = controller.settings.report() * 2;
+    let owned_workers = controller.owned_workers.borrow();
+    let is_silent =
+        |owned_worker: &&OwnedWorker| now.saturating_duration_since(owned_worker.heard) > limit;
     Gossip {
-        node: node.name().to_string(),
-        incarnation: node.incarnation,
-        staleness_ms: node.replica_staleness().map(|age| age.as_millis() as u64),
-        machines: worker_sessions.len() as u32,
-        silent: worker_sessions.values().filter(is_silent).count() as u32,
-        writes: node.store.demand(),
-        refused: node.fleet.borrow().refused_now(now),
+        controller: controller.name().to_string(),
+        incarnation: controller.incarnation,
+        staleness_ms: controller
+            .replica_staleness()
+            .map(|age| age.as_millis() as u64),
+        machines: owned_workers.len() as u32,
+        silent: owned_workers.values().filter(is_silent).count() as u32,
+        writes: controller.store.demand(),
+        refused: controller.fleet.borrow().refused_now(now),
     }
 }
--- a/src/ops/messages.rs
+++ b/src/ops/messages.rs
@@ -113,7 +113,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Report {
     /// The name of the controller that reports.
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     /// The age of what this controller knows, in seconds.
     pub state_age_s: Option<f64>,
     /// How many jobs are unfinished; services that lack no replica are not.
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -12,27 +12,27 @@
 
 use snapshot::Snapshot;
 
+use crate::controller::Controller;
 use crate::http::{Response, query_value};
-use crate::node::Node;
 
 pub use messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
 
 /// The response to `GET /ops/job/{id}`: a [`JobStory`].
-pub fn job(node: &Node, id: &str) -> Response {
-    match Snapshot::new(node).job(id) {
+pub fn job(controller: &Controller, id: &str) -> Response {
+    match Snapshot::new(controller).job(id) {
         Some(story) => Response::json(200, &story),
         None => Response::error(404, "no such job"),
     }
 }
 
 /// The response to `GET /ops/teams`: a [`TeamStory`] for each team.
-pub fn teams(node: &Node) -> Response {
-    Response::json(200, &Snapshot::new(node).teams())
+pub fn teams(controller: &Controller) -> Response {
+    Response::json(200, &Snapshot::new(controller).teams())
 }
 
 /// The response to `GET /ops/report`: a page of the [`Report`], with jobs in
 /// the order of their ids, beginning after the one that the query names.
-pub fn report(node: &Node, query: &str) -> Response {
+pub fn report(controller: &Controller, query: &str) -> Response {
     let after = query_value(query, "after").unwrap_or("");
-    Response::json(200, &Snapshot::new(node).report(after))
+    Response::json(200, &Snapshot::new(controller).report(after))
 }
--- a/src/ops/reason.rs
+++ b/src/ops/reason.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::WaitReason;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -26,18 +26,18 @@
     }
 
     /// The reason of a job that is not over at `now`.
-    pub(super) fn of(node: &Node, id: &str, job: &Job, now: Instant) -> Self {
-        if !node.has_state() {
-            let age = node
+    pub(super) fn of(controller: &Controller, id: &str, job: &Job, now: Instant) -> Self {
+        if !controller.has_state() {
+            let age = controller
                 .replica_staleness()
                 .map_or(0.0, |age| age.as_secs_f64());
             return PendingReason::new("the state service does not answer", age);
         }
-        if let Some(dependencies) = dependencies_text(&node.replica.borrow(), id) {
+        if let Some(dependencies) = dependencies_text(&controller.replica.borrow(), id) {
             return PendingReason::new(dependencies, 0.0);
         }
         if job.waiting() > 0 {
-            return PendingReason::of_waiting_tasks(node, id, now);
+            return PendingReason::of_waiting_tasks(controller, id, now);
         }
         if job.runs.iter().any(|run| run.stop) {
             return PendingReason::new("it is being stopped to make room or to move", 0.0);
@@ -45,8 +45,8 @@
         PendingReason::new("it is running", 0.0)
     }
 
-    fn of_waiting_tasks(node: &Node, id: &str, now: Instant) -> Self {
-        match node.reasons.borrow().get(id) {
+    fn of_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
+        match controller.reasons.borrow().get(id) {
             Some(reason) => {
                 let seconds = now.saturating_duration_since(reason.since).as_secs_f64();
                 PendingReason::new(wait_text(reason.why), seconds)
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -9,7 +9,7 @@
 use super::reason::PendingReason;
 use crate::api::state_of;
 use crate::cloud;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
 use crate::settings::TeamTerms;
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
@@ -24,7 +24,7 @@
 
 /// The state of a controller at one moment.
 pub(super) struct Snapshot<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: Ref<'a, Replica>,
     now: Instant,
 }
@@ -39,10 +39,10 @@
 }
 
 impl<'a> Snapshot<'a> {
-    pub(super) fn new(node: &'a Node) -> Self {
+    pub(super) fn new(controller: &'a Controller) -> Self {
         Snapshot {
-            node,
-            replica: node.replica.borrow(),
+            controller,
+            replica: controller.replica.borrow(),
             now: Instant::now(),
         }
     }
@@ -76,9 +76,9 @@
 
     /// All teams, in the order of the settings.
     pub(super) fn teams(&self) -> Vec<TeamStory> {
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         let plan = Plan::of(&self.replica);
-        let ages = self.node.ages.borrow();
+        let ages = self.controller.ages.borrow();
         let queue = scheduler::queue(&self.replica, &plan, settings, &ages, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
@@ -123,8 +123,11 @@
             unfinished.iter().filter(|entry| condition(entry)).count()
         };
         Report {
-            node: self.node.name().to_string(),
-            state_age_s: self.node.replica_staleness().map(|age| age.as_secs_f64()),
+            controller: self.controller.name().to_string(),
+            state_age_s: self
+                .controller
+                .replica_staleness()
+                .map(|age| age.as_secs_f64()),
             unfinished: unfinished.len(),
             late: count(|entry| entry.is_late),
             services_short: count(|entry| entry.spec.kind == Kind::Service),
@@ -188,9 +191,9 @@
 
     /// Offers that the cloud has refused any controller of late.
     fn refused_offers(&self) -> Vec<String> {
-        let mut refused = self.node.fleet.borrow().refused_now(self.now);
-        let peers = self.node.peers.borrow();
-        refused.extend(peers.refused(self.node, self.now));
+        let mut refused = self.controller.fleet.borrow().refused_now(self.now);
+        let peers = self.controller.peers.borrow();
+        refused.extend(peers.refused(self.controller, self.now));
         refused.sort();
         refused.dedup();
         refused
@@ -198,7 +201,7 @@
 
     /// How long this controller has known a job, in seconds.
     fn age_s(&self, id: &str) -> f64 {
-        let ages = self.node.ages.borrow();
+        let ages = self.controller.ages.borrow();
         ages.get(id).map_or(0.0, |first_seen| {
             self.now
                 .saturating_duration_since(*first_seen)
@@ -213,12 +216,12 @@
         if standing.left_s.is_some_and(|left| left < 0.0) {
             return true;
         }
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &standing)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
-        PendingReason::of(self.node, id, job, self.now)
+        PendingReason::of(self.controller, id, job, self.now)
     }
 }
 
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/ends.rs
@@ -3,7 +3,7 @@
 use super::plan::Plan;
 use super::round_state::RoundState;
 use super::transaction::{Released, Transaction};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::replica::Replica;
 use crate::wire::Kind;
 use crate::workers::{AttemptKey, TerminationEvidence};
@@ -22,7 +22,7 @@
 /// others depend on. The ends of other arrays come last, up to a limit of their
 /// own, and begin where the last round stopped, so that none waits for ever.
 pub(super) fn record_ends(
-    node: &Node,
+    controller: &Controller,
     replica: &Replica,
     state: &mut RoundState,
     transaction: &mut Transaction,
@@ -31,7 +31,7 @@
 ) -> Vec<AttemptKey> {
     let mut ends = Ends::default();
     {
-        let pending = node.ends.borrow();
+        let pending = controller.ends.borrow();
         let first = state.next_end.take();
         let (later, earlier): (Vec<_>, Vec<_>) = pending
             .iter()
@@ -41,18 +41,18 @@
         let (arrays, others): (Vec<_>, Vec<_>) =
             in_order.partition(|(key, _)| is_plain_array(replica, key));
         for (key, proof) in others {
-            ends.record(node, replica, transaction, plan, key, *proof);
+            ends.record(controller, replica, transaction, plan, key, *proof);
         }
         let limit = std::mem::replace(&mut transaction.most, limit_for_arrays);
         for (key, proof) in arrays {
-            let released = ends.record(node, replica, transaction, plan, key, *proof);
+            let released = ends.record(controller, replica, transaction, plan, key, *proof);
             if released == Released::Full && state.next_end.is_none() {
                 state.next_end = Some(key.clone());
             }
         }
         transaction.most = limit;
     }
-    let mut pending = node.ends.borrow_mut();
+    let mut pending = controller.ends.borrow_mut();
     for key in &ends.stale {
         pending.remove(key);
     }
@@ -72,14 +72,14 @@
     /// Records one end, if the transaction has room for it.
     fn record(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         replica: &Replica,
         transaction: &mut Transaction,
         plan: &mut Plan,
         key: &AttemptKey,
         proof: TerminationEvidence,
     ) -> Released {
-        let released = transaction.release(key, proof, node.name(), node.incarnation);
+        let released = transaction.release(key, proof, controller.name(), controller.incarnation);
         match released {
             Released::Yes => {
                 if let Some(spec) = replica
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -7,8 +7,8 @@
 
 use super::reasons::note;
 use super::round_state::RoundState;
+use crate::controller::Controller;
 use crate::hash::preferred;
-use crate::node::Node;
 use crate::settings::Settings;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -35,17 +35,17 @@
 /// preferred controller has left waiting. Brings the state of all open jobs up to
 /// date, and notes which of them wait after a failure.
 pub(super) fn jobs_to_place(
-    node: &Node,
+    controller: &Controller,
     state: &mut RoundState,
     replica: &Replica,
     now: Instant,
 ) -> Vec<String> {
-    let report_interval = node.settings.report();
+    let report_interval = controller.settings.report();
     let takeover_delay = report_interval * 2;
-    let peers = node.peers.borrow();
-    let alive: Vec<&str> = peers.alive(node, now);
+    let peers = controller.peers.borrow();
+    let alive: Vec<&str> = peers.alive(controller, now);
     state.forget_closed_jobs(replica);
-    let mut ages = node.ages.borrow_mut();
+    let mut ages = controller.ages.borrow_mut();
     ages.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
     let mut own = Vec::new();
     for (_, id) in &replica.open {
@@ -59,11 +59,11 @@
             continue;
         }
         state.update_back_off(id, job.errors, report_interval, now);
-        if let Some(why) = state.failure_wait(node, id, job, now) {
-            note(node, id, why, now);
+        if let Some(why) = state.failure_wait(controller, id, job, now) {
+            note(controller, id, why, now);
             continue;
         }
-        if is_own(node, id, job, &alive) || has_waited(state, id, takeover_delay, now) {
+        if is_own(controller, id, job, &alive) || has_waited(state, id, takeover_delay, now) {
             own.push(id.clone());
         }
     }
@@ -71,10 +71,10 @@
 }
 
 /// Whether this controller is the job's preferred one.
-fn is_own(node: &Node, id: &str, job: &Job, alive: &[&str]) -> bool {
+fn is_own(controller: &Controller, id: &str, job: &Job, alive: &[&str]) -> bool {
     let team = job.spec.as_ref().map_or("", |spec| &spec.team);
-    let preferred = placer(&node.settings, id, team, alive.iter().copied());
-    preferred == Some(node.name())
+    let preferred = placer(&controller.settings, id, team, alive.iter().copied());
+    preferred == Some(controller.name())
 }
 
 /// Whether the job's record has been left as it is for longer than `delay`.
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -12,7 +12,7 @@
 use super::round_state::RoundState;
 use super::transaction::Transaction;
 use super::victims::{Victim, VictimSearch, places_wanted};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
 
@@ -22,7 +22,7 @@
 
 /// The preemptions of one round.
 pub(super) struct Preemption<'a, 'v> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'v Replica,
     state: &'a mut RoundState,
     transaction: &'a mut Transaction<'v>,
@@ -45,7 +45,7 @@
 impl<'a, 'v> Preemption<'a, 'v> {
     /// Prepares the preemptions of a round that ends with this plan.
     pub(super) fn new(
-        node: &'a Node,
+        controller: &'a Controller,
         replica: &'v Replica,
         state: &'a mut RoundState,
         transaction: &'a mut Transaction<'v>,
@@ -55,12 +55,12 @@
     ) -> Preemption<'a, 'v> {
         let expected = search.expected(replica, plan).clone();
         Preemption {
-            node,
+            controller,
             replica,
             state,
             transaction,
             search,
-            hints: Hints::new(replica, node.name()),
+            hints: Hints::new(replica, controller.name()),
             expected,
             changed: BTreeMap::new(),
             now,
@@ -109,7 +109,7 @@
 
     /// Takes the job's places out of the plan, and tells how many there are.
     fn take_places(&mut self, job: &Job, spec: &Spec, care: Care) -> usize {
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         let places = fit(job, spec, &self.expected, &self.hints, settings, care);
         for place in places.iter().flatten() {
             self.expected.take(place, &spec.team, spec.need);
@@ -127,9 +127,11 @@
         missing: usize,
     ) -> Option<Found> {
         self.search.victim_searches += 1;
-        let running = self.search.running(self.node.name(), self.replica, plan);
+        let running = self
+            .search
+            .running(self.controller.name(), self.replica, plan);
         let search = VictimSearch {
-            settings: &self.node.settings,
+            settings: &self.controller.settings,
             hints: &self.hints,
             running: &running,
             changed: &self.changed,
@@ -152,7 +154,7 @@
             "preempted"
         );
         let (replica, expected) = (self.replica, &mut self.expected);
-        let value_bytes = self.node.settings.value_bytes();
+        let value_bytes = self.controller.settings.value_bytes();
         self.transaction.change(&victim.job, |stopped| {
             if let Some(spec) = &stopped.spec {
                 let resources = spec.need.times(victim.tasks);
@@ -169,8 +171,8 @@
 
 /// Forgets preemptions and vain searches of so long ago that the same job may
 /// try again.
-pub(super) fn forget_old_attempts(node: &Node, state: &mut RoundState, now: Instant) {
-    let settings = &node.settings;
+pub(super) fn forget_old_attempts(controller: &Controller, state: &mut RoundState, now: Instant) {
+    let settings = &controller.settings;
     let gang_wait = Duration::from_secs_f64(settings.deployment.workers.gang_peer_s);
     let patience = gang_wait * PREEMPTION_PATIENCE;
     let pause = settings.report() / 2;
--- a/src/scheduler/reasons.rs
+++ b/src/scheduler/reasons.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::node::Node;
+use crate::controller::Controller;
 
 /// Why a job has to wait, as the decision found it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
@@ -42,8 +42,8 @@
 }
 
 /// Notes why a job waits. What the cloud says of its machines is kept.
-pub fn note(node: &Node, id: &str, why: WaitReason, now: Instant) {
-    let mut reasons = node.reasons.borrow_mut();
+pub fn note(controller: &Controller, id: &str, why: WaitReason, now: Instant) {
+    let mut reasons = controller.reasons.borrow_mut();
     match reasons.get_mut(id) {
         Some(known) if known.why == why => {}
         // The controller that rents knows better why there is no room.
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -16,7 +16,7 @@
 use super::round_state::RoundState;
 use super::transaction::Transaction;
 use crate::accounting::BookingAccounts;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{Job, Resources, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
@@ -34,17 +34,20 @@
 
 /// Puts together one transaction: the ends that are known, then as many jobs as
 /// it can hold, in queue order. `None` when there is nothing to write.
-pub(super) fn decide(node: &Node, state: &mut RoundState) -> Option<Batch> {
+pub(super) fn decide(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
     let now = Instant::now();
-    let replica = node.replica.borrow();
-    let own = jobs_to_place(node, state, &replica, now);
-    if own.is_empty() && !is_queue_due(node, state, now) && node.ends.borrow().is_empty() {
+    let replica = controller.replica.borrow();
+    let own = jobs_to_place(controller, state, &replica, now);
+    if own.is_empty()
+        && !is_queue_due(controller, state, now)
+        && controller.ends.borrow().is_empty()
+    {
         return None;
     }
     state.queue_examined = Some(now);
     state.expire_exclusions(now);
-    let alive = controllers_alive(node, now);
-    let mut round = Round::new(node, &replica, state, &own, &alive, now);
+    let alive = controllers_alive(controller, now);
+    let mut round = Round::new(controller, &replica, state, &own, &alive, now);
     // Ends go first, as they free resources; but where gangs or services had
     // their places and the last commit no room for them, they go before the ends.
     let ends_first = !round.state.gangs_deferred;
@@ -66,26 +69,26 @@
 
 /// Without work of its own, a controller still goes through the queue now and
 /// then to note why jobs wait: any controller may be asked.
-fn is_queue_due(node: &Node, state: &RoundState, now: Instant) -> bool {
+fn is_queue_due(controller: &Controller, state: &RoundState, now: Instant) -> bool {
     state
         .queue_examined
-        .is_none_or(|at| now.saturating_duration_since(at) > node.settings.report())
+        .is_none_or(|at| now.saturating_duration_since(at) > controller.settings.report())
 }
 
 /// The names of the controllers that are up.
-fn controllers_alive(node: &Node, now: Instant) -> Vec<String> {
-    let peers = node.peers.borrow();
-    let alive = peers.alive(node, now);
+fn controllers_alive(controller: &Controller, now: Instant) -> Vec<String> {
+    let peers = controller.peers.borrow();
+    let alive = peers.alive(controller, now);
     alive.into_iter().map(str::to_string).collect()
 }
 
 /// The free resources that a round starts from.
-fn starting_plan(node: &Node, replica: &Replica) -> Plan {
+fn starting_plan(controller: &Controller, replica: &Replica) -> Plan {
     let mut plan = Plan::of(replica);
     // A machine that receives no orders may stand in its zone shard's record for a
     // while: what is placed there ends at once, and would be placed there again.
-    let worker_sessions = node.worker_sessions.borrow();
-    for (machine, _) in worker_sessions
+    let owned_workers = controller.owned_workers.borrow();
+    for (machine, _) in owned_workers
         .iter()
         .filter(|(_, h)| h.unreachable_since.is_some())
     {
@@ -123,7 +126,7 @@
 
 /// One round in the making.
 struct Round<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'a Replica,
     state: &'a mut RoundState,
     now: Instant,
@@ -143,24 +146,24 @@
 
 impl<'a> Round<'a> {
     fn new(
-        node: &'a Node,
+        controller: &'a Controller,
         replica: &'a Replica,
         state: &'a mut RoundState,
         own: &'a [String],
         alive: &'a [String],
         now: Instant,
     ) -> Self {
-        let records = state.commit_size(node.settings.txn_ops());
+        let records = state.commit_size(controller.settings.txn_ops());
         Round {
-            node,
+            controller,
             replica,
             state,
             now,
             own: own.iter().map(String::as_str).collect(),
             alive,
-            plan: starting_plan(node, replica),
+            plan: starting_plan(controller, replica),
             transaction: Transaction::new(replica, records)
-                .with_accounts(BookingAccounts::new(replica, &node.settings)),
+                .with_accounts(BookingAccounts::new(replica, &controller.settings)),
             search: RoundSearch::default(),
             touched_shards: BTreeSet::new(),
             placements: Vec::new(),
@@ -179,7 +182,7 @@
 
     fn record_ends(&mut self, limit_for_arrays: usize) -> Vec<AttemptKey> {
         record_ends(
-            self.node,
+            self.controller,
             self.replica,
             self.state,
             &mut self.transaction,
@@ -190,7 +193,7 @@
 
     /// Drops the reasons of jobs that wait no longer.
     fn forget_settled_reasons(&self) {
-        let mut reasons = self.node.reasons.borrow_mut();
+        let mut reasons = self.controller.reasons.borrow_mut();
         let jobs = &self.replica.jobs;
         reasons.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
     }
@@ -200,9 +203,9 @@
     /// keeps its resources in this plan, too.
     fn place_queue(&mut self) {
         self.touched_shards = self.transaction.zone_shards();
-        let settings = &self.node.settings;
+        let settings = &self.controller.settings;
         let queue = {
-            let ages = self.node.ages.borrow();
+            let ages = self.controller.ages.borrow();
             queue(self.replica, &self.plan, settings, &ages, self.now)
         };
         for id in queue {
@@ -224,7 +227,7 @@
         if job.errors > errors_before
             || self
                 .state
-                .failure_wait(self.node, id, job, self.now)
+                .failure_wait(self.controller, id, job, self.now)
                 .is_some()
         {
             return None;
@@ -233,7 +236,7 @@
         let hints = self.hints(id, &spec, own);
         let found = self
             .search
-            .place(self.node, &hints, &self.plan, id, job, &spec);
+            .place(self.controller, &hints, &self.plan, id, job, &spec);
         let decision = match found {
             Ok(mut places) => {
                 // One task shows whether the job still fails; of a gang it takes
@@ -270,23 +273,23 @@
     /// The hints for a job: those of the controller that places it.
     fn hints(&self, id: &str, spec: &Spec, own: bool) -> Hints<'a> {
         let home = match own {
-            true => self.node.name(),
+            true => self.controller.name(),
             false => {
                 let alive = self.alive.iter().map(String::as_str);
-                placer(&self.node.settings, id, &spec.team, alive).unwrap_or("")
+                placer(&self.controller.settings, id, &spec.team, alive).unwrap_or("")
             }
         };
         let mut hints = Hints::new(self.replica, home);
         if own {
             hints.touched = self.touched_shards.clone();
         }
-        hints.lenient = self.state.unchanged_for(id, self.now) > self.node.settings.lease();
+        hints.lenient = self.state.unchanged_for(id, self.now) > self.controller.settings.lease();
         hints
     }
 
     fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let age = age_s(&self.node.ages.borrow(), id, self.now);
-        starves(job, spec, &self.node.settings, age)
+        let age = age_s(&self.controller.ages.borrow(), id, self.now);
+        starves(job, spec, &self.controller.settings, age)
     }
 
     /// Takes a job's places out of the plan; those of an own job are booked later.
@@ -303,7 +306,7 @@
 
     /// Notes why a job waits, and what is done about it.
     fn leave_waiting(&mut self, id: &str, waiting: &Waiting) {
-        note(self.node, id, waiting.why, self.now);
+        note(self.controller, id, waiting.why, self.now);
         if waiting.starving {
             self.search
                 .reserve_for_first_gang(self.replica, &mut self.plan, &waiting.spec);
@@ -331,7 +334,7 @@
             if booked < places.len() {
                 // The rest go into the next commit, every other time before ends.
                 self.state.gangs_deferred |= ends_first && spec.kind != Kind::Array;
-                note(self.node, id, WaitReason::Queue, self.now);
+                note(self.controller, id, WaitReason::Queue, self.now);
             }
             if booked > 0 {
                 admitted += 1;
@@ -355,21 +358,21 @@
         );
         let job = self.transaction.job(id);
         if job.is_none_or(|job| job.waiting() == 0) {
-            self.node.reasons.borrow_mut().remove(*id);
+            self.controller.reasons.borrow_mut().remove(*id);
         } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
             self.blocked.push((*id).to_string());
-            note(self.node, id, WaitReason::NoRoom, self.now);
+            note(self.controller, id, WaitReason::NoRoom, self.now);
         }
     }
 
     /// Stops running work for the blocked jobs.
     fn preempt(&mut self) {
-        forget_old_attempts(self.node, self.state, self.now);
+        forget_old_attempts(self.controller, self.state, self.now);
         if self.blocked.is_empty() {
             return;
         }
         let mut preemption = Preemption::new(
-            self.node,
+            self.controller,
             self.replica,
             self.state,
             &mut self.transaction,
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -12,7 +12,7 @@
 use super::plan::{Place, Plan};
 use super::reasons::WaitReason;
 use super::victims::{RunningJob, VictimSearch, places_wanted, running_jobs};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
 use crate::wire::Kind;
@@ -60,13 +60,13 @@
     /// All jobs that run, worked out once a round.
     pub(super) fn running(
         &mut self,
-        node: &str,
+        controller: &str,
         replica: &Replica,
         plan: &Plan,
     ) -> Rc<Vec<RunningJob>> {
         let running = self
             .running
-            .get_or_insert_with(|| Rc::new(running_jobs(node, replica, plan)));
+            .get_or_insert_with(|| Rc::new(running_jobs(controller, replica, plan)));
         running.clone()
     }
 
@@ -80,7 +80,7 @@
     /// round.
     pub(super) fn place(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         hints: &Hints,
         plan: &Plan,
         id: &str,
@@ -94,7 +94,7 @@
         {
             return Err(failed.why);
         }
-        let found = self.search(node, hints, plan, id, job, spec);
+        let found = self.search(controller, hints, plan, id, job, spec);
         if let (Some(shape), Err(why @ (WaitReason::NoRoom | WaitReason::NoZone))) = (shape, &found)
         {
             self.failed.insert(shape, NoFit { tasks, why: *why });
@@ -107,14 +107,14 @@
     /// it may.
     fn search(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         hints: &Hints,
         plan: &Plan,
         id: &str,
         job: &Job,
         spec: &Spec,
     ) -> Result<Vec<Place>, WaitReason> {
-        let settings = &node.settings;
+        let settings = &controller.settings;
         let strict = fit(job, spec, plan, hints, settings, Care::Strict);
         if strict.is_ok() || spec.kind == Kind::Array || spec.need.gpus.0 > 0 {
             return strict;
@@ -128,7 +128,7 @@
             }
         }
         let lax = fit(job, spec, plan, hints, settings, Care::Lax);
-        if self.will_fit_strictly(node, hints, plan, id, job, spec) {
+        if self.will_fit_strictly(controller, hints, plan, id, job, spec) {
             strict
         } else {
             lax
@@ -139,14 +139,14 @@
     /// preemption.
     fn will_fit_strictly(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         hints: &Hints,
         plan: &Plan,
         id: &str,
         job: &Job,
         spec: &Spec,
     ) -> bool {
-        let settings = &node.settings;
+        let settings = &controller.settings;
         let expected = self.expected(hints.replica, plan).clone();
         let wanted = places_wanted(job, spec);
         if count(job, spec, &expected, hints, settings, Care::Strict) >= wanted {
@@ -156,7 +156,7 @@
             return false;
         }
         self.victim_searches += 1;
-        let running = self.running(node.name(), hints.replica, plan);
+        let running = self.running(controller.name(), hints.replica, plan);
         let search = VictimSearch {
             settings,
             hints,
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::reasons::WaitReason;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 use crate::wire::Kind;
@@ -111,7 +111,7 @@
     /// of a service, has run for a lease.
     pub(super) fn failure_wait(
         &self,
-        node: &Node,
+        controller: &Controller,
         id: &str,
         job: &Job,
         now: Instant,
@@ -124,7 +124,7 @@
             return Some(why);
         }
         let is_service = job.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
-        let proven = is_service && self.unchanged_for(id, now) > node.settings.lease();
+        let proven = is_service && self.unchanged_for(id, now) > controller.settings.lease();
         (job.is_doubtful() && job.booked() > 0 && !proven).then_some(why)
     }
 
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -10,7 +10,7 @@
 
 use super::round::{Batch, decide};
 use super::round_state::RoundState;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::keys::job_key;
@@ -18,31 +18,31 @@
 
 /// Runs placement rounds for ever: what has ended is recorded and what waits is
 /// placed, in one transaction a round.
-pub async fn run_placement(node: Rc<Node>) {
+pub async fn run_placement(controller: Rc<Controller>) {
     let mut state = RoundState::default();
-    let idle = node.settings.report() / 3;
-    let shortest_pause = node.request_gap();
+    let idle = controller.settings.report() / 3;
+    let shortest_pause = controller.request_gap();
     let mut released: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = node.placement_wanted.notified() => {}
-            () = node.terminations_wanted.notified() => {}
+            () = controller.placement_wanted.notified() => {}
+            () = controller.terminations_wanted.notified() => {}
             () = sleep(idle) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
         // its workers have moved to others.
-        if !node.replica.borrow().loaded || !node.has_state() {
+        if !controller.replica.borrow().loaded || !controller.has_state() {
             continue;
         }
         // Both go through all machines, and are about leases and returns: a
         // few times a report interval is soon enough.
         if released.is_none_or(|at| at.elapsed() > idle / 2) {
             released = Some(Instant::now());
-            workers::release_silent(&node);
-            workers::release_gone(&node);
+            workers::release_silent(&controller);
+            workers::release_gone(&controller);
         }
         let begun = Instant::now();
-        run_rounds(&node, &mut state).await;
+        run_rounds(&controller, &mut state).await;
         // Processor time is scarce: a round that found nothing is not repeated
         // at once.
         sleep(shortest_pause.max(begun.elapsed() / 2)).await;
@@ -51,10 +51,10 @@
 
 /// Decides and commits until there is nothing left to write; each transaction
 /// waits for the answer to the one before.
-async fn run_rounds(node: &Rc<Node>, state: &mut RoundState) {
+async fn run_rounds(controller: &Rc<Controller>, state: &mut RoundState) {
     // Ends within this span go into one transaction: reports come so often that
     // nobody notices.
-    let shortest_gap = node.settings.report() / 100;
+    let shortest_gap = controller.settings.report() / 100;
     let mut gap = Duration::ZERO;
     loop {
         // However much the write budget allows, rounds leave the processor to
@@ -63,14 +63,14 @@
         sleep(gap).await;
         // The budget comes first, so that decisions are not stale when sent.
         let wanted = (state.records_written / 2).max(1);
-        node.store.ready(RequestClass::Round, wanted).await;
+        controller.store.ready(RequestClass::Round, wanted).await;
         let deciding = Instant::now();
-        let Some(batch) = decide(node, state) else {
+        let Some(batch) = decide(controller, state) else {
             return;
         };
         gap = deciding.elapsed().max(shortest_gap);
         state.records_written = batch.writes.len();
-        if commit(node, state, batch).await == Next::Pause {
+        if commit(controller, state, batch).await == Next::Pause {
             return;
         }
     }
@@ -86,33 +86,33 @@
 }
 
 /// Sends one round's transaction and deals with its answer.
-async fn commit(node: &Rc<Node>, state: &mut RoundState, batch: Batch) -> Next {
+async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> Next {
     let ends = batch.ends;
-    match node
+    match controller
         .commit(RequestClass::Round, batch.guards, batch.writes)
         .await
     {
         Ok(_) => {
             state.small_commits = false;
             tracing::debug!(jobs = batch.jobs, ends = ends.len(), "decided");
-            let mut pending = node.ends.borrow_mut();
+            let mut pending = controller.ends.borrow_mut();
             for key in &ends {
                 pending.remove(key);
             }
         }
         Err(StoreError::TooLong(_)) => state.small_commits = true,
         Err(StoreError::Limits(key)) => {
-            shrink_after_refusal(node, state, &key);
-            sleep(node.store.jitter(node.request_gap() * 4)).await;
+            shrink_after_refusal(controller, state, &key);
+            sleep(controller.store.jitter(controller.request_gap() * 4)).await;
         }
         Err(StoreError::Conflict(keys)) => {
             tracing::debug!(?keys, "conflict");
-            await_newer_replica(node).await;
+            await_newer_replica(controller).await;
         }
         Err(error) => {
             // The commit may have happened: the replica tells after a barrier.
             tracing::debug!(%error, "decisions not answered");
-            if !node.barrier(node.settings.lease() / 4).await {
+            if !controller.barrier(controller.settings.lease() / 4).await {
                 return Next::Pause;
             }
         }
@@ -122,18 +122,20 @@
 
 /// The same transaction would be refused again: the next has fewer records, and
 /// if that was no help either, it leaves out the job whose record is too long.
-fn shrink_after_refusal(node: &Node, state: &mut RoundState, refused_key: &str) {
+fn shrink_after_refusal(controller: &Controller, state: &mut RoundState, refused_key: &str) {
     let job = refused_key.strip_prefix(&job_key(""));
     if let Some(job) = job.filter(|_| state.small_commits) {
-        state.exclude(job, Instant::now() + node.settings.lease());
+        state.exclude(job, Instant::now() + controller.settings.lease());
     }
     state.small_commits = true;
 }
 
 /// What has changed under the commit is on its way: waits until the replica has it.
-async fn await_newer_replica(node: &Rc<Node>) {
-    let before = node.replica.borrow().revision;
-    node.expedite_watch();
-    node.wait_revision(before + 1, node.request_gap() * 8).await;
-    sleep(node.store.jitter(node.request_gap() / 2)).await;
+async fn await_newer_replica(controller: &Rc<Controller>) {
+    let before = controller.replica.borrow().revision;
+    controller.expedite_watch();
+    controller
+        .wait_revision(before + 1, controller.request_gap() * 8)
+        .await;
+    sleep(controller.store.jitter(controller.request_gap() / 2)).await;
 }
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -289,11 +289,11 @@
         &self,
         key: &AttemptKey,
         proof: TerminationEvidence,
-        node: &str,
+        controller: &str,
         incarnation: u64,
     ) -> Option<String> {
         let machine = &self.replica.machines.get(&key.machine)?.value;
-        let same_claim = machine.holder == node
+        let same_claim = machine.holder == controller
             && machine.incarnation == incarnation
             && machine.token == proof.token;
         let proven = machine.life == MachineLifecycle::Gone || same_claim;
@@ -306,10 +306,10 @@
         &mut self,
         key: &AttemptKey,
         proof: TerminationEvidence,
-        node: &str,
+        controller: &str,
         incarnation: u64,
     ) -> Released {
-        let Some(machine_shard) = self.proven_by(key, proof, node, incarnation) else {
+        let Some(machine_shard) = self.proven_by(key, proof, controller, incarnation) else {
             return Released::Stale;
         };
         let Some(job) = self.job(&key.job) else {
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -73,9 +73,9 @@
 }
 
 /// One of a few classes that a controller puts a job into.
-fn order_class(node: &str, job: &str) -> u64 {
+fn order_class(controller: &str, job: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (node, job).hash(&mut hasher);
+    (controller, job).hash(&mut hasher);
     hasher.finish() % ORDER_CLASSES
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// All open jobs that run.
-pub(super) fn running_jobs(node: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
+pub(super) fn running_jobs(controller: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
     let open = replica.open.iter().filter_map(|(_, id)| {
         let job = &replica.jobs.get(id)?.value;
         Some((id, job))
@@ -104,7 +104,7 @@
     open.filter(|(_, job)| !job.runs.is_empty())
         .map(|(id, job)| RunningJob {
             job: id.clone(),
-            order_class: order_class(node, id),
+            order_class: order_class(controller, id),
             runs: stoppable_runs(job, replica, plan),
         })
         .collect()
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -151,8 +151,8 @@
     }
 
     fn check_controllers(&self) -> CheckResult {
-        check_name("node", &self.node)?;
-        let mut names = HashSet::from([self.node.as_str()]);
+        check_name("node", &self.controller_name)?;
+        let mut names = HashSet::from([self.controller_name.as_str()]);
         for (i, peer) in self.others.iter().enumerate() {
             let name_field = format!("others[{i}].node");
             check_name(&name_field, &peer.name)?;
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -52,7 +52,7 @@
         let anywhere = self.controllers_with_zones().map(|(name, _)| name);
         crate::hash::preferred(machine, in_zone)
             .or_else(|| crate::hash::preferred(machine, anywhere))
-            .unwrap_or(&self.node)
+            .unwrap_or(&self.controller_name)
     }
 
     /// The names of all controllers, this one included, with their zones.
@@ -60,7 +60,7 @@
         let others = self.others.iter();
         others
             .map(|peer| (peer.name.as_str(), peer.zone.as_str()))
-            .chain([(self.node.as_str(), self.zone.as_str())])
+            .chain([(self.controller_name.as_str(), self.zone.as_str())])
     }
 
     /// The newest formats that this controller tells of.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -178,8 +178,9 @@
 /// The settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
-    pub node: String,
+    /// This controller's name; the file's `node`.
+    #[serde(rename = "node")]
+    pub controller_name: String,
     /// The zone in which it runs; the file's `location`.
     #[serde(rename = "location")]
     pub zone: String,
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -10,7 +10,7 @@
 pub struct ControllerRecord {
     /// The controller's name.
     #[serde(rename = "h")]
-    pub node: String,
+    pub controller: String,
     /// Which of the controller's starts it is from.
     #[serde(rename = "i")]
     pub incarnation: u64,
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::WorkerSession;
-use crate::node::Node;
+use super::OwnedWorker;
+use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -88,15 +88,15 @@
     writes: Vec<Write>,
 }
 
-impl Node {
+impl Controller {
     /// Whether this run of the controller holds the machine, as far as its view
     /// tells.
     pub fn holds(&self, id: &str) -> bool {
         let replica = self.replica.borrow();
-        let worker_sessions = self.worker_sessions.borrow();
-        match (worker_sessions.get(id), replica.machines.get(id)) {
-            (Some(worker_session), Some(machine)) => {
-                worker_session.token == machine.value.token
+        let owned_workers = self.owned_workers.borrow();
+        match (owned_workers.get(id), replica.machines.get(id)) {
+            (Some(owned_worker), Some(machine)) => {
+                owned_worker.token == machine.value.token
                     && machine.value.incarnation == self.incarnation
             }
             _ => false,
@@ -156,23 +156,23 @@
 }
 
 /// Commits the claims that heartbeats have asked for, several at a time.
-pub async fn run_claims(node: Rc<Node>) {
+pub async fn run_claims(controller: Rc<Controller>) {
     loop {
-        node.claims_wanted.notified().await;
+        controller.claims_wanted.notified().await;
         // Workers turn up together after a restart: let them gather.
-        sleep(node.request_gap() * 2).await;
-        while !node.claims.borrow().is_empty() {
+        sleep(controller.request_gap() * 2).await;
+        while !controller.claims.borrow().is_empty() {
             // They stand in few records, however many they are.
-            node.store.ready(RequestClass::Claim, 1).await;
-            if let Err(error) = commit_some(&node).await {
+            controller.store.ready(RequestClass::Claim, 1).await;
+            if let Err(error) = commit_some(&controller).await {
                 tracing::debug!(%error, "claims not committed");
-                drop_claims_beyond_limits(&node, &error);
+                drop_claims_beyond_limits(&controller, &error);
                 if error.is_refusal() {
-                    tell_refused(&node);
+                    tell_refused(&controller);
                 }
-                sleep(node.store.jitter(node.request_gap() * 2)).await;
-                if !node.may_renew_leases() {
-                    node.claims.borrow_mut().clear();
+                sleep(controller.store.jitter(controller.request_gap() * 2)).await;
+                if !controller.may_renew_leases() {
+                    controller.claims.borrow_mut().clear();
                 }
             }
         }
@@ -180,8 +180,8 @@
 }
 
 /// Ends the wait of all heartbeats whose claims cannot be committed for now.
-fn tell_refused(node: &Node) {
-    for claim in node.claims.borrow().values() {
+fn tell_refused(controller: &Controller) {
+    for claim in controller.claims.borrow().values() {
         claim.progress.send_replace(ClaimProgress::Refused);
     }
 }
@@ -189,53 +189,54 @@
 /// Drops the claims in a machine shard that is too long to be written. The same commit
 /// would be refused again: they are asked for anew with the next reports of their
 /// workers, and the rest go on.
-fn drop_claims_beyond_limits(node: &Node, error: &StoreError) {
+fn drop_claims_beyond_limits(controller: &Controller, error: &StoreError) {
     let StoreError::Limits(key) = error else {
         return;
     };
-    let replica = node.replica.borrow();
+    let replica = controller.replica.borrow();
     let in_machine_shard = |id: &str| {
         let machine = replica.machines.get(id).map(|e| &e.value);
         machine.is_none_or(|m| machine_shard_key(&shard_id(&m.zone, &m.shard)) == *key)
     };
-    node.claims
+    controller
+        .claims
         .borrow_mut()
         .retain(|id, _| !in_machine_shard(id));
 }
 
 /// Commits as many of the claims as one commit takes, and answers them.
-async fn commit_some(node: &Node) -> Result<(), StoreError> {
-    drop_stale_claims(node);
-    let batch = plan_claims(node);
+async fn commit_some(controller: &Controller) -> Result<(), StoreError> {
+    drop_stale_claims(controller);
+    let batch = plan_claims(controller);
     if !batch.writes.is_empty() {
-        let revision = commit_claims(node, batch.guards, batch.writes).await?;
-        keep_proofs(node, &batch.taken);
+        let revision = commit_claims(controller, batch.guards, batch.writes).await?;
+        keep_proofs(controller, &batch.taken);
         let now = Instant::now();
         for claim in batch.taken {
-            take_over(node, claim, revision, now);
+            take_over(controller, claim, revision, now);
         }
     }
     for id in &batch.decided {
-        if let Some(claim) = node.claims.borrow_mut().remove(id) {
+        if let Some(claim) = controller.claims.borrow_mut().remove(id) {
             claim.progress.send_replace(ClaimProgress::Decided);
         }
         // The worker learns the token now, and its report under it is what
         // launches wait for.
-        node.poke_machine(id);
+        controller.poke_machine(id);
     }
     Ok(())
 }
 
 /// Drops claims of machines that another controller holds and whose workers have
 /// gone on meanwhile.
-fn drop_stale_claims(node: &Node) {
-    let replica = node.replica.borrow();
+fn drop_stale_claims(controller: &Controller) {
+    let replica = controller.replica.borrow();
     let now = Instant::now();
     // A worker reports again, or has gone on, within this time.
-    let fresh = node.settings.report() * 2;
-    node.claims.borrow_mut().retain(|id, claim| {
+    let fresh = controller.settings.report() * 2;
+    controller.claims.borrow_mut().retain(|id, claim| {
         let known = replica.machines.get(id).map(|e| &e.value);
-        let ours = known.is_none_or(|m| m.holder.is_empty() || m.holder == node.name());
+        let ours = known.is_none_or(|m| m.holder.is_empty() || m.holder == controller.name());
         // If another was quicker and the worker is here all the same, its next
         // report asks again.
         let quicker = known.is_some_and(|m| m.token > claim.token);
@@ -244,11 +245,11 @@
 }
 
 /// Chooses claims for one commit, the urgent ones first.
-fn plan_claims(node: &Node) -> ClaimBatch {
-    let ops = node.settings.txn_ops();
-    let replica = node.replica.borrow();
-    let fleet = node.fleet.borrow();
-    let claims = node.claims.borrow();
+fn plan_claims(controller: &Controller) -> ClaimBatch {
+    let ops = controller.settings.txn_ops();
+    let replica = controller.replica.borrow();
+    let fleet = controller.fleet.borrow();
+    let claims = controller.claims.borrow();
     let mut order: Vec<(&String, &Claim)> = claims.iter().collect();
     // Those whose workers wait for the answer come first.
     order.sort_by_key(|(_, c)| (!c.urgent, c.progress.is_closed()));
@@ -271,7 +272,7 @@
         }
         let machine = match known {
             Some(machine) => Some(machine.clone()),
-            None => new_machine(node, &mut machine_shards, id, report),
+            None => new_machine(controller, &mut machine_shards, id, report),
         };
         let Some(machine) = machine else {
             // It waits for the next commit, or, where it alone has too many
@@ -285,7 +286,7 @@
         if machine.life == MachineLifecycle::Gone {
             continue;
         }
-        let machine = claimed(node, machine, report);
+        let machine = claimed(controller, machine, report);
         batch.taken.push(TakenClaim {
             machine: id.clone(),
             token: machine.token,
@@ -300,13 +301,13 @@
 /// The record of a machine that has none yet; `None` if this commit has no room for
 /// the conditions of a new machine.
 fn new_machine(
-    node: &Node,
+    controller: &Controller,
     machine_shards: &mut MachineShardEdits,
     id: &str,
     report: &Report,
 ) -> Option<Machine> {
     let (kind, zone) = (&report.kind, &report.zone);
-    let shard = machine_shards.new_shard(&node.settings, id, kind, zone)?;
+    let shard = machine_shards.new_shard(&controller.settings, id, kind, zone)?;
     Some(Machine {
         shard,
         spot: report.spot,
@@ -315,28 +316,28 @@
 }
 
 /// The record of a machine once this controller has claimed it.
-fn claimed(node: &Node, mut machine: Machine, report: &Report) -> Machine {
+fn claimed(controller: &Controller, mut machine: Machine, report: &Report) -> Machine {
     if machine.life == MachineLifecycle::Booting {
         machine.life = MachineLifecycle::Active;
     }
     machine.token = machine.token.max(report.token) + 1;
-    machine.holder = node.name().to_string();
-    machine.incarnation = node.incarnation;
+    machine.holder = controller.name().to_string();
+    machine.incarnation = controller.incarnation;
     machine.seen = machine.seen.max((report.session, report.seq));
     machine
 }
 
 async fn commit_claims(
-    node: &Node,
+    controller: &Controller,
     guards: Vec<Guard>,
     writes: Vec<Write>,
 ) -> Result<u64, StoreError> {
-    let result = node.commit(RequestClass::Claim, guards, writes).await;
+    let result = controller.commit(RequestClass::Claim, guards, writes).await;
     if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
         // An unanswered claim may have been carried out: then the replica shows a
         // token that is ours by name but not held, and the next try raises it
         // once more.
-        node.barrier(node.settings.lease() / 8).await;
+        controller.barrier(controller.settings.lease() / 8).await;
     }
     result
 }
@@ -344,17 +345,17 @@
 /// Ends that wait to be recorded stay proven when this controller, holder
 /// throughout, has only taken a newer token: the commit of the claim shows that
 /// nobody else held the machine in between, and nothing was launched since.
-fn keep_proofs(node: &Node, taken: &[TakenClaim]) {
-    let worker_sessions = node.worker_sessions.borrow();
+fn keep_proofs(controller: &Controller, taken: &[TakenClaim]) {
+    let owned_workers = controller.owned_workers.borrow();
     let renewed: HashMap<&str, (u64, u64)> = taken
         .iter()
         .filter_map(|c| {
-            let before = worker_sessions.get(&c.machine)?.token;
+            let before = owned_workers.get(&c.machine)?.token;
             Some((c.machine.as_str(), (before, c.token)))
         })
         .filter(|(_, (before, after))| before + 1 == *after)
         .collect();
-    for (key, proof) in node.ends.borrow_mut().iter_mut() {
+    for (key, proof) in controller.ends.borrow_mut().iter_mut() {
         if let Some((before, after)) = renewed.get(key.machine.as_str())
             && proof.token == *before
         {
@@ -364,20 +365,20 @@
 }
 
 /// Holds the machine from the commit of its claim on.
-fn take_over(node: &Node, claim: TakenClaim, revision: u64, now: Instant) {
+fn take_over(controller: &Controller, claim: TakenClaim, revision: u64, now: Instant) {
     let TakenClaim {
         machine,
         token,
         seen: (session, seq),
     } = claim;
     tracing::info!(machine, token, "claimed");
-    let mut worker_sessions = node.worker_sessions.borrow_mut();
-    let mut worker_session = WorkerSession::new(token, revision, now);
-    if let Some(earlier) = worker_sessions.get(&machine) {
-        worker_session.follow(earlier);
+    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let mut owned_worker = OwnedWorker::new(token, revision, now);
+    if let Some(earlier) = owned_workers.get(&machine) {
+        owned_worker.follow(earlier);
     }
     // The report that asked for the claim is yet to be taken.
     let before = (session, seq.saturating_sub(1));
-    worker_session.newest_heartbeat = worker_session.newest_heartbeat.max(before);
-    worker_sessions.insert(machine, worker_session);
+    owned_worker.newest_heartbeat = owned_worker.newest_heartbeat.max(before);
+    owned_workers.insert(machine, owned_worker);
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -6,9 +6,9 @@
 
 use tokio::time::{Instant, timeout};
 
-use super::{Plan, WorkerSession, reconcile};
+use super::{OwnedWorker, Plan, reconcile};
+use crate::controller::Controller;
 use crate::http::{CallError, Deadlines, Response};
-use crate::node::Node;
 use crate::wire::{CommandKind, Report, WorkerCommand, WorkerCommands};
 
 /// How long a worker waits for the answers to its own reports; longer calls to it
@@ -33,7 +33,7 @@
     orders.iter().any(|o| o.verb == CommandKind::Start)
 }
 
-impl Node {
+impl Controller {
     /// The wait after which an order that has shown no effect is repeated.
     fn repeat(&self) -> Duration {
         self.settings.report() * 2
@@ -41,13 +41,13 @@
 
     /// The plan of a machine by the present view; empty if it is not held.
     pub(super) fn plan(&self, id: &str) -> Plan {
-        let worker_sessions = self.worker_sessions.borrow();
-        let Some(worker_session) = worker_sessions.get(id) else {
+        let owned_workers = self.owned_workers.borrow();
+        let Some(owned_worker) = owned_workers.get(id) else {
             return Plan::default();
         };
         reconcile(
             id,
-            worker_session,
+            owned_worker,
             &self.replica.borrow(),
             &self.ends.borrow(),
             self.repeat(),
@@ -76,10 +76,10 @@
     }
 
     /// Where the worker takes calls, and the session that it is in.
-    fn endpoint(&self, id: &str, worker_session: &WorkerSession) -> Option<(String, u64)> {
+    fn endpoint(&self, id: &str, owned_worker: &OwnedWorker) -> Option<(String, u64)> {
         let fleet = self.fleet.borrow();
         let known = fleet.reports.get(id)?;
-        let session = worker_session
+        let session = owned_worker
             .report
             .as_ref()
             .map_or(known.session, |r| r.session);
@@ -89,67 +89,67 @@
 
 /// Sends orders directly, whenever bookings or reports have changed: to the
 /// machines that these concern, and now and then to all.
-pub async fn run_commands(node: Rc<Node>) {
-    let tick = node.settings.report() / 2;
+pub async fn run_commands(controller: Rc<Controller>) {
+    let tick = controller.settings.report() / 2;
     let mut swept = Instant::now();
     loop {
-        let _ = timeout(tick, node.commands_wanted.notified()).await;
-        let now = node.liveness_tick();
-        let changed = std::mem::take(&mut node.replica.borrow_mut().changes.machines);
+        let _ = timeout(tick, controller.commands_wanted.notified()).await;
+        let now = controller.liveness_tick();
+        let changed = std::mem::take(&mut controller.replica.borrow_mut().changes.machines);
         let sweep = now.saturating_duration_since(swept) >= tick;
         if sweep {
             swept = now;
         }
         // A controller with an old view gives no new orders by itself.
-        if !node.has_state() {
+        if !controller.has_state() {
             continue;
         }
         let ids: Vec<String> = match sweep {
-            true => node.worker_sessions.borrow().keys().cloned().collect(),
+            true => controller.owned_workers.borrow().keys().cloned().collect(),
             false => changed.into_iter().collect(),
         };
         for id in ids {
-            if let Some(call) = next_call(&node, &id, now) {
-                tokio::task::spawn_local(send(node.clone(), call));
+            if let Some(call) = next_call(&controller, &id, now) {
+                tokio::task::spawn_local(send(controller.clone(), call));
             }
         }
     }
 }
 
 /// The call that a machine's worker is to get now, if any.
-fn next_call(node: &Node, id: &str, now: Instant) -> Option<Call> {
-    if !node.worker_sessions.borrow().contains_key(id) {
+fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<Call> {
+    if !controller.owned_workers.borrow().contains_key(id) {
         return None;
     }
-    if !node.holds(id) {
-        drop_if_lost(node, id);
+    if !controller.holds(id) {
+        drop_if_lost(controller, id);
         return None;
     }
-    let mut plan = node.plan(id);
-    node.queue_terminations(std::mem::take(&mut plan.ends));
-    let mut worker_sessions = node.worker_sessions.borrow_mut();
-    let worker_session = worker_sessions.get_mut(id)?;
-    if !may_call(node, worker_session, now) {
+    let mut plan = controller.plan(id);
+    controller.queue_terminations(std::mem::take(&mut plan.ends));
+    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let owned_worker = owned_workers.get_mut(id)?;
+    if !may_call(controller, owned_worker, now) {
         return None;
     }
-    node.defer_old_launches(id, &mut plan);
+    controller.defer_old_launches(id, &mut plan);
     // The first call tells the worker the token, with or without orders.
-    let first = worker_session.report.is_none();
+    let first = owned_worker.report.is_none();
     if plan.orders.is_empty() && !first {
         return None;
     }
-    let (addr, session) = node.endpoint(id, worker_session)?;
-    worker_session.in_flight = true;
+    let (addr, session) = controller.endpoint(id, owned_worker)?;
+    owned_worker.in_flight = true;
     for o in &plan.orders {
         tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
     }
-    worker_session.note_orders(&plan.orders, now);
+    owned_worker.note_orders(&plan.orders, now);
     Some(Call {
         machine: id.to_string(),
         addr,
-        deadlines: deadlines(node, launches(&plan.orders), now),
+        deadlines: deadlines(controller, launches(&plan.orders), now),
         body: WorkerCommands {
-            token: worker_session.token,
+            token: owned_worker.token,
             session,
             orders: plan.orders,
         },
@@ -158,31 +158,32 @@
 
 /// Forgets a machine that another controller has claimed, once the replica has
 /// reached our own claim.
-fn drop_if_lost(node: &Node, id: &str) {
-    if node.replica.borrow().revision >= node.worker_sessions.borrow()[id].claimed_at {
+fn drop_if_lost(controller: &Controller, id: &str) {
+    if controller.replica.borrow().revision >= controller.owned_workers.borrow()[id].claimed_at {
         tracing::info!(machine = id, "claimed by another controller, or gone");
-        node.worker_sessions.borrow_mut().remove(id);
+        controller.owned_workers.borrow_mut().remove(id);
     }
 }
 
 /// Whether a worker may be called now. A call to a machine that is gone, hung or
 /// cut off takes a connection until it times out: hundreds of them would leave none
 /// for the rest. What is heard again has its orders by the answer.
-fn may_call(node: &Node, worker_session: &WorkerSession, now: Instant) -> bool {
-    let silent = now.saturating_duration_since(worker_session.heard) > node.settings.report() * 2;
-    !worker_session.in_flight
-        && !worker_session.unresolved
-        && worker_session.quiet_until <= now
+fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
+    let silent =
+        now.saturating_duration_since(owned_worker.heard) > controller.settings.report() * 2;
+    !owned_worker.in_flight
+        && !owned_worker.unresolved
+        && owned_worker.quiet_until <= now
         && !silent
 }
 
 /// By when a call must be sent and answered. If this process stands still before
 /// it is sent, it is sent no more, as work may have been cancelled or moved since;
 /// a launch not once the last barrier that it was planned with is too old for it.
-fn deadlines(node: &Node, launches: bool, decided: Instant) -> Deadlines {
-    let answer = decided + WORKER_PATIENCE.min(node.settings.lease() / 4);
-    let last_barrier = node.last_barrier.get().filter(|_| launches);
-    let latest_launch = last_barrier.map(|sent| sent + node.settings.launch_limit());
+fn deadlines(controller: &Controller, launches: bool, decided: Instant) -> Deadlines {
+    let answer = decided + WORKER_PATIENCE.min(controller.settings.lease() / 4);
+    let last_barrier = controller.last_barrier.get().filter(|_| launches);
+    let latest_launch = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
         send: latest_launch.map_or(answer, |latest| latest.min(answer)),
         answer,
@@ -190,58 +191,58 @@
 }
 
 /// Sends a worker its orders, and takes the report that it answers with.
-async fn send(node: Rc<Node>, call: Call) {
-    let result = exchange(&node, &call).await;
+async fn send(controller: Rc<Controller>, call: Call) {
+    let result = exchange(&controller, &call).await;
     let now = Instant::now();
-    let quiet_until = now + node.settings.report();
+    let quiet_until = now + controller.settings.report();
     let id = call.machine.as_str();
-    let mut worker_sessions = node.worker_sessions.borrow_mut();
-    let Some(worker_session) = worker_sessions
+    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let Some(owned_worker) = owned_workers
         .get_mut(id)
         .filter(|h| h.token == call.body.token)
     else {
         return;
     };
-    worker_session.in_flight = false;
+    owned_worker.in_flight = false;
     match result {
         Ok(answer) if answer.status == 200 || answer.status == 409 => {
-            let keep = take_answer(&node, worker_session, &call, &answer, now);
+            let keep = take_answer(&controller, owned_worker, &call, &answer, now);
             if !keep {
-                worker_sessions.remove(id);
+                owned_workers.remove(id);
             }
         }
         Ok(answer) => {
             tracing::debug!(machine = id, status = answer.status, "orders refused");
-            worker_session.quiet_until = quiet_until;
+            owned_worker.quiet_until = quiet_until;
         }
         Err(CallError::NotSent(cause)) => {
             // Surely not there: heartbeat answers carry the orders meanwhile.
             tracing::debug!(machine = id, cause, "orders not sent");
-            worker_session.quiet_until = quiet_until;
-            worker_session.withdraw_orders(&call.body.orders);
+            owned_worker.quiet_until = quiet_until;
+            owned_worker.withdraw_orders(&call.body.orders);
         }
         Err(error) => {
             tracing::debug!(machine = id, %error, "orders not answered");
-            worker_session.quiet_until = quiet_until;
+            owned_worker.quiet_until = quiet_until;
             // Safety 3: an unanswered launch may be executed late. Only a higher
             // token that the worker has shown rules that out.
-            worker_session.unresolved |= call.launches();
-            if worker_session.unresolved
-                && let Some(report) = node.known_report(id)
+            owned_worker.unresolved |= call.launches();
+            if owned_worker.unresolved
+                && let Some(report) = controller.known_report(id)
             {
-                node.ask_claim(id, &report, true);
+                controller.ask_claim(id, &report, true);
             }
         }
     }
-    drop(worker_sessions);
-    node.poke_machine(id);
+    drop(owned_workers);
+    controller.poke_machine(id);
 }
 
-async fn exchange(node: &Node, call: &Call) -> Result<Response, CallError> {
+async fn exchange(controller: &Controller, call: &Call) -> Result<Response, CallError> {
     let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
         return Err(CallError::NotSent("bad address".into()));
     };
-    let workers = &node.workers;
+    let workers = &controller.workers;
     workers
         .call_within(addr, "POST", "/orders", Some(body), call.deadlines)
         .await
@@ -250,8 +251,8 @@
 /// Takes the report that a worker has answered a call with; false if it shows that
 /// another controller has claimed the machine.
 fn take_answer(
-    node: &Node,
-    worker_session: &mut WorkerSession,
+    controller: &Controller,
+    owned_worker: &mut OwnedWorker,
     call: &Call,
     answer: &Response,
     now: Instant,
@@ -261,21 +262,21 @@
         Ok(report) => report,
         Err(error) => {
             tracing::debug!(machine = id, %error, "report not understood");
-            worker_session.unresolved |= call.launches();
+            owned_worker.unresolved |= call.launches();
             return true;
         }
     };
-    worker_session.see(&report, node.settings.lease(), now);
+    owned_worker.see(&report, controller.settings.lease(), now);
     if report.token > call.body.token {
         tracing::info!(machine = id, "has seen a higher token");
         return false;
     }
-    if let Some(known) = node.fleet.borrow_mut().reports.get_mut(id) {
+    if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(id) {
         known.session = report.session;
     }
-    let first = worker_session.report.is_none();
-    if worker_session.take(report, false) && first {
-        node.publication_wanted.notify_one();
+    let first = owned_worker.report.is_none();
+    if owned_worker.take(report, false) && first {
+        controller.publication_wanted.notify_one();
     }
     true
 }
