--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use super::{Plan, must_stop, stops_of_cancelled};
+use crate::controller::Controller;
 use crate::http::Response;
-use crate::node::Node;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::wire::{HeartbeatResponse, Redirect, Report, WorkerCommand};
 
@@ -86,7 +86,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// `POST /agent/beat`.
     pub async fn heartbeat(&self, report: Report) -> Response {
         let answer = self.answer_heartbeat(report).await;
@@ -156,7 +156,7 @@
         }
         if report.token > machine.token {
             // Another controller has claimed it since; the replica will tell which.
-            self.worker_sessions.borrow_mut().remove(heartbeat.id());
+            self.owned_workers.borrow_mut().remove(heartbeat.id());
             return Err(Answer::Redirect(None));
         }
         Ok(())
@@ -178,7 +178,7 @@
         if self.is_recorded_holder(machine) {
             return Ok(());
         }
-        match self.worker_sessions.borrow_mut().remove(heartbeat.id()) {
+        match self.owned_workers.borrow_mut().remove(heartbeat.id()) {
             Some(_) => Err(Answer::Redirect(self.recorded_holder(machine))),
             None => Ok(()),
         }
@@ -246,13 +246,13 @@
     fn take_report(&self, heartbeat: &Heartbeat) -> Step {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut unconfirmed = false;
-        if let Some(worker_session) = self.worker_sessions.borrow_mut().get_mut(id) {
-            if !worker_session.record_heartbeat(report, self.settings.lease(), heartbeat.received) {
+        if let Some(owned_worker) = self.owned_workers.borrow_mut().get_mut(id) {
+            if !owned_worker.record_heartbeat(report, self.settings.lease(), heartbeat.received) {
                 return Err(Answer::unavailable("a newer report has come"));
             }
-            let first = worker_session.report.is_none();
-            unconfirmed = worker_session.unconfirmed;
-            if worker_session.take(report.clone(), true) && first {
+            let first = owned_worker.report.is_none();
+            unconfirmed = owned_worker.unconfirmed;
+            if owned_worker.take(report.clone(), true) && first {
                 self.publication_wanted.notify_one();
             }
         }
@@ -276,11 +276,11 @@
     /// The answer that renews the lease.
     fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut worker_sessions = self.worker_sessions.borrow_mut();
-        let Some(worker_session) = worker_sessions.get_mut(id) else {
+        let mut owned_workers = self.owned_workers.borrow_mut();
+        let Some(owned_worker) = owned_workers.get_mut(id) else {
             return Err(Answer::unavailable("lost while answering"));
         };
-        if worker_session.in_flight {
+        if owned_worker.in_flight {
             // What a direct call carries just now is not repeated here: the order
             // in which the two arrive would not be known.
             plan.orders.clear();
@@ -295,12 +295,12 @@
             }
         }
         if plan.launches() {
-            worker_session.offered = Some((report.session, report.seq));
+            owned_worker.offered = Some((report.session, report.seq));
         }
-        worker_session.note_orders(&plan.orders, heartbeat.received);
-        worker_session.answered = heartbeat.received;
+        owned_worker.note_orders(&plan.orders, heartbeat.received);
+        owned_worker.answered = heartbeat.received;
         Ok(Answer::WorkerCommands {
-            token: worker_session.token,
+            token: owned_worker.token,
             orders: plan.orders,
         })
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -21,5 +21,5 @@
 pub use publication::run_publication;
 pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
 pub use routing::home_of;
-pub use session::WorkerSession;
+pub use session::OwnedWorker;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -8,9 +8,9 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::WorkerSession;
+use super::OwnedWorker;
 use super::zone_shards::{Conditions, ShardChooser, ShardEdit, ShardLengths};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduler::{COMMIT_BYTES, GUARDS_PER_WRITE};
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -32,16 +32,16 @@
 type Published = HashMap<String, Instant>;
 
 /// Publishes the room of held machines where the zone shards' records differ.
-pub async fn run_publication(node: Rc<Node>) {
+pub async fn run_publication(controller: Rc<Controller>) {
     let mut published = Published::new();
     let mut joined: Option<Instant> = None;
     loop {
-        gather(&node, joined).await;
-        if !node.has_state() {
+        gather(&controller, joined).await;
+        if !controller.has_state() {
             continue;
         }
         published.retain(|_, t| t.elapsed() < INTERVAL);
-        let mut changes = room_changes(&node, &published);
+        let mut changes = room_changes(&controller, &published);
         if changes.is_empty() {
             continue;
         }
@@ -52,24 +52,24 @@
         if changes.iter().any(|c| c.members) {
             class = RequestClass::Claim;
             joined = Some(Instant::now());
-            node.store.ready(class, changes.len()).await;
-            changes = room_changes(&node, &published);
+            controller.store.ready(class, changes.len()).await;
+            changes = room_changes(&controller, &published);
         }
         let now = Instant::now();
         published.extend(changes.iter().map(|c| (c.id.clone(), now)));
-        publish(&node, class, changes, &mut published).await;
+        publish(&controller, class, changes, &mut published).await;
     }
 }
 
 /// Waits until room has changed. Machines that can take work from now on gather
 /// for a moment, and while many of them boot for a little longer: each time costs
 /// a write a zone shard.
-async fn gather(node: &Node, joined: Option<Instant>) {
-    let moment = node.request_gap() * 4;
-    let apart = node.settings.report() / 4;
+async fn gather(controller: &Controller, joined: Option<Instant>) {
+    let moment = controller.request_gap() * 4;
+    let apart = controller.settings.report() / 4;
     let _ = timeout(
-        node.settings.report() / 3,
-        node.publication_wanted.notified(),
+        controller.settings.report() / 3,
+        controller.publication_wanted.notified(),
     )
     .await;
     let since = joined.map_or(apart, |t| t.elapsed());
@@ -78,31 +78,31 @@
 
 /// Commits the changes; where others were quicker, those that do not conflict.
 async fn publish(
-    node: &Node,
+    controller: &Controller,
     class: RequestClass,
     mut changes: Vec<RoomChange>,
     published: &mut Published,
 ) {
     while !changes.is_empty() {
         let (guards, writes) = {
-            let replica = node.replica.borrow();
+            let replica = controller.replica.borrow();
             let writes = changes
                 .iter()
                 .map(|c| replica.put_zone_shard(&c.id, &c.shard));
             (all_guards(&changes), writes.collect())
         };
-        match node.commit(class, guards, writes).await {
+        match controller.commit(class, guards, writes).await {
             Ok(_) => return,
             Err(StoreError::Conflict(keys)) => {
                 // A booking was quicker there; the others go on.
                 tracing::debug!(?keys, "room not published");
                 let known = changes.len();
                 drop_conflicting(&mut changes, &keys, published);
-                node.expedite_watch();
-                node.publication_wanted.notify_one();
+                controller.expedite_watch();
+                controller.publication_wanted.notify_one();
                 // Where slots were put by what other zone shards of the commit hold,
                 // all of it is chosen anew.
-                if changes.len() == known || node.replica.borrow().uses_compact_encoding() {
+                if changes.len() == known || controller.replica.borrow().uses_compact_encoding() {
                     return;
                 }
             }
@@ -144,20 +144,20 @@
 
 /// Zone shards whose records differ from what this controller knows of
 /// the machines that it holds; as many as one commit takes.
-fn room_changes(node: &Node, recent: &Published) -> Vec<RoomChange> {
-    let now = node.liveness_tick();
-    let replica = node.replica.borrow();
-    let worker_sessions = node.worker_sessions.borrow();
-    let suspects = crate::cloud::suspects(node, &replica, &worker_sessions);
-    let mut planner = RoomPlanner::new(node, &replica, suspects, now);
-    for (id, worker_session) in worker_sessions.iter() {
+fn room_changes(controller: &Controller, recent: &Published) -> Vec<RoomChange> {
+    let now = controller.liveness_tick();
+    let replica = controller.replica.borrow();
+    let owned_workers = controller.owned_workers.borrow();
+    let suspects = crate::cloud::suspects(controller, &replica, &owned_workers);
+    let mut planner = RoomPlanner::new(controller, &replica, suspects, now);
+    for (id, owned_worker) in owned_workers.iter() {
         let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
             continue;
         };
-        if machine.incarnation != node.incarnation || machine.token != worker_session.token {
+        if machine.incarnation != controller.incarnation || machine.token != owned_worker.token {
             continue;
         }
-        match planner.listing(id, worker_session, machine) {
+        match planner.listing(id, owned_worker, machine) {
             Listing::Unknown => {}
             Listing::TakesNone => planner.plan(id, machine, None, recent),
             Listing::Takes(slot) => planner.plan(id, machine, Some(slot), recent),
@@ -177,7 +177,7 @@
 
 /// Plans one commit of changed zone shards.
 struct RoomPlanner<'a> {
-    node: &'a Node,
+    controller: &'a Controller,
     replica: &'a Replica,
     suspects: HashSet<String>,
     now: Instant,
@@ -192,15 +192,23 @@
 }
 
 impl<'a> RoomPlanner<'a> {
-    fn new(node: &'a Node, replica: &'a Replica, suspects: HashSet<String>, now: Instant) -> Self {
+    fn new(
+        controller: &'a Controller,
+        replica: &'a Replica,
+        suspects: HashSet<String>,
+        now: Instant,
+    ) -> Self {
         // Records that stand in the longer text may be as long as ever.
         let longest = match replica.uses_compact_encoding() {
-            true => node.settings.value_bytes(),
-            false => node.settings.longest_value(),
+            true => controller.settings.value_bytes(),
+            false => controller.settings.longest_value(),
         };
-        let max_shards = node.settings.txn_ops().min((COMMIT_BYTES / longest).max(1));
+        let max_shards = controller
+            .settings
+            .txn_ops()
+            .min((COMMIT_BYTES / longest).max(1));
         RoomPlanner {
-            node,
+            controller,
             replica,
             suspects,
             now,
@@ -213,13 +221,13 @@
         }
     }
 
-    fn listing(&self, id: &str, worker_session: &WorkerSession, machine: &Machine) -> Listing {
-        let hears = worker_session.unreachable_since.is_none();
-        if machine.life != MachineLifecycle::Active || self.is_quiet(id, worker_session) || !hears {
+    fn listing(&self, id: &str, owned_worker: &OwnedWorker, machine: &Machine) -> Listing {
+        let hears = owned_worker.unreachable_since.is_none();
+        if machine.life != MachineLifecycle::Active || self.is_quiet(id, owned_worker) || !hears {
             return Listing::TakesNone;
         }
         let kind = self.replica.type_of(&machine.kind);
-        let (Some(report), Some(kind)) = (&worker_session.report, kind) else {
+        let (Some(report), Some(kind)) = (&owned_worker.report, kind) else {
             return Listing::Unknown;
         };
         let unbooked = self.unbooked(id, report);
@@ -233,12 +241,12 @@
 
     /// What has not been heard for most of a lease takes no new work until it is
     /// heard again; nor does a machine that is suspected of failing tasks.
-    fn is_quiet(&self, id: &str, worker_session: &WorkerSession) -> bool {
-        let settings = &self.node.settings;
+    fn is_quiet(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
+        let settings = &self.controller.settings;
         let since = |t: Instant| self.now.saturating_duration_since(t);
-        let unshown = worker_session.report.is_none()
-            && since(worker_session.claimed) > settings.report() * 2;
-        let silent = since(worker_session.heartbeat) > settings.lease().mul_f64(QUIET_SHARE);
+        let unshown =
+            owned_worker.report.is_none() && since(owned_worker.claimed) > settings.report() * 2;
+        let silent = since(owned_worker.heartbeat) > settings.lease().mul_f64(QUIET_SHARE);
         unshown || silent || self.suspects.contains(id)
     }
 
@@ -296,7 +304,7 @@
             replica: self.replica,
             edits: &self.edits,
             lengths: &self.lengths,
-            first_candidates: self.node.settings.txn_ops(),
+            first_candidates: self.controller.settings.txn_ops(),
         };
         let choice = chooser.choose(id, machine)?;
         let added = choice.conditions.keys();
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-use super::{AttemptKey, TerminationEvidence, WorkerSession};
+use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
 use crate::state::replica::{Entry, Replica};
 use crate::wire::{CommandKind, ExitReason, Report, TaskReport, TaskStage, WorkerCommand};
@@ -70,25 +70,25 @@
 /// nothing is sent or recorded here.
 pub fn reconcile(
     id: &str,
-    worker_session: &WorkerSession,
+    owned_worker: &OwnedWorker,
     replica: &Replica,
     ends: &BTreeMap<AttemptKey, TerminationEvidence>,
     repeat: Duration,
     now: Instant,
 ) -> Plan {
     let mut plan = Plan::default();
-    let (Some(report), Some(machine)) = (&worker_session.report, replica.machines.get(id)) else {
+    let (Some(report), Some(machine)) = (&owned_worker.report, replica.machines.get(id)) else {
         return plan;
     };
     // Safety 2: act on bookings only once the replica has reached our claim, and
     // only while the claim is still ours as far as the replica tells.
-    if replica.revision < worker_session.claimed_at || machine.value.token != worker_session.token {
+    if replica.revision < owned_worker.claimed_at || machine.value.token != owned_worker.token {
         return plan;
     }
     let reconciler = Reconciler {
         machine: id,
         life: machine.value.life,
-        worker_session,
+        owned_worker,
         replica,
         ends,
         repeat,
@@ -103,7 +103,7 @@
     }
     // Safety 3: only a report newer than every launch proves that a task that it
     // lacks is not there.
-    if worker_session.settled() {
+    if owned_worker.settled() {
         reconciler.plan_missing(&reported, &mut plan);
     }
     plan
@@ -113,7 +113,7 @@
 struct Reconciler<'a> {
     machine: &'a str,
     life: MachineLifecycle,
-    worker_session: &'a WorkerSession,
+    owned_worker: &'a OwnedWorker,
     replica: &'a Replica,
     /// Ends that wait to be recorded.
     ends: &'a BTreeMap<AttemptKey, TerminationEvidence>,
@@ -143,7 +143,7 @@
             Some(_) if ended => {
                 // Safety 3: with a launch that may be executed late neither the
                 // booking is released nor the attempt forgotten.
-                if !self.worker_session.unresolved {
+                if !self.owned_worker.unresolved {
                     let key = self.end_key(job, number, task.attempt);
                     plan.ends.push((key, outcome(task.why)));
                 }
@@ -151,7 +151,7 @@
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if ended => {
                 // The end is on record, or was never ours to record.
-                if self.worker_session.settled() {
+                if self.owned_worker.settled() {
                     plan.order(CommandKind::Forget, &task.task, task.attempt, None);
                 }
             }
@@ -190,7 +190,7 @@
 
     /// When the task was last ordered to stop, and with how much grace.
     fn stop_ordered(&self, task: &TaskReport) -> Option<&(Instant, f64)> {
-        self.worker_session
+        self.owned_worker
             .stopped
             .get(&(task.task.clone(), task.attempt))
     }
@@ -224,12 +224,12 @@
     ) {
         let key = self.end_key(job_id, number, run.attempt);
         let recording = self.ends.get(&key);
-        if recording.is_some_and(|proof| proof.token == self.worker_session.token) {
+        if recording.is_some_and(|proof| proof.token == self.owned_worker.token) {
             return;
         }
         let task = format!("{job_id}/{number}");
         let launched = self
-            .worker_session
+            .owned_worker
             .launched
             .contains(&(task.clone(), run.attempt));
         // A gang's member that was there and is gone has broken the attempt; an
@@ -237,8 +237,7 @@
         // arrives.
         let job = &entry.value;
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-        let lost =
-            run.stop || self.worker_session.unreachable_since.is_some() || (gang && launched);
+        let lost = run.stop || self.owned_worker.unreachable_since.is_some() || (gang && launched);
         if !job.is_open() || self.life != MachineLifecycle::Active || lost {
             plan.ends.push((key, Outcome::Lost));
         } else if entry.version <= self.replica.revision {
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::Machine;
 use crate::wire::Report;
 
@@ -19,7 +19,7 @@
     shard.rsplit_once('.').map_or("", |(home, _)| home)
 }
 
-impl Node {
+impl Controller {
     /// The controller that a worker whose machine is held elsewhere should report
     /// to, as far as the record of the machine tells.
     pub(super) fn recorded_holder(&self, machine: &Machine) -> Option<String> {
--- a/src/workers/session.rs
+++ b/src/workers/session.rs
@@ -9,14 +9,14 @@
 
 use tokio::time::Instant;
 
-use crate::node::skipped;
+use crate::controller::skipped;
 use crate::settings::CLOCK_DRIFT;
 use crate::wire::{CommandKind, Report, WorkerCommand};
 
 /// What this controller knows of a machine that it holds, from the claim of its
 /// token on.
 #[derive(Debug)]
-pub struct WorkerSession {
+pub struct OwnedWorker {
     /// The token under which we claimed it.
     pub token: u64,
     /// The revision of that claim: the replica must have reached it, or bookings
@@ -63,10 +63,10 @@
     pub unconfirmed: bool,
 }
 
-impl WorkerSession {
+impl OwnedWorker {
     /// A machine that was claimed under `token` by the commit of this revision.
     pub fn new(token: u64, claimed_at: u64, now: Instant) -> Self {
-        WorkerSession {
+        OwnedWorker {
             token,
             claimed_at,
             report: None,
@@ -89,7 +89,7 @@
     }
 
     /// Takes over what does not depend on the token from the claim before this.
-    pub fn follow(&mut self, earlier: &WorkerSession) {
+    pub fn follow(&mut self, earlier: &OwnedWorker) {
         self.failed_jobs.clone_from(&earlier.failed_jobs);
         self.newest_heartbeat = earlier.newest_heartbeat;
         self.heartbeat = earlier.heartbeat;
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,7 +1,7 @@
 //! Ends of tasks: what proves that an attempt is over, and the queue of those that
 //! are to be recorded.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::state::records::{MachineLifecycle, Outcome};
 use crate::state::replica::Replica;
 
@@ -29,7 +29,7 @@
     pub token: u64,
 }
 
-impl Node {
+impl Controller {
     /// Queues ends for the next commit that records some.
     pub(super) fn queue_terminations(&self, ends: Vec<(AttemptKey, Outcome)>) {
         if ends.is_empty() {
@@ -42,18 +42,18 @@
     }
 
     fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
-        let mut worker_sessions = self.worker_sessions.borrow_mut();
+        let mut owned_workers = self.owned_workers.borrow_mut();
         let mut queue = self.ends.borrow_mut();
-        let worker_session = worker_sessions.get_mut(&key.machine);
+        let owned_worker = owned_workers.get_mut(&key.machine);
         // Of a machine that is not held only the cloud's word proves an end.
-        let token = worker_session.as_ref().map_or(0, |h| h.token);
+        let token = owned_worker.as_ref().map_or(0, |h| h.token);
         if queue.get(&key).is_some_and(|proof| proof.token >= token) {
             return;
         }
-        if let Some(worker_session) = worker_session {
+        if let Some(owned_worker) = owned_worker {
             match outcome {
-                Outcome::Failed => _ = worker_session.failed_jobs.insert(key.job.clone()),
-                Outcome::Done => worker_session.failed_jobs.clear(),
+                Outcome::Failed => _ = owned_worker.failed_jobs.insert(key.job.clone()),
+                Outcome::Done => owned_worker.failed_jobs.clear(),
                 Outcome::Lost => {}
             }
         }
@@ -70,41 +70,41 @@
 }
 
 /// Releases the bookings on machines whose worker's lease is surely over.
-pub fn release_silent(node: &Node) {
-    let now = node.liveness_tick();
-    let (lease, margin) = (node.settings.lease(), node.settings.margin());
+pub fn release_silent(controller: &Controller) {
+    let now = controller.liveness_tick();
+    let (lease, margin) = (controller.settings.lease(), controller.settings.margin());
     let mut lost = Vec::new();
     {
-        let mut worker_sessions = node.worker_sessions.borrow_mut();
-        let replica = node.replica.borrow();
-        for (id, worker_session) in worker_sessions.iter_mut() {
+        let mut owned_workers = controller.owned_workers.borrow_mut();
+        let replica = controller.replica.borrow();
+        for (id, owned_worker) in owned_workers.iter_mut() {
             let held = replica.machines.get(id).is_some_and(|m| {
-                m.value.token == worker_session.token && m.value.incarnation == node.incarnation
+                m.value.token == owned_worker.token && m.value.incarnation == controller.incarnation
             });
-            if !held || !worker_session.lease_is_over(lease, margin, now) {
+            if !held || !owned_worker.lease_is_over(lease, margin, now) {
                 continue;
             }
             tracing::info!(machine = id, "silent for a whole lease: its tasks are gone");
             lost.extend(all_bookings(&replica, id));
             // What it reports next counts as a new beginning.
-            worker_session.report = None;
-            worker_session.unconfirmed = true;
-            worker_session.launched.clear();
+            owned_worker.report = None;
+            owned_worker.unconfirmed = true;
+            owned_worker.launched.clear();
         }
     }
-    node.queue_terminations(lost);
+    controller.queue_terminations(lost);
 }
 
 /// Releases the bookings on machines that the cloud has confirmed as gone.
-pub fn release_gone(node: &Node) {
+pub fn release_gone(controller: &Controller) {
     let lost: Vec<_> = {
-        let replica = node.replica.borrow();
+        let replica = controller.replica.borrow();
         let machines = replica.machines.iter();
         let gone = machines.filter(|(_, m)| m.value.life == MachineLifecycle::Gone);
         gone.flat_map(|(id, _)| all_bookings(&replica, id))
             .collect()
     };
-    node.queue_terminations(lost);
+    controller.queue_terminations(lost);
 }
 
 /// Every attempt that is booked on a machine, as lost.
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -10,7 +10,7 @@
 use shelfhoist::cloud::{Blame, blame};
 use shelfhoist::scheduler::{Released, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
-use shelfhoist::workers::{self, AttemptKey, TerminationEvidence, WorkerSession, reconcile};
+use shelfhoist::workers::{self, AttemptKey, OwnedWorker, TerminationEvidence, reconcile};
 
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
@@ -65,7 +65,7 @@
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let none = json!([]);
-    type Edit = fn(&mut WorkerSession);
+    type Edit = fn(&mut OwnedWorker);
     let plain: Edit = |_| {};
     let launched: Edit = |h| {
         h.launched.insert(("job-1/0".into(), 1));
@@ -157,12 +157,12 @@
     for (name, kind, token, tasks, edit, expected) in cases {
         let replica = held(*kind, |_| {});
         let now = Instant::now();
-        let mut worker_session = WorkerSession::new(5, 9, now);
-        worker_session.take(report(7, *token, (*tasks).clone()), true);
-        edit(&mut worker_session);
+        let mut owned_worker = OwnedWorker::new(5, 9, now);
+        owned_worker.take(report(7, *token, (*tasks).clone()), true);
+        edit(&mut owned_worker);
         let plan = reconcile(
             "m",
-            &worker_session,
+            &owned_worker,
             &replica,
             &BTreeMap::new(),
             Duration::from_secs(2),
@@ -192,25 +192,25 @@
 fn an_ended_task_is_forgotten_only_once_recorded() {
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let now = Instant::now();
-    let mut worker_session = WorkerSession::new(5, 9, now);
-    worker_session.take(report(7, 5, done), true);
+    let mut owned_worker = OwnedWorker::new(5, 9, now);
+    owned_worker.take(report(7, 5, done), true);
     let recorded = held(Kind::Array, |j| {
         j.release("m", 1, 0, Outcome::Done);
     });
-    let plan = |worker_session: &WorkerSession| {
+    let plan = |owned_worker: &OwnedWorker| {
         reconcile(
             "m",
-            worker_session,
+            owned_worker,
             &recorded,
             &BTreeMap::<AttemptKey, TerminationEvidence>::new(),
             Duration::from_secs(2),
             now,
         )
     };
-    assert_eq!(plan(&worker_session).orders[0].verb, CommandKind::Forget);
-    worker_session.unresolved = true;
+    assert_eq!(plan(&owned_worker).orders[0].verb, CommandKind::Forget);
+    owned_worker.unresolved = true;
     assert!(
-        plan(&worker_session).orders.is_empty(),
+        plan(&owned_worker).orders.is_empty(),
         "a late launch would start it again"
     );
 }
@@ -218,18 +218,18 @@
 #[test]
 fn older_reports_are_passed_over() {
     let now = Instant::now();
-    let mut worker_session = WorkerSession::new(5, 9, now);
-    assert!(worker_session.take(report(7, 5, json!([])), true));
+    let mut owned_worker = OwnedWorker::new(5, 9, now);
+    assert!(owned_worker.take(report(7, 5, json!([])), true));
     assert!(
-        !worker_session.take(report(7, 5, json!([])), true),
+        !owned_worker.take(report(7, 5, json!([])), true),
         "the same again"
     );
-    assert!(!worker_session.take(report(6, 5, json!([])), true), "late");
+    assert!(!owned_worker.take(report(6, 5, json!([])), true), "late");
     assert!(
-        !worker_session.take(report(8, 4, json!([])), true),
+        !owned_worker.take(report(8, 4, json!([])), true),
         "another token"
     );
-    assert!(worker_session.take(report(8, 5, json!([])), false));
+    assert!(owned_worker.take(report(8, 5, json!([])), false));
 }
 
 /// A machine that was lost and claimed again: another controller may have
@@ -302,27 +302,27 @@
     let lease = Duration::from_secs(10);
     let margin = Duration::from_secs(1);
     let start = Instant::now();
-    let mut worker_session = WorkerSession::new(5, 9, start);
+    let mut owned_worker = OwnedWorker::new(5, 9, start);
     let late = start + Duration::from_secs(12);
     assert!(
-        !worker_session.lease_is_over(lease, margin, late),
+        !owned_worker.lease_is_over(lease, margin, late),
         "the token was never shown"
     );
-    worker_session.take(report(7, 5, json!([])), true);
-    assert!(worker_session.lease_is_over(lease, margin, late));
+    owned_worker.take(report(7, 5, json!([])), true);
+    assert!(owned_worker.lease_is_over(lease, margin, late));
     assert!(
-        !worker_session.lease_is_over(lease, margin, start + Duration::from_secs(11)),
+        !owned_worker.lease_is_over(lease, margin, start + Duration::from_secs(11)),
         "margin"
     );
-    worker_session.unresolved = true;
+    owned_worker.unresolved = true;
     assert!(
-        !worker_session.lease_is_over(lease, margin, late),
+        !owned_worker.lease_is_over(lease, margin, late),
         "a launch may land late"
     );
-    worker_session.unresolved = false;
-    worker_session.answered = start + Duration::from_secs(5);
+    owned_worker.unresolved = false;
+    owned_worker.answered = start + Duration::from_secs(5);
     assert!(
-        !worker_session.lease_is_over(lease, margin, late),
+        !owned_worker.lease_is_over(lease, margin, late),
         "renewed since"
     );
 }
@@ -429,7 +429,7 @@
     ];
     for (name, beats) in cases {
         let start = Instant::now();
-        let mut worker_session = WorkerSession::new(5, 1, start);
+        let mut owned_worker = OwnedWorker::new(5, 1, start);
         for (n, (s, session, seq, token, deaf)) in beats.iter().enumerate() {
             let now = at(start, *s);
             let heartbeat = Report {
@@ -437,24 +437,21 @@
                 ..report(*seq, *token, json!([]))
             };
             assert!(
-                worker_session.record_heartbeat(&heartbeat, lease, now),
+                owned_worker.record_heartbeat(&heartbeat, lease, now),
                 "{name} {n}"
             );
-            worker_session.answered = now;
+            owned_worker.answered = now;
             assert_eq!(
-                worker_session.unreachable_since.is_some(),
+                owned_worker.unreachable_since.is_some(),
                 *deaf,
                 "{name} {n}"
             );
             // The same again, or an older one, is a late copy.
             assert!(
-                !worker_session.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
+                !owned_worker.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
                 "{name} {n}"
             );
-            assert_eq!(
-                worker_session.heard, now,
-                "{name} {n}: a copy kept it alive"
-            );
+            assert_eq!(owned_worker.heard, now, "{name} {n}: a copy kept it alive");
         }
     }
 }
@@ -465,7 +462,7 @@
 fn a_worker_that_cannot_report_is_found_out() {
     let lease = Duration::from_secs(10);
     let start = Instant::now();
-    let mut worker_session = WorkerSession::new(5, 1, start);
+    let mut owned_worker = OwnedWorker::new(5, 1, start);
     // Seconds, session, number, whether it is a heartbeat, whether it counts as one
     // that takes no work.
     for (s, session, seq, beats, found) in [
@@ -486,10 +483,10 @@
             ..report(seq, 5, json!([]))
         };
         match beats {
-            true => assert!(worker_session.record_heartbeat(&report, lease, now), "{s}"),
-            false => worker_session.see(&report, lease, now),
+            true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
+            false => owned_worker.see(&report, lease, now),
         }
-        worker_session.answered = if beats { now } else { worker_session.answered };
-        assert_eq!(worker_session.unreachable_since.is_some(), found, "{s}");
+        owned_worker.answered = if beats { now } else { owned_worker.answered };
+        assert_eq!(owned_worker.unreachable_since.is_some(), found, "{s}");
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -239,7 +239,7 @@
 
 fn renter(formats: u32) -> ControllerRecord {
     ControllerRecord {
-        node: "bay-1".into(),
+        controller: "bay-1".into(),
         incarnation: 4_000_000_000,
         formats,
     }
@@ -254,7 +254,7 @@
 
 fn gossip() -> Gossip {
     Gossip {
-        node: "bay-1".into(),
+        controller: "bay-1".into(),
         incarnation: 4_000_000_000,
         staleness_ms: Some(1250),
         machines: 300,
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -115,7 +115,7 @@
 
 #[test]
 fn wrong_arguments_of_a_move_are_refused() {
-    let node = ["--node", "127.0.0.1:9"];
+    let controller = ["--node", "127.0.0.1:9"];
     let base = ["share", "move", "t", "--from", "n0", "--to", "n1"];
     for (more, problem) in [
         (["--cpus", "-1"], "an amount is negative"),
@@ -127,7 +127,12 @@
         (["--cpus", "two"], "invalid value 'two'"),
         (["--cores", "2"], "unexpected argument '--cores'"),
     ] {
-        let arguments: Vec<&str> = base.iter().chain(&more).chain(&node).copied().collect();
+        let arguments: Vec<&str> = base
+            .iter()
+            .chain(&more)
+            .chain(&controller)
+            .copied()
+            .collect();
         let output = run(&arguments);
         let message = String::from_utf8_lossy(&output.stderr).to_string();
         assert_eq!(output.status.code(), Some(2), "{message}");
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -4,7 +4,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-use shelfhoist::node::Node;
+use shelfhoist::controller::Controller;
 use shelfhoist::state::records::MachineShard;
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
@@ -53,11 +53,11 @@
         if let Some(on) = self.shares.borrow().get(&i) {
             shape.shares = *on;
         }
-        let node = Node::new(shape.settings(i), net, seed);
+        let controller = Controller::new(shape.settings(i), net, seed);
         // A set of its own: all that the controller spawned ends with it.
         let set = LocalSet::new();
         set.spawn_local(async move {
-            let _ = shelfhoist::controller::run(node).await;
+            let _ = shelfhoist::daemon::run(controller).await;
         });
         let frozen = self.frozen[i].clone();
         self.controllers.borrow_mut()[i] = Some(spawn_local(Freezable { set, frozen }));
