--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -22,7 +22,7 @@
 use crate::http::{Request, Response, ServerLimits, query_value};
 use crate::net::Listener;
 use crate::ops;
-use crate::wire::Report;
+use crate::wire::WorkerStatus;
 
 pub use acceptance::{Arrival, run_acceptance};
 pub use users::{should_shed, state_of};
@@ -93,7 +93,7 @@
 
 /// `POST /agent/beat`: a worker's report.
 async fn report(controller: &Rc<Controller>, body: &[u8]) -> Response {
-    match serde_json::from_slice::<Report>(body) {
+    match serde_json::from_slice::<WorkerStatus>(body) {
         Ok(report) => controller.heartbeat(report).await,
         Err(_) => Response::error(400, "not a report"),
     }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -12,7 +12,7 @@
 use super::{EXIT_DONE, runtime};
 use crate::http::{CallError, Client, Response};
 use crate::net::Net;
-use crate::ops::{JobStory, Report, TeamStory};
+use crate::ops::{FleetReport, JobStory, TeamStory};
 
 /// How long a controller may take to respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -52,10 +52,10 @@
     }
 
     /// The report with the jobs of all its pages.
-    fn get_report(&self) -> Result<Report, CliError> {
-        let mut report: Report = self.get("/ops/report")?;
+    fn get_report(&self) -> Result<FleetReport, CliError> {
+        let mut report: FleetReport = self.get("/ops/report")?;
         while let Some(after) = report.next.take() {
-            let page: Report = self.get(&format!("/ops/report?after={after}"))?;
+            let page: FleetReport = self.get(&format!("/ops/report?after={after}"))?;
             report.jobs.extend(page.jobs);
             report.next = page.next;
         }
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,6 +1,6 @@
 //! What the command line prints for people to read.
 
-use crate::ops::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+use crate::ops::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
 use crate::wire::JobStage;
 
@@ -110,7 +110,7 @@
 }
 
 /// What is unfinished or late, with the state of the machines.
-pub fn report_text(report: &Report) -> String {
+pub fn report_text(report: &FleetReport) -> String {
     let mut text = state_age_text(report.state_age_s);
     text += &totals_text(report);
     text.extend(report.jobs.iter().map(unfinished_job_text));
@@ -142,7 +142,7 @@
     }
 }
 
-fn totals_text(report: &Report) -> String {
+fn totals_text(report: &FleetReport) -> String {
     if report.unfinished == 0 {
         return "Nothing is left undone.\n".to_string();
     }
--- a/src/cloud/boots.rs
+++ b/src/cloud/boots.rs
@@ -48,7 +48,7 @@
     });
     let found = replica.machines.iter().filter_map(|(id, entry)| {
         let machine = &entry.value;
-        (machine.life == MachineLifecycle::Booting).then_some(BootingMachine {
+        (machine.lifecycle == MachineLifecycle::Booting).then_some(BootingMachine {
             id,
             kind: &machine.kind,
             zone: &machine.zone,
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -119,7 +119,7 @@
     /// room elsewhere.
     fn candidate(&self, id: &'a String, machine: &Machine) -> Option<Candidate<'a>> {
         let kind = self.replica.type_of(&machine.kind)?;
-        if machine.life != MachineLifecycle::Active || kind.gpus <= 0.0 {
+        if machine.lifecycle != MachineLifecycle::Active || kind.gpus <= 0.0 {
             return None;
         }
         let services = self.services_on(id)?;
@@ -196,7 +196,7 @@
 fn eviction_of(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
     let id = candidate.id;
     let mut machine = replica.machines.get(id)?.value.clone();
-    machine.life = MachineLifecycle::Draining;
+    machine.lifecycle = MachineLifecycle::Draining;
     let shard_id = replica.zone_shard_of(id)?.to_string();
     let shard = replica.zone_shards.get(&shard_id)?;
     let mut record = shard.value.clone();
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -1,7 +1,7 @@
 //! Draining of machines that the cloud takes back: no new work goes there, and
 //! what runs there saves its progress while there is time.
 
-use super::lifecycle::set_life;
+use super::lifecycle::set_lifecycle;
 use crate::controller::Controller;
 use crate::scheduler::COMMIT_BYTES;
 use crate::state::budget::RequestClass;
@@ -17,7 +17,7 @@
     for id in ids {
         if is_active_here(controller, &id) {
             tracing::info!(machine = id, "is being taken back: draining");
-            if !set_life(controller, &id, MachineLifecycle::Draining).await {
+            if !set_lifecycle(controller, &id, MachineLifecycle::Draining).await {
                 controller.fleet.borrow_mut().recalled.insert(id.clone());
                 continue;
             }
@@ -37,7 +37,8 @@
 fn is_active_here(controller: &Controller, id: &str) -> bool {
     let replica = controller.replica.borrow();
     let machine = replica.machines.get(id).map(|entry| &entry.value);
-    machine.is_some_and(|machine| machine.life == MachineLifecycle::Active) && controller.holds(id)
+    machine.is_some_and(|machine| machine.lifecycle == MachineLifecycle::Active)
+        && controller.owns(id)
 }
 
 /// The commit that stops the work on a machine that can save its progress; as
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -1,4 +1,4 @@
-//! Machines that the renter sends away: without a holder, without work that is
+//! Machines that the renter sends away: without a owner, without work that is
 //! worth their price, drained, or not up in time.
 
 use std::collections::HashSet;
@@ -22,7 +22,7 @@
 /// that only fills idle time.
 const MAX_FILLER_PRICE_RATIO: f64 = 4.0;
 
-/// Machines without a live holder are returned after so many leases. A zone
+/// Machines without a live owner are returned after so many leases. A zone
 /// that is partitioned off has all its machines held by controllers that are
 /// partitioned off with it: they come back together, and to return them would
 /// be to rent a third of the fleet anew.
@@ -38,7 +38,7 @@
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
         if matches!(
-            machine.life,
+            machine.lifecycle,
             MachineLifecycle::Active | MachineLifecycle::Draining
         ) && let Some(kind) = replica.type_of(&machine.kind)
         {
@@ -94,7 +94,7 @@
             return None;
         }
         let since = *fleet.empty_since.entry(id.to_string()).or_insert(self.now);
-        if machine.life == MachineLifecycle::Draining {
+        if machine.lifecycle == MachineLifecycle::Draining {
             return Some(Removal::new(
                 id,
                 MachineLifecycle::Returning,
@@ -116,8 +116,8 @@
     /// A worker whose controller is gone reports to another one soon, and is
     /// claimed by it; if not, it is gone, too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
-        let holder = self.replica.nodes.get(&machine.holder);
-        if holder.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
+        let owner = self.replica.nodes.get(&machine.owner);
+        if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
             fleet.first_seen.remove(id);
             return false;
         }
@@ -145,7 +145,7 @@
         ) {
             return true;
         }
-        let draining = machine.life == MachineLifecycle::Draining;
+        let draining = machine.lifecycle == MachineLifecycle::Draining;
         if draining {
             fleet.recalled.insert(id.to_string());
         }
@@ -203,7 +203,7 @@
 ) -> Vec<Removal> {
     let is_up = |id: &str| {
         let machine = replica.machines.get(id).map(|entry| &entry.value);
-        machine.is_some_and(|machine| machine.life == MachineLifecycle::Active)
+        machine.is_some_and(|machine| machine.lifecycle == MachineLifecycle::Active)
     };
     fleet.boots.observe(booting(replica), is_up, now);
     let mut removals = Vec::new();
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -13,30 +13,37 @@
 
 /// A machine's next state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct LifeChange {
+pub(super) struct LifecycleChange {
     pub(super) machine: String,
-    pub(super) life: MachineLifecycle,
+    pub(super) lifecycle: MachineLifecycle,
 }
 
-impl LifeChange {
-    pub(super) fn new(machine: &str, life: MachineLifecycle) -> Self {
-        LifeChange {
+impl LifecycleChange {
+    pub(super) fn new(machine: &str, lifecycle: MachineLifecycle) -> Self {
+        LifecycleChange {
             machine: machine.to_string(),
-            life,
+            lifecycle,
         }
     }
 }
 
 /// Writes one machine's new state; whether it is written.
-pub(super) async fn set_life(controller: &Controller, id: &str, life: MachineLifecycle) -> bool {
-    let changed = set_lives(controller, &[LifeChange::new(id, life)]).await;
+pub(super) async fn set_lifecycle(
+    controller: &Controller,
+    id: &str,
+    lifecycle: MachineLifecycle,
+) -> bool {
+    let changed = set_lifecycles(controller, &[LifecycleChange::new(id, lifecycle)]).await;
     changed.contains(id)
 }
 
 /// Writes machines' new states, taking them out of their zone shards' records unless
 /// they stay active; as many as one commit holds, and tells which. Guarded by
 /// the zone shards, too, so that no booking slips in between.
-pub(super) async fn set_lives(controller: &Controller, changes: &[LifeChange]) -> HashSet<String> {
+pub(super) async fn set_lifecycles(
+    controller: &Controller,
+    changes: &[LifecycleChange],
+) -> HashSet<String> {
     let (mut changed, guards, writes) = {
         let replica = controller.replica.borrow();
         let mut commit = LifeCommit::new(&replica, controller.settings.txn_ops());
@@ -89,7 +96,7 @@
     }
 
     /// Adds a change if it is one and there is room for it.
-    fn add(&mut self, change: &LifeChange) {
+    fn add(&mut self, change: &LifecycleChange) {
         let id = &change.machine;
         let Some(entry) = self.replica.machines.get(id) else {
             return;
@@ -98,13 +105,13 @@
         let machine_shard = shard_id(&machine.zone, &machine.shard);
         let shard = self.replica.zone_shard_of(id);
         let shard = shard.map_or_else(|| machine_shard.clone(), |shard| shard.to_string());
-        if !may_become(&machine, change.life) || !self.has_room(&machine_shard, &shard) {
+        if !may_become(&machine, change.lifecycle) || !self.has_room(&machine_shard, &shard) {
             return;
         }
-        machine.life = change.life;
+        machine.lifecycle = change.lifecycle;
         self.machine_shards.put(id, machine);
         self.changed.insert(id.clone());
-        if change.life != MachineLifecycle::Active {
+        if change.lifecycle != MachineLifecycle::Active {
             self.leave_shard(id, shard);
         }
     }
@@ -123,7 +130,7 @@
     }
 
     /// Takes a machine out of its zone shard's record. The zone shard is guarded even if
-    /// the machine is not in its record: its holder could be putting it there
+    /// the machine is not in its record: its owner could be putting it there
     /// just now.
     fn leave_shard(&mut self, id: &str, shard: String) {
         let Some(entry) = self.replica.zone_shards.get(&shard) else {
@@ -155,10 +162,10 @@
 }
 
 /// Safety 5: returning is never undone.
-fn may_become(machine: &Machine, life: MachineLifecycle) -> bool {
-    match machine.life {
+fn may_become(machine: &Machine, lifecycle: MachineLifecycle) -> bool {
+    match machine.lifecycle {
         MachineLifecycle::Gone => false,
-        MachineLifecycle::Returning => life == MachineLifecycle::Gone,
-        current => current != life,
+        MachineLifecycle::Returning => lifecycle == MachineLifecycle::Gone,
+        current => current != lifecycle,
     }
 }
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-use super::lifecycle::{LifeChange, set_lives};
+use super::lifecycle::{LifecycleChange, set_lifecycles};
 use super::rentals::rental_of;
 use super::state::FleetState;
 use crate::controller::Controller;
@@ -62,12 +62,12 @@
         compare(&replica, &mut fleet, &listed, controller.settings.lease())
     };
     record_machines(controller, &differences.new).await;
-    let returning: Vec<LifeChange> = differences
+    let returning: Vec<LifecycleChange> = differences
         .failed
         .iter()
-        .map(|id| LifeChange::new(id, MachineLifecycle::Returning))
+        .map(|id| LifecycleChange::new(id, MachineLifecycle::Returning))
         .collect();
-    set_lives(controller, &returning).await;
+    set_lifecycles(controller, &returning).await;
 }
 
 /// All pages of the cloud's list.
@@ -107,7 +107,7 @@
     for machine in listed {
         let has_failed = machine.stage == ListedStage::Failed;
         if let Some(known) = replica.machines.get(&machine.id) {
-            if has_failed && known.value.life != MachineLifecycle::Gone {
+            if has_failed && known.value.lifecycle != MachineLifecycle::Gone {
                 differences.failed.push(machine.id.clone());
             }
         } else if fleet.gone.contains_key(&machine.id) {
@@ -137,7 +137,7 @@
 pub(super) fn rented_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
     let (_, rental) = rental_of(replica, id)?;
     let machine = Machine {
-        life: MachineLifecycle::Returning,
+        lifecycle: MachineLifecycle::Returning,
         spot: rental.value.spot,
         ..Machine::new(&rental.value.kind, &rental.value.zone)
     };
@@ -166,7 +166,7 @@
                 continue;
             };
             machine.shard = shard;
-            recorded.push((id, machine.life));
+            recorded.push((id, machine.lifecycle));
             machine_shards.put(id, machine);
         }
         machine_shards.into_commit()
@@ -179,8 +179,8 @@
         .await
     {
         Ok(_) => {
-            for (machine, life) in recorded {
-                tracing::info!(machine, ?life, "taken up");
+            for (machine, lifecycle) in recorded {
+                tracing::info!(machine, ?lifecycle, "taken up");
             }
         }
         Err(error) => tracing::debug!(%error, "machines not taken up"),
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,7 +1,7 @@
 //! Removal of machines from service: decided, decided again once the budget of
 //! writes is there, and then written.
 
-use super::lifecycle::{LifeChange, set_lives};
+use super::lifecycle::{LifecycleChange, set_lifecycles};
 use super::list::{NewMachine, record_machines, rented_but_not_up};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
@@ -49,15 +49,15 @@
 pub(super) struct Removal {
     pub(super) machine: String,
     /// Its next state: draining or returning.
-    pub(super) life: MachineLifecycle,
+    pub(super) lifecycle: MachineLifecycle,
     pub(super) reason: Reason,
 }
 
 impl Removal {
-    pub(super) fn new(machine: &str, life: MachineLifecycle, reason: Reason) -> Self {
+    pub(super) fn new(machine: &str, lifecycle: MachineLifecycle, reason: Reason) -> Self {
         Removal {
             machine: machine.to_string(),
-            life,
+            lifecycle,
             reason,
         }
     }
@@ -96,16 +96,16 @@
 }
 
 async fn change_recorded(controller: &Controller, removals: &[Removal]) {
-    let changes: Vec<LifeChange> = removals
+    let changes: Vec<LifecycleChange> = removals
         .iter()
-        .map(|removal| LifeChange::new(&removal.machine, removal.life))
+        .map(|removal| LifecycleChange::new(&removal.machine, removal.lifecycle))
         .collect();
-    let changed = set_lives(controller, &changes).await;
+    let changed = set_lifecycles(controller, &changes).await;
     for removal in removals {
         if changed.contains(&removal.machine) {
             tracing::info!(
                 machine = removal.machine,
-                life = ?removal.life,
+                lifecycle = ?removal.lifecycle,
                 why = removal.reason.as_str(),
                 "leaves service"
             );
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -5,7 +5,7 @@
 use shares::release_machines;
 use tokio::time::Instant;
 
-use super::lifecycle::{LifeChange, set_lives};
+use super::lifecycle::{LifecycleChange, set_lifecycles};
 use super::rentals::rental_of;
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
@@ -40,11 +40,11 @@
     drop_records(controller, &gone).await;
 }
 
-fn machines_in(replica: &Replica, life: MachineLifecycle) -> impl Iterator<Item = &String> {
+fn machines_in(replica: &Replica, lifecycle: MachineLifecycle) -> impl Iterator<Item = &String> {
     replica
         .machines
         .iter()
-        .filter(move |(_, entry)| entry.value.life == life)
+        .filter(move |(_, entry)| entry.value.lifecycle == lifecycle)
         .map(|(id, _)| id)
 }
 
@@ -71,11 +71,11 @@
         let is_booked = |id: &String| replica.bookings.contains_key(id);
         returned.iter().cloned().partition(is_booked)
     };
-    let changes: Vec<LifeChange> = booked
+    let changes: Vec<LifecycleChange> = booked
         .iter()
-        .map(|id| LifeChange::new(id, MachineLifecycle::Gone))
+        .map(|id| LifecycleChange::new(id, MachineLifecycle::Gone))
         .collect();
-    set_lives(controller, &changes).await;
+    set_lifecycles(controller, &changes).await;
     drop_records(controller, &empty).await;
     let mut fleet = controller.fleet.borrow_mut();
     for id in returned {
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -1,6 +1,6 @@
-//! Machines that their holder sends away: silent, unreachable and faulty ones.
+//! Machines that their owner sends away: silent, unreachable and faulty ones.
 //!
-//! Only the holder knows when a machine was last heard: what another controller
+//! Only the owner knows when a machine was last heard: what another controller
 //! has not told is no sign of silence.
 
 use std::collections::{HashMap, HashSet};
@@ -111,11 +111,11 @@
         machine: &Machine,
         owned_worker: &OwnedWorker,
     ) -> Option<Removal> {
-        let is_held = machine.token == owned_worker.token
+        let is_held = machine.fencing_token == owned_worker.fencing_token
             && machine.incarnation == self.controller.incarnation;
         if !is_held
             || !matches!(
-                machine.life,
+                machine.lifecycle,
                 MachineLifecycle::Active | MachineLifecycle::Draining
             )
         {
@@ -135,7 +135,7 @@
                 Reason::Unreachable,
             ));
         }
-        let is_active = machine.life == MachineLifecycle::Active;
+        let is_active = machine.lifecycle == MachineLifecycle::Active;
         (is_active && health(self.controller, self.replica, id, owned_worker) == Health::Faulty)
             .then(|| Removal::new(id, MachineLifecycle::Draining, Reason::Faulty))
     }
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -10,7 +10,7 @@
 use super::offers::Offer;
 use crate::controller::skipped;
 use crate::state::budget::Bucket;
-use crate::wire::Report;
+use crate::wire::WorkerStatus;
 
 /// A worker that has not taken up its token for longer than this times its
 /// lease cannot be reached.
@@ -42,12 +42,12 @@
 pub struct FleetState {
     /// The last report of a worker that asked to be claimed, without tasks:
     /// its address and its kind.
-    pub reports: HashMap<String, Report>,
+    pub reports: HashMap<String, WorkerStatus>,
     /// When a machine was last sent to its home, and whether it was soon back.
     pub sent_home: HashMap<String, (Instant, bool)>,
     /// Since when a worker is kept here that waits to be claimed.
     pub kept: HashMap<String, Instant>,
-    /// When a machine was last sent back to its holder.
+    /// When a machine was last sent back to its owner.
     pub sent_back: HashMap<String, Instant>,
     /// When any was sent home that another controller holds.
     pub last_sent_home: Option<Instant>,
@@ -59,7 +59,7 @@
     pub(super) boots: BootHistory,
     /// Since when machines have had no work that keeps them rented.
     pub(super) empty_since: HashMap<String, Instant>,
-    /// Since when machines boot, or have a holder that is not up.
+    /// Since when machines boot, or have a owner that is not up.
     pub(super) first_seen: HashMap<String, Instant>,
     /// Machines whose live reports show a token below the recorded one.
     stale: HashMap<String, StaleReports>,
@@ -94,17 +94,17 @@
     /// another, and is not claimed again and again: it goes back.
     pub fn is_unreachable(
         &mut self,
-        report: &Report,
-        token: u64,
+        report: &WorkerStatus,
+        fencing_token: u64,
         lease: Duration,
         now: Instant,
     ) -> bool {
         let id = &report.machine;
-        if report.token >= token {
+        if report.fencing_token >= fencing_token {
             self.stale.remove(id);
             return false;
         }
-        let number = (report.session, report.seq);
+        let number = (report.epoch, report.sequence);
         let fresh = StaleReports {
             first: now,
             last: now,
@@ -161,7 +161,7 @@
     }
 
     /// Keeps the report of a worker that asks to be claimed, without its tasks.
-    pub fn remember(&mut self, report: &Report) {
+    pub fn remember(&mut self, report: &WorkerStatus) {
         let mut kept = report.clone();
         kept.tasks = Vec::new();
         self.reports.insert(report.machine.clone(), kept);
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -15,7 +15,7 @@
 pub fn census(replica: &Replica) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for entry in replica.machines.values() {
-        let name = match entry.value.life {
+        let name = match entry.value.lifecycle {
             MachineLifecycle::Booting => "booting",
             MachineLifecycle::Active => "active",
             MachineLifecycle::Draining => "draining",
@@ -117,5 +117,5 @@
 }
 
 fn is_active(machine: &Machine) -> bool {
-    machine.life == MachineLifecycle::Active
+    machine.lifecycle == MachineLifecycle::Active
 }
--- a/src/ops/messages.rs
+++ b/src/ops/messages.rs
@@ -111,7 +111,7 @@
 
 /// What is unfinished or late, one page of the jobs.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct FleetReport {
     /// The name of the controller that reports.
     #[serde(rename = "node")]
     pub controller: String,
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -15,7 +15,7 @@
 use crate::controller::Controller;
 use crate::http::{Response, query_value};
 
-pub use messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+pub use messages::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
 
 /// The response to `GET /ops/job/{id}`: a [`JobStory`].
 pub fn job(controller: &Controller, id: &str) -> Response {
@@ -30,7 +30,7 @@
     Response::json(200, &Snapshot::new(controller).teams())
 }
 
-/// The response to `GET /ops/report`: a page of the [`Report`], with jobs in
+/// The response to `GET /ops/report`: a page of the [`FleetReport`], with jobs in
 /// the order of their ids, beginning after the one that the query names.
 pub fn report(controller: &Controller, query: &str) -> Response {
     let after = query_value(query, "after").unwrap_or("");
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::messages::{JobStory, Report, RunStory, TeamStory, UnfinishedJob};
+use super::messages::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
 use super::reason::PendingReason;
 use crate::api::state_of;
 use crate::cloud;
@@ -109,7 +109,7 @@
     }
 
     /// The page of unfinished jobs after the id `after`, with totals over all.
-    pub(super) fn report(&self, after: &str) -> Report {
+    pub(super) fn report(&self, after: &str) -> FleetReport {
         let unfinished: Vec<Unfinished> = self.unfinished().collect();
         let mut jobs: Vec<UnfinishedJob> = unfinished
             .iter()
@@ -122,7 +122,7 @@
         let count = |condition: fn(&Unfinished) -> bool| {
             unfinished.iter().filter(|entry| condition(entry)).count()
         };
-        Report {
+        FleetReport {
             controller: self.controller.name().to_string(),
             state_age_s: self
                 .controller
@@ -183,7 +183,8 @@
             .collect();
         let machines = self.replica.machines.iter();
         let with_work = machines.filter(|(id, machine)| {
-            machine.value.life != MachineLifecycle::Gone && self.replica.bookings.contains_key(*id)
+            machine.value.lifecycle != MachineLifecycle::Gone
+                && self.replica.bookings.contains_key(*id)
         });
         counts.insert(MACHINES_WITH_WORK.into(), with_work.count());
         counts
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -89,7 +89,7 @@
         };
         // The upper bound is quickly told.
         let upper_bound = |(name, machine): (&String, &Machine)| {
-            name.len() * 2 + machine_entry_bytes("", &machine.kind, machine.holder.len())
+            name.len() * 2 + machine_entry_bytes("", &machine.kind, machine.owner.len())
         };
         machine_shard.machines.len() > 1
             && machine_shard
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -293,10 +293,10 @@
         incarnation: u64,
     ) -> Option<String> {
         let machine = &self.replica.machines.get(&key.machine)?.value;
-        let same_claim = machine.holder == controller
+        let same_claim = machine.owner == controller
             && machine.incarnation == incarnation
-            && machine.token == proof.token;
-        let proven = machine.life == MachineLifecycle::Gone || same_claim;
+            && machine.fencing_token == proof.fencing_token;
+        let proven = machine.lifecycle == MachineLifecycle::Gone || same_claim;
         proven.then(|| shard_id(&machine.zone, &machine.shard))
     }
 
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -12,8 +12,8 @@
 
 // --- a machine shard -----------------------------------------------------------------
 
-/// Machines of a machine shard that have holder, incarnation, life, type and kind in
-/// common; of each prefix and width a text: number, token, session and report.
+/// Machines of a machine shard that have owner, incarnation, lifecycle, type and kind in
+/// common; of each prefix and width a text: number, token, epoch and report.
 #[derive(Debug, Serialize, Deserialize)]
 struct Members(
     String,
@@ -63,7 +63,13 @@
     type RequestClass<'a> = (&'a str, u64, MachineLifecycle, &'a str, bool);
     let mut classes: BTreeMap<RequestClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
     for (name, m) in &machine_shard.machines {
-        let class = (m.holder.as_str(), m.incarnation, m.life, &*m.kind, m.spot);
+        let class = (
+            m.owner.as_str(),
+            m.incarnation,
+            m.lifecycle,
+            &*m.kind,
+            m.spot,
+        );
         let (prefix, width, number) = split_name(name);
         let texts = classes.entry(class).or_default();
         let text = texts.entry((prefix, width)).or_default();
@@ -71,20 +77,20 @@
             text.push(' ');
         }
         push_number(text, u64::from(number));
-        for figure in [m.token, m.seen.0, m.seen.1] {
+        for figure in [m.fencing_token, m.seen.0, m.seen.1] {
             text.push('.');
             push_number(text, figure);
         }
     }
     let members: Vec<Members> = classes
         .into_iter()
-        .map(|((holder, incarnation, life, kind, spot), texts)| {
+        .map(|((owner, incarnation, lifecycle, kind, spot), texts)| {
             let texts = texts.into_iter();
             let texts = texts.map(|((prefix, width), text)| (prefix.to_string(), width, text));
             Members(
-                holder.to_string(),
+                owner.to_string(),
                 incarnation,
-                life,
+                lifecycle,
                 kind.to_string(),
                 u8::from(spot),
                 texts.collect(),
@@ -125,18 +131,18 @@
         fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
             let mut all = BTreeMap::new();
             while let Some(class) = seq.next_element()? {
-                let Members(holder, incarnation, life, kind, spot, texts) = class;
+                let Members(owner, incarnation, lifecycle, kind, spot, texts) = class;
                 for (prefix, width, text) in texts {
                     for one in text.split(' ') {
-                        let Some((number, token, seen)) = read_member(one) else {
+                        let Some((number, fencing_token, seen)) = read_member(one) else {
                             return Err(A::Error::custom("not a text of machines"));
                         };
                         let machine = Machine {
-                            holder: holder.clone(),
+                            owner: owner.clone(),
                             incarnation,
-                            token,
+                            fencing_token,
                             seen,
-                            life,
+                            lifecycle,
                             spot: spot != 0,
                             ..Machine::new(&kind, "")
                         };
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -31,7 +31,7 @@
     /// planning takes the type's room less the bookings that stand by then.
     #[serde(rename = "f", default)]
     pub free: Resources,
-    /// What tasks take there that nobody has booked, as its holder reported.
+    /// What tasks take there that nobody has booked, as its owner reported.
     #[serde(rename = "o", default, skip_serializing_if = "Resources::is_empty")]
     pub unbooked: Resources,
 }
@@ -91,8 +91,8 @@
 
 /// The most that a machine takes of its machine shard's record: names, quotes and
 /// marks, the incarnation and the token.
-pub fn machine_entry_bytes(machine: &str, kind: &str, holder: usize) -> usize {
-    machine.len() + kind.len() + holder + 110
+pub fn machine_entry_bytes(machine: &str, kind: &str, owner: usize) -> usize {
+    machine.len() + kind.len() + owner + 110
 }
 
 /// One machine, as its machine shard has it.
@@ -100,21 +100,21 @@
 pub struct Machine {
     /// The controller that commands it; empty if none has claimed it.
     #[serde(rename = "h", default)]
-    pub holder: String,
-    /// The incarnation of the holder that bumped the token: after a restart
+    pub owner: String,
+    /// The incarnation of the owner that bumped the token: after a restart
     /// the same node must bump it again before it gives orders.
     #[serde(rename = "i", default)]
     pub incarnation: u64,
-    /// The fencing token of the holder's commands.
+    /// The fencing token of the owner's commands.
     #[serde(rename = "k", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session and number of the report that it was last claimed on: one that
     /// is no newer is a late copy, whoever it comes to.
     #[serde(rename = "s", default)]
     pub seen: (u64, u64),
     /// How far it has come.
     #[serde(rename = "f")]
-    pub life: MachineLifecycle,
+    pub lifecycle: MachineLifecycle,
     /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
@@ -134,11 +134,11 @@
     /// One that nobody has claimed yet.
     pub fn new(kind: &str, zone: &str) -> Self {
         Machine {
-            holder: String::new(),
+            owner: String::new(),
             incarnation: 0,
-            token: 0,
+            fencing_token: 0,
             seen: (0, 0),
-            life: MachineLifecycle::Booting,
+            lifecycle: MachineLifecycle::Booting,
             kind: kind.to_string(),
             zone: zone.to_string(),
             spot: false,
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -123,7 +123,7 @@
                 let room = self.resources_of(&machine.kind);
                 sums.on_record += room;
                 if matches!(
-                    machine.life,
+                    machine.lifecycle,
                     MachineLifecycle::Booting | MachineLifecycle::Active
                 ) {
                     sums.staying += room;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -201,7 +201,7 @@
 
 /// One task in a worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task, such as `job-000412/3`; PROTOCOL's `board`.
     #[serde(rename = "board")]
     pub task: String,
@@ -222,7 +222,7 @@
 /// A worker's heartbeat, the body of `POST /agent/beat`; also its response to
 /// direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerStatus {
     /// The machine's id; PROTOCOL's `bay`.
     #[serde(rename = "bay")]
     pub machine: String,
@@ -241,14 +241,14 @@
     /// Starts at 1 and grows whenever the worker's lease expires; PROTOCOL's
     /// `shift`.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub epoch: u64,
     /// Grows with every message of the worker; PROTOCOL's `tally`. Of two
-    /// messages the one with the larger session and number is newer.
+    /// messages the one with the larger epoch and number is newer.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest fencing token that the worker has seen; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine back, if it has said so;
     /// PROTOCOL's `recall_s`.
     #[serde(rename = "recall_s", default)]
@@ -256,7 +256,7 @@
     /// All tasks on the machine, ended ones until they are forgotten;
     /// PROTOCOL's `boards`.
     #[serde(rename = "boards", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What a command tells a worker to do.
@@ -296,7 +296,7 @@
     /// The fencing token; a worker drops a lower one than it has seen.
     /// PROTOCOL's `baton`.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
     pub orders: Vec<WorkerCommand>,
@@ -307,10 +307,10 @@
 pub struct WorkerCommands {
     /// The fencing token; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
-    pub token: u64,
-    /// The session that the commands are meant for; PROTOCOL's `shift`.
+    pub fencing_token: u64,
+    /// The epoch that the commands are meant for; PROTOCOL's `shift`.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub epoch: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
     pub orders: Vec<WorkerCommand>,
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -1,6 +1,6 @@
-//! Claims: how this controller becomes the holder of machines.
+//! Claims: how this controller becomes the owner of machines.
 //!
-//! A claim writes this controller as the holder into the machine's record, under a
+//! A claim writes this controller as the owner into the machine's record, under a
 //! token one above the highest known. Heartbeats ask for claims; several are
 //! committed at a time.
 
@@ -19,7 +19,7 @@
 use crate::state::client::StoreError;
 use crate::state::keys::{machine_shard_key, shard_id};
 use crate::state::records::{Machine, MachineLifecycle};
-use crate::wire::{Guard, Report, Write};
+use crate::wire::{Guard, WorkerStatus, Write};
 
 /// How long a heartbeat waits for its claim: a worker drops an answer that takes
 /// 4 s, so one that cannot be claimed soon is refused while that still helps it.
@@ -49,7 +49,7 @@
     /// controller meanwhile is not to be drawn back.
     asked: Instant,
     /// The machine's token in the replica when it was asked for.
-    token: u64,
+    fencing_token: u64,
     /// The worker has to be told to stop something.
     urgent: bool,
 }
@@ -73,8 +73,8 @@
 /// A claim as its commit records it.
 struct TakenClaim {
     machine: String,
-    token: u64,
-    /// The newest (session, seq) of the worker by the machine's record.
+    fencing_token: u64,
+    /// The newest (epoch, seq) of the worker by the machine's record.
     seen: (u64, u64),
 }
 
@@ -91,12 +91,12 @@
 impl Controller {
     /// Whether this run of the controller holds the machine, as far as its view
     /// tells.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn owns(&self, id: &str) -> bool {
         let replica = self.replica.borrow();
         let owned_workers = self.owned_workers.borrow();
         match (owned_workers.get(id), replica.machines.get(id)) {
             (Some(owned_worker), Some(machine)) => {
-                owned_worker.token == machine.value.token
+                owned_worker.fencing_token == machine.value.fencing_token
                     && machine.value.incarnation == self.incarnation
             }
             _ => false,
@@ -107,21 +107,24 @@
     pub(super) fn ask_claim(
         &self,
         id: &str,
-        report: &Report,
+        report: &WorkerStatus,
         urgent: bool,
     ) -> watch::Receiver<ClaimProgress> {
         self.fleet.borrow_mut().remember(report);
         let asked = Instant::now();
         let replica = self.replica.borrow();
-        let token = replica.machines.get(id).map_or(0, |e| e.value.token);
+        let fencing_token = replica
+            .machines
+            .get(id)
+            .map_or(0, |e| e.value.fencing_token);
         let mut claims = self.claims.borrow_mut();
         let claim = claims.entry(id.to_string()).or_insert_with(|| Claim {
             progress: watch::Sender::new(ClaimProgress::Pending),
             asked,
-            token,
+            fencing_token,
             urgent,
         });
-        claim.token = token;
+        claim.fencing_token = fencing_token;
         claim.asked = asked;
         claim.urgent |= urgent;
         claim.progress.send_replace(ClaimProgress::Pending);
@@ -132,14 +135,14 @@
 
     /// Claims the machine and waits for the commit; true if it is held then. What
     /// the state service refuses is not waited for.
-    pub(super) async fn claim(&self, id: &str, report: &Report) -> bool {
+    pub(super) async fn claim(&self, id: &str, report: &WorkerStatus) -> bool {
         let mut progress = self.ask_claim(id, report, true);
         if self.claims_awaited.get() < self.max_claims_awaited() {
             let _waiting = WaitingHeartbeat::new(&self.claims_awaited);
             let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
             let _ = timeout(CLAIM_WAIT, answered).await;
         }
-        self.holds(id)
+        self.owns(id)
     }
 
     /// How many heartbeats may wait for their claims, each with its connection.
@@ -236,10 +239,10 @@
     let fresh = controller.settings.report() * 2;
     controller.claims.borrow_mut().retain(|id, claim| {
         let known = replica.machines.get(id).map(|e| &e.value);
-        let ours = known.is_none_or(|m| m.holder.is_empty() || m.holder == controller.name());
+        let ours = known.is_none_or(|m| m.owner.is_empty() || m.owner == controller.name());
         // If another was quicker and the worker is here all the same, its next
         // report asks again.
-        let quicker = known.is_some_and(|m| m.token > claim.token);
+        let quicker = known.is_some_and(|m| m.fencing_token > claim.fencing_token);
         ours || (!quicker && now.saturating_duration_since(claim.asked) < fresh)
     });
 }
@@ -283,13 +286,13 @@
             continue;
         };
         batch.decided.push(id.clone());
-        if machine.life == MachineLifecycle::Gone {
+        if machine.lifecycle == MachineLifecycle::Gone {
             continue;
         }
         let machine = claimed(controller, machine, report);
         batch.taken.push(TakenClaim {
             machine: id.clone(),
-            token: machine.token,
+            fencing_token: machine.fencing_token,
             seen: machine.seen,
         });
         machine_shards.put(id, machine);
@@ -304,7 +307,7 @@
     controller: &Controller,
     machine_shards: &mut MachineShardEdits,
     id: &str,
-    report: &Report,
+    report: &WorkerStatus,
 ) -> Option<Machine> {
     let (kind, zone) = (&report.kind, &report.zone);
     let shard = machine_shards.new_shard(&controller.settings, id, kind, zone)?;
@@ -316,14 +319,14 @@
 }
 
 /// The record of a machine once this controller has claimed it.
-fn claimed(controller: &Controller, mut machine: Machine, report: &Report) -> Machine {
-    if machine.life == MachineLifecycle::Booting {
-        machine.life = MachineLifecycle::Active;
+fn claimed(controller: &Controller, mut machine: Machine, report: &WorkerStatus) -> Machine {
+    if machine.lifecycle == MachineLifecycle::Booting {
+        machine.lifecycle = MachineLifecycle::Active;
     }
-    machine.token = machine.token.max(report.token) + 1;
-    machine.holder = controller.name().to_string();
+    machine.fencing_token = machine.fencing_token.max(report.fencing_token) + 1;
+    machine.owner = controller.name().to_string();
     machine.incarnation = controller.incarnation;
-    machine.seen = machine.seen.max((report.session, report.seq));
+    machine.seen = machine.seen.max((report.epoch, report.sequence));
     machine
 }
 
@@ -342,7 +345,7 @@
     result
 }
 
-/// Ends that wait to be recorded stay proven when this controller, holder
+/// Ends that wait to be recorded stay proven when this controller, owner
 /// throughout, has only taken a newer token: the commit of the claim shows that
 /// nobody else held the machine in between, and nothing was launched since.
 fn keep_proofs(controller: &Controller, taken: &[TakenClaim]) {
@@ -350,16 +353,16 @@
     let renewed: HashMap<&str, (u64, u64)> = taken
         .iter()
         .filter_map(|c| {
-            let before = owned_workers.get(&c.machine)?.token;
-            Some((c.machine.as_str(), (before, c.token)))
+            let before = owned_workers.get(&c.machine)?.fencing_token;
+            Some((c.machine.as_str(), (before, c.fencing_token)))
         })
         .filter(|(_, (before, after))| before + 1 == *after)
         .collect();
     for (key, proof) in controller.ends.borrow_mut().iter_mut() {
         if let Some((before, after)) = renewed.get(key.machine.as_str())
-            && proof.token == *before
+            && proof.fencing_token == *before
         {
-            proof.token = *after;
+            proof.fencing_token = *after;
         }
     }
 }
@@ -368,17 +371,17 @@
 fn take_over(controller: &Controller, claim: TakenClaim, revision: u64, now: Instant) {
     let TakenClaim {
         machine,
-        token,
-        seen: (session, seq),
+        fencing_token,
+        seen: (epoch, sequence),
     } = claim;
-    tracing::info!(machine, token, "claimed");
+    tracing::info!(machine, fencing_token, "claimed");
     let mut owned_workers = controller.owned_workers.borrow_mut();
-    let mut owned_worker = OwnedWorker::new(token, revision, now);
+    let mut owned_worker = OwnedWorker::new(fencing_token, revision, now);
     if let Some(earlier) = owned_workers.get(&machine) {
         owned_worker.follow(earlier);
     }
     // The report that asked for the claim is yet to be taken.
-    let before = (session, seq.saturating_sub(1));
+    let before = (epoch, sequence.saturating_sub(1));
     owned_worker.newest_heartbeat = owned_worker.newest_heartbeat.max(before);
     owned_workers.insert(machine, owned_worker);
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -9,7 +9,7 @@
 use super::{OwnedWorker, Plan, reconcile};
 use crate::controller::Controller;
 use crate::http::{CallError, Deadlines, Response};
-use crate::wire::{CommandKind, Report, WorkerCommand, WorkerCommands};
+use crate::wire::{CommandKind, WorkerCommand, WorkerCommands, WorkerStatus};
 
 /// How long a worker waits for the answers to its own reports; longer calls to it
 /// are given up as well.
@@ -71,19 +71,19 @@
         self.commands_wanted.notify_one();
     }
 
-    fn known_report(&self, id: &str) -> Option<Report> {
+    fn known_report(&self, id: &str) -> Option<WorkerStatus> {
         self.fleet.borrow().reports.get(id).cloned()
     }
 
-    /// Where the worker takes calls, and the session that it is in.
+    /// Where the worker takes calls, and the epoch that it is in.
     fn endpoint(&self, id: &str, owned_worker: &OwnedWorker) -> Option<(String, u64)> {
         let fleet = self.fleet.borrow();
         let known = fleet.reports.get(id)?;
-        let session = owned_worker
+        let epoch = owned_worker
             .report
             .as_ref()
-            .map_or(known.session, |r| r.session);
-        Some((known.addr.clone(), session))
+            .map_or(known.epoch, |r| r.epoch);
+        Some((known.addr.clone(), epoch))
     }
 }
 
@@ -121,7 +121,7 @@
     if !controller.owned_workers.borrow().contains_key(id) {
         return None;
     }
-    if !controller.holds(id) {
+    if !controller.owns(id) {
         drop_if_lost(controller, id);
         return None;
     }
@@ -138,7 +138,7 @@
     if plan.orders.is_empty() && !first {
         return None;
     }
-    let (addr, session) = controller.endpoint(id, owned_worker)?;
+    let (addr, epoch) = controller.endpoint(id, owned_worker)?;
     owned_worker.in_flight = true;
     for o in &plan.orders {
         tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
@@ -149,8 +149,8 @@
         addr,
         deadlines: deadlines(controller, launches(&plan.orders), now),
         body: WorkerCommands {
-            token: owned_worker.token,
-            session,
+            fencing_token: owned_worker.fencing_token,
+            epoch,
             orders: plan.orders,
         },
     })
@@ -199,7 +199,7 @@
     let mut owned_workers = controller.owned_workers.borrow_mut();
     let Some(owned_worker) = owned_workers
         .get_mut(id)
-        .filter(|h| h.token == call.body.token)
+        .filter(|h| h.fencing_token == call.body.fencing_token)
     else {
         return;
     };
@@ -258,7 +258,7 @@
     now: Instant,
 ) -> bool {
     let id = call.machine.as_str();
-    let report = match answer.parse::<Report>() {
+    let report = match answer.parse::<WorkerStatus>() {
         Ok(report) => report,
         Err(error) => {
             tracing::debug!(machine = id, %error, "report not understood");
@@ -267,12 +267,12 @@
         }
     };
     owned_worker.see(&report, controller.settings.lease(), now);
-    if report.token > call.body.token {
+    if report.fencing_token > call.body.fencing_token {
         tracing::info!(machine = id, "has seen a higher token");
         return false;
     }
     if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(id) {
-        known.session = report.session;
+        known.epoch = report.epoch;
     }
     let first = owned_worker.report.is_none();
     if owned_worker.take(report, false) && first {
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,7 +1,7 @@
 //! `POST /agent/beat`: the answer to a worker's heartbeat.
 //!
 //! The answer renews the worker's lease and carries its orders, so it is given only
-//! by the holder of the machine, only while the replica is recent (Safety 4), and only
+//! by the owner of the machine, only while the replica is recent (Safety 4), and only
 //! with the stops that the report calls for.
 
 use tokio::time::Instant;
@@ -10,7 +10,7 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::records::{Machine, MachineLifecycle};
-use crate::wire::{HeartbeatResponse, Redirect, Report, WorkerCommand};
+use crate::wire::{HeartbeatResponse, Redirect, WorkerCommand, WorkerStatus};
 
 /// A worker drops answers with a lower token than it has shown, so this one keeps
 /// it at this controller without renewing its lease.
@@ -25,7 +25,7 @@
     /// The worker executes the orders, and its lease is renewed if the token is
     /// not below the one that it has shown.
     WorkerCommands {
-        token: u64,
+        fencing_token: u64,
         orders: Vec<WorkerCommand>,
     },
     /// The worker is to report to this controller, or else to any other.
@@ -38,9 +38,12 @@
 }
 
 impl Answer {
-    fn without_orders(token: u64) -> Self {
+    fn without_orders(fencing_token: u64) -> Self {
         let orders = Vec::new();
-        Answer::WorkerCommands { token, orders }
+        Answer::WorkerCommands {
+            fencing_token,
+            orders,
+        }
     }
 
     fn unavailable(reason: &'static str) -> Self {
@@ -53,9 +56,16 @@
 
     fn into_response(self) -> Response {
         match self {
-            Answer::WorkerCommands { token, orders } => {
-                Response::json(200, &HeartbeatResponse { token, orders })
-            }
+            Answer::WorkerCommands {
+                fencing_token,
+                orders,
+            } => Response::json(
+                200,
+                &HeartbeatResponse {
+                    fencing_token,
+                    orders,
+                },
+            ),
             Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
             Answer::Unavailable {
                 reason,
@@ -70,7 +80,7 @@
 
 /// A heartbeat, with what is known of its machine when it comes.
 struct Heartbeat {
-    report: Report,
+    report: WorkerStatus,
     machine: Option<Machine>,
     received: Instant,
 }
@@ -82,18 +92,18 @@
 
     /// The token that the machine was last claimed under; zero before the first.
     fn recorded_token(&self) -> u64 {
-        self.machine.as_ref().map_or(0, |m| m.token)
+        self.machine.as_ref().map_or(0, |m| m.fencing_token)
     }
 }
 
 impl Controller {
     /// `POST /agent/beat`.
-    pub async fn heartbeat(&self, report: Report) -> Response {
+    pub async fn heartbeat(&self, report: WorkerStatus) -> Response {
         let answer = self.answer_heartbeat(report).await;
         answer.unwrap_or_else(|answer| answer).into_response()
     }
 
-    async fn answer_heartbeat(&self, report: Report) -> Step<Answer> {
+    async fn answer_heartbeat(&self, report: WorkerStatus) -> Step<Answer> {
         let received = self.liveness_tick();
         self.check_staleness()?;
         self.redirect_home(&report, received)?;
@@ -120,7 +130,7 @@
         }
     }
 
-    fn redirect_home(&self, report: &Report, now: Instant) -> Step {
+    fn redirect_home(&self, report: &WorkerStatus, now: Instant) -> Step {
         match self.send_home(report, now) {
             Some(home) => Err(Answer::Redirect(Some(home))),
             None => Ok(()),
@@ -135,9 +145,9 @@
             return Ok(());
         };
         let report = &heartbeat.report;
-        let held = self.holds(heartbeat.id());
+        let held = self.owns(heartbeat.id());
         if matches!(
-            machine.life,
+            machine.lifecycle,
             MachineLifecycle::Returning | MachineLifecycle::Gone
         ) && !held
         {
@@ -146,15 +156,15 @@
                 retry_after_s: RETURNED_RETRY_S,
             });
         }
-        if !held && (report.session, report.seq) <= machine.seen {
+        if !held && (report.epoch, report.sequence) <= machine.seen {
             return Err(Answer::unavailable("a newer report has come"));
         }
         let lease = self.settings.lease();
         let mut fleet = self.fleet.borrow_mut();
-        if fleet.is_unreachable(report, machine.token, lease, heartbeat.received) {
+        if fleet.is_unreachable(report, machine.fencing_token, lease, heartbeat.received) {
             return Err(Answer::unavailable("it does not hear"));
         }
-        if report.token > machine.token {
+        if report.fencing_token > machine.fencing_token {
             // Another controller has claimed it since; the replica will tell which.
             self.owned_workers.borrow_mut().remove(heartbeat.id());
             return Err(Answer::Redirect(None));
@@ -163,11 +173,11 @@
     }
 
     /// Whether this controller, in this run or an earlier one, is recorded as the
-    /// holder of the machine.
+    /// owner of the machine.
     fn is_recorded_holder(&self, machine: &Machine) -> bool {
-        machine.holder == self.name()
-            && machine.token > 0
-            && machine.life != MachineLifecycle::Booting
+        machine.owner == self.name()
+            && machine.fencing_token > 0
+            && machine.lifecycle != MachineLifecycle::Booting
     }
 
     /// Forgets a machine that was held here until another controller claimed it.
@@ -193,26 +203,26 @@
             return Ok(());
         };
         let report = &heartbeat.report;
-        if self.holds(heartbeat.id()) || must_stop(report, &self.replica.borrow()) {
+        if self.owns(heartbeat.id()) || must_stop(report, &self.replica.borrow()) {
             return Ok(());
         }
         self.ask_claim(heartbeat.id(), report, false);
-        Err(Answer::without_orders(machine.token))
+        Err(Answer::without_orders(machine.fencing_token))
     }
 
     /// Claims the machine unless it is held already, or sends the worker back to
-    /// its holder.
+    /// its owner.
     async fn hold(&self, heartbeat: &Heartbeat) -> Step {
         let id = heartbeat.id();
-        if self.holds(id) {
+        if self.owns(id) {
             return Ok(());
         }
-        let holder = self.send_back(id, heartbeat.machine.as_ref(), heartbeat.received);
-        if let Some(holder) = holder {
-            return Err(Answer::Redirect(Some(holder)));
+        let owner = self.send_back(id, heartbeat.machine.as_ref(), heartbeat.received);
+        if let Some(owner) = owner {
+            return Err(Answer::Redirect(Some(owner)));
         }
         let report = &heartbeat.report;
-        if report.token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
+        if report.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
             // Nobody has ever held it, so nobody can wait for its lease to run
             // out: the worker stays here until the machine is claimed.
             self.ask_claim(id, report, false);
@@ -221,7 +231,7 @@
         if self.claim(id, report).await {
             return Ok(());
         }
-        if report.token > NO_TOKEN && self.keeps(id, Instant::now()) {
+        if report.fencing_token > NO_TOKEN && self.keeps(id, Instant::now()) {
             // Its lease is not renewed, but it stays, and its claim is on its
             // way. A worker that goes on tries all controllers that are cut off,
             // and is back when its lease is over.
@@ -295,12 +305,12 @@
             }
         }
         if plan.launches() {
-            owned_worker.offered = Some((report.session, report.seq));
+            owned_worker.offered = Some((report.epoch, report.sequence));
         }
         owned_worker.note_orders(&plan.orders, heartbeat.received);
         owned_worker.answered = heartbeat.received;
         Ok(Answer::WorkerCommands {
-            token: owned_worker.token,
+            fencing_token: owned_worker.fencing_token,
             orders: plan.orders,
         })
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -9,17 +9,17 @@
 mod claims;
 mod commands;
 mod heartbeat;
+mod owned_worker;
 mod publication;
 mod reconcile;
 mod routing;
-mod session;
 mod termination;
 mod zone_shards;
 
 pub use claims::{Claim, run_claims};
 pub use commands::run_commands;
+pub use owned_worker::OwnedWorker;
 pub use publication::run_publication;
 pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
 pub use routing::home_of;
-pub use session::OwnedWorker;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
--- a/src/workers/session.rs
+++ b/src/workers/owned_worker.rs
@@ -11,19 +11,19 @@
 
 use crate::controller::skipped;
 use crate::settings::CLOCK_DRIFT;
-use crate::wire::{CommandKind, Report, WorkerCommand};
+use crate::wire::{CommandKind, WorkerCommand, WorkerStatus};
 
 /// What this controller knows of a machine that it holds, from the claim of its
 /// token on.
 #[derive(Debug)]
 pub struct OwnedWorker {
     /// The token under which we claimed it.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The revision of that claim: the replica must have reached it, or bookings
-    /// that an earlier holder acted on may be missing from it.
+    /// that an earlier owner acted on may be missing from it.
     pub claimed_at: u64,
-    /// The newest report by (session, seq) that was made under our token.
-    pub report: Option<Report>,
+    /// The newest report by (epoch, seq) that was made under our token.
+    pub report: Option<WorkerStatus>,
     /// When the worker last sent anything, a heartbeat or an answer.
     pub heard: Instant,
     /// When the last heartbeat came. A worker that answers direct orders but
@@ -38,7 +38,7 @@
     /// A direct call with launches got no answer: they may be executed late, as
     /// long as the worker has not seen a higher token.
     pub unresolved: bool,
-    /// The (session, seq) of the newest heartbeat whose answer carried launches;
+    /// The (epoch, seq) of the newest heartbeat whose answer carried launches;
     /// until a newer heartbeat has come it is not known whether the worker has
     /// executed them.
     pub offered: Option<(u64, u64)>,
@@ -53,8 +53,8 @@
     /// The newest heartbeat, whatever its token. A worker has one in flight at
     /// most: an older one is a late copy, and nobody waits for its answer.
     pub newest_heartbeat: (u64, u64),
-    /// The worker's session, and when this controller first saw it.
-    pub session: Option<(u64, Instant)>,
+    /// The worker's epoch, and when this controller first saw it.
+    pub epoch: Option<(u64, Instant)>,
     /// Since when its reports have arrived while answers and orders have not.
     pub unreachable_since: Option<Instant>,
     /// It was silent for a whole lease: that it reports again does not tell
@@ -65,9 +65,9 @@
 
 impl OwnedWorker {
     /// A machine that was claimed under `token` by the commit of this revision.
-    pub fn new(token: u64, claimed_at: u64, now: Instant) -> Self {
+    pub fn new(fencing_token: u64, claimed_at: u64, now: Instant) -> Self {
         OwnedWorker {
-            token,
+            fencing_token,
             claimed_at,
             report: None,
             heard: now,
@@ -82,7 +82,7 @@
             failed_jobs: BTreeSet::new(),
             quiet_until: now,
             newest_heartbeat: (0, 0),
-            session: None,
+            epoch: None,
             unreachable_since: None,
             unconfirmed: false,
         }
@@ -93,7 +93,7 @@
         self.failed_jobs.clone_from(&earlier.failed_jobs);
         self.newest_heartbeat = earlier.newest_heartbeat;
         self.heartbeat = earlier.heartbeat;
-        self.session = earlier.session;
+        self.epoch = earlier.epoch;
         self.unreachable_since = earlier.unreachable_since;
     }
 
@@ -106,13 +106,18 @@
             *at = skipped(*at, gap, now);
         }
         self.unreachable_since = self.unreachable_since.map(|t| skipped(t, gap, now));
-        self.session = self.session.map(|(s, t)| (s, skipped(t, gap, now)));
+        self.epoch = self.epoch.map(|(s, t)| (s, skipped(t, gap, now)));
     }
 
     /// Notes that a heartbeat has come; false for a late copy, which proves
     /// nothing: neither that the machine is alive, nor what runs there.
-    pub fn record_heartbeat(&mut self, report: &Report, lease: Duration, now: Instant) -> bool {
-        let at = (report.session, report.seq);
+    pub fn record_heartbeat(
+        &mut self,
+        report: &WorkerStatus,
+        lease: Duration,
+        now: Instant,
+    ) -> bool {
+        let at = (report.epoch, report.sequence);
         if at <= self.newest_heartbeat {
             return false;
         }
@@ -123,32 +128,32 @@
     }
 
     /// Notes what a report of either kind, a heartbeat or an answer to a direct
-    /// call, says of the worker's session.
-    pub fn see(&mut self, report: &Report, lease: Duration, now: Instant) {
+    /// call, says of the worker's epoch.
+    pub fn see(&mut self, report: &WorkerStatus, lease: Duration, now: Instant) {
         self.heard = now;
         let since = |t: Instant| now.saturating_duration_since(t);
-        // A worker that receives our answers keeps its session, and shows our
+        // A worker that receives our answers keeps its epoch, and shows our
         // token within a lease.
-        let unshown = report.token < self.token && since(self.claimed) > lease;
-        match self.session {
-            Some((s, _)) if s < report.session => {
-                // Whatever was ordered in the earlier session is gone, and late
+        let unshown = report.fencing_token < self.fencing_token && since(self.claimed) > lease;
+        match self.epoch {
+            Some((s, _)) if s < report.epoch => {
+                // Whatever was ordered in the earlier epoch is gone, and late
                 // orders for it are refused.
                 self.unresolved = false;
                 self.offered = None;
-                if since(self.answered) < lease && report.token == self.token {
+                if since(self.answered) < lease && report.fencing_token == self.fencing_token {
                     self.unreachable_since = self.unreachable_since.or(Some(now));
                 }
-                self.session = Some((report.session, now));
+                self.epoch = Some((report.epoch, now));
             }
             Some((_, first)) if !unshown && since(first) > lease.mul_f64(1.25) => {
                 self.unreachable_since = None;
             }
             Some(_) => {}
-            None => self.session = Some((report.session, now)),
+            None => self.epoch = Some((report.epoch, now)),
         }
         // A worker that cannot reach us has no lease, however well our orders
-        // reach it: what is started there ends with each session.
+        // reach it: what is started there ends with each epoch.
         let mute = since(self.heartbeat) > lease;
         if unshown || mute {
             self.unreachable_since = self.unreachable_since.or(Some(now));
@@ -158,17 +163,17 @@
     /// Takes a report if it is newer than what is known and was made under
     /// our token; true if it was taken. Safety 3: an older report proves nothing about what has
     /// been launched since.
-    pub fn take(&mut self, report: Report, is_heartbeat: bool) -> bool {
-        if report.token != self.token {
+    pub fn take(&mut self, report: WorkerStatus, is_heartbeat: bool) -> bool {
+        if report.fencing_token != self.fencing_token {
             return false;
         }
         if is_heartbeat && self.unconfirmed {
             return false;
         }
         self.unconfirmed = false;
-        let at = (report.session, report.seq);
+        let at = (report.epoch, report.sequence);
         if let Some(old) = &self.report
-            && at <= (old.session, old.seq)
+            && at <= (old.epoch, old.sequence)
         {
             return false;
         }
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -20,7 +20,7 @@
     Machine, MachineLifecycle, MachineSlot, Resources, ZoneShard, split_task,
 };
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Report, TaskReport, TaskStage};
+use crate::wire::{Guard, TaskStage, TaskStatus, WorkerStatus};
 
 /// A zone shard's record is published at most once in this time, unless machines join.
 const INTERVAL: Duration = Duration::from_secs(5);
@@ -154,7 +154,9 @@
         let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
             continue;
         };
-        if machine.incarnation != controller.incarnation || machine.token != owned_worker.token {
+        if machine.incarnation != controller.incarnation
+            || machine.fencing_token != owned_worker.fencing_token
+        {
             continue;
         }
         match planner.listing(id, owned_worker, machine) {
@@ -223,7 +225,10 @@
 
     fn listing(&self, id: &str, owned_worker: &OwnedWorker, machine: &Machine) -> Listing {
         let hears = owned_worker.unreachable_since.is_none();
-        if machine.life != MachineLifecycle::Active || self.is_quiet(id, owned_worker) || !hears {
+        if machine.lifecycle != MachineLifecycle::Active
+            || self.is_quiet(id, owned_worker)
+            || !hears
+        {
             return Listing::TakesNone;
         }
         let kind = self.replica.type_of(&machine.kind);
@@ -251,9 +256,9 @@
     }
 
     /// Tasks that nobody has booked here take room until they are gone.
-    fn unbooked(&self, id: &str, report: &Report) -> Resources {
+    fn unbooked(&self, id: &str, report: &WorkerStatus) -> Resources {
         let mut unbooked = Resources::default();
-        let needs = |task: &TaskReport| {
+        let needs = |task: &TaskStatus| {
             let (job, number) = split_task(&task.task)?;
             let job = &self.replica.jobs.get(job)?.value;
             let here = job.find(id, task.attempt, number).is_some();
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -9,7 +9,7 @@
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
 use crate::state::replica::{Entry, Replica};
-use crate::wire::{CommandKind, ExitReason, Report, TaskReport, TaskStage, WorkerCommand};
+use crate::wire::{CommandKind, ExitReason, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
 
 /// What a worker is to be told, and which bookings are to be released.
 #[derive(Debug, Default, PartialEq)]
@@ -82,12 +82,14 @@
     };
     // Safety 2: act on bookings only once the replica has reached our claim, and
     // only while the claim is still ours as far as the replica tells.
-    if replica.revision < owned_worker.claimed_at || machine.value.token != owned_worker.token {
+    if replica.revision < owned_worker.claimed_at
+        || machine.value.fencing_token != owned_worker.fencing_token
+    {
         return plan;
     }
     let reconciler = Reconciler {
         machine: id,
-        life: machine.value.life,
+        lifecycle: machine.value.lifecycle,
         owned_worker,
         replica,
         ends,
@@ -112,7 +114,7 @@
 /// What the plan of one machine depends on.
 struct Reconciler<'a> {
     machine: &'a str,
-    life: MachineLifecycle,
+    lifecycle: MachineLifecycle,
     owned_worker: &'a OwnedWorker,
     replica: &'a Replica,
     /// Ends that wait to be recorded.
@@ -132,7 +134,7 @@
     }
 
     /// Plans for a task that the worker reports.
-    fn plan_reported(&self, job: &str, number: u32, task: &TaskReport, plan: &mut Plan) {
+    fn plan_reported(&self, job: &str, number: u32, task: &TaskStatus, plan: &mut Plan) {
         let entry = self.replica.jobs.get(job);
         let booking = entry.and_then(|e| {
             let run = e.value.find(self.machine, task.attempt, number)?;
@@ -161,9 +163,9 @@
 
     /// Stops a booked task whose job is over, whose run is to end, or whose
     /// machine is to be returned.
-    fn stop_booked(&self, job: &Job, run: &Run, task: &TaskReport, plan: &mut Plan) {
+    fn stop_booked(&self, job: &Job, run: &Run, task: &TaskStatus, plan: &mut Plan) {
         let returning = matches!(
-            self.life,
+            self.lifecycle,
             MachineLifecycle::Returning | MachineLifecycle::Gone
         );
         if job.is_open() && !run.stop && !returning {
@@ -181,7 +183,7 @@
     }
 
     /// Stops a task that nobody has booked here, at once.
-    fn stop_unbooked(&self, task: &TaskReport, plan: &mut Plan) {
+    fn stop_unbooked(&self, task: &TaskStatus, plan: &mut Plan) {
         let ordered = self.stop_ordered(task);
         if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
             plan.order(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
@@ -189,7 +191,7 @@
     }
 
     /// When the task was last ordered to stop, and with how much grace.
-    fn stop_ordered(&self, task: &TaskReport) -> Option<&(Instant, f64)> {
+    fn stop_ordered(&self, task: &TaskStatus) -> Option<&(Instant, f64)> {
         self.owned_worker
             .stopped
             .get(&(task.task.clone(), task.attempt))
@@ -224,7 +226,7 @@
     ) {
         let key = self.end_key(job_id, number, run.attempt);
         let recording = self.ends.get(&key);
-        if recording.is_some_and(|proof| proof.token == self.owned_worker.token) {
+        if recording.is_some_and(|proof| proof.fencing_token == self.owned_worker.fencing_token) {
             return;
         }
         let task = format!("{job_id}/{number}");
@@ -238,7 +240,7 @@
         let job = &entry.value;
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
         let lost = run.stop || self.owned_worker.unreachable_since.is_some() || (gang && launched);
-        if !job.is_open() || self.life != MachineLifecycle::Active || lost {
+        if !job.is_open() || self.lifecycle != MachineLifecycle::Active || lost {
             plan.ends.push((key, Outcome::Lost));
         } else if entry.version <= self.replica.revision {
             plan.order(CommandKind::Start, &task, run.attempt, None);
@@ -248,9 +250,9 @@
 
 /// Whether something on the machine has to end: its lease must not be renewed by
 /// a controller that cannot order that yet. A cancelled task would outlive
-/// `cancel_s` if its holder came back again and again before it could claim the
+/// `cancel_s` if its owner came back again and again before it could claim the
 /// machine.
-pub fn must_stop(report: &Report, replica: &Replica) -> bool {
+pub fn must_stop(report: &WorkerStatus, replica: &Replica) -> bool {
     let reported = report.tasks.iter().any(|task| {
         let Some((id, number)) = split_task(&task.task) else {
             return false;
@@ -270,13 +272,13 @@
 /// report under our token nor a replica that has reached our claim, and a stop may
 /// be repeated at any time: it is not left out because it was ordered a moment
 /// ago, or is in a direct call just now, as neither may ever arrive.
-pub fn stops_of_cancelled(report: &Report, replica: &Replica) -> Vec<WorkerCommand> {
-    let cancelled = |task: &&TaskReport| {
+pub fn stops_of_cancelled(report: &WorkerStatus, replica: &Replica) -> Vec<WorkerCommand> {
+    let cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
         task.stage != TaskStage::Ended
             && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
     };
-    let stop = |task: &TaskReport| WorkerCommand {
+    let stop = |task: &TaskStatus| WorkerCommand {
         verb: CommandKind::Stop,
         task: task.task.clone(),
         attempt: task.attempt,
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -2,14 +2,14 @@
 //!
 //! A machine has a home, the controller whose name its zone shard bears: commits on its
 //! work conflict with no others there. A worker is sent home when its home is up
-//! and hears its workers, and back to the holder of its machine when it has lost
+//! and hears its workers, and back to the owner of its machine when it has lost
 //! that for a moment. Each is done seldom, as the worker may not reach it.
 
 use tokio::time::Instant;
 
 use crate::controller::Controller;
 use crate::state::records::Machine;
-use crate::wire::Report;
+use crate::wire::WorkerStatus;
 
 /// For so many leases a worker is left alone that did not reach its home.
 const LEASES_NOT_SENT_HOME: u32 = 3;
@@ -23,12 +23,12 @@
     /// The controller that a worker whose machine is held elsewhere should report
     /// to, as far as the record of the machine tells.
     pub(super) fn recorded_holder(&self, machine: &Machine) -> Option<String> {
-        (machine.holder != self.name()).then(|| machine.holder.clone())
+        (machine.owner != self.name()).then(|| machine.owner.clone())
     }
 
     /// The home that the worker is to be sent to now: another controller than this,
     /// which is up and hears its workers.
-    pub(super) fn send_home(&self, report: &Report, now: Instant) -> Option<String> {
+    pub(super) fn send_home(&self, report: &WorkerStatus, now: Instant) -> Option<String> {
         let replica = self.replica.borrow();
         let machine = replica.machines.get(&report.machine).map(|e| &e.value);
         let home = self.reachable_home(report, machine, now)?;
@@ -36,7 +36,7 @@
             return None;
         }
         // A machine that nobody holds yet costs no more there than here.
-        let free = machine.is_none_or(|m| m.holder.is_empty());
+        let free = machine.is_none_or(|m| m.owner.is_empty());
         if !free && !self.may_send_home(now) {
             return None;
         }
@@ -52,7 +52,7 @@
     /// cross no zone survive when zones are cut off from one another.
     fn reachable_home(
         &self,
-        report: &Report,
+        report: &WorkerStatus,
         machine: Option<&Machine>,
         now: Instant,
     ) -> Option<String> {
@@ -119,16 +119,16 @@
         machine: Option<&Machine>,
         now: Instant,
     ) -> Option<String> {
-        let machine = machine.filter(|m| m.holder != self.name() && m.token > 0)?;
+        let machine = machine.filter(|m| m.owner != self.name() && m.fencing_token > 0)?;
         if home_of(&machine.shard) == self.name() {
             return None;
         }
         let replica = self.replica.borrow();
-        let holder = machine.holder.as_str();
-        let up = replica.nodes.get(holder)?.value.incarnation == machine.incarnation;
+        let owner = machine.owner.as_str();
+        let up = replica.nodes.get(owner)?.value.incarnation == machine.incarnation;
         let peers = self.peers.borrow();
-        let alive = peers.alive(self, now).contains(&holder);
-        if !up || !alive || !peers.hears_workers(self, holder, now) {
+        let alive = peers.alive(self, now).contains(&owner);
+        if !up || !alive || !peers.hears_workers(self, owner, now) {
             return None;
         }
         let mut fleet = self.fleet.borrow_mut();
@@ -137,6 +137,6 @@
             return None;
         }
         fleet.sent_back.insert(id.to_string(), now);
-        Some(holder.to_string())
+        Some(owner.to_string())
     }
 }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -26,7 +26,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The token of the claim under which that was proven.
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 impl Controller {
@@ -46,8 +46,11 @@
         let mut queue = self.ends.borrow_mut();
         let owned_worker = owned_workers.get_mut(&key.machine);
         // Of a machine that is not held only the cloud's word proves an end.
-        let token = owned_worker.as_ref().map_or(0, |h| h.token);
-        if queue.get(&key).is_some_and(|proof| proof.token >= token) {
+        let fencing_token = owned_worker.as_ref().map_or(0, |h| h.fencing_token);
+        if queue
+            .get(&key)
+            .is_some_and(|proof| proof.fencing_token >= fencing_token)
+        {
             return;
         }
         if let Some(owned_worker) = owned_worker {
@@ -65,7 +68,13 @@
             ?outcome,
             "ended"
         );
-        queue.insert(key, TerminationEvidence { outcome, token });
+        queue.insert(
+            key,
+            TerminationEvidence {
+                outcome,
+                fencing_token,
+            },
+        );
     }
 }
 
@@ -79,7 +88,8 @@
         let replica = controller.replica.borrow();
         for (id, owned_worker) in owned_workers.iter_mut() {
             let held = replica.machines.get(id).is_some_and(|m| {
-                m.value.token == owned_worker.token && m.value.incarnation == controller.incarnation
+                m.value.fencing_token == owned_worker.fencing_token
+                    && m.value.incarnation == controller.incarnation
             });
             if !held || !owned_worker.lease_is_over(lease, margin, now) {
                 continue;
@@ -100,7 +110,7 @@
     let lost: Vec<_> = {
         let replica = controller.replica.borrow();
         let machines = replica.machines.iter();
-        let gone = machines.filter(|(_, m)| m.value.life == MachineLifecycle::Gone);
+        let gone = machines.filter(|(_, m)| m.value.lifecycle == MachineLifecycle::Gone);
         gone.flat_map(|(id, _)| all_bookings(&replica, id))
             .collect()
     };
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -66,7 +66,7 @@
     ///   an earlier version decided may still arrive, and knows no condition but the
     ///   zone shard's.
     /// - Then the first of its candidates with room. The machine shard is a condition:
-    ///   only its holder puts a machine anywhere, and a claim changes the machine
+    ///   only its owner puts a machine anywhere, and a claim changes the machine
     ///   shard. So are all candidates up to that one, and the machine shard's own zone
     ///   shard: a commit of ours without an answer, which may be carried out later, had
     ///   chosen by them. None of these may be newer than what the replica has wholly:
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -303,9 +303,9 @@
             shard: machine_shards
                 .new_shard(&set, &name, "grande-occhio", "a")
                 .expect("a shard"),
-            holder: "n0".into(),
+            owner: "n0".into(),
             incarnation: u64::from(u32::MAX),
-            token: 1_000_000,
+            fencing_token: 1_000_000,
             seen: (1000, 1_000_000),
             spot: true,
             ..Machine::new("grande-occhio", "a")
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -121,11 +121,11 @@
     job.book("m", "a", 1, 0);
     edit(&mut job);
     let machine = Machine {
-        holder: "n0".into(),
+        owner: "n0".into(),
         incarnation: 1,
-        token: 5,
+        fencing_token: 5,
         seen: (0, 0),
-        life: MachineLifecycle::Active,
+        lifecycle: MachineLifecycle::Active,
         kind: "small".into(),
         zone: "a".into(),
         spot: false,
@@ -146,10 +146,10 @@
     replica
 }
 
-pub fn report(seq: u64, token: u64, tasks: serde_json::Value) -> Report {
+pub fn report(sequence: u64, fencing_token: u64, tasks: serde_json::Value) -> WorkerStatus {
     serde_json::from_value(
         json!({"bay":"m","endpoint":"127.0.0.1:5","grade":"small","yard":"a",
-        "loaners":false,"shift":1,"tally":seq,"baton":token,"boards":tasks}),
+        "loaners":false,"shift":1,"tally":sequence,"baton":fencing_token,"boards":tasks}),
     )
     .expect("report")
 }
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -154,11 +154,11 @@
             "",
         ),
     ];
-    for (name, kind, token, tasks, edit, expected) in cases {
+    for (name, kind, fencing_token, tasks, edit, expected) in cases {
         let replica = held(*kind, |_| {});
         let now = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 9, now);
-        owned_worker.take(report(7, *token, (*tasks).clone()), true);
+        owned_worker.take(report(7, *fencing_token, (*tasks).clone()), true);
         edit(&mut owned_worker);
         let plan = reconcile(
             "m",
@@ -267,10 +267,10 @@
             Released::Yes,
         ),
     ];
-    for (name, token, life, incarnation, want) in cases {
+    for (name, fencing_token, lifecycle, incarnation, want) in cases {
         let mut replica = held(Kind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
-        machine.life = *life;
+        machine.lifecycle = *lifecycle;
         let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
         replica.advance(
             vec![Event::put(machine_shard_key("a/n0.0"), &machine_shard, 11)],
@@ -285,7 +285,7 @@
         let outcome = Outcome::Lost;
         let proof = TerminationEvidence {
             outcome,
-            token: *token,
+            fencing_token: *fencing_token,
         };
         let mut transaction = Transaction::new(&replica, 12);
         let got = transaction.release(&key, proof, "n0", *incarnation);
@@ -335,7 +335,7 @@
     assert!(total < w.cancel_s && total > w.cancel_s * 0.95, "{total}");
 }
 
-/// A holder that cannot give orders yet renews no lease where something has
+/// A owner that cannot give orders yet renews no lease where something has
 /// to end: a cancelled task would live on.
 #[test]
 fn leases_are_not_renewed_by_who_cannot_stop() {
@@ -374,8 +374,8 @@
     let open = held(Kind::Service, |_| {});
     let done = held(Kind::Gang, |j| j.status = JobStatus::Done);
     let over = held(Kind::Service, Job::cancel);
-    for token in [0, 5, 9] {
-        let report = report(3, token, tasks.clone());
+    for fencing_token in [0, 5, 9] {
+        let report = report(3, fencing_token, tasks.clone());
         for replica in [&open, &done] {
             assert_eq!(workers::stops_of_cancelled(&report, replica), vec![]);
         }
@@ -390,13 +390,13 @@
     }
 }
 
-/// Reports that arrive while answers do not: a session that rises although its
+/// Reports that arrive while answers do not: a epoch that rises although its
 /// heartbeats were answered, or a token that is not taken up.
 #[test]
 fn a_worker_that_hears_nothing_is_found_out() {
     let lease = Duration::from_secs(10);
     let at = |start: Instant, s: f64| start + Duration::from_secs_f64(s);
-    // (seconds, session, number, token) and whether it is deaf after that.
+    // (seconds, epoch, number, token) and whether it is deaf after that.
     type Beat = (f64, u64, u64, u64, bool);
     let cases: &[(&str, &[Beat])] = &[
         ("well", &[(1.0, 1, 1, 5, false), (12.0, 1, 12, 5, false)]),
@@ -430,11 +430,11 @@
     for (name, beats) in cases {
         let start = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 1, start);
-        for (n, (s, session, seq, token, deaf)) in beats.iter().enumerate() {
+        for (n, (s, epoch, sequence, fencing_token, deaf)) in beats.iter().enumerate() {
             let now = at(start, *s);
-            let heartbeat = Report {
-                session: *session,
-                ..report(*seq, *token, json!([]))
+            let heartbeat = WorkerStatus {
+                epoch: *epoch,
+                ..report(*sequence, *fencing_token, json!([]))
             };
             assert!(
                 owned_worker.record_heartbeat(&heartbeat, lease, now),
@@ -456,31 +456,31 @@
     }
 }
 
-/// A worker that answers orders but sends no report has no lease: its session
+/// A worker that answers orders but sends no report has no lease: its epoch
 /// rises again and again, and what is started there ends each time.
 #[test]
 fn a_worker_that_cannot_report_is_found_out() {
     let lease = Duration::from_secs(10);
     let start = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 1, start);
-    // Seconds, session, number, whether it is a heartbeat, whether it counts as one
+    // Seconds, epoch, number, whether it is a heartbeat, whether it counts as one
     // that takes no work.
-    for (s, session, seq, beats, found) in [
+    for (s, epoch, sequence, beats, found) in [
         (1.0, 1, 1, true, false),
         (5.0, 1, 2, false, false),
         (9.0, 1, 3, false, false),
         (11.5, 2, 4, false, true),
         (16.0, 2, 5, false, true),
         (22.0, 3, 6, false, true),
-        // It reaches us again; one whole lease has to pass in one session.
+        // It reaches us again; one whole lease has to pass in one epoch.
         (25.0, 4, 7, true, true),
         (31.0, 4, 8, true, true),
         (38.0, 4, 9, true, false),
     ] {
         let now = start + Duration::from_secs_f64(s);
-        let report = Report {
-            session,
-            ..report(seq, 5, json!([]))
+        let report = WorkerStatus {
+            epoch,
+            ..report(sequence, 5, json!([]))
         };
         match beats {
             true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -83,7 +83,10 @@
     };
     for (key, value) in world.state.records("sh/machine/") {
         let shard: MachineShard = serde_json::from_str(&value.to_string()).expect(&key);
-        let held = shard.machines.into_iter().filter(|(_, m)| m.token > 0);
+        let held = shard
+            .machines
+            .into_iter()
+            .filter(|(_, m)| m.fencing_token > 0);
         recorded.claimed.extend(held.map(|(name, _)| name));
     }
     for (key, value) in world.state.records("sh/zone/") {
@@ -191,7 +194,7 @@
         let lapsed = world.lapsed() as usize;
         assert_eq!(lapsed, 0, "leases ran out on the way to one controller");
         let held = world.holders();
-        let by_last = held.iter().filter(|(_, holder)| holder == "n0").count();
+        let by_last = held.iter().filter(|(_, owner)| owner == "n0").count();
         assert_eq!(by_last, MACHINES, "machines of the last controller");
         for i in 1..controllers {
             world.start(i);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -172,12 +172,12 @@
 }
 
 fn machine_shard() -> MachineShard {
-    let machine = |holder: &str, number: u64, life| Machine {
-        holder: holder.into(),
+    let machine = |owner: &str, number: u64, lifecycle| Machine {
+        owner: owner.into(),
         incarnation: 4_000_000_000 * number.min(1),
-        token: number * 41,
+        fencing_token: number * 41,
         seen: (number, number * 88),
-        life,
+        lifecycle,
         spot: number == 1,
         ..Machine::new("g8", "")
     };
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -157,21 +157,21 @@
 }
 
 /// A machine hangs for a little longer than its lease and comes back without the
-/// tasks that are booked on it: its holder launches them again. Shortly before,
-/// the state service refuses the holder alone, and some jobs are cancelled at
+/// tasks that are booked on it: its owner launches them again. Shortly before,
+/// the state service refuses the owner alone, and some jobs are cancelled at
 /// another controller.
 struct Comeback {
     world: Rc<World>,
-    holder: usize,
+    owner: usize,
     /// Cancelled at another controller.
     cancelled: Vec<String>,
     kept: Vec<String>,
 }
 
-/// How long before the machines come back the holder is refused, and how long
+/// How long before the machines come back the owner is refused, and how long
 /// before that the cancellations are asked for.
 async fn come_back(seed: u64, refused_s: f64, cancelled_s: f64) -> Comeback {
-    // Past the lease, but before the holder may conclude that it is over.
+    // Past the lease, but before the owner may conclude that it is over.
     const HANG_S: f64 = 10.3;
     let world = World::new(seed).await;
     let mut ids = Vec::new();
@@ -182,19 +182,19 @@
         world.until(id, "running", 60).await;
     }
     sleep(secs(5.0)).await;
-    let holder = world.busiest();
+    let owner = world.busiest();
     world.busy().iter().for_each(|m| m.hang(secs(HANG_S)));
     sleep(secs(HANG_S - refused_s)).await;
-    world.state.troubles.borrow_mut().refused.insert(holder);
+    world.state.troubles.borrow_mut().refused.insert(owner);
     sleep(secs(refused_s - cancelled_s)).await;
     let kept = ids.split_off(2);
     for id in &ids {
-        let told = world.withdraw((holder + 1) % 3, id).await;
+        let told = world.withdraw((owner + 1) % 3, id).await;
         assert_eq!(told.as_deref(), Some("aborted"));
     }
     Comeback {
         world,
-        holder,
+        owner,
         cancelled: ids,
         kept,
     }
@@ -232,11 +232,11 @@
 fn held_launches_follow_the_next_barrier() {
     in_world(|| async {
         let case = come_back(50, 2.4, 2.0).await;
-        let (world, holder) = (case.world, case.holder);
+        let (world, owner) = (case.world, case.owner);
         let starts = world.starts.get();
         sleep(secs(2.0 + 1.0)).await;
         assert_eq!(world.starts.get(), starts, "launched by an old view");
-        world.state.troubles.borrow_mut().refused.remove(&holder);
+        world.state.troubles.borrow_mut().refused.remove(&owner);
         sleep(secs(1.0)).await;
         for id in &case.kept {
             assert_eq!(world.running(id), 1, "{id}");
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -91,11 +91,11 @@
                 MachineLifecycle::Gone,
             ];
             let machine = Machine {
-                holder: format!("bay-{}", n % 3),
+                owner: format!("bay-{}", n % 3),
                 incarnation: rng.random::<u32>().into(),
-                token: rng.random::<u64>() >> rng.random_range(0..64),
+                fencing_token: rng.random::<u64>() >> rng.random_range(0..64),
                 seen: (rng.random(), rng.random()),
-                life: lives[n % 5],
+                lifecycle: lives[n % 5],
                 spot: rng.random(),
                 ..Machine::new(kind, "")
             };
@@ -141,11 +141,11 @@
         shard.machines.insert(format!("host-{n:06}"), slot);
         if n < 220 {
             let machine = Machine {
-                holder: "bay-1".into(),
+                owner: "bay-1".into(),
                 incarnation: u64::from(u32::MAX),
-                token: 60,
+                fencing_token: 60,
                 seen: (3, 4000),
-                life: MachineLifecycle::Active,
+                lifecycle: MachineLifecycle::Active,
                 spot: n % 3 == 0,
                 ..Machine::new(kind, "")
             };
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -117,11 +117,11 @@
         for n in 0..each {
             let name = format!("host-{:06}", (g * each + n) * 3);
             let machine = Machine {
-                holder: "n0".into(),
+                owner: "n0".into(),
                 incarnation: u64::from(u32::MAX),
-                token: u64::MAX - 7,
+                fencing_token: u64::MAX - 7,
                 seen: (u64::MAX, u64::MAX),
-                life: MachineLifecycle::Active,
+                lifecycle: MachineLifecycle::Active,
                 ..Machine::new("grande-occhio", "a")
             };
             machine_shard.machines.insert(name.clone(), machine);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
-use shelfhoist::ops::{JobStory, Report, TeamStory};
+use shelfhoist::ops::{FleetReport, JobStory, TeamStory};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
 use shelfhoist::scheduler::{back_off, preferred};
 
@@ -188,7 +188,7 @@
     assert_eq!(span_text(59.4), "59 s");
     assert_eq!(span_text(61.0), "1 min 1 s");
     assert_eq!(span_text(7260.0), "2 h 1 min");
-    let report: Report = serde_json::from_value(serde_json::json!({
+    let report: FleetReport = serde_json::from_value(serde_json::json!({
         "node": "n0", "state_age_s": 0.5, "unfinished": 1, "late": 1, "services_short": 0,
         "machines": {"active": 3}, "refused_by_cloud": ["occhio in porto"], "next": null,
         "jobs": [{"job": "job-1", "class": "board-sort", "team": "t", "stage": "queued",
--- a/tests/service/reports.rs
+++ b/tests/service/reports.rs
@@ -55,16 +55,16 @@
         let mut kept = 0;
         for i in 0..CONTROLLERS {
             let mut answers = Vec::new();
-            for seq in 100..107 {
+            for sequence in 100..107 {
                 let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
-                    "yard": "a", "loaners": false, "shift": 1, "tally": seq, "baton": 1,
+                    "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
                 let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
                 answers.push((status, body["baton"].as_u64()));
                 // As a worker reports; no answer keeps it waiting.
                 sleep(Duration::from_secs(1)).await;
             }
-            // It may be sent home, or to its holder, once.
+            // It may be sent home, or to its owner, once.
             answers.retain(|a| a.0 != 421);
             if answers[0].1 == Some(1) {
                 continue;
@@ -92,9 +92,9 @@
         w.state.trouble.set(Trouble::NoCommits);
         let mut refused = 0;
         for i in 0..CONTROLLERS {
-            for seq in 100..104 {
+            for sequence in 100..104 {
                 let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
-                    "yard": "a", "loaners": false, "shift": 1, "tally": seq, "baton": 1,
+                    "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
                 let asked = Instant::now();
                 let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -72,7 +72,7 @@
         self.fabric.close(addr(&mesh(i)));
     }
 
-    /// Each machine's home and holder, as the state has them.
+    /// Each machine's home and owner, as the state has them.
     pub fn holders(&self) -> Vec<(String, String)> {
         let pairs = self.state.pairs.borrow();
         let mut all = Vec::new();
@@ -85,7 +85,7 @@
             let machine_shard: MachineShard =
                 serde_json::from_str(&machine_shard.to_string()).expect("group");
             for machine in machine_shard.machines.into_values() {
-                all.push((home.to_string(), machine.holder));
+                all.push((home.to_string(), machine.owner));
             }
         }
         all
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -59,7 +59,7 @@
     pub async fn order(&self, machine: usize, verb: &str, task: &str) {
         let name = format!("host-{machine:06}");
         let worker = self.world.workers.borrow()[&name].0.clone();
-        let orders = json!({"baton": TOKEN, "shift": worker.session.get(),
+        let orders = json!({"baton": TOKEN, "shift": worker.epoch.get(),
             "orders": [{"verb": verb, "board": task, "try": 1}]});
         let body = Some(orders.to_string().into_bytes());
         let call =
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -29,9 +29,9 @@
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) port: SocketAddrV4,
-    pub(super) token: Cell<u64>,
-    pub(super) session: Cell<u64>,
-    pub(super) seq: Cell<u64>,
+    pub(super) fencing_token: Cell<u64>,
+    pub(super) epoch: Cell<u64>,
+    pub(super) sequence: Cell<u64>,
     pub(super) renewed: Cell<Instant>,
     /// How fast its clock runs.
     pub(super) clock: f64,
@@ -52,7 +52,7 @@
 
 impl Worker {
     fn report(&self) -> Value {
-        self.seq.set(self.seq.get() + 1);
+        self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
         let tasks: Vec<Value> = self
             .tasks
@@ -69,8 +69,8 @@
             })
             .collect();
         json!({"bay": self.name, "endpoint": self.port.to_string(), "grade": self.kind,
-            "yard": self.zone, "loaners": false, "shift": self.session.get(),
-            "tally": self.seq.get(), "baton": self.token.get(), "recall_s": null, "boards": tasks})
+            "yard": self.zone, "loaners": false, "shift": self.epoch.get(),
+            "tally": self.sequence.get(), "baton": self.fencing_token.get(), "recall_s": null, "boards": tasks})
     }
 
     /// Notes which tasks are done.
@@ -185,7 +185,7 @@
     pub(super) fn expire(&self, lease: Duration) {
         if !self.hangs() && self.is_over(lease) {
             self.tasks.borrow_mut().clear();
-            self.session.set(self.session.get() + 1);
+            self.epoch.set(self.epoch.get() + 1);
             self.renewed.set(Instant::now());
         }
     }
@@ -225,10 +225,11 @@
                 let executed = spawn_local(async move {
                     sleep(w.orders_held.get()).await;
                     w.awake(world.shape.lease()).await;
-                    if orders.token < w.token.get() || orders.session != w.session.get() {
+                    if orders.fencing_token < w.fencing_token.get() || orders.epoch != w.epoch.get()
+                    {
                         return Response::json(409, &w.report());
                     }
-                    w.token.set(orders.token);
+                    w.fencing_token.set(orders.fencing_token);
                     w.execute(&world, &orders.orders);
                     Response::json(200, &w.report())
                 });
@@ -253,7 +254,7 @@
                 sleep(Duration::from_secs(1)).await;
                 continue;
             }
-            let session = w.session.get();
+            let epoch = w.epoch.get();
             let sent = Instant::now();
             let body = serde_json::to_vec(&w.report()).expect("report");
             if self.shape.machines == 0 {
@@ -282,9 +283,9 @@
                 }
                 Ok(r) if r.status == 200 => {
                     let a: HeartbeatResponse = r.parse().expect("answer");
-                    if a.token >= w.token.get() && session == w.session.get() {
-                        let news = a.token > w.token.get();
-                        w.token.set(a.token);
+                    if a.fencing_token >= w.fencing_token.get() && epoch == w.epoch.get() {
+                        let news = a.fencing_token > w.fencing_token.get();
+                        w.fencing_token.set(a.fencing_token);
                         w.renewed.set(sent);
                         w.execute(&self, &a.orders);
                         if news {
@@ -352,6 +353,6 @@
     /// How often a worker's lease has run out.
     pub fn lapsed(&self) -> u64 {
         let workers = self.workers.borrow();
-        workers.values().map(|(w, _)| w.session.get() - 1).sum()
+        workers.values().map(|(w, _)| w.epoch.get() - 1).sum()
     }
 }
