--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -170,7 +170,7 @@
         return Response::error(400, "not a move");
     };
     for _ in 0..ATTEMPTS {
-        if !controller.has_state() {
+        if !controller.is_state_service_reachable() {
             break;
         }
         match decide(controller, &request) {
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -59,14 +59,16 @@
 }
 
 fn has_step(controller: &Controller) -> bool {
-    controller.replica.borrow().loaded && controller.has_state() && step_of(controller).is_some()
+    controller.replica.borrow().loaded
+        && controller.is_state_service_reachable()
+        && step_of(controller).is_some()
 }
 
 /// Decides the next step once the budget is there, and commits it; false if the loop
 /// is to pause.
 async fn take_step(controller: &Controller) -> bool {
     controller.store.ready(RequestClass::Lifecycle, 1).await;
-    if !controller.has_state() {
+    if !controller.is_state_service_reachable() {
         return false;
     }
     let Some(step) = step_of(controller) else {
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -54,7 +54,7 @@
     // The first does not wait; those behind it gather for a moment.
     let gather = controller.request_gap() * 4;
     loop {
-        controller.arrivals_wanted.notified().await;
+        controller.acceptance_notify.notified().await;
         while !controller.arrivals.borrow().is_empty() {
             controller.store.ready(RequestClass::Accept, 1).await;
             let begun = Instant::now();
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -14,7 +14,7 @@
         .borrow()
         .state_serves_another(controller, Instant::now());
     let loaded = controller.replica.borrow().loaded && controller.last_barrier.get().is_some();
-    if loaded && (controller.has_state() || !alone) {
+    if loaded && (controller.is_state_service_reachable() || !alone) {
         Response::empty(200)
     } else {
         Response::unavailable("no contact with the state service", 1)
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -123,7 +123,7 @@
 /// What cannot be taken now is refused at once, with when to come back.
 fn cannot_accept_now(controller: &Controller, submission: &Submission) -> Option<Response> {
     let replica = controller.replica.borrow();
-    if !replica.loaded || !controller.has_state() {
+    if !replica.loaded || !controller.is_state_service_reachable() {
         return Some(state_unavailable());
     }
     // Safety 8: a program that does not know `awaits` would start the job at
@@ -177,7 +177,7 @@
         done,
     };
     controller.arrivals.borrow_mut().push_back(arrival);
-    controller.arrivals_wanted.notify_one();
+    controller.acceptance_notify.notify_one();
     match timeout(limit, committed).await {
         Ok(Ok(Acceptance::Committed)) => accepted(controller, id),
         Ok(Ok(Acceptance::KnownBefore)) => query_within(controller, id, QUERY_WAIT).await,
@@ -236,7 +236,7 @@
     // Safety 1: anything else must not be older than what another controller
     // has told; 404 included. Without the state service that is not to be had,
     // and nobody is kept waiting for it.
-    if !controller.has_state() || !controller.barrier_unless_refused(limit).await {
+    if !controller.is_state_service_reachable() || !controller.barrier_unless_refused(limit).await {
         return state_unavailable();
     }
     let replica = controller.replica.borrow();
@@ -267,7 +267,7 @@
         if let Some(answer) = final_state(controller, id) {
             return answer;
         }
-        if !controller.has_state() {
+        if !controller.is_state_service_reachable() {
             return state_unavailable();
         }
         if controller.replica.borrow().is_unreadable_job(id) {
@@ -324,5 +324,5 @@
 /// service serves nothing here, or would refuse the same again.
 pub(super) fn is_hopeless(controller: &Controller, error: &StoreError) -> bool {
     let same_again = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
-    same_again || error.is_refusal() || !controller.has_state()
+    same_again || error.is_refusal() || !controller.is_state_service_reachable()
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::scheduler;
-use crate::settings::{Settings, TeamTerms};
+use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{JobStatus, Spec, is_job_id};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, Submission};
@@ -176,7 +176,7 @@
     Ok(())
 }
 
-fn check_team_limit(spec: &Spec, team: &TeamTerms) -> Result<(), Refusal> {
+fn check_team_limit(spec: &Spec, team: &TeamQuota) -> Result<(), Refusal> {
     let tasks_at_once = match spec.kind {
         Kind::Array => 1,
         Kind::Gang | Kind::Service => spec.tasks as usize,
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -12,7 +12,7 @@
 use super::{EXIT_DONE, runtime};
 use crate::http::{CallError, Client, Response};
 use crate::net::Net;
-use crate::ops::{FleetReport, JobStory, TeamStory};
+use crate::ops::{FleetReport, JobDetails, TeamDetails};
 
 /// How long a controller may take to respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -30,13 +30,13 @@
 
 impl ControllerArgs {
     pub(super) fn show_job(&self, id: &str) -> Result<u8, CliError> {
-        let story: JobStory = self.get(&format!("/ops/job/{id}"))?;
+        let story: JobDetails = self.get(&format!("/ops/job/{id}"))?;
         self.print(&story, job_text)?;
         Ok(EXIT_DONE)
     }
 
     pub(super) fn show_teams(&self) -> Result<u8, CliError> {
-        let teams: Vec<TeamStory> = self.get("/ops/teams")?;
+        let teams: Vec<TeamDetails> = self.get("/ops/teams")?;
         self.print(&teams, |teams| teams_text(teams))?;
         Ok(EXIT_DONE)
     }
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,6 +1,6 @@
 //! What the command line prints for people to read.
 
-use crate::ops::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
+use crate::ops::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
 use crate::wire::JobStage;
 
@@ -36,7 +36,7 @@
 }
 
 /// The state of a job, a line for each part.
-pub fn job_text(story: &JobStory) -> String {
+pub fn job_text(story: &JobDetails) -> String {
     let mut text = format!("{}: {}", story.job, stage_text(story.stage));
     if let (Some(class), Some(team)) = (&story.class, &story.team) {
         text += &format!(", {class} of {team}");
@@ -59,7 +59,7 @@
     text
 }
 
-fn run_text(run: &RunStory) -> String {
+fn run_text(run: &RunDetails) -> String {
     let stopping = if run.stopping { ", being stopped" } else { "" };
     format!(
         "  on {} in {}: {} tasks, attempt {}{stopping}\n",
@@ -68,11 +68,11 @@
 }
 
 /// The teams, each with what it uses and, if any does, what waits.
-pub fn teams_text(teams: &[TeamStory]) -> String {
+pub fn teams_text(teams: &[TeamDetails]) -> String {
     teams.iter().map(team_text).collect()
 }
 
-fn team_text(team: &TeamStory) -> String {
+fn team_text(team: &TeamDetails) -> String {
     let mut text = format!(
         "{}: {} CPUs used, {} guaranteed, limit {}, {} borrowed",
         team.team,
--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -23,7 +23,7 @@
 
 /// What the failure of one job on a machine says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blame {
+pub enum FailureAttribution {
     /// The job fails on other machines, too, or is cancelled.
     Job,
     /// The job has succeeded elsewhere since.
@@ -35,13 +35,15 @@
 /// Whom to blame for a job's failure on a machine, by the job's record, which
 /// holds that failure: the machine, if the job has succeeded since; the job, if
 /// it fails on others, too, or is cancelled.
-pub fn blame(job: &Job, machine: &str) -> Blame {
+pub fn blame(job: &Job, machine: &str) -> FailureAttribution {
     match job.status {
-        JobStatus::Done => Blame::Machine,
-        JobStatus::Cancelled => Blame::Job,
-        JobStatus::Open if job.is_doubtful() => Blame::Job,
-        JobStatus::Open if job.failed_on.iter().any(|m| m == machine) => Blame::Unknown,
-        JobStatus::Open => Blame::Machine,
+        JobStatus::Done => FailureAttribution::Machine,
+        JobStatus::Cancelled => FailureAttribution::Job,
+        JobStatus::Open if job.is_doubtful() => FailureAttribution::Job,
+        JobStatus::Open if job.failed_on.iter().any(|m| m == machine) => {
+            FailureAttribution::Unknown
+        }
+        JobStatus::Open => FailureAttribution::Machine,
     }
 }
 
@@ -63,9 +65,9 @@
             continue;
         }
         match blame(&job.value, machine) {
-            Blame::Machine => return Health::Faulty,
-            Blame::Unknown => unknown += 1,
-            Blame::Job => {}
+            FailureAttribution::Machine => return Health::Faulty,
+            FailureAttribution::Unknown => unknown += 1,
+            FailureAttribution::Job => {}
         }
     }
     match unknown {
--- a/src/cloud/boots.rs
+++ b/src/cloud/boots.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::offers::Offer;
-use crate::controller::skipped;
+use crate::controller::shifted_past_pause;
 use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
@@ -33,7 +33,7 @@
 /// Machines that boot: those of rentals that have no record of their own yet,
 /// and those that were found in the cloud's list.
 pub(super) fn booting(replica: &Replica) -> impl Iterator<Item = BootingMachine<'_>> {
-    let rented = replica.rentals.values().flat_map(|entry| {
+    let rented = replica.provisioning_requests.values().flat_map(|entry| {
         let rental = &entry.value;
         rental
             .machines
@@ -212,9 +212,9 @@
     }
 
     /// Takes a gap in which this process did not run out of the boots' times.
-    pub(super) fn skip(&mut self, gap: Duration, now: Instant) {
+    pub(super) fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         for boot in self.under_way.values_mut() {
-            boot.since = skipped(boot.since, gap, now);
+            boot.since = shifted_past_pause(boot.since, gap, now);
         }
     }
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -17,10 +17,10 @@
 impl Controller {
     /// Whether this controller rents: the record says so, and its state lease
     /// stands as far as is known.
-    pub fn is_renter(&self) -> bool {
+    pub fn is_fleet_leader(&self) -> bool {
         let replica = self.replica.borrow();
-        let renter = replica.fleet.as_ref();
-        renter.is_some_and(|entry| entry.value.incarnation == self.incarnation)
+        let fleet_leader = replica.fleet.as_ref();
+        fleet_leader.is_some_and(|entry| entry.value.incarnation == self.incarnation)
             && self.fleet.borrow().lease.is_some()
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// The same if it is still wanted when its turn has come, by one who still
-    /// rents: the limit, or this process standing still, may hold it up.
+    /// rents: the limit, or this process queue_rank still, may hold it up.
     pub(super) async fn cloud_if(
         &self,
         method: &str,
@@ -48,7 +48,7 @@
             return None;
         }
         self.cloud_turn().await;
-        if !is_wanted() || !self.is_renter() || !self.has_state() {
+        if !is_wanted() || !self.is_fleet_leader() || !self.is_state_service_reachable() {
             return None;
         }
         let limit = self.settings.lease() / 3;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Waits until the cloud's limit allows one more call. The renter alone
+    /// Waits until the cloud's limit allows one more call. The fleet_leader alone
     /// calls; rentals call at once, inside the limit.
     async fn cloud_turn(&self) {
         loop {
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -6,7 +6,7 @@
 use super::headroom::spare_places;
 use super::offers::price_of;
 use crate::controller::Controller;
-use crate::scheduler::{self, Care, Hints, MachineShardEdits, Plan};
+use crate::scheduler::{self, AcceleratorProtection, MachineShardEdits, PlacementHints, Plan};
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
 use crate::state::commit::guard;
@@ -73,7 +73,7 @@
         replica: &replica,
         settings: &controller.settings,
         plan: Plan::of(&replica),
-        hints: Hints::new(&replica, controller.name()),
+        hints: PlacementHints::new(&replica, controller.name()),
         kept_places: KEPT_GANGS * gpu.tasks as usize,
     };
     let candidate = search.best()?;
@@ -96,7 +96,7 @@
     replica: &'a Replica,
     settings: &'a Settings,
     plan: Plan,
-    hints: Hints<'a>,
+    hints: PlacementHints<'a>,
     /// Places that stay for work on accelerators.
     kept_places: usize,
 }
@@ -125,7 +125,7 @@
         let services = self.services_on(id)?;
         let mut without = self.plan.clone();
         if let Some(spot) = without.find(self.replica, id) {
-            without.spots[spot].free = Resources::default();
+            without.plan_slots[spot].free = Resources::default();
         }
         if spare_places(self.replica, &without, None) < self.kept_places {
             return None;
@@ -178,7 +178,7 @@
             plan,
             &self.hints,
             self.settings,
-            Care::Strict,
+            AcceleratorProtection::Strict,
         ) {
             Ok(places) if places.len() >= count => {
                 for place in &places {
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -6,11 +6,13 @@
 
 use super::boots::booting;
 use super::headroom::{headroom, spare_places};
-use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedRentals};
+use super::offers::{MAX_RENTAL_SIZE, Offer, OfferBounds, OfferSearch, PlannedProvisioning};
 use crate::controller::Controller;
 use crate::policy::JobFacts;
-use crate::scheduler::{self, Ages, Care, Hints, Plan, WaitReason};
-use crate::state::records::{DOUBT, Job, Rental, Spec};
+use crate::scheduler::{
+    self, AcceleratorProtection, FirstSeenTimes, PlacementHints, Plan, WaitReason,
+};
+use crate::state::records::{DOUBT, Job, ProvisioningRequest, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
@@ -19,18 +21,24 @@
 
 /// What to rent: room for the jobs, in queue order, whose tasks fit neither
 /// the free room nor what is coming, and for the next gang on accelerators.
-pub(super) fn demand(controller: &Controller) -> Vec<Rental> {
+pub(super) fn demand(controller: &Controller) -> Vec<ProvisioningRequest> {
     register_offers(controller);
     let replica = controller.replica.borrow();
     if replica.types.value.types.is_empty() {
         return Vec::new();
     }
     let now = Instant::now();
-    // The rentals are committed together, beside the renter's own key.
+    // The rentals are committed together, beside the fleet_leader's own key.
     let max_rentals = controller.settings.txn_ops().saturating_sub(2).max(1);
-    let ages = controller.ages.borrow();
-    let mut planner = Planner::new(controller, &replica, &ages, now);
-    let queue = scheduler::queue(&replica, &planner.plan, &controller.settings, &ages, now);
+    let first_seen = controller.first_seen.borrow();
+    let mut planner = Planner::new(controller, &replica, &first_seen, now);
+    let queue = scheduler::queue(
+        &replica,
+        &planner.plan,
+        &controller.settings,
+        &first_seen,
+        now,
+    );
     for id in queue {
         planner.plan_job(id);
     }
@@ -40,7 +48,7 @@
         planner.plan_job(id);
     }
     planner.plan_headroom(max_rentals);
-    planner.rentals.into_records(max_rentals)
+    planner.provisioning_requests.into_records(max_rentals)
 }
 
 /// Plans rentals for one job after another, each with what is left of the room
@@ -48,15 +56,15 @@
 struct Planner<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
-    ages: &'a Ages,
-    hints: Hints<'a>,
+    first_seen: &'a FirstSeenTimes,
+    hints: PlacementHints<'a>,
     now: Instant,
     /// The free room, what is on its way, and what is planned to be rented.
     plan: Plan,
     /// CPUs of independent tasks that run: the room that they leave soon is not
     /// yet counted on by any job.
     turnover_cpus: f64,
-    rentals: PlannedRentals,
+    provisioning_requests: PlannedProvisioning,
 }
 
 /// A job for which room is planned.
@@ -73,7 +81,7 @@
     excluded_zones: HashSet<String>,
     /// The zone of the machine that was planned last.
     last_zone: Option<String>,
-    care: Care,
+    care: AcceleratorProtection,
 }
 
 /// Whether a job may need more than has been planned for it.
@@ -84,18 +92,23 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(controller: &'a Controller, replica: &'a Replica, ages: &'a Ages, now: Instant) -> Self {
+    fn new(
+        controller: &'a Controller,
+        replica: &'a Replica,
+        first_seen: &'a FirstSeenTimes,
+        now: Instant,
+    ) -> Self {
         let mut plan = Plan::of(replica);
         add_coming_room(&mut plan, controller, replica);
         Planner {
             controller,
             replica,
-            ages,
-            hints: Hints::new(replica, ""),
+            first_seen,
+            hints: PlacementHints::new(replica, ""),
             now,
             plan,
             turnover_cpus: running_array_cpus(replica),
-            rentals: PlannedRentals::default(),
+            provisioning_requests: PlannedProvisioning::default(),
         }
     }
 
@@ -140,11 +153,11 @@
         if job.is_doubtful() && !may_rent_for_doubtful(self.replica, job, spec) {
             return None;
         }
-        let seen = self.ages.get(id);
+        let seen = self.first_seen.get(id);
         let age = seen.map_or(0.0, |first| {
             self.now.saturating_duration_since(*first).as_secs_f64()
         });
-        let standing = self.replica.standing(id, spec, self.now);
+        let queue_rank = self.replica.queue_rank(id, spec, self.now);
         let settings = &self.controller.settings;
         let facts = scheduler::facts(
             job,
@@ -153,7 +166,7 @@
             settings,
             self.replica,
             age,
-            &standing,
+            &queue_rank,
         );
         Some(JobDemand {
             id,
@@ -163,7 +176,7 @@
             planned: job.clone(),
             excluded_zones: HashSet::new(),
             last_zone: None,
-            care: Care::Strict,
+            care: AcceleratorProtection::Strict,
         })
     }
 
@@ -216,8 +229,8 @@
             excluded_zones: &demand.excluded_zones,
         };
         let Some((kind, offer)) = self.best_offer(demand.spec, wanted, &bounds) else {
-            if demand.care != Care::Lax {
-                demand.care = Care::Lax;
+            if demand.care != AcceleratorProtection::Lax {
+                demand.care = AcceleratorProtection::Lax;
                 return Step::Again;
             }
             // What does not wait for room yet is not told so.
@@ -268,7 +281,7 @@
         let wanted = headroom(self.controller, self.replica, &self.plan);
         let excluded_zones = HashSet::new();
         let bounds = OfferBounds {
-            care: Care::Lax,
+            care: AcceleratorProtection::Lax,
             max_price_ratio: f64::INFINITY,
             excluded_zones: &excluded_zones,
         };
@@ -292,7 +305,7 @@
         let search = OfferSearch {
             replica: self.replica,
             fleet: &fleet,
-            rentals: &self.rentals,
+            provisioning_requests: &self.provisioning_requests,
             now: self.now,
         };
         search.best(spec, wanted, bounds)
@@ -301,7 +314,7 @@
     /// Plans one more machine of an offer, with its room.
     fn rent(&mut self, kind: &MachineType, offer: Offer) {
         add_room(&mut self.plan, self.replica, kind, &offer.zone, offer.spot);
-        self.rentals.add(offer);
+        self.provisioning_requests.add(offer);
     }
 }
 
@@ -325,8 +338,11 @@
     for machine in booting(replica).filter(|machine| !boots.is_late(machine.id)) {
         add(machine.kind, machine.zone, machine.spot);
     }
-    let rentals = replica.rentals.values().map(|entry| &entry.value);
-    for rental in rentals.filter(|rental| rental.machines.is_empty()) {
+    let provisioning_requests = replica
+        .provisioning_requests
+        .values()
+        .map(|entry| &entry.value);
+    for rental in provisioning_requests.filter(|rental| rental.machines.is_empty()) {
         for _ in 0..rental.count {
             add(&rental.kind, &rental.zone, rental.spot);
         }
@@ -359,10 +375,10 @@
             && room.is_some_and(|room| room.fits(&spec.need))
     };
     let max_errors = DOUBT as u32 * 2;
-    let mut spots = replica.spots();
+    let mut plan_slots = replica.plan_slots();
     job.booked() == 0
         && job.errors <= max_errors
-        && !spots.any(|spot| holds(&replica.classes[spot.class as usize]))
+        && !plan_slots.any(|spot| holds(&replica.classes[spot.class as usize]))
 }
 
 /// Every offer is known as a class of machines before the plan counts on it.
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,7 +1,7 @@
 //! Places kept ready for the next gang on accelerators.
 
 use crate::controller::Controller;
-use crate::pipeline::Standing;
+use crate::pipeline::QueueRank;
 use crate::scheduler::{self, Plan};
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -22,7 +22,7 @@
         return 0;
     }
     let next = Job::new(gpu.clone(), 0);
-    let standing = Standing::of(gpu);
+    let queue_rank = QueueRank::of(gpu);
     let facts = scheduler::facts(
         &next,
         gpu,
@@ -30,7 +30,7 @@
         &controller.settings,
         replica,
         0.0,
-        &standing,
+        &queue_rank,
     );
     let jobs = controller.settings.policy.headroom(&facts);
     (jobs * f64::from(gpu.tasks)).round() as usize
@@ -49,7 +49,7 @@
                 && zone.is_none_or(|zone| zone == &*class.zone)
         })
         .collect();
-    plan.spots
+    plan.plan_slots
         .iter()
         .filter(|spot| allowed[spot.class as usize])
         .map(|spot| spot.free.slots(&gpu.need))
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -1,4 +1,4 @@
-//! Machines that the renter sends away: without a owner, without work that is
+//! Machines that the fleet_leader sends away: without a owner, without work that is
 //! worth their price, drained, or not up in time.
 
 use std::collections::HashSet;
@@ -28,7 +28,7 @@
 /// be to rent a third of the fleet anew.
 const ORPHANED_LEASES: u32 = 3;
 
-/// Machines that the renter sends away, and why.
+/// Machines that the fleet_leader sends away, and why.
 pub(super) fn unneeded_machines(controller: &Controller) -> Vec<Removal> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::rentals::rental_of;
+use super::scale_out::rental_of;
 use super::state::FleetState;
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
@@ -96,11 +96,11 @@
     lease: Duration,
 ) -> Differences {
     let unanswered = replica
-        .rentals
+        .provisioning_requests
         .values()
         .any(|entry| entry.value.machines.is_empty());
-    let rentals = replica.rentals.values();
-    let rented: HashSet<&str> = rentals
+    let provisioning_requests = replica.provisioning_requests.values();
+    let rented: HashSet<&str> = provisioning_requests
         .flat_map(|entry| entry.value.machines.iter().map(String::as_str))
         .collect();
     let mut differences = Differences::default();
--- a/src/cloud/offers.rs
+++ b/src/cloud/offers.rs
@@ -7,8 +7,8 @@
 
 use super::state::FleetState;
 use crate::policy::MachineFacts;
-use crate::scheduler::Care;
-use crate::state::records::{Rental, Spec};
+use crate::scheduler::AcceleratorProtection;
+use crate::state::records::{ProvisioningRequest, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
@@ -34,7 +34,7 @@
     }
 
     /// The offer that a recorded rental asks for.
-    pub(super) fn of_rental(rental: &Rental) -> Self {
+    pub(super) fn of_rental(rental: &ProvisioningRequest) -> Self {
         Offer::new(&rental.kind, &rental.zone, rental.spot)
     }
 }
@@ -52,7 +52,7 @@
 /// Rentals that are planned and not recorded yet: how many machines of each
 /// offer. An offer that is asked for more than once becomes one rental.
 #[derive(Debug, Default)]
-pub(super) struct PlannedRentals {
+pub(super) struct PlannedProvisioning {
     by_offer: BTreeMap<Offer, PlannedRental>,
 }
 
@@ -63,7 +63,7 @@
     count: u32,
 }
 
-impl PlannedRentals {
+impl PlannedProvisioning {
     /// Adds one machine of the offer.
     pub(super) fn add(&mut self, offer: Offer) {
         let position = self.by_offer.len();
@@ -82,12 +82,13 @@
 
     /// The records of the first `limit` rentals, in the order in which they
     /// were asked for.
-    pub(super) fn into_records(self, limit: usize) -> Vec<Rental> {
-        let mut rentals: Vec<(Offer, PlannedRental)> = self.by_offer.into_iter().collect();
-        rentals.sort_by_key(|(_, rental)| rental.position);
-        rentals
+    pub(super) fn into_records(self, limit: usize) -> Vec<ProvisioningRequest> {
+        let mut provisioning_requests: Vec<(Offer, PlannedRental)> =
+            self.by_offer.into_iter().collect();
+        provisioning_requests.sort_by_key(|(_, rental)| rental.position);
+        provisioning_requests
             .into_iter()
-            .map(|(offer, rental)| Rental {
+            .map(|(offer, rental)| ProvisioningRequest {
                 kind: offer.kind,
                 zone: offer.zone,
                 spot: offer.spot,
@@ -101,7 +102,7 @@
 
 /// What restricts the choice of an offer, besides the job's own terms.
 pub(super) struct OfferBounds<'a> {
-    pub(super) care: Care,
+    pub(super) care: AcceleratorProtection,
     /// The most that a task's place may cost, over the cheapest one.
     pub(super) max_price_ratio: f64,
     /// Zones where more room would not help.
@@ -112,7 +113,7 @@
 pub(super) struct OfferSearch<'a, 's> {
     pub(super) replica: &'a Replica,
     pub(super) fleet: &'s FleetState,
-    pub(super) rentals: &'s PlannedRentals,
+    pub(super) provisioning_requests: &'s PlannedProvisioning,
     pub(super) now: Instant,
 }
 
@@ -172,7 +173,8 @@
         if !spec.allows(&kind.name, zone, spot) || bounds.excluded_zones.contains(zone) {
             return false;
         }
-        let avoids_accelerators = (spec.kind == Kind::Array || bounds.care == Care::Strict)
+        let avoids_accelerators = (spec.kind == Kind::Array
+            || bounds.care == AcceleratorProtection::Strict)
             && spec.need.gpus.0 == 0
             && kind.gpus > 0.0;
         // There it would stand in the way of work on accelerators, see
@@ -188,7 +190,7 @@
     fn is_available(&self, offer: &Offer) -> bool {
         !self.fleet.is_refused(offer, self.now)
             && !self.fleet.boots.is_backed_off(offer, self.now)
-            && !self.rentals.is_full(offer)
+            && !self.provisioning_requests.is_full(offer)
     }
 }
 
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -74,7 +74,7 @@
         return;
     }
     controller.store.ready(RequestClass::Lifecycle, 1).await;
-    if !controller.has_state() {
+    if !controller.is_state_service_reachable() {
         return;
     }
     let (recorded, unrecorded): (Vec<Removal>, Vec<Removal>) = {
--- a/src/cloud/rounds.rs
+++ b/src/cloud/rounds.rs
@@ -9,13 +9,13 @@
 use super::idle::unneeded_machines;
 use super::list::reconcile_list;
 use super::removal::remove_machines;
-use super::returns::finish_returns;
+use super::scale_in::finish_returns;
 use super::settling::{settle_cancelled, settle_records};
 use super::silent::failing_machines;
 use super::summary::log_fleet;
 use crate::controller::Controller;
 
-/// Removes the machines that this controller holds and that fail; the renter
+/// Removes the machines that this controller holds and that fail; the fleet_leader
 /// also keeps the fleet as a whole.
 pub async fn run_fleet(controller: Rc<Controller>) {
     loop {
@@ -28,18 +28,18 @@
         if !controller.replica.borrow().loaded {
             continue;
         }
-        if controller.has_state() {
+        if controller.is_state_service_reachable() {
             drain_recalled(&controller).await;
             remove_machines(&controller, failing_machines).await;
         }
-        if !controller.is_renter() || !controller.has_state() {
+        if !controller.is_fleet_leader() || !controller.is_state_service_reachable() {
             continue;
         }
         maintain_fleet(&controller).await;
     }
 }
 
-/// One pass of the renter over the fleet.
+/// One pass of the fleet_leader over the fleet.
 async fn maintain_fleet(controller: &Rc<Controller>) {
     log_fleet(controller);
     finish_returns(controller).await;
--- a/src/cloud/returns.rs
+++ b/src/cloud/scale_in.rs
@@ -6,15 +6,15 @@
 use tokio::time::Instant;
 
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::rentals::rental_of;
+use super::scale_out::rental_of;
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::{POOL_KEY, rental_key, shard_id};
-use crate::state::records::{MachineLifecycle, Rental, Resources};
+use crate::state::records::{MachineLifecycle, ProvisioningRequest, Resources};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, MachineNames, Write};
+use crate::wire::{Guard, MachineIds, Write};
 
 /// The most machines that one call returns.
 const MAX_RETURNED: usize = 100;
@@ -50,7 +50,7 @@
 
 /// Whether the cloud has taken the machines back.
 async fn return_to_cloud(controller: &Controller, machines: &[String]) -> bool {
-    let names = MachineNames {
+    let names = MachineIds {
         machines: machines.to_vec(),
     };
     let Ok(body) = serde_json::to_vec(&names) else {
@@ -107,7 +107,7 @@
     let max_writes = controller.settings.txn_ops() - usize::from(has_pool);
     let mut leaving = Resources::default();
     let mut machine_shards = MachineShardEdits::new(&replica);
-    let mut rentals: BTreeMap<&String, Rental> = BTreeMap::new();
+    let mut provisioning_requests: BTreeMap<&String, ProvisioningRequest> = BTreeMap::new();
     for id in gone {
         // Nothing was booked meanwhile: its zone shard has lost it, and its machine shard
         // is guarded.
@@ -120,9 +120,9 @@
         let rental = rental_of(&replica, id);
         let machine_shard = shard_id(&machine.zone, &machine.shard);
         let has_machine_shard = machine_shards.has(&machine_shard);
-        let adds_rental = rental.is_some_and(|(name, _)| !rentals.contains_key(name));
+        let adds_rental = rental.is_some_and(|(name, _)| !provisioning_requests.contains_key(name));
         let added = usize::from(!has_machine_shard) + usize::from(adds_rental);
-        if machine_shards.len() + rentals.len() + added > max_writes
+        if machine_shards.len() + provisioning_requests.len() + added > max_writes
             || (!has_machine_shard && machine_shards.is_full(max_writes))
         {
             continue;
@@ -132,14 +132,19 @@
         }
         machine_shards.edit(&machine_shard).remove(id);
         if let Some((name, entry)) = rental {
-            let rental = rentals.entry(name).or_insert_with(|| entry.value.clone());
+            let rental = provisioning_requests
+                .entry(name)
+                .or_insert_with(|| entry.value.clone());
             rental.machines.retain(|machine| machine != id);
         }
     }
     let (mut guards, mut writes) = machine_shards.into_commit();
-    for (id, rental) in rentals {
+    for (id, rental) in provisioning_requests {
         let key = rental_key(id);
-        guards.push(guard(key.clone(), replica.rentals[id].version));
+        guards.push(guard(
+            key.clone(),
+            replica.provisioning_requests[id].version,
+        ));
         writes.push(match rental.machines.is_empty() {
             true => Write::Delete { key },
             false => put(key, &rental),
--- a/src/cloud/rentals.rs
+++ b/src/cloud/scale_out.rs
@@ -13,12 +13,12 @@
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::{FLEET_KEY, rental_key};
-use crate::state::records::Rental;
+use crate::state::records::ProvisioningRequest;
 use crate::state::replica::{Entry, Replica};
-use crate::wire::{MachineNames, RentRequest, Write};
+use crate::wire::{CreateMachinesRequest, MachineIds, Write};
 
 /// Rents what is missing, apart from the rest: work waits for it.
-pub async fn run_rentals(controller: Rc<Controller>) {
+pub async fn run_scale_out(controller: Rc<Controller>) {
     let tick = controller
         .settings
         .report()
@@ -26,7 +26,10 @@
         / 2;
     loop {
         sleep(controller.store.jitter(tick)).await;
-        if controller.replica.borrow().loaded && controller.is_renter() && controller.has_state() {
+        if controller.replica.borrow().loaded
+            && controller.is_fleet_leader()
+            && controller.is_state_service_reachable()
+        {
             rent(&controller).await;
         }
     }
@@ -38,13 +41,13 @@
     if !controller.fleet.borrow().calling.is_empty() {
         return;
     }
-    let rentals = demand(controller);
-    if rentals.is_empty() {
+    let provisioning_requests = demand(controller);
+    if provisioning_requests.is_empty() {
         return;
     }
     let mut guards = Vec::new();
     let mut writes = Vec::new();
-    for rental in rentals {
+    for rental in provisioning_requests {
         let id = new_rental_id(controller);
         tracing::info!(
             kind = rental.kind,
@@ -59,7 +62,7 @@
     }
     // Who has stood still, and rents no more, finds out by this.
     match controller.replica.borrow().fleet.as_ref() {
-        Some(renter) => guards.push(guard(FLEET_KEY.to_string(), renter.version)),
+        Some(fleet_leader) => guards.push(guard(FLEET_KEY.to_string(), fleet_leader.version)),
         None => return,
     }
     match controller.commit(RequestClass::Lease, guards, writes).await {
@@ -79,7 +82,7 @@
 fn call_unanswered(controller: &Rc<Controller>) {
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
-    for (id, entry) in &replica.rentals {
+    for (id, entry) in &replica.provisioning_requests {
         if entry.value.machines.is_empty() && fleet.calling.insert(id.clone()) {
             let controller = controller.clone();
             let id = id.clone();
@@ -93,7 +96,7 @@
 }
 
 /// Calls the cloud for one recorded rental, and records the answer.
-async fn complete_rental(controller: &Controller, id: &str, recorded: Entry<Rental>) {
+async fn complete_rental(controller: &Controller, id: &str, recorded: Entry<ProvisioningRequest>) {
     let Entry {
         version,
         value: mut rental,
@@ -124,9 +127,9 @@
     controller: &Controller,
     id: &str,
     version: u64,
-    rental: &Rental,
+    rental: &ProvisioningRequest,
 ) -> Option<Response> {
-    let request = RentRequest {
+    let request = CreateMachinesRequest {
         request: id,
         kind: &rental.kind,
         zone: &rental.zone,
@@ -136,7 +139,7 @@
     let body = serde_json::to_vec(&request).ok()?;
     let stands = || {
         let replica = controller.replica.borrow();
-        let recorded = replica.rentals.get(id);
+        let recorded = replica.provisioning_requests.get(id);
         recorded.is_some_and(|entry| entry.version == version)
     };
     controller
@@ -146,10 +149,14 @@
 
 /// Takes the machines that the cloud has delivered into the rental; whether
 /// they are fewer than was asked for.
-fn take_answer(controller: &Controller, rental: &mut Rental, response: &Response) -> bool {
+fn take_answer(
+    controller: &Controller,
+    rental: &mut ProvisioningRequest,
+    response: &Response,
+) -> bool {
     let mut fell_short = true;
     if response.status == 200
-        && let Ok(names) = response.parse::<MachineNames>()
+        && let Ok(names) = response.parse::<MachineIds>()
     {
         fell_short = (names.machines.len() as u32) < rental.count;
         let replica = controller.replica.borrow();
@@ -173,7 +180,7 @@
 }
 
 /// Notes whether the cloud had capacity for the rental's offer.
-fn note_capacity(controller: &Controller, rental: &Rental, fell_short: bool) {
+fn note_capacity(controller: &Controller, rental: &ProvisioningRequest, fell_short: bool) {
     let offer = Offer::of_rental(rental);
     let mut fleet = controller.fleet.borrow_mut();
     if fell_short {
@@ -188,7 +195,7 @@
 pub(super) fn rental_of<'a>(
     replica: &'a Replica,
     machine: &str,
-) -> Option<(&'a String, &'a Entry<Rental>)> {
-    let mut rentals = replica.rentals.iter();
-    rentals.find(|(_, entry)| entry.value.machines.iter().any(|id| id == machine))
+) -> Option<(&'a String, &'a Entry<ProvisioningRequest>)> {
+    let mut provisioning_requests = replica.provisioning_requests.iter();
+    provisioning_requests.find(|(_, entry)| entry.value.machines.iter().any(|id| id == machine))
 }
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -9,11 +9,11 @@
 
 /// Drops what has served its turn: rentals whose machines all have a record of
 /// their own, arrivals whose jobs all have. Those records never go while this
-/// one stands (`returns::record_drops`) or at all, so what the replica shows holds.
+/// one stands (`scale_in::record_drops`) or at all, so what the replica shows holds.
 pub(super) async fn settle_records(controller: &Controller) {
     let (guards, writes): (Vec<Guard>, Vec<Write>) = {
         let replica = controller.replica.borrow();
-        let rentals = replica.rentals.iter().filter(|(_, entry)| {
+        let provisioning_requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
             let machines = &entry.value.machines;
             !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
         });
@@ -21,9 +21,10 @@
             let mut jobs = entry.value.jobs.keys();
             jobs.all(|id| replica.job_version(id) > 0)
         });
-        let rentals = rentals.map(|(id, entry)| (rental_key(id), entry.version));
+        let provisioning_requests =
+            provisioning_requests.map(|(id, entry)| (rental_key(id), entry.version));
         let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
-        rentals
+        provisioning_requests
             .chain(arrivals)
             .take(controller.settings.txn_ops())
             .map(|(key, version)| (guard(key.clone(), version), Write::Delete { key }))
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -8,7 +8,7 @@
 
 use super::boots::{Backoff, BootHistory};
 use super::offers::Offer;
-use crate::controller::skipped;
+use crate::controller::shifted_past_pause;
 use crate::state::budget::Bucket;
 use crate::wire::WorkerStatus;
 
@@ -135,19 +135,19 @@
     }
 
     /// Takes a gap in which this process did not run out of every span.
-    pub fn skip(&mut self, gap: Duration, now: Instant) {
+    pub fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         let spans = [
             &mut self.empty_since,
             &mut self.first_seen,
             &mut self.unrecorded,
         ];
         for since in spans.into_iter().flat_map(|span| span.values_mut()) {
-            *since = skipped(*since, gap, now);
+            *since = shifted_past_pause(*since, gap, now);
         }
-        self.boots.skip(gap, now);
+        self.boots.exclude_pause(gap, now);
         for seen in self.stale.values_mut() {
-            seen.first = skipped(seen.first, gap, now);
-            seen.last = skipped(seen.last, gap, now);
+            seen.first = shifted_past_pause(seen.first, gap, now);
+            seen.last = shifted_past_pause(seen.last, gap, now);
         }
     }
 
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -1,4 +1,4 @@
-//! The machine types that the cloud offers. The renter reads them and keeps
+//! The machine types that the cloud offers. The fleet_leader reads them and keeps
 //! them in the state, where every controller, a newly started one too, finds
 //! them.
 
@@ -24,7 +24,7 @@
         // Until the types are known nobody can accept anything.
         let known = !controller.replica.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
-        if controller.is_renter() && is_due(&controller) {
+        if controller.is_fleet_leader() && is_due(&controller) {
             refresh(&controller).await;
         }
     }
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -35,7 +35,9 @@
             continue;
         }
         sleep(controller.store.jitter(tick)).await;
-        if !controller.replica.borrow().uses_compact_encoding() || !controller.has_state() {
+        if !controller.replica.borrow().uses_compact_encoding()
+            || !controller.is_state_service_reachable()
+        {
             continue;
         }
         let now = Instant::now();
@@ -61,10 +63,10 @@
     }
 }
 
-/// Whether this controller looks after a home: its own; the renter after those
+/// Whether this controller looks after a home: its own; the fleet_leader after those
 /// whose controller is not up.
 fn tends(controller: &Controller, replica: &Replica, home: &str) -> bool {
-    home == controller.name() || (controller.is_renter() && !replica.nodes.contains_key(home))
+    home == controller.name() || (controller.is_fleet_leader() && !replica.nodes.contains_key(home))
 }
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -5,7 +5,7 @@
 mod clock;
 mod replica_loop;
 
-pub use clock::skipped;
+pub use clock::shifted_past_pause;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -22,7 +22,7 @@
 use crate::http::Client;
 use crate::mesh::Peers;
 use crate::net::Net;
-use crate::scheduler::{Ages, Reason};
+use crate::scheduler::{FirstSeenTimes, Reason};
 use crate::settings::Settings;
 use crate::state::budget::{Budget, RequestClass};
 use crate::state::client::{Store, StoreError};
@@ -62,12 +62,12 @@
     /// The revision that the replica has reached, for those who wait on it.
     pub reached: watch::Sender<u64>,
     /// Wakes placement: something that it depends on has changed.
-    pub placement_wanted: Notify,
+    pub placement_notify: Notify,
     /// Wakes the direct orders: bookings or reports of machines have changed.
-    pub commands_wanted: Notify,
+    pub commands_notify: Notify,
     /// The send time of the last barrier that the replica has reached.
     pub last_barrier: Cell<Option<Instant>>,
-    barrier_wanted: Notify,
+    barrier_notify: Notify,
     barrier_started: Cell<u64>,
     barrier_done: watch::Sender<u64>,
     /// The last barrier that the state service refused to serve.
@@ -82,27 +82,27 @@
     /// Ends of tasks that wait to be recorded.
     pub ends: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
     /// Wakes the recording of ends.
-    pub terminations_wanted: Notify,
+    pub terminations_notify: Notify,
     /// Submissions that wait to be accepted.
     pub arrivals: RefCell<VecDeque<Arrival>>,
     /// Wakes the acceptance of submissions.
-    pub arrivals_wanted: Notify,
+    pub acceptance_notify: Notify,
     /// Claims that wait to be committed, by machine.
     pub claims: RefCell<BTreeMap<String, Claim>>,
     /// How many heartbeats wait for their claims, each with its connection.
     pub claims_awaited: Cell<usize>,
     /// Wakes the commits of claims.
-    pub claims_wanted: Notify,
+    pub claims_notify: Notify,
     /// Wakes the publication of room: a machine can take work from now on.
-    pub publication_wanted: Notify,
+    pub publication_notify: Notify,
     /// What the other controllers have told of themselves.
     pub peers: RefCell<Peers>,
     /// What is known of the rented machines, held here or not.
     pub fleet: RefCell<FleetState>,
     /// Why each open job waits, as the decision that made it wait said.
-    pub reasons: RefCell<HashMap<String, Reason>>,
+    pub wait_states: RefCell<HashMap<String, Reason>>,
     /// When each open job was first seen here.
-    pub ages: RefCell<Ages>,
+    pub first_seen: RefCell<FirstSeenTimes>,
     /// Randomness for spreading load; nothing secret.
     pub rng: RefCell<SmallRng>,
 }
@@ -122,7 +122,7 @@
             settings.limits_will_fall().then(|| settings.value_bytes()),
         );
         let objectives = settings.deployment.objectives.iter();
-        replica.aimed_classes = objectives.filter_map(|o| o.class.clone()).collect();
+        replica.slo_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Controller {
             net,
             client,
@@ -135,10 +135,10 @@
             answered: RefCell::default(),
             replica: RefCell::new(replica),
             reached: watch::Sender::new(0),
-            placement_wanted: Notify::new(),
-            commands_wanted: Notify::new(),
+            placement_notify: Notify::new(),
+            commands_notify: Notify::new(),
             last_barrier: Cell::new(None),
-            barrier_wanted: Notify::new(),
+            barrier_notify: Notify::new(),
             barrier_started: Cell::new(0),
             barrier_done: watch::Sender::new(0),
             barrier_refused: watch::Sender::new(0),
@@ -147,17 +147,17 @@
             watch_expedited: Notify::new(),
             owned_workers: RefCell::default(),
             ends: RefCell::default(),
-            terminations_wanted: Notify::new(),
+            terminations_notify: Notify::new(),
             arrivals: RefCell::default(),
-            arrivals_wanted: Notify::new(),
+            acceptance_notify: Notify::new(),
             claims: RefCell::default(),
             claims_awaited: Cell::new(0),
-            claims_wanted: Notify::new(),
-            publication_wanted: Notify::new(),
+            claims_notify: Notify::new(),
+            publication_notify: Notify::new(),
             peers: RefCell::default(),
             fleet: RefCell::default(),
-            reasons: RefCell::default(),
-            ages: RefCell::default(),
+            wait_states: RefCell::default(),
+            first_seen: RefCell::default(),
             rng: RefCell::new(rng),
             settings,
         })
@@ -196,8 +196,8 @@
             *r = revision.max(*r);
             newer
         });
-        self.placement_wanted.notify_one();
-        self.commands_wanted.notify_one();
+        self.placement_notify.notify_one();
+        self.commands_notify.notify_one();
     }
 }
 
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether the state service serves this controller, as far as is known.
-    pub fn has_state(&self) -> bool {
+    pub fn is_state_service_reachable(&self) -> bool {
         let limit = self.settings.lease() / 4;
         self.replica_staleness().is_some_and(|age| age < limit)
     }
@@ -38,7 +38,7 @@
     pub fn request_barrier_for(&self, machine: &str) {
         let mut deferred = self.deferred_launches.borrow_mut();
         if deferred.is_empty() {
-            self.barrier_wanted.notify_one();
+            self.barrier_notify.notify_one();
         }
         deferred.insert(machine.to_string());
     }
@@ -50,7 +50,7 @@
         if !deferred.is_empty() {
             let changes = &mut self.replica.borrow_mut().changes;
             changes.machines.append(&mut deferred);
-            self.commands_wanted.notify_one();
+            self.commands_notify.notify_one();
         }
     }
 
@@ -59,7 +59,7 @@
     pub async fn barrier(&self, limit: Duration) -> bool {
         // The next barrier to start was surely sent after this moment.
         let wanted = self.barrier_started.get() + 1;
-        self.barrier_wanted.notify_one();
+        self.barrier_notify.notify_one();
         let mut done = self.barrier_done.subscribe();
         matches!(
             timeout(limit, done.wait_for(|d| *d >= wanted)).await,
@@ -75,7 +75,7 @@
             // A controller that has just started has workers whose leases run
             // out: its first barrier does not wait for anyone to ask.
             if self.last_barrier.get().is_some() {
-                let _ = timeout(idle, self.barrier_wanted.notified()).await;
+                let _ = timeout(idle, self.barrier_notify.notified()).await;
             }
             let sent = Instant::now();
             let number = self.barrier_started.get() + 1;
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -19,9 +19,9 @@
         if gap > self.settings.lease() / 8 {
             tracing::info!(gap_s = gap.as_secs_f64(), "stood still");
             for owned_worker in self.owned_workers.borrow_mut().values_mut() {
-                owned_worker.skip(gap, now);
+                owned_worker.exclude_pause(gap, now);
             }
-            self.fleet.borrow_mut().skip(gap, now);
+            self.fleet.borrow_mut().exclude_pause(gap, now);
         }
         now
     }
@@ -50,6 +50,6 @@
 }
 
 /// An earlier moment as it counts after a gap: none of the gap has passed since.
-pub fn skipped(at: Instant, gap: Duration, now: Instant) -> Instant {
+pub fn shifted_past_pause(at: Instant, gap: Duration, now: Instant) -> Instant {
     at.checked_add(gap).map_or(now, |t| t.min(now))
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -26,7 +26,7 @@
         tokio::task::spawn_local(cloud::run_type_refresh(controller.clone())),
         tokio::task::spawn_local(cloud::run_lease_renewal(controller.clone())),
         tokio::task::spawn_local(cloud::run_fleet(controller.clone())),
-        tokio::task::spawn_local(cloud::run_rentals(controller.clone())),
+        tokio::task::spawn_local(cloud::run_scale_out(controller.clone())),
         tokio::task::spawn_local(api::run_acceptance(controller.clone())),
         tokio::task::spawn_local(compaction::run_compaction(controller.clone())),
         tokio::task::spawn_local(accounting::run_shares(controller.clone())),
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -123,7 +123,7 @@
     /// Whether a peer hears the machines that it holds, as far as it has told: one
     /// or a quarter may be lost or on their way. One that is cut off from workers
     /// alone still talks to us and to the state service.
-    pub fn hears_workers(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
+    pub fn receives_heartbeats(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(controller, now);
         fresh.any(|(name, told)| name == peer && told.silent <= (told.machines / 4).max(1))
     }
@@ -229,7 +229,9 @@
         // A controller that is not heard and has no state lease either writes
         // nothing: it is cut off, or has ended, and its zone shard is needed most just
         // then. Only when there was time for all to write their keys.
-        if controller.started.elapsed() > controller.settings.lease() && controller.has_state() {
+        if controller.started.elapsed() > controller.settings.lease()
+            && controller.is_state_service_reachable()
+        {
             let replica = controller.replica.borrow();
             for (peer, demand) in controller.settings.others.iter().zip(&mut others) {
                 if demand.is_none() && !replica.nodes.contains_key(&peer.name) {
--- a/src/ops/messages.rs
+++ b/src/ops/messages.rs
@@ -8,7 +8,7 @@
 
 /// Tasks of one attempt of a job on one machine.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RunStory {
+pub struct RunDetails {
     /// The machine.
     pub machine: String,
     /// The machine's zone.
@@ -23,7 +23,7 @@
 
 /// The state of one job.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct JobStory {
+pub struct JobDetails {
     /// The job's id.
     pub job: String,
     /// How far it has come.
@@ -54,12 +54,12 @@
     /// For how many seconds that has been the reason.
     pub reason_s: Option<f64>,
     /// Its tasks on machines, a hundred entries at most.
-    pub runs: Vec<RunStory>,
+    pub runs: Vec<RunDetails>,
 }
 
 /// What a team uses and what it waits for.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct TeamStory {
+pub struct TeamDetails {
     /// The team's name.
     pub team: String,
     /// CPUs that its tasks take.
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -15,9 +15,9 @@
 use crate::controller::Controller;
 use crate::http::{Response, query_value};
 
-pub use messages::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
+pub use messages::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 
-/// The response to `GET /ops/job/{id}`: a [`JobStory`].
+/// The response to `GET /ops/job/{id}`: a [`JobDetails`].
 pub fn job(controller: &Controller, id: &str) -> Response {
     match Snapshot::new(controller).job(id) {
         Some(story) => Response::json(200, &story),
@@ -25,7 +25,7 @@
     }
 }
 
-/// The response to `GET /ops/teams`: a [`TeamStory`] for each team.
+/// The response to `GET /ops/teams`: a [`TeamDetails`] for each team.
 pub fn teams(controller: &Controller) -> Response {
     Response::json(200, &Snapshot::new(controller).teams())
 }
--- a/src/ops/reason.rs
+++ b/src/ops/reason.rs
@@ -27,7 +27,7 @@
 
     /// The reason of a job that is not over at `now`.
     pub(super) fn of(controller: &Controller, id: &str, job: &Job, now: Instant) -> Self {
-        if !controller.has_state() {
+        if !controller.is_state_service_reachable() {
             let age = controller
                 .replica_staleness()
                 .map_or(0.0, |age| age.as_secs_f64());
@@ -46,7 +46,7 @@
     }
 
     fn of_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
-        match controller.reasons.borrow().get(id) {
+        match controller.wait_states.borrow().get(id) {
             Some(reason) => {
                 let seconds = now.saturating_duration_since(reason.since).as_secs_f64();
                 PendingReason::new(wait_text(reason.why), seconds)
--- a/src/ops/snapshot.rs
+++ b/src/ops/snapshot.rs
@@ -5,13 +5,13 @@
 
 use tokio::time::Instant;
 
-use super::messages::{FleetReport, JobStory, RunStory, TeamStory, UnfinishedJob};
+use super::messages::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use super::reason::PendingReason;
 use crate::api::state_of;
 use crate::cloud;
 use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
-use crate::settings::TeamTerms;
+use crate::settings::TeamQuota;
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{JobStage, Kind};
@@ -48,14 +48,14 @@
     }
 
     /// One job; `None` for one that was never accepted.
-    pub(super) fn job(&self, id: &str) -> Option<JobStory> {
+    pub(super) fn job(&self, id: &str) -> Option<JobDetails> {
         let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
         let stage = state_of(&self.replica, id)?.stage;
         let is_open = self.replica.state(id) == Some(JobStatus::Open);
         let reason = is_open.then(|| self.reason(id, job));
         let runs = job.runs.iter().take(PAGE_SIZE);
-        Some(JobStory {
+        Some(JobDetails {
             job: id.to_string(),
             stage,
             class: spec.map(|spec| spec.class.clone()),
@@ -75,16 +75,16 @@
     }
 
     /// All teams, in the order of the settings.
-    pub(super) fn teams(&self) -> Vec<TeamStory> {
+    pub(super) fn teams(&self) -> Vec<TeamDetails> {
         let settings = &self.controller.settings;
         let plan = Plan::of(&self.replica);
-        let ages = self.controller.ages.borrow();
-        let queue = scheduler::queue(&self.replica, &plan, settings, &ages, self.now);
+        let first_seen = self.controller.first_seen.borrow();
+        let queue = scheduler::queue(&self.replica, &plan, settings, &first_seen, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
     }
 
-    fn team(&self, terms: &TeamTerms, queue: &[&str]) -> TeamStory {
+    fn team(&self, terms: &TeamQuota, queue: &[&str]) -> TeamDetails {
         let used = self.replica.team_used(&terms.name);
         let (cpus, gpus) = (used.cpus.units(), used.gpus.units());
         let waiting: Vec<(&str, &Job)> = queue
@@ -92,7 +92,7 @@
             .filter_map(|id| Some((*id, &self.replica.jobs.get(*id)?.value)))
             .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == terms.name))
             .collect();
-        TeamStory {
+        TeamDetails {
             team: terms.name.clone(),
             cpus_used: cpus,
             cpus_guaranteed: terms.cpus,
@@ -202,8 +202,8 @@
 
     /// How long this controller has known a job, in seconds.
     fn age_s(&self, id: &str) -> f64 {
-        let ages = self.controller.ages.borrow();
-        ages.get(id).map_or(0.0, |first_seen| {
+        let first_seen = self.controller.first_seen.borrow();
+        first_seen.get(id).map_or(0.0, |first_seen| {
             self.now
                 .saturating_duration_since(*first_seen)
                 .as_secs_f64()
@@ -213,12 +213,12 @@
     /// Whether a job is past its own deadline, or has waiting tasks and is too
     /// late for all that it is to meet.
     fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let standing = self.replica.standing(id, spec, self.now);
-        if standing.left_s.is_some_and(|left| left < 0.0) {
+        let queue_rank = self.replica.queue_rank(id, spec, self.now);
+        if queue_rank.left_s.is_some_and(|left| left < 0.0) {
             return true;
         }
         let settings = &self.controller.settings;
-        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &standing)
+        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &queue_rank)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
@@ -226,8 +226,8 @@
     }
 }
 
-fn run_story(run: &Run, is_open: bool) -> RunStory {
-    RunStory {
+fn run_story(run: &Run, is_open: bool) -> RunDetails {
+    RunDetails {
         machine: run.machine.clone(),
         zone: run.zone.clone(),
         attempt: run.attempt,
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -39,7 +39,7 @@
 
 /// Indexes over the records of jobs that await others; a part of the [`Replica`].
 #[derive(Debug, Default)]
-pub struct Pipelines {
+pub struct DependencyGraph {
     /// Open jobs that wait, each with the ids that it still awaits.
     blocked: BTreeMap<String, Vec<String>>,
     /// The blocked jobs that directly await a job, by its id.
@@ -56,7 +56,7 @@
 
 /// What a job's place in the queue goes by, with what needs it counted in.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct QueueRank {
     /// The highest priority of the job and of those that need it.
     pub priority: Priority,
     /// The seconds left until its deadline, or until the tightest of those that
@@ -67,10 +67,10 @@
     pub asked: bool,
 }
 
-impl Standing {
+impl QueueRank {
     /// That of a job which nothing needs, submitted just now.
     pub fn of(spec: &Spec) -> Self {
-        Standing {
+        QueueRank {
             priority: spec.priority,
             left_s: spec.deadline_s,
             asked: false,
@@ -91,12 +91,12 @@
     }
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// What is kept over a full read of the state: how long jobs have been known.
     pub fn after_reload(self) -> Self {
-        Pipelines {
+        DependencyGraph {
             first_seen: self.first_seen,
-            ..Pipelines::default()
+            ..DependencyGraph::default()
         }
     }
 }
@@ -152,7 +152,7 @@
     }
 
     /// What the job's place in the queue goes by at this moment.
-    pub fn standing(&self, id: &str, spec: &Spec, now: Instant) -> Standing {
+    pub fn queue_rank(&self, id: &str, spec: &Spec, now: Instant) -> QueueRank {
         let demanded = self.pipelines.demand.get(id).and_then(|d| d.due);
         let own = match spec.deadline_s {
             // Known by its spec alone, as in a plan: submitted just now.
@@ -161,7 +161,7 @@
             None => None,
         };
         let left = [own, demanded.map(|at| until(at, now))];
-        Standing {
+        QueueRank {
             priority: self.priority(id, spec),
             left_s: left.into_iter().flatten().reduce(f64::min),
             asked: demanded.is_some(),
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -9,8 +9,8 @@
 use crate::wire::Kind;
 use crate::workers;
 
-/// Hints for choosing among machines with room; none of them is needed.
-pub struct Hints<'a> {
+/// PlacementHints for choosing among machines with room; none of them is needed.
+pub struct PlacementHints<'a> {
     /// The replica that is planned on.
     pub replica: &'a Replica,
     /// The controller that plans: between machines that are as good, those of
@@ -23,10 +23,10 @@
     pub lenient: bool,
 }
 
-impl<'a> Hints<'a> {
-    /// Hints of a controller whose commit touches no zone shards yet.
+impl<'a> PlacementHints<'a> {
+    /// PlacementHints of a controller whose commit touches no zone shards yet.
     pub fn new(replica: &'a Replica, home: &'a str) -> Self {
-        Hints {
+        PlacementHints {
             replica,
             home,
             touched: BTreeSet::new(),
@@ -38,7 +38,7 @@
 /// How far work without accelerators may take resources of machines that have
 /// them from work that needs them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Care {
+pub enum AcceleratorProtection {
     /// Not at all, and no service keeps their machines rented.
     Strict,
     /// Only what work on the accelerators cannot use.
@@ -68,7 +68,7 @@
 
 /// Places found for tasks of a job, as indices of machines in the plan.
 pub(super) struct Filled {
-    pub(super) spots: Vec<usize>,
+    pub(super) plan_slots: Vec<usize>,
     /// The sum of the places' scores.
     pub(super) score: Score,
 }
@@ -106,8 +106,8 @@
 /// Where a job's tasks may go.
 pub(super) struct Candidates<'a> {
     spec: &'a Spec,
-    hints: &'a Hints<'a>,
-    care: Care,
+    hints: &'a PlacementHints<'a>,
+    care: AcceleratorProtection,
     /// By class number.
     classes: Vec<ClassFit>,
     /// By zone shard number: how much its zone shard adds to the commit. Places that are as
@@ -123,7 +123,11 @@
 }
 
 impl<'a> Candidates<'a> {
-    pub(super) fn new(spec: &'a Spec, hints: &'a Hints<'a>, care: Care) -> Self {
+    pub(super) fn new(
+        spec: &'a Spec,
+        hints: &'a PlacementHints<'a>,
+        care: AcceleratorProtection,
+    ) -> Self {
         let replica = hints.replica;
         let classes = replica.classes.iter();
         let zone_shards = 0..replica.zone_shard_names.len() as u32;
@@ -197,9 +201,9 @@
             // whose accelerators are idle.
             (Kind::Array, _) => spot.free.gpus < class.gpus && self.loss(spot) == 0,
             // What stays for long goes elsewhere if it can.
-            (_, Care::Strict) => false,
-            (_, Care::Mild) => self.loss(spot) == 0,
-            (_, Care::Lax) => true,
+            (_, AcceleratorProtection::Strict) => false,
+            (_, AcceleratorProtection::Mild) => self.loss(spot) == 0,
+            (_, AcceleratorProtection::Lax) => true,
         }
     }
 
@@ -250,10 +254,10 @@
     pub(super) fn fill(&self, plan: &Plan, zone_caps: &[usize], limit: usize) -> Filled {
         let mut offers = ZoneOffers::new(self, plan, zone_caps);
         let mut filled = Filled {
-            spots: Vec::new(),
+            plan_slots: Vec::new(),
             score: [0; 8],
         };
-        while filled.spots.len() < limit {
+        while filled.plan_slots.len() < limit {
             let Some((zone, offer)) = offers.take_best() else {
                 break;
             };
@@ -274,7 +278,7 @@
         limit: usize,
     ) {
         let is_service = self.spec.kind == Kind::Service;
-        let mut spot = plan.spots[offer.spot];
+        let mut spot = plan.plan_slots[offer.spot];
         for _ in 0..offer.given {
             spot.free -= self.spec.need;
         }
@@ -282,11 +286,12 @@
             for (sum, figure) in filled.score.iter_mut().zip(offer.score) {
                 *sum = sum.saturating_add(figure);
             }
-            filled.spots.push(offer.spot);
+            filled.plan_slots.push(offer.spot);
             spot.free -= self.spec.need;
             offers.given[zone] += 1;
             offers.caps[zone] -= 1;
-            let more = filled.spots.len() < limit && offers.caps[zone] > 0 && self.is_open(&spot);
+            let more =
+                filled.plan_slots.len() < limit && offers.caps[zone] > 0 && self.is_open(&spot);
             if is_service || !more {
                 break;
             }
@@ -310,7 +315,7 @@
 
 /// What a zone shard adds to the commit: nothing if it is written anyway, little if the
 /// planning controller is at home there.
-fn shard_cost(hints: &Hints, shard: u32) -> i64 {
+fn shard_cost(hints: &PlacementHints, shard: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
     let own = workers::home_of(local_name) == hints.home;
@@ -336,7 +341,7 @@
 impl ZoneOffers {
     fn new(candidates: &Candidates, plan: &Plan, caps: &[usize]) -> Self {
         let mut offers: Vec<Vec<Reverse<Offer>>> = vec![Vec::new(); caps.len()];
-        for (index, spot) in plan.spots.iter().enumerate() {
+        for (index, spot) in plan.plan_slots.iter().enumerate() {
             let zone = candidates.class(spot).zone;
             if caps.get(zone).is_some_and(|cap| *cap > 0) && candidates.is_open(spot) {
                 offers[zone].push(Reverse(candidates.offer(spot, index, 0)));
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -8,10 +8,10 @@
 
 use foldhash::HashMap;
 
-use super::candidates::{Candidates, Care, Hints};
+use super::candidates::{AcceleratorProtection, Candidates, PlacementHints};
 use super::plan::{Place, Plan, UNASSIGNED, team_slots};
-use super::reasons::WaitReason;
 use super::record_size::record_slots;
+use super::wait_states::WaitReason;
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::PlanSlot;
@@ -26,9 +26,9 @@
     job: &Job,
     spec: &Spec,
     plan: &Plan,
-    hints: &Hints,
+    hints: &PlacementHints,
     settings: &Settings,
-    care: Care,
+    care: AcceleratorProtection,
 ) -> Result<Vec<Place>, WaitReason> {
     let replica = hints.replica;
     let request = Request {
@@ -43,7 +43,7 @@
         .find()?
         .into_iter()
         .map(|at| {
-            let spot = &plan.spots[at];
+            let spot = &plan.plan_slots[at];
             Place {
                 at,
                 machine: replica.machine_names.name(spot.machine),
@@ -72,9 +72,9 @@
     job: &Job,
     spec: &Spec,
     plan: &Plan,
-    hints: &Hints,
+    hints: &PlacementHints,
     settings: &Settings,
-    care: Care,
+    care: AcceleratorProtection,
 ) -> usize {
     let request = Request {
         job,
@@ -84,7 +84,7 @@
         settings,
         care,
     };
-    request.find().map_or(0, |spots| spots.len())
+    request.find().map_or(0, |plan_slots| plan_slots.len())
 }
 
 /// A job that places are searched for, and what the search goes by.
@@ -93,9 +93,9 @@
     job: &'a Job,
     spec: &'a Spec,
     plan: &'a Plan,
-    hints: &'a Hints<'a>,
+    hints: &'a PlacementHints<'a>,
     settings: &'a Settings,
-    care: Care,
+    care: AcceleratorProtection,
 }
 
 /// Places as indices of machines in the plan.
@@ -143,18 +143,18 @@
                 self.find_within(Some([zone_shards[a], zone_shards[b]]), excluded)
                     .ok()
             })
-            .find(|spots| spots.len() >= found.len());
+            .find(|plan_slots| plan_slots.len() >= found.len());
         match narrow {
-            Some(spots) => Ok(spots),
+            Some(plan_slots) => Ok(plan_slots),
             None if self.spec.is_gang() => Err(WaitReason::NoRoom),
             None => Ok(found),
         }
     }
 
     /// How many of the places each zone shard has.
-    fn tasks_by_shard(&self, spots: &[usize]) -> HashMap<u32, usize> {
+    fn tasks_by_shard(&self, plan_slots: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
-        let zone_shards = spots.iter().map(|at| self.plan.spots[*at].shard);
+        let zone_shards = plan_slots.iter().map(|at| self.plan.plan_slots[*at].shard);
         for shard in zone_shards.filter(|shard| *shard != UNASSIGNED) {
             *tasks.entry(shard).or_default() += 1;
         }
@@ -163,7 +163,8 @@
 
     /// All zone shards of the plan; those that hold most of the tasks come first.
     fn shards_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
-        let mut zone_shards: Vec<u32> = self.plan.spots.iter().map(|spot| spot.shard).collect();
+        let mut zone_shards: Vec<u32> =
+            self.plan.plan_slots.iter().map(|spot| spot.shard).collect();
         zone_shards.sort_unstable();
         zone_shards.dedup();
         zone_shards.retain(|shard| *shard != UNASSIGNED);
@@ -187,10 +188,10 @@
             .within(zone_shards);
         if spec.is_gang() || spec.one_zone {
             let best = best_zone(&candidates, self.plan, &zone_caps, limit);
-            if let Some(spots) = best
-                && (!spec.is_gang() || spots.len() == waiting)
+            if let Some(plan_slots) = best
+                && (!spec.is_gang() || plan_slots.len() == waiting)
             {
-                return Ok(spots);
+                return Ok(plan_slots);
             }
             if spec.one_zone {
                 return Err(match spec.is_gang() {
@@ -200,15 +201,15 @@
             }
         }
         let capped = zone_caps.iter().any(|cap| *cap < limit);
-        let spots = candidates.fill(self.plan, &zone_caps, limit).spots;
-        if spots.is_empty() || (spec.is_gang() && spots.len() < waiting) {
+        let plan_slots = candidates.fill(self.plan, &zone_caps, limit).plan_slots;
+        if plan_slots.is_empty() || (spec.is_gang() && plan_slots.len() < waiting) {
             return Err(if capped {
                 WaitReason::Spread
             } else {
                 WaitReason::NoRoom
             });
         }
-        Ok(spots)
+        Ok(plan_slots)
     }
 
     /// How many tasks wait that the team's limit lets run.
@@ -264,20 +265,20 @@
             only[zone] = zone_caps[zone];
             candidates.fill(plan, &only, limit)
         })
-        .filter(|filled| !filled.spots.is_empty())
-        .min_by_key(|filled| (Reverse(filled.spots.len()), filled.score));
-    best.map(|filled| filled.spots)
+        .filter(|filled| !filled.plan_slots.is_empty())
+        .min_by_key(|filled| (Reverse(filled.plan_slots.len()), filled.score));
+    best.map(|filled| filled.plan_slots)
 }
 
 /// Keeps the resources that a gang waits for, in the zone that has the most of
 /// them, from what comes behind it in the queue. Machines that hold none of its
 /// tasks yet are left to others: a reservation would not free them any sooner.
-pub fn hold_room(spec: &Spec, plan: &mut Plan, hints: &Hints) {
-    let candidates = Candidates::new(spec, hints, Care::Strict);
+pub fn reserve_capacity(spec: &Spec, plan: &mut Plan, hints: &PlacementHints) {
+    let candidates = Candidates::new(spec, hints, AcceleratorProtection::Strict);
     let zones = hints.replica.zone_names.len();
     let mut slots = vec![0; zones];
     let allowed = |spot: &&PlanSlot| candidates.class(spot).allowed;
-    for spot in plan.spots.iter().filter(allowed) {
+    for spot in plan.plan_slots.iter().filter(allowed) {
         slots[candidates.class(spot).zone] += spot.free.slots(&spec.need);
     }
     let best = (0..zones).max_by_key(|zone| slots[*zone]);
@@ -285,7 +286,7 @@
         return;
     };
     let mut left = spec.tasks as usize;
-    for spot in &mut plan.spots {
+    for spot in &mut plan.plan_slots {
         let class = candidates.class(spot);
         while left > 0 && class.allowed && class.zone == best && spot.free.fits(&spec.need) {
             spot.free -= spec.need;
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,15 +1,15 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
-use crate::pipeline::Standing;
+use crate::pipeline::QueueRank;
 use crate::policy::JobFacts;
-use crate::settings::{Settings, TeamTerms};
+use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Amount, Job, Resources, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, Priority};
 
 /// Whether an objective names the job's class.
-pub fn has_objective(spec: &Spec, settings: &Settings) -> bool {
+pub fn has_slo(spec: &Spec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
 }
@@ -21,16 +21,18 @@
         && spec.priority == Priority::Low
         && spec.deadline_s.is_none()
         && spec.checkpoint_s > 0.0
-        && !has_objective(spec, settings)
+        && !has_slo(spec, settings)
 }
 
 /// Whether a job, started now, is too late for every objective of its class and
 /// for the deadline of the jobs that depend on it. A job without any is never late.
 /// Deadlines count from the submission, all else from when it could first start
 /// (`age`).
-pub fn is_late(spec: &Spec, settings: &Settings, age: f64, standing: &Standing) -> bool {
-    let in_time = standing.left_s.is_some_and(|left| left >= spec.estimate_s);
-    let mut any = standing.asked;
+pub fn is_late(spec: &Spec, settings: &Settings, age: f64, queue_rank: &QueueRank) -> bool {
+    let in_time = queue_rank
+        .left_s
+        .is_some_and(|left| left >= spec.estimate_s);
+    let mut any = queue_rank.asked;
     if any && in_time {
         return false;
     }
@@ -61,14 +63,14 @@
     settings: &Settings,
     replica: &Replica,
     age: f64,
-    standing: &Standing,
+    queue_rank: &QueueRank,
 ) -> JobFacts {
     let team = team_standing(spec, &plan.used(&spec.team), settings.team(&spec.team));
     JobFacts {
         borrows: team.borrows,
-        priority: f64::from(standing.priority as u8),
+        priority: f64::from(queue_rank.priority as u8),
         share: team.share,
-        late: is_late(spec, settings, age, standing),
+        late: is_late(spec, settings, age, queue_rank),
         work: work(job, spec),
         age_s: age,
         tasks: f64::from(spec.tasks),
@@ -79,9 +81,9 @@
             Kind::Gang => 1.0,
             Kind::Service => 2.0,
         },
-        has_deadline: standing.left_s.is_some(),
+        has_deadline: queue_rank.left_s.is_some(),
         boot_s: replica.least_boot_s(),
-        aimed: has_objective(spec, settings),
+        aimed: has_slo(spec, settings),
     }
 }
 
@@ -95,7 +97,7 @@
 
 /// How a job's team stands to its guarantee in what the job mainly needs. A team
 /// without a guarantee counts as if it had one unit.
-fn team_standing(spec: &Spec, used: &Resources, terms: Option<&TeamTerms>) -> TeamStanding {
+fn team_standing(spec: &Spec, used: &Resources, terms: Option<&TeamQuota>) -> TeamStanding {
     let Some(terms) = terms else {
         return TeamStanding {
             borrows: true,
@@ -132,7 +134,7 @@
 }
 
 /// Whether `tasks` more of this job stay within the team's guarantee.
-pub fn within_guarantee(terms: &TeamTerms, used: &Resources, spec: &Spec, tasks: usize) -> bool {
+pub fn within_guarantee(terms: &TeamQuota, used: &Resources, spec: &Spec, tasks: usize) -> bool {
     let with = *used + spec.need.times(tasks);
     let guarantee = terms.guarantee();
     let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,7 +14,7 @@
 //! | `ends` | recorded ends of tasks |
 //! | `record_size` | how many bookings a job's record holds |
 //! | `transaction`, `machine_shards` | records as a transaction will leave them |
-//! | `reasons` | why a job waits |
+//! | `wait_states` | why a job waits |
 
 mod candidates;
 mod ends;
@@ -26,7 +26,6 @@
 mod plan;
 mod preemption;
 mod queue;
-mod reasons;
 mod record_size;
 mod round;
 mod round_search;
@@ -35,20 +34,21 @@
 mod shard_allocation;
 mod transaction;
 mod victims;
+mod wait_states;
 
 pub use crate::hash::preferred;
 pub use crate::state::record_bound::least_record;
-pub use candidates::{Care, Hints};
-pub use fit::{count, fit, hold_room};
-pub use job_facts::{facts, has_objective, is_late, is_opportunistic, within_guarantee};
+pub use candidates::{AcceleratorProtection, PlacementHints};
+pub use fit::{count, fit, reserve_capacity};
+pub use job_facts::{facts, has_slo, is_late, is_opportunistic, within_guarantee};
 pub use machine_shards::MachineShardEdits;
 pub use ownership::placer;
 pub use plan::{Place, Plan, UNASSIGNED, team_slots};
-pub use queue::{Ages, Rank, queue, starves};
-pub use reasons::{Reason, WaitReason, note};
+pub use queue::{FirstSeenTimes, Rank, queue, starves};
 pub use record_size::record_slots;
 pub use round_state::back_off;
 pub use rounds::run_placement;
 pub use shard_allocation::Candidates;
 pub use transaction::{COMMIT_BYTES, GUARDS_PER_WRITE, Released, SLOT, Transaction, book};
-pub use victims::{Victim, may_preempt};
+pub use victims::{PreemptionCandidate, may_preempt};
+pub use wait_states::{Reason, WaitReason, note};
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use super::reasons::note;
 use super::round_state::RoundState;
+use super::wait_states::note;
 use crate::controller::Controller;
 use crate::hash::preferred;
 use crate::settings::Settings;
@@ -45,15 +45,15 @@
     let peers = controller.peers.borrow();
     let alive: Vec<&str> = peers.alive(controller, now);
     state.forget_closed_jobs(replica);
-    let mut ages = controller.ages.borrow_mut();
-    ages.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
+    let mut first_seen = controller.first_seen.borrow_mut();
+    first_seen.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
     let mut own = Vec::new();
     for (_, id) in &replica.open {
         let Some(entry) = replica.jobs.get(id) else {
             continue;
         };
         let job = &entry.value;
-        ages.entry(id.clone()).or_insert(now);
+        first_seen.entry(id.clone()).or_insert(now);
         state.observe(id, entry.version, now);
         if job.waiting() == 0 || state.is_excluded(id) {
             continue;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -5,7 +5,7 @@
 
 use foldhash::HashMap;
 
-use crate::settings::TeamTerms;
+use crate::settings::TeamQuota;
 use crate::state::records::{Amount, Resources};
 use crate::state::replica::{PlanSlot, Replica};
 
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// The machines that take work, with what is free on them.
-    pub spots: Vec<PlanSlot>,
+    pub plan_slots: Vec<PlanSlot>,
     /// The index of a machine in `spots`, by the machine's number.
     index: Vec<u32>,
     /// What each team uses.
@@ -28,14 +28,14 @@
     /// The plan that a round on this replica starts from.
     pub fn of(replica: &Replica) -> Self {
         let mut plan = Plan {
-            spots: replica
-                .spots()
+            plan_slots: replica
+                .plan_slots()
                 .map(|s| replica.with_free_resources(s))
                 .collect(),
             index: vec![UNASSIGNED; replica.machine_names.len()],
             teams: replica.teams_used().clone(),
         };
-        for (at, spot) in plan.spots.iter().enumerate() {
+        for (at, spot) in plan.plan_slots.iter().enumerate() {
             plan.index[spot.machine as usize] = at as u32;
         }
         plan
@@ -55,7 +55,7 @@
 
     /// Adds a machine that is not there yet.
     pub fn add(&mut self, class: u32, free: Resources) {
-        self.spots.push(PlanSlot {
+        self.plan_slots.push(PlanSlot {
             machine: UNASSIGNED,
             shard: UNASSIGNED,
             class,
@@ -65,7 +65,7 @@
 
     /// Takes one task's resources at this place.
     pub fn take(&mut self, place: &Place, team: &str, need: Resources) {
-        self.spots[place.at].free -= need;
+        self.plan_slots[place.at].free -= need;
         match self.teams.get_mut(team) {
             Some(used) => *used += need,
             None => {
@@ -84,7 +84,7 @@
 
     /// The same where the machine's index among the spots is known.
     pub fn free(&mut self, at: usize, team: &str, room: Resources) {
-        self.spots[at].free += room;
+        self.plan_slots[at].free += room;
         self.give_team(team, room);
     }
 
@@ -109,7 +109,7 @@
 }
 
 /// How many more tasks the team's limit lets run.
-pub fn team_slots(terms: &TeamTerms, used: &Resources, need: &Resources) -> usize {
+pub fn team_slots(terms: &TeamQuota, used: &Resources, need: &Resources) -> usize {
     let (cpus, gpus) = terms.limit();
     let slots = |cap: Option<Amount>, used: i64, need: i64| match cap {
         Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -5,13 +5,13 @@
 
 use tokio::time::Instant;
 
-use super::candidates::{Care, Hints};
+use super::candidates::{AcceleratorProtection, PlacementHints};
 use super::fit::fit;
 use super::plan::Plan;
 use super::round_search::{RoundSearch, VICTIM_SEARCHES};
 use super::round_state::RoundState;
 use super::transaction::Transaction;
-use super::victims::{Victim, VictimSearch, places_wanted};
+use super::victims::{PreemptionCandidate, VictimSearch, places_wanted};
 use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
@@ -27,7 +27,7 @@
     state: &'a mut RoundState,
     transaction: &'a mut Transaction<'v>,
     search: &'a mut RoundSearch,
-    hints: Hints<'a>,
+    hints: PlacementHints<'a>,
     /// The plan as it will be: resources that are being cleared count as free,
     /// once for each job that they will serve.
     expected: Plan,
@@ -38,8 +38,8 @@
 
 /// Victims that make room for a job, and the care under which it fits then.
 struct Found {
-    victims: Vec<Victim>,
-    care: Care,
+    victims: Vec<PreemptionCandidate>,
+    care: AcceleratorProtection,
 }
 
 impl<'a, 'v> Preemption<'a, 'v> {
@@ -60,7 +60,7 @@
             state,
             transaction,
             search,
-            hints: Hints::new(replica, controller.name()),
+            hints: PlacementHints::new(replica, controller.name()),
             expected,
             changed: BTreeMap::new(),
             now,
@@ -101,14 +101,14 @@
     /// lately. The places that it will have are taken out of the plan.
     fn missing_places(&mut self, id: &str, job: &Job, spec: &Spec) -> Option<usize> {
         let wanted = places_wanted(job, spec);
-        let found = self.take_places(job, spec, Care::Strict);
+        let found = self.take_places(job, spec, AcceleratorProtection::Strict);
         let tried = self.state.preempted_for.contains_key(id)
             || self.state.without_victims.contains_key(id);
         (found < wanted && !tried).then(|| wanted - found)
     }
 
     /// Takes the job's places out of the plan, and tells how many there are.
-    fn take_places(&mut self, job: &Job, spec: &Spec, care: Care) -> usize {
+    fn take_places(&mut self, job: &Job, spec: &Spec, care: AcceleratorProtection) -> usize {
         let settings = &self.controller.settings;
         let places = fit(job, spec, &self.expected, &self.hints, settings, care);
         for place in places.iter().flatten() {
@@ -137,15 +137,17 @@
             changed: &self.changed,
             expected: &self.expected,
         };
-        [Care::Strict, Care::Lax].into_iter().find_map(|care| {
-            let found = search.find(id, job, spec, care, missing)?;
-            let victims = found.victims;
-            Some(Found { victims, care })
-        })
+        [AcceleratorProtection::Strict, AcceleratorProtection::Lax]
+            .into_iter()
+            .find_map(|care| {
+                let found = search.find(id, job, spec, care, missing)?;
+                let victims = found.victims;
+                Some(Found { victims, care })
+            })
     }
 
     /// Stops a victim's tasks and gives their resources back to the plan.
-    fn stop(&mut self, victim: &Victim, for_job: &str) {
+    fn stop(&mut self, victim: &PreemptionCandidate, for_job: &str) {
         tracing::info!(
             job = victim.job,
             machine = victim.machine,
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -37,14 +37,14 @@
 }
 
 /// How long each open job has been known here; a hint for the queue's order.
-pub type Ages = HashMap<String, Instant>;
+pub type FirstSeenTimes = HashMap<String, Instant>;
 
 /// All jobs with waiting tasks, the first to be placed first.
 pub fn queue<'a>(
     replica: &'a Replica,
     plan: &Plan,
     settings: &Settings,
-    ages: &Ages,
+    first_seen: &FirstSeenTimes,
     now: Instant,
 ) -> Vec<&'a str> {
     let mut queue: Vec<(Rank, &str)> = replica
@@ -53,9 +53,9 @@
         .filter_map(|(accepted_revision, id)| {
             let job = &replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
-            let age = age_s(ages, id, now);
-            let standing = replica.standing(id, spec, now);
-            let facts = facts(job, spec, plan, settings, replica, age, &standing);
+            let age = age_s(first_seen, id, now);
+            let queue_rank = replica.queue_rank(id, spec, now);
+            let facts = facts(job, spec, plan, settings, replica, age, &queue_rank);
             let starves = starves(job, spec, settings, age);
             let rank = Rank {
                 doubtful: job.is_doubtful(),
@@ -75,8 +75,8 @@
 }
 
 /// How many seconds a job has been known here.
-pub(super) fn age_s(ages: &Ages, id: &str, now: Instant) -> f64 {
-    let known = ages.get(id);
+pub(super) fn age_s(first_seen: &FirstSeenTimes, id: &str, now: Instant) -> f64 {
+    let known = first_seen.get(id);
     known.map_or(0.0, |since| {
         now.saturating_duration_since(*since).as_secs_f64()
     })
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -5,16 +5,16 @@
 
 use tokio::time::Instant;
 
-use super::candidates::Hints;
+use super::candidates::PlacementHints;
 use super::ends::record_ends;
 use super::ownership::{jobs_to_place, placer};
 use super::plan::{Place, Plan};
 use super::preemption::{Preemption, forget_old_attempts};
 use super::queue::{age_s, queue, starves};
-use super::reasons::{WaitReason, note};
 use super::round_search::RoundSearch;
 use super::round_state::RoundState;
 use super::transaction::Transaction;
+use super::wait_states::{WaitReason, note};
 use crate::accounting::BookingAccounts;
 use crate::controller::Controller;
 use crate::state::records::{Job, Resources, Spec};
@@ -93,7 +93,7 @@
         .filter(|(_, h)| h.unreachable_since.is_some())
     {
         if let Some(at) = plan.find(replica, machine) {
-            plan.spots[at].free = Resources::default();
+            plan.plan_slots[at].free = Resources::default();
         }
     }
     plan
@@ -193,9 +193,9 @@
 
     /// Drops the reasons of jobs that wait no longer.
     fn forget_settled_reasons(&self) {
-        let mut reasons = self.controller.reasons.borrow_mut();
+        let mut wait_states = self.controller.wait_states.borrow_mut();
         let jobs = &self.replica.jobs;
-        reasons.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
+        wait_states.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
     }
 
     /// Gives places to the jobs that wait, in queue order. All of them are in one
@@ -205,8 +205,8 @@
         self.touched_shards = self.transaction.zone_shards();
         let settings = &self.controller.settings;
         let queue = {
-            let ages = self.controller.ages.borrow();
-            queue(self.replica, &self.plan, settings, &ages, self.now)
+            let first_seen = self.controller.first_seen.borrow();
+            queue(self.replica, &self.plan, settings, &first_seen, self.now)
         };
         for id in queue {
             let own = self.own.contains(id);
@@ -271,7 +271,7 @@
     }
 
     /// The hints for a job: those of the controller that places it.
-    fn hints(&self, id: &str, spec: &Spec, own: bool) -> Hints<'a> {
+    fn hints(&self, id: &str, spec: &Spec, own: bool) -> PlacementHints<'a> {
         let home = match own {
             true => self.controller.name(),
             false => {
@@ -279,7 +279,7 @@
                 placer(&self.controller.settings, id, &spec.team, alive).unwrap_or("")
             }
         };
-        let mut hints = Hints::new(self.replica, home);
+        let mut hints = PlacementHints::new(self.replica, home);
         if own {
             hints.touched = self.touched_shards.clone();
         }
@@ -288,7 +288,7 @@
     }
 
     fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let age = age_s(&self.controller.ages.borrow(), id, self.now);
+        let age = age_s(&self.controller.first_seen.borrow(), id, self.now);
         starves(job, spec, &self.controller.settings, age)
     }
 
@@ -347,7 +347,7 @@
     /// Logs a booking, and notes why the rest of the job waits.
     fn report_booking(&mut self, placement: &Placement, booked: usize) {
         let Placement { id, spec, places } = placement;
-        let class = self.plan.spots[places[0].at].class;
+        let class = self.plan.plan_slots[places[0].at].class;
         tracing::debug!(
             job = id,
             class = spec.class,
@@ -358,7 +358,7 @@
         );
         let job = self.transaction.job(id);
         if job.is_none_or(|job| job.waiting() == 0) {
-            self.controller.reasons.borrow_mut().remove(*id);
+            self.controller.wait_states.borrow_mut().remove(*id);
         } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
             self.blocked.push((*id).to_string());
             note(self.controller, id, WaitReason::NoRoom, self.now);
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -7,11 +7,11 @@
 
 use foldhash::HashMap;
 
-use super::candidates::{Care, Hints};
-use super::fit::{count, fit, hold_room};
+use super::candidates::{AcceleratorProtection, PlacementHints};
+use super::fit::{count, fit, reserve_capacity};
 use super::plan::{Place, Plan};
-use super::reasons::WaitReason;
 use super::victims::{RunningJob, VictimSearch, places_wanted, running_jobs};
+use super::wait_states::WaitReason;
 use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
@@ -81,7 +81,7 @@
     pub(super) fn place(
         &mut self,
         controller: &Controller,
-        hints: &Hints,
+        hints: &PlacementHints,
         plan: &Plan,
         id: &str,
         job: &Job,
@@ -108,26 +108,40 @@
     fn search(
         &mut self,
         controller: &Controller,
-        hints: &Hints,
+        hints: &PlacementHints,
         plan: &Plan,
         id: &str,
         job: &Job,
         spec: &Spec,
     ) -> Result<Vec<Place>, WaitReason> {
         let settings = &controller.settings;
-        let strict = fit(job, spec, plan, hints, settings, Care::Strict);
+        let strict = fit(
+            job,
+            spec,
+            plan,
+            hints,
+            settings,
+            AcceleratorProtection::Strict,
+        );
         if strict.is_ok() || spec.kind == Kind::Array || spec.need.gpus.0 > 0 {
             return strict;
         }
         if spec.kind == Kind::Service && !job.retry.is_empty() {
             // A replica that is down is replaced at once where it takes nothing
             // from others, even if that keeps a costly machine rented.
-            let mild = fit(job, spec, plan, hints, settings, Care::Mild);
+            let mild = fit(
+                job,
+                spec,
+                plan,
+                hints,
+                settings,
+                AcceleratorProtection::Mild,
+            );
             if mild.is_ok() {
                 return mild;
             }
         }
-        let lax = fit(job, spec, plan, hints, settings, Care::Lax);
+        let lax = fit(job, spec, plan, hints, settings, AcceleratorProtection::Lax);
         if self.will_fit_strictly(controller, hints, plan, id, job, spec) {
             strict
         } else {
@@ -140,7 +154,7 @@
     fn will_fit_strictly(
         &mut self,
         controller: &Controller,
-        hints: &Hints,
+        hints: &PlacementHints,
         plan: &Plan,
         id: &str,
         job: &Job,
@@ -149,7 +163,15 @@
         let settings = &controller.settings;
         let expected = self.expected(hints.replica, plan).clone();
         let wanted = places_wanted(job, spec);
-        if count(job, spec, &expected, hints, settings, Care::Strict) >= wanted {
+        if count(
+            job,
+            spec,
+            &expected,
+            hints,
+            settings,
+            AcceleratorProtection::Strict,
+        ) >= wanted
+        {
             return true;
         }
         if self.victim_searches >= VICTIM_SEARCHES {
@@ -164,7 +186,7 @@
             changed: &BTreeMap::new(),
             expected: &expected,
         };
-        let found = search.find(id, job, spec, Care::Strict, wanted);
+        let found = search.find(id, job, spec, AcceleratorProtection::Strict, wanted);
         found.is_some_and(|victims| victims.complete)
     }
 
@@ -181,7 +203,7 @@
         }
         self.reserved = true;
         // Which controller places the gang is of no account here.
-        hold_room(spec, plan, &Hints::new(replica, ""));
+        reserve_capacity(spec, plan, &PlacementHints::new(replica, ""));
     }
 }
 
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -5,7 +5,7 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use super::reasons::WaitReason;
+use super::wait_states::WaitReason;
 use crate::controller::Controller;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -25,13 +25,13 @@
     let mut released: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = controller.placement_wanted.notified() => {}
-            () = controller.terminations_wanted.notified() => {}
+            () = controller.placement_notify.notified() => {}
+            () = controller.terminations_notify.notified() => {}
             () = sleep(idle) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
         // its workers have moved to others.
-        if !controller.replica.borrow().loaded || !controller.has_state() {
+        if !controller.replica.borrow().loaded || !controller.is_state_service_reachable() {
             continue;
         }
         // Both go through all machines, and are about leases and returns: a
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::candidates::{Care, Hints};
+use super::candidates::{AcceleratorProtection, PlacementHints};
 use super::fit::{count, fit};
 use super::job_facts::within_guarantee;
 use super::plan::{Place, Plan};
-use crate::settings::{Settings, TeamTerms};
+use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Job, Run, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, Priority};
@@ -22,7 +22,7 @@
 
 /// Work that may be stopped for another job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Victim {
+pub struct PreemptionCandidate {
     /// The job whose tasks stop.
     pub job: String,
     /// The machine that they run on.
@@ -33,7 +33,7 @@
 
 /// The work that a search has found.
 pub(super) struct Victims {
-    pub(super) victims: Vec<Victim>,
+    pub(super) victims: Vec<PreemptionCandidate>,
     /// It makes room for all tasks that were asked for, not only for some.
     pub(super) complete: bool,
 }
@@ -138,7 +138,7 @@
     job: &'a String,
     run: &'a Run,
     spec: &'a Spec,
-    terms: Option<&'a TeamTerms>,
+    terms: Option<&'a TeamQuota>,
 }
 
 /// The job that room is searched for.
@@ -147,7 +147,7 @@
     job: &'a Job,
     spec: &'a Spec,
     priority: Priority,
-    care: Care,
+    care: AcceleratorProtection,
     /// It stays within its team's guarantee.
     in_guarantee: bool,
 }
@@ -159,7 +159,7 @@
         &self,
         victim: &Spec,
         priority: Priority,
-        terms: Option<&TeamTerms>,
+        terms: Option<&TeamQuota>,
         plan: &Plan,
     ) -> bool {
         may_preempt(
@@ -174,7 +174,7 @@
 /// Whether work uses resources beyond its team's guarantee. What would stay
 /// within the guarantee, were it stopped, is not borrowed: its team would have it
 /// back, and stop other work for it.
-fn is_borrowed(victim: &Spec, terms: Option<&TeamTerms>, plan: &Plan) -> bool {
+fn is_borrowed(victim: &Spec, terms: Option<&TeamQuota>, plan: &Plan) -> bool {
     let resources = || victim.need.times(tasks_together(victim));
     terms.is_some_and(|terms| terms.lends(&plan.used(&victim.team), &resources()))
 }
@@ -182,7 +182,7 @@
 /// What a search for victims goes by.
 pub(super) struct VictimSearch<'a> {
     pub(super) settings: &'a Settings,
-    pub(super) hints: &'a Hints<'a>,
+    pub(super) hints: &'a PlacementHints<'a>,
     pub(super) running: &'a [RunningJob],
     /// Jobs as this round has left them so far.
     pub(super) changed: &'a BTreeMap<String, Job>,
@@ -199,7 +199,7 @@
         id: &str,
         job: &Job,
         spec: &Spec,
-        care: Care,
+        care: AcceleratorProtection,
         wanted: usize,
     ) -> Option<Victims> {
         let terms = self.settings.team(&spec.team)?;
@@ -250,7 +250,7 @@
             }
             let changed_runs = changed.map(|job| stoppable_runs(job, replica, self.expected));
             for at in changed_runs.as_ref().unwrap_or(&running.runs) {
-                let spot = &self.expected.spots[at.spot];
+                let spot = &self.expected.plan_slots[at.spot];
                 if !allowed[spot.class as usize] {
                     continue;
                 }
@@ -280,14 +280,14 @@
         preemptor: &Preemptor,
         victim: &Spec,
         priority: Priority,
-        terms: Option<&TeamTerms>,
+        terms: Option<&TeamQuota>,
     ) -> bool {
         if !preemptor.may_stop(victim, priority, terms, self.expected) {
             return false;
         }
         // Work on accelerators is the last to go for work without.
         let takes_accelerators = preemptor.spec.need.gpus.0 == 0 && victim.need.gpus.0 > 0;
-        !(preemptor.care == Care::Strict && takes_accelerators)
+        !(preemptor.care == AcceleratorProtection::Strict && takes_accelerators)
     }
 }
 
@@ -300,10 +300,10 @@
     wanted: usize,
     /// The plan without what has been stopped so far.
     plan: Plan,
-    stopped: Vec<Victim>,
+    stopped: Vec<PreemptionCandidate>,
     /// The most places found so far, and the victims that make room for them.
     most: usize,
-    partial: Option<Vec<Victim>>,
+    partial: Option<Vec<PreemptionCandidate>>,
     /// How often it was tried whether the job fits.
     trials: usize,
 }
@@ -313,7 +313,7 @@
     /// Not enough yet.
     Continue,
     /// All wanted places.
-    Complete(Vec<Victim>),
+    Complete(Vec<PreemptionCandidate>),
     /// The search has taken long enough.
     GiveUp,
 }
@@ -387,7 +387,7 @@
             Some(last) if last.job == *candidate.job && last.machine == *machine => {
                 last.tasks += tasks;
             }
-            _ => self.stopped.push(Victim {
+            _ => self.stopped.push(PreemptionCandidate {
                 job: candidate.job.clone(),
                 machine: machine.clone(),
                 tasks,
@@ -401,7 +401,7 @@
             job, spec, care, ..
         } = self.preemptor;
         // Only a machine that now holds a task can have made it fit.
-        if !self.plan.spots[spot].free.fits(&spec.need) {
+        if !self.plan.plan_slots[spot].free.fits(&spec.need) {
             return Step::Continue;
         }
         self.trials += 1;
@@ -425,7 +425,7 @@
     }
 
     /// The victims on machines that the job will have: the others are not needed.
-    fn victims_at(&self, places: &[Place]) -> Vec<Victim> {
+    fn victims_at(&self, places: &[Place]) -> Vec<PreemptionCandidate> {
         let used: BTreeSet<&str> = places.iter().map(|place| &*place.machine).collect();
         let needed = self
             .stopped
--- a/src/scheduler/reasons.rs
+++ b/src/scheduler/wait_states.rs
@@ -43,14 +43,14 @@
 
 /// Notes why a job waits. What the cloud says of its machines is kept.
 pub fn note(controller: &Controller, id: &str, why: WaitReason, now: Instant) {
-    let mut reasons = controller.reasons.borrow_mut();
-    match reasons.get_mut(id) {
+    let mut wait_states = controller.wait_states.borrow_mut();
+    match wait_states.get_mut(id) {
         Some(known) if known.why == why => {}
         // The controller that rents knows better why there is no room.
         Some(known) if known.why == WaitReason::Refused && why == WaitReason::NoRoom => {}
         _ => {
             tracing::debug!(job = id, ?why, "waits");
-            reasons.insert(id.to_string(), Reason { why, since: now });
+            wait_states.insert(id.to_string(), Reason { why, since: now });
         }
     }
 }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use super::{NextStateTerms, Settings, SettingsError, TeamTerms};
+use super::{NextStateTerms, Settings, SettingsError, TeamQuota};
 
 /// The longest name, in bytes.
 const NAME_LIMIT: usize = 100;
@@ -290,7 +290,7 @@
     require(!name.contains(is_forbidden), field, Problem::NameSpaces)
 }
 
-fn check_team_figures(prefix: &str, team: &TeamTerms) -> CheckResult {
+fn check_team_figures(prefix: &str, team: &TeamQuota) -> CheckResult {
     for (part, figure) in [
         ("cpus", team.cpus),
         ("cpus_max", team.cpus_max),
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{NextStateTerms, Settings, TeamTerms};
+use super::{NextStateTerms, Settings, TeamQuota};
 use crate::state::records::{FORMATS, FORMATS_SHARES};
 
 /// The bound that the platform gives for the drift between steady clocks.
@@ -39,7 +39,7 @@
 
 impl Settings {
     /// The terms of a team; `None` for one that the settings don't name.
-    pub fn team(&self, name: &str) -> Option<&TeamTerms> {
+    pub fn team(&self, name: &str) -> Option<&TeamQuota> {
         let mut teams = self.deployment.teams.iter();
         teams.find(|team| team.name == name)
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,7 +19,7 @@
 pub use check::FieldProblem;
 pub use derived::{BARRIER_GAP_REQUESTS, CLOCK_DRIFT};
 pub use features::Features;
-pub use teams::TeamTerms;
+pub use teams::TeamQuota;
 
 /// Why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -133,7 +133,7 @@
     /// The zones in which machines can be rented.
     pub zones: Vec<String>,
     /// The teams that submit jobs.
-    pub teams: Vec<TeamTerms>,
+    pub teams: Vec<TeamQuota>,
     /// Aims for classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -6,7 +6,7 @@
 
 /// A team's guarantee and limit. A figure of 0 means none.
 #[derive(Debug, Clone, Deserialize)]
-pub struct TeamTerms {
+pub struct TeamQuota {
     /// The team's name.
     pub name: String,
     /// The CPUs that are guaranteed to it.
@@ -23,7 +23,7 @@
     pub gpus_max: f64,
 }
 
-impl TeamTerms {
+impl TeamQuota {
     /// The most CPUs and accelerators that the team may use at any time;
     /// `None` where there is no limit.
     pub fn limit(&self) -> (Option<Amount>, Option<Amount>) {
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -18,7 +18,7 @@
     /// The cloud's machine types as last read; empty if not known yet.
     pub machine_types: &'a [MachineType],
     /// Classes that an objective of the settings names.
-    pub aimed_classes: &'a BTreeSet<String>,
+    pub slo_classes: &'a BTreeSet<String>,
     /// Whether an awaited job is done, for good.
     pub is_done: &'a dyn Fn(&str) -> bool,
 }
@@ -103,10 +103,10 @@
 
 /// A class is compared with those of the objectives, and shown to operators.
 fn shorten_class(spec: &mut Spec, context: &TrimContext) {
-    let has_objective = |class: &String| context.aimed_classes.contains(class);
+    let has_slo = |class: &String| context.slo_classes.contains(class);
     let mut class = spec.class.clone();
     shorten(&mut class);
-    if !has_objective(&spec.class) && !has_objective(&class) {
+    if !has_slo(&spec.class) && !has_slo(&class) {
         spec.class = class;
     }
 }
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -149,7 +149,7 @@
 
 /// `hire/ID`: a rental that is or may be under way, or whose machines are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct ProvisioningRequest {
     /// The machine type.
     #[serde(rename = "t")]
     pub kind: String,
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -14,7 +14,7 @@
 };
 pub use job::{Arrivals, DOUBT, FAILED_ON, Job, JobStatus, Outcome, Run, Team};
 pub use machine::{
-    Machine, MachineLifecycle, MachineShard, MachineSlot, Rental, Types, ZoneShard,
+    Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types, ZoneShard,
     machine_entry_bytes, slot_entry_bytes,
 };
 pub use ranges::Ranges;
--- a/src/state/replica/index.rs
+++ b/src/state/replica/index.rs
@@ -236,7 +236,7 @@
     /// Makes a zone shard's machines ready for planning.
     pub(super) fn index_zone_shard(&mut self, id: &str) {
         let shard = self.zone_shard_names.number(id);
-        for spot in self.spots.remove(id).into_iter().flatten() {
+        for spot in self.plan_slots.remove(id).into_iter().flatten() {
             if self.slot_shards.get(&spot.machine) == Some(&shard) {
                 self.slot_shards.remove(&spot.machine);
             }
@@ -251,7 +251,7 @@
             .iter()
             .map(|(m, s)| (m.clone(), s.clone()))
             .collect();
-        let spots: Vec<PlanSlot> = slots
+        let plan_slots: Vec<PlanSlot> = slots
             .into_iter()
             .map(|(machine, slot)| PlanSlot {
                 machine: self.machine_names.number(&machine),
@@ -260,10 +260,10 @@
                 free: slot.unbooked,
             })
             .collect();
-        for spot in &spots {
+        for spot in &plan_slots {
             self.slot_shards.insert(spot.machine, shard);
         }
-        self.spots.insert(id.to_string(), spots);
+        self.plan_slots.insert(id.to_string(), plan_slots);
     }
 
     /// The number of a class of machines.
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -22,12 +22,12 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-use crate::pipeline::Pipelines;
+use crate::pipeline::DependencyGraph;
 use crate::state::keys::PREFIX;
 use crate::state::names::Names;
 use crate::state::records::{
-    Arrivals, ControllerRecord, Formats, Job, Machine, MachineShard, Rental, Resources, Spec, Team,
-    Types, ZoneShard,
+    Arrivals, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
+    Resources, Spec, Team, Types, ZoneShard,
 };
 use crate::wire::{Event, Pair, Write};
 
@@ -103,7 +103,7 @@
     /// The records that they stand in, by `zone/part`.
     pub machine_shards: Table<MachineShard>,
     /// Rentals by the names of their requests.
-    pub rentals: Table<Rental>,
+    pub provisioning_requests: Table<ProvisioningRequest>,
     /// Jobs that were accepted together, by the names of those writes.
     pub arrivals: Table<Arrivals>,
     /// The cloud's machine types as last read.
@@ -142,7 +142,7 @@
     pub classes: Vec<MachineClass>,
     class_numbers: HashMap<(String, String, bool), u32>,
     /// The zone shards' machines, ready for planning.
-    spots: BTreeMap<String, Vec<PlanSlot>>,
+    plan_slots: BTreeMap<String, Vec<PlanSlot>>,
     /// The zone shard that has a machine's slot, by their numbers.
     slot_shards: HashMap<u32, u32>,
     /// Parts that stand in the compact encoding.
@@ -155,7 +155,7 @@
     /// tasks: a coarse choice by length, `trimmed_job` decides.
     pub long_jobs: BTreeSet<String>,
     /// Classes that an objective of the settings names.
-    pub aimed_classes: BTreeSet<String>,
+    pub slo_classes: BTreeSet<String>,
     /// The latest job that needs accelerators: what machines with accelerators
     /// are kept free for. A hint, too.
     pub gpu_spec: Option<Spec>,
@@ -165,7 +165,7 @@
     /// of what they say, but whoever writes them anew guards these versions.
     unreadable: BTreeMap<String, u64>,
     /// What follows from jobs that await others, see there.
-    pub(crate) pipelines: Pipelines,
+    pub(crate) pipelines: DependencyGraph,
 }
 
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
@@ -218,7 +218,7 @@
             class_numbers: old.class_numbers,
             gpu_spec: old.gpu_spec,
             compact_limit: old.compact_limit,
-            aimed_classes: old.aimed_classes,
+            slo_classes: old.slo_classes,
             changes,
             pipelines: old.pipelines.after_reload(),
             loaded: true,
@@ -327,14 +327,14 @@
             }
             "hire" => {
                 let hire = value.and_then(|v| self.read(key, version, v));
-                put(&mut self.rentals, id, version, hire);
+                put(&mut self.provisioning_requests, id, version, hire);
             }
             "new" => {
                 self.set_arrivals(key, id, version, value);
             }
             "node" => {
-                let renter = value.and_then(|v| self.read(key, version, v));
-                put(&mut self.nodes, id, version, renter);
+                let fleet_leader = value.and_then(|v| self.read(key, version, v));
+                put(&mut self.nodes, id, version, fleet_leader);
             }
             "types" => {
                 let types = value.and_then(|v| self.read::<Types>(key, version, v));
@@ -358,8 +358,8 @@
             }
             "fleet" => {
                 if self.fleet.as_ref().is_none_or(|e| e.version < version) {
-                    let renter = value.and_then(|v| self.read(key, version, v));
-                    self.fleet = renter.map(|value| Entry { version, value });
+                    let fleet_leader = value.and_then(|v| self.read(key, version, v));
+                    self.fleet = fleet_leader.map(|value| Entry { version, value });
                 }
             }
             _ => tracing::debug!(key, "unknown key"),
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -30,8 +30,8 @@
     }
 
     /// All machines that take work.
-    pub fn spots(&self) -> impl Iterator<Item = &PlanSlot> {
-        self.spots.values().flatten()
+    pub fn plan_slots(&self) -> impl Iterator<Item = &PlanSlot> {
+        self.plan_slots.values().flatten()
     }
 
     /// The number of an image that some machine has been sent.
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -72,7 +72,7 @@
         }
         let context = TrimContext {
             machine_types: &self.types.value.types,
-            aimed_classes: &self.aimed_classes,
+            slo_classes: &self.slo_classes,
             is_done: &|id| self.state(id) == Some(JobStatus::Done),
         };
         record_trim::trim_job(job, &context, |job| {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -371,7 +371,7 @@
 
 /// A rental, the body of `POST /rentals`.
 #[derive(Debug, Serialize)]
-pub struct RentRequest<'a> {
+pub struct CreateMachinesRequest<'a> {
     /// Names the request, so that repeating it rents nothing more; PROTOCOL's
     /// `hire`.
     #[serde(rename = "hire")]
@@ -392,7 +392,7 @@
 
 /// Machines that were rented, or are to be returned.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// Their ids; PROTOCOL's `bays`.
     #[serde(rename = "bays")]
     pub machines: Vec<String>,
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -129,7 +129,7 @@
         claim.urgent |= urgent;
         claim.progress.send_replace(ClaimProgress::Pending);
         let receiver = claim.progress.subscribe();
-        self.claims_wanted.notify_one();
+        self.claims_notify.notify_one();
         receiver
     }
 
@@ -161,7 +161,7 @@
 /// Commits the claims that heartbeats have asked for, several at a time.
 pub async fn run_claims(controller: Rc<Controller>) {
     loop {
-        controller.claims_wanted.notified().await;
+        controller.claims_notify.notified().await;
         // Workers turn up together after a restart: let them gather.
         sleep(controller.request_gap() * 2).await;
         while !controller.claims.borrow().is_empty() {
@@ -225,7 +225,7 @@
         }
         // The worker learns the token now, and its report under it is what
         // launches wait for.
-        controller.poke_machine(id);
+        controller.call_worker(id);
     }
     Ok(())
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -65,10 +65,10 @@
     }
 
     /// Has a machine's orders worked out anew.
-    pub(super) fn poke_machine(&self, id: &str) {
+    pub(super) fn call_worker(&self, id: &str) {
         let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
-        self.commands_wanted.notify_one();
+        self.commands_notify.notify_one();
     }
 
     fn known_report(&self, id: &str) -> Option<WorkerStatus> {
@@ -93,7 +93,7 @@
     let tick = controller.settings.report() / 2;
     let mut swept = Instant::now();
     loop {
-        let _ = timeout(tick, controller.commands_wanted.notified()).await;
+        let _ = timeout(tick, controller.commands_notify.notified()).await;
         let now = controller.liveness_tick();
         let changed = std::mem::take(&mut controller.replica.borrow_mut().changes.machines);
         let sweep = now.saturating_duration_since(swept) >= tick;
@@ -101,7 +101,7 @@
             swept = now;
         }
         // A controller with an old view gives no new orders by itself.
-        if !controller.has_state() {
+        if !controller.is_state_service_reachable() {
             continue;
         }
         let ids: Vec<String> = match sweep {
@@ -235,7 +235,7 @@
         }
     }
     drop(owned_workers);
-    controller.poke_machine(id);
+    controller.call_worker(id);
 }
 
 async fn exchange(controller: &Controller, call: &Call) -> Result<Response, CallError> {
@@ -276,7 +276,7 @@
     }
     let first = owned_worker.report.is_none();
     if owned_worker.take(report, false) && first {
-        controller.publication_wanted.notify_one();
+        controller.publication_notify.notify_one();
     }
     true
 }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -131,7 +131,7 @@
     }
 
     fn redirect_home(&self, report: &WorkerStatus, now: Instant) -> Step {
-        match self.send_home(report, now) {
+        match self.redirect_to_preferred_owner(report, now) {
             Some(home) => Err(Answer::Redirect(Some(home))),
             None => Ok(()),
         }
@@ -217,7 +217,7 @@
         if self.owns(id) {
             return Ok(());
         }
-        let owner = self.send_back(id, heartbeat.machine.as_ref(), heartbeat.received);
+        let owner = self.redirect_to_owner(id, heartbeat.machine.as_ref(), heartbeat.received);
         if let Some(owner) = owner {
             return Err(Answer::Redirect(Some(owner)));
         }
@@ -249,7 +249,7 @@
         if now.saturating_duration_since(*first) > lease {
             *first = now;
         }
-        now.saturating_duration_since(*first) < lease / 2 && self.has_state()
+        now.saturating_duration_since(*first) < lease / 2 && self.is_state_service_reachable()
     }
 
     /// Takes the report over as the machine's newest, unless it is a late copy.
@@ -263,7 +263,7 @@
             let first = owned_worker.report.is_none();
             unconfirmed = owned_worker.unconfirmed;
             if owned_worker.take(report.clone(), true) && first {
-                self.publication_wanted.notify_one();
+                self.publication_notify.notify_one();
             }
         }
         if unconfirmed {
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::Instant;
 
-use crate::controller::skipped;
+use crate::controller::shifted_past_pause;
 use crate::settings::CLOCK_DRIFT;
 use crate::wire::{CommandKind, WorkerCommand, WorkerStatus};
 
@@ -101,12 +101,16 @@
     /// silence; the proof by silence only comes later by it. The time of the last
     /// answer stays: that a lease ran out in the gap does not show that answers
     /// fail to reach the worker.
-    pub fn skip(&mut self, gap: Duration, now: Instant) {
+    pub fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         for at in [&mut self.heard, &mut self.heartbeat, &mut self.claimed] {
-            *at = skipped(*at, gap, now);
+            *at = shifted_past_pause(*at, gap, now);
         }
-        self.unreachable_since = self.unreachable_since.map(|t| skipped(t, gap, now));
-        self.epoch = self.epoch.map(|(s, t)| (s, skipped(t, gap, now)));
+        self.unreachable_since = self
+            .unreachable_since
+            .map(|t| shifted_past_pause(t, gap, now));
+        self.epoch = self
+            .epoch
+            .map(|(s, t)| (s, shifted_past_pause(t, gap, now)));
     }
 
     /// Notes that a heartbeat has come; false for a late copy, which proves
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -37,7 +37,7 @@
     let mut joined: Option<Instant> = None;
     loop {
         gather(&controller, joined).await;
-        if !controller.has_state() {
+        if !controller.is_state_service_reachable() {
             continue;
         }
         published.retain(|_, t| t.elapsed() < INTERVAL);
@@ -69,7 +69,7 @@
     let apart = controller.settings.report() / 4;
     let _ = timeout(
         controller.settings.report() / 3,
-        controller.publication_wanted.notified(),
+        controller.publication_notify.notified(),
     )
     .await;
     let since = joined.map_or(apart, |t| t.elapsed());
@@ -99,7 +99,7 @@
                 let known = changes.len();
                 drop_conflicting(&mut changes, &keys, published);
                 controller.expedite_watch();
-                controller.publication_wanted.notify_one();
+                controller.publication_notify.notify_one();
                 // Where slots were put by what other zone shards of the commit hold,
                 // all of it is chosen anew.
                 if changes.len() == known || controller.replica.borrow().uses_compact_encoding() {
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -28,7 +28,11 @@
 
     /// The home that the worker is to be sent to now: another controller than this,
     /// which is up and hears its workers.
-    pub(super) fn send_home(&self, report: &WorkerStatus, now: Instant) -> Option<String> {
+    pub(super) fn redirect_to_preferred_owner(
+        &self,
+        report: &WorkerStatus,
+        now: Instant,
+    ) -> Option<String> {
         let replica = self.replica.borrow();
         let machine = replica.machines.get(&report.machine).map(|e| &e.value);
         let home = self.reachable_home(report, machine, now)?;
@@ -59,7 +63,7 @@
         let peers = self.peers.borrow();
         // A controller that does not hear its workers has lost them.
         let mut alive = peers.alive(self, now);
-        alive.retain(|n| *n == self.name() || peers.hears_workers(self, n, now));
+        alive.retain(|n| *n == self.name() || peers.receives_heartbeats(self, n, now));
         let home = machine.map_or("", |m| home_of(&m.shard));
         match alive.iter().find(|n| **n == home) {
             Some(home) => Some(home.to_string()),
@@ -113,7 +117,7 @@
     /// Not from its home, where it was sent: the two would send it to and fro.
     /// Nor to a controller that does not hear its workers: another try there takes
     /// what is left of the lease.
-    pub(super) fn send_back(
+    pub(super) fn redirect_to_owner(
         &self,
         id: &str,
         machine: Option<&Machine>,
@@ -128,7 +132,7 @@
         let up = replica.nodes.get(owner)?.value.incarnation == machine.incarnation;
         let peers = self.peers.borrow();
         let alive = peers.alive(self, now).contains(&owner);
-        if !up || !alive || !peers.hears_workers(self, owner, now) {
+        if !up || !alive || !peers.receives_heartbeats(self, owner, now) {
             return None;
         }
         let mut fleet = self.fleet.borrow_mut();
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -38,7 +38,7 @@
         for (key, outcome) in ends {
             self.queue_end(key, outcome);
         }
-        self.terminations_wanted.notify_one();
+        self.terminations_notify.notify_one();
     }
 
     fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -6,8 +6,8 @@
 use super::setup::{
     after, ended, hints, jobs_of, settings, settings_json, spec, view_with, view_with_types,
 };
-use shelfhoist::pipeline::Standing;
-use shelfhoist::scheduler::{self, Care, Plan, Transaction};
+use shelfhoist::pipeline::QueueRank;
+use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::job_key;
 use shelfhoist::state::replica::Replica;
@@ -43,13 +43,17 @@
         let now = Instant::now();
         for (id, priority, left_s) in expected {
             let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
-            let standing = replica.standing(id, spec, now);
-            assert_eq!(standing.priority, *priority, "{step}: {id}");
-            let near = match (standing.left_s, left_s) {
+            let queue_rank = replica.queue_rank(id, spec, now);
+            assert_eq!(queue_rank.priority, *priority, "{step}: {id}");
+            let near = match (queue_rank.left_s, left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
                 (a, b) => a.is_none() && b.is_none(),
             };
-            assert!(near, "{step}: {id}: {:?}, not {left_s:?}", standing.left_s);
+            assert!(
+                near,
+                "{step}: {id}: {:?}, not {left_s:?}",
+                queue_rank.left_s
+            );
         }
     };
     check(
@@ -123,12 +127,12 @@
             deadline_s,
             ..spec(Kind::Array, 1, 1.0)
         };
-        let standing = Standing {
+        let queue_rank = QueueRank {
             priority: Priority::Low,
             left_s,
             asked,
         };
-        let got = scheduler::is_late(&spec, &set, age, &standing);
+        let got = scheduler::is_late(&spec, &set, age, &queue_rank);
         assert_eq!(got, expected, "{case:?}");
     }
 }
@@ -291,7 +295,14 @@
         );
         let plan = Plan::of(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = scheduler::fit(&second, &spec, &plan, &hints(&replica), &set, Care::Lax);
+        let places = scheduler::fit(
+            &second,
+            &spec,
+            &plan,
+            &hints(&replica),
+            &set,
+            AcceleratorProtection::Lax,
+        );
         let mut transaction = Transaction::new(&replica, 9);
         let got = transaction.book("job-2", &spec, &places.expect("places"));
         assert_eq!(got, booked, "{status:?}");
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -4,7 +4,7 @@
 
 use super::setup::{hints, settings, spec, submission, view_with};
 use shelfhoist::api::read_submission;
-use shelfhoist::scheduler::{self, Care, Plan};
+use shelfhoist::scheduler::{self, AcceleratorProtection, Plan};
 
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
@@ -74,8 +74,14 @@
     let mut job = Job::new(s.clone(), 1);
     for _ in 0..20 {
         let plan = Plan::of(&replica);
-        let Ok(places) = scheduler::fit(&job, &s, &plan, &hints(&replica), &set_wide, Care::Lax)
-        else {
+        let Ok(places) = scheduler::fit(
+            &job,
+            &s,
+            &plan,
+            &hints(&replica),
+            &set_wide,
+            AcceleratorProtection::Lax,
+        ) else {
             break;
         };
         let places: Vec<_> = places.iter().collect();
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::setup::{hints, settings, settings_json, spec, view_with, view_with_types};
-use shelfhoist::scheduler::{self, Care, Plan, Transaction, WaitReason};
+use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction, WaitReason};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{job_key, shard_id, zone_shard_key};
 use shelfhoist::state::replica::Replica;
@@ -24,7 +24,15 @@
     let fit = |spec: &Spec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::of(replica);
-        scheduler::fit(&job, spec, &plan, &hints(replica), &set, Care::Lax).map(|places| {
+        scheduler::fit(
+            &job,
+            spec,
+            &plan,
+            &hints(replica),
+            &set,
+            AcceleratorProtection::Lax,
+        )
+        .map(|places| {
             let mut zones = BTreeMap::new();
             for p in places {
                 *zones.entry(p.zone.to_string()).or_insert(0) += 1;
@@ -93,13 +101,14 @@
     let mut job = Job::new(s.clone(), 1);
     let task = job.take_fresh().expect("one");
     job.book("m9", "b", 1, task);
-    let places = scheduler::fit(&job, &s, &plan, &hints, &set, Care::Lax).expect("fits");
+    let places =
+        scheduler::fit(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax).expect("fits");
     assert!(places.iter().all(|p| &*p.zone == "b"), "{places:?}");
     let gang = spec(Kind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
-        scheduler::fit(&job, &gang, &plan, &hints, &set, Care::Lax),
+        scheduler::fit(&job, &gang, &plan, &hints, &set, AcceleratorProtection::Lax),
         Err(WaitReason::OldAttempt)
     );
 }
@@ -162,7 +171,14 @@
         let plan = Plan::of(&replica);
         let mut terms = set.clone();
         terms.deployment.teams[0].cpus_max = 1e6;
-        let places = scheduler::fit(&job, &wide, &plan, &hints(&replica), &terms, Care::Lax);
+        let places = scheduler::fit(
+            &job,
+            &wide,
+            &plan,
+            &hints(&replica),
+            &terms,
+            AcceleratorProtection::Lax,
+        );
         let places = places.expect("room for all");
         assert_eq!(places.len(), 9);
         let mut transaction = Transaction::new(&replica, 6);
@@ -255,10 +271,10 @@
         (bound + Duration::from_secs(1), "job-2"),
     ] {
         let later = now + bound * 2;
-        let ages = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
-        let mut ages: scheduler::Ages = ages.into_iter().collect();
-        ages.insert("job-1".into(), later);
-        let queue = scheduler::queue(&replica, &Plan::of(&replica), &set, &ages, later);
+        let first_seen = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
+        let mut first_seen: scheduler::FirstSeenTimes = first_seen.into_iter().collect();
+        first_seen.insert("job-1".into(), later);
+        let queue = scheduler::queue(&replica, &Plan::of(&replica), &set, &first_seen, later);
         assert_eq!(queue[0], first, "{age:?}: {queue:?}");
     }
 }
@@ -278,9 +294,9 @@
         ..spec(Kind::Gang, 3, 4.0)
     };
     let mut plan = Plan::of(&replica);
-    scheduler::hold_room(&gang, &mut plan, &hints(&replica));
+    scheduler::reserve_capacity(&gang, &mut plan, &hints(&replica));
     let free = |m: &str| {
-        plan.spots[plan.find(&replica, m).expect("spot")]
+        plan.plan_slots[plan.find(&replica, m).expect("spot")]
             .free
             .cpus
             .units()
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use shelfhoist::scheduler::Hints;
+use shelfhoist::scheduler::PlacementHints;
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{job_key, machine_shard_key, shard_id, zone_shard_key};
 use shelfhoist::state::replica::Replica;
@@ -109,8 +109,8 @@
     replica
 }
 
-pub fn hints(replica: &Replica) -> Hints<'_> {
-    Hints::new(replica, "n0")
+pub fn hints(replica: &Replica) -> PlacementHints<'_> {
+    PlacementHints::new(replica, "n0")
 }
 
 /// A machine `m` under our token 5 with one booking of job-1/0, attempt 1.
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -222,7 +222,7 @@
     let (guards, writes) = compaction::split_long(&replica, &left, &|_| true).expect("a split");
     assert_eq!((guards.len(), writes.len()), (2, 2));
     replica.overlay(&writes, 3);
-    assert_eq!(replica.spots().count(), 700);
+    assert_eq!(replica.plan_slots().count(), 700);
     assert!(compaction::split_long(&replica, &left, &|_| true).is_none());
     assert!(compaction::merge(&replica, &left, &|_| true).is_none());
 }
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::setup::{held, report, settings, spec};
-use shelfhoist::cloud::{Blame, blame};
+use shelfhoist::cloud::{FailureAttribution, blame};
 use shelfhoist::scheduler::{Released, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
 use shelfhoist::workers::{self, AttemptKey, OwnedWorker, TerminationEvidence, reconcile};
@@ -21,19 +21,39 @@
 fn failures_are_blamed_on_the_job_or_on_the_machine() {
     use Outcome::{Done, Failed, Lost};
     type Ends = &'static [(&'static str, u64, Outcome)];
-    let cases: [(Ends, u32, Blame); 8] = [
-        (&[("m", 1, Failed)], 1, Blame::Unknown),
+    let cases: [(Ends, u32, FailureAttribution); 8] = [
+        (&[("m", 1, Failed)], 1, FailureAttribution::Unknown),
         // However many tasks of an attempt fail, the back-off counts one.
-        (&[("m", 1, Failed), ("m", 1, Failed)], 1, Blame::Unknown),
-        (&[("m", 1, Failed), ("n", 2, Failed)], 2, Blame::Unknown),
+        (
+            &[("m", 1, Failed), ("m", 1, Failed)],
+            1,
+            FailureAttribution::Unknown,
+        ),
+        (
+            &[("m", 1, Failed), ("n", 2, Failed)],
+            2,
+            FailureAttribution::Unknown,
+        ),
         (
             &[("m", 1, Failed), ("n", 1, Failed), ("o", 1, Failed)],
             1,
-            Blame::Job,
+            FailureAttribution::Job,
+        ),
+        (
+            &[("m", 1, Failed), ("n", 1, Done)],
+            0,
+            FailureAttribution::Machine,
+        ),
+        (
+            &[("m", 1, Failed), ("n", 1, Lost)],
+            1,
+            FailureAttribution::Unknown,
+        ),
+        (
+            &[("n", 1, Done), ("m", 2, Failed)],
+            1,
+            FailureAttribution::Unknown,
         ),
-        (&[("m", 1, Failed), ("n", 1, Done)], 0, Blame::Machine),
-        (&[("m", 1, Failed), ("n", 1, Lost)], 1, Blame::Unknown),
-        (&[("n", 1, Done), ("m", 2, Failed)], 1, Blame::Unknown),
         (
             &[
                 ("m", 1, Failed),
@@ -42,7 +62,7 @@
                 ("p", 2, Done),
             ],
             0,
-            Blame::Machine,
+            FailureAttribution::Machine,
         ),
     ];
     for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
@@ -55,7 +75,7 @@
         assert_eq!((job.errors, blame(&job, "m")), (errors, whose), "case {n}");
         let mut cancelled = job.clone();
         cancelled.cancel();
-        assert_eq!(blame(&cancelled, "m"), Blame::Job, "case {n}");
+        assert_eq!(blame(&cancelled, "m"), FailureAttribution::Job, "case {n}");
     }
 }
 
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -13,7 +13,8 @@
 use shelfhoist::state::keys;
 use shelfhoist::state::records::{
     Amount, Arrivals, ControllerRecord, Formats, Job, JobStatus, Machine, MachineLifecycle,
-    MachineShard, MachineSlot, Ranges, Rental, Resources, Run, Spec, Team, Types, ZoneShard,
+    MachineShard, MachineSlot, ProvisioningRequest, Ranges, Resources, Run, Spec, Team, Types,
+    ZoneShard,
 };
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
@@ -215,8 +216,8 @@
     }
 }
 
-fn hire(spot: bool, machines: &[&str]) -> Rental {
-    Rental {
+fn hire(spot: bool, machines: &[&str]) -> ProvisioningRequest {
+    ProvisioningRequest {
         kind: "g8".into(),
         zone: "a".into(),
         spot,
@@ -237,7 +238,7 @@
     }
 }
 
-fn renter(formats: u32) -> ControllerRecord {
+fn fleet_leader(formats: u32) -> ControllerRecord {
     ControllerRecord {
         controller: "bay-1".into(),
         incarnation: 4_000_000_000,
@@ -373,8 +374,8 @@
     same(&hire(true, &["host-000236", "host-000237"]), SPOT_HIRE);
     same(&hire(false, &[]), OPEN_HIRE);
     same(&types(), TYPES);
-    same(&renter(0), OLDER_RENTER);
-    same(&renter(2), RENTER);
+    same(&fleet_leader(0), OLDER_RENTER);
+    same(&fleet_leader(2), RENTER);
     same(&formats(), FORMATS_RECORD);
 }
 
--- a/tests/limits/production_texts.rs
+++ b/tests/limits/production_texts.rs
@@ -46,7 +46,7 @@
     assert_eq!(shard.machines["host-000231"].unbooked.cpus, Amount(2000));
     let machine_shard: MachineShard = same_bytes(GROUP);
     assert_eq!(machine_shard.machines.len(), 5);
-    same_bytes::<Rental>(HIRE);
+    same_bytes::<ProvisioningRequest>(HIRE);
     same_bytes::<Types>(TYPES);
     same_bytes::<ControllerRecord>(RENTER);
     // And through the compact encoding and back, byte for byte; of a zone shard all but what
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -6,7 +6,9 @@
 
 use super::setup::{LIMIT, next, production_view, spec, yard};
 use shelfhoist::compaction;
-use shelfhoist::scheduler::{self, Care, Hints, MachineShardEdits, Plan, Transaction, WaitReason};
+use shelfhoist::scheduler::{
+    self, AcceleratorProtection, MachineShardEdits, PlacementHints, Plan, Transaction, WaitReason,
+};
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
@@ -116,7 +118,7 @@
         version += 1;
         replica.overlay(&writes, version);
         steps += 1;
-        assert_eq!(replica.spots().count(), 6 * 54);
+        assert_eq!(replica.plan_slots().count(), 6 * 54);
         for name in replica.machines.keys() {
             let shard = replica.zone_shard_of(name).expect("a part").to_string();
             assert!(
@@ -179,8 +181,8 @@
         let mut replica = Replica::with_compact_limit(Some(LIMIT));
         replica.advance(events, 5);
         let plan = Plan::of(&replica);
-        let hints = Hints::new(&replica, "n0");
-        let found = scheduler::fit(&job, &spec, &plan, &hints, &set, Care::Lax);
+        let hints = PlacementHints::new(&replica, "n0");
+        let found = scheduler::fit(&job, &spec, &plan, &hints, &set, AcceleratorProtection::Lax);
         let Ok(places) = found else {
             // It fits the rooms of three zone shards only: machines are rented for it.
             assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
-use shelfhoist::ops::{FleetReport, JobStory, TeamStory};
+use shelfhoist::ops::{FleetReport, JobDetails, TeamDetails};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
 use shelfhoist::scheduler::{back_off, preferred};
 
@@ -205,7 +205,7 @@
     ] {
         assert!(text.contains(shard), "{shard}\n{text}");
     }
-    let teams: Vec<TeamStory> = serde_json::from_value(serde_json::json!([{
+    let teams: Vec<TeamDetails> = serde_json::from_value(serde_json::json!([{
         "team": "t", "cpus_used": 12.0, "cpus_guaranteed": 8.0, "cpus_limit": 16.0,
         "cpus_borrowed": 4.0, "gpus_used": 0.0, "gpus_guaranteed": 0.0, "gpus_limit": 0.0,
         "gpus_borrowed": 0.0, "waiting_jobs": 2, "waiting_tasks": 9, "why": "other work goes first"
@@ -220,7 +220,7 @@
         text.contains("2 jobs with 9 tasks wait; the first: other work goes first"),
         "{text}"
     );
-    let job: JobStory = serde_json::from_value(serde_json::json!({
+    let job: JobDetails = serde_json::from_value(serde_json::json!({
         "job": "job-1", "stage": "running", "class": "c", "team": "t", "tasks": 4, "done": 1,
         "waiting": 1, "running": 2, "failures": 0, "known_s": 10.0, "late": false,
         "reason": "its team is at its limit", "reason_s": 5.0,
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -380,8 +380,8 @@
         replica.advance(vec![put("job-000001", &first, 2)], 2);
         replica.advance(vec![put("job-000002", &next, 3)], 3);
         let left_s = |replica: &Replica| {
-            let standing = replica.standing("job-000002", &spec, Instant::now());
-            standing.left_s.expect("a deadline").round()
+            let queue_rank = replica.queue_rank("job-000002", &spec, Instant::now());
+            queue_rank.left_s.expect("a deadline").round()
         };
         assert_eq!(left_s(&replica), 100.0);
         sleep(secs(30.0)).await;
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -87,7 +87,7 @@
 fn trimmed(job: &Job, aimed: &[&str], limit: usize) -> Option<Job> {
     let context = TrimContext {
         machine_types: &offered(),
-        aimed_classes: &aimed.iter().map(|c| c.to_string()).collect(),
+        slo_classes: &aimed.iter().map(|c| c.to_string()).collect(),
         is_done: &|id| id == "job-000001",
     };
     trim_job(job, &context, |job| length(job) <= limit)
@@ -232,7 +232,7 @@
     assert_eq!(spec(&trimmed(&any, &[], 0).expect("trimmed")).types, None);
     let unknown = TrimContext {
         machine_types: &[],
-        aimed_classes: &BTreeSet::new(),
+        slo_classes: &BTreeSet::new(),
         is_done: &|_| false,
     };
     let job = running(Kind::Array);
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -80,14 +80,16 @@
                 }
                 ("POST", "/rentals") => {
                     let hire = body["hire"].as_str().unwrap_or("").to_string();
-                    if let Some(known) = self.rentals.borrow().get(&hire) {
+                    if let Some(known) = self.provisioning_requests.borrow().get(&hire) {
                         return Response::json(200, known);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
                         .map(|_| self.boot(&body))
                         .collect();
                     let answer = json!({"bays": names});
-                    self.rentals.borrow_mut().insert(hire, answer.clone());
+                    self.provisioning_requests
+                        .borrow_mut()
+                        .insert(hire, answer.clone());
                     Response::json(200, &answer)
                 }
                 ("POST", "/rentals/return") => {
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -176,7 +176,7 @@
     pub workers: RefCell<BTreeMap<String, Rented>>,
     pub(super) jobs: RefCell<HashMap<String, Value>>,
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
-    pub(super) rentals: RefCell<HashMap<String, Value>>,
+    pub(super) provisioning_requests: RefCell<HashMap<String, Value>>,
     pub(super) cloud_limit: CloudLimit,
     /// Requests that the cloud refused as malformed: none may be.
     pub cloud_refused: RefCell<Vec<String>>,
@@ -251,7 +251,7 @@
             workers: RefCell::default(),
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
-            rentals: RefCell::default(),
+            provisioning_requests: RefCell::default(),
             cloud_limit: CloudLimit::default(),
             cloud_refused: RefCell::default(),
             broken: RefCell::default(),
