--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -12,8 +12,8 @@
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::commit::{guard, put};
-use crate::state::keys::{arrivals_key, job_key};
-use crate::state::records::{Arrivals, Job, Spec};
+use crate::state::keys::{accepted_batch_key, job_key};
+use crate::state::records::{AcceptedBatch, Job, Spec};
 use crate::wire::{Guard, Write};
 
 /// What became of a submission that was to be accepted.
@@ -27,13 +27,13 @@
 
 /// A submission that waits to be accepted, and who waits for that. It is dropped
 /// when acceptance is given up.
-pub struct Arrival {
+pub struct PendingSubmission {
     pub(super) id: String,
     pub(super) spec: Spec,
     pub(super) done: oneshot::Sender<Acceptance>,
 }
 
-impl Arrival {
+impl PendingSubmission {
     fn answer(self, acceptance: Acceptance) {
         // Its user may have gone.
         let _ = self.done.send(acceptance);
@@ -55,7 +55,7 @@
     let gather = controller.request_gap() * 4;
     loop {
         controller.acceptance_notify.notified().await;
-        while !controller.arrivals.borrow().is_empty() {
+        while !controller.pending_submissions.borrow().is_empty() {
             controller.store.ready(RequestClass::Accept, 1).await;
             let begun = Instant::now();
             let batch = take_batch(&controller);
@@ -68,14 +68,14 @@
 }
 
 /// Takes as many of those that wait as one record and one commit hold.
-fn take_batch(controller: &Controller) -> Vec<Arrival> {
+fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
     // Each is a condition, and the record of all of them one more.
     let most_jobs = controller.settings.txn_ops() * 2;
     let most_bytes = controller.settings.value_bytes() * 9 / 10;
-    let mut batch: Vec<Arrival> = Vec::new();
+    let mut batch: Vec<PendingSubmission> = Vec::new();
     let mut bytes = 0;
     while batch.len() < most_jobs {
-        let Some(next) = controller.arrivals.borrow_mut().pop_front() else {
+        let Some(next) = controller.pending_submissions.borrow_mut().pop_front() else {
             break;
         };
         // Its user has gone, or asks again.
@@ -89,7 +89,7 @@
         }
         bytes += next.bytes().unwrap_or(most_bytes);
         if bytes > most_bytes && !batch.is_empty() {
-            controller.arrivals.borrow_mut().push_front(next);
+            controller.pending_submissions.borrow_mut().push_front(next);
             break;
         }
         batch.push(next);
@@ -98,7 +98,7 @@
 }
 
 /// Commits a batch, and tells those who wait.
-async fn commit_batch(controller: &Controller, batch: Vec<Arrival>) {
+async fn commit_batch(controller: &Controller, batch: Vec<PendingSubmission>) {
     let (guards, write) = batch_commit(controller, &batch);
     match controller
         .commit(RequestClass::Accept, guards, vec![write])
@@ -106,15 +106,15 @@
     {
         Ok(_) => {
             tracing::debug!(jobs = batch.len(), "accepted");
-            for arrival in batch {
-                arrival.answer(Acceptance::Committed);
+            for pending in batch {
+                pending.answer(Acceptance::Committed);
             }
         }
         Err(StoreError::Conflict(keys)) => sort_out(controller, batch, &keys),
         Err(error) if is_hopeless(controller, &error) => {
             tracing::debug!(%error, "not accepted: all who wait are told to come back");
             drop(batch);
-            controller.arrivals.borrow_mut().clear();
+            controller.pending_submissions.borrow_mut().clear();
         }
         Err(error) => {
             tracing::debug!(%error, "not accepted");
@@ -127,7 +127,7 @@
 }
 
 /// One job stands in a record of its own, several in a record of arrivals.
-fn batch_commit(controller: &Controller, batch: &[Arrival]) -> (Vec<Guard>, Write) {
+fn batch_commit(controller: &Controller, batch: &[PendingSubmission]) -> (Vec<Guard>, Write) {
     let accepted_revision = controller.replica.borrow().revision;
     let mut guards: Vec<Guard> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
     if let [one] = batch {
@@ -139,13 +139,13 @@
         .map(|a| (a.id.clone(), a.spec.clone()))
         .collect();
     let number = controller.rng.borrow_mut().random::<u64>();
-    let key = arrivals_key(&format!("{}-{number:x}", controller.name()));
+    let key = accepted_batch_key(&format!("{}-{number:x}", controller.name()));
     guards.push(guard(key.clone(), 0));
     (
         guards,
         put(
             key,
-            &Arrivals {
+            &AcceptedBatch {
                 accepted_revision,
                 jobs,
             },
@@ -155,20 +155,20 @@
 
 /// Those whose keys have failed are known by now, to another controller or by a
 /// commit of our own that got no answer; the rest go into the next commit.
-fn sort_out(controller: &Controller, batch: Vec<Arrival>, failed: &[String]) {
-    let (known, rest): (Vec<Arrival>, Vec<Arrival>) = batch
+fn sort_out(controller: &Controller, batch: Vec<PendingSubmission>, failed: &[String]) {
+    let (known, rest): (Vec<PendingSubmission>, Vec<PendingSubmission>) = batch
         .into_iter()
         .partition(|a| failed.contains(&job_key(&a.id)));
-    for arrival in known {
-        arrival.answer(Acceptance::KnownBefore);
+    for pending in known {
+        pending.answer(Acceptance::KnownBefore);
     }
     put_back(controller, rest);
 }
 
 /// Puts these first in line again, in their order.
-fn put_back(controller: &Controller, batch: Vec<Arrival>) {
-    let mut arrivals = controller.arrivals.borrow_mut();
-    for arrival in batch.into_iter().rev() {
-        arrivals.push_front(arrival);
+fn put_back(controller: &Controller, batch: Vec<PendingSubmission>) {
+    let mut pending_submissions = controller.pending_submissions.borrow_mut();
+    for pending in batch.into_iter().rev() {
+        pending_submissions.push_front(pending);
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -20,11 +20,11 @@
 use crate::accounting;
 use crate::controller::Controller;
 use crate::http::{Request, Response, ServerLimits, query_value};
+use crate::introspection;
 use crate::net::Listener;
-use crate::ops;
 use crate::wire::WorkerStatus;
 
-pub use acceptance::{Arrival, run_acceptance};
+pub use acceptance::{PendingSubmission, run_acceptance};
 pub use users::{should_shed, state_of};
 pub use validation::{Refusal, check_submission, read_submission};
 
@@ -57,8 +57,8 @@
         ("GET", "/up") => up(controller),
         ("POST", REPORT_PATH) => report(controller, &request.body).await,
         ("POST", "/submissions") => submit(controller, &request.body).await,
-        ("GET", "/ops/teams") => ops::teams(controller),
-        ("GET", "/ops/report") => ops::report(controller, &request.query),
+        ("GET", "/ops/teams") => introspection::teams(controller),
+        ("GET", "/ops/report") => introspection::report(controller, &request.query),
         ("GET", "/ops/shares") => {
             accounting::shares(controller, query_value(&request.query, "team"))
         }
@@ -67,7 +67,7 @@
         }
         ("POST", "/ops/shares/move") => accounting::move_share(controller, &request.body).await,
         ("GET", path) if path.starts_with("/ops/job/") => {
-            ops::job(controller, path.trim_start_matches("/ops/job/"))
+            introspection::job(controller, path.trim_start_matches("/ops/job/"))
         }
         (
             _,
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::acceptance::{Acceptance, Arrival};
+use super::acceptance::{Acceptance, PendingSubmission};
 use super::validation::{Refusal, check_submission, read_submission};
 use crate::controller::Controller;
 use crate::http::Response;
@@ -128,8 +128,11 @@
     }
     // Safety 8: a program that does not know `awaits` would start the job at
     // once, and write its record back without.
-    let awaits = submission.awaits.as_ref().is_some_and(|a| !a.is_empty());
-    if awaits && !replica.upgraded() {
+    let dependencies = submission
+        .dependencies
+        .as_ref()
+        .is_some_and(|a| !a.is_empty());
+    if dependencies && !replica.upgraded() {
         let problem = "not every controller knows awaits yet";
         return Some(Response::unavailable(problem, RETRY_SOON));
     }
@@ -171,12 +174,15 @@
 async fn accept(controller: &Controller, id: &str, spec: Spec, limit: Duration) -> Response {
     let (done, committed) = oneshot::channel();
     let owned_id = id.to_string();
-    let arrival = Arrival {
+    let pending = PendingSubmission {
         id: owned_id,
         spec,
         done,
     };
-    controller.arrivals.borrow_mut().push_back(arrival);
+    controller
+        .pending_submissions
+        .borrow_mut()
+        .push_back(pending);
     controller.acceptance_notify.notify_one();
     match timeout(limit, committed).await {
         Ok(Ok(Acceptance::Committed)) => accepted(controller, id),
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -110,7 +110,7 @@
 }
 
 fn check_awaited_ids(submission: &Submission) -> Result<(), Refusal> {
-    let mut ids = submission.awaits.iter().flatten();
+    let mut ids = submission.dependencies.iter().flatten();
     match ids.find(|id| !is_job_id(id)) {
         Some(id) => {
             let start: String = id.chars().take(40).collect();
@@ -136,7 +136,7 @@
     check_team_limit(&spec, team)?;
     check_awaited_jobs(&spec, replica)?;
     // What is done stays done: nothing needs to remember it.
-    spec.awaits
+    spec.dependencies
         .retain(|id| replica.state(id) != Some(JobStatus::Done));
     check_record_size(&spec, settings, replica)?;
     Ok(spec)
@@ -189,10 +189,18 @@
 
 /// A job's own id is not known either: it was never accepted.
 fn check_awaited_jobs(spec: &Spec, replica: &Replica) -> Result<(), Refusal> {
-    if spec.awaits.iter().any(|id| replica.is_unreadable_job(id)) {
+    if spec
+        .dependencies
+        .iter()
+        .any(|id| replica.is_unreadable_job(id))
+    {
         return Err(Refusal::Unknown);
     }
-    match spec.awaits.iter().find(|id| replica.state(id).is_none()) {
+    match spec
+        .dependencies
+        .iter()
+        .find(|id| replica.state(id).is_none())
+    {
         Some(id) => Err(never(format!("awaits: {id} was never accepted"))),
         None => Ok(()),
     }
@@ -202,16 +210,16 @@
 /// it awaits leaves its record before any of its tasks comes in.
 fn check_record_size(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<(), Refusal> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
-    let awaits = spec.awaits_bytes();
+    let dependencies = spec.awaits_bytes();
     let most = settings.value_bytes();
     let is_too_long = if settings.limits_will_fall() {
         // Where records are to be small: what could not be written, or never run
         // within one.
         let waiting = bytes + EMPTY_RECORD_BYTES;
-        let running = least_running_record(spec, settings, replica).saturating_sub(awaits);
+        let running = least_running_record(spec, settings, replica).saturating_sub(dependencies);
         waiting > most || running > most
     } else {
-        bytes > most / 2 || bytes.saturating_sub(awaits) > most / 4
+        bytes > most / 2 || bytes.saturating_sub(dependencies) > most / 4
     };
     match is_too_long {
         true => Err(malformed("too long")),
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -11,8 +11,8 @@
 use super::render::{job_text, report_text, teams_text};
 use super::{EXIT_DONE, runtime};
 use crate::http::{CallError, Client, Response};
+use crate::introspection::{FleetReport, JobDetails, TeamDetails};
 use crate::net::Net;
-use crate::ops::{FleetReport, JobDetails, TeamDetails};
 
 /// How long a controller may take to respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,6 +1,6 @@
 //! What the command line prints for people to read.
 
-use crate::ops::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
+use crate::introspection::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
 use crate::wire::JobStage;
 
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,7 +1,7 @@
 //! Places kept ready for the next gang on accelerators.
 
 use crate::controller::Controller;
-use crate::pipeline::QueueRank;
+use crate::dependencies::QueueRank;
 use crate::scheduler::{self, Plan};
 use crate::state::records::Job;
 use crate::state::replica::Replica;
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
-use crate::state::keys::{arrivals_key, job_key, rental_key};
+use crate::state::keys::{accepted_batch_key, job_key, rental_key};
 use crate::wire::{Guard, Write};
 
 /// Drops what has served its turn: rentals whose machines all have a record of
@@ -17,15 +17,16 @@
             let machines = &entry.value.machines;
             !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
         });
-        let arrivals = replica.arrivals.iter().filter(|(_, entry)| {
+        let accepted_batches = replica.accepted_batches.iter().filter(|(_, entry)| {
             let mut jobs = entry.value.jobs.keys();
             jobs.all(|id| replica.job_version(id) > 0)
         });
         let provisioning_requests =
             provisioning_requests.map(|(id, entry)| (rental_key(id), entry.version));
-        let arrivals = arrivals.map(|(id, entry)| (arrivals_key(id), entry.version));
+        let accepted_batches =
+            accepted_batches.map(|(id, entry)| (accepted_batch_key(id), entry.version));
         provisioning_requests
-            .chain(arrivals)
+            .chain(accepted_batches)
             .take(controller.settings.txn_ops())
             .map(|(key, version)| (guard(key.clone(), version), Write::Delete { key }))
             .unzip()
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -17,10 +17,10 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-use crate::api::Arrival;
+use crate::api::PendingSubmission;
 use crate::cloud::FleetState;
+use crate::gossip::PeerTable;
 use crate::http::Client;
-use crate::mesh::Peers;
 use crate::net::Net;
 use crate::scheduler::{FirstSeenTimes, Reason};
 use crate::settings::Settings;
@@ -84,7 +84,7 @@
     /// Wakes the recording of ends.
     pub terminations_notify: Notify,
     /// Submissions that wait to be accepted.
-    pub arrivals: RefCell<VecDeque<Arrival>>,
+    pub pending_submissions: RefCell<VecDeque<PendingSubmission>>,
     /// Wakes the acceptance of submissions.
     pub acceptance_notify: Notify,
     /// Claims that wait to be committed, by machine.
@@ -96,7 +96,7 @@
     /// Wakes the publication of room: a machine can take work from now on.
     pub publication_notify: Notify,
     /// What the other controllers have told of themselves.
-    pub peers: RefCell<Peers>,
+    pub peers: RefCell<PeerTable>,
     /// What is known of the rented machines, held here or not.
     pub fleet: RefCell<FleetState>,
     /// Why each open job waits, as the decision that made it wait said.
@@ -148,7 +148,7 @@
             owned_workers: RefCell::default(),
             ends: RefCell::default(),
             terminations_notify: Notify::new(),
-            arrivals: RefCell::default(),
+            pending_submissions: RefCell::default(),
             acceptance_notify: Notify::new(),
             claims: RefCell::default(),
             claims_awaited: Cell::new(0),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -4,21 +4,24 @@
 use std::rc::Rc;
 
 use crate::controller::Controller;
-use crate::{accounting, api, cloud, compaction, mesh, scheduler, workers};
+use crate::{accounting, api, cloud, compaction, gossip, scheduler, workers};
 
 /// Starts all loops of this controller; must run inside a `LocalSet`. They end with the
 /// returned future.
 pub async fn run(controller: Rc<Controller>) -> std::io::Result<()> {
     let users = controller.net.listen(controller.settings.serve_on).await?;
-    let mesh = controller.net.listen(controller.settings.mesh_addr).await?;
+    let gossip_listener = controller
+        .net
+        .listen(controller.settings.gossip_addr)
+        .await?;
     let tasks = [
         tokio::task::spawn_local(controller.clone().run_liveness()),
         tokio::task::spawn_local(controller.clone().run_watch()),
         tokio::task::spawn_local(controller.clone().run_barriers()),
         tokio::task::spawn_local(api::serve(controller.clone(), users)),
-        tokio::task::spawn_local(mesh::listen(controller.clone(), mesh)),
-        tokio::task::spawn_local(mesh::speak(controller.clone())),
-        tokio::task::spawn_local(mesh::run_write_share(controller.clone())),
+        tokio::task::spawn_local(gossip::run_receiver(controller.clone(), gossip_listener)),
+        tokio::task::spawn_local(gossip::run_sender(controller.clone())),
+        tokio::task::spawn_local(gossip::run_write_budget(controller.clone())),
         tokio::task::spawn_local(workers::run_claims(controller.clone())),
         tokio::task::spawn_local(workers::run_commands(controller.clone())),
         tokio::task::spawn_local(workers::run_publication(controller.clone())),
--- a/src/pipeline.rs
+++ b/src/dependencies.rs
@@ -107,7 +107,7 @@
     /// became of a job, or decides by it, asks here.
     pub fn state(&self, id: &str) -> Option<JobStatus> {
         let own = self.jobs.get(id)?.value.status;
-        match own == JobStatus::Open && self.pipelines.cancelled_by_dependency.contains(id) {
+        match own == JobStatus::Open && self.dependency_graph.cancelled_by_dependency.contains(id) {
             true => Some(JobStatus::Cancelled),
             false => Some(own),
         }
@@ -117,24 +117,27 @@
     /// can only say so late.
     pub fn is_ready(&self, spec: &Spec) -> bool {
         let done = |id: &String| self.state(id) == Some(JobStatus::Done);
-        spec.awaits.iter().all(done)
+        spec.dependencies.iter().all(done)
     }
 
     /// Open jobs that wait for others, with those that they still await.
     pub fn blocked(&self) -> impl Iterator<Item = (&str, &[String])> {
-        let blocked = self.pipelines.blocked.iter();
+        let blocked = self.dependency_graph.blocked.iter();
         blocked.map(|(id, left)| (id.as_str(), left.as_slice()))
     }
 
     /// What a job still awaits.
     pub fn awaited(&self, id: &str) -> &[String] {
-        self.pipelines.blocked.get(id).map_or(&[], Vec::as_slice)
+        self.dependency_graph
+            .blocked
+            .get(id)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// Jobs that are cancelled with another, and whose own records are yet to
     /// say so.
     pub fn cancelled_with_dependency(&self) -> impl Iterator<Item = &str> {
-        self.pipelines
+        self.dependency_graph
             .cancelled_by_dependency
             .iter()
             .map(String::as_str)
@@ -142,21 +145,21 @@
 
     /// The highest priority of a job and of the open jobs that need it.
     pub fn priority(&self, id: &str, spec: &Spec) -> Priority {
-        let demanded = self.pipelines.demand.get(id).map(|d| d.priority);
+        let demanded = self.dependency_graph.demand.get(id).map(|d| d.priority);
         demanded.map_or(spec.priority, |p| p.max(spec.priority))
     }
 
     /// Whether an open job waits for this one.
     pub fn is_needed(&self, id: &str) -> bool {
-        self.pipelines.demand.contains_key(id)
+        self.dependency_graph.demand.contains_key(id)
     }
 
     /// What the job's place in the queue goes by at this moment.
     pub fn queue_rank(&self, id: &str, spec: &Spec, now: Instant) -> QueueRank {
-        let demanded = self.pipelines.demand.get(id).and_then(|d| d.due);
+        let demanded = self.dependency_graph.demand.get(id).and_then(|d| d.due);
         let own = match spec.deadline_s {
             // Known by its spec alone, as in a plan: submitted just now.
-            Some(due) if !self.pipelines.first_seen.contains_key(id) => Some(due),
+            Some(due) if !self.dependency_graph.first_seen.contains_key(id) => Some(due),
             Some(_) => self.own_due(id, spec).map(|at| until(at, now)),
             None => None,
         };
@@ -170,7 +173,7 @@
 
     /// A job's own deadline, which counts from its submission.
     fn own_due(&self, id: &str, spec: &Spec) -> Option<Instant> {
-        let seen = self.pipelines.first_seen.get(id)?;
+        let seen = self.dependency_graph.first_seen.get(id)?;
         let due = Duration::try_from_secs_f64(spec.deadline_s?).ok()?;
         seen.checked_add(due)
     }
@@ -196,18 +199,18 @@
     fn index_open_job(&mut self, id: &str) {
         let spec = self.jobs.get(id).and_then(|e| e.value.spec.as_ref());
         let has_deadline = spec.is_some_and(|s| s.deadline_s.is_some());
-        let awaits = spec.map_or(&[][..], |s| &s.awaits);
+        let dependencies = spec.map_or(&[][..], |s| &s.dependencies);
         let is_cancelled = |a: &String| self.state(a) == Some(JobStatus::Cancelled);
-        if awaits.iter().any(is_cancelled) {
+        if dependencies.iter().any(is_cancelled) {
             return self.cancel_with_dependency(id);
         }
-        let left: Vec<String> = awaits
+        let left: Vec<String> = dependencies
             .iter()
             .filter(|a| self.state(a) != Some(JobStatus::Done))
             .cloned()
             .collect();
         if has_deadline {
-            let first_seen = &mut self.pipelines.first_seen;
+            let first_seen = &mut self.dependency_graph.first_seen;
             first_seen
                 .entry(id.to_string())
                 .or_insert_with(Instant::now);
@@ -221,30 +224,32 @@
     /// Takes back what followed from an open job's record.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
         self.open.remove(&(old.accepted_revision, id.to_string()));
-        self.pipelines.cancelled_by_dependency.remove(id);
+        self.dependency_graph.cancelled_by_dependency.remove(id);
         self.remove_from_blocked(id);
     }
 
     /// The job waits for what is left of those that it awaits.
     fn block(&mut self, id: &str, left: Vec<String>) {
         for awaited in &left {
-            let dependents = self.pipelines.dependents.entry(awaited.clone());
+            let dependents = self.dependency_graph.dependents.entry(awaited.clone());
             dependents.or_default().insert(id.to_string());
         }
-        self.pipelines.blocked.insert(id.to_string(), left.clone());
+        self.dependency_graph
+            .blocked
+            .insert(id.to_string(), left.clone());
         self.propagate_demand(left);
     }
 
     /// The job waits no longer, whatever becomes of it.
     fn remove_from_blocked(&mut self, id: &str) {
-        let Some(left) = self.pipelines.blocked.remove(id) else {
+        let Some(left) = self.dependency_graph.blocked.remove(id) else {
             return;
         };
         for awaited in &left {
-            if let Some(dependents) = self.pipelines.dependents.get_mut(awaited) {
+            if let Some(dependents) = self.dependency_graph.dependents.get_mut(awaited) {
                 dependents.remove(id);
                 if dependents.is_empty() {
-                    self.pipelines.dependents.remove(awaited);
+                    self.dependency_graph.dependents.remove(awaited);
                 }
             }
         }
@@ -253,8 +258,8 @@
 
     /// Nothing is demanded any more of a job that is over.
     fn forget_demand(&mut self, id: &str) {
-        self.pipelines.first_seen.remove(id);
-        self.pipelines.demand.remove(id);
+        self.dependency_graph.first_seen.remove(id);
+        self.dependency_graph.demand.remove(id);
     }
 
     /// The job takes part in all that open jobs do from here on.
@@ -270,13 +275,18 @@
 
     /// A job is done: those that awaited nothing else are ready.
     fn unblock_dependents(&mut self, id: &str) {
-        for dependent in self.pipelines.dependents.remove(id).unwrap_or_default() {
-            let Some(left) = self.pipelines.blocked.get_mut(&dependent) else {
+        for dependent in self
+            .dependency_graph
+            .dependents
+            .remove(id)
+            .unwrap_or_default()
+        {
+            let Some(left) = self.dependency_graph.blocked.get_mut(&dependent) else {
                 continue;
             };
             left.retain(|awaited| awaited != id);
             if left.is_empty() {
-                self.pipelines.blocked.remove(&dependent);
+                self.dependency_graph.blocked.remove(&dependent);
                 tracing::debug!(job = dependent, last = id, "ready");
                 self.make_ready(&dependent);
             }
@@ -285,7 +295,12 @@
 
     /// A job is cancelled: those that depend on it are, through any chain.
     fn cancel_dependents(&mut self, id: &str) {
-        for dependent in self.pipelines.dependents.remove(id).unwrap_or_default() {
+        for dependent in self
+            .dependency_graph
+            .dependents
+            .remove(id)
+            .unwrap_or_default()
+        {
             self.cancel_with_dependency(&dependent);
         }
     }
@@ -294,13 +309,13 @@
     fn cancel_with_dependency(&mut self, id: &str) {
         let mut pending = vec![id.to_string()];
         while let Some(id) = pending.pop() {
-            let cancelled = &mut self.pipelines.cancelled_by_dependency;
+            let cancelled = &mut self.dependency_graph.cancelled_by_dependency;
             if !cancelled.insert(id.clone()) {
                 continue;
             }
             self.remove_from_blocked(&id);
             self.forget_demand(&id);
-            let dependents = self.pipelines.dependents.remove(&id);
+            let dependents = self.dependency_graph.dependents.remove(&id);
             pending.extend(dependents.unwrap_or_default());
         }
     }
@@ -312,8 +327,8 @@
         while let Some(id) = queue.pop_front() {
             let now = self.demand_of_dependents(&id);
             let before = match now {
-                Some(demand) => self.pipelines.demand.insert(id.clone(), demand),
-                None => self.pipelines.demand.remove(&id),
+                Some(demand) => self.dependency_graph.demand.insert(id.clone(), demand),
+                None => self.dependency_graph.demand.remove(&id),
             };
             if before == now {
                 continue;
@@ -328,7 +343,7 @@
 
     /// What the direct dependents of a job demand of it together.
     fn demand_of_dependents(&self, id: &str) -> Option<DependentDemand> {
-        let dependents = self.pipelines.dependents.get(id)?;
+        let dependents = self.dependency_graph.dependents.get(id)?;
         let demands = dependents.iter().filter_map(|id| self.demand_passed_on(id));
         demands.reduce(DependentDemand::merge)
     }
@@ -336,7 +351,7 @@
     /// What a blocked job demands of those that it awaits.
     fn demand_passed_on(&self, id: &str) -> Option<DependentDemand> {
         let spec = self.jobs.get(id)?.value.spec.as_ref()?;
-        let demanded = self.pipelines.demand.get(id).and_then(|d| d.due);
+        let demanded = self.dependency_graph.demand.get(id).and_then(|d| d.due);
         let due = earliest(self.own_due(id, spec), demanded);
         // Its own work comes between; tasks of one job run side by side.
         let work = Duration::try_from_secs_f64(spec.estimate_s).unwrap_or_default();
--- a/src/mesh.rs
+++ b/src/gossip.rs
@@ -18,7 +18,7 @@
 /// What one controller tells of itself, sent a few times in a lease. The order
 /// of the fields is the frame's.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct Gossip {
+pub struct PeerStatus {
     /// The controller's name.
     pub controller: String,
     /// The run of its process.
@@ -56,7 +56,7 @@
 
 /// What another controller has last told of itself.
 #[derive(Debug)]
-pub struct Peer {
+pub struct PeerState {
     /// When it told so.
     pub at: Instant,
     /// The run of its process.
@@ -75,19 +75,19 @@
 
 /// What the other controllers have told, by name.
 #[derive(Debug, Default)]
-pub struct Peers(HashMap<String, Peer>);
+pub struct PeerTable(HashMap<String, PeerState>);
 
 /// The time between two frames to one peer.
 fn interval(controller: &Controller) -> Duration {
     (controller.settings.lease() / 20).min(Duration::from_secs(1))
 }
 
-impl Peers {
+impl PeerTable {
     /// Takes in what a controller tells.
-    pub fn take(&mut self, gossip: Gossip, now: Instant) {
+    pub fn take(&mut self, gossip: PeerStatus, now: Instant) {
         self.0.insert(
             gossip.controller,
-            Peer {
+            PeerState {
                 at: now,
                 incarnation: gossip.incarnation,
                 staleness_ms: gossip.staleness_ms,
@@ -100,7 +100,11 @@
     }
 
     /// Those that were heard of late.
-    fn fresh(&self, controller: &Controller, now: Instant) -> impl Iterator<Item = (&str, &Peer)> {
+    fn fresh(
+        &self,
+        controller: &Controller,
+        now: Instant,
+    ) -> impl Iterator<Item = (&str, &PeerState)> {
         let limit = interval(controller) * FRESH_INTERVALS;
         self.0
             .iter()
@@ -155,7 +159,7 @@
 }
 
 /// A frame: the length of what follows, and the message itself.
-pub fn encode(gossip: &Gossip) -> Option<Vec<u8>> {
+pub fn encode(gossip: &PeerStatus) -> Option<Vec<u8>> {
     let body = bincode::encode_to_vec(gossip, bincode::config::standard()).ok()?;
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend(body);
@@ -163,7 +167,7 @@
 }
 
 /// The message of a frame, without its length.
-pub fn decode(body: &[u8]) -> Option<Gossip> {
+pub fn decode(body: &[u8]) -> Option<PeerStatus> {
     let config = bincode::config::standard().with_limit::<FRAME_LIMIT>();
     bincode::decode_from_slice(body, config)
         .ok()
@@ -171,7 +175,7 @@
 }
 
 /// Accepts the other controllers' connections.
-pub async fn listen(controller: Rc<Controller>, mut listener: Listener) {
+pub async fn run_receiver(controller: Rc<Controller>, mut listener: Listener) {
     loop {
         match listener.accept().await {
             Ok(stream) => {
@@ -190,7 +194,8 @@
             return;
         };
         let others = &controller.settings.others;
-        let is_known = |gossip: &Gossip| others.iter().any(|peer| peer.name == gossip.controller);
+        let is_known =
+            |gossip: &PeerStatus| others.iter().any(|peer| peer.name == gossip.controller);
         match decode(&body) {
             Some(gossip) if is_known(&gossip) => {
                 controller.peers.borrow_mut().take(gossip, Instant::now());
@@ -215,7 +220,7 @@
 }
 
 /// Divides the state service's writes by what each controller would write.
-pub async fn run_write_share(controller: Rc<Controller>) {
+pub async fn run_write_budget(controller: Rc<Controller>) {
     loop {
         sleep(interval(&controller)).await;
         // The lower rate comes into force without notice: it is kept to once
@@ -248,7 +253,7 @@
 }
 
 /// Tells the other controllers of this one.
-pub async fn speak(controller: Rc<Controller>) {
+pub async fn run_sender(controller: Rc<Controller>) {
     for peer in controller.settings.others.clone() {
         tokio::task::spawn_local(speak_to(controller.clone(), peer.addr));
     }
@@ -283,13 +288,13 @@
 }
 
 /// What this controller tells of itself now.
-fn gossip_of(controller: &Controller) -> Gossip {
+fn gossip_of(controller: &Controller) -> PeerStatus {
     let now = controller.liveness_tick();
     let limit = controller.settings.report() * 2;
     let owned_workers = controller.owned_workers.borrow();
     let is_silent =
         |owned_worker: &&OwnedWorker| now.saturating_duration_since(owned_worker.heard) > limit;
-    Gossip {
+    PeerStatus {
         controller: controller.name().to_string(),
         incarnation: controller.incarnation,
         staleness_ms: controller
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,7 +1,7 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
-use crate::pipeline::QueueRank;
+use crate::dependencies::QueueRank;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Amount, Job, Resources, Spec};
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -58,8 +58,8 @@
 /// out with its first booking. One that cannot be written fills the record.
 fn spec_bytes(job: &Job, value_bytes: usize) -> usize {
     let all = serde_json::to_vec(&job.spec).map_or(value_bytes, |text| text.len());
-    let awaits = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
-    all - awaits.min(all)
+    let dependencies = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
+    all - dependencies.min(all)
 }
 
 /// The length of the longest name among the machines that the job may come to
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -324,7 +324,9 @@
     fn book_placements(&mut self, ends_first: bool) -> usize {
         let mut placements = std::mem::take(&mut self.placements);
         placements.sort_by_key(|p| {
-            p.spec.kind == Kind::Array && p.spec.awaits.is_empty() && !self.replica.is_needed(p.id)
+            p.spec.kind == Kind::Array
+                && p.spec.dependencies.is_empty()
+                && !self.replica.is_needed(p.id)
         });
         self.state.gangs_deferred = false;
         let mut admitted = 0;
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -411,7 +411,7 @@
             return 0;
         };
         if let Some(spec) = &mut job.spec {
-            spec.awaits.clear();
+            spec.dependencies.clear();
         }
         if share.is_some() {
             job.share = share;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -164,7 +164,7 @@
     }
 
     fn check_addresses(&self) -> CheckResult {
-        let is_distinct = self.serve_on != self.mesh_addr;
+        let is_distinct = self.serve_on != self.gossip_addr;
         require(is_distinct, "mesh_addr", Problem::SameAsServeOn)?;
         let (cloud, state) = (self.external.cloud, self.external.state);
         require(cloud.port() != 0, "external.cloud", Problem::NoPort)?;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -187,7 +187,8 @@
     /// The address at which it serves users, workers and operators.
     pub serve_on: SocketAddrV4,
     /// The address at which it accepts mesh connections.
-    pub mesh_addr: SocketAddrV4,
+    #[serde(rename = "mesh_addr")]
+    pub gossip_addr: SocketAddrV4,
     /// The other controllers.
     pub others: Vec<Peer>,
     /// The services that it uses.
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -49,7 +49,7 @@
 }
 
 /// The key of jobs that were accepted together.
-pub fn arrivals_key(id: &str) -> String {
+pub fn accepted_batch_key(id: &str) -> String {
     format!("{PREFIX}new/{id}")
 }
 
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -69,13 +69,13 @@
         spec.types = None;
         spec.zone = None;
         spec.deadline_s = None;
-        spec.awaits.clear();
+        spec.dependencies.clear();
     }
 }
 
 /// What is done stays done: nothing waits for it again.
 fn drop_done_dependencies(spec: &mut Spec, context: &TrimContext) {
-    spec.awaits.retain(|id| !(context.is_done)(id));
+    spec.dependencies.retain(|id| !(context.is_done)(id));
 }
 
 /// Keeps the types that the cloud offers where the job may run and that hold a
--- a/src/state/records/job.rs
+++ b/src/state/records/job.rs
@@ -343,7 +343,7 @@
 /// `new/ID`: jobs that were accepted together, in one write. Each stands for
 /// its own record until that is first written; from then on that one counts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Arrivals {
+pub struct AcceptedBatch {
     /// The revision at which they were accepted.
     #[serde(rename = "b")]
     pub accepted_revision: u64,
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -65,7 +65,7 @@
     /// were done when it was accepted, or booked, are left out. Left out of the
     /// text when empty: programs from before it would write it back without.
     #[serde(rename = "aw", default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 impl From<&Submission> for Spec {
@@ -92,7 +92,7 @@
             checkpoint_s: s.checkpoint_s,
             save_s: s.save_s,
             deadline_s: s.deadline_s,
-            awaits: distinct(s.awaits.as_deref().unwrap_or_default()),
+            dependencies: distinct(s.dependencies.as_deref().unwrap_or_default()),
         }
     }
 }
@@ -136,7 +136,7 @@
     /// About how long its names are together.
     pub fn names_bytes(&self) -> usize {
         const MARKS: usize = 3;
-        let types = self.types.iter().flatten().chain(&self.awaits);
+        let types = self.types.iter().flatten().chain(&self.dependencies);
         let lists: usize = types.map(|name| name.len() + MARKS).sum();
         let zone = self.zone.as_ref().map_or(0, String::len);
         self.class.len() + self.team.len() + self.image.len() + zone + lists
@@ -145,7 +145,7 @@
     /// How much of its text the ids take that it awaits, with quotes and commas.
     pub fn awaits_bytes(&self) -> usize {
         const NAME: usize = 10;
-        let ids: usize = self.awaits.iter().map(|id| id.len() + 3).sum();
+        let ids: usize = self.dependencies.iter().map(|id| id.len() + 3).sum();
         if ids == 0 { 0 } else { ids + NAME }
     }
 }
--- a/src/state/replica/index.rs
+++ b/src/state/replica/index.rs
@@ -9,7 +9,7 @@
 
 use super::{Entry, MachineClass, PlanSlot, Replica, parse, put};
 use crate::state::keys::job_key;
-use crate::state::records::{Arrivals, Job, Machine, MachineShard, MachineSlot, Ranges, Spec};
+use crate::state::records::{AcceptedBatch, Job, Machine, MachineShard, MachineSlot, Ranges, Spec};
 
 const IMAGES_REMEMBERED: usize = 16;
 
@@ -51,7 +51,7 @@
 impl Replica {
     /// Takes jobs that were accepted together. Each stands alone: one that cannot
     /// be read keeps none of the others away. Such a record is never settled.
-    pub(super) fn set_arrivals(
+    pub(super) fn set_accepted_batch(
         &mut self,
         key: &str,
         id: &str,
@@ -59,14 +59,14 @@
         value: Option<&RawValue>,
     ) {
         let Some(value) = value else {
-            put(&mut self.arrivals, id, version, None);
+            put(&mut self.accepted_batches, id, version, None);
             return;
         };
         let Some(raw) = self.read::<RawArrivals>(key, version, value) else {
-            put(&mut self.arrivals, id, version, None);
+            put(&mut self.accepted_batches, id, version, None);
             return;
         };
-        let mut arrivals = Arrivals {
+        let mut accepted_batches = AcceptedBatch {
             accepted_revision: raw.accepted_revision,
             jobs: BTreeMap::new(),
         };
@@ -80,7 +80,7 @@
                     if !has_own {
                         self.place_job(&job, 0, Job::new(spec.clone(), raw.accepted_revision));
                     }
-                    arrivals.jobs.insert(job, spec);
+                    accepted_batches.jobs.insert(job, spec);
                 }
                 None if !has_own => {
                     self.unreadable.insert(own_key, 0);
@@ -88,8 +88,13 @@
                 None => {}
             }
         }
-        let whole = arrivals.jobs.len() == count;
-        put(&mut self.arrivals, id, version, whole.then_some(arrivals));
+        let whole = accepted_batches.jobs.len() == count;
+        put(
+            &mut self.accepted_batches,
+            id,
+            version,
+            whole.then_some(accepted_batches),
+        );
     }
 
     pub(super) fn set_machine_shard(
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -22,11 +22,11 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-use crate::pipeline::DependencyGraph;
+use crate::dependencies::DependencyGraph;
 use crate::state::keys::PREFIX;
 use crate::state::names::Names;
 use crate::state::records::{
-    Arrivals, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
+    AcceptedBatch, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
     Resources, Spec, Team, Types, ZoneShard,
 };
 use crate::wire::{Event, Pair, Write};
@@ -105,7 +105,7 @@
     /// Rentals by the names of their requests.
     pub provisioning_requests: Table<ProvisioningRequest>,
     /// Jobs that were accepted together, by the names of those writes.
-    pub arrivals: Table<Arrivals>,
+    pub accepted_batches: Table<AcceptedBatch>,
     /// The cloud's machine types as last read.
     pub types: Entry<Types>,
     /// The controller that rents machines, if there is one.
@@ -165,7 +165,7 @@
     /// of what they say, but whoever writes them anew guards these versions.
     unreadable: BTreeMap<String, u64>,
     /// What follows from jobs that await others, see there.
-    pub(crate) pipelines: DependencyGraph,
+    pub(crate) dependency_graph: DependencyGraph,
 }
 
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
@@ -220,7 +220,7 @@
             compact_limit: old.compact_limit,
             slo_classes: old.slo_classes,
             changes,
-            pipelines: old.pipelines.after_reload(),
+            dependency_graph: old.dependency_graph.after_reload(),
             loaded: true,
             revision,
             ..Replica::default()
@@ -330,7 +330,7 @@
                 put(&mut self.provisioning_requests, id, version, hire);
             }
             "new" => {
-                self.set_arrivals(key, id, version, value);
+                self.set_accepted_batch(key, id, version, value);
             }
             "node" => {
                 let fleet_leader = value.and_then(|v| self.read(key, version, v));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -106,7 +106,7 @@
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
     #[serde(rename = "awaits", default)]
-    pub awaits: Option<Vec<String>>,
+    pub dependencies: Option<Vec<String>>,
 }
 
 /// How far a job has come, as its user is told.
@@ -181,7 +181,7 @@
     Stopped,
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
-    Peers,
+    PeerTable,
     /// Its gang was not complete in time; PROTOCOL's `incomplete`.
     #[serde(rename = "incomplete")]
     Alone,
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -6,7 +6,7 @@
 use super::setup::{
     after, ended, hints, jobs_of, settings, settings_json, spec, view_with, view_with_types,
 };
-use shelfhoist::pipeline::QueueRank;
+use shelfhoist::dependencies::QueueRank;
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::job_key;
@@ -250,8 +250,8 @@
         // All open at first, in one arrival; then the first two change.
         let specs = jobs_of(&jobs);
         let mut replica = Replica::default();
-        let key = shelfhoist::state::keys::arrivals_key("x");
-        let arrivals = Arrivals {
+        let key = shelfhoist::state::keys::accepted_batch_key("x");
+        let arrivals = AcceptedBatch {
             accepted_revision: 7,
             jobs: specs,
         };
@@ -307,7 +307,7 @@
         let got = transaction.book("job-2", &spec, &places.expect("places"));
         assert_eq!(got, booked, "{status:?}");
         let left = transaction.job("job-2").and_then(|j| j.spec.as_ref());
-        let left = left.map_or(0, |s| s.awaits.len());
+        let left = left.map_or(0, |s| s.dependencies.len());
         assert_eq!(left, usize::from(booked == 0), "{status:?}");
     }
 }
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -139,10 +139,10 @@
 #[test]
 fn records_without_awaits_are_as_before() {
     const BEFORE: &str = r#"{"f":"o","s":{"l":"x","w":"t","k":"gang","p":"normal","n":2,"r":{"c":2000,"g":0,"m":4000},"i":"i","ig":1.0,"oz":true,"e":10.0,"cs":0.0,"ss":0.0},"n":2,"b":7,"a":0,"x":0}"#;
-    for awaits in [None, Some(json!(null)), Some(json!([]))] {
+    for dependencies in [None, Some(json!(null)), Some(json!([]))] {
         let mut s = submission();
-        if let Some(awaits) = awaits {
-            s["awaits"] = awaits;
+        if let Some(dependencies) = dependencies {
+            s["awaits"] = dependencies;
         }
         let s = read_submission(s.to_string().as_bytes()).expect("a submission");
         let text = serde_json::to_string(&Job::new(Spec::from(&s), 7)).expect("text");
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -240,14 +240,14 @@
     let mut replica = view_with_types();
     let mut cancelled = Job::new(spec(Kind::Array, 1, 1.0), 1);
     cancelled.cancel();
-    let new = |ids: &[&str]| Arrivals {
+    let new = |ids: &[&str]| AcceptedBatch {
         accepted_revision: 1,
         jobs: ids
             .iter()
             .map(|id| (id.to_string(), spec(Kind::Array, 2, 1.0)))
             .collect(),
     };
-    let key = shelfhoist::state::keys::arrivals_key;
+    let key = shelfhoist::state::keys::accepted_batch_key;
     replica.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
     assert_eq!((replica.job_version("job-1"), replica.open.len()), (0, 2));
     replica.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -155,12 +155,17 @@
 }
 
 /// A job after others, as its record has it.
-pub fn after(awaits: &[&str], priority: Priority, estimate_s: f64, deadline_s: Option<f64>) -> Job {
+pub fn after(
+    dependencies: &[&str],
+    priority: Priority,
+    estimate_s: f64,
+    deadline_s: Option<f64>,
+) -> Job {
     let spec = Spec {
         priority,
         estimate_s,
         deadline_s,
-        awaits: awaits.iter().map(|id| id.to_string()).collect(),
+        dependencies: dependencies.iter().map(|id| id.to_string()).collect(),
         ..spec(Kind::Array, 2, 1.0)
     };
     Job::new(spec, 7)
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use shelfhoist::mesh::{Gossip, decode, encode};
+use shelfhoist::gossip::{PeerStatus, decode, encode};
 use shelfhoist::state::keys;
 use shelfhoist::state::records::{
-    Amount, Arrivals, ControllerRecord, Formats, Job, JobStatus, Machine, MachineLifecycle,
+    AcceptedBatch, Amount, ControllerRecord, Formats, Job, JobStatus, Machine, MachineLifecycle,
     MachineShard, MachineSlot, ProvisioningRequest, Ranges, Resources, Run, Spec, Team, Types,
     ZoneShard,
 };
@@ -54,7 +54,7 @@
         checkpoint_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(900.5),
-        awaits: names(&["job-000398", "job-000405"]),
+        dependencies: names(&["job-000398", "job-000405"]),
     }
 }
 
@@ -70,7 +70,7 @@
         spread: false,
         spot: false,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
         ..full_spec()
     }
 }
@@ -133,8 +133,8 @@
     }
 }
 
-fn arrivals() -> Arrivals {
-    Arrivals {
+fn arrivals() -> AcceptedBatch {
+    AcceptedBatch {
         accepted_revision: 7,
         jobs: BTreeMap::from([
             ("job-000001".into(), full_spec()),
@@ -253,8 +253,8 @@
     }
 }
 
-fn gossip() -> Gossip {
-    Gossip {
+fn gossip() -> PeerStatus {
+    PeerStatus {
         controller: "bay-1".into(),
         incarnation: 4_000_000_000,
         staleness_ms: Some(1250),
@@ -442,7 +442,7 @@
         (keys::zone_shard_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
         (keys::machine_shard_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
         (keys::node_key("bay-1"), "sh/node/bay-1"),
-        (keys::arrivals_key("bay-1-7"), "sh/new/bay-1-7"),
+        (keys::accepted_batch_key("bay-1-7"), "sh/new/bay-1-7"),
         (keys::rental_key("r-17"), "sh/hire/r-17"),
         (keys::PREFIX.into(), "sh/"),
         (keys::BARRIER_KEY.into(), "sh-barrier"),
@@ -460,7 +460,7 @@
 /// A length of four bytes, then the fields in their order.
 #[test]
 fn mesh_frames_are_sent_byte_for_byte() {
-    let before_its_first_barrier = Gossip {
+    let before_its_first_barrier = PeerStatus {
         staleness_ms: None,
         refused: Vec::new(),
         ..gossip()
--- a/tests/limits/falls.rs
+++ b/tests/limits/falls.rs
@@ -312,14 +312,14 @@
     }
 }
 
-/// Arrivals in a record that is too long when the limits fall are read, run each
+/// AcceptedBatch in a record that is too long when the limits fall are read, run each
 /// under a record of its own, and the long one goes: nobody writes it again.
 #[test]
 fn long_arrivals_come_to_their_end() {
     in_world(|| async {
         let w = World::of(53, yard()).await;
         sleep(Duration::from_secs(15)).await;
-        let mut arrivals = Arrivals {
+        let mut arrivals = AcceptedBatch {
             accepted_revision: 1,
             jobs: Default::default(),
         };
--- a/tests/limits/production_texts.rs
+++ b/tests/limits/production_texts.rs
@@ -40,7 +40,7 @@
     assert_eq!(job.failed_on, ["host-000007"]);
     same_bytes::<Job>(NEW_JOB);
     same_bytes::<Job>(DONE_JOB);
-    same_bytes::<Arrivals>(ARRIVALS);
+    same_bytes::<AcceptedBatch>(ARRIVALS);
     same_bytes::<Team>(TEAM);
     let shard: ZoneShard = same_bytes(PART);
     assert_eq!(shard.machines["host-000231"].unbooked.cpus, Amount(2000));
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -89,7 +89,7 @@
         checkpoint_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(912.5),
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
-use shelfhoist::ops::{FleetReport, JobDetails, TeamDetails};
+use shelfhoist::introspection::{FleetReport, JobDetails, TeamDetails};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
 use shelfhoist::scheduler::{back_off, preferred};
 
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -126,11 +126,11 @@
             (json!({"job-000001": 1}), 400),
             (json!(null), 201),
         ];
-        for (awaits, expected) in cases {
+        for (dependencies, expected) in cases {
             let mut body = job(2, "batch", 1, 1.0);
-            body["awaits"] = awaits.clone();
+            body["awaits"] = dependencies.clone();
             w.remember(&body);
-            assert_eq!(follow(&w, 1, &body).await.0, expected, "{awaits}");
+            assert_eq!(follow(&w, 1, &body).await.0, expected, "{dependencies}");
         }
         // Where no barrier is to be had, nothing can be said of unknown ids.
         w.fabric.cut(controller(0), state_addr(0));
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -393,29 +393,29 @@
             (json!({}), 400),
             (json!([running, "job-000777"]), 422),
         ];
-        for (n, (awaits, expected)) in (10..).zip(cases) {
+        for (n, (dependencies, expected)) in (10..).zip(cases) {
             for i in 0..CONTROLLERS {
                 let mut one = job(n, "batch", 1, 1.0);
-                one["awaits"] = awaits.clone();
+                one["awaits"] = dependencies.clone();
                 w.remember(&one);
                 let (status, answer) = w.ask(i, "POST", "/submissions", Some(&one)).await;
                 // The first is the one that is accepted.
                 let known = expected == 201 && i > 0;
                 let expected = if known { 200 } else { expected };
-                assert_eq!(status, expected, "{awaits} at n{i}: {answer}");
+                assert_eq!(status, expected, "{dependencies} at n{i}: {answer}");
             }
         }
         // Of one that is accepted a repeat gets its state, whatever it says.
-        for awaits in [
+        for dependencies in [
             json!(["job-000777"]),
             json!([running]),
             json!(["job-000010"]),
         ] {
             let mut again = job(10, "batch", 1, 1.0);
-            again["awaits"] = awaits.clone();
+            again["awaits"] = dependencies.clone();
             for i in 0..CONTROLLERS {
                 let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
-                assert_eq!(status, 200, "{awaits}");
+                assert_eq!(status, 200, "{dependencies}");
             }
         }
         w.until("job-000010", "done", 60).await;
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -367,8 +367,8 @@
 #[test]
 fn a_deadline_counts_from_the_submission() {
     in_world(|| async {
-        let record = |n: u32, awaits: &[&str]| {
-            let mut body = after(job(n, "batch", 1, 5.0), awaits);
+        let record = |n: u32, dependencies: &[&str]| {
+            let mut body = after(job(n, "batch", 1, 5.0), dependencies);
             body["due_s"] = json!(100.0);
             let read = read_submission(body.to_string().as_bytes()).expect("a submission");
             Job::new(Spec::from(&read), 1)
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -58,7 +58,7 @@
         checkpoint_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(900.0),
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -149,11 +149,11 @@
 fn an_open_job_is_trimmed_step_by_step() {
     let mut job = running(Kind::Array);
     if let Some(spec) = &mut job.spec {
-        spec.awaits = vec!["job-000001".into(), "job-000002".into()];
+        spec.dependencies = vec!["job-000001".into(), "job-000002".into()];
     }
     let full = length(&job);
     let without_awaits = trimmed(&job, &[], full - 1).expect("trimmed");
-    assert_eq!(spec(&without_awaits).awaits, ["job-000002"]);
+    assert_eq!(spec(&without_awaits).dependencies, ["job-000002"]);
     assert_eq!(spec(&without_awaits).types, spec(&job).types);
 
     let narrowed = trimmed(&job, &[], length(&without_awaits) - 1).expect("trimmed");
@@ -180,7 +180,7 @@
         class: spec(&job).class.clone(),
         image: spec(&job).image.clone(),
         types: spec(&job).types.clone(),
-        awaits: spec(&job).awaits.clone(),
+        dependencies: spec(&job).dependencies.clone(),
         ..spec(&short_class).clone()
     };
     assert_eq!(&restored, spec(&job));
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -136,10 +136,10 @@
         self.completed_tasks(id) >= self.tasks_to_complete(id)
     }
 
-    fn awaits(&self, id: &str) -> Vec<String> {
+    fn dependencies(&self, id: &str) -> Vec<String> {
         let jobs = self.jobs.borrow();
-        let awaits = jobs.get(id).and_then(|j| j["awaits"].as_array());
-        let ids = awaits.into_iter().flatten().filter_map(Value::as_str);
+        let dependencies = jobs.get(id).and_then(|j| j["awaits"].as_array());
+        let ids = dependencies.into_iter().flatten().filter_map(Value::as_str);
         ids.map(str::to_string).collect()
     }
 
@@ -147,7 +147,7 @@
     /// earliest such moment.
     fn cancelled_at(&self, id: &str) -> Option<Instant> {
         let mut at = self.cancelled.borrow().get(id).copied();
-        for before in self.awaits(id) {
+        for before in self.dependencies(id) {
             let there = self.cancelled_at(&before);
             at = at.into_iter().chain(there).min();
         }
@@ -159,7 +159,10 @@
     fn is_cancel_asked(&self, id: &str) -> bool {
         let asked = |told: &Told| told.cancel_asked;
         let own = self.answers.borrow().get(id).is_some_and(asked);
-        own || self.awaits(id).iter().any(|a| self.is_cancel_asked(a))
+        own || self
+            .dependencies(id)
+            .iter()
+            .any(|a| self.is_cancel_asked(a))
     }
 
     fn cancel_limit(&self) -> Duration {
@@ -234,7 +237,7 @@
     }
 
     fn check_awaited_jobs(&self, task: &str, id: &str) {
-        for before in self.awaits(id) {
+        for before in self.dependencies(id) {
             if !self.is_over(&before) {
                 let what = format!("{task}, {before} is not done");
                 self.report_violation(Rule::TooEarly, &what);
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -335,8 +335,8 @@
 }
 
 /// The same job, after these.
-pub fn after(mut job: Value, awaits: &[&str]) -> Value {
-    job["awaits"] = json!(awaits);
+pub fn after(mut job: Value, dependencies: &[&str]) -> Value {
+    job["awaits"] = json!(dependencies);
     job
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use shelfhoist::state::keys::{FORMATS_KEY, arrivals_key, job_key};
-use shelfhoist::state::records::{Arrivals, FORMATS, Job, Spec};
+use shelfhoist::state::keys::{FORMATS_KEY, accepted_batch_key, job_key};
+use shelfhoist::state::records::{AcceptedBatch, FORMATS, Job, Spec};
 use stand_ins::{Shape, StateLimits, Trouble, World, after, in_world, job};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -123,7 +123,7 @@
         w.kill(2);
         let one = Job::new(spec_of(&waiting[0]), 1);
         let one = serde_json::to_value(&one).expect("text");
-        let together = Arrivals {
+        let together = AcceptedBatch {
             accepted_revision: 2,
             jobs: (11..14)
                 .map(|n| (format!("job-{n:06}"), spec_of(&waiting[n - 10])))
@@ -132,7 +132,7 @@
         let together = serde_json::to_value(&together).expect("text");
         upgrade(&w, 2);
         w.state.write(&job_key("job-000010"), &one);
-        w.state.write(&arrivals_key("n2-long"), &together);
+        w.state.write(&accepted_batch_key("n2-long"), &together);
         for one in &waiting {
             w.submit(one.clone()).await;
         }
