--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -54,8 +54,13 @@
     // The first does not wait; those behind it gather for a moment.
     let gather = controller.request_gap() * 4;
     loop {
-        controller.acceptance_notify.notified().await;
-        while !controller.pending_submissions.borrow().is_empty() {
+        controller.admissions.acceptance_notify.notified().await;
+        while !controller
+            .admissions
+            .pending_submissions
+            .borrow()
+            .is_empty()
+        {
             controller.store.ready(RequestClass::Accept, 1).await;
             let begun = Instant::now();
             let batch = take_batch(&controller);
@@ -75,7 +80,12 @@
     let mut batch: Vec<PendingSubmission> = Vec::new();
     let mut bytes = 0;
     while batch.len() < most_jobs {
-        let Some(next) = controller.pending_submissions.borrow_mut().pop_front() else {
+        let Some(next) = controller
+            .admissions
+            .pending_submissions
+            .borrow_mut()
+            .pop_front()
+        else {
             break;
         };
         // Its user has gone, or asks again.
@@ -89,7 +99,11 @@
         }
         bytes += next.bytes().unwrap_or(most_bytes);
         if bytes > most_bytes && !batch.is_empty() {
-            controller.pending_submissions.borrow_mut().push_front(next);
+            controller
+                .admissions
+                .pending_submissions
+                .borrow_mut()
+                .push_front(next);
             break;
         }
         batch.push(next);
@@ -114,7 +128,11 @@
         Err(error) if is_hopeless(controller, &error) => {
             tracing::debug!(%error, "not accepted: all who wait are told to come back");
             drop(batch);
-            controller.pending_submissions.borrow_mut().clear();
+            controller
+                .admissions
+                .pending_submissions
+                .borrow_mut()
+                .clear();
         }
         Err(error) => {
             tracing::debug!(%error, "not accepted");
@@ -167,7 +185,7 @@
 
 /// Puts these first in line again, in their order.
 fn put_back(controller: &Controller, batch: Vec<PendingSubmission>) {
-    let mut pending_submissions = controller.pending_submissions.borrow_mut();
+    let mut pending_submissions = controller.admissions.pending_submissions.borrow_mut();
     for pending in batch.into_iter().rev() {
         pending_submissions.push_front(pending);
     }
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -13,7 +13,8 @@
         .peers
         .borrow()
         .state_serves_another(controller, Instant::now());
-    let loaded = controller.replica.borrow().loaded && controller.last_barrier.get().is_some();
+    let loaded =
+        controller.replica.borrow().loaded && controller.state_sync.last_barrier.get().is_some();
     if loaded && (controller.is_state_service_reachable() || !alone) {
         Response::empty(200)
     } else {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -7,6 +7,7 @@
 //! - [`health`]: what the load balancer's probes are told.
 
 pub mod acceptance;
+mod admissions;
 pub mod health;
 pub mod users;
 pub mod validation;
@@ -25,6 +26,7 @@
 use crate::wire::WorkerStatus;
 
 pub use acceptance::{PendingSubmission, run_acceptance};
+pub use admissions::Admissions;
 pub use users::{should_shed, state_of};
 pub use validation::{Refusal, check_submission, read_submission};
 
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -180,10 +180,11 @@
         done,
     };
     controller
+        .admissions
         .pending_submissions
         .borrow_mut()
         .push_back(pending);
-    controller.acceptance_notify.notify_one();
+    controller.admissions.acceptance_notify.notify_one();
     match timeout(limit, committed).await {
         Ok(Ok(Acceptance::Committed)) => accepted(controller, id),
         Ok(Ok(Acceptance::KnownBefore)) => query_within(controller, id, QUERY_WAIT).await,
@@ -219,14 +220,19 @@
 
 /// `GET /submissions/{id}`.
 pub(super) async fn query(controller: &Controller, id: &str) -> Response {
-    let age = controller.answered.borrow().get(id).map(Instant::elapsed);
+    let age = controller
+        .admissions
+        .last_answered
+        .borrow()
+        .get(id)
+        .map(Instant::elapsed);
     let is_open = controller.replica.borrow().state(id) == Some(JobStatus::Open);
     if is_open && should_shed(controller.lag(), age, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
     let response = query_within(controller, id, QUERY_WAIT).await;
     if is_open && response.status == 200 {
-        let mut answered = controller.answered.borrow_mut();
+        let mut answered = controller.admissions.last_answered.borrow_mut();
         answered.insert(id.to_string(), Instant::now());
     }
     response
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -30,7 +30,7 @@
     let now = Instant::now();
     // The rentals are committed together, beside the fleet_leader's own key.
     let max_rentals = controller.settings.txn_ops().saturating_sub(2).max(1);
-    let first_seen = controller.first_seen.borrow();
+    let first_seen = controller.placement.first_seen.borrow();
     let mut planner = Planner::new(controller, &replica, &first_seen, now);
     let queue = scheduler::queue(
         &replica,
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -16,7 +16,7 @@
 impl Controller {
     /// How old the last barrier is; `None` before the first barrier.
     pub fn replica_staleness(&self) -> Option<Duration> {
-        self.last_barrier.get().map(|t| t.elapsed())
+        self.state_sync.last_barrier.get().map(|t| t.elapsed())
     }
 
     /// Safety 4: a controller that may have missed a cancellation for too
@@ -36,21 +36,21 @@
     /// one. Only the first machine asks: where the state service refuses, barriers
     /// are tried again in their normal interval.
     pub fn request_barrier_for(&self, machine: &str) {
-        let mut deferred = self.deferred_launches.borrow_mut();
+        let mut deferred = self.state_sync.deferred_launches.borrow_mut();
         if deferred.is_empty() {
-            self.barrier_notify.notify_one();
+            self.state_sync.barrier_notify.notify_one();
         }
         deferred.insert(machine.to_string());
     }
 
     /// Takes over a newer read barrier, and has what waited for it planned again.
     fn set_last_barrier(&self, sent: Instant) {
-        self.last_barrier.set(Some(sent));
-        let mut deferred = self.deferred_launches.borrow_mut();
+        self.state_sync.last_barrier.set(Some(sent));
+        let mut deferred = self.state_sync.deferred_launches.borrow_mut();
         if !deferred.is_empty() {
             let changes = &mut self.replica.borrow_mut().changes;
             changes.machines.append(&mut deferred);
-            self.commands_notify.notify_one();
+            self.workers.commands_notify.notify_one();
         }
     }
 
@@ -58,9 +58,9 @@
     /// call. Many callers share one read of the revision.
     pub async fn barrier(&self, limit: Duration) -> bool {
         // The next barrier to start was surely sent after this moment.
-        let wanted = self.barrier_started.get() + 1;
-        self.barrier_notify.notify_one();
-        let mut done = self.barrier_done.subscribe();
+        let wanted = self.state_sync.barrier_started.get() + 1;
+        self.state_sync.barrier_notify.notify_one();
+        let mut done = self.state_sync.barrier_done.subscribe();
         matches!(
             timeout(limit, done.wait_for(|d| *d >= wanted)).await,
             Ok(Ok(_))
@@ -74,12 +74,12 @@
         loop {
             // A controller that has just started has workers whose leases run
             // out: its first barrier does not wait for anyone to ask.
-            if self.last_barrier.get().is_some() {
-                let _ = timeout(idle, self.barrier_notify.notified()).await;
+            if self.state_sync.last_barrier.get().is_some() {
+                let _ = timeout(idle, self.state_sync.barrier_notify.notified()).await;
             }
             let sent = Instant::now();
-            let number = self.barrier_started.get() + 1;
-            self.barrier_started.set(number);
+            let number = self.state_sync.barrier_started.get() + 1;
+            self.state_sync.barrier_started.set(number);
             match self.store.revision(BARRIER_KEY).await {
                 Ok(revision) => {
                     let limit = self.settings.lease() / 8;
@@ -88,16 +88,16 @@
                     }
                     if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
                         self.set_last_barrier(sent);
-                        self.barrier_done.send_replace(number);
+                        self.state_sync.barrier_done.send_replace(number);
                     } else {
                         // The watch is stuck, or its connection is dead.
-                        self.watch_again.notify_one();
+                        self.state_sync.watch_again.notify_one();
                     }
                 }
                 Err(error) => {
                     tracing::debug!(%error, "barrier failed");
                     if error.is_refusal() {
-                        self.barrier_refused.send_replace(number);
+                        self.state_sync.barrier_refused.send_replace(number);
                     }
                 }
             }
--- a/src/controller/replica_loop.rs
+++ b/src/controller/replica_loop.rs
@@ -28,8 +28,8 @@
     /// The same for a user's request, which is not kept waiting once the state
     /// service has refused to serve the barrier.
     pub async fn barrier_unless_refused(&self, limit: Duration) -> bool {
-        let wanted = self.barrier_started.get() + 1;
-        let mut refused = self.barrier_refused.subscribe();
+        let wanted = self.state_sync.barrier_started.get() + 1;
+        let mut refused = self.state_sync.barrier_refused.subscribe();
         tokio::select! {
             biased;
             reached = self.barrier(limit) => reached,
@@ -39,7 +39,7 @@
 
     /// Waits until the replica has reached a revision; false if it takes longer.
     pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
-        let mut reached = self.reached.subscribe();
+        let mut reached = self.state_sync.applied_revision.subscribe();
         matches!(
             timeout(limit, reached.wait_for(|r| *r >= revision)).await,
             Ok(Ok(_))
@@ -111,7 +111,7 @@
             // Each opened watch counts as a request: while changes come in a
             // steady stream, they are taken some at a time.
             let pause = gap.saturating_sub(opened.elapsed());
-            let _ = timeout(pause, self.watch_expedited.notified()).await;
+            let _ = timeout(pause, self.state_sync.watch_expedited.notified()).await;
         }
     }
 
@@ -121,7 +121,7 @@
         let after = self.replica.borrow().revision;
         let answer = tokio::select! {
             answer = self.store.watch(PREFIX, after, block) => answer,
-            () = self.watch_again.notified() => {
+            () = self.state_sync.watch_again.notified() => {
                 tracing::debug!("watch opened again");
                 return Watched::Reopened;
             }
@@ -150,6 +150,6 @@
 
     /// Something committed by others is known to be ahead of the replica.
     pub fn expedite_watch(&self) {
-        self.watch_expedited.notify_one();
+        self.state_sync.watch_expedited.notify_one();
     }
 }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -291,7 +291,7 @@
 fn gossip_of(controller: &Controller) -> PeerStatus {
     let now = controller.liveness_tick();
     let limit = controller.settings.report() * 2;
-    let owned_workers = controller.owned_workers.borrow();
+    let owned_workers = controller.workers.owned_workers.borrow();
     let is_silent =
         |owned_worker: &&OwnedWorker| now.saturating_duration_since(owned_worker.heard) > limit;
     PeerStatus {
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -46,7 +46,7 @@
     }
 
     fn of_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
-        match controller.wait_states.borrow().get(id) {
+        match controller.placement.wait_states.borrow().get(id) {
             Some(reason) => {
                 let seconds = now.saturating_duration_since(reason.since).as_secs_f64();
                 PendingReason::new(wait_text(reason.why), seconds)
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -78,7 +78,7 @@
     pub(super) fn teams(&self) -> Vec<TeamDetails> {
         let settings = &self.controller.settings;
         let plan = Plan::of(&self.replica);
-        let first_seen = self.controller.first_seen.borrow();
+        let first_seen = self.controller.placement.first_seen.borrow();
         let queue = scheduler::queue(&self.replica, &plan, settings, &first_seen, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
@@ -202,7 +202,7 @@
 
     /// How long this controller has known a job, in seconds.
     fn age_s(&self, id: &str) -> f64 {
-        let first_seen = self.controller.first_seen.borrow();
+        let first_seen = self.controller.placement.first_seen.borrow();
         first_seen.get(id).map_or(0.0, |first_seen| {
             self.now
                 .saturating_duration_since(*first_seen)
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -45,7 +45,7 @@
     let peers = controller.peers.borrow();
     let alive: Vec<&str> = peers.alive(controller, now);
     state.forget_closed_jobs(replica);
-    let mut first_seen = controller.first_seen.borrow_mut();
+    let mut first_seen = controller.placement.first_seen.borrow_mut();
     first_seen.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
     let mut own = Vec::new();
     for (_, id) in &replica.open {
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -40,7 +40,7 @@
     let own = jobs_to_place(controller, state, &replica, now);
     if own.is_empty()
         && !is_queue_due(controller, state, now)
-        && controller.ends.borrow().is_empty()
+        && controller.workers.pending_terminations.borrow().is_empty()
     {
         return None;
     }
@@ -87,7 +87,7 @@
     let mut plan = Plan::of(replica);
     // A machine that receives no orders may stand in its zone shard's record for a
     // while: what is placed there ends at once, and would be placed there again.
-    let owned_workers = controller.owned_workers.borrow();
+    let owned_workers = controller.workers.owned_workers.borrow();
     for (machine, _) in owned_workers
         .iter()
         .filter(|(_, h)| h.unreachable_since.is_some())
@@ -193,7 +193,7 @@
 
     /// Drops the reasons of jobs that wait no longer.
     fn forget_settled_reasons(&self) {
-        let mut wait_states = self.controller.wait_states.borrow_mut();
+        let mut wait_states = self.controller.placement.wait_states.borrow_mut();
         let jobs = &self.replica.jobs;
         wait_states.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
     }
@@ -205,7 +205,7 @@
         self.touched_shards = self.transaction.zone_shards();
         let settings = &self.controller.settings;
         let queue = {
-            let first_seen = self.controller.first_seen.borrow();
+            let first_seen = self.controller.placement.first_seen.borrow();
             queue(self.replica, &self.plan, settings, &first_seen, self.now)
         };
         for id in queue {
@@ -288,7 +288,7 @@
     }
 
     fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let age = age_s(&self.controller.first_seen.borrow(), id, self.now);
+        let age = age_s(&self.controller.placement.first_seen.borrow(), id, self.now);
         starves(job, spec, &self.controller.settings, age)
     }
 
@@ -360,7 +360,11 @@
         );
         let job = self.transaction.job(id);
         if job.is_none_or(|job| job.waiting() == 0) {
-            self.controller.wait_states.borrow_mut().remove(*id);
+            self.controller
+                .placement
+                .wait_states
+                .borrow_mut()
+                .remove(*id);
         } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
             self.blocked.push((*id).to_string());
             note(self.controller, id, WaitReason::NoRoom, self.now);
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -25,8 +25,8 @@
     let mut released: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = controller.placement_notify.notified() => {}
-            () = controller.terminations_notify.notified() => {}
+            () = controller.placement.placement_notify.notified() => {}
+            () = controller.workers.terminations_notify.notified() => {}
             () = sleep(idle) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
@@ -95,7 +95,7 @@
         Ok(_) => {
             state.small_commits = false;
             tracing::debug!(jobs = batch.jobs, ends = ends.len(), "decided");
-            let mut pending = controller.ends.borrow_mut();
+            let mut pending = controller.workers.pending_terminations.borrow_mut();
             for key in &ends {
                 pending.remove(key);
             }
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -33,7 +33,7 @@
 
 /// A job's reason to wait, as the last round that looked at it found.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct Reason {
+pub struct WaitState {
     /// Why it waits.
     pub why: WaitReason,
     /// Since when it has waited for that reason.
@@ -43,14 +43,14 @@
 
 /// Notes why a job waits. What the cloud says of its machines is kept.
 pub fn note(controller: &Controller, id: &str, why: WaitReason, now: Instant) {
-    let mut wait_states = controller.wait_states.borrow_mut();
+    let mut wait_states = controller.placement.wait_states.borrow_mut();
     match wait_states.get_mut(id) {
         Some(known) if known.why == why => {}
         // The controller that rents knows better why there is no room.
         Some(known) if known.why == WaitReason::Refused && why == WaitReason::NoRoom => {}
         _ => {
             tracing::debug!(job = id, ?why, "waits");
-            wait_states.insert(id.to_string(), Reason { why, since: now });
+            wait_states.insert(id.to_string(), WaitState { why, since: now });
         }
     }
 }
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -93,7 +93,7 @@
     /// tells.
     pub fn owns(&self, id: &str) -> bool {
         let replica = self.replica.borrow();
-        let owned_workers = self.owned_workers.borrow();
+        let owned_workers = self.workers.owned_workers.borrow();
         match (owned_workers.get(id), replica.machines.get(id)) {
             (Some(owned_worker), Some(machine)) => {
                 owned_worker.fencing_token == machine.value.fencing_token
@@ -117,7 +117,7 @@
             .machines
             .get(id)
             .map_or(0, |e| e.value.fencing_token);
-        let mut claims = self.claims.borrow_mut();
+        let mut claims = self.workers.claims.borrow_mut();
         let claim = claims.entry(id.to_string()).or_insert_with(|| Claim {
             progress: watch::Sender::new(ClaimProgress::Pending),
             asked,
@@ -129,7 +129,7 @@
         claim.urgent |= urgent;
         claim.progress.send_replace(ClaimProgress::Pending);
         let receiver = claim.progress.subscribe();
-        self.claims_notify.notify_one();
+        self.workers.claims_notify.notify_one();
         receiver
     }
 
@@ -137,8 +137,8 @@
     /// the state service refuses is not waited for.
     pub(super) async fn claim(&self, id: &str, report: &WorkerStatus) -> bool {
         let mut progress = self.ask_claim(id, report, true);
-        if self.claims_awaited.get() < self.max_claims_awaited() {
-            let _waiting = WaitingHeartbeat::new(&self.claims_awaited);
+        if self.workers.claims_awaited.get() < self.max_claims_awaited() {
+            let _waiting = WaitingHeartbeat::new(&self.workers.claims_awaited);
             let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
             let _ = timeout(CLAIM_WAIT, answered).await;
         }
@@ -161,10 +161,10 @@
 /// Commits the claims that heartbeats have asked for, several at a time.
 pub async fn run_claims(controller: Rc<Controller>) {
     loop {
-        controller.claims_notify.notified().await;
+        controller.workers.claims_notify.notified().await;
         // Workers turn up together after a restart: let them gather.
         sleep(controller.request_gap() * 2).await;
-        while !controller.claims.borrow().is_empty() {
+        while !controller.workers.claims.borrow().is_empty() {
             // They stand in few records, however many they are.
             controller.store.ready(RequestClass::Claim, 1).await;
             if let Err(error) = commit_some(&controller).await {
@@ -175,7 +175,7 @@
                 }
                 sleep(controller.store.jitter(controller.request_gap() * 2)).await;
                 if !controller.may_renew_leases() {
-                    controller.claims.borrow_mut().clear();
+                    controller.workers.claims.borrow_mut().clear();
                 }
             }
         }
@@ -184,7 +184,7 @@
 
 /// Ends the wait of all heartbeats whose claims cannot be committed for now.
 fn tell_refused(controller: &Controller) {
-    for claim in controller.claims.borrow().values() {
+    for claim in controller.workers.claims.borrow().values() {
         claim.progress.send_replace(ClaimProgress::Refused);
     }
 }
@@ -202,6 +202,7 @@
         machine.is_none_or(|m| machine_shard_key(&shard_id(&m.zone, &m.shard)) == *key)
     };
     controller
+        .workers
         .claims
         .borrow_mut()
         .retain(|id, _| !in_machine_shard(id));
@@ -220,7 +221,7 @@
         }
     }
     for id in &batch.decided {
-        if let Some(claim) = controller.claims.borrow_mut().remove(id) {
+        if let Some(claim) = controller.workers.claims.borrow_mut().remove(id) {
             claim.progress.send_replace(ClaimProgress::Decided);
         }
         // The worker learns the token now, and its report under it is what
@@ -237,7 +238,7 @@
     let now = Instant::now();
     // A worker reports again, or has gone on, within this time.
     let fresh = controller.settings.report() * 2;
-    controller.claims.borrow_mut().retain(|id, claim| {
+    controller.workers.claims.borrow_mut().retain(|id, claim| {
         let known = replica.machines.get(id).map(|e| &e.value);
         let ours = known.is_none_or(|m| m.owner.is_empty() || m.owner == controller.name());
         // If another was quicker and the worker is here all the same, its next
@@ -252,7 +253,7 @@
     let ops = controller.settings.txn_ops();
     let replica = controller.replica.borrow();
     let fleet = controller.fleet.borrow();
-    let claims = controller.claims.borrow();
+    let claims = controller.workers.claims.borrow();
     let mut order: Vec<(&String, &Claim)> = claims.iter().collect();
     // Those whose workers wait for the answer come first.
     order.sort_by_key(|(_, c)| (!c.urgent, c.progress.is_closed()));
@@ -349,7 +350,7 @@
 /// throughout, has only taken a newer token: the commit of the claim shows that
 /// nobody else held the machine in between, and nothing was launched since.
 fn keep_proofs(controller: &Controller, taken: &[TakenClaim]) {
-    let owned_workers = controller.owned_workers.borrow();
+    let owned_workers = controller.workers.owned_workers.borrow();
     let renewed: HashMap<&str, (u64, u64)> = taken
         .iter()
         .filter_map(|c| {
@@ -358,7 +359,12 @@
         })
         .filter(|(_, (before, after))| before + 1 == *after)
         .collect();
-    for (key, proof) in controller.ends.borrow_mut().iter_mut() {
+    for (key, proof) in controller
+        .workers
+        .pending_terminations
+        .borrow_mut()
+        .iter_mut()
+    {
         if let Some((before, after)) = renewed.get(key.machine.as_str())
             && proof.fencing_token == *before
         {
@@ -375,7 +381,7 @@
         seen: (epoch, sequence),
     } = claim;
     tracing::info!(machine, fencing_token, "claimed");
-    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let mut owned_worker = OwnedWorker::new(fencing_token, revision, now);
     if let Some(earlier) = owned_workers.get(&machine) {
         owned_worker.follow(earlier);
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -41,7 +41,7 @@
 
     /// The plan of a machine by the present view; empty if it is not held.
     pub(super) fn plan(&self, id: &str) -> Plan {
-        let owned_workers = self.owned_workers.borrow();
+        let owned_workers = self.workers.owned_workers.borrow();
         let Some(owned_worker) = owned_workers.get(id) else {
             return Plan::default();
         };
@@ -49,7 +49,7 @@
             id,
             owned_worker,
             &self.replica.borrow(),
-            &self.ends.borrow(),
+            &self.workers.pending_terminations.borrow(),
             self.repeat(),
             Instant::now(),
         )
@@ -68,7 +68,7 @@
     pub(super) fn call_worker(&self, id: &str) {
         let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
-        self.commands_notify.notify_one();
+        self.workers.commands_notify.notify_one();
     }
 
     fn known_report(&self, id: &str) -> Option<WorkerStatus> {
@@ -93,7 +93,7 @@
     let tick = controller.settings.report() / 2;
     let mut swept = Instant::now();
     loop {
-        let _ = timeout(tick, controller.commands_notify.notified()).await;
+        let _ = timeout(tick, controller.workers.commands_notify.notified()).await;
         let now = controller.liveness_tick();
         let changed = std::mem::take(&mut controller.replica.borrow_mut().changes.machines);
         let sweep = now.saturating_duration_since(swept) >= tick;
@@ -105,7 +105,13 @@
             continue;
         }
         let ids: Vec<String> = match sweep {
-            true => controller.owned_workers.borrow().keys().cloned().collect(),
+            true => controller
+                .workers
+                .owned_workers
+                .borrow()
+                .keys()
+                .cloned()
+                .collect(),
             false => changed.into_iter().collect(),
         };
         for id in ids {
@@ -118,7 +124,7 @@
 
 /// The call that a machine's worker is to get now, if any.
 fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<Call> {
-    if !controller.owned_workers.borrow().contains_key(id) {
+    if !controller.workers.owned_workers.borrow().contains_key(id) {
         return None;
     }
     if !controller.owns(id) {
@@ -127,7 +133,7 @@
     }
     let mut plan = controller.plan(id);
     controller.queue_terminations(std::mem::take(&mut plan.ends));
-    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let owned_worker = owned_workers.get_mut(id)?;
     if !may_call(controller, owned_worker, now) {
         return None;
@@ -159,9 +165,11 @@
 /// Forgets a machine that another controller has claimed, once the replica has
 /// reached our own claim.
 fn drop_if_lost(controller: &Controller, id: &str) {
-    if controller.replica.borrow().revision >= controller.owned_workers.borrow()[id].claimed_at {
+    if controller.replica.borrow().revision
+        >= controller.workers.owned_workers.borrow()[id].claimed_at
+    {
         tracing::info!(machine = id, "claimed by another controller, or gone");
-        controller.owned_workers.borrow_mut().remove(id);
+        controller.workers.owned_workers.borrow_mut().remove(id);
     }
 }
 
@@ -182,7 +190,11 @@
 /// a launch not once the last barrier that it was planned with is too old for it.
 fn deadlines(controller: &Controller, launches: bool, decided: Instant) -> Deadlines {
     let answer = decided + WORKER_PATIENCE.min(controller.settings.lease() / 4);
-    let last_barrier = controller.last_barrier.get().filter(|_| launches);
+    let last_barrier = controller
+        .state_sync
+        .last_barrier
+        .get()
+        .filter(|_| launches);
     let latest_launch = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
         send: latest_launch.map_or(answer, |latest| latest.min(answer)),
@@ -196,7 +208,7 @@
     let now = Instant::now();
     let quiet_until = now + controller.settings.report();
     let id = call.machine.as_str();
-    let mut owned_workers = controller.owned_workers.borrow_mut();
+    let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let Some(owned_worker) = owned_workers
         .get_mut(id)
         .filter(|h| h.fencing_token == call.body.fencing_token)
@@ -242,7 +254,7 @@
     let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
         return Err(CallError::NotSent("bad address".into()));
     };
-    let workers = &controller.workers;
+    let workers = &controller.worker_client;
     workers
         .call_within(addr, "POST", "/orders", Some(body), call.deadlines)
         .await
@@ -276,7 +288,7 @@
     }
     let first = owned_worker.report.is_none();
     if owned_worker.take(report, false) && first {
-        controller.publication_notify.notify_one();
+        controller.workers.publication_notify.notify_one();
     }
     true
 }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -166,7 +166,10 @@
         }
         if report.fencing_token > machine.fencing_token {
             // Another controller has claimed it since; the replica will tell which.
-            self.owned_workers.borrow_mut().remove(heartbeat.id());
+            self.workers
+                .owned_workers
+                .borrow_mut()
+                .remove(heartbeat.id());
             return Err(Answer::Redirect(None));
         }
         Ok(())
@@ -188,7 +191,12 @@
         if self.is_recorded_holder(machine) {
             return Ok(());
         }
-        match self.owned_workers.borrow_mut().remove(heartbeat.id()) {
+        match self
+            .workers
+            .owned_workers
+            .borrow_mut()
+            .remove(heartbeat.id())
+        {
             Some(_) => Err(Answer::Redirect(self.recorded_holder(machine))),
             None => Ok(()),
         }
@@ -256,14 +264,14 @@
     fn take_report(&self, heartbeat: &Heartbeat) -> Step {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut unconfirmed = false;
-        if let Some(owned_worker) = self.owned_workers.borrow_mut().get_mut(id) {
+        if let Some(owned_worker) = self.workers.owned_workers.borrow_mut().get_mut(id) {
             if !owned_worker.record_heartbeat(report, self.settings.lease(), heartbeat.received) {
                 return Err(Answer::unavailable("a newer report has come"));
             }
             let first = owned_worker.report.is_none();
             unconfirmed = owned_worker.unconfirmed;
             if owned_worker.take(report.clone(), true) && first {
-                self.publication_notify.notify_one();
+                self.workers.publication_notify.notify_one();
             }
         }
         if unconfirmed {
@@ -286,7 +294,7 @@
     /// The answer that renews the lease.
     fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut owned_workers = self.owned_workers.borrow_mut();
+        let mut owned_workers = self.workers.owned_workers.borrow_mut();
         let Some(owned_worker) = owned_workers.get_mut(id) else {
             return Err(Answer::unavailable("lost while answering"));
         };
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -14,6 +14,7 @@
 mod reconcile;
 mod routing;
 mod termination;
+mod worker_table;
 mod zone_shards;
 
 pub use claims::{Claim, run_claims};
@@ -23,3 +24,4 @@
 pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
 pub use routing::home_of;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
+pub use worker_table::WorkerTable;
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -69,7 +69,7 @@
     let apart = controller.settings.report() / 4;
     let _ = timeout(
         controller.settings.report() / 3,
-        controller.publication_notify.notified(),
+        controller.workers.publication_notify.notified(),
     )
     .await;
     let since = joined.map_or(apart, |t| t.elapsed());
@@ -99,7 +99,7 @@
                 let known = changes.len();
                 drop_conflicting(&mut changes, &keys, published);
                 controller.expedite_watch();
-                controller.publication_notify.notify_one();
+                controller.workers.publication_notify.notify_one();
                 // Where slots were put by what other zone shards of the commit hold,
                 // all of it is chosen anew.
                 if changes.len() == known || controller.replica.borrow().uses_compact_encoding() {
@@ -147,7 +147,7 @@
 fn room_changes(controller: &Controller, recent: &Published) -> Vec<RoomChange> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
-    let owned_workers = controller.owned_workers.borrow();
+    let owned_workers = controller.workers.owned_workers.borrow();
     let suspects = crate::cloud::suspects(controller, &replica, &owned_workers);
     let mut planner = RoomPlanner::new(controller, &replica, suspects, now);
     for (id, owned_worker) in owned_workers.iter() {
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -92,7 +92,7 @@
         let gap = self.request_gap() / 4;
         let last = self.fleet.borrow().last_sent_home;
         let recent = last.is_some_and(|t| now.saturating_duration_since(t) < gap);
-        self.claims.borrow().is_empty() && !recent
+        self.workers.claims.borrow().is_empty() && !recent
     }
 
     /// Which of these controllers a machine without a home should report to:
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -38,12 +38,12 @@
         for (key, outcome) in ends {
             self.queue_end(key, outcome);
         }
-        self.terminations_notify.notify_one();
+        self.workers.terminations_notify.notify_one();
     }
 
     fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
-        let mut owned_workers = self.owned_workers.borrow_mut();
-        let mut queue = self.ends.borrow_mut();
+        let mut owned_workers = self.workers.owned_workers.borrow_mut();
+        let mut queue = self.workers.pending_terminations.borrow_mut();
         let owned_worker = owned_workers.get_mut(&key.machine);
         // Of a machine that is not held only the cloud's word proves an end.
         let fencing_token = owned_worker.as_ref().map_or(0, |h| h.fencing_token);
@@ -84,7 +84,7 @@
     let (lease, margin) = (controller.settings.lease(), controller.settings.margin());
     let mut lost = Vec::new();
     {
-        let mut owned_workers = controller.owned_workers.borrow_mut();
+        let mut owned_workers = controller.workers.owned_workers.borrow_mut();
         let replica = controller.replica.borrow();
         for (id, owned_worker) in owned_workers.iter_mut() {
             let held = replica.machines.get(id).is_some_and(|m| {
