--- a/crates/features/src/lib.rs
+++ b/crates/features/src/lib.rs
@@ -1,7 +1,7 @@
 //! The file that turns subsystems on (`deploy/features.toml`): its fields, their ranges,
 //! and its schema. Unknown fields are refused. Without a file everything is off.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
 use garde::Validate;
 use schemars::JsonSchema;
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,6 +1,6 @@
 //! Processors, accelerators and memory in whole thousandths.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -18,7 +18,7 @@
 //! | `capacity` | the pool's capacity, as machines come and go |
 //! | `lifecycle` | the accounting of a team by shares is begun, and ended |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
 mod booking;
 mod capacity;
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -186,7 +186,10 @@
                     Err(error) => tracing::debug!(%error, "move not answered"),
                 }
                 // What has come between is on its way; or the commit was carried out.
-                if !controller.barrier(controller.settings.lease() / 8).await {
+                if !controller
+                    .barrier(controller.settings.worker_lease() / 8)
+                    .await
+                {
                     break;
                 }
             }
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -47,7 +47,8 @@
 
 /// Takes one step after another, as the budget allows.
 pub async fn run_shares(controller: Rc<Controller>) {
-    let tick = controller.settings.report() / controller.settings.features.shares.passes_per_report;
+    let tick = controller.settings.heartbeat_interval()
+        / controller.settings.features.shares.passes_per_report;
     loop {
         sleep(controller.store.jitter(tick)).await;
         while has_step(&controller) {
@@ -91,7 +92,9 @@
             // It may have happened: the replica tells after a barrier, and nothing more
             // is decided before.
             tracing::debug!(step = step.what, %error, "shares: not answered");
-            controller.barrier(controller.settings.lease() / 4).await;
+            controller
+                .barrier(controller.settings.worker_lease() / 4)
+                .await;
             false
         }
     }
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -76,7 +76,7 @@
 fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
     // Each is a condition, and the record of all of them one more.
     let most_jobs = controller.settings.txn_ops() * 2;
-    let most_bytes = controller.settings.value_bytes() * 9 / 10;
+    let most_bytes = controller.settings.value_limit_bytes() * 9 / 10;
     let mut batch: Vec<PendingSubmission> = Vec::new();
     let mut bytes = 0;
     while batch.len() < most_jobs {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -39,7 +39,7 @@
 pub async fn serve(controller: Rc<Controller>, listener: Listener) {
     let limits = ServerLimits {
         connections: controller.settings.served_connections(),
-        idle: controller.settings.lease() * 4,
+        idle: controller.settings.worker_lease() * 4,
         arrive: ARRIVAL_LIMIT,
         // One connection a machine, while there are connections for all.
         stays: |request| request.path == REPORT_PATH,
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -214,8 +214,8 @@
 /// the processor more; but whoever asks about a job is answered now and then by
 /// every controller, or it would look forgotten.
 pub fn should_shed(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
-    let report = settings.report();
-    lag > report / 8 && answered.is_some_and(|age| age < settings.lease() / 2)
+    let report = settings.heartbeat_interval();
+    lag > report / 8 && answered.is_some_and(|age| age < settings.worker_lease() / 2)
 }
 
 /// `GET /submissions/{id}`.
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -211,7 +211,7 @@
 fn check_record_size(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<(), Refusal> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let dependencies = spec.awaits_bytes();
-    let most = settings.value_bytes();
+    let most = settings.value_limit_bytes();
     let is_too_long = if settings.limits_will_fall() {
         // Where records are to be small: what could not be written, or never run
         // within one.
@@ -229,12 +229,12 @@
 
 /// The bytes of the smallest record in which one task or one gang runs.
 fn least_running_record(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
-    let machine = longest_name(replica.machines.keys());
-    let zone = longest_name(settings.deployment.zones.iter());
+    let machine = max_name_length(replica.machines.keys());
+    let zone = max_name_length(settings.deployment.zones.iter());
     scheduler::least_record(spec, machine, zone)
 }
 
-fn longest_name<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
+fn max_name_length<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
     names
         .max_by_key(|name| name.len())
         .map_or("", String::as_str)
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -51,7 +51,7 @@
         if !is_wanted() || !self.is_fleet_leader() || !self.is_state_service_reachable() {
             return None;
         }
-        let limit = self.settings.lease() / 3;
+        let limit = self.settings.worker_lease() / 3;
         let answer = self
             .client
             .call(self.settings.external.cloud, method, path, body, limit)
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -24,7 +24,7 @@
 /// Empties a machine whose accelerators nobody needs, when the services that
 /// keep it rented have room elsewhere: they move, and it goes back.
 pub(super) async fn consolidate(controller: &Controller) {
-    let pause = controller.settings.lease();
+    let pause = controller.settings.worker_lease();
     let last = controller.fleet.borrow().consolidated_at;
     if last.is_some_and(|last| last.elapsed() <= pause) {
         return;
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -122,7 +122,7 @@
             return false;
         }
         let first = *fleet.first_seen.entry(id.to_string()).or_insert(self.now);
-        let limit = self.controller.settings.lease() * ORPHANED_LEASES;
+        let limit = self.controller.settings.worker_lease() * ORPHANED_LEASES;
         self.now.saturating_duration_since(first) > limit
     }
 
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -18,7 +18,7 @@
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
-    let tick = controller.settings.lease() / 16;
+    let tick = controller.settings.worker_lease() / 16;
     let retry = tick / 16;
     loop {
         if !controller.replica.borrow().loaded {
@@ -46,7 +46,7 @@
 /// Keeps this controller's state lease, the key that says it is up, and, when
 /// nobody has it, the key that says who rents.
 async fn keep_lease(controller: &Controller) -> Result<Progress, StoreError> {
-    let ttl = controller.settings.lease() / 2;
+    let ttl = controller.settings.worker_lease() / 2;
     let held = controller.fleet.borrow().lease;
     let Some(lease) = held else {
         let lease = controller.store.hold(ttl).await?;
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -59,7 +59,12 @@
         fleet
             .unrecorded
             .retain(|id, _| !replica.machines.contains_key(id));
-        compare(&replica, &mut fleet, &listed, controller.settings.lease())
+        compare(
+            &replica,
+            &mut fleet,
+            &listed,
+            controller.settings.worker_lease(),
+        )
     };
     record_machines(controller, &differences.new).await;
     let returning: Vec<LifecycleChange> = differences
--- a/src/cloud/rounds.rs
+++ b/src/cloud/rounds.rs
@@ -21,8 +21,8 @@
     loop {
         let tick = controller
             .settings
-            .report()
-            .min(controller.settings.lease() / 8)
+            .heartbeat_interval()
+            .min(controller.settings.worker_lease() / 8)
             / 2;
         sleep(controller.store.jitter(tick)).await;
         if !controller.replica.borrow().loaded {
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -21,8 +21,8 @@
 pub async fn run_scale_out(controller: Rc<Controller>) {
     let tick = controller
         .settings
-        .report()
-        .min(controller.settings.lease() / 8)
+        .heartbeat_interval()
+        .min(controller.settings.worker_lease() / 8)
         / 2;
     loop {
         sleep(controller.store.jitter(tick)).await;
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -47,7 +47,7 @@
     let unreachable = controller
         .fleet
         .borrow()
-        .unreachable(controller.settings.lease(), now);
+        .unreachable(controller.settings.worker_lease(), now);
     let mut removals: Vec<Removal> = unreachable
         .iter()
         .map(|id| Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable))
@@ -72,7 +72,7 @@
         all: usize,
         silent: usize,
     }
-    let limit = controller.settings.lease();
+    let limit = controller.settings.worker_lease();
     let mut zones: HashMap<&str, Count> = HashMap::new();
     for (id, owned_worker) in owned_workers {
         if let Some(entry) = replica.machines.get(id) {
@@ -142,12 +142,12 @@
 
     /// How long a machine may be silent.
     fn silence_limit(&self, machine: &Machine, owned_worker: &OwnedWorker) -> Duration {
-        let lease = self.controller.settings.lease();
+        let lease = self.controller.settings.worker_lease();
         let report = owned_worker.report.as_ref();
         if report.is_some_and(|report| report.notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
-            return lease.min(self.controller.settings.report() * RECALLED_REPORTS);
+            return lease.min(self.controller.settings.heartbeat_interval() * RECALLED_REPORTS);
         }
         // With a launch that may land late only the cloud can end the doubt.
         if owned_worker.unresolved {
@@ -162,7 +162,7 @@
     /// Whether a worker's reports have arrived for too long while answers and
     /// orders did not.
     fn is_unreachable(&self, owned_worker: &OwnedWorker) -> bool {
-        let limit = self.controller.settings.lease() * UNREACHABLE_LEASES;
+        let limit = self.controller.settings.worker_lease() * UNREACHABLE_LEASES;
         owned_worker
             .unreachable_since
             .is_some_and(|since| self.now.saturating_duration_since(since) > limit)
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -31,7 +31,7 @@
 pub(super) fn log_fleet(controller: &Controller) {
     {
         let mut fleet = controller.fleet.borrow_mut();
-        let interval = controller.settings.lease();
+        let interval = controller.settings.worker_lease();
         if fleet.logged_at.is_some_and(|at| at.elapsed() < interval) {
             return;
         }
--- a/src/cloud/types.rs
+++ b/src/cloud/types.rs
@@ -19,7 +19,7 @@
 
 /// Keeps the machine types in the state as the cloud tells them.
 pub async fn run_type_refresh(controller: Rc<Controller>) {
-    let tick = controller.settings.report() / 3;
+    let tick = controller.settings.heartbeat_interval() / 3;
     loop {
         // Until the types are known nobody can accept anything.
         let known = !controller.replica.borrow().types.value.types.is_empty();
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -18,7 +18,7 @@
 use crate::state::records::ZoneShard;
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
-use crate::workers::home_of;
+use crate::workers::preferred_owner_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
 type Step = (Vec<Guard>, Vec<Write>);
@@ -26,7 +26,7 @@
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
 pub async fn run_compaction(controller: Rc<Controller>) {
-    let tick = controller.settings.report() / 4;
+    let tick = controller.settings.heartbeat_interval() / 4;
     // Records that could not be written as they were, and until when they wait.
     let mut left: HashMap<String, Instant> = HashMap::new();
     loop {
@@ -56,7 +56,7 @@
             Err(StoreError::Conflict(_)) => controller.expedite_watch(),
             Err(error) => {
                 tracing::debug!(?keys, %error, "not shortened");
-                let again = now + controller.settings.lease();
+                let again = now + controller.settings.worker_lease();
                 left.extend(keys.into_iter().map(|k| (k, again)));
             }
         }
@@ -75,7 +75,7 @@
     let replica = controller.replica.borrow();
     let tended = |id: &str| {
         let shard = id.split_once('/').map_or("", |p| p.1);
-        tends(controller, &replica, home_of(shard))
+        tends(controller, &replica, preferred_owner_of(shard))
     };
     compact_zone_shards(&replica, left, &tended, controller.settings.txn_ops())
         .or_else(|| split_long(&replica, left, &tended))
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -78,15 +78,17 @@
     pub fn new(settings: Settings, net: Net, seed: u64) -> Rc<Self> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let now = Instant::now();
-        let client = Client::new(net.clone(), settings.lease());
-        let client = Rc::new(client.bounded(usize::MAX, settings.answer_bytes()));
-        let worker_client = Client::new(net.clone(), settings.lease());
+        let client = Client::new(net.clone(), settings.worker_lease());
+        let client = Rc::new(client.bounded(usize::MAX, settings.max_response_bytes()));
+        let worker_client = Client::new(net.clone(), settings.worker_lease());
         let worker_client =
-            worker_client.bounded(settings.order_connections(), crate::http::BODY_LIMIT * 4);
+            worker_client.bounded(settings.command_connections(), crate::http::BODY_LIMIT * 4);
         let store_rng = SmallRng::seed_from_u64(rng.random());
         let store = new_store(&settings, client.clone(), store_rng, now);
         let mut replica = Replica::with_compact_limit(
-            settings.limits_will_fall().then(|| settings.value_bytes()),
+            settings
+                .limits_will_fall()
+                .then(|| settings.value_limit_bytes()),
         );
         let objectives = settings.deployment.objectives.iter();
         replica.slo_classes = objectives.filter_map(|o| o.class.clone()).collect();
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -28,7 +28,7 @@
 
     /// Whether the state service serves this controller, as far as is known.
     pub fn is_state_service_reachable(&self) -> bool {
-        let limit = self.settings.lease() / 4;
+        let limit = self.settings.worker_lease() / 4;
         self.replica_staleness().is_some_and(|age| age < limit)
     }
 
@@ -82,7 +82,7 @@
             self.state_sync.barrier_started.set(number);
             match self.store.revision(BARRIER_KEY).await {
                 Ok(revision) => {
-                    let limit = self.settings.lease() / 8;
+                    let limit = self.settings.worker_lease() / 8;
                     if self.replica.borrow().revision < revision {
                         self.expedite_watch();
                     }
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -36,7 +36,7 @@
     pub fn liveness_tick(&self) -> Instant {
         let now = Instant::now();
         let gap = now.saturating_duration_since(self.process_clock.last_ran.replace(now));
-        if gap > self.settings.lease() / 8 {
+        if gap > self.settings.worker_lease() / 8 {
             tracing::info!(gap_s = gap.as_secs_f64(), "process paused");
             for owned_worker in self.workers.owned_workers.borrow_mut().values_mut() {
                 owned_worker.exclude_pause(gap, now);
@@ -48,18 +48,18 @@
 
     /// Notices soon when this process has was paused, or falls behind.
     pub async fn run_liveness(self: Rc<Self>) {
-        let tick = self.settings.lease() / 32;
+        let tick = self.settings.worker_lease() / 32;
         loop {
             let now = self.liveness_tick();
             sleep(tick).await;
             // Timers fire in steps of some milliseconds: a mean of a few.
             let late = now.elapsed().saturating_sub(tick);
             // One long gap is not load.
-            let late = late.min(self.settings.report() / 2);
+            let late = late.min(self.settings.heartbeat_interval() / 2);
             self.process_clock
                 .lag
                 .set((self.process_clock.lag.get() * 3 + late) / 4);
-            let lease = self.settings.lease();
+            let lease = self.settings.worker_lease();
             let mut answered = self.admissions.last_answered.borrow_mut();
             answered.retain(|_, t| t.elapsed() < lease);
         }
--- a/src/controller/replica_loop.rs
+++ b/src/controller/replica_loop.rs
@@ -88,7 +88,7 @@
         // A watch brings every change since, however often a record was
         // written: after a long silence that is many times the state itself,
         // and more than the memory holds.
-        let stale = self.settings.lease() / 2;
+        let stale = self.settings.worker_lease() / 2;
         let mut heard = Instant::now();
         let mut behind = false;
         loop {
@@ -117,7 +117,7 @@
 
     /// Watches until something changes, and brings the replica up to that.
     async fn watch_once(&self) -> Watched {
-        let block = self.settings.lease() / 4;
+        let block = self.settings.worker_lease() / 4;
         let after = self.replica.borrow().revision;
         let answer = tokio::select! {
             answer = self.store.watch(PREFIX, after, block) => answer,
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -79,7 +79,7 @@
 
 /// The time between two frames to one peer.
 fn interval(controller: &Controller) -> Duration {
-    (controller.settings.lease() / 20).min(Duration::from_secs(1))
+    (controller.settings.worker_lease() / 20).min(Duration::from_secs(1))
 }
 
 impl PeerTable {
@@ -114,7 +114,7 @@
 
     /// This controller and those that were heard of late with state contact.
     pub fn alive<'a>(&'a self, controller: &'a Controller, now: Instant) -> Vec<&'a str> {
-        let limit = (controller.settings.lease() / 4).as_millis() as u64;
+        let limit = (controller.settings.worker_lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
             .fresh(controller, now)
             .filter(|(_, peer)| peer.staleness_ms.is_some_and(|age| age < limit))
@@ -234,7 +234,7 @@
         // A controller that is not heard and has no state lease either writes
         // nothing: it is cut off, or has ended, and its zone shard is needed most just
         // then. Only when there was time for all to write their keys.
-        if controller.started.elapsed() > controller.settings.lease()
+        if controller.started.elapsed() > controller.settings.worker_lease()
             && controller.is_state_service_reachable()
         {
             let replica = controller.replica.borrow();
@@ -290,7 +290,7 @@
 /// What this controller tells of itself now.
 fn gossip_of(controller: &Controller) -> PeerStatus {
     let now = controller.liveness_tick();
-    let limit = controller.settings.report() * 2;
+    let limit = controller.settings.heartbeat_interval() * 2;
     let owned_workers = controller.workers.owned_workers.borrow();
     let is_silent =
         |owned_worker: &&OwnedWorker| now.saturating_duration_since(owned_worker.heard) > limit;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! by zone with one conditional write, and drive the workers that report to
 //! them. `docs/design.md` says what rests on which published design.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
 pub mod accounting;
 pub mod api;
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -318,7 +318,7 @@
 fn shard_cost(hints: &PlacementHints, shard: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
-    let own = workers::home_of(local_name) == hints.home;
+    let own = workers::preferred_owner_of(local_name) == hints.home;
     let touched = hints.touched.contains(&*name);
     match (touched, own) {
         (true, _) => 0,
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -56,7 +56,7 @@
         job,
         &places,
         settings
-            .value_bytes()
+            .value_limit_bytes()
             .saturating_sub(replica.share_name_bytes(&spec.team)),
         replica.uses_compact_encoding(),
     );
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -21,8 +21,8 @@
 /// as records may be until the compact encoding is in force.
 pub(super) fn shard_limit(settings: &Settings, short: bool, number: usize) -> usize {
     let limit = match short || number < settings.txn_ops() {
-        true => settings.value_bytes(),
-        false => settings.longest_value(),
+        true => settings.value_limit_bytes(),
+        false => settings.current_value_limit_bytes(),
     };
     limit * 9 / 10
 }
@@ -32,7 +32,7 @@
     /// The records are written as compact encodings.
     pub(super) short: bool,
     /// The length of the longest name of a controller.
-    pub(super) longest_name: usize,
+    pub(super) max_name_length: usize,
 }
 
 impl MemberSizes {
@@ -40,17 +40,19 @@
     /// slots stand in few zone shards by themselves, so that the machine shard alone counts.
     pub(super) fn member(&self, name: &str, kind: &str) -> usize {
         match self.short {
-            true => encoding::member_bytes(name, kind, self.longest_name),
-            false => {
-                slot_entry_bytes(name, kind).max(machine_entry_bytes(name, kind, self.longest_name))
-            }
+            true => encoding::member_bytes(name, kind, self.max_name_length),
+            false => slot_entry_bytes(name, kind).max(machine_entry_bytes(
+                name,
+                kind,
+                self.max_name_length,
+            )),
         }
     }
 
     /// What all machines of a machine shard take.
     pub(super) fn machine_shard(&self, machine_shard: &MachineShard) -> usize {
         if self.short {
-            return encoding::machine_shard_bytes(&machine_shard.machines, self.longest_name);
+            return encoding::machine_shard_bytes(&machine_shard.machines, self.max_name_length);
         }
         let machines = machine_shard.machines.iter();
         machines
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -164,7 +164,7 @@
         kind: &str,
         zone: &str,
     ) -> Option<String> {
-        let home = settings.home(name, zone);
+        let home = settings.preferred_owner(name, zone);
         let shards = self.shard_count(zone, home);
         let grouped = uses_groups(self.replica, &shard_id(zone, home));
         let candidates = match grouped {
@@ -182,7 +182,7 @@
         self.guarded.extend(conditions);
         let sizes = MemberSizes {
             short: self.replica.uses_compact_encoding(),
-            longest_name: settings.longest_name(),
+            max_name_length: settings.max_name_length(),
         };
         let added = sizes.member(name, kind);
         let with_room = candidates.numbers().find(|number| {
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -40,7 +40,7 @@
     replica: &Replica,
     now: Instant,
 ) -> Vec<String> {
-    let report_interval = controller.settings.report();
+    let report_interval = controller.settings.heartbeat_interval();
     let takeover_delay = report_interval * 2;
     let peers = controller.peers.borrow();
     let alive: Vec<&str> = peers.alive(controller, now);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -156,13 +156,13 @@
             "preempted"
         );
         let (replica, expected) = (self.replica, &mut self.expected);
-        let value_bytes = self.controller.settings.value_bytes();
+        let value_limit_bytes = self.controller.settings.value_limit_bytes();
         self.transaction.change(&victim.job, |stopped| {
             if let Some(spec) = &stopped.spec {
                 let resources = spec.need.times(victim.tasks);
                 expected.give(replica, &victim.machine, &spec.team, resources);
             }
-            let fits = |job: &Job| replica.fits_job(job, value_bytes);
+            let fits = |job: &Job| replica.fits_job(job, value_limit_bytes);
             stopped.stop_tasks(&victim.machine, victim.tasks, fits);
         });
         if let Some(stopped) = self.transaction.job(&victim.job) {
@@ -177,7 +177,7 @@
     let settings = &controller.settings;
     let gang_wait = Duration::from_secs_f64(settings.deployment.workers.gang_peer_s);
     let patience = gang_wait * PREEMPTION_PATIENCE;
-    let pause = settings.report() / 2;
+    let pause = settings.heartbeat_interval() / 2;
     state
         .preempted_for
         .retain(|_, at| now.saturating_duration_since(*at) < patience);
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -17,7 +17,9 @@
 /// never begun: the rest of an array follows in the usual order, and what was
 /// stopped for a guarantee must not push back in before it.
 pub fn starves(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
-    age > settings.starving_s() && job.attempt == 0 && job.waiting() == spec.tasks as usize
+    age > settings.starvation_threshold_s()
+        && job.attempt == 0
+        && job.waiting() == spec.tasks as usize
 }
 
 /// A job's place in the queue: lower goes first.
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -17,13 +17,13 @@
 /// How many of `places` the job's record can hold: every booked or retried
 /// task may come to stand alone, every machine and attempt takes a run. Fresh
 /// tasks share one attempt, see [`super::book`].
-pub fn record_slots(job: &Job, places: &[Place], value_bytes: usize, short: bool) -> usize {
+pub fn record_slots(job: &Job, places: &[Place], value_limit_bytes: usize, short: bool) -> usize {
     if short {
-        return short_record_slots(job, places, value_bytes);
+        return short_record_slots(job, places, value_limit_bytes);
     }
     // A number and its comma; of two that touch, the dash between.
     let task_bytes = digits(u64::from(job.tasks)) + 1;
-    let mut size = FIXED_BYTES + spec_bytes(job, value_bytes);
+    let mut size = FIXED_BYTES + spec_bytes(job, value_limit_bytes);
     size += failed_on_bytes(longest_machine_name(job, places));
     size += (job.booked() + job.retry.len()) * task_bytes;
     for run in &job.runs {
@@ -39,7 +39,7 @@
                 size += run_bytes(&place.machine, &place.zone, 1);
             }
         }
-        if size > value_bytes {
+        if size > value_limit_bytes {
             return index;
         }
     }
@@ -56,8 +56,8 @@
 
 /// What the job's spec takes, without the jobs that it depends on: they are left
 /// out with its first booking. One that cannot be written fills the record.
-fn spec_bytes(job: &Job, value_bytes: usize) -> usize {
-    let all = serde_json::to_vec(&job.spec).map_or(value_bytes, |text| text.len());
+fn spec_bytes(job: &Job, value_limit_bytes: usize) -> usize {
+    let all = serde_json::to_vec(&job.spec).map_or(value_limit_bytes, |text| text.len());
     let dependencies = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
     all - dependencies.min(all)
 }
@@ -74,7 +74,7 @@
 /// The same for the compact encoding: exact in what the runs and tasks can come to
 /// take, with the mark of a stop. A run that is split for a stop makes two; who
 /// stops has it stop as a whole where there is no room for that.
-fn short_record_slots(job: &Job, places: &[Place], value_bytes: usize) -> usize {
+fn short_record_slots(job: &Job, places: &[Place], value_limit_bytes: usize) -> usize {
     let task_bytes = encoding::task_bytes(job.tasks);
     let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
     let mut new_runs = NewRuns::new(job);
@@ -89,7 +89,7 @@
             true => new_runs.retried_task_bytes(place),
             false => new_runs.fresh_task_bytes(place),
         };
-        if size > value_bytes {
+        if size > value_limit_bytes {
             return index;
         }
     }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -70,9 +70,9 @@
 /// Without work of its own, a controller still goes through the queue now and
 /// then to note why jobs wait: any controller may be asked.
 fn is_queue_due(controller: &Controller, state: &RoundState, now: Instant) -> bool {
-    state
-        .queue_examined
-        .is_none_or(|at| now.saturating_duration_since(at) > controller.settings.report())
+    state.queue_examined.is_none_or(|at| {
+        now.saturating_duration_since(at) > controller.settings.heartbeat_interval()
+    })
 }
 
 /// The names of the controllers that are up.
@@ -283,7 +283,8 @@
         if own {
             hints.touched = self.touched_shards.clone();
         }
-        hints.lenient = self.state.unchanged_for(id, self.now) > self.controller.settings.lease();
+        hints.lenient =
+            self.state.unchanged_for(id, self.now) > self.controller.settings.worker_lease();
         hints
     }
 
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -124,7 +124,7 @@
             return Some(why);
         }
         let is_service = job.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
-        let proven = is_service && self.unchanged_for(id, now) > controller.settings.lease();
+        let proven = is_service && self.unchanged_for(id, now) > controller.settings.worker_lease();
         (job.is_doubtful() && job.booked() > 0 && !proven).then_some(why)
     }
 
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -20,7 +20,7 @@
 /// placed, in one transaction a round.
 pub async fn run_placement(controller: Rc<Controller>) {
     let mut state = RoundState::default();
-    let idle = controller.settings.report() / 3;
+    let idle = controller.settings.heartbeat_interval() / 3;
     let shortest_pause = controller.request_gap();
     let mut released: Option<Instant> = None;
     loop {
@@ -54,7 +54,7 @@
 async fn run_rounds(controller: &Rc<Controller>, state: &mut RoundState) {
     // Ends within this span go into one transaction: reports come so often that
     // nobody notices.
-    let shortest_gap = controller.settings.report() / 100;
+    let shortest_gap = controller.settings.heartbeat_interval() / 100;
     let mut gap = Duration::ZERO;
     loop {
         // However much the write budget allows, rounds leave the processor to
@@ -112,7 +112,10 @@
         Err(error) => {
             // The commit may have happened: the replica tells after a barrier.
             tracing::debug!(%error, "decisions not answered");
-            if !controller.barrier(controller.settings.lease() / 4).await {
+            if !controller
+                .barrier(controller.settings.worker_lease() / 4)
+                .await
+            {
                 return Next::Pause;
             }
         }
@@ -125,7 +128,7 @@
 fn shrink_after_refusal(controller: &Controller, state: &mut RoundState, refused_key: &str) {
     let job = refused_key.strip_prefix(&job_key(""));
     if let Some(job) = job.filter(|_| state.small_commits) {
-        state.exclude(job, Instant::now() + controller.settings.lease());
+        state.exclude(job, Instant::now() + controller.settings.worker_lease());
     }
     state.small_commits = true;
 }
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -176,7 +176,7 @@
 /// back, and stop other work for it.
 fn is_borrowed(victim: &Spec, terms: Option<&TeamQuota>, plan: &Plan) -> bool {
     let resources = || victim.need.times(tasks_together(victim));
-    terms.is_some_and(|terms| terms.lends(&plan.used(&victim.team), &resources()))
+    terms.is_some_and(|terms| terms.can_lend(&plan.used(&victim.team), &resources()))
 }
 
 /// What a search for victims goes by.
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use super::{NextStateTerms, Settings, SettingsError, TeamQuota};
+use super::{NextStateServiceLimits, Settings, SettingsError, TeamQuota};
 
 /// The longest name, in bytes.
 const NAME_LIMIT: usize = 100;
@@ -146,7 +146,7 @@
             .map(|name| name.len() + SHARE_BYTES)
             .sum();
         // What is granted, and what is left to move.
-        let fits = SHARE_BYTES + self.longest_name() + split * 2 <= self.value_bytes();
+        let fits = SHARE_BYTES + self.max_name_length() + split * 2 <= self.value_limit_bytes();
         require(fits, "deployment.count", Problem::ShareRecord)
     }
 
@@ -314,7 +314,7 @@
     Ok(())
 }
 
-fn check_next_state_limits(next: &NextStateTerms) -> CheckResult {
+fn check_next_state_limits(next: &NextStateServiceLimits) -> CheckResult {
     for (part, rate) in [("rps", next.rps), ("write_rps", next.write_rps)] {
         let field = format!("deployment.state.next.{part}");
         require(rate.is_none_or(is_positive), field, Problem::NotPositive)?;
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{NextStateTerms, Settings, TeamQuota};
+use super::{NextStateServiceLimits, Settings, TeamQuota};
 use crate::state::records::{FORMATS, FORMATS_SHARES};
 
 /// The bound that the platform gives for the drift between steady clocks.
@@ -46,7 +46,7 @@
 
     /// The controller that a machine prefers among all of the settings, up or
     /// not: one of its zone, if there is any.
-    pub fn home(&self, machine: &str, zone: &str) -> &str {
+    pub fn preferred_owner(&self, machine: &str, zone: &str) -> &str {
         let in_zone = self.controllers_with_zones().filter(|(_, z)| *z == zone);
         let in_zone = in_zone.map(|(name, _)| name);
         let anywhere = self.controllers_with_zones().map(|(name, _)| name);
@@ -79,7 +79,7 @@
     }
 
     /// The length of the longest name of a controller, in bytes.
-    pub fn longest_name(&self) -> usize {
+    pub fn max_name_length(&self) -> usize {
         let names = self.controllers_with_zones();
         names.map(|(name, _)| name.len()).max().unwrap_or(0)
     }
@@ -102,7 +102,7 @@
 
     /// The pause between two read barriers that nobody has asked for.
     pub fn barrier_pause(&self) -> Duration {
-        self.staleness_limit().min(self.lease()) / BARRIER_PAUSES_PER_LIMIT
+        self.staleness_limit().min(self.worker_lease()) / BARRIER_PAUSES_PER_LIMIT
     }
 
     /// The oldest horizon at which a launch may be ordered: another controller
@@ -112,22 +112,22 @@
         let requests_per_s = self.rps(true) / self.deployment.count as f64;
         let gap = Duration::from_secs_f64(BARRIER_GAP_REQUESTS as f64 / requests_per_s);
         let interval = self.barrier_pause() + gap;
-        (interval * 2).clamp(self.lease() / 16, self.lease() / 4)
+        (interval * 2).clamp(self.worker_lease() / 16, self.worker_lease() / 4)
     }
 
     /// A job that has not begun after so many seconds goes first in the queue:
     /// a multiple of what the platform lets a gang's tasks wait for one another.
-    pub fn starving_s(&self) -> f64 {
+    pub fn starvation_threshold_s(&self) -> f64 {
         self.deployment.workers.gang_wait_s * STARVING_GANG_WAITS
     }
 
     /// How long a worker keeps its tasks after an answered heartbeat.
-    pub fn lease(&self) -> Duration {
+    pub fn worker_lease(&self) -> Duration {
         Duration::from_secs_f64(self.deployment.workers.lease_s)
     }
 
     /// The interval between a worker's heartbeats.
-    pub fn report(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.deployment.workers.report_s)
     }
 
@@ -141,34 +141,34 @@
     /// Connections to workers for direct commands. One for each machine would
     /// be as many again as send heartbeats here, when one controller is left
     /// with all of them.
-    pub fn order_connections(&self) -> usize {
+    pub fn command_connections(&self) -> usize {
         let sockets = self.deployment.machine_limits.sockets;
         (sockets / SOCKETS_PER_COMMAND_CONNECTION).max(1)
     }
 
     /// The longest response that is read, in bytes: what it becomes in memory
     /// is some three times that, beside the replica.
-    pub fn answer_bytes(&self) -> usize {
+    pub fn max_response_bytes(&self) -> usize {
         let memory = self.deployment.machine_limits.memory_mb * BYTES_PER_MIB;
         let page = crate::http::BODY_LIMIT * BODIES_PER_RESPONSE;
         ((memory / RESPONSES_PER_MEMORY) as usize).max(page)
     }
 
-    fn next_state_terms(&self) -> NextStateTerms {
+    fn next_state_terms(&self) -> NextStateServiceLimits {
         self.deployment.state.next.clone().unwrap_or_default()
     }
 
     /// The most bytes that a value may hold, now and once the limits have changed.
     /// Sizes are kept below both from the start: they change without notice,
     /// and what is written then is what stands there before.
-    pub fn value_bytes(&self) -> usize {
+    pub fn value_limit_bytes(&self) -> usize {
         let now = self.deployment.state.value_kb;
         let lowest = self.next_state_terms().value_kb.unwrap_or(now).min(now);
         (lowest * BYTES_PER_KIB) as usize
     }
 
     /// The most bytes that an existing record may hold: the present limit.
-    pub fn longest_value(&self) -> usize {
+    pub fn current_value_limit_bytes(&self) -> usize {
         (self.deployment.state.value_kb * BYTES_PER_KIB) as usize
     }
 
@@ -182,7 +182,7 @@
     /// records are written in the compact encoding, once all can read it.
     pub fn limits_will_fall(&self) -> bool {
         let txn_ops = self.deployment.state.txn_ops;
-        self.value_bytes() < self.longest_value() || self.txn_ops() < txn_ops
+        self.value_limit_bytes() < self.current_value_limit_bytes() || self.txn_ops() < txn_ops
     }
 
     /// The requests that all controllers together may send to the state service
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -69,7 +69,7 @@
 
 /// Timing of workers and their tasks, in seconds.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerTiming {
     /// The interval between a worker's heartbeats.
     pub report_s: f64,
     /// How long a worker keeps its tasks after an answered heartbeat.
@@ -85,7 +85,7 @@
 /// The state service's limits. What bounds a commit and what may be sent a
 /// second is told by [`Settings`] alone, from these and those to come.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateTerms {
+pub struct StateServiceLimits {
     /// Requests a second, from all controllers together.
     pub rps: f64,
     /// Written keys a second, from all controllers together.
@@ -96,12 +96,12 @@
     pub txn_ops: usize,
     /// Limits that come into force at some moment, without notice.
     #[serde(default)]
-    pub next: Option<NextStateTerms>,
+    pub next: Option<NextStateServiceLimits>,
 }
 
 /// Limits to come; one that is not named stays as it is.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct NextStateTerms {
+pub struct NextStateServiceLimits {
     /// Requests a second, from all controllers together.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -118,7 +118,7 @@
 
 /// The cloud's limits.
 #[derive(Debug, Clone, Deserialize)]
-pub struct CloudTerms {
+pub struct CloudLimits {
     /// Requests a second, from all controllers together.
     pub rps: f64,
     /// How many seconds the list of machines may be behind.
@@ -138,13 +138,13 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of workers and their tasks.
-    pub workers: Workers,
+    pub workers: WorkerTiming,
     /// The state service's limits.
-    pub state: StateTerms,
+    pub state: StateServiceLimits,
     /// The cloud's limits.
-    pub cloud: CloudTerms,
+    pub cloud: CloudLimits,
     /// What a controller's own machine allows it.
-    pub machine_limits: Limits,
+    pub machine_limits: MachineLimits,
     /// The largest difference between wall clocks, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
@@ -166,7 +166,7 @@
 
 /// What a controller's own machine allows it.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
+pub struct MachineLimits {
     /// The part of a CPU.
     pub cpu: f64,
     /// Memory, in MiB.
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -48,7 +48,7 @@
 
     /// True when the team is beyond its guarantee by as much as `part`, so that
     /// it still has all of it when that part is taken away.
-    pub fn lends(&self, used: &Resources, part: &Resources) -> bool {
+    pub fn can_lend(&self, used: &Resources, part: &Resources) -> bool {
         let guarantee = self.guarantee();
         let rest = *used - *part;
         let counts_gpus = part.gpus.0 > 0 && guarantee.gpus.0 > 0;
@@ -57,7 +57,7 @@
 
     /// True when `used` stays within the team's guarantee. Work that uses
     /// no accelerator is not held against a missing accelerator guarantee.
-    pub fn guarantees(&self, used: &Resources) -> bool {
+    pub fn guarantee_covers(&self, used: &Resources) -> bool {
         let guarantee = self.guarantee();
         used.cpus <= guarantee.cpus && used.gpus <= guarantee.gpus
     }
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -11,15 +11,15 @@
 const NAME_PUNCTUATION_BYTES: usize = 3;
 
 /// What the machines take that a job may come to have failed on.
-pub fn failed_on_bytes(longest_name: usize) -> usize {
-    FAILED_ON * (longest_name + NAME_PUNCTUATION_BYTES)
+pub fn failed_on_bytes(max_name_length: usize) -> usize {
+    FAILED_ON * (max_name_length + NAME_PUNCTUATION_BYTES)
 }
 
 /// What a job's short record takes beside its table, runs and tasks: counters as
 /// they may come to be, its spec, and machines that it may come to have failed on.
-pub fn short_fixed_bytes(job: &Job, longest_name: usize) -> usize {
+pub fn short_fixed_bytes(job: &Job, max_name_length: usize) -> usize {
     let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |text| text.len());
-    SHORT_COUNTER_BYTES + spec + failed_on_bytes(longest_name)
+    SHORT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
 }
 
 /// The least that a job's record takes while it runs: a gang's tasks all at
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -237,7 +237,7 @@
     let replica = controller.replica.borrow();
     let now = Instant::now();
     // A worker reports again, or has gone on, within this time.
-    let fresh = controller.settings.report() * 2;
+    let fresh = controller.settings.heartbeat_interval() * 2;
     controller.workers.claims.borrow_mut().retain(|id, claim| {
         let known = replica.machines.get(id).map(|e| &e.value);
         let ours = known.is_none_or(|m| m.owner.is_empty() || m.owner == controller.name());
@@ -341,7 +341,9 @@
         // An unanswered claim may have been carried out: then the replica shows a
         // token that is ours by name but not held, and the next try raises it
         // once more.
-        controller.barrier(controller.settings.lease() / 8).await;
+        controller
+            .barrier(controller.settings.worker_lease() / 8)
+            .await;
     }
     result
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -36,7 +36,7 @@
 impl Controller {
     /// The wait after which an order that has shown no effect is repeated.
     fn repeat(&self) -> Duration {
-        self.settings.report() * 2
+        self.settings.heartbeat_interval() * 2
     }
 
     /// The plan of a machine by the present view; empty if it is not held.
@@ -90,7 +90,7 @@
 /// Sends orders directly, whenever bookings or reports have changed: to the
 /// machines that these concern, and now and then to all.
 pub async fn run_commands(controller: Rc<Controller>) {
-    let tick = controller.settings.report() / 2;
+    let tick = controller.settings.heartbeat_interval() / 2;
     let mut swept = Instant::now();
     loop {
         let _ = timeout(tick, controller.workers.commands_notify.notified()).await;
@@ -177,8 +177,8 @@
 /// cut off takes a connection until it times out: hundreds of them would leave none
 /// for the rest. What is heard again has its orders by the answer.
 fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
-    let silent =
-        now.saturating_duration_since(owned_worker.heard) > controller.settings.report() * 2;
+    let silent = now.saturating_duration_since(owned_worker.heard)
+        > controller.settings.heartbeat_interval() * 2;
     !owned_worker.in_flight
         && !owned_worker.unresolved
         && owned_worker.quiet_until <= now
@@ -189,7 +189,7 @@
 /// it is sent, it is sent no more, as work may have been cancelled or moved since;
 /// a launch not once the last barrier that it was planned with is too old for it.
 fn deadlines(controller: &Controller, launches: bool, decided: Instant) -> Deadlines {
-    let answer = decided + WORKER_PATIENCE.min(controller.settings.lease() / 4);
+    let answer = decided + WORKER_PATIENCE.min(controller.settings.worker_lease() / 4);
     let last_barrier = controller
         .state_sync
         .last_barrier
@@ -206,7 +206,7 @@
 async fn send(controller: Rc<Controller>, call: Call) {
     let result = exchange(&controller, &call).await;
     let now = Instant::now();
-    let quiet_until = now + controller.settings.report();
+    let quiet_until = now + controller.settings.heartbeat_interval();
     let id = call.machine.as_str();
     let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let Some(owned_worker) = owned_workers
@@ -278,7 +278,7 @@
             return true;
         }
     };
-    owned_worker.see(&report, controller.settings.lease(), now);
+    owned_worker.see(&report, controller.settings.worker_lease(), now);
     if report.fencing_token > call.body.fencing_token {
         tracing::info!(machine = id, "has seen a higher token");
         return false;
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -159,7 +159,7 @@
         if !held && (report.epoch, report.sequence) <= machine.seen {
             return Err(Answer::unavailable("a newer report has come"));
         }
-        let lease = self.settings.lease();
+        let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
         if fleet.is_unreachable(report, machine.fencing_token, lease, heartbeat.received) {
             return Err(Answer::unavailable("it does not hear"));
@@ -251,7 +251,7 @@
     /// Whether a worker whose claim takes long should stay here: for half a
     /// lease, and only where claims can be committed at all.
     fn keeps(&self, id: &str, now: Instant) -> bool {
-        let lease = self.settings.lease();
+        let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
         let first = fleet.kept.entry(id.to_string()).or_insert(now);
         if now.saturating_duration_since(*first) > lease {
@@ -265,7 +265,11 @@
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut unconfirmed = false;
         if let Some(owned_worker) = self.workers.owned_workers.borrow_mut().get_mut(id) {
-            if !owned_worker.record_heartbeat(report, self.settings.lease(), heartbeat.received) {
+            if !owned_worker.record_heartbeat(
+                report,
+                self.settings.worker_lease(),
+                heartbeat.received,
+            ) {
                 return Err(Answer::unavailable("a newer report has come"));
             }
             let first = owned_worker.report.is_none();
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -22,6 +22,6 @@
 pub use owned_worker::OwnedWorker;
 pub use publication::run_publication;
 pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
-pub use routing::home_of;
+pub use routing::preferred_owner_of;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
 pub use worker_table::WorkerTable;
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -66,9 +66,9 @@
 /// a write a zone shard.
 async fn gather(controller: &Controller, joined: Option<Instant>) {
     let moment = controller.request_gap() * 4;
-    let apart = controller.settings.report() / 4;
+    let apart = controller.settings.heartbeat_interval() / 4;
     let _ = timeout(
-        controller.settings.report() / 3,
+        controller.settings.heartbeat_interval() / 3,
         controller.workers.publication_notify.notified(),
     )
     .await;
@@ -202,8 +202,8 @@
     ) -> Self {
         // Records that stand in the longer text may be as long as ever.
         let longest = match replica.uses_compact_encoding() {
-            true => controller.settings.value_bytes(),
-            false => controller.settings.longest_value(),
+            true => controller.settings.value_limit_bytes(),
+            false => controller.settings.current_value_limit_bytes(),
         };
         let max_shards = controller
             .settings
@@ -249,9 +249,9 @@
     fn is_quiet(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
         let settings = &self.controller.settings;
         let since = |t: Instant| self.now.saturating_duration_since(t);
-        let unshown =
-            owned_worker.report.is_none() && since(owned_worker.claimed) > settings.report() * 2;
-        let silent = since(owned_worker.heartbeat) > settings.lease().mul_f64(QUIET_SHARE);
+        let unshown = owned_worker.report.is_none()
+            && since(owned_worker.claimed) > settings.heartbeat_interval() * 2;
+        let silent = since(owned_worker.heartbeat) > settings.worker_lease().mul_f64(QUIET_SHARE);
         unshown || silent || self.suspects.contains(id)
     }
 
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -15,7 +15,7 @@
 const LEASES_NOT_SENT_HOME: u32 = 3;
 
 /// The controller whose name a zone shard bears.
-pub fn home_of(shard: &str) -> &str {
+pub fn preferred_owner_of(shard: &str) -> &str {
     shard.rsplit_once('.').map_or("", |(home, _)| home)
 }
 
@@ -64,7 +64,7 @@
         // A controller that does not hear its workers has lost them.
         let mut alive = peers.alive(self, now);
         alive.retain(|n| *n == self.name() || peers.receives_heartbeats(self, n, now));
-        let home = machine.map_or("", |m| home_of(&m.shard));
+        let home = machine.map_or("", |m| preferred_owner_of(&m.shard));
         match alive.iter().find(|n| **n == home) {
             Some(home) => Some(home.to_string()),
             None => self.nearest(&report.machine, &report.zone, &alive),
@@ -75,7 +75,7 @@
     /// is back soon has not reached its home, and is left alone for a while; one
     /// that comes back later has lost it since.
     fn was_sent_home(&self, machine: &str, now: Instant) -> bool {
-        let lease = self.settings.lease();
+        let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
         let Some((sent, back)) = fleet.sent_home.get_mut(machine) else {
             return false;
@@ -124,7 +124,7 @@
         now: Instant,
     ) -> Option<String> {
         let machine = machine.filter(|m| m.owner != self.name() && m.fencing_token > 0)?;
-        if home_of(&machine.shard) == self.name() {
+        if preferred_owner_of(&machine.shard) == self.name() {
             return None;
         }
         let replica = self.replica.borrow();
@@ -137,7 +137,7 @@
         }
         let mut fleet = self.fleet.borrow_mut();
         let sent = fleet.sent_back.get(id);
-        if sent.is_some_and(|t| now.saturating_duration_since(*t) < self.settings.lease()) {
+        if sent.is_some_and(|t| now.saturating_duration_since(*t) < self.settings.worker_lease()) {
             return None;
         }
         fleet.sent_back.insert(id.to_string(), now);
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -81,7 +81,10 @@
 /// Releases the bookings on machines whose worker's lease is surely over.
 pub fn release_silent(controller: &Controller) {
     let now = controller.liveness_tick();
-    let (lease, margin) = (controller.settings.lease(), controller.settings.margin());
+    let (lease, margin) = (
+        controller.settings.worker_lease(),
+        controller.settings.margin(),
+    );
     let mut lost = Vec::new();
     {
         let mut owned_workers = controller.workers.owned_workers.borrow_mut();
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 
-use super::home_of;
+use super::preferred_owner_of;
 use crate::state::encoding;
 use crate::state::keys::{machine_shard_key, shard_id, zone_shard_key};
 use crate::state::records::{Machine, ZoneShard};
@@ -90,7 +90,7 @@
         for number in candidate_numbers(&machine.shard, self.first_candidates) {
             let next = shard_id(
                 &machine.zone,
-                &format!("{}.{number}", home_of(&machine.shard)),
+                &format!("{}.{number}", preferred_owner_of(&machine.shard)),
             );
             let version = self.replica.zone_shard_version(&next);
             conditions.insert(zone_shard_key(&next), version);
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -92,7 +92,10 @@
             let mut failed = job.clone();
             assert!(failed.release(&run.machine, run.attempt, task, Outcome::Failed));
             let size = serde_json::to_vec(&failed).expect("job").len();
-            assert!(size <= set.value_bytes(), "{size} bytes with failures");
+            assert!(
+                size <= set.value_limit_bytes(),
+                "{size} bytes with failures"
+            );
             job = failed;
         }
         // Every second one ends, the rest stays scattered.
@@ -110,7 +113,7 @@
             job.release(&m, a, t, outcome);
         }
         let size = serde_json::to_vec(&job).expect("job").len();
-        assert!(size <= set.value_bytes(), "{size} bytes");
+        assert!(size <= set.value_limit_bytes(), "{size} bytes");
     }
     assert!(job.attempt > 1);
 }
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -216,7 +216,7 @@
 fn questions_are_shed_only_when_answered_just_now() {
     let settings = settings();
     let ms = Duration::from_millis;
-    let (report, lease) = (settings.report(), settings.lease());
+    let (report, lease) = (settings.heartbeat_interval(), settings.worker_lease());
     for (lag, answered, shed) in [
         (ms(0), Some(ms(100)), false),
         (report / 10, Some(ms(100)), false),
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -235,7 +235,7 @@
         ..Resources::default()
     };
     // 8 CPUs are guaranteed.
-    for (used, shard, lends) in [
+    for (used, shard, can_lend) in [
         (8.0, 2.0, false),
         (9.0, 2.0, false),
         (10.0, 2.0, true),
@@ -243,8 +243,8 @@
         (15.0, 8.0, false),
     ] {
         assert_eq!(
-            team.lends(&room(used), &room(shard)),
-            lends,
+            team.can_lend(&room(used), &room(shard)),
+            can_lend,
             "{used} {shard}"
         );
     }
@@ -264,7 +264,7 @@
     let events = events.map(|(id, job)| Event::put(job_key(id), job, 7));
     replica.advance(events.to_vec(), 8);
     let now = Instant::now();
-    let bound = Duration::from_secs_f64(set.starving_s());
+    let bound = Duration::from_secs_f64(set.starvation_threshold_s());
     for (age, first) in [
         (Duration::ZERO, "job-1"),
         (bound / 2, "job-1"),
@@ -334,14 +334,14 @@
                 panic!("{w:?}");
             };
             assert!(
-                value.get().len() <= set.value_bytes(),
+                value.get().len() <= set.value_limit_bytes(),
                 "{}",
                 value.get().len()
             );
             assert!(guards.iter().any(|g| g.key == *key), "{key} is not guarded");
         }
         // Every part of the home is a condition, and the next that is not yet.
-        let home = set.home(&name, "a");
+        let home = set.preferred_owner(&name, "a");
         let zone_shards = replica
             .machine_shards
             .keys()
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -85,7 +85,9 @@
     }
 
     fn name(&self) -> String {
-        self.settings.home("host-000000", "a").to_string()
+        self.settings
+            .preferred_owner("host-000000", "a")
+            .to_string()
     }
 
     fn apply(&mut self, events: Vec<Event>) {
@@ -141,7 +143,7 @@
     let wanted = home.name();
     let mut names = (0..1000).map(|n| format!("host-{n:06}"));
     names
-        .find(|name| home.settings.home(name, "a") == wanted)
+        .find(|name| home.settings.preferred_owner(name, "a") == wanted)
         .expect("a machine")
 }
 
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -263,7 +263,7 @@
     shape.state["next"] = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0});
     let fallen = StateLimits {
         txn_ops: 4,
-        value_bytes: 2048,
+        value_limit_bytes: 2048,
         write_rps: 30.0,
         rps: 150.0,
     };
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -18,7 +18,7 @@
 };
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
-use shelfhoist::workers::home_of;
+use shelfhoist::workers::preferred_owner_of;
 
 // --- values ---------------------------------------------------------------------
 
@@ -449,7 +449,7 @@
         (keys::FLEET_KEY.into(), "sh/fleet"),
         (keys::TYPES_KEY.into(), "sh/types"),
         (keys::FORMATS_KEY.into(), "sh/formats"),
-        (home_of("bay-1.0").into(), "bay-1"),
+        (preferred_owner_of("bay-1.0").into(), "bay-1"),
     ] {
         assert_eq!(key, text);
     }
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -94,7 +94,7 @@
         };
         shape.state["rps"] = json!(rps);
         let settings: Settings = shape.settings(0);
-        let (limit, lease) = (settings.launch_limit(), settings.lease());
+        let (limit, lease) = (settings.launch_limit(), settings.worker_lease());
         let gap = secs(4.0 * shape.controllers as f64 / rps);
         let interval = settings.barrier_pause() + gap;
         let name = format!("{lease_s} {cancel_s} {rps}: {limit:?}");
--- a/tests/limits/falls.rs
+++ b/tests/limits/falls.rs
@@ -88,7 +88,12 @@
     };
     let of = |s: &Settings| {
         let rates = (s.write_rps(false), s.write_rps(true), s.rps(true));
-        (s.value_bytes(), s.txn_ops(), rates, s.limits_will_fall())
+        (
+            s.value_limit_bytes(),
+            s.txn_ops(),
+            rates,
+            s.limits_will_fall(),
+        )
     };
     let now = (8192, 12, (90.0, 90.0, 200.0), false);
     for (next, expected) in [
@@ -173,7 +178,7 @@
         let large = w.submit(wide).await;
         // Zone and machine shards are small enough, the record of this job is not.
         w.state.limits.set(StateLimits {
-            value_bytes: 3000,
+            value_limit_bytes: 3000,
             txn_ops: 12,
             write_rps: 90.0,
             ..w.state.limits.get()
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -164,7 +164,7 @@
 pub fn fall(w: &World) {
     w.state.limits.set(StateLimits {
         txn_ops: 4,
-        value_bytes: LIMIT,
+        value_limit_bytes: LIMIT,
         write_rps: 27.0,
         ..w.state.limits.get()
     });
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -514,7 +514,7 @@
             assert_eq!(status, 200);
         }
         let mut limits = w.state.limits.get();
-        limits.value_bytes = 2048;
+        limits.value_limit_bytes = 2048;
         limits.txn_ops = 4;
         w.state.limits.set(limits);
         w.until("job-000003", "done", 300).await;
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -62,7 +62,7 @@
 
 const SIZES_ONLY: StateLimits = StateLimits {
     txn_ops: 12,
-    value_bytes: 8192,
+    value_limit_bytes: 8192,
     write_rps: f64::INFINITY,
     rps: f64::INFINITY,
 };
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -146,7 +146,7 @@
         let limit = |name: &str| self.state[name].as_f64().expect("a number");
         StateLimits {
             txn_ops: limit("txn_ops") as usize,
-            value_bytes: (limit("value_kb") * 1024.0) as usize,
+            value_limit_bytes: (limit("value_kb") * 1024.0) as usize,
             write_rps: limit("write_rps"),
             rps: limit("rps"),
         }
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
     pub txn_ops: usize,
-    pub value_bytes: usize,
+    pub value_limit_bytes: usize,
     pub write_rps: f64,
     pub rps: f64,
 }
@@ -130,7 +130,7 @@
     fn default() -> Self {
         StateLimits {
             txn_ops: usize::MAX / 8,
-            value_bytes: usize::MAX,
+            value_limit_bytes: usize::MAX,
             write_rps: f64::INFINITY,
             rps: f64::INFINITY,
         }
@@ -534,7 +534,7 @@
         writes.iter().find_map(|w| {
             let size = w["value"].to_string().len();
             let key = w["set"].as_str()?;
-            (size > limits.value_bytes).then(|| format!("value_kb: {key} has {size} bytes"))
+            (size > limits.value_limit_bytes).then(|| format!("value_kb: {key} has {size} bytes"))
         })
     }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -51,7 +51,7 @@
 fn limits_fall(w: &World) {
     w.state.limits.set(StateLimits {
         txn_ops: 4,
-        value_bytes: LIMIT,
+        value_limit_bytes: LIMIT,
         write_rps: 27.0,
         ..w.state.limits.get()
     });
