--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -6,6 +6,7 @@
 mod cloud;
 mod controllers;
 mod faults;
+mod frames;
 mod production;
 mod rules;
 mod scenario;
@@ -18,6 +19,8 @@
 #[allow(unused_imports)]
 pub use builder::Scenario;
 #[allow(unused_imports)]
+pub use frames::Frames;
+#[allow(unused_imports)]
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -7,7 +7,7 @@
 //!   machines only, so no task can start on a spot machine.
 //! - `nothing_ran` is judged at the end of a test, by [`World::assert_kept`].
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde_json::{Value, json};
@@ -279,7 +279,7 @@
     /// Judges what is on the machines at this moment.
     pub(super) fn check_machines(&self) {
         self.advance_tasks();
-        let mut used: HashMap<String, f64> = HashMap::new();
+        let mut used: BTreeMap<String, f64> = BTreeMap::new();
         for (name, (worker, _)) in self.workers.borrow().iter() {
             for task in worker.tasks_on_machine(self.shape.lease()) {
                 let id = job_of(&task);
@@ -299,7 +299,7 @@
         self.check_team_limits(&used);
     }
 
-    fn check_team_limits(&self, used: &HashMap<String, f64>) {
+    fn check_team_limits(&self, used: &BTreeMap<String, f64>) {
         for (team, _, limit) in &self.shape.teams {
             let own = used.get(&json!(team).to_string());
             if own.is_some_and(|cpus| cpus > limit) {
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -17,6 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::cloud::CloudLimit;
+use super::frames::{FrameRecord, RecordedClient};
 use super::rules::{Polls, Told};
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
@@ -202,7 +203,9 @@
     pub next: RefCell<Value>,
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
     pub(super) frozen: Vec<watch::Sender<bool>>,
-    pub(super) client: Client,
+    pub(super) client: RecordedClient,
+    /// What passes between the controllers and the stand-ins, once a test records it.
+    pub frames: Rc<FrameRecord>,
     pub(super) seed: u64,
     /// Controllers that start with the feature of shares as it is here, if it is.
     pub shares: RefCell<BTreeMap<usize, bool>>,
@@ -244,7 +247,8 @@
 
     fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
         let fabric = Rc::new(Fabric::default());
-        let users = shape.net(&fabric, addr(USERS));
+        let frames = Rc::new(FrameRecord::default());
+        let users = Client::new(shape.net(&fabric, addr(USERS)), Duration::from_secs(1));
         Rc::new(World {
             fabric,
             state: Rc::new(State::new(seed)),
@@ -271,7 +275,8 @@
                 .map(|_| watch::Sender::new(false))
                 .collect(),
             shape,
-            client: Client::new(users, Duration::from_secs(1)),
+            client: RecordedClient::new(users, addr(USERS), frames.clone()),
+            frames,
             seed,
             shares: RefCell::default(),
             runs: Cell::new(0),
@@ -310,6 +315,7 @@
     ) {
         let net = self.net(address);
         let listener = net.listen(address).await.expect("listen");
+        let handler = self.recorded_handler(address, handler);
         spawn_local(serve(listener, LIMITS, Rc::new(handler)));
     }
 
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -2,7 +2,7 @@
 //! its limits, and the troubles that a test gives it.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use shelfhoist::http::{Request, Response, query_value};
 use shelfhoist::state::records::{MachineShard, ZoneShard};
-use tokio::sync::watch;
+use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -34,11 +34,11 @@
     pub slow_to: BTreeSet<usize>,
 }
 
-/// A state lease and the keys that end with it.
+/// A state lease and the keys that end with it, in the order in which they are removed.
 struct StateLease {
     ttl: Duration,
     ends: Instant,
-    keys: HashSet<String>,
+    keys: BTreeSet<String>,
 }
 
 /// What the state service is to do with the commits that come next.
@@ -62,7 +62,10 @@
 pub struct State {
     pub(super) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
     log: RefCell<Vec<Value>>,
-    revision: watch::Sender<u64>,
+    revision: Cell<u64>,
+    /// Wakes open watches in the order in which they came: a `watch` channel of tokio
+    /// would wake them in a random one, and no two runs would be alike.
+    revision_changed: Notify,
     pub trouble: Cell<Trouble>,
     /// How many commits the trouble still meets.
     pub troubled: Cell<usize>,
@@ -184,7 +187,8 @@
         State {
             pairs: RefCell::default(),
             log: RefCell::default(),
-            revision: watch::Sender::default(),
+            revision: Cell::default(),
+            revision_changed: Notify::default(),
             trouble: Cell::default(),
             troubled: Cell::default(),
             troubles: RefCell::default(),
@@ -239,7 +243,7 @@
                 }
                 let stands = lease.ends > now;
                 if !stands {
-                    over.extend(lease.keys.drain());
+                    over.extend(std::mem::take(&mut lease.keys));
                 }
                 stands
             });
@@ -296,7 +300,7 @@
             Some((value, stamp)) => {
                 Response::json(200, &json!({"key": key, "value": value, "stamp": stamp}))
             }
-            None => Response::json(404, &json!({"ledger_rev": *self.revision.borrow()})),
+            None => Response::json(404, &json!({"ledger_rev": self.revision.get()})),
         }
     }
 
@@ -304,7 +308,7 @@
         match as_production(body) {
             Some(body) => self.commit(body).await,
             None => {
-                let at = *self.revision.borrow();
+                let at = self.revision.get();
                 let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
                 Response::json(409, &failed)
             }
@@ -336,7 +340,7 @@
                 let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
                 let id = self.next_lease.get() + 1;
                 self.next_lease.set(id);
-                let keys = HashSet::new();
+                let keys = BTreeSet::new();
                 let ends = now + ttl;
                 let lease = StateLease { ttl, ends, keys };
                 self.leases.borrow_mut().insert(id, lease);
@@ -406,7 +410,7 @@
         let empty = vec![];
         let writes = body["writes"].as_array().unwrap_or(&empty);
         let failed = self.failed_guards(body);
-        let at = *self.revision.borrow();
+        let at = self.revision.get();
         if let Some(problem) = self.exceeds(body) {
             self.beyond.borrow_mut().push(problem.clone());
             return Response::json(400, &json!({"error": problem}));
@@ -440,7 +444,8 @@
         for observer in self.observers.borrow().iter() {
             observer(&self.pairs.borrow(), &keys, at);
         }
-        self.revision.send_replace(at);
+        self.revision.set(at);
+        self.revision_changed.notify_waiters();
         Response::json(200, &json!({"ledger_rev": at}))
     }
 
@@ -613,19 +618,25 @@
             }
             page.push(record);
         }
-        let at = *self.revision.borrow();
+        let at = self.revision.get();
         Response::json(
             200,
             &json!({"pairs": page, "truncated": truncated, "ledger_rev": at}),
         )
     }
 
+    /// Waits for a revision later than this.
+    async fn revision_after(&self, after: u64) {
+        while self.revision.get() <= after {
+            self.revision_changed.notified().await;
+        }
+    }
+
     async fn watch(&self, i: usize, query: &str) -> Response {
         let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
         let after = number("after").unwrap_or(0);
         let block = Duration::from_millis(number("block_ms").unwrap_or(0));
-        let mut changed = self.revision.subscribe();
-        let _ = timeout(block, changed.wait_for(|r| *r > after)).await;
+        let _ = timeout(block, self.revision_after(after)).await;
         // An open watch waits through an outage, and while it is refused.
         while self.refuses(i) {
             sleep(Duration::from_millis(100)).await;
@@ -637,7 +648,7 @@
         }
         let news = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
         let events: Vec<&Value> = news.collect();
-        let at = *self.revision.borrow();
+        let at = self.revision.get();
         let mut answer = Response::json(200, &json!({"ledger_rev": at, "events": events}));
         if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
             answer.body.resize(16 << 20, b' ');
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use shelfhoist::http::{Client, Request, Response, serve};
+use shelfhoist::http::{Request, Response, serve};
 use shelfhoist::wire::*;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -212,8 +212,9 @@
     pub(super) async fn listen(self: Rc<Self>, worker: Rc<Worker>) {
         let net = self.net(worker.port);
         let listener = net.listen(worker.port).await.expect("listen");
-        let handler = Rc::new(move |r: Request| -> shelfhoist::http::Answer {
-            let (world, w) = (self.clone(), worker.clone());
+        let (world, at) = (self.clone(), worker.port);
+        let handler = move |r: Request| -> shelfhoist::http::Answer {
+            let (world, w) = (world.clone(), worker.clone());
             Box::pin(async move {
                 let Ok(orders) = serde_json::from_slice::<WorkerCommands>(&r.body) else {
                     return Response::empty(400);
@@ -234,15 +235,15 @@
                 });
                 executed.await.expect("executed")
             })
-        });
-        serve(listener, LIMITS, handler).await;
+        };
+        let handler = self.recorded_handler(at, handler);
+        serve(listener, LIMITS, Rc::new(handler)).await;
     }
 
     pub(super) async fn heartbeat(self: Rc<Self>, w: Rc<Worker>) {
         sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
         w.renewed.set(Instant::now());
-        let net = self.net(w.port);
-        let client = Client::new(net, Duration::from_secs(30));
+        let client = self.recorded_client(w.port, Duration::from_secs(30));
         let (lease, count) = (self.shape.lease(), self.shape.controllers);
         let report = Duration::from_secs_f64(self.shape.report_s);
         let mut to = 0;
