--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -14,7 +14,7 @@
         .borrow()
         .state_serves_another(controller, Instant::now());
     let loaded =
-        controller.replica.borrow().loaded && controller.state_sync.last_barrier.get().is_some();
+        controller.replica.borrow().loaded && controller.state_sync.last_barrier().is_some();
     if loaded && (controller.is_state_service_reachable() || !alone) {
         Response::empty(200)
     } else {
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -1,8 +1,8 @@
-//! The last barrier: how recent the replica surely is, by read barriers.
+//! Read barriers: how recent the replica surely is.
 //!
 //! A barrier reads the store's revision and waits until the replica has reached it.
-//! The replica then holds everything that was committed before the read was sent, and
-//! this moment becomes the last barrier.
+//! The replica then holds everything that was committed before the read was sent; the
+//! send time of the last such read bounds the replica's staleness.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,12 +11,13 @@
 
 use super::Controller;
 use crate::settings::BARRIER_GAP_REQUESTS;
+use crate::state::client::StoreError;
 use crate::state::keys::BARRIER_KEY;
 
 impl Controller {
     /// How old the last barrier is; `None` before the first barrier.
     pub fn replica_staleness(&self) -> Option<Duration> {
-        self.state_sync.last_barrier.get().map(|t| t.elapsed())
+        self.state_sync.last_barrier().map(|sent| sent.elapsed())
     }
 
     /// Safety 4: a controller that may have missed a cancellation for too
@@ -32,76 +33,99 @@
         self.replica_staleness().is_some_and(|age| age < limit)
     }
 
-    /// Has a machine's orders planned again after the next read barrier, and asks for
+    /// Has a machine's commands planned again after the next read barrier, and asks for
     /// one. Only the first machine asks: where the state service refuses, barriers
     /// are tried again in their normal interval.
     pub fn request_barrier_for(&self, machine: &str) {
-        let mut deferred = self.state_sync.deferred_launches.borrow_mut();
+        let barriers = &self.state_sync.barriers;
+        let mut deferred = barriers.deferred_launches.borrow_mut();
         if deferred.is_empty() {
-            self.state_sync.barrier_notify.notify_one();
+            barriers.requested.notify_one();
         }
         deferred.insert(machine.to_string());
     }
 
-    /// Takes over a newer read barrier, and has what waited for it planned again.
-    fn set_last_barrier(&self, sent: Instant) {
-        self.state_sync.last_barrier.set(Some(sent));
-        let mut deferred = self.state_sync.deferred_launches.borrow_mut();
-        if !deferred.is_empty() {
-            let changes = &mut self.replica.borrow_mut().changes;
-            changes.machines.append(&mut deferred);
-            self.workers.commands_notify.notify_one();
-        }
-    }
-
     /// Waits until the replica holds everything that was committed before this
-    /// call. Many callers share one read of the revision.
+    /// call; false if it takes longer than `limit`. Many callers share one read of
+    /// the revision.
     pub async fn barrier(&self, limit: Duration) -> bool {
-        // The next barrier to start was surely sent after this moment.
-        let wanted = self.state_sync.barrier_started.get() + 1;
-        self.state_sync.barrier_notify.notify_one();
-        let mut done = self.state_sync.barrier_done.subscribe();
+        let barriers = &self.state_sync.barriers;
+        let awaited = barriers.next_number();
+        barriers.requested.notify_one();
+        let mut completed = barriers.completed.subscribe();
         matches!(
-            timeout(limit, done.wait_for(|d| *d >= wanted)).await,
+            timeout(limit, completed.wait_for(|number| *number >= awaited)).await,
             Ok(Ok(_))
         )
     }
 
-    /// Keeps the last barrier and serves those who wait for a barrier.
+    /// The same for a user's request, which is not kept waiting once the state
+    /// service has refused to serve the barrier.
+    pub async fn barrier_unless_refused(&self, limit: Duration) -> bool {
+        let barriers = &self.state_sync.barriers;
+        let awaited = barriers.next_number();
+        let mut refused = barriers.refused.subscribe();
+        tokio::select! {
+            biased;
+            is_complete = self.barrier(limit) => is_complete,
+            _ = refused.wait_for(|number| *number >= awaited) => false,
+        }
+    }
+
+    /// Issues read barriers: one in each normal interval, and sooner for those who
+    /// wait for one.
     pub async fn run_barriers(self: Rc<Self>) {
         let idle = self.settings.barrier_pause();
-        let gap = self.request_gap() * BARRIER_GAP_REQUESTS;
+        let min_interval = self.request_gap() * BARRIER_GAP_REQUESTS;
+        let barriers = &self.state_sync.barriers;
         loop {
             // A controller that has just started has workers whose leases run
             // out: its first barrier does not wait for anyone to ask.
-            if self.state_sync.last_barrier.get().is_some() {
-                let _ = timeout(idle, self.state_sync.barrier_notify.notified()).await;
+            if barriers.last_completed.get().is_some() {
+                let _ = timeout(idle, barriers.requested.notified()).await;
             }
             let sent = Instant::now();
-            let number = self.state_sync.barrier_started.get() + 1;
-            self.state_sync.barrier_started.set(number);
+            let number = barriers.start_next();
             match self.store.revision(BARRIER_KEY).await {
-                Ok(revision) => {
-                    let limit = self.settings.worker_lease() / 8;
-                    if self.replica.borrow().revision < revision {
-                        self.expedite_watch();
-                    }
-                    if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
-                        self.set_last_barrier(sent);
-                        self.state_sync.barrier_done.send_replace(number);
-                    } else {
-                        // The watch is stuck, or its connection is dead.
-                        self.state_sync.watch_again.notify_one();
-                    }
-                }
-                Err(error) => {
-                    tracing::debug!(%error, "barrier failed");
-                    if error.is_refusal() {
-                        self.state_sync.barrier_refused.send_replace(number);
-                    }
-                }
+                Ok(revision) => self.complete_barrier(number, sent, revision).await,
+                Err(error) => self.note_failed_barrier(number, &error),
             }
-            sleep(gap.saturating_sub(sent.elapsed())).await;
+            sleep(min_interval.saturating_sub(sent.elapsed())).await;
+        }
+    }
+
+    /// Waits until the replica has reached the revision that a barrier has read.
+    async fn complete_barrier(&self, number: u64, sent: Instant, revision: u64) {
+        let limit = self.settings.worker_lease() / 8;
+        if self.replica.borrow().revision < revision {
+            self.expedite_watch();
+        }
+        if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
+            self.set_last_barrier(sent);
+            let barriers = &self.state_sync.barriers;
+            barriers.completed.send_replace(number);
+        } else {
+            // The watch is stuck, or its connection is dead.
+            self.state_sync.reopen_watch.notify_one();
+        }
+    }
+
+    fn note_failed_barrier(&self, number: u64, error: &StoreError) {
+        tracing::debug!(%error, "read barrier failed");
+        if error.is_refusal() {
+            self.state_sync.barriers.refused.send_replace(number);
+        }
+    }
+
+    /// Takes over a newer read barrier, and has what waited for it planned again.
+    fn set_last_barrier(&self, sent: Instant) {
+        let barriers = &self.state_sync.barriers;
+        barriers.last_completed.set(Some(sent));
+        let mut deferred = barriers.deferred_launches.borrow_mut();
+        if !deferred.is_empty() {
+            let changes = &mut self.replica.borrow_mut().changes;
+            changes.machines.append(&mut deferred);
+            self.workers.commands_notify.notify_one();
         }
     }
 }
--- a/src/controller.rs
+++ b/src/controller/mod.rs
@@ -1,15 +1,23 @@
-//! One controller: what its loops share. The loops that keep the replica and the
-//! last barrier are in the submodules, the others with their subjects.
+//! One controller: the context that its loops share.
+//!
+//! | module | task |
+//! | --- | --- |
+//! | `watch` | keeps the replica up to date with the state service |
+//! | `barrier` | read barriers: how recent the replica surely is |
+//! | `state_sync` | the progress of both, and who waits for it |
+//! | `process_clock` | pauses of this process, and how late its timers fire |
+//!
+//! The loops that use the context stand with their subjects; `daemon` starts them.
 
 mod barrier;
-mod clock;
-mod replica_loop;
+mod process_clock;
 mod state_sync;
+mod watch;
 
-pub use clock::shifted_past_pause;
+pub use process_clock::shifted_past_pause;
 pub use state_sync::StateSync;
 
-use clock::ProcessClock;
+use process_clock::ProcessClock;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,7 +30,7 @@
 use crate::api::Admissions;
 use crate::cloud::FleetState;
 use crate::gossip::PeerTable;
-use crate::http::Client;
+use crate::http::{BODY_LIMIT, Client};
 use crate::net::Net;
 use crate::scheduler::PlacementState;
 use crate::settings::Settings;
@@ -32,9 +40,18 @@
 use crate::wire::{Commit, Guard, Write};
 use crate::workers::WorkerTable;
 
-/// The limits of the state service are shared by all controllers, which do not
-/// count for one another: together they keep to so much of them.
-const BUDGET_SHARE: f64 = 0.97;
+/// The part of the state service's limits that all controllers together use: none of
+/// them counts the requests of the others.
+const USED_LIMIT_FRACTION: f64 = 0.97;
+
+/// How much longer than a request's body a worker's answer to commands may be.
+const WORKER_RESPONSE_BODIES: usize = 4;
+
+/// The state service counts as not answering after this part of a worker's lease,
+/// within the bounds below: answers take milliseconds, now and then hundreds of them.
+const STATE_TIMEOUT_PER_LEASE: f64 = 1.0 / 8.0;
+const MIN_STATE_TIMEOUT_S: f64 = 0.5;
+const MAX_STATE_TIMEOUT_S: f64 = 2.0;
 
 /// The context that the loops of one controller share; all of them run on one thread.
 /// Each subsystem's state is in a struct of that subsystem's module.
@@ -74,33 +91,21 @@
 }
 
 impl Controller {
-    /// A controller that has not started any loop yet.
+    /// A controller that has not started any loop yet; `seed` is for its random numbers.
     pub fn new(settings: Settings, net: Net, seed: u64) -> Rc<Self> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let now = Instant::now();
-        let client = Client::new(net.clone(), settings.worker_lease());
-        let client = Rc::new(client.bounded(usize::MAX, settings.max_response_bytes()));
-        let worker_client = Client::new(net.clone(), settings.worker_lease());
-        let worker_client =
-            worker_client.bounded(settings.command_connections(), crate::http::BODY_LIMIT * 4);
+        let client = Rc::new(new_client(&settings, &net));
         let store_rng = SmallRng::seed_from_u64(rng.random());
-        let store = new_store(&settings, client.clone(), store_rng, now);
-        let mut replica = Replica::with_compact_limit(
-            settings
-                .limits_will_fall()
-                .then(|| settings.value_limit_bytes()),
-        );
-        let objectives = settings.deployment.objectives.iter();
-        replica.slo_classes = objectives.filter_map(|o| o.class.clone()).collect();
         Rc::new(Controller {
-            net,
+            worker_client: new_worker_client(&settings, &net),
+            store: new_store(&settings, client.clone(), store_rng, now),
             client,
-            worker_client,
-            store,
+            net,
             incarnation: rng.random_range(1..u64::from(u32::MAX)),
             started: now,
             process_clock: ProcessClock::new(now),
-            replica: RefCell::new(replica),
+            replica: RefCell::new(new_replica(&settings)),
             state_sync: StateSync::default(),
             admissions: Admissions::default(),
             workers: WorkerTable::default(),
@@ -117,13 +122,15 @@
         &self.settings.controller_name
     }
 
-    /// The span in which this controller may make one request of its share.
+    /// The interval at which this controller may send requests to the state service
+    /// without going beyond its part of the limits.
     pub fn request_gap(&self) -> Duration {
         let rps = self.settings.rps(self.store.is_lowered());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
-    /// Commits and lays the result over the replica.
+    /// Commits a transaction, and lays it over the replica ahead of the watch. Returns
+    /// the revision of the commit.
     pub async fn commit(
         &self,
         class: RequestClass,
@@ -137,29 +144,52 @@
         Ok(revision)
     }
 
-    /// Tells the loops that the replica has changed.
+    /// Wakes the loops that depend on the replica, as it has changed.
     pub fn announce(&self) {
         let revision = self.replica.borrow().revision;
-        self.state_sync.applied_revision.send_if_modified(|r| {
-            let newer = *r < revision;
-            *r = revision.max(*r);
-            newer
-        });
+        self.state_sync.advance_to(revision);
         self.placement.placement_notify.notify_one();
         self.workers.commands_notify.notify_one();
     }
 }
 
-/// The state service as a controller of these settings calls it.
+/// The client for the state service and the cloud.
+fn new_client(settings: &Settings, net: &Net) -> Client {
+    let client = Client::new(net.clone(), settings.worker_lease());
+    client.bounded(usize::MAX, settings.max_response_bytes())
+}
+
+/// The client for direct commands to workers.
+fn new_worker_client(settings: &Settings, net: &Net) -> Client {
+    let client = Client::new(net.clone(), settings.worker_lease());
+    client.bounded(
+        settings.command_connections(),
+        BODY_LIMIT * WORKER_RESPONSE_BODIES,
+    )
+}
+
+/// The client of the state service, with this controller's part of its limits.
 fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> Store {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
-        settings.rps(false) / count * BUDGET_SHARE,
-        settings.write_rps(false) / count * BUDGET_SHARE,
+        settings.rps(false) / count * USED_LIMIT_FRACTION,
+        settings.write_rps(false) / count * USED_LIMIT_FRACTION,
         now,
     );
-    // Answers take milliseconds, now and then hundreds of them.
-    let patience = settings.deployment.workers.lease_s / 8.0;
-    let patience = Duration::from_secs_f64(patience.clamp(0.5, 2.0));
-    Store::new(client, settings.external.state, budget, patience, rng)
+    let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
+    let timeout_s = timeout_s.clamp(MIN_STATE_TIMEOUT_S, MAX_STATE_TIMEOUT_S);
+    let timeout = Duration::from_secs_f64(timeout_s);
+    Store::new(client, settings.external.state, budget, timeout, rng)
+}
+
+/// An empty replica for these settings.
+fn new_replica(settings: &Settings) -> Replica {
+    let will_compact = settings.limits_will_fall();
+    let compact_limit = will_compact.then(|| settings.value_limit_bytes());
+    let mut replica = Replica::with_compact_limit(compact_limit);
+    let objectives = settings.deployment.objectives.iter();
+    replica.slo_classes = objectives
+        .filter_map(|objective| objective.class.clone())
+        .collect();
+    replica
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -190,11 +190,7 @@
 /// a launch not once the last barrier that it was planned with is too old for it.
 fn deadlines(controller: &Controller, launches: bool, decided: Instant) -> Deadlines {
     let answer = decided + WORKER_PATIENCE.min(controller.settings.worker_lease() / 4);
-    let last_barrier = controller
-        .state_sync
-        .last_barrier
-        .get()
-        .filter(|_| launches);
+    let last_barrier = controller.state_sync.last_barrier().filter(|_| launches);
     let latest_launch = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
         send: latest_launch.map_or(answer, |latest| latest.min(answer)),
