--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -109,7 +109,9 @@
 ) -> Result<(), Shortage> {
     let limit = ledger.teams.get(team).map(|account| account.limit);
     let total = draft.share(team).map(|share| share.total());
-    let below_limit = limit.unwrap_or_default().beside(total.unwrap_or_default());
+    let below_limit = limit
+        .unwrap_or_default()
+        .remaining(total.unwrap_or_default());
     if !below_limit.fits(&lacking) {
         return Err(Shortage::Limit(team.clone()));
     }
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -18,7 +18,7 @@
 
 impl TeamLimit {
     /// What the team may have beside an amount that it has.
-    pub fn beside(&self, has: Resources) -> Resources {
+    pub fn remaining(&self, has: Resources) -> Resources {
         let beside = |limit: Option<Amount>, has: Amount| match limit {
             Some(limit) => Amount(limit.0 - has.0),
             None => Amount(UNLIMITED),
@@ -153,7 +153,7 @@
 
 fn team_violations(team: &TeamName, account: &TeamAccount, share: &Share) -> Vec<Violation> {
     let mut found = Vec::new();
-    if is_negative(account.limit.beside(share.total())) {
+    if is_negative(account.limit.remaining(share.total())) {
         found.push(Violation::AboveLimit(team.clone()));
     }
     let pending: Resources = share.pending.values().copied().sum();
@@ -162,7 +162,7 @@
     }
     for controller in share.controllers() {
         let name = controller.as_str();
-        if is_negative(share.granted_to(name)) || is_negative(share.wanted_for(name)) {
+        if is_negative(share.granted_to(name)) || is_negative(share.target_for(name)) {
             found.push(Violation::Negative(team.clone(), controller));
         }
     }
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -37,5 +37,6 @@
 pub use names::{ControllerName, JobName, TeamName};
 pub use records::{MoveRecord, MoveState, Pool, Share};
 pub use transfer::{
-    AskError, JobBooking, Obstacle, Transfer, ask, make_room, next_transfer, obstacle,
+    BlockedTransfer, JobBooking, MoveError, Transfer, blocked_transfer, next_transfer,
+    request_move, reserve_for_smallest_job,
 };
--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -44,7 +44,7 @@
     }
 
     /// What a controller will have once nothing is left to move.
-    pub fn wanted_for(&self, controller: &str) -> Resources {
+    pub fn target_for(&self, controller: &str) -> Resources {
         self.granted_to(controller) + self.pending_for(controller)
     }
 
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -15,7 +15,7 @@
 
 /// Why a move cannot be asked for.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum MoveError {
     /// The team's room is not split.
     #[error("team {0} has no shares")]
     NoShares(TeamName),
@@ -31,24 +31,24 @@
 }
 
 /// The split once a move was asked for.
-pub fn ask(
+pub fn request_move(
     ledger: &Ledger,
     team: &TeamName,
     from: &ControllerName,
     to: &ControllerName,
     amount: Resources,
-) -> Result<Share, AskError> {
+) -> Result<Share, MoveError> {
     let account = ledger.teams.get(team);
     let share = account.and_then(|account| account.share.as_ref());
-    let share = share.ok_or_else(|| AskError::NoShares(team.clone()))?;
+    let share = share.ok_or_else(|| MoveError::NoShares(team.clone()))?;
     if from == to {
-        return Err(AskError::ToItself(from.clone()));
+        return Err(MoveError::ToItself(from.clone()));
     }
     if amount.is_empty() || amount != amount.positive() {
-        return Err(AskError::NotPositive);
+        return Err(MoveError::NotPositive);
     }
-    if !share.wanted_for(from.as_str()).fits(&amount) {
-        return Err(AskError::TooMuch(from.clone()));
+    if !share.target_for(from.as_str()).fits(&amount) {
+        return Err(MoveError::TooMuch(from.clone()));
     }
     let mut next = share.clone();
     next.generation += 1;
@@ -113,7 +113,7 @@
 /// The change that gives a receiver the free room without which no job can be taken along,
 /// as the smallest one is larger than what is left to move; the next step then takes it.
 /// `None` if that is not what is in the way, or there is no such room.
-pub fn make_room(
+pub fn reserve_for_smallest_job(
     ledger: &Ledger,
     team: &TeamName,
     jobs: &[JobBooking],
@@ -255,7 +255,7 @@
 
 /// Why something is left to move that cannot move now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Obstacle {
+pub struct BlockedTransfer {
     /// The controller that is to give.
     pub controller: ControllerName,
     /// What it is still to give.
@@ -265,12 +265,12 @@
 }
 
 /// The first controller that is to give what it cannot give now, if any.
-pub fn obstacle(account: &TeamAccount) -> Option<Obstacle> {
+pub fn blocked_transfer(account: &TeamAccount) -> Option<BlockedTransfer> {
     let share = account.share.as_ref()?;
     let controllers = share.controllers().into_iter();
     let mut owing = controllers.filter_map(|controller| {
         let owed = (Resources::default() - share.pending_for(controller.as_str())).positive();
-        (!owed.is_empty()).then(|| Obstacle {
+        (!owed.is_empty()).then(|| BlockedTransfer {
             owed,
             booked: account.used_by(controller.as_str()),
             controller,
@@ -285,7 +285,7 @@
 pub(crate) fn balance(share: &mut Share) {
     let controllers = share.controllers();
     for poor in &controllers {
-        let short = (Resources::default() - share.wanted_for(poor.as_str())).positive();
+        let short = (Resources::default() - share.target_for(poor.as_str())).positive();
         pass_obligation(share, &controllers, poor, short);
     }
     settle(share);
@@ -300,7 +300,7 @@
     // Those that are to receive come first, then whoever will have something.
     for receivers_only in [true, false] {
         for other in controllers.iter().filter(|name| *name != poor) {
-            let wanted = share.wanted_for(other.as_str()).positive();
+            let wanted = share.target_for(other.as_str()).positive();
             let bound = match receivers_only {
                 true => share.pending_for(other.as_str()).positive().min(&wanted),
                 false => wanted,
--- a/crates/shares/tests/exploration.rs
+++ b/crates/shares/tests/exploration.rs
@@ -10,8 +10,8 @@
 use pathfinding::directed::bfs::bfs_reach;
 use resources::{Amount, Resources};
 use shares::{
-    Change, ControllerName, JobBooking, JobName, Ledger, TeamLimit, TeamName, adjust_capacity, ask,
-    make_room, next_transfer, open_team, release_machines, reserve,
+    Change, ControllerName, JobBooking, JobName, Ledger, TeamLimit, TeamName, adjust_capacity,
+    next_transfer, open_team, release_machines, request_move, reserve, reserve_for_smallest_job,
 };
 
 const CONTROLLERS: [&str; 3] = ["n0", "n1", "n2"];
@@ -204,7 +204,7 @@
         });
         let bookings: Vec<JobBooking> = bookings.collect();
         let Some(mut transfer) = next_transfer(&self.ledger, &team.into(), &bookings, 1) else {
-            let room = make_room(&self.ledger, &team.into(), &bookings, MAX_WRITES)?;
+            let room = reserve_for_smallest_job(&self.ledger, &team.into(), &bookings, MAX_WRITES)?;
             return Some(Commit::new(room));
         };
         if fault == Fault::GiverUnguarded {
@@ -231,7 +231,8 @@
             _ => return None,
         };
         let team = TeamName::from("t");
-        let share = ask(&self.ledger, &team, &from.into(), &to.into(), cpus(amount)).ok()?;
+        let share =
+            request_move(&self.ledger, &team, &from.into(), &to.into(), cpus(amount)).ok()?;
         let mut change = Change::default();
         change.shares.insert(team, share);
         Some(Commit::new(change).write(Key::Move(self.asked)))
--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -7,9 +7,9 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use resources::{Amount, Resources};
 use shares::{
-    AskError, ControllerName, JobBooking, JobName, Ledger, MoveRecord, MoveState, Share, Shortage,
-    TeamLimit, TeamName, adjust_capacity, ask, close_team, make_room, next_transfer, obstacle,
-    open_team, release_machines, reserve,
+    ControllerName, JobBooking, JobName, Ledger, MoveError, MoveRecord, MoveState, Share, Shortage,
+    TeamLimit, TeamName, adjust_capacity, blocked_transfer, close_team, next_transfer, open_team,
+    release_machines, request_move, reserve, reserve_for_smallest_job,
 };
 
 const TEAMS: [&str; 2] = ["t", "u"];
@@ -183,21 +183,21 @@
         let before = self.share(team).clone();
         let [from, to] = [from, to].map(|at| ControllerName::from(CONTROLLERS[at]));
         let moved = amount(cpus, 0);
-        match ask(&self.ledger, &name, &from, &to, moved) {
+        match request_move(&self.ledger, &name, &from, &to, moved) {
             Ok(share) => {
                 assert_eq!(share.granted, before.granted, "asking moves nothing yet");
-                let wanted = |share: &Share, name: &ControllerName| share.wanted_for(name.as_str());
+                let wanted = |share: &Share, name: &ControllerName| share.target_for(name.as_str());
                 assert_eq!(wanted(&share, &from), wanted(&before, &from) - moved);
                 assert_eq!(wanted(&share, &to), wanted(&before, &to) + moved);
                 let account = self.ledger.teams.get_mut(&name).expect("a team");
                 account.share = Some(share);
             }
-            Err(AskError::ToItself(_)) => assert_eq!(from, to),
-            Err(AskError::NotPositive) => assert_eq!(cpus, 0),
-            Err(AskError::TooMuch(_)) => {
-                assert!(!before.wanted_for(from.as_str()).fits(&moved));
+            Err(MoveError::ToItself(_)) => assert_eq!(from, to),
+            Err(MoveError::NotPositive) => assert_eq!(cpus, 0),
+            Err(MoveError::TooMuch(_)) => {
+                assert!(!before.target_for(from.as_str()).fits(&moved));
             }
-            Err(AskError::NoShares(_)) => panic!("there are shares"),
+            Err(MoveError::NoShares(_)) => panic!("there are shares"),
         }
     }
 
@@ -211,7 +211,7 @@
             .filter(|(_, t)| **t == team);
         let jobs: Vec<JobBooking> = of_team.map(|(job, _)| job.clone()).collect();
         let Some(step) = next_transfer(&self.ledger, &name, &jobs, max_jobs) else {
-            let room = make_room(&self.ledger, &name, &jobs, MANY_WRITES);
+            let room = reserve_for_smallest_job(&self.ledger, &name, &jobs, MANY_WRITES);
             let Some(change) = room.filter(|_| max_jobs > 0) else {
                 return false;
             };
@@ -349,8 +349,8 @@
             let share = account.share.as_ref().expect("a split");
             let is_settled = share.settled == share.generation;
             assert_eq!(is_settled, share.pending.is_empty());
-            assert_eq!(is_settled, obstacle(account).is_none());
-            if let Some(obstacle) = obstacle(account) {
+            assert_eq!(is_settled, blocked_transfer(account).is_none());
+            if let Some(obstacle) = blocked_transfer(account) {
                 assert!(!obstacle.booked.is_empty(), "free room was left to move");
             }
         }
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -14,7 +14,7 @@
 
 /// How many records and conditions a transaction can still take.
 #[derive(Debug, Clone, Copy)]
-pub struct Space {
+pub struct CommitCapacity {
     /// Records that may still be written.
     pub writes: usize,
     /// Conditions that may still be added.
@@ -36,9 +36,9 @@
     /// The most records that the transaction may write.
     pub max_writes: usize,
     /// What the transaction can take beside the booking itself.
-    pub beside: Space,
+    pub beside: CommitCapacity,
     /// What it can take without the booking.
-    pub alone: Space,
+    pub alone: CommitCapacity,
 }
 
 /// The accounting by shares as one transaction will leave it.
@@ -149,7 +149,7 @@
     }
 
     /// Takes a change in, if there is space for it.
-    fn take(&mut self, change: &Change, space: Space) -> bool {
+    fn take(&mut self, change: &Change, space: CommitCapacity) -> bool {
         let mut merged = self.change.clone();
         merged.merge(change.clone());
         let more_writes = merged.writes() - self.change.writes();
--- a/src/accounting/mod.rs
+++ b/src/accounting/mod.rs
@@ -15,10 +15,10 @@
 mod operators;
 mod reconcile;
 
-pub use booking::{BookingAccounts, BookingRequest, Space};
+pub use booking::{BookingAccounts, BookingRequest, CommitCapacity};
 pub use commit::CommitParts;
 pub use messages::{
     Amounts, ControllerShare, MoveAnswer, MoveReport, MoveRequest, ShareReport, TeamShares,
 };
 pub use operators::{move_share, moves, shares};
-pub use reconcile::{Step, next_step, run_shares};
+pub use reconcile::{ReconcileStep, next_reconcile_step, run_shares};
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -4,7 +4,10 @@
 //! gives the same answer at the same revision. A move is one commit, guarded by the split
 //! and by its id being new.
 
-use shares::{Change, ControllerName, Ledger, MoveRecord, TeamAccount, TeamName, ask, obstacle};
+use shares::{
+    Change, ControllerName, Ledger, MoveRecord, TeamAccount, TeamName, blocked_transfer,
+    request_move,
+};
 
 use super::CommitParts;
 use super::messages::{
@@ -94,7 +97,7 @@
     controllers.dedup();
     let of = |controller: ControllerName| ControllerShare {
         granted: share.granted_to(controller.as_str()).into(),
-        wanted: share.wanted_for(controller.as_str()).into(),
+        wanted: share.target_for(controller.as_str()).into(),
         used: account.used_by(controller.as_str()).into(),
         controller: controller.to_string(),
     };
@@ -110,7 +113,7 @@
 
 /// What stands in the way of what is left to move, in words.
 fn obstacle_text(account: &TeamAccount) -> Option<String> {
-    let found = obstacle(account)?;
+    let found = blocked_transfer(account)?;
     let free = (account.free(found.controller.as_str())).positive();
     Some(format!(
         "{} is still to give {}; it has {} free and {} booked",
@@ -236,7 +239,7 @@
         return Decision::Answer(Response::unavailable(problem, RETRY_AFTER_S));
     }
     let [from, to] = [&request.from, &request.to].map(|name| ControllerName::from(name.as_str()));
-    let share = match ask(&ledger, &team, &from, &to, amount) {
+    let share = match request_move(&ledger, &team, &from, &to, amount) {
         Ok(share) => share,
         Err(error) => return wrong(&error.to_string()),
     };
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use shares::{
-    JobBooking, Ledger, OpenError, TeamName, adjust_capacity, close_team, make_room, next_transfer,
-    open_team, rebuild_team,
+    JobBooking, Ledger, OpenError, TeamName, adjust_capacity, close_team, next_transfer, open_team,
+    rebuild_team, reserve_for_smallest_job,
 };
 use tokio::time::{Instant, sleep};
 
@@ -26,7 +26,7 @@
 use crate::wire::{Guard, Write};
 
 /// One commit of this loop, and what it is for.
-pub struct Step {
+pub struct ReconcileStep {
     /// What it does, for the log.
     pub what: &'static str,
     /// The conditions.
@@ -35,9 +35,9 @@
     pub writes: Vec<Write>,
 }
 
-impl Step {
+impl ReconcileStep {
     fn new(what: &'static str, parts: CommitParts) -> Self {
-        Step {
+        ReconcileStep {
             what,
             guards: parts.guards,
             writes: parts.writes,
@@ -68,7 +68,10 @@
 /// Decides the next step once the budget is there, and commits it; false if the loop
 /// is to pause.
 async fn take_step(controller: &Controller) -> bool {
-    controller.store.ready(RequestClass::Lifecycle, 1).await;
+    controller
+        .store
+        .wait_for_budget(RequestClass::Lifecycle, 1)
+        .await;
     if !controller.is_state_service_reachable() {
         return false;
     }
@@ -100,15 +103,19 @@
     }
 }
 
-fn step_of(controller: &Controller) -> Option<Step> {
+fn step_of(controller: &Controller) -> Option<ReconcileStep> {
     let replica = controller.replica.borrow();
     let peers = controller.peers.borrow();
     let alive = peers.alive(controller, Instant::now());
-    next_step(&replica, &controller.settings, &alive)
+    next_reconcile_step(&replica, &controller.settings, &alive)
 }
 
 /// The next step that this controller takes, with these controllers up.
-pub fn next_step(replica: &Replica, settings: &Settings, alive: &[&str]) -> Option<Step> {
+pub fn next_reconcile_step(
+    replica: &Replica,
+    settings: &Settings,
+    alive: &[&str],
+) -> Option<ReconcileStep> {
     replica.shares_since()?;
     let is_mine = |subject: &str| {
         preferred(subject, alive.iter().copied()) == Some(settings.controller_name.as_str())
@@ -146,7 +153,7 @@
     settings: &Settings,
     ledger: &Ledger,
     is_mine: bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     if !is_mine {
         return None;
     }
@@ -159,12 +166,12 @@
     let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| falls)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(Step::new("capacity", parts))
+    Some(ReconcileStep::new("capacity", parts))
 }
 
 /// Writes machine shards anew that were last written before every controller counted the
 /// machines that it takes off the record: from then on what was decided before fails.
-fn count_machine_shards(replica: &Replica, settings: &Settings) -> Option<Step> {
+fn count_machine_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
         .filter(|(id, _)| !replica.is_counted_shard(id))
@@ -182,7 +189,7 @@
             .writes
             .push(replica.put_machine_shard(id, &entry.value));
     }
-    Some(Step::new("count machines", parts))
+    Some(ReconcileStep::new("count machines", parts))
 }
 
 /// A team's accounting by shares is begun, or what is left of its moves is closed.
@@ -191,7 +198,7 @@
     settings: &Settings,
     ledger: &Ledger,
     team: &TeamName,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     if replica.is_split_unreadable(team.as_str()) {
         return rebuild_step(replica, settings, ledger, team);
     }
@@ -210,9 +217,9 @@
     let max_jobs = settings.txn_ops().saturating_sub(1);
     let mut parts = CommitParts::new(replica);
     let Some(transfer) = next_transfer(ledger, team, &jobs, max_jobs) else {
-        let change = make_room(ledger, team, &jobs, settings.txn_ops())?;
+        let change = reserve_for_smallest_job(ledger, team, &jobs, settings.txn_ops())?;
         parts.add_change(&change);
-        return Some(Step::new("room for a transfer", parts));
+        return Some(ReconcileStep::new("room for a transfer", parts));
     };
     tracing::info!(
         team = team.as_str(),
@@ -225,7 +232,7 @@
     );
     parts.add_change(&transfer.change);
     parts.reassign_jobs(&transfer.change);
-    Some(Step::new("transfer", parts))
+    Some(ReconcileStep::new("transfer", parts))
 }
 
 /// A split that cannot be read is made anew from what is booked.
@@ -234,7 +241,7 @@
     settings: &Settings,
     ledger: &Ledger,
     team: &TeamName,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let generation = replica.last_move_generation(team.as_str());
     let change = rebuild_team(ledger, team, &fallback_controller(settings), generation)?;
     tracing::error!(
@@ -243,7 +250,7 @@
     );
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(Step::new("rebuild", parts))
+    Some(ReconcileStep::new("rebuild", parts))
 }
 
 fn open_step(
@@ -251,7 +258,7 @@
     settings: &Settings,
     ledger: &Ledger,
     team: &TeamName,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let mut parts = CommitParts::new(replica);
     let opened = open_team(
         ledger,
@@ -263,15 +270,15 @@
         Ok(change) => parts.add_change(&change),
         Err(OpenError::Partial(first)) => {
             parts.add_change(&first);
-            return Some(Step::new("room for a team", parts));
+            return Some(ReconcileStep::new("room for a team", parts));
         }
         Err(_) => return None,
     }
     parts.put_team(team.as_str());
-    Some(Step::new("begin", parts))
+    Some(ReconcileStep::new("begin", parts))
 }
 
-fn close_step(replica: &Replica, ledger: &Ledger, team: &TeamName) -> Option<Step> {
+fn close_step(replica: &Replica, ledger: &Ledger, team: &TeamName) -> Option<ReconcileStep> {
     if replica.is_share_unreadable(team.as_str()) {
         return None;
     }
@@ -279,16 +286,16 @@
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
     parts.put_team(team.as_str());
-    Some(Step::new("end", parts))
+    Some(ReconcileStep::new("end", parts))
 }
 
-fn remove_pool_step(replica: &Replica, is_mine: bool) -> Option<Step> {
+fn remove_pool_step(replica: &Replica, is_mine: bool) -> Option<ReconcileStep> {
     if !is_mine || replica.has_shares() {
         return None;
     }
     let mut parts = CommitParts::new(replica);
     parts.remove_pool();
-    Some(Step::new("remove the pool", parts))
+    Some(ReconcileStep::new("remove the pool", parts))
 }
 
 /// What the team's jobs have booked, and whose share it counts against.
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -61,7 +61,10 @@
             .borrow()
             .is_empty()
         {
-            controller.store.ready(RequestClass::Accept, 1).await;
+            controller
+                .store
+                .wait_for_budget(RequestClass::Accept, 1)
+                .await;
             let begun = Instant::now();
             let batch = take_batch(&controller);
             if !batch.is_empty() {
--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -39,7 +39,7 @@
     match job.status {
         JobStatus::Done => FailureAttribution::Machine,
         JobStatus::Cancelled => FailureAttribution::Job,
-        JobStatus::Open if job.is_doubtful() => FailureAttribution::Job,
+        JobStatus::Open if job.is_suspected_faulty() => FailureAttribution::Job,
         JobStatus::Open if job.failed_on.iter().any(|m| m == machine) => {
             FailureAttribution::Unknown
         }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -6,7 +6,7 @@
 
 use crate::controller::Controller;
 use crate::http::Response;
-use crate::state::budget::Bucket;
+use crate::state::budget::TokenBucket;
 
 /// How long the cloud is left alone when it refuses calls.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
@@ -81,7 +81,7 @@
                 let mut fleet = self.fleet.borrow_mut();
                 let bucket = fleet
                     .cloud_calls
-                    .get_or_insert_with(|| Bucket::new(rps * USED_RATE, rps, now));
+                    .get_or_insert_with(|| TokenBucket::new(rps * USED_RATE, rps, now));
                 bucket.take_one(now)
             };
             match taken {
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -11,7 +11,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::commit::guard;
 use crate::state::keys::{job_key, zone_shard_key};
-use crate::state::records::{Machine, MachineLifecycle, Outcome, Resources};
+use crate::state::records::{Machine, MachineLifecycle, Resources, TaskOutcome};
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
 
@@ -86,7 +86,9 @@
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         job.is_some_and(|job| {
             let spec = job.spec.as_ref();
-            !job.is_doubtful() && job.waiting() > 0 && spec.is_some_and(|spec| spec.need.gpus.0 > 0)
+            !job.is_suspected_faulty()
+                && job.waiting() > 0
+                && spec.is_some_and(|spec| spec.need.gpus.0 > 0)
         })
     })
 }
@@ -165,7 +167,7 @@
         let mut count = 0;
         for run in recorded.runs.iter().filter(|run| run.machine == machine) {
             for task in run.tasks.iter() {
-                moved.release(machine, run.attempt, task, Outcome::Lost);
+                moved.release(machine, run.attempt, task, TaskOutcome::Lost);
                 count += 1;
             }
         }
@@ -211,7 +213,7 @@
         for run in job.runs.iter_mut().filter(|run| run.machine == *id) {
             run.stop = true;
         }
-        job.cleared = true;
+        job.has_preempted = true;
         guards.push(guard(job_key(job_id), replica.job_version(job_id)));
         writes.push(replica.put_job(job_id, &job));
     }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::{
     self, AcceleratorProtection, FirstSeenTimes, PlacementHints, Plan, WaitReason,
 };
-use crate::state::records::{DOUBT, Job, ProvisioningRequest, Spec};
+use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, ProvisioningRequest, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{Kind, MachineType};
 
@@ -86,7 +86,7 @@
 
 /// Whether a job may need more than has been planned for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ReconcileStep {
     Again,
     Done,
 }
@@ -140,7 +140,7 @@
             if unplaced == 0 || attempt == MAX_RENTAL_SIZE {
                 return;
             }
-            if self.rent_for(&mut demand, unplaced) == Step::Done {
+            if self.rent_for(&mut demand, unplaced) == ReconcileStep::Done {
                 return;
             }
         }
@@ -150,7 +150,7 @@
     fn demand_of(&self, id: &'a str) -> Option<JobDemand<'a>> {
         let job = self.replica.jobs.get(id).map(|entry| &entry.value)?;
         let spec = job.spec.as_ref()?;
-        if job.is_doubtful() && !may_rent_for_doubtful(self.replica, job, spec) {
+        if job.is_suspected_faulty() && !may_rent_for_doubtful(self.replica, job, spec) {
             return None;
         }
         let seen = self.first_seen.get(id);
@@ -219,9 +219,9 @@
     }
 
     /// Plans one more machine for the job's tasks that have no place.
-    fn rent_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> Step {
+    fn rent_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> ReconcileStep {
         let Some(wanted) = self.wanted_slots(demand, unplaced) else {
-            return Step::Done;
+            return ReconcileStep::Done;
         };
         let bounds = OfferBounds {
             care: demand.care,
@@ -231,21 +231,21 @@
         let Some((kind, offer)) = self.best_offer(demand.spec, wanted, &bounds) else {
             if demand.care != AcceleratorProtection::Lax {
                 demand.care = AcceleratorProtection::Lax;
-                return Step::Again;
+                return ReconcileStep::Again;
             }
             // What does not wait for room yet is not told so.
             if self.replica.awaited(demand.id).is_empty() {
                 crate::scheduler::note(self.controller, demand.id, WaitReason::Refused, self.now);
             }
-            return Step::Done;
+            return ReconcileStep::Done;
         };
         demand.last_zone = Some(offer.zone.clone());
         self.rent(kind, offer);
         // The rest of an array's tasks follow one another in that room.
         let holds_all = kind.resources().slots(&demand.spec.need) >= wanted;
         match demand.spec.kind == Kind::Array && holds_all {
-            true => Step::Done,
-            false => Step::Again,
+            true => ReconcileStep::Done,
+            false => ReconcileStep::Again,
         }
     }
 
@@ -374,7 +374,7 @@
         spec.allows(&class.kind, &class.zone, class.spot)
             && room.is_some_and(|room| room.fits(&spec.need))
     };
-    let max_errors = DOUBT as u32 * 2;
+    let max_errors = FAULTY_JOB_THRESHOLD as u32 * 2;
     let mut plan_slots = replica.plan_slots();
     job.booked() == 0
         && job.errors <= max_errors
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -14,7 +14,7 @@
     };
     let has_gpu_jobs = replica.open.iter().any(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
-        let job = job.filter(|job| !job.is_doubtful());
+        let job = job.filter(|job| !job.is_suspected_faulty());
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.need.gpus.0 > 0)
     });
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -49,7 +49,7 @@
     let ttl = controller.settings.worker_lease() / 2;
     let held = controller.fleet.borrow().lease;
     let Some(lease) = held else {
-        let lease = controller.store.hold(ttl).await?;
+        let lease = controller.store.acquire_lease(ttl).await?;
         let mut fleet = controller.fleet.borrow_mut();
         fleet.lease = Some(lease);
         fleet.lease_extended_at = Some(Instant::now());
@@ -71,7 +71,7 @@
     if extended_at.is_some_and(|extended| extended.elapsed() <= ttl / 4) {
         return Ok(true);
     }
-    match controller.store.extend(lease).await {
+    match controller.store.renew_lease(lease).await {
         Ok(()) => {
             controller.fleet.borrow_mut().lease_extended_at = Some(Instant::now());
             Ok(true)
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -73,7 +73,10 @@
     if decide(controller).is_empty() {
         return;
     }
-    controller.store.ready(RequestClass::Lifecycle, 1).await;
+    controller
+        .store
+        .wait_for_budget(RequestClass::Lifecycle, 1)
+        .await;
     if !controller.is_state_service_reachable() {
         return;
     }
--- a/src/cloud/state.rs
+++ b/src/cloud/state.rs
@@ -9,7 +9,7 @@
 use super::boots::{Backoff, BootHistory};
 use super::offers::Offer;
 use crate::controller::shifted_past_pause;
-use crate::state::budget::Bucket;
+use crate::state::budget::TokenBucket;
 use crate::wire::WorkerStatus;
 
 /// A worker that has not taken up its token for longer than this times its
@@ -82,7 +82,7 @@
     /// The cloud is not called until then.
     pub(super) cloud_pause: Option<Instant>,
     /// The limit on calls to the cloud.
-    pub(super) cloud_calls: Option<Bucket>,
+    pub(super) cloud_calls: Option<TokenBucket>,
     /// Rentals whose call is under way.
     pub(super) calling: HashSet<String>,
 }
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -21,7 +21,7 @@
 use crate::workers::preferred_owner_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
-type Step = (Vec<Guard>, Vec<Write>);
+type ReconcileStep = (Vec<Guard>, Vec<Write>);
 
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
@@ -45,7 +45,7 @@
         let Some((class, _)) = step(&controller, &left) else {
             continue;
         };
-        controller.store.ready(class, 2).await;
+        controller.store.wait_for_budget(class, 2).await;
         // Decided on what is known once the budget is there.
         let Some((class, (guards, writes))) = step(&controller, &left) else {
             continue;
@@ -71,7 +71,10 @@
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
 /// places in more of them than a commit writes. The rest comes last.
-fn step(controller: &Controller, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
+fn step(
+    controller: &Controller,
+    left: &HashMap<String, Instant>,
+) -> Option<(RequestClass, ReconcileStep)> {
     let replica = controller.replica.borrow();
     let tended = |id: &str| {
         let shard = id.split_once('/').map_or("", |p| p.1);
@@ -96,8 +99,8 @@
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
     most: usize,
-) -> Option<Step> {
-    let mut step = Step::default();
+) -> Option<ReconcileStep> {
+    let mut step = ReconcileStep::default();
     let ids = replica
         .machine_shards
         .keys()
@@ -123,7 +126,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let (id, entry) = replica.zone_shards.iter().find(|(id, entry)| {
         tended(id)
             && replica.is_compact_zone_shard(id)
@@ -158,7 +161,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let mut homes: BTreeMap<&str, Vec<(u32, &String, &ZoneShard)>> = BTreeMap::new();
     for (id, entry) in &replica.zone_shards {
         let Some((home, number)) = id.rsplit_once('.') else {
@@ -214,7 +217,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let peers = controller.peers.borrow();
     let alive = peers.alive(controller, Instant::now());
     let is_preferred = |id: &str| {
@@ -267,7 +270,7 @@
 
 /// A job's record as it is to be, if that is within the coming limit: one that
 /// cannot be is left to become shorter as its tasks end.
-fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<Step> {
+fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<ReconcileStep> {
     let write = replica.put_job(id, &replica.jobs.get(id)?.value);
     let Write::Put { value, .. } = &write else {
         return None;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -119,7 +119,7 @@
 
     /// The span in which this controller may make one request of its share.
     pub fn request_gap(&self) -> Duration {
-        let rps = self.settings.rps(self.store.is_lowered());
+        let rps = self.settings.rps(self.store.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
--- a/src/controller/replica_loop.rs
+++ b/src/controller/replica_loop.rs
@@ -53,7 +53,7 @@
         let mut revision = u64::MAX;
         let mut newest = 0;
         loop {
-            let page = self.store.page(PREFIX, &after).await?;
+            let page = self.store.read_page(PREFIX, &after).await?;
             revision = revision.min(page.revision);
             newest = newest.max(page.revision);
             if let Some(last) = page.items.last() {
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -225,7 +225,7 @@
         sleep(interval(&controller)).await;
         // The lower rate comes into force without notice: it is kept to once
         // refusals show it, and the present one is tried again later.
-        let lowered = controller.store.is_lowered() && controller.replica.borrow().upgraded();
+        let lowered = controller.store.is_rate_reduced() && controller.replica.borrow().upgraded();
         let total = controller.settings.write_rps(lowered) * USED_RATE;
         let mut others = controller
             .peers
@@ -244,11 +244,12 @@
                 }
             }
         }
-        let share = crate::state::budget::write_share(total, controller.store.demand(), &others);
+        let share =
+            crate::state::budget::write_rate_allocation(total, controller.store.demand(), &others);
         let count = controller.settings.deployment.count as f64;
         let requests = controller.settings.rps(lowered) / count * USED_RATE;
-        controller.store.set_requests(requests);
-        controller.store.set_share(share);
+        controller.store.set_request_rate(requests);
+        controller.store.set_write_rate(share);
     }
 }
 
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -108,7 +108,10 @@
         let job = self.job;
         let found = self.find_without(&job.failed_on);
         match found {
-            Err(_) if !job.failed_on.is_empty() && (self.hints.lenient || job.is_doubtful()) => {
+            Err(_)
+                if !job.failed_on.is_empty()
+                    && (self.hints.lenient || job.is_suspected_faulty()) =>
+            {
                 self.find_without(&[])
             }
             found => found,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -92,7 +92,7 @@
             for victim in &found.victims {
                 self.stop(victim, id);
             }
-            self.transaction.change(id, |job| job.cleared = true);
+            self.transaction.change(id, |job| job.has_preempted = true);
             self.take_places(job, spec, found.care);
         }
     }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -60,8 +60,8 @@
             let facts = facts(job, spec, plan, settings, replica, age, &queue_rank);
             let starves = starves(job, spec, settings, age);
             let rank = Rank {
-                doubtful: job.is_doubtful(),
-                waits_for_room: !job.cleared,
+                doubtful: job.is_suspected_faulty(),
+                waits_for_room: !job.has_preempted,
                 patient: !starves,
                 keys: match starves {
                     true => Vec::new(),
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -242,13 +242,13 @@
                 // One task shows whether the job still fails; of a gang it takes
                 // all, and a service whose first replica has run for a while is
                 // in order.
-                if job.is_doubtful() && !spec.is_gang() && job.booked() == 0 {
+                if job.is_suspected_faulty() && !spec.is_gang() && job.booked() == 0 {
                     places.truncate(1);
                 }
                 Decision::Place(spec, places)
             }
             // It preempts nobody and has nothing reserved for it.
-            Err(_) if job.is_doubtful() => Decision::WaitReason(Waiting {
+            Err(_) if job.is_suspected_faulty() => Decision::WaitReason(Waiting {
                 spec,
                 why: WaitReason::Fails,
                 starving: false,
@@ -366,7 +366,7 @@
                 .wait_states
                 .borrow_mut()
                 .remove(*id);
-        } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
+        } else if booked == places.len() && job.is_some_and(|job| !job.is_suspected_faulty()) {
             self.blocked.push((*id).to_string());
             note(self.controller, id, WaitReason::NoRoom, self.now);
         }
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -116,7 +116,7 @@
         job: &Job,
         now: Instant,
     ) -> Option<WaitReason> {
-        let why = match job.is_doubtful() {
+        let why = match job.is_suspected_faulty() {
             true => WaitReason::Fails,
             false => WaitReason::BackOff,
         };
@@ -125,7 +125,7 @@
         }
         let is_service = job.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
         let proven = is_service && self.unchanged_for(id, now) > controller.settings.worker_lease();
-        (job.is_doubtful() && job.booked() > 0 && !proven).then_some(why)
+        (job.is_suspected_faulty() && job.booked() > 0 && !proven).then_some(why)
     }
 
     /// How many records the next commit may write.
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -63,7 +63,10 @@
         sleep(gap).await;
         // The budget comes first, so that decisions are not stale when sent.
         let wanted = (state.records_written / 2).max(1);
-        controller.store.ready(RequestClass::Round, wanted).await;
+        controller
+            .store
+            .wait_for_budget(RequestClass::Round, wanted)
+            .await;
         let deciding = Instant::now();
         let Some(batch) = decide(controller, state) else {
             return;
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -9,7 +9,7 @@
 use shares::ControllerName;
 
 use super::plan::Place;
-use crate::accounting::{BookingAccounts, BookingRequest, CommitParts, Space};
+use crate::accounting::{BookingAccounts, BookingRequest, CommitCapacity, CommitParts};
 use crate::state::commit::{guard, put};
 use crate::state::keys::{job_key, machine_shard_key, shard_id, team_key, zone_shard_key};
 use crate::state::records::{Job, MachineLifecycle, Resources, Spec, Team, ZoneShard};
@@ -218,7 +218,7 @@
             + usize::from(self.is_new_account(id, &spec.team));
         let max_writes = self.most;
         let alone = self.space();
-        let beside = Space {
+        let beside = CommitCapacity {
             writes: alone.writes.saturating_sub(new_records),
             guards: alone.guards.saturating_sub(new_records),
         };
@@ -238,10 +238,10 @@
     }
 
     /// What the transaction can still take.
-    fn space(&self) -> Space {
+    fn space(&self) -> CommitCapacity {
         let reads = self.accounts.as_ref().map_or(0, BookingAccounts::reads);
         let guards = self.len() + self.machine_shards.len() + reads;
-        Space {
+        CommitCapacity {
             writes: self.most.saturating_sub(self.len()),
             guards: (self.most * GUARDS_PER_WRITE).saturating_sub(guards),
         }
@@ -508,10 +508,10 @@
 /// Tasks that were never started share the first attempt, so that those on one
 /// machine share one run in the job's record; those that were get a new one.
 pub fn book(job: &mut Job, spec: &Spec, places: &[&Place]) {
-    job.cleared = false;
+    job.has_preempted = false;
     // More replicas follow what has failed only once others run well.
-    if spec.kind == Kind::Service && job.is_doubtful() && job.booked() > 0 {
-        job.note_success();
+    if spec.kind == Kind::Service && job.is_suspected_faulty() && job.booked() > 0 {
+        job.record_success();
     }
     let retry_attempt = job.attempt.max(1) + 1;
     if spec.is_gang() {
@@ -526,7 +526,7 @@
             job.attempt = retry_attempt;
             (Some(task), retry_attempt)
         } else {
-            (job.take_fresh(), 1)
+            (job.take_unstarted_task(), 1)
         };
         if let Some(task) = task {
             job.book(&place.machine, &place.zone, attempt, task);
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -309,7 +309,7 @@
 }
 
 /// What one more stopped task has brought.
-enum Step {
+enum ReconcileStep {
     /// Not enough yet.
     Continue,
     /// All wanted places.
@@ -340,9 +340,9 @@
     fn run(mut self, candidates: Vec<Candidate>) -> Option<Victims> {
         for candidate in &candidates {
             match self.stop_run(candidate) {
-                Step::Continue => {}
-                Step::GiveUp => break,
-                Step::Complete(victims) => {
+                ReconcileStep::Continue => {}
+                ReconcileStep::GiveUp => break,
+                ReconcileStep::Complete(victims) => {
                     return Some(Victims {
                         victims,
                         complete: true,
@@ -357,24 +357,24 @@
     }
 
     /// Stops the tasks of one run: a gang's all at once, others one by one.
-    fn stop_run(&mut self, candidate: &Candidate) -> Step {
+    fn stop_run(&mut self, candidate: &Candidate) -> ReconcileStep {
         let mut left = candidate.run.tasks.len();
         while left > 0 {
             // Borrowed work counts as borrowed only down to the guarantee.
             let (victim, terms) = (candidate.spec, candidate.terms);
             let priority = candidate.order.priority;
             if !self.preemptor.may_stop(victim, priority, terms, &self.plan) {
-                return Step::Continue;
+                return ReconcileStep::Continue;
             }
             let tasks = if victim.is_gang() { left } else { 1 };
             left -= tasks;
             self.stop_tasks(candidate, tasks);
             match self.try_to_fit(candidate.spot) {
-                Step::Continue => {}
+                ReconcileStep::Continue => {}
                 done => return done,
             }
         }
-        Step::Continue
+        ReconcileStep::Continue
     }
 
     /// Counts tasks of a run as stopped.
@@ -396,32 +396,32 @@
     }
 
     /// Tries whether the job fits, now that tasks on this machine are stopped.
-    fn try_to_fit(&mut self, spot: usize) -> Step {
+    fn try_to_fit(&mut self, spot: usize) -> ReconcileStep {
         let Preemptor {
             job, spec, care, ..
         } = self.preemptor;
         // Only a machine that now holds a task can have made it fit.
         if !self.plan.plan_slots[spot].free.fits(&spec.need) {
-            return Step::Continue;
+            return ReconcileStep::Continue;
         }
         self.trials += 1;
         if self.trials > MAX_TRIALS {
-            return Step::GiveUp;
+            return ReconcileStep::GiveUp;
         }
         let (hints, settings) = (self.search.hints, self.search.settings);
         let Ok(places) = fit(job, spec, &self.plan, hints, settings, *care) else {
-            return Step::Continue;
+            return ReconcileStep::Continue;
         };
         if places.len() <= self.most {
-            return Step::Continue;
+            return ReconcileStep::Continue;
         }
         self.most = places.len();
         let victims = self.victims_at(&places);
         if self.most >= self.wanted {
-            return Step::Complete(victims);
+            return ReconcileStep::Complete(victims);
         }
         self.partial = Some(victims);
-        Step::Continue
+        ReconcileStep::Continue
     }
 
     /// The victims on machines that the job will have: the others are not needed.
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -44,17 +44,17 @@
 
 /// What may be taken at a rate, with some to spare for a burst.
 #[derive(Debug, Clone, Copy)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket; `rate` is a second's, `burst` the most that it holds.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
-        Bucket {
+        TokenBucket {
             rate,
             burst,
             level: burst,
@@ -90,13 +90,13 @@
 /// How much this controller would write: what it has written of late, and more
 /// the longer it had to wait for its budget.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct Demand {
+pub(super) struct WriteDemand {
     written: f64,
     waited: f64,
     at: Option<Instant>,
 }
 
-impl Demand {
+impl WriteDemand {
     /// The span over which demand is averaged, in seconds.
     const SPAN: f64 = 4.0;
 
@@ -121,7 +121,7 @@
 /// This controller's part of what all may write together, by what each would;
 /// `others` holds what is known of the others, nothing for those not heard of.
 /// Each keeps some, to begin with, and none is given more than it could use.
-pub fn write_share(total: f64, mine: f64, others: &[Option<f64>]) -> f64 {
+pub fn write_rate_allocation(total: f64, mine: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
     let least = even / 4.0;
     let all: f64 = others.iter().map(|d| d.map_or(even, |d| d + least)).sum();
@@ -132,16 +132,16 @@
 /// The budget of requests and of written keys; pure but for the clock.
 #[derive(Debug)]
 pub struct Budget {
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
 }
 
 impl Budget {
     /// A full budget of requests and written keys a second.
     pub fn new(rps: f64, write_rps: f64, now: Instant) -> Self {
         Budget {
-            requests: Bucket::new(rps, rps, now),
-            writes: Bucket::new(write_rps, write_rps, now),
+            requests: TokenBucket::new(rps, rps, now),
+            writes: TokenBucket::new(write_rps, write_rps, now),
         }
     }
 
@@ -172,12 +172,12 @@
     }
 
     /// What a refused request was to write was not written.
-    pub fn give_back(&mut self, writes: usize) {
+    pub fn refund(&mut self, writes: usize) {
         self.writes.level = (self.writes.level + writes as f64).min(self.writes.burst);
     }
 
     /// Takes a request whether it is there or not.
-    pub fn force(&mut self, writes: usize) {
+    pub fn charge(&mut self, writes: usize) {
         self.requests.level -= 1.0;
         self.writes.level -= writes as f64;
     }
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, sleep};
 
-use super::budget::{Budget, CLASSES, Demand, RequestClass};
+use super::budget::{Budget, CLASSES, RequestClass, WriteDemand};
 use crate::http::{CallError, Client, Response};
 use crate::wire::{
     Commit, PairPage, Refused, Revision, StateLease, StateLeaseRequest, WatchAnswer, Write,
@@ -96,9 +96,9 @@
     rng: RefCell<SmallRng>,
     /// How long an answer may take before it counts as none.
     patience: Duration,
-    demand: Cell<Demand>,
+    demand: Cell<WriteDemand>,
     /// When the service last answered anything but a refusal.
-    heard: Cell<Option<Instant>>,
+    last_response: Cell<Option<Instant>>,
     /// 429 makes everything but acceptance wait until then.
     pause: Cell<Option<Instant>>,
     /// The first of the latest refusals for the rate, and how many there were.
@@ -134,7 +134,7 @@
             rng: RefCell::new(rng),
             patience,
             demand: Cell::default(),
-            heard: Cell::new(None),
+            last_response: Cell::new(None),
             pause: Cell::new(None),
             refusals: Cell::default(),
             lowered: Cell::default(),
@@ -143,8 +143,8 @@
     }
 
     /// When the service last served us.
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    pub fn last_response(&self) -> Option<Instant> {
+        self.last_response.get()
     }
 
     /// A delay around `base` that no two controllers share.
@@ -167,17 +167,17 @@
     }
 
     /// Sets this controller's share of the writes.
-    pub fn set_share(&self, write_rps: f64) {
+    pub fn set_write_rate(&self, write_rps: f64) {
         self.budget.borrow_mut().share(write_rps, Instant::now());
     }
 
     /// Sets this controller's share of the requests.
-    pub fn set_requests(&self, rps: f64) {
+    pub fn set_request_rate(&self, rps: f64) {
         self.budget.borrow_mut().requests(rps, Instant::now());
     }
 
     /// Whether refusals have shown that the lower rates are in force.
-    pub fn is_lowered(&self) -> bool {
+    pub fn is_rate_reduced(&self) -> bool {
         self.lowered.get().is_some_and(|t| t > Instant::now())
     }
 
@@ -194,7 +194,7 @@
         };
         if count >= enough {
             self.refusals.set((None, 0));
-            if !self.is_lowered() {
+            if !self.is_rate_reduced() {
                 tracing::info!("refused again and again: the lower rate is taken to be in force");
             }
             self.lowered.set(Some(now + self.patience * LOWERED));
@@ -203,13 +203,13 @@
 
     /// Waits until the budget has `writes` written keys for this class, and
     /// takes nothing: for those who decide late, on what they know by then.
-    pub async fn ready(&self, class: RequestClass, writes: usize) {
+    pub async fn wait_for_budget(&self, class: RequestClass, writes: usize) {
         self.wait_turn(class, writes, false).await;
     }
 
     async fn admit(&self, class: RequestClass, writes: usize) {
         if matches!(class, RequestClass::Round | RequestClass::Claim) {
-            self.budget.borrow_mut().force(writes);
+            self.budget.borrow_mut().charge(writes);
         } else {
             self.wait_turn(class, writes, true).await;
         }
@@ -237,7 +237,7 @@
                         Some(wait) => wait,
                         None => {
                             if take {
-                                budget.force(writes);
+                                budget.charge(writes);
                             }
                             return;
                         }
@@ -296,12 +296,12 @@
                 let pause = self.jitter(Duration::from_millis(150));
                 self.pause.set(Some(Instant::now() + pause));
                 // Not executed: what it took of the budget is there still.
-                self.budget.borrow_mut().give_back(writes);
+                self.budget.borrow_mut().refund(writes);
                 Err(StoreError::Refused(429))
             }
             s @ 500.. => Err(StoreError::Refused(s)),
             _ => {
-                self.heard.set(Some(Instant::now()));
+                self.last_response.set(Some(Instant::now()));
                 Ok(response)
             }
         }
@@ -372,7 +372,7 @@
     }
 
     /// Reads records in the order of their keys, beginning after a key.
-    pub async fn page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
+    pub async fn read_page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
         let mut path = format!("/store?prefix={prefix}&limit=500");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
@@ -410,7 +410,7 @@
     }
 
     /// Takes a state lease that ends if it is not renewed in time.
-    pub async fn hold(&self, ttl: Duration) -> Result<u64, StoreError> {
+    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let body = encode(&StateLeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         })?;
@@ -431,7 +431,7 @@
     }
 
     /// Renews a state lease.
-    pub async fn extend(&self, lease: u64) -> Result<(), StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/extend");
         let body = Some(b"{}".to_vec());
         let r = self
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -1,7 +1,7 @@
 //! Bounds of the size of a job's record, whatever its tasks come to.
 
 use crate::state::encoding;
-use crate::state::records::{FAILED_ON, Job, Spec};
+use crate::state::records::{Job, MAX_FAILED_MACHINES, Spec};
 use crate::wire::Kind;
 
 /// What the counters may come to take in a short record.
@@ -12,7 +12,7 @@
 
 /// What the machines take that a job may come to have failed on.
 pub fn failed_on_bytes(max_name_length: usize) -> usize {
-    FAILED_ON * (max_name_length + NAME_PUNCTUATION_BYTES)
+    MAX_FAILED_MACHINES * (max_name_length + NAME_PUNCTUATION_BYTES)
 }
 
 /// What a job's short record takes beside its table, runs and tasks: counters as
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -61,7 +61,7 @@
 fn trim_closed(job: &mut Job) {
     job.failed_on.clear();
     // The count of tasks that are done is what was started, less these.
-    job.next = job.next.saturating_sub(job.retry.len() as u32);
+    job.next_task = job.next_task.saturating_sub(job.retry.len() as u32);
     job.retry = Ranges::default();
     if let Some(spec) = &mut job.spec {
         spec.class.clear();
--- a/src/state/records/job.rs
+++ b/src/state/records/job.rs
@@ -65,7 +65,7 @@
     pub attempt: u64,
     /// The next task that was never started.
     #[serde(rename = "x", default)]
-    pub next: u32,
+    pub next_task: u32,
     /// Tasks that were started before and have to be started again.
     #[serde(rename = "q", default, skip_serializing_if = "Ranges::is_empty")]
     pub retry: Ranges,
@@ -80,7 +80,7 @@
     /// Work has been stopped for it: it goes first, or the room that was
     /// cleared would go to whoever looks next.
     #[serde(rename = "c", default, skip_serializing_if = "super::is_false")]
-    pub cleared: bool,
+    pub has_preempted: bool,
     /// Attempts that failed since the last success, for the back-off: however
     /// many tasks of one attempt fail, it is one.
     #[serde(rename = "e", default, skip_serializing_if = "super::is_zero")]
@@ -99,10 +99,10 @@
 
 /// A job that has failed on so many machines in a row, and has succeeded on
 /// none since, is taken to have a mistake of its own.
-pub const DOUBT: usize = 3;
+pub const FAULTY_JOB_THRESHOLD: usize = 3;
 
 /// How many of those machines its record names.
-pub const FAILED_ON: usize = DOUBT + 1;
+pub const MAX_FAILED_MACHINES: usize = FAULTY_JOB_THRESHOLD + 1;
 
 impl Job {
     /// A job that was just accepted; `accepted_revision` is the revision at that time.
@@ -113,10 +113,10 @@
             spec: Some(spec),
             accepted_revision,
             attempt: 0,
-            next: 0,
+            next_task: 0,
             retry: Ranges::default(),
             runs: Vec::new(),
-            cleared: false,
+            has_preempted: false,
             errors: 0,
             failed_attempt: 0,
             failed_on: Vec::new(),
@@ -130,24 +130,24 @@
     }
 
     /// Whether the job rather than the machines is to blame for its failures.
-    pub fn is_doubtful(&self) -> bool {
-        self.failed_on.len() >= DOUBT
+    pub fn is_suspected_faulty(&self) -> bool {
+        self.failed_on.len() >= FAULTY_JOB_THRESHOLD
     }
 
-    fn note_failure(&mut self, machine: &str, attempt: u64) {
+    fn record_failure(&mut self, machine: &str, attempt: u64) {
         if attempt > self.failed_attempt {
             self.failed_attempt = attempt;
             self.errors = self.errors.saturating_add(1).min(1000);
         }
         self.failed_on.retain(|m| m != machine);
-        if self.failed_on.len() == FAILED_ON {
+        if self.failed_on.len() == MAX_FAILED_MACHINES {
             self.failed_on.remove(0);
         }
         self.failed_on.push(machine.to_string());
     }
 
     /// It has succeeded somewhere: what failed before was the machines' fault.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.errors = 0;
         self.failed_attempt = 0;
         self.failed_on.clear();
@@ -167,7 +167,7 @@
             // A gang's next attempt waits until the old one is wholly gone.
             Some(s) if s.is_gang() && self.runs.is_empty() => s.tasks as usize,
             Some(s) if s.is_gang() => 0,
-            Some(s) => (s.tasks - self.next.min(s.tasks)) as usize + self.retry.len(),
+            Some(s) => (s.tasks - self.next_task.min(s.tasks)) as usize + self.retry.len(),
             None => 0,
         }
     }
@@ -176,7 +176,7 @@
     pub fn done_count(&self) -> u32 {
         match self.status {
             JobStatus::Done => self.tasks,
-            _ => (self.next as usize).saturating_sub(self.retry.len() + self.booked()) as u32,
+            _ => (self.next_task as usize).saturating_sub(self.retry.len() + self.booked()) as u32,
         }
     }
 
@@ -216,15 +216,21 @@
     }
 
     /// The next task that was never started.
-    pub fn take_fresh(&mut self) -> Option<u32> {
-        (self.next < self.tasks).then(|| {
-            self.next += 1;
-            self.next - 1
+    pub fn take_unstarted_task(&mut self) -> Option<u32> {
+        (self.next_task < self.tasks).then(|| {
+            self.next_task += 1;
+            self.next_task - 1
         })
     }
 
     /// Releases a booking whose task is surely gone. False when there was none.
-    pub fn release(&mut self, machine: &str, attempt: u64, task: u32, outcome: Outcome) -> bool {
+    pub fn release(
+        &mut self,
+        machine: &str,
+        attempt: u64,
+        task: u32,
+        outcome: TaskOutcome,
+    ) -> bool {
         let Some(at) = self
             .runs
             .iter()
@@ -240,25 +246,29 @@
         if self.is_open() {
             match (outcome, gang) {
                 // A gang completes together: one done task proves all.
-                (Outcome::Done, true) => self.status = JobStatus::Done,
-                (Outcome::Done, false) => self.note_success(),
+                (TaskOutcome::Done, true) => self.status = JobStatus::Done,
+                (TaskOutcome::Done, false) => self.record_success(),
                 (_, true) => {
                     // One member lost breaks the attempt: all must go.
                     for run in &mut self.runs {
                         run.stop = true;
                     }
-                    self.next = 0;
+                    self.next_task = 0;
                 }
                 (_, false) => self.retry.insert(task),
             }
-            if outcome == Outcome::Failed {
-                self.note_failure(machine, attempt);
+            if outcome == TaskOutcome::Failed {
+                self.record_failure(machine, attempt);
             }
-            if !gang && self.next == self.tasks && self.retry.is_empty() && self.runs.is_empty() {
+            if !gang
+                && self.next_task == self.tasks
+                && self.retry.is_empty()
+                && self.runs.is_empty()
+            {
                 self.status = JobStatus::Done;
             }
         }
-        self.settle();
+        self.trim_finished();
         true
     }
 
@@ -323,11 +333,11 @@
     }
 
     /// Drops what a finished job no longer needs.
-    pub fn settle(&mut self) {
+    pub fn trim_finished(&mut self) {
         if !self.is_open() && self.runs.is_empty() {
             self.spec = None;
             self.retry = Ranges::default();
-            self.note_success();
+            self.record_success();
         }
     }
 
@@ -335,7 +345,7 @@
     pub fn cancel(&mut self) {
         if self.is_open() {
             self.status = JobStatus::Cancelled;
-            self.settle();
+            self.trim_finished();
         }
     }
 }
@@ -354,7 +364,7 @@
 
 /// How a task's time on a machine came to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TaskOutcome {
     /// It is complete.
     Done,
     /// It failed by itself: counts towards the back-off.
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -12,7 +12,10 @@
 pub use controller::{
     ControllerRecord, FORMATS, FORMATS_COMPACT, FORMATS_GROUPED_SHARDS, FORMATS_SHARES, Formats,
 };
-pub use job::{AcceptedBatch, DOUBT, FAILED_ON, Job, JobStatus, Outcome, Run, Team};
+pub use job::{
+    AcceptedBatch, FAULTY_JOB_THRESHOLD, Job, JobStatus, MAX_FAILED_MACHINES, Run, TaskOutcome,
+    Team,
+};
 pub use machine::{
     Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types, ZoneShard,
     machine_entry_bytes, slot_entry_bytes,
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -166,7 +166,10 @@
         sleep(controller.request_gap() * 2).await;
         while !controller.workers.claims.borrow().is_empty() {
             // They stand in few records, however many they are.
-            controller.store.ready(RequestClass::Claim, 1).await;
+            controller
+                .store
+                .wait_for_budget(RequestClass::Claim, 1)
+                .await;
             if let Err(error) = commit_some(&controller).await {
                 tracing::debug!(%error, "claims not committed");
                 drop_claims_beyond_limits(&controller, &error);
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -52,7 +52,7 @@
         if changes.iter().any(|c| c.members) {
             class = RequestClass::Claim;
             joined = Some(Instant::now());
-            controller.store.ready(class, changes.len()).await;
+            controller.store.wait_for_budget(class, changes.len()).await;
             changes = room_changes(&controller, &published);
         }
         let now = Instant::now();
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
-use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
+use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec, TaskOutcome, split_task};
 use crate::state::replica::{Entry, Replica};
 use crate::wire::{CommandKind, ExitReason, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
 
@@ -17,7 +17,7 @@
     /// Orders for the worker, to be executed in this order.
     pub orders: Vec<WorkerCommand>,
     /// Attempts that have ended, with their outcome.
-    pub ends: Vec<(AttemptKey, Outcome)>,
+    pub ends: Vec<(AttemptKey, TaskOutcome)>,
 }
 
 impl Plan {
@@ -48,11 +48,11 @@
     }
 }
 
-fn outcome(why: Option<ExitReason>) -> Outcome {
+fn outcome(why: Option<ExitReason>) -> TaskOutcome {
     match why {
-        Some(ExitReason::Done) => Outcome::Done,
-        Some(ExitReason::Error | ExitReason::Unknown) => Outcome::Failed,
-        _ => Outcome::Lost,
+        Some(ExitReason::Done) => TaskOutcome::Done,
+        Some(ExitReason::Error | ExitReason::Unknown) => TaskOutcome::Failed,
+        _ => TaskOutcome::Lost,
     }
 }
 
@@ -241,7 +241,7 @@
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
         let lost = run.stop || self.owned_worker.unreachable_since.is_some() || (gang && launched);
         if !job.is_open() || self.lifecycle != MachineLifecycle::Active || lost {
-            plan.ends.push((key, Outcome::Lost));
+            plan.ends.push((key, TaskOutcome::Lost));
         } else if entry.version <= self.replica.revision {
             plan.order(CommandKind::Start, &task, run.attempt, None);
         }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -2,7 +2,7 @@
 //! are to be recorded.
 
 use crate::controller::Controller;
-use crate::state::records::{MachineLifecycle, Outcome};
+use crate::state::records::{MachineLifecycle, TaskOutcome};
 use crate::state::replica::Replica;
 
 /// A task's attempt on a machine whose booking is to be released.
@@ -24,14 +24,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminationEvidence {
     /// How the attempt ended.
-    pub outcome: Outcome,
+    pub outcome: TaskOutcome,
     /// The token of the claim under which that was proven.
     pub fencing_token: u64,
 }
 
 impl Controller {
     /// Queues ends for the next commit that records some.
-    pub(super) fn queue_terminations(&self, ends: Vec<(AttemptKey, Outcome)>) {
+    pub(super) fn queue_terminations(&self, ends: Vec<(AttemptKey, TaskOutcome)>) {
         if ends.is_empty() {
             return;
         }
@@ -41,7 +41,7 @@
         self.workers.terminations_notify.notify_one();
     }
 
-    fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
+    fn queue_end(&self, key: AttemptKey, outcome: TaskOutcome) {
         let mut owned_workers = self.workers.owned_workers.borrow_mut();
         let mut queue = self.workers.pending_terminations.borrow_mut();
         let owned_worker = owned_workers.get_mut(&key.machine);
@@ -55,9 +55,9 @@
         }
         if let Some(owned_worker) = owned_worker {
             match outcome {
-                Outcome::Failed => _ = owned_worker.failed_jobs.insert(key.job.clone()),
-                Outcome::Done => owned_worker.failed_jobs.clear(),
-                Outcome::Lost => {}
+                TaskOutcome::Failed => _ = owned_worker.failed_jobs.insert(key.job.clone()),
+                TaskOutcome::Done => owned_worker.failed_jobs.clear(),
+                TaskOutcome::Lost => {}
             }
         }
         tracing::debug!(
@@ -121,7 +121,7 @@
 }
 
 /// Every attempt that is booked on a machine, as lost.
-fn all_bookings(replica: &Replica, machine: &str) -> Vec<(AttemptKey, Outcome)> {
+fn all_bookings(replica: &Replica, machine: &str) -> Vec<(AttemptKey, TaskOutcome)> {
     let mut all = Vec::new();
     for (job, entry) in replica.jobs_on(machine) {
         for run in entry.value.runs.iter().filter(|r| r.machine == machine) {
@@ -131,7 +131,7 @@
                 attempt: run.attempt,
                 task,
             });
-            all.extend(keys.map(|key| (key, Outcome::Lost)));
+            all.extend(keys.map(|key| (key, TaskOutcome::Lost)));
         }
     }
     all
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -26,23 +26,23 @@
 fn jobs_come_to_their_end() {
     let mut array = Job::new(spec(Kind::Array, 2, 1.0), 1);
     for _ in 0..2 {
-        let t = array.take_fresh().expect("waiting");
+        let t = array.take_unstarted_task().expect("waiting");
         array.book("m", "a", 1, t);
     }
-    assert!(array.release("m", 1, 0, Outcome::Done));
+    assert!(array.release("m", 1, 0, TaskOutcome::Done));
     assert!(
-        !array.release("m", 1, 0, Outcome::Done),
+        !array.release("m", 1, 0, TaskOutcome::Done),
         "a repeat releases nothing"
     );
     assert!(
-        !array.release("m", 7, 1, Outcome::Done),
+        !array.release("m", 7, 1, TaskOutcome::Done),
         "another attempt is not this one"
     );
-    assert!(array.release("m", 1, 1, Outcome::Lost));
+    assert!(array.release("m", 1, 1, TaskOutcome::Lost));
     assert!(array.is_open() && array.waiting() == 1 && array.done_count() == 1);
     let t = array.retry.pop_first().expect("again");
     array.book("m", "a", 2, t);
-    assert!(array.release("m", 2, 1, Outcome::Done));
+    assert!(array.release("m", 2, 1, TaskOutcome::Done));
     assert_eq!(
         (array.status, array.spec.is_none()),
         (JobStatus::Done, true)
@@ -52,11 +52,11 @@
     gang.book("m", "a", 1, 0);
     gang.book("n", "a", 1, 1);
     let mut broken = gang.clone();
-    assert!(broken.release("m", 1, 0, Outcome::Lost));
+    assert!(broken.release("m", 1, 0, TaskOutcome::Lost));
     assert!(broken.runs.iter().all(|r| r.stop) && broken.waiting() == 0);
-    assert!(broken.release("n", 1, 1, Outcome::Lost));
+    assert!(broken.release("n", 1, 1, TaskOutcome::Lost));
     assert_eq!(broken.waiting(), 2, "whole again once all are gone");
-    assert!(gang.release("m", 1, 0, Outcome::Done));
+    assert!(gang.release("m", 1, 0, TaskOutcome::Done));
     assert_eq!(gang.status, JobStatus::Done);
     gang.cancel();
     assert_eq!(gang.status, JobStatus::Done, "final states never change");
@@ -87,10 +87,10 @@
         let places: Vec<_> = places.iter().collect();
         shelfhoist::scheduler::book(&mut job, &s, &places);
         // What fails on some machines is noted, too.
-        for run in job.runs.clone().iter().rev().take(FAILED_ON + 2) {
+        for run in job.runs.clone().iter().rev().take(MAX_FAILED_MACHINES + 2) {
             let task = run.tasks.iter().next().expect("a task");
             let mut failed = job.clone();
-            assert!(failed.release(&run.machine, run.attempt, task, Outcome::Failed));
+            assert!(failed.release(&run.machine, run.attempt, task, TaskOutcome::Failed));
             let size = serde_json::to_vec(&failed).expect("job").len();
             assert!(
                 size <= set.value_limit_bytes(),
@@ -106,9 +106,9 @@
             .collect();
         for (m, a, t) in ends.into_iter().step_by(2) {
             let outcome = if t % 4 == 0 {
-                Outcome::Lost
+                TaskOutcome::Lost
             } else {
-                Outcome::Done
+                TaskOutcome::Done
             };
             job.release(&m, a, t, outcome);
         }
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -99,7 +99,7 @@
         ..spec(Kind::Array, 3, 2.0)
     };
     let mut job = Job::new(s.clone(), 1);
-    let task = job.take_fresh().expect("one");
+    let task = job.take_unstarted_task().expect("one");
     job.book("m9", "b", 1, task);
     let places =
         scheduler::fit(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax).expect("fits");
@@ -391,7 +391,7 @@
 /// The writes that all controllers may make are shared by what each would.
 #[test]
 fn writes_are_shared_by_demand() {
-    let share = shelfhoist::state::budget::write_share;
+    let share = shelfhoist::state::budget::write_rate_allocation;
     let even = share(30.0, 5.0, &[Some(5.0); 4]);
     assert!((even - 6.0).abs() < 0.01, "{even}");
     assert!(share(30.0, 9.0, &[Some(1.0); 4]) > 12.0);
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -117,7 +117,7 @@
 pub fn held(kind: Kind, edit: impl FnOnce(&mut Job)) -> Replica {
     let mut replica = view_with_types();
     let mut job = Job::new(spec(kind, 1, 1.0), 1);
-    job.take_fresh();
+    job.take_unstarted_task();
     job.book("m", "a", 1, 0);
     edit(&mut job);
     let machine = Machine {
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -19,8 +19,8 @@
 /// anywhere; a machine is, where what failed on it succeeds elsewhere.
 #[test]
 fn failures_are_blamed_on_the_job_or_on_the_machine() {
-    use Outcome::{Done, Failed, Lost};
-    type Ends = &'static [(&'static str, u64, Outcome)];
+    use TaskOutcome::{Done, Failed, Lost};
+    type Ends = &'static [(&'static str, u64, TaskOutcome)];
     let cases: [(Ends, u32, FailureAttribution); 8] = [
         (&[("m", 1, Failed)], 1, FailureAttribution::Unknown),
         // However many tasks of an attempt fail, the back-off counts one.
@@ -68,7 +68,7 @@
     for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
         let mut job = Job::new(spec(Kind::Array, 9, 1.0), 1);
         for (machine, attempt, outcome) in ends {
-            let task = job.take_fresh().expect("waiting");
+            let task = job.take_unstarted_task().expect("waiting");
             job.book(machine, "a", *attempt, task);
             assert!(job.release(machine, *attempt, task, *outcome));
         }
@@ -215,7 +215,7 @@
     let mut owned_worker = OwnedWorker::new(5, 9, now);
     owned_worker.take(report(7, 5, done), true);
     let recorded = held(Kind::Array, |j| {
-        j.release("m", 1, 0, Outcome::Done);
+        j.release("m", 1, 0, TaskOutcome::Done);
     });
     let plan = |owned_worker: &OwnedWorker| {
         reconcile(
@@ -302,7 +302,7 @@
             attempt: 1,
             task: 0,
         };
-        let outcome = Outcome::Lost;
+        let outcome = TaskOutcome::Lost;
         let proof = TerminationEvidence {
             outcome,
             fencing_token: *fencing_token,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -97,14 +97,14 @@
 fn running_job() -> Job {
     Job {
         attempt: 300,
-        next: 40,
+        next_task: 40,
         retry: Ranges(vec![(0, 4), (7, 7)]),
         runs: vec![
             run("host-000231", 1, &[(10, 19), (21, 22)], false),
             run("host-000231", 300, &[(30, 30)], true),
             run("gpu-box", 2, &[(31, 33)], false),
         ],
-        cleared: true,
+        has_preempted: true,
         errors: 2,
         failed_attempt: 290,
         failed_on: names(&["host-000007", "host-000008"]),
@@ -118,7 +118,7 @@
         status: JobStatus::Cancelled,
         runs: vec![run("host-000231", 1, &[(0, 3)], true)],
         attempt: 1,
-        next: 4,
+        next_task: 4,
         ..Job::new(bare_spec(Kind::Service, Priority::Production), 77)
     }
 }
@@ -128,7 +128,7 @@
         status,
         spec: None,
         attempt: 3,
-        next: 40,
+        next_task: 40,
         ..dependent_job()
     }
 }
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -20,8 +20,8 @@
         for machines in [0, 1, 3, 40] {
             let mut job = Job::new(spec(Kind::Array, tasks), u64::MAX);
             job.attempt = rng.random();
-            job.next = rng.random_range(0..=tasks);
-            job.cleared = rng.random();
+            job.next_task = rng.random_range(0..=tasks);
+            job.has_preempted = rng.random();
             let mut left: BTreeSet<u32> = (0..400).map(|_| rng.random_range(0..tasks)).collect();
             left.insert(tasks - 1);
             for n in left.iter().filter(|n| *n % 3 == 0) {
@@ -230,9 +230,9 @@
                 .collect();
             for (machine, attempt, task) in all {
                 let outcome = match rng.random_range(0..6) {
-                    0 => Outcome::Done,
-                    1 => Outcome::Lost,
-                    2 if round % 5 == 0 => Outcome::Failed,
+                    0 => TaskOutcome::Done,
+                    1 => TaskOutcome::Lost,
+                    2 if round % 5 == 0 => TaskOutcome::Failed,
                     _ => continue,
                 };
                 job.release(&machine, attempt, task, outcome);
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -72,7 +72,7 @@
     };
     Job {
         attempt: 1,
-        next: 20,
+        next_task: 20,
         retry: Ranges(vec![(10, 12)]),
         runs: (0..4).map(run).collect(),
         failed_on: vec!["host-000090".into()],
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -137,9 +137,9 @@
             sleep(Duration::from_secs(2)).await;
             // It counts as one that would write, though it has not of late.
             assert!(store.demand() > 0.5, "{}", store.demand());
-            store.set_share(100.0);
+            store.set_write_rate(100.0);
         };
-        tokio::join!(store.ready(RequestClass::Round, 8), grow);
+        tokio::join!(store.wait_for_budget(RequestClass::Round, 8), grow);
         let took = began.elapsed();
         assert!(took < Duration::from_secs(4), "{took:?}");
         assert!(took > Duration::from_secs(2), "{took:?}");
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -290,7 +290,7 @@
                 self.report(Violation::WrongMove, what);
             }
             for record in of_team {
-                let gain = |name: &str| new.wanted_for(name) - old.wanted_for(name);
+                let gain = |name: &str| new.target_for(name) - old.target_for(name);
                 let loss = Resources::default() - record.amount;
                 if gain(record.from.as_str()) != loss || gain(record.to.as_str()) != record.amount {
                     let what = format!("{team} at {at}: {record:?} made {old:?} into {new:?}");
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -78,13 +78,13 @@
             return;
         };
         let count = self.w.shape.controllers;
-        let has = |i: &usize| share.wanted_for(&format!("n{i}")).cpus.units() >= 1.0;
+        let has = |i: &usize| share.target_for(&format!("n{i}")).cpus.units() >= 1.0;
         let givers: Vec<usize> = (0..count).filter(has).collect();
         let Some(from) = givers.choose(&mut *self.rng.borrow_mut()).copied() else {
             return;
         };
         let to = (from + 1 + self.pick(count - 1)) % count;
-        let most = share.wanted_for(&format!("n{from}")).cpus.units().min(12.0);
+        let most = share.target_for(&format!("n{from}")).cpus.units().min(12.0);
         let cpus = 1 + self.pick(most as usize);
         let number = *self.asked.borrow() + 1;
         *self.asked.borrow_mut() = number;
