--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -17,11 +17,11 @@
 
 impl Amount {
     /// What a task needs: rounded up.
-    pub fn need(x: f64) -> Self {
+    pub fn rounded_up(x: f64) -> Self {
         Amount((x * 1000.0 - 1e-6).ceil().max(0.0) as i64)
     }
     /// What a machine or a limit gives: rounded down.
-    pub fn room(x: f64) -> Self {
+    pub fn rounded_down(x: f64) -> Self {
         Amount((x * 1000.0 + 1e-6).floor().max(0.0) as i64)
     }
     /// The amount in whole units, as people write it.
--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -40,9 +40,9 @@
             .iter()
             .all(|figure| (0.0..=MAX_FIGURE).contains(figure));
         valid.then(|| Resources {
-            cpus: Amount::room(self.cpus),
-            gpus: Amount::room(self.gpus),
-            ram: Amount::room(self.memory_gb),
+            cpus: Amount::rounded_down(self.cpus),
+            gpus: Amount::rounded_down(self.gpus),
+            ram: Amount::rounded_down(self.memory_gb),
         })
     }
 }
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -141,7 +141,7 @@
 
 /// Whether every controller that is up has the feature on, this one included.
 fn is_wanted(replica: &Replica, settings: &Settings) -> bool {
-    let mut nodes = replica.nodes.values();
+    let mut nodes = replica.controllers.values();
     settings.features.shares.enabled && nodes.all(|entry| entry.value.formats >= FORMATS_SHARES)
 }
 
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -132,7 +132,7 @@
         .dependencies
         .as_ref()
         .is_some_and(|a| !a.is_empty());
-    if dependencies && !replica.upgraded() {
+    if dependencies && !replica.all_read_compact_encodings() {
         let problem = "not every controller knows awaits yet";
         return Some(Response::unavailable(problem, RETRY_SOON));
     }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -210,7 +210,7 @@
 /// it awaits leaves its record before any of its tasks comes in.
 fn check_record_size(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<(), Refusal> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
-    let dependencies = spec.awaits_bytes();
+    let dependencies = spec.dependencies_bytes();
     let most = settings.value_limit_bytes();
     let is_too_long = if settings.limits_will_fall() {
         // Where records are to be small: what could not be written, or never run
@@ -231,7 +231,7 @@
 fn least_running_record(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
     let machine = max_name_length(replica.machines.keys());
     let zone = max_name_length(settings.deployment.zones.iter());
-    scheduler::least_record(spec, machine, zone)
+    scheduler::min_record_bytes(spec, machine, zone)
 }
 
 fn max_name_length<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -82,7 +82,7 @@
 
 /// Whether tasks that need accelerators wait for room.
 fn gpu_work_waits(replica: &Replica) -> bool {
-    replica.open.iter().any(|(_, id)| {
+    replica.open_jobs.iter().any(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         job.is_some_and(|job| {
             let spec = job.spec.as_ref();
@@ -120,7 +120,7 @@
     /// The machine if it has accelerators, runs services alone, and these have
     /// room elsewhere.
     fn candidate(&self, id: &'a String, machine: &Machine) -> Option<Candidate<'a>> {
-        let kind = self.replica.type_of(&machine.kind)?;
+        let kind = self.replica.machine_type(&machine.kind)?;
         if machine.lifecycle != MachineLifecycle::Active || kind.gpus <= 0.0 {
             return None;
         }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -331,7 +331,7 @@
 fn add_coming_room(plan: &mut Plan, controller: &Controller, replica: &Replica) {
     let boots = &controller.fleet.borrow().boots;
     let mut add = |kind: &str, zone: &str, spot: bool| {
-        if let Some(kind) = replica.type_of(kind) {
+        if let Some(kind) = replica.machine_type(kind) {
             add_room(plan, replica, kind, zone, spot);
         }
     };
@@ -353,7 +353,7 @@
 /// of their tasks run, and by their owners' estimates are over before a machine
 /// that is rented now is up. For others that wait nothing is rented yet.
 fn about_to_start(replica: &Replica) -> Vec<(&str, &[String])> {
-    let boot_s = replica.least_boot_s();
+    let boot_s = replica.min_boot_s();
     let ends_soon = |id: &String| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
@@ -396,7 +396,7 @@
 /// CPUs of all independent tasks that run.
 fn running_array_cpus(replica: &Replica) -> f64 {
     let mut cpus = 0.0;
-    for (_, id) in &replica.open {
+    for (_, id) in &replica.open_jobs {
         if let Some(job) = replica.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
             && spec.kind == Kind::Array
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -12,7 +12,7 @@
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
-    let has_gpu_jobs = replica.open.iter().any(|(_, id)| {
+    let has_gpu_jobs = replica.open_jobs.iter().any(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         let job = job.filter(|job| !job.is_suspected_faulty());
         let spec = job.and_then(|job| job.spec.as_ref());
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -40,7 +40,7 @@
         if matches!(
             machine.lifecycle,
             MachineLifecycle::Active | MachineLifecycle::Draining
-        ) && let Some(kind) = replica.type_of(&machine.kind)
+        ) && let Some(kind) = replica.machine_type(&machine.kind)
         {
             removals.extend(review.removal_of(&mut fleet, id, machine, kind));
         }
@@ -116,7 +116,7 @@
     /// A worker whose controller is gone reports to another one soon, and is
     /// claimed by it; if not, it is gone, too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
-        let owner = self.replica.nodes.get(&machine.owner);
+        let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
             fleet.first_seen.remove(id);
             return false;
@@ -208,7 +208,7 @@
     fleet.boots.observe(booting(replica), is_up, now);
     let mut removals = Vec::new();
     for machine in booting(replica) {
-        let Some(kind) = replica.type_of(machine.kind) else {
+        let Some(kind) = replica.machine_type(machine.kind) else {
             continue;
         };
         let (id, zone) = (machine.id, machine.zone);
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -129,7 +129,7 @@
             lease: Some(lease),
         });
     };
-    match replica.nodes.get(controller.name()) {
+    match replica.controllers.get(controller.name()) {
         Some(entry) if entry.value == me => {}
         other => {
             let key = node_key(controller.name());
@@ -149,12 +149,12 @@
     // It stands with no lease: what it says is for good.
     let known = &replica.formats;
     let seen = replica
-        .nodes
+        .controllers
         .iter()
         .map(|(name, entry)| (name.as_str(), entry.value.formats));
     let next = known.value.with(seen, &controller.settings.controllers());
     let unreadable = replica.is_unreadable(FORMATS_KEY);
-    if replica.nodes.contains_key(controller.name()) && (next != known.value || unreadable) {
+    if replica.controllers.contains_key(controller.name()) && (next != known.value || unreadable) {
         let version = known.version.max(replica.absent_version(FORMATS_KEY));
         guards.push(guard(FORMATS_KEY.to_string(), version));
         writes.push(put(FORMATS_KEY.to_string(), &next));
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -91,14 +91,16 @@
         let summary = kinds.entry(name).or_default();
         summary.number += 1;
         summary.booked_cpus += replica.booked_on(id).cpus.units();
-        summary.cpus += replica.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
+        summary.cpus += replica
+            .machine_type(&machine.kind)
+            .map_or(0.0, |kind| kind.cpus);
     }
     kinds
 }
 
 fn tasks_by_class(replica: &Replica) -> BTreeMap<&str, TaskSummary> {
     let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
-    for (_, id) in &replica.open {
+    for (_, id) in &replica.open_jobs {
         if let Some(job) = replica.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
         {
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -66,7 +66,8 @@
 /// Whether this controller looks after a home: its own; the fleet_leader after those
 /// whose controller is not up.
 fn tends(controller: &Controller, replica: &Replica, home: &str) -> bool {
-    home == controller.name() || (controller.is_fleet_leader() && !replica.nodes.contains_key(home))
+    home == controller.name()
+        || (controller.is_fleet_leader() && !replica.controllers.contains_key(home))
 }
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
@@ -225,7 +226,11 @@
         preferred == Some(controller.name())
     };
     let mut found: Vec<(u64, &str, &str)> = Vec::new();
-    for key in replica.oversized.keys().filter(|k| !left.contains_key(*k)) {
+    for key in replica
+        .oversized_records
+        .keys()
+        .filter(|k| !left.contains_key(*k))
+    {
         let Some((table, id)) = key.strip_prefix(PREFIX).and_then(|k| k.split_once('/')) else {
             continue;
         };
@@ -240,7 +245,7 @@
     let long = replica.long_jobs.iter().filter(|id| {
         // Those that are too long as they stand are among the others already.
         let key = job_key(id);
-        !left.contains_key(&key) && !replica.oversized.contains_key(&key)
+        !left.contains_key(&key) && !replica.oversized_records.contains_key(&key)
     });
     for id in long.filter(|id| is_preferred(id)) {
         let job = replica.jobs.get(id).map(|e| &e.value);
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -223,7 +223,8 @@
 
     /// Takes back what followed from an open job's record.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
-        self.open.remove(&(old.accepted_revision, id.to_string()));
+        self.open_jobs
+            .remove(&(old.accepted_revision, id.to_string()));
         self.dependency_graph.cancelled_by_dependency.remove(id);
         self.remove_from_blocked(id);
     }
@@ -270,7 +271,8 @@
         if let Some(spec) = job.spec.as_ref().filter(|s| s.need.gpus.0 > 0) {
             self.gpu_spec = Some(spec.clone());
         }
-        self.open.insert((job.accepted_revision, id.to_string()));
+        self.open_jobs
+            .insert((job.accepted_revision, id.to_string()));
     }
 
     /// A job is done: those that awaited nothing else are ready.
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -225,7 +225,8 @@
         sleep(interval(&controller)).await;
         // The lower rate comes into force without notice: it is kept to once
         // refusals show it, and the present one is tried again later.
-        let lowered = controller.store.is_rate_reduced() && controller.replica.borrow().upgraded();
+        let lowered = controller.store.is_rate_reduced()
+            && controller.replica.borrow().all_read_compact_encodings();
         let total = controller.settings.write_rps(lowered) * USED_RATE;
         let mut others = controller
             .peers
@@ -239,7 +240,7 @@
         {
             let replica = controller.replica.borrow();
             for (peer, demand) in controller.settings.others.iter().zip(&mut others) {
-                if demand.is_none() && !replica.nodes.contains_key(&peer.name) {
+                if demand.is_none() && !replica.controllers.contains_key(&peer.name) {
                     *demand = Some(0.0);
                 }
             }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -141,7 +141,7 @@
     /// Jobs that are not over. A service that lacks no replica is not
     /// unfinished work.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
-        let ready = self.replica.open.iter().map(|(_, id)| id.as_str());
+        let ready = self.replica.open_jobs.iter().map(|(_, id)| id.as_str());
         let blocked = self.replica.blocked().map(|(id, _)| id);
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -95,10 +95,10 @@
             .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
         ClassFit {
             allowed: spec.allows(&class.kind, &class.zone, class.spot),
-            gpus: Amount::room(gpus),
+            gpus: Amount::rounded_down(gpus),
             contended: gpus > 0.0 && spec.need.gpus.0 == 0 && usual_work_allowed,
             costly: i64::from(spec.spot && !class.spot),
-            zone: class.zone_at,
+            zone: class.zone_number,
         }
     }
 }
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -237,7 +237,7 @@
     /// a job of one zone to theirs.
     fn zone_caps(&self) -> Vec<usize> {
         let spec = self.spec;
-        let running = self.job.per_zone();
+        let running = self.job.tasks_per_zone();
         let zones = &self.hints.replica.zone_names;
         (0..zones.len() as u32)
             .map(|zone| {
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -82,7 +82,7 @@
             Kind::Service => 2.0,
         },
         has_deadline: queue_rank.left_s.is_some(),
-        boot_s: replica.least_boot_s(),
+        boot_s: replica.min_boot_s(),
         aimed: has_slo(spec, settings),
     }
 }
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -40,7 +40,7 @@
     /// slots stand in few zone shards by themselves, so that the machine shard alone counts.
     pub(super) fn member(&self, name: &str, kind: &str) -> usize {
         match self.short {
-            true => encoding::member_bytes(name, kind, self.max_name_length),
+            true => encoding::added_machine_bytes(name, kind, self.max_name_length),
             false => slot_entry_bytes(name, kind).max(machine_entry_bytes(
                 name,
                 kind,
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -71,7 +71,7 @@
     /// About what a machine takes in the text that its machine shard will have.
     fn member_bytes(&self) -> usize {
         match self.replica.uses_compact_encoding() {
-            true => encoding::MEMBER,
+            true => encoding::MACHINE_ENTRY_BYTES,
             false => MEMBER_BYTES,
         }
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -38,7 +38,7 @@
 mod wait_states;
 
 pub use crate::hash::preferred;
-pub use crate::state::record_bound::least_record;
+pub use crate::state::record_bound::min_record_bytes;
 pub use candidates::{AcceleratorProtection, PlacementHints};
 pub use fit::{count, fit, reserve_capacity};
 pub use job_facts::{facts, has_slo, is_late, is_opportunistic, within_guarantee};
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -48,7 +48,7 @@
     let mut first_seen = controller.placement.first_seen.borrow_mut();
     first_seen.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
     let mut own = Vec::new();
-    for (_, id) in &replica.open {
+    for (_, id) in &replica.open_jobs {
         let Some(entry) = replica.jobs.get(id) else {
             continue;
         };
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -50,7 +50,7 @@
     now: Instant,
 ) -> Vec<&'a str> {
     let mut queue: Vec<(Rank, &str)> = replica
-        .open
+        .open_jobs
         .iter()
         .filter_map(|(accepted_revision, id)| {
             let job = &replica.jobs.get(id)?.value;
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -58,7 +58,7 @@
 /// out with its first booking. One that cannot be written fills the record.
 fn spec_bytes(job: &Job, value_limit_bytes: usize) -> usize {
     let all = serde_json::to_vec(&job.spec).map_or(value_limit_bytes, |text| text.len());
-    let dependencies = job.spec.as_ref().map_or(0, Spec::awaits_bytes);
+    let dependencies = job.spec.as_ref().map_or(0, Spec::dependencies_bytes);
     all - dependencies.min(all)
 }
 
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -210,7 +210,7 @@
 /// The plan with the resources of tasks that are being stopped counted as free.
 fn with_stopping_tasks(replica: &Replica, plan: &Plan) -> Plan {
     let mut expected = plan.clone();
-    for (_, id) in &replica.open {
+    for (_, id) in &replica.open_jobs {
         let Some(job) = replica.jobs.get(id).map(|e| &e.value) else {
             continue;
         };
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -271,7 +271,7 @@
             let mut shard = known.unwrap_or_default();
             for (machine, slot) in &mut shard.machines {
                 let room = replica
-                    .type_of(&slot.kind)
+                    .machine_type(&slot.kind)
                     .map_or(Resources::default(), MachineType::resources);
                 let ended = released.get(machine).copied().unwrap_or_default();
                 slot.free = room - replica.booked_on(machine) - slot.unbooked + ended;
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -97,7 +97,7 @@
 
 /// All open jobs that run.
 pub(super) fn running_jobs(controller: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
-    let open = replica.open.iter().filter_map(|(_, id)| {
+    let open = replica.open_jobs.iter().filter_map(|(_, id)| {
         let job = &replica.jobs.get(id)?.value;
         Some((id, job))
     });
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -27,15 +27,15 @@
     /// The most CPUs and accelerators that the team may use at any time;
     /// `None` where there is no limit.
     pub fn limit(&self) -> (Option<Amount>, Option<Amount>) {
-        let limit = |figure: f64| (figure > 0.0).then(|| Amount::room(figure));
+        let limit = |figure: f64| (figure > 0.0).then(|| Amount::rounded_down(figure));
         (limit(self.cpus_max), limit(self.gpus_max))
     }
 
     /// What is guaranteed to the team. Memory is not part of a guarantee.
     pub fn guarantee(&self) -> Resources {
         Resources {
-            cpus: Amount::room(self.cpus),
-            gpus: Amount::room(self.gpus),
+            cpus: Amount::rounded_down(self.cpus),
+            gpus: Amount::rounded_down(self.gpus),
             ram: Amount(0),
         }
     }
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -100,7 +100,7 @@
     /// The span over which demand is averaged, in seconds.
     const SPAN: f64 = 4.0;
 
-    pub(super) fn note(&mut self, written: f64, waited: f64, now: Instant) {
+    pub(super) fn record(&mut self, written: f64, waited: f64, now: Instant) {
         let passed = self
             .at
             .map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -67,27 +67,30 @@
 
 /// Counts among those that wait to write, for as long as it lives.
 struct Turn<'a> {
-    waiting: &'a RefCell<[usize; CLASSES]>,
+    queued_writers: &'a RefCell<[usize; CLASSES]>,
     class: RequestClass,
 }
 
 impl<'a> Turn<'a> {
     fn new(waiting: &'a RefCell<[usize; CLASSES]>, class: RequestClass) -> Self {
         waiting.borrow_mut()[class as usize] += 1;
-        Turn { waiting, class }
+        Turn {
+            queued_writers: waiting,
+            class,
+        }
     }
 }
 
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
-        self.waiting.borrow_mut()[self.class as usize] -= 1;
+        self.queued_writers.borrow_mut()[self.class as usize] -= 1;
     }
 }
 
 /// The client of the state service, with this controller's budget.
 pub struct Store {
     /// How many of each class wait to write.
-    waiting: RefCell<[usize; CLASSES]>,
+    queued_writers: RefCell<[usize; CLASSES]>,
     /// Which class wrote last.
     last: Cell<Option<RequestClass>>,
     client: Rc<Client>,
@@ -126,7 +129,7 @@
         rng: SmallRng,
     ) -> Self {
         Store {
-            waiting: RefCell::default(),
+            queued_writers: RefCell::default(),
             last: Cell::new(None),
             client,
             addr,
@@ -154,7 +157,7 @@
 
     fn note_demand(&self, written: usize, waited: Duration) {
         let mut demand = self.demand.get();
-        demand.note(written as f64, waited.as_secs_f64(), Instant::now());
+        demand.record(written as f64, waited.as_secs_f64(), Instant::now());
         self.demand.set(demand);
     }
 
@@ -162,7 +165,7 @@
     pub fn demand(&self) -> f64 {
         self.note_demand(0, Duration::ZERO);
         let demand = self.demand.get();
-        let waiting: usize = self.waiting.borrow().iter().sum();
+        let waiting: usize = self.queued_writers.borrow().iter().sum();
         demand.wanted(waiting)
     }
 
@@ -221,7 +224,7 @@
 
     /// Waits for the budget and for those that go first.
     async fn wait_turn(&self, class: RequestClass, writes: usize, take: bool) {
-        let _turn = (writes > 0).then(|| Turn::new(&self.waiting, class));
+        let _turn = (writes > 0).then(|| Turn::new(&self.queued_writers, class));
         loop {
             let now = Instant::now();
             let pause = self
@@ -258,7 +261,7 @@
     /// Whether a class before this one waits to write. Claims and rounds take
     /// turns: neither may hold up the other for long.
     fn others_first(&self, class: RequestClass) -> bool {
-        let waiting = self.waiting.borrow();
+        let waiting = self.queued_writers.borrow();
         let waits = |c: RequestClass| waiting[c as usize] > 0;
         let just = self.last.get();
         match class {
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -26,7 +26,7 @@
 
 /// The most that a machine takes of its machine shard's short record while its figures
 /// are of usual length.
-pub const MEMBER: usize = 22;
+pub const MACHINE_ENTRY_BYTES: usize = 22;
 
 /// What a class of machines takes there, beside its names.
 const CLASS: usize = 60;
@@ -42,20 +42,20 @@
     kinds.dedup();
     let kinds: usize = kinds.iter().map(|k| k.len() + longest_holder + CLASS).sum();
     let names = machine_shard.keys().map(|n| match split_name(n) {
-        (name, 0, _) => name.len() + MEMBER + 8,
-        _ => MEMBER,
+        (name, 0, _) => name.len() + MACHINE_ENTRY_BYTES + 8,
+        _ => MACHINE_ENTRY_BYTES,
     });
     // Two holders and two lives at a time.
     kinds * 3 + names.sum::<usize>()
 }
 
 /// What one more machine may add to a machine shard, a type that is new there included.
-pub fn member_bytes(name: &str, kind: &str, longest_holder: usize) -> usize {
+pub fn added_machine_bytes(name: &str, kind: &str, longest_holder: usize) -> usize {
     let name = match split_name(name) {
         (name, 0, _) => name.len() + 8,
         _ => 0,
     };
-    MEMBER + name + (kind.len() + longest_holder + CLASS) * 3
+    MACHINE_ENTRY_BYTES + name + (kind.len() + longest_holder + CLASS) * 3
 }
 
 /// A machine shard's record in the compact encoding.
--- a/src/state/encoding/mod.rs
+++ b/src/state/encoding/mod.rs
@@ -16,7 +16,9 @@
 mod zone_shard;
 
 pub use job::{encode_job, run_bytes, runs, table_bytes, task_bytes};
-pub use machine_shard::{MEMBER, encode_machine_shard, machine_shard_bytes, member_bytes, members};
+pub use machine_shard::{
+    MACHINE_ENTRY_BYTES, added_machine_bytes, encode_machine_shard, machine_shard_bytes, members,
+};
 pub(crate) use names::split_name;
 pub use tasks::decode_ranges;
 pub use zone_shard::{
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -24,7 +24,7 @@
 
 /// The least that a job's record takes while it runs: a gang's tasks all at
 /// once, of other jobs one; on machines with such names, in such zones.
-pub fn least_record(spec: &Spec, name: &str, zone: &str) -> usize {
+pub fn min_record_bytes(spec: &Spec, name: &str, zone: &str) -> usize {
     /// An attempt of as many digits as one may come to have.
     const LONG_ATTEMPT: u64 = 1000;
     let job = Job::new(spec.clone(), u64::from(u32::MAX));
--- a/src/state/records/job.rs
+++ b/src/state/records/job.rs
@@ -188,7 +188,7 @@
     }
 
     /// Tasks booked in each zone, old attempts included.
-    pub fn per_zone(&self) -> BTreeMap<&str, usize> {
+    pub fn tasks_per_zone(&self) -> BTreeMap<&str, usize> {
         let mut zones = BTreeMap::new();
         for run in &self.runs {
             *zones.entry(run.zone.as_str()).or_insert(0) += run.tasks.len();
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -11,9 +11,9 @@
     /// All that a machine of this type has.
     pub fn resources(&self) -> Resources {
         Resources {
-            cpus: Amount::room(self.cpus),
-            gpus: Amount::room(self.gpus),
-            ram: Amount::room(self.memory_gb),
+            cpus: Amount::rounded_down(self.cpus),
+            gpus: Amount::rounded_down(self.gpus),
+            ram: Amount::rounded_down(self.memory_gb),
         }
     }
 }
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -77,9 +77,9 @@
             priority: s.priority,
             tasks: s.tasks,
             need: Resources {
-                cpus: Amount::need(s.cpus),
-                gpus: Amount::need(s.gpus),
-                ram: Amount::need(s.memory_gb),
+                cpus: Amount::rounded_up(s.cpus),
+                gpus: Amount::rounded_up(s.gpus),
+                ram: Amount::rounded_up(s.memory_gb),
             },
             image: s.image.clone(),
             image_gb: s.image_gb,
@@ -143,7 +143,7 @@
     }
 
     /// How much of its text the ids take that it awaits, with quotes and commas.
-    pub fn awaits_bytes(&self) -> usize {
+    pub fn dependencies_bytes(&self) -> usize {
         const NAME: usize = 10;
         let ids: usize = self.dependencies.iter().map(|id| id.len() + 3).sum();
         if ids == 0 { 0 } else { ids + NAME }
--- a/src/state/replica/index.rs
+++ b/src/state/replica/index.rs
@@ -282,9 +282,9 @@
         self.classes.push(MachineClass {
             kind: kind.to_string(),
             zone: self.zone_names.name(zone_at),
-            zone_at: zone_at as usize,
+            zone_number: zone_at as usize,
             spot,
-            kind_at: self.types.value.types.iter().position(|t| t.name == kind),
+            type_index: self.types.value.types.iter().position(|t| t.name == kind),
         });
         self.class_numbers.insert(key, n);
         n
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -57,11 +57,11 @@
     /// The zone.
     pub zone: Rc<str>,
     /// The zone's number among `Replica::zone_names`.
-    pub zone_at: usize,
+    pub zone_number: usize,
     /// Whether they are spot machines.
     pub spot: bool,
     /// Where its type stands in the types' record, if it does.
-    pub kind_at: Option<usize>,
+    pub type_index: Option<usize>,
 }
 
 /// A machine that takes work, as small as planning can have it.
@@ -113,10 +113,10 @@
     /// Which controllers know the newer formats.
     pub formats: Entry<Formats>,
     /// Controllers whose state lease stands.
-    pub nodes: Table<ControllerRecord>,
+    pub controllers: Table<ControllerRecord>,
     /// Jobs that are not final and await no others, in the order of acceptance:
     /// those that take part in anything.
-    pub open: BTreeSet<(u64, String)>,
+    pub open_jobs: BTreeSet<(u64, String)>,
     /// Which jobs book something on a machine.
     pub bookings: HashMap<String, BTreeSet<String>>,
     /// What bookings take of each machine, by its number, and of each team.
@@ -150,7 +150,7 @@
     /// What a record may hold, where the limits are to fall: from the settings.
     pub compact_limit: Option<usize>,
     /// Records that hold more, with what they hold.
-    pub oversized: BTreeMap<String, usize>,
+    pub oversized_records: BTreeMap<String, usize>,
     /// Open jobs whose specification may leave too little of a record for their
     /// tasks: a coarse choice by length, `trimmed_job` decides.
     pub long_jobs: BTreeSet<String>,
@@ -275,8 +275,8 @@
             // Older news may come after newer: what looks at this looks at the
             // record itself then.
             match value.map(|v| v.get().len()).filter(|n| *n > most) {
-                Some(bytes) => self.oversized.insert(key.to_string(), bytes),
-                None => self.oversized.remove(key),
+                Some(bytes) => self.oversized_records.insert(key.to_string(), bytes),
+                None => self.oversized_records.remove(key),
             };
         }
         if matches!(table, "machine" | "types" | "formats") {
@@ -334,7 +334,7 @@
             }
             "node" => {
                 let fleet_leader = value.and_then(|v| self.read(key, version, v));
-                put(&mut self.nodes, id, version, fleet_leader);
+                put(&mut self.controllers, id, version, fleet_leader);
             }
             "types" => {
                 let types = value.and_then(|v| self.read::<Types>(key, version, v));
@@ -344,7 +344,7 @@
                     self.types = Entry { version, value };
                     for class in &mut self.classes {
                         let types = &self.types.value.types;
-                        class.kind_at = types.iter().position(|t| t.name == class.kind);
+                        class.type_index = types.iter().position(|t| t.name == class.kind);
                     }
                 }
             }
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -26,7 +26,7 @@
 
     /// The machine type of a class, if the cloud still offers it.
     pub fn class_type(&self, class: &MachineClass) -> Option<&crate::wire::MachineType> {
-        self.types.value.types.get(class.kind_at?)
+        self.types.value.types.get(class.type_index?)
     }
 
     /// All machines that take work.
@@ -76,12 +76,12 @@
     }
 
     /// The machine type of this name, if the cloud offers it.
-    pub fn type_of(&self, kind: &str) -> Option<&crate::wire::MachineType> {
+    pub fn machine_type(&self, kind: &str) -> Option<&crate::wire::MachineType> {
         self.types.value.types.iter().find(|t| t.name == kind)
     }
 
     /// The shortest boot time of all types.
-    pub fn least_boot_s(&self) -> f64 {
+    pub fn min_boot_s(&self) -> f64 {
         let types = &self.types.value.types;
         let least = types.iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         if least.is_finite() { least } else { 0.0 }
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -135,7 +135,7 @@
 
     /// All that a machine of this type has; nothing if the cloud no longer offers it.
     pub fn resources_of(&self, kind: &str) -> Resources {
-        self.type_of(kind)
+        self.machine_type(kind)
             .map_or(Resources::default(), MachineType::resources)
     }
 
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -19,7 +19,7 @@
     /// Whether records are written in their compact encodings: all controllers read
     /// them, and the limits are to fall. Otherwise they stand as ever.
     pub fn uses_compact_encoding(&self) -> bool {
-        self.compact_limit.is_some() && self.upgraded()
+        self.compact_limit.is_some() && self.all_read_compact_encodings()
     }
 
     /// Whether a zone shard's compact encoding stays within what a record may hold,
@@ -92,8 +92,8 @@
         let machine = longest(&mut self.machines.keys().map(String::as_str));
         let zone = longest(&mut self.zone_names.all());
         // What it awaits leaves its record before any of its tasks comes in.
-        let least = crate::state::record_bound::least_record(spec, &machine, &zone);
-        least.saturating_sub(spec.awaits_bytes()) <= most
+        let least = crate::state::record_bound::min_record_bytes(spec, &machine, &zone);
+        least.saturating_sub(spec.dependencies_bytes()) <= most
     }
 
     /// The write of a job's record, in the encoding in force.
@@ -135,7 +135,7 @@
 
     /// Safety 8: whether every controller of the deployment reads the formats with
     /// compact encodings, so that they may be written.
-    pub fn upgraded(&self) -> bool {
+    pub fn all_read_compact_encodings(&self) -> bool {
         self.formats.value.all >= FORMATS_COMPACT
     }
 
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -231,7 +231,7 @@
         {
             return Listing::TakesNone;
         }
-        let kind = self.replica.type_of(&machine.kind);
+        let kind = self.replica.machine_type(&machine.kind);
         let (Some(report), Some(kind)) = (&owned_worker.report, kind) else {
             return Listing::Unknown;
         };
--- a/src/workers/routing.rs
+++ b/src/workers/routing.rs
@@ -129,7 +129,7 @@
         }
         let replica = self.replica.borrow();
         let owner = machine.owner.as_str();
-        let up = replica.nodes.get(owner)?.value.incarnation == machine.incarnation;
+        let up = replica.controllers.get(owner)?.value.incarnation == machine.incarnation;
         let peers = self.peers.borrow();
         let alive = peers.alive(self, now).contains(&owner);
         if !up || !alive || !peers.receives_heartbeats(self, owner, now) {
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -89,9 +89,9 @@
             ("job-3", Normal, Some(500.0)),
         ],
     );
-    assert_eq!(replica.open.len(), 2, "job-1 and job-6");
+    assert_eq!(replica.open_jobs.len(), 2, "job-1 and job-6");
     set(&mut replica, "job-1", &ended(JobStatus::Done));
-    assert_eq!(replica.open.len(), 3, "job-2, job-3 and job-6");
+    assert_eq!(replica.open_jobs.len(), 3, "job-2, job-3 and job-6");
     assert_eq!(replica.blocked().count(), 0);
 }
 
@@ -225,7 +225,11 @@
                     "{status:?} {other:?} {how}: {id}"
                 );
             }
-            let got: Vec<&str> = replica.open.iter().map(|(_, id)| id.as_str()).collect();
+            let got: Vec<&str> = replica
+                .open_jobs
+                .iter()
+                .map(|(_, id)| id.as_str())
+                .collect();
             assert_eq!(got, open, "{status:?} {other:?} {how}");
             let cancelled_with_dependency = states.iter().zip(&jobs);
             let cancelled_with_dependency =
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -249,7 +249,10 @@
     };
     let key = shelfhoist::state::keys::accepted_batch_key;
     replica.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
-    assert_eq!((replica.job_version("job-1"), replica.open.len()), (0, 2));
+    assert_eq!(
+        (replica.job_version("job-1"), replica.open_jobs.len()),
+        (0, 2)
+    );
     replica.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
     // A commit without an answer that was carried out late.
     replica.advance(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
@@ -257,5 +260,8 @@
         !replica.jobs["job-1"].value.is_open(),
         "a final state changed"
     );
-    assert_eq!((replica.job_version("job-1"), replica.open.len()), (6, 1));
+    assert_eq!(
+        (replica.job_version("job-1"), replica.open_jobs.len()),
+        (6, 1)
+    );
 }
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -231,7 +231,7 @@
     let set = settings();
     let team = set.team("t").expect("team");
     let room = |cpus: f64| Resources {
-        cpus: Amount::room(cpus),
+        cpus: Amount::rounded_down(cpus),
         ..Resources::default()
     };
     // 8 CPUs are guaranteed.
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -85,7 +85,7 @@
     let mut zone_shards: BTreeMap<&str, ZoneShard> = BTreeMap::new();
     for (zone, machine, cpus) in rooms {
         let kind = format!("of-{cpus}");
-        if replica.type_of(&kind).is_none() {
+        if replica.machine_type(&kind).is_none() {
             replica
                 .types
                 .value
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::setup::{LIMIT, name, places, read, spec};
-use shelfhoist::scheduler::{Place, book, least_record, record_slots};
+use shelfhoist::scheduler::{Place, book, min_record_bytes, record_slots};
 use shelfhoist::state::encoding;
 use shelfhoist::wire::Kind;
 
@@ -194,7 +194,7 @@
         let job = Job::new(spec(kind, tasks), 1 << 40);
         let places = places(most.min(40), most.div_ceil(40));
         assert!(record_slots(&job, &places, LIMIT, true) >= most, "{kind:?}");
-        let least = least_record(&spec(kind, tasks), "host-000231", "capannone-nord");
+        let least = min_record_bytes(&spec(kind, tasks), "host-000231", "capannone-nord");
         assert!(least <= LIMIT, "{kind:?} {least}");
     }
 }
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -305,7 +305,7 @@
         spec.types.as_mut().expect("types").remove(0);
     }
     replica.advance(vec![Event::put(job_key("job-000007"), &waiting, 3)], 3);
-    assert!(replica.oversized.is_empty());
+    assert!(replica.oversized_records.is_empty());
     assert!(replica.long_jobs.contains("job-000007"));
     let short = written(&replica, &waiting);
     assert!(spec(&short).types < spec(&waiting).types);
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -71,9 +71,9 @@
         _ => 8.0,
     };
     Resources {
-        cpus: Amount::room(cpus),
+        cpus: Amount::rounded_down(cpus),
         gpus: Amount(0),
-        ram: Amount::room(16.0),
+        ram: Amount::rounded_down(16.0),
     }
 }
 
@@ -100,7 +100,7 @@
         let limits = shape.teams.iter();
         Checker {
             limits: limits
-                .map(|(name, _, limit)| (name.clone(), Amount::room(*limit)))
+                .map(|(name, _, limit)| (name.clone(), Amount::rounded_down(*limit)))
                 .collect(),
             known: RefCell::default(),
         }
