--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,5 +1,6 @@
-//! The budget of requests and writes: this controller's share of the state
-//! service's limits, by the class of what asks.
+//! The budget of requests and writes: this controller's allocation of the state
+//! service's rate limits, by the class of the request. Pure but for the clock's
+//! instants, which the caller passes.
 
 use std::time::Duration;
 
@@ -12,8 +13,8 @@
     Accept,
     /// The state lease, rentals, and reading pages of the state.
     Lease,
-    /// Claims and rounds wait with `Store::ready` before they decide, then go
-    /// at once, into debt if need be: a commit that waits goes stale.
+    /// Claims and rounds wait with `Store::wait_for_budget` before they decide, then
+    /// go at once, into debt if need be: a commit that waits goes stale.
     Claim,
     /// Commits of placement rounds.
     Round,
@@ -23,11 +24,12 @@
     Publication,
 }
 
+/// How many classes there are.
 pub(super) const CLASSES: usize = 6;
 
 impl RequestClass {
-    /// The share of a full burst that this class must leave for those before;
-    /// below nothing, how far into debt it may go.
+    /// The fraction of a full burst that this class must leave for those before;
+    /// below 0, how far into debt it may go.
     pub(super) fn reserve(self) -> f64 {
         match self {
             // Few, and somebody waits: they may take what the larger ones are
@@ -42,48 +44,68 @@
     }
 }
 
-/// What may be taken at a rate, with some to spare for a burst.
+/// A token bucket: tokens come at a rate, and are kept up to a burst.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
+    /// Tokens a second.
     rate: f64,
+    /// The most tokens that are kept.
     burst: f64,
-    level: f64,
-    at: Instant,
+    /// The tokens at the last refill; negative while in debt.
+    tokens: f64,
+    refilled_at: Instant,
 }
 
+/// A shortage up to here is a rounding error.
+const TOKEN_TOLERANCE: f64 = 1e-9;
+
+/// The fraction of a burst that is enough for the largest request: it goes into debt,
+/// as what waits for more would wait behind all that is small.
+const MAX_NEED_FRACTION: f64 = 0.5;
+
 impl TokenBucket {
-    /// A full bucket; `rate` is a second's, `burst` the most that it holds.
+    /// A full bucket; `rate` is in tokens a second, `burst` the most that it holds.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         TokenBucket {
             rate,
             burst,
-            level: burst,
-            at: now,
+            tokens: burst,
+            refilled_at: now,
         }
     }
+
     pub(super) fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = now;
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        let refilled = self.tokens + elapsed.as_secs_f64() * self.rate;
+        self.tokens = refilled.min(self.burst);
+        self.refilled_at = now;
     }
-    /// Takes one, or says how long to wait.
+
+    /// Takes one token; the error is how long to wait for it.
     pub fn take_one(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         match self.wait(1.0, 0.0) {
             Some(wait) => Err(wait),
             None => {
-                self.level -= 1.0;
+                self.tokens -= 1.0;
                 Ok(())
             }
         }
     }
-    /// How long until `n` can be taken with `reserve` of the burst left over.
-    /// Half a burst is enough for the largest: it goes into debt, as what
-    /// waits for more would wait behind all that is small.
-    pub(super) fn wait(&self, n: f64, reserve: f64) -> Option<Duration> {
-        let need = n.min(self.burst * 0.5) + self.burst * reserve;
-        let short = need - self.level;
-        (short > 1e-9).then(|| Duration::from_secs_f64(short / self.rate))
+
+    /// How long until `count` tokens can be taken with the fraction `reserve` of the
+    /// burst left over; `None` if they can be now.
+    pub(super) fn wait(&self, count: f64, reserve: f64) -> Option<Duration> {
+        let need = count.min(self.burst * MAX_NEED_FRACTION) + self.burst * reserve;
+        let shortage = need - self.tokens;
+        (shortage > TOKEN_TOLERANCE).then(|| Duration::from_secs_f64(shortage / self.rate))
+    }
+
+    /// Sets the rate, and a second's tokens as the burst.
+    fn set_rate(&mut self, rate: f64, now: Instant) {
+        self.refill(now);
+        self.rate = rate;
+        self.burst = rate;
     }
 }
 
@@ -91,45 +113,58 @@
 /// the longer it had to wait for its budget.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct WriteDemand {
+    /// Keys written a second, averaged.
     written: f64,
+    /// The fraction of the time spent waiting, averaged.
     waited: f64,
-    at: Option<Instant>,
+    recorded_at: Option<Instant>,
 }
 
 impl WriteDemand {
     /// The span over which demand is averaged, in seconds.
-    const SPAN: f64 = 4.0;
-
-    pub(super) fn record(&mut self, written: f64, waited: f64, now: Instant) {
-        let passed = self
-            .at
-            .map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
-        let kept = (-passed / Self::SPAN).exp();
-        self.written = self.written * kept + written / Self::SPAN;
-        self.waited = (self.waited * kept + waited / Self::SPAN).min(1.0);
-        self.at = Some(now);
+    const AVERAGING_S: f64 = 4.0;
+
+    /// Records keys that were written, and seconds of waiting for the budget.
+    pub(super) fn record(&mut self, written: f64, waited_s: f64, now: Instant) {
+        let elapsed_s = self.recorded_at.map_or(0.0, |recorded_at| {
+            now.saturating_duration_since(recorded_at).as_secs_f64()
+        });
+        let decay = (-elapsed_s / Self::AVERAGING_S).exp();
+        self.written = self.written * decay + written / Self::AVERAGING_S;
+        self.waited = (self.waited * decay + waited_s / Self::AVERAGING_S).min(1.0);
+        self.recorded_at = Some(now);
     }
 
     /// Keys a second that this controller would write. One that has come to
-    /// write nothing, as `waiting` commits wait for the budget, wants to all
+    /// write nothing, as `queued` commits wait for the budget, wants to all
     /// the same.
-    pub(super) fn wanted(&self, waiting: usize) -> f64 {
-        self.written * (1.0 + self.waited) + self.waited * waiting as f64
+    pub(super) fn wanted(&self, queued: usize) -> f64 {
+        self.written * (1.0 + self.waited) + self.waited * queued as f64
     }
 }
 
-/// This controller's part of what all may write together, by what each would;
-/// `others` holds what is known of the others, nothing for those not heard of.
-/// Each keeps some, to begin with, and none is given more than it could use.
-pub fn write_rate_allocation(total: f64, mine: f64, others: &[Option<f64>]) -> f64 {
+/// The smallest allocation of a controller, as a fraction of an even one.
+const MIN_ALLOCATION: f64 = 0.25;
+
+/// The largest allocation of a controller, in even ones.
+const MAX_ALLOCATION: f64 = 3.0;
+
+/// This controller's allocation of the write rate that all have together, by what each
+/// would write; `others` holds what is known of the others, `None` for those not heard
+/// of. Each keeps a minimum, and none is given more than it could use.
+#[must_use]
+pub fn write_rate_allocation(total: f64, demand: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
-    let least = even / 4.0;
-    let all: f64 = others.iter().map(|d| d.map_or(even, |d| d + least)).sum();
-    let share = total * (mine + least) / (all + mine + least);
-    share.clamp(least, even * 3.0)
+    let minimum = even * MIN_ALLOCATION;
+    let others: f64 = others
+        .iter()
+        .map(|demand| demand.map_or(even, |demand| demand + minimum))
+        .sum();
+    let allocation = total * (demand + minimum) / (others + demand + minimum);
+    allocation.clamp(minimum, even * MAX_ALLOCATION)
 }
 
-/// The budget of requests and of written keys; pure but for the clock.
+/// The budget of requests and of written keys.
 #[derive(Debug)]
 pub struct Budget {
     requests: TokenBucket,
@@ -157,28 +192,25 @@
         wait.max(self.writes.wait(writes as f64, reserve))
     }
 
-    /// A new share of what all controllers may write together.
-    pub fn share(&mut self, write_rps: f64, now: Instant) {
-        self.writes.refill(now);
-        self.writes.rate = write_rps;
-        self.writes.burst = write_rps;
+    /// Sets this controller's allocation of the writes, in keys a second.
+    pub fn set_write_rate(&mut self, write_rps: f64, now: Instant) {
+        self.writes.set_rate(write_rps, now);
     }
 
-    /// What this controller may ask a second from now on.
-    pub fn requests(&mut self, rps: f64, now: Instant) {
-        self.requests.refill(now);
-        self.requests.rate = rps;
-        self.requests.burst = rps;
+    /// Sets this controller's allocation of the requests, a second.
+    pub fn set_request_rate(&mut self, rps: f64, now: Instant) {
+        self.requests.set_rate(rps, now);
     }
 
-    /// What a refused request was to write was not written.
+    /// Gives back the writes of a request that was refused: they did not happen.
     pub fn refund(&mut self, writes: usize) {
-        self.writes.level = (self.writes.level + writes as f64).min(self.writes.burst);
+        let refunded = self.writes.tokens + writes as f64;
+        self.writes.tokens = refunded.min(self.writes.burst);
     }
 
-    /// Takes a request whether it is there or not.
+    /// Takes a request and its writes, into debt if need be.
     pub fn charge(&mut self, writes: usize) {
-        self.requests.level -= 1.0;
-        self.writes.level -= writes as f64;
+        self.requests.tokens -= 1.0;
+        self.writes.tokens -= writes as f64;
     }
 }
--- /dev/null
+++ b/src/state/client/operations.rs
@@ -0,0 +1,157 @@
+//! The operations of the state service: commits, reads, the watch, and leases.
+
+use std::time::Duration;
+
+use super::request::Request;
+use super::{Store, StoreError};
+use crate::http::{BODY_LIMIT, Response};
+use crate::state::budget::RequestClass;
+use crate::wire::{
+    Commit, PairPage, Refused, Revision, StateLease, StateLeaseRequest, WatchAnswer, Write,
+};
+
+/// How many records one page of a read may have.
+const PAGE_RECORDS: usize = 500;
+
+/// How many keys of refused commits are remembered as logged.
+const MAX_LOGGED_KEYS: usize = 1000;
+
+impl Store {
+    /// Sends a transaction, and returns the revision of its changes.
+    pub async fn commit(&self, class: RequestClass, commit: &Commit) -> Result<u64, StoreError> {
+        let body = encode(commit)?;
+        let writes = commit.writes.len();
+        if body.len() > BODY_LIMIT {
+            tracing::error!(bytes = body.len(), writes, "commit too long to send");
+            return Err(StoreError::TooLong(body.len()));
+        }
+        let mut request = Request::post(class, "/commit", body, self.response_timeout);
+        request.writes = writes;
+        let response = self.send(request).await?;
+        match response.status {
+            200 => Ok(response.parse::<Revision>()?.revision),
+            409 => Err(StoreError::Conflict(response.parse::<Refused>()?.failed)),
+            400 if names_missing_lease(&response) => Err(StoreError::NoLease),
+            400 => {
+                let key = self.log_longest_record(commit, &response.body);
+                Err(StoreError::Limits(key))
+            }
+            status => {
+                let body = String::from_utf8_lossy(&response.body);
+                tracing::error!(status, %body, "commit refused");
+                Err(StoreError::Refused(status))
+            }
+        }
+    }
+
+    /// Logs once which record a refused commit was refused for, as far as that
+    /// can be known: its longest. Returns its key.
+    fn log_longest_record(&self, commit: &Commit, body: &[u8]) -> String {
+        let sizes = commit.writes.iter().map(|write| match write {
+            Write::Put { key, value, .. } => (value.get().len(), key),
+            Write::Delete { key } => (0, key),
+        });
+        let Some((bytes, key)) = sizes.max() else {
+            return String::new();
+        };
+        let mut logged_keys = self.logged_keys.borrow_mut();
+        if logged_keys.len() > MAX_LOGGED_KEYS {
+            logged_keys.clear();
+        }
+        if logged_keys.insert(key.clone()) {
+            tracing::info!(
+                key,
+                bytes,
+                writes = commit.writes.len(),
+                guards = commit.guards.len(),
+                limit = %String::from_utf8_lossy(body),
+                "commit exceeds the state service's limits"
+            );
+        }
+        key.clone()
+    }
+
+    /// The current revision, by asking for a key that never exists.
+    pub async fn revision(&self, key: &str) -> Result<u64, StoreError> {
+        let path = format!("/store/{key}");
+        let request = Request::get(RequestClass::Accept, &path, self.response_timeout);
+        let response = self.send(request).await?;
+        match response.status {
+            404 => Ok(response.parse::<Revision>()?.revision),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+
+    /// Reads records in the order of their keys, beginning after a key.
+    pub async fn read_page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
+        let mut path = format!("/store?prefix={prefix}&limit={PAGE_RECORDS}");
+        if !after.is_empty() {
+            path.push_str(&format!("&after={after}"));
+        }
+        let request = Request::get(RequestClass::Lease, &path, self.response_timeout);
+        let response = self.send(request).await?;
+        match response.status {
+            200 => Ok(response.parse()?),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+
+    /// Waits up to `block` for changes after a revision, and returns them.
+    pub async fn watch(
+        &self,
+        prefix: &str,
+        after: u64,
+        block: Duration,
+    ) -> Result<WatchAnswer, StoreError> {
+        let path = format!(
+            "/watch?prefix={prefix}&after={after}&block_ms={}",
+            block.as_millis()
+        );
+        // An outage keeps watches open: the response may take longer than the block.
+        let timeout = block + self.response_timeout;
+        let request = Request::get(RequestClass::Accept, &path, timeout);
+        let response = self.send(request).await?;
+        match response.status {
+            200 => Ok(response.parse()?),
+            410 => Err(StoreError::TooOld),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+
+    /// Takes a state lease that ends if it is not renewed in time.
+    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+        let body = encode(&StateLeaseRequest {
+            ttl_ms: ttl.as_millis() as u64,
+        })?;
+        let timeout = self.response_timeout;
+        let request = Request::post(RequestClass::Lease, "/holds", body, timeout);
+        let response = self.send(request).await?;
+        match response.status {
+            200 => Ok(response.parse::<StateLease>()?.lease),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+
+    /// Renews a state lease.
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
+        let path = format!("/holds/{lease}/extend");
+        let body = b"{}".to_vec();
+        let timeout = self.response_timeout;
+        let request = Request::post(RequestClass::Lease, &path, body, timeout);
+        let response = self.send(request).await?;
+        match response.status {
+            200 => Ok(()),
+            404 => Err(StoreError::NoLease),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+}
+
+/// Whether a commit was refused as its lease does not exist any more.
+fn names_missing_lease(response: &Response) -> bool {
+    String::from_utf8_lossy(&response.body).contains("no such lease")
+}
+
+fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
+    serde_json::to_vec(value).map_err(|error| StoreError::NoAnswer(error.to_string()))
+}
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -3,19 +3,19 @@
 //! Records are small JSON values with short field names, as `value_kb` bounds
 //! each of them. Everything here is plain data and pure functions.
 
+mod accepted_batch;
 mod controller;
 mod job;
 mod machine;
 mod ranges;
 mod spec;
+mod team;
 
+pub use accepted_batch::AcceptedBatch;
 pub use controller::{
     ControllerRecord, FORMATS, FORMATS_COMPACT, FORMATS_GROUPED_SHARDS, FORMATS_SHARES, Formats,
 };
-pub use job::{
-    AcceptedBatch, FAULTY_JOB_THRESHOLD, Job, JobStatus, MAX_FAILED_MACHINES, Run, TaskOutcome,
-    Team,
-};
+pub use job::{FAULTY_JOB_THRESHOLD, Job, JobStatus, MAX_FAILED_MACHINES, Run, TaskOutcome};
 pub use machine::{
     Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types, ZoneShard,
     machine_entry_bytes, slot_entry_bytes,
@@ -23,6 +23,7 @@
 pub use ranges::Ranges;
 pub use resources::{Amount, Resources};
 pub use spec::Spec;
+pub use team::Team;
 
 pub(super) fn is_false(b: &bool) -> bool {
     !b
