--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -49,7 +49,7 @@
     let ttl = controller.settings.worker_lease() / 2;
     let held = controller.fleet.borrow().lease;
     let Some(lease) = held else {
-        let lease = controller.store.hold(ttl).await?;
+        let lease = controller.store.acquire_lease(ttl).await?;
         let mut fleet = controller.fleet.borrow_mut();
         fleet.lease = Some(lease);
         fleet.lease_extended_at = Some(Instant::now());
@@ -71,7 +71,7 @@
     if extended_at.is_some_and(|extended| extended.elapsed() <= ttl / 4) {
         return Ok(true);
     }
-    match controller.store.extend(lease).await {
+    match controller.store.renew_lease(lease).await {
         Ok(()) => {
             controller.fleet.borrow_mut().lease_extended_at = Some(Instant::now());
             Ok(true)
@@ -129,7 +129,7 @@
             lease: Some(lease),
         });
     };
-    match replica.nodes.get(controller.name()) {
+    match replica.controllers.get(controller.name()) {
         Some(entry) if entry.value == me => {}
         other => {
             let key = node_key(controller.name());
@@ -149,12 +149,12 @@
     // It stands with no lease: what it says is for good.
     let known = &replica.formats;
     let seen = replica
-        .nodes
+        .controllers
         .iter()
         .map(|(name, entry)| (name.as_str(), entry.value.formats));
     let next = known.value.with(seen, &controller.settings.controllers());
     let unreadable = replica.is_unreadable(FORMATS_KEY);
-    if replica.nodes.contains_key(controller.name()) && (next != known.value || unreadable) {
+    if replica.controllers.contains_key(controller.name()) && (next != known.value || unreadable) {
         let version = known.version.max(replica.absent_version(FORMATS_KEY));
         guards.push(guard(FORMATS_KEY.to_string(), version));
         writes.push(put(FORMATS_KEY.to_string(), &next));
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -21,7 +21,7 @@
 use crate::workers::preferred_owner_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
-type Step = (Vec<Guard>, Vec<Write>);
+type ReconcileStep = (Vec<Guard>, Vec<Write>);
 
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
@@ -45,7 +45,7 @@
         let Some((class, _)) = step(&controller, &left) else {
             continue;
         };
-        controller.store.ready(class, 2).await;
+        controller.store.wait_for_budget(class, 2).await;
         // Decided on what is known once the budget is there.
         let Some((class, (guards, writes))) = step(&controller, &left) else {
             continue;
@@ -66,12 +66,16 @@
 /// Whether this controller looks after a home: its own; the fleet_leader after those
 /// whose controller is not up.
 fn tends(controller: &Controller, replica: &Replica, home: &str) -> bool {
-    home == controller.name() || (controller.is_fleet_leader() && !replica.nodes.contains_key(home))
+    home == controller.name()
+        || (controller.is_fleet_leader() && !replica.controllers.contains_key(home))
 }
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
 /// places in more of them than a commit writes. The rest comes last.
-fn step(controller: &Controller, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
+fn step(
+    controller: &Controller,
+    left: &HashMap<String, Instant>,
+) -> Option<(RequestClass, ReconcileStep)> {
     let replica = controller.replica.borrow();
     let tended = |id: &str| {
         let shard = id.split_once('/').map_or("", |p| p.1);
@@ -96,8 +100,8 @@
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
     most: usize,
-) -> Option<Step> {
-    let mut step = Step::default();
+) -> Option<ReconcileStep> {
+    let mut step = ReconcileStep::default();
     let ids = replica
         .machine_shards
         .keys()
@@ -123,7 +127,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let (id, entry) = replica.zone_shards.iter().find(|(id, entry)| {
         tended(id)
             && replica.is_compact_zone_shard(id)
@@ -158,7 +162,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let mut homes: BTreeMap<&str, Vec<(u32, &String, &ZoneShard)>> = BTreeMap::new();
     for (id, entry) in &replica.zone_shards {
         let Some((home, number)) = id.rsplit_once('.') else {
@@ -214,7 +218,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<Step> {
+) -> Option<ReconcileStep> {
     let peers = controller.peers.borrow();
     let alive = peers.alive(controller, Instant::now());
     let is_preferred = |id: &str| {
@@ -222,7 +226,11 @@
         preferred == Some(controller.name())
     };
     let mut found: Vec<(u64, &str, &str)> = Vec::new();
-    for key in replica.oversized.keys().filter(|k| !left.contains_key(*k)) {
+    for key in replica
+        .oversized_records
+        .keys()
+        .filter(|k| !left.contains_key(*k))
+    {
         let Some((table, id)) = key.strip_prefix(PREFIX).and_then(|k| k.split_once('/')) else {
             continue;
         };
@@ -237,7 +245,7 @@
     let long = replica.long_jobs.iter().filter(|id| {
         // Those that are too long as they stand are among the others already.
         let key = job_key(id);
-        !left.contains_key(&key) && !replica.oversized.contains_key(&key)
+        !left.contains_key(&key) && !replica.oversized_records.contains_key(&key)
     });
     for id in long.filter(|id| is_preferred(id)) {
         let job = replica.jobs.get(id).map(|e| &e.value);
@@ -267,7 +275,7 @@
 
 /// A job's record as it is to be, if that is within the coming limit: one that
 /// cannot be is left to become shorter as its tasks end.
-fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<Step> {
+fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<ReconcileStep> {
     let write = replica.put_job(id, &replica.jobs.get(id)?.value);
     let Write::Put { value, .. } = &write else {
         return None;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -125,7 +125,7 @@
     /// The interval at which this controller may send requests to the state service
     /// without going beyond its part of the limits.
     pub fn request_gap(&self) -> Duration {
-        let rps = self.settings.rps(self.store.is_lowered());
+        let rps = self.settings.rps(self.store.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -83,7 +83,7 @@
         let mut oldest_revision = u64::MAX;
         let mut newest_revision = 0;
         loop {
-            let page = self.store.page(PREFIX, &after).await?;
+            let page = self.store.read_page(PREFIX, &after).await?;
             oldest_revision = oldest_revision.min(page.revision);
             newest_revision = newest_revision.max(page.revision);
             if let Some(last) = page.items.last() {
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/fit.rs
@@ -108,7 +108,10 @@
         let job = self.job;
         let found = self.find_without(&job.failed_on);
         match found {
-            Err(_) if !job.failed_on.is_empty() && (self.hints.lenient || job.is_doubtful()) => {
+            Err(_)
+                if !job.failed_on.is_empty()
+                    && (self.hints.lenient || job.is_suspected_faulty()) =>
+            {
                 self.find_without(&[])
             }
             found => found,
@@ -234,7 +237,7 @@
     /// a job of one zone to theirs.
     fn zone_caps(&self) -> Vec<usize> {
         let spec = self.spec;
-        let running = self.job.per_zone();
+        let running = self.job.tasks_per_zone();
         let zones = &self.hints.replica.zone_names;
         (0..zones.len() as u32)
             .map(|zone| {
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::setup::{LIMIT, name, places, read, spec};
-use shelfhoist::scheduler::{Place, book, least_record, record_slots};
+use shelfhoist::scheduler::{Place, book, min_record_bytes, record_slots};
 use shelfhoist::state::encoding;
 use shelfhoist::wire::Kind;
 
@@ -20,8 +20,8 @@
         for machines in [0, 1, 3, 40] {
             let mut job = Job::new(spec(Kind::Array, tasks), u64::MAX);
             job.attempt = rng.random();
-            job.next = rng.random_range(0..=tasks);
-            job.cleared = rng.random();
+            job.next_task = rng.random_range(0..=tasks);
+            job.has_preempted = rng.random();
             let mut left: BTreeSet<u32> = (0..400).map(|_| rng.random_range(0..tasks)).collect();
             left.insert(tasks - 1);
             for n in left.iter().filter(|n| *n % 3 == 0) {
@@ -194,7 +194,7 @@
         let job = Job::new(spec(kind, tasks), 1 << 40);
         let places = places(most.min(40), most.div_ceil(40));
         assert!(record_slots(&job, &places, LIMIT, true) >= most, "{kind:?}");
-        let least = least_record(&spec(kind, tasks), "host-000231", "capannone-nord");
+        let least = min_record_bytes(&spec(kind, tasks), "host-000231", "capannone-nord");
         assert!(least <= LIMIT, "{kind:?} {least}");
     }
 }
@@ -230,9 +230,9 @@
                 .collect();
             for (machine, attempt, task) in all {
                 let outcome = match rng.random_range(0..6) {
-                    0 => Outcome::Done,
-                    1 => Outcome::Lost,
-                    2 if round % 5 == 0 => Outcome::Failed,
+                    0 => TaskOutcome::Done,
+                    1 => TaskOutcome::Lost,
+                    2 if round % 5 == 0 => TaskOutcome::Failed,
                     _ => continue,
                 };
                 job.release(&machine, attempt, task, outcome);
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -71,9 +71,9 @@
         _ => 8.0,
     };
     Resources {
-        cpus: Amount::room(cpus),
+        cpus: Amount::rounded_down(cpus),
         gpus: Amount(0),
-        ram: Amount::room(16.0),
+        ram: Amount::rounded_down(16.0),
     }
 }
 
@@ -100,7 +100,7 @@
         let limits = shape.teams.iter();
         Checker {
             limits: limits
-                .map(|(name, _, limit)| (name.clone(), Amount::room(*limit)))
+                .map(|(name, _, limit)| (name.clone(), Amount::rounded_down(*limit)))
                 .collect(),
             known: RefCell::default(),
         }
@@ -290,7 +290,7 @@
                 self.report(Violation::WrongMove, what);
             }
             for record in of_team {
-                let gain = |name: &str| new.wanted_for(name) - old.wanted_for(name);
+                let gain = |name: &str| new.target_for(name) - old.target_for(name);
                 let loss = Resources::default() - record.amount;
                 if gain(record.from.as_str()) != loss || gain(record.to.as_str()) != record.amount {
                     let what = format!("{team} at {at}: {record:?} made {old:?} into {new:?}");
