--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -8,14 +8,14 @@
 use crate::state::keys::{POOL_KEY, share_key, share_use_id, share_use_key, team_key};
 use crate::state::records::{Resources, Team};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// Conditions and writes of a commit in the making; no key is guarded twice.
 pub struct CommitParts<'a> {
     replica: &'a Replica,
     guarded: BTreeSet<String>,
     /// The conditions.
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -19,7 +19,7 @@
 use crate::state::keys::move_key;
 use crate::state::records::Resources;
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// How often a move is decided again after a conflict.
 const ATTEMPTS: usize = 8;
@@ -200,7 +200,7 @@
 
 enum Decision {
     Answer(Response),
-    Commit(Vec<Guard>, Vec<Write>),
+    Commit(Vec<Precondition>, Vec<Write>),
 }
 
 /// What is to be done about a move: it is known already, it is wrong, or it is to be
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -23,14 +23,14 @@
 use crate::state::keys::machine_shard_key;
 use crate::state::records::FORMATS_SHARES;
 use crate::state::replica::{Replica, fallback_controller};
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// One commit of this loop, and what it is for.
 pub struct Step {
     /// What it does, for the log.
     pub what: &'static str,
     /// The conditions.
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -14,7 +14,7 @@
 use crate::state::commit::{guard, put};
 use crate::state::keys::{accepted_batch_key, job_key};
 use crate::state::records::{AcceptedBatch, Job, Spec};
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// What became of a submission that was to be accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -145,9 +145,12 @@
 }
 
 /// One job stands in a record of its own, several in a record of arrivals.
-fn batch_commit(controller: &Controller, batch: &[PendingSubmission]) -> (Vec<Guard>, Write) {
+fn batch_commit(
+    controller: &Controller,
+    batch: &[PendingSubmission],
+) -> (Vec<Precondition>, Write) {
     let accepted_revision = controller.replica.borrow().revision;
-    let mut guards: Vec<Guard> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
+    let mut guards: Vec<Precondition> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
     if let [one] = batch {
         let job = Job::new(one.spec.clone(), accepted_revision);
         return (guards, put(job_key(&one.id), &job));
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -27,8 +27,8 @@
 
 pub use acceptance::{PendingSubmission, run_acceptance};
 pub use admissions::Admissions;
-pub use users::{should_shed, state_of};
-pub use validation::{Refusal, check_submission, read_submission};
+pub use users::{job_state, should_shed_query};
+pub use validation::{SubmissionError, check_submission, read_submission};
 
 /// How long a request may take to arrive in full.
 const ARRIVAL_LIMIT: Duration = Duration::from_secs(5);
@@ -44,7 +44,7 @@
         // One connection a machine, while there are connections for all.
         stays: |request| request.path == REPORT_PATH,
     };
-    let handler = Rc::new(move |request: Request| -> crate::http::Answer {
+    let handler = Rc::new(move |request: Request| -> crate::http::ResponseFuture {
         let controller = controller.clone();
         Box::pin(async move { route(&controller, request).await })
     });
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::acceptance::{Acceptance, PendingSubmission};
-use super::validation::{Refusal, check_submission, read_submission};
+use super::validation::{SubmissionError, check_submission, read_submission};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::settings::Settings;
@@ -51,16 +51,16 @@
     Response::error(404, "no such job")
 }
 
-fn refused(refusal: Refusal) -> Response {
+fn refused(refusal: SubmissionError) -> Response {
     match refusal {
-        Refusal::Malformed(problem) => Response::error(400, &problem),
-        Refusal::Never(problem) => Response::error(422, &problem),
-        Refusal::Unknown => Response::unavailable("not decidable yet", RETRY_SOON),
+        SubmissionError::Malformed(problem) => Response::error(400, &problem),
+        SubmissionError::Never(problem) => Response::error(422, &problem),
+        SubmissionError::Unknown => Response::unavailable("not decidable yet", RETRY_SOON),
     }
 }
 
 /// What users and operators are told of a job.
-pub fn state_of<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
+pub fn job_state<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
     let booked = job.booked() as u32;
     let (stage, running) = match replica.state(id)? {
@@ -80,7 +80,7 @@
 /// The state of a job that is over. It never changes, so it needs no barrier.
 fn final_state(controller: &Controller, id: &str) -> Option<Response> {
     let replica = controller.replica.borrow();
-    let state = state_of(&replica, id).filter(JobState::is_final)?;
+    let state = job_state(&replica, id).filter(JobState::is_final)?;
     Some(Response::json(200, &state))
 }
 
@@ -157,8 +157,8 @@
     };
     match check() {
         Ok(spec) => return Ok(spec),
-        Err(Refusal::Unknown) => return Err(refused(Refusal::Unknown)),
-        Err(Refusal::Never(_) | Refusal::Malformed(_)) => {}
+        Err(SubmissionError::Unknown) => return Err(refused(SubmissionError::Unknown)),
+        Err(SubmissionError::Never(_) | SubmissionError::Malformed(_)) => {}
     }
     if !controller.barrier_unless_refused(limit).await {
         return Err(state_unavailable());
@@ -213,7 +213,7 @@
 /// one was answered here a short while ago. Reports, claims and submissions need
 /// the processor more; but whoever asks about a job is answered now and then by
 /// every controller, or it would look forgotten.
-pub fn should_shed(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
+pub fn should_shed_query(lag: Duration, answered: Option<Duration>, settings: &Settings) -> bool {
     let report = settings.heartbeat_interval();
     lag > report / 8 && answered.is_some_and(|age| age < settings.worker_lease() / 2)
 }
@@ -227,7 +227,7 @@
         .get(id)
         .map(Instant::elapsed);
     let is_open = controller.replica.borrow().state(id) == Some(JobStatus::Open);
-    if is_open && should_shed(controller.lag(), age, &controller.settings) {
+    if is_open && should_shed_query(controller.lag(), age, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
     let response = query_within(controller, id, QUERY_WAIT).await;
@@ -255,7 +255,7 @@
     if replica.is_unreadable_job(id) {
         return record_unreadable();
     }
-    match state_of(&replica, id) {
+    match job_state(&replica, id) {
         Some(state) => Response::json(200, &state),
         None => no_such_job(),
     }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -25,7 +25,7 @@
 
 /// Why a submission is not accepted.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum SubmissionError {
     /// 400: its form is wrong, or no record can hold it.
     Malformed(String),
     /// 422: it can never run.
@@ -34,16 +34,16 @@
     Unknown,
 }
 
-fn malformed(problem: impl Into<String>) -> Refusal {
-    Refusal::Malformed(problem.into())
+fn malformed(problem: impl Into<String>) -> SubmissionError {
+    SubmissionError::Malformed(problem.into())
 }
 
-fn never(problem: impl Into<String>) -> Refusal {
-    Refusal::Never(problem.into())
+fn never(problem: impl Into<String>) -> SubmissionError {
+    SubmissionError::Never(problem.into())
 }
 
 /// Reads a submission and checks its form; 400 on failure.
-pub fn read_submission(body: &[u8]) -> Result<Submission, Refusal> {
+pub fn read_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let submission = parse(body)?;
     check_identity(&submission)?;
     check_amounts(&submission)?;
@@ -52,7 +52,7 @@
     Ok(submission)
 }
 
-fn parse(body: &[u8]) -> Result<Submission, Refusal> {
+fn parse(body: &[u8]) -> Result<Submission, SubmissionError> {
     let value: serde_json::Value =
         serde_json::from_slice(body).map_err(|e| malformed(format!("not JSON: {e}")))?;
     if !value.is_object() {
@@ -61,7 +61,7 @@
     serde_json::from_value(value).map_err(|e| malformed(format!("field: {e}")))
 }
 
-fn check_identity(submission: &Submission) -> Result<(), Refusal> {
+fn check_identity(submission: &Submission) -> Result<(), SubmissionError> {
     if !is_job_id(&submission.id) {
         return Err(malformed("name_id: not of the form job-000412"));
     }
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-fn check_amounts(submission: &Submission) -> Result<(), Refusal> {
+fn check_amounts(submission: &Submission) -> Result<(), SubmissionError> {
     let amounts = [
         ("vcpus", Some(submission.cpus)),
         ("cards", Some(submission.gpus)),
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-fn check_names(submission: &Submission) -> Result<(), Refusal> {
+fn check_names(submission: &Submission) -> Result<(), SubmissionError> {
     let names = [
         ("lot", Some(&submission.class)),
         ("crew", Some(&submission.team)),
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-fn check_awaited_ids(submission: &Submission) -> Result<(), Refusal> {
+fn check_awaited_ids(submission: &Submission) -> Result<(), SubmissionError> {
     let mut ids = submission.dependencies.iter().flatten();
     match ids.find(|id| !is_job_id(id)) {
         Some(id) => {
@@ -126,7 +126,7 @@
     submission: &Submission,
     settings: &Settings,
     replica: &Replica,
-) -> Result<Spec, Refusal> {
+) -> Result<Spec, SubmissionError> {
     let mut spec = Spec::from(submission);
     let team = settings
         .team(&submission.team)
@@ -143,10 +143,14 @@
 }
 
 /// The number of zones in which the cloud has machines that take a task.
-fn usable_zones(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<usize, Refusal> {
+fn usable_zones(
+    spec: &Spec,
+    settings: &Settings,
+    replica: &Replica,
+) -> Result<usize, SubmissionError> {
     let types = &replica.types.value.types;
     if types.is_empty() {
-        return Err(Refusal::Unknown);
+        return Err(SubmissionError::Unknown);
     }
     let configured = &settings.deployment.zones;
     if spec.zone.as_ref().is_some_and(|z| !configured.contains(z)) {
@@ -166,7 +170,7 @@
 
 /// A gang runs whole or not at all: one that has to be spread over more zones
 /// than it may use never does.
-fn check_spread(spec: &Spec, zones: usize) -> Result<(), Refusal> {
+fn check_spread(spec: &Spec, zones: usize) -> Result<(), SubmissionError> {
     let zones_at_once = if spec.one_zone { 1 } else { zones };
     let most_in_a_zone = spec.tasks.div_ceil(2) as usize;
     let is_spread_gang = spec.kind == Kind::Gang && spec.spread;
@@ -176,7 +180,7 @@
     Ok(())
 }
 
-fn check_team_limit(spec: &Spec, team: &TeamQuota) -> Result<(), Refusal> {
+fn check_team_limit(spec: &Spec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
         Kind::Array => 1,
         Kind::Gang | Kind::Service => spec.tasks as usize,
@@ -188,13 +192,13 @@
 }
 
 /// A job's own id is not known either: it was never accepted.
-fn check_awaited_jobs(spec: &Spec, replica: &Replica) -> Result<(), Refusal> {
+fn check_awaited_jobs(spec: &Spec, replica: &Replica) -> Result<(), SubmissionError> {
     if spec
         .dependencies
         .iter()
         .any(|id| replica.is_unreadable_job(id))
     {
-        return Err(Refusal::Unknown);
+        return Err(SubmissionError::Unknown);
     }
     match spec
         .dependencies
@@ -208,7 +212,11 @@
 
 /// Whether records can hold the job as it waits, and once tasks of it run. What
 /// it awaits leaves its record before any of its tasks comes in.
-fn check_record_size(spec: &Spec, settings: &Settings, replica: &Replica) -> Result<(), Refusal> {
+fn check_record_size(
+    spec: &Spec,
+    settings: &Settings,
+    replica: &Replica,
+) -> Result<(), SubmissionError> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let dependencies = spec.awaits_bytes();
     let most = settings.value_limit_bytes();
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -13,7 +13,7 @@
 use crate::state::keys::{job_key, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, Outcome, Resources};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Kind, Write};
+use crate::wire::{Kind, Precondition, Write};
 
 /// Places for so many of the usual jobs on accelerators stay free.
 const KEPT_GANGS: usize = 2;
@@ -51,7 +51,7 @@
 /// The commit that empties a machine.
 struct Eviction {
     machine: String,
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     writes: Vec<Write>,
 }
 
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -8,7 +8,7 @@
 use crate::state::commit::guard;
 use crate::state::keys::job_key;
 use crate::state::records::{Job, MachineLifecycle, Spec};
-use crate::wire::{Guard, Kind, Write};
+use crate::wire::{Kind, Precondition, Write};
 
 /// Machines with a spot notice take no new work, and gangs that can save are
 /// told to while there is time.
@@ -43,7 +43,7 @@
 
 /// The commit that stops the work on a machine that can save its progress; as
 /// much of it as one commit holds.
-fn stops_for_drain(controller: &Controller, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+fn stops_for_drain(controller: &Controller, machine: &str) -> (Vec<Precondition>, Vec<Write>) {
     let replica = controller.replica.borrow();
     let max_writes = controller.settings.txn_ops();
     let mut guards = Vec::new();
--- a/src/cloud/leases.rs
+++ b/src/cloud/leases.rs
@@ -13,7 +13,7 @@
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write, raw};
+use crate::wire::{Precondition, Write, to_raw_json};
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
@@ -113,7 +113,7 @@
     controller: &Controller,
     replica: &Replica,
     lease: u64,
-) -> (Vec<Guard>, Vec<Write>) {
+) -> (Vec<Precondition>, Vec<Write>) {
     let me = ControllerRecord {
         controller: controller.name().to_string(),
         incarnation: controller.incarnation,
@@ -125,7 +125,7 @@
         guards.push(guard(key.clone(), version));
         writes.push(Write::Put {
             key,
-            value: raw(&me),
+            value: to_raw_json(&me),
             lease: Some(lease),
         });
     };
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::state::keys::{shard_id, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, ZoneShard};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// A machine's next state.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -146,7 +146,7 @@
         edited.changed |= edited.record.machines.remove(id).is_some();
     }
 
-    fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
+    fn into_commit(self) -> (Vec<Precondition>, Vec<Write>) {
         let (mut guards, mut writes) = self.machine_shards.into_commit();
         for (id, shard) in self.zone_shards {
             guards.push(guard(
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -14,7 +14,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
-use crate::wire::{ListedMachine, ListedStage, MachineList};
+use crate::wire::{ListedMachine, ListedMachineStage, MachineList};
 
 /// How long, over the list's lag, a machine that is gone may still be listed.
 const GONE_LAGS: u32 = 6;
@@ -88,7 +88,7 @@
         };
         after = last.id.clone();
         all.extend(list.machines);
-        if !list.more {
+        if !list.has_more {
             return Some(all);
         }
     }
@@ -110,7 +110,7 @@
         .collect();
     let mut differences = Differences::default();
     for machine in listed {
-        let has_failed = machine.stage == ListedStage::Failed;
+        let has_failed = machine.stage == ListedMachineStage::Failed;
         if let Some(known) = replica.machines.get(&machine.id) {
             if has_failed && known.value.lifecycle != MachineLifecycle::Gone {
                 differences.failed.push(machine.id.clone());
@@ -130,7 +130,7 @@
                 id: machine.id.clone(),
                 machine: Machine {
                     spot: machine.spot,
-                    ..Machine::new(&machine.kind, &machine.zone)
+                    ..Machine::new(&machine.machine_type, &machine.zone)
                 },
             });
         }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -14,7 +14,7 @@
 use crate::state::keys::{POOL_KEY, rental_key, shard_id};
 use crate::state::records::{MachineLifecycle, ProvisioningRequest, Resources};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, MachineIds, Write};
+use crate::wire::{MachineIds, Precondition, Write};
 
 /// The most machines that one call returns.
 const MAX_RETURNED: usize = 100;
@@ -100,7 +100,7 @@
 
 /// The commit that drops the records of gone machines, and their names from the
 /// rental that may still list them: they would count as booting again.
-fn record_drops(controller: &Controller, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
+fn record_drops(controller: &Controller, gone: &[String]) -> (Vec<Precondition>, Vec<Write>) {
     let replica = controller.replica.borrow();
     // The pool is written with them.
     let has_pool = replica.pool.is_some();
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -130,8 +130,8 @@
     rental: &ProvisioningRequest,
 ) -> Option<Response> {
     let request = CreateMachinesRequest {
-        request: id,
-        kind: &rental.kind,
+        idempotency_key: id,
+        machine_type: &rental.kind,
         zone: &rental.zone,
         spot: rental.spot,
         count: rental.count,
--- a/src/cloud/settling.rs
+++ b/src/cloud/settling.rs
@@ -5,13 +5,13 @@
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::{accepted_batch_key, job_key, rental_key};
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// Drops what has served its turn: rentals whose machines all have a record of
 /// their own, arrivals whose jobs all have. Those records never go while this
 /// one stands (`scale_in::record_drops`) or at all, so what the replica shows holds.
 pub(super) async fn settle_records(controller: &Controller) {
-    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+    let (guards, writes): (Vec<Precondition>, Vec<Write>) = {
         let replica = controller.replica.borrow();
         let provisioning_requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
             let machines = &entry.value.machines;
@@ -44,7 +44,7 @@
 /// some at a time, in any order. All controllers know it without, and what it
 /// follows from stays: final records are never dropped.
 pub(super) async fn settle_cancelled(controller: &Controller) {
-    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+    let (guards, writes): (Vec<Precondition>, Vec<Write>) = {
         let replica = controller.replica.borrow();
         replica
             .cancelled_with_dependency()
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -144,7 +144,7 @@
     fn silence_limit(&self, machine: &Machine, owned_worker: &OwnedWorker) -> Duration {
         let lease = self.controller.settings.worker_lease();
         let report = owned_worker.report.as_ref();
-        if report.is_some_and(|report| report.notice_s.is_some()) {
+        if report.is_some_and(|report| report.preemption_notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
             return lease.min(self.controller.settings.heartbeat_interval() * RECALLED_REPORTS);
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -17,11 +17,11 @@
 use crate::state::keys::{PREFIX, job_key, machine_shard_key, zone_shard_key};
 use crate::state::records::ZoneShard;
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 use crate::workers::preferred_owner_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
-type Step = (Vec<Guard>, Vec<Write>);
+type Step = (Vec<Precondition>, Vec<Write>);
 
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -29,7 +29,7 @@
 use crate::state::budget::{Budget, RequestClass};
 use crate::state::client::{Store, StoreError};
 use crate::state::replica::Replica;
-use crate::wire::{Commit, Guard, Write};
+use crate::wire::{Commit, Precondition, Write};
 use crate::workers::WorkerTable;
 
 /// The limits of the state service are shared by all controllers, which do not
@@ -127,10 +127,13 @@
     pub async fn commit(
         &self,
         class: RequestClass,
-        guards: Vec<Guard>,
+        guards: Vec<Precondition>,
         writes: Vec<Write>,
     ) -> Result<u64, StoreError> {
-        let commit = Commit { guards, writes };
+        let commit = Commit {
+            preconditions: guards,
+            writes,
+        };
         let revision = self.store.commit(class, &commit).await?;
         self.replica.borrow_mut().overlay(&commit.writes, revision);
         self.announce();
--- a/src/controller/replica_loop.rs
+++ b/src/controller/replica_loop.rs
@@ -56,11 +56,11 @@
             let page = self.store.page(PREFIX, &after).await?;
             revision = revision.min(page.revision);
             newest = newest.max(page.revision);
-            if let Some(last) = page.items.last() {
+            if let Some(last) = page.records.last() {
                 after = last.key.clone();
             }
-            pairs.extend(page.items);
-            if !page.more {
+            pairs.extend(page.records);
+            if !page.has_more {
                 break;
             }
         }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -122,7 +122,7 @@
     }
     let framing = match framing_of(&head) {
         Ok(framing) => framing,
-        Err(Refusal { status, problem }) => return Parsed::Refuse(status, problem),
+        Err(RequestError { status, problem }) => return Parsed::Refuse(status, problem),
     };
     if framing.length > BODY_LIMIT {
         return Parsed::Refuse(400, "body over 64 KiB");
@@ -149,13 +149,13 @@
 }
 
 /// Why a request is refused.
-struct Refusal {
+struct RequestError {
     status: u16,
     problem: &'static str,
 }
 
-fn framing_of(head: &httparse::Request) -> Result<Framing, Refusal> {
-    let refuse = |status, problem| Err(Refusal { status, problem });
+fn framing_of(head: &httparse::Request) -> Result<Framing, RequestError> {
+    let refuse = |status, problem| Err(RequestError { status, problem });
     let mut length: Option<usize> = None;
     let mut keep_alive = head.version == Some(1);
     for header in head.headers.iter() {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -9,7 +9,7 @@
 
 pub use client::{CallError, Client, Deadlines};
 pub use message::{Parsed, Request, Response, parse_request, query_value};
-pub use server::{Answer, Handler, ServerLimits, serve};
+pub use server::{Handler, ResponseFuture, ServerLimits, serve};
 
 /// PROTOCOL: a request body can be at most 64 KiB.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -16,10 +16,10 @@
 use crate::net::{Listener, Stream};
 
 /// The response that a handler will give.
-pub type Answer = Pin<Box<dyn Future<Output = Response>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
 /// What answers the server's requests.
-pub type Handler = Rc<dyn Fn(Request) -> Answer>;
+pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
 /// How long to wait when no connection can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -7,7 +7,7 @@
 
 use super::messages::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use super::reason::PendingReason;
-use crate::api::state_of;
+use crate::api::job_state;
 use crate::cloud;
 use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
@@ -51,7 +51,7 @@
     pub(super) fn job(&self, id: &str) -> Option<JobDetails> {
         let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
-        let stage = state_of(&self.replica, id)?.stage;
+        let stage = job_state(&self.replica, id)?.stage;
         let is_open = self.replica.state(id) == Some(JobStatus::Open);
         let reason = is_open.then(|| self.reason(id, job));
         let runs = job.runs.iter().take(PAGE_SIZE);
@@ -153,7 +153,7 @@
                 id,
                 job,
                 spec,
-                stage: state_of(&self.replica, id)?.stage,
+                stage: job_state(&self.replica, id)?.stage,
                 is_late: self.is_late(id, job, spec),
             })
         })
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -12,7 +12,7 @@
 use crate::state::keys::{machine_shard_key, shard_id};
 use crate::state::records::{Machine, MachineShard, machine_entry_bytes};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Precondition, Write};
 
 /// About what a machine takes in a machine shard's record.
 const MEMBER_BYTES: usize = 125;
@@ -220,7 +220,7 @@
     }
 
     /// Guards every machine shard that it depends on, and writes those that it changes.
-    pub fn into_commit(mut self) -> (Vec<Guard>, Vec<Write>) {
+    pub fn into_commit(mut self) -> (Vec<Precondition>, Vec<Write>) {
         self.split_long();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
         let guards = all
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -19,7 +19,7 @@
 use crate::controller::Controller;
 use crate::state::records::{Job, Resources, Spec};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Kind, Write};
+use crate::wire::{Kind, Precondition, Write};
 use crate::workers::AttemptKey;
 
 /// What one round has decided, as the transaction that records it.
@@ -28,7 +28,7 @@
     pub(super) jobs: usize,
     /// The ends that it records.
     pub(super) ends: Vec<AttemptKey>,
-    pub(super) guards: Vec<Guard>,
+    pub(super) guards: Vec<Precondition>,
     pub(super) writes: Vec<Write>,
 }
 
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -14,7 +14,7 @@
 use crate::state::keys::{job_key, machine_shard_key, shard_id, team_key, zone_shard_key};
 use crate::state::records::{Job, MachineLifecycle, Resources, Spec, Team, ZoneShard};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Kind, MachineType, Write};
+use crate::wire::{Kind, MachineType, Precondition, Write};
 use crate::workers::{AttemptKey, TerminationEvidence};
 
 /// How many conditions a commit may have for each write that it may have, by the
@@ -458,7 +458,7 @@
     }
 
     /// Guards and writes every record that the draft has touched.
-    pub fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
+    pub fn into_commit(self) -> (Vec<Precondition>, Vec<Write>) {
         let mut parts = CommitParts::new(self.replica);
         if let Some(accounts) = self.accounts {
             accounts.into_commit(&mut parts);
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -15,7 +15,8 @@
 use super::budget::{Budget, CLASSES, Demand, RequestClass};
 use crate::http::{CallError, Client, Response};
 use crate::wire::{
-    Commit, PairPage, Refused, Revision, StateLease, StateLeaseRequest, WatchAnswer, Write,
+    Commit, CommitConflict, Revision, StateLease, StateLeaseRequest, StoredRecordPage,
+    WatchResponse, Write,
 };
 
 /// Why the state service did not do as asked.
@@ -320,7 +321,7 @@
             .await?;
         match r.status {
             200 => Ok(r.parse::<Revision>()?.revision),
-            409 => Err(StoreError::Conflict(r.parse::<Refused>()?.failed)),
+            409 => Err(StoreError::Conflict(r.parse::<CommitConflict>()?.failed)),
             400 if String::from_utf8_lossy(&r.body).contains("no such lease") => {
                 Err(StoreError::NoLease)
             }
@@ -351,7 +352,7 @@
                 key,
                 bytes,
                 writes = commit.writes.len(),
-                conditions = commit.guards.len(),
+                conditions = commit.preconditions.len(),
                 limit = %String::from_utf8_lossy(body),
                 "a commit is beyond the limits"
             );
@@ -372,7 +373,7 @@
     }
 
     /// Reads records in the order of their keys, beginning after a key.
-    pub async fn page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
+    pub async fn page(&self, prefix: &str, after: &str) -> Result<StoredRecordPage, StoreError> {
         let mut path = format!("/store?prefix={prefix}&limit=500");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
@@ -392,7 +393,7 @@
         prefix: &str,
         after: u64,
         block: Duration,
-    ) -> Result<WatchAnswer, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         let path = format!(
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
--- a/src/state/commit.rs
+++ b/src/state/commit.rs
@@ -2,18 +2,18 @@
 
 use serde::Serialize;
 
-use crate::wire::{Guard, Write, raw};
+use crate::wire::{Precondition, Write, to_raw_json};
 
 /// A condition of a commit: the record's version is still this one.
-pub fn guard(key: String, version: u64) -> Guard {
-    Guard { key, version }
+pub fn guard(key: String, version: u64) -> Precondition {
+    Precondition { key, version }
 }
 
 /// A write of `value` under `key`.
 pub fn put<T: Serialize>(key: String, value: &T) -> Write {
     Write::Put {
         key,
-        value: raw(value),
+        value: to_raw_json(value),
         lease: None,
     }
 }
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -29,7 +29,7 @@
     AcceptedBatch, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
     Resources, Spec, Team, Types, ZoneShard,
 };
-use crate::wire::{Event, Pair, Write};
+use crate::wire::{Event, StoredRecord, Write};
 
 /// A record with the revision of its last change.
 #[derive(Debug, Clone, Default)]
@@ -204,7 +204,7 @@
     }
 
     /// Takes a full read in place of what was known.
-    pub fn reload(&mut self, pairs: Vec<Pair>, revision: u64) {
+    pub fn reload(&mut self, pairs: Vec<StoredRecord>, revision: u64) {
         let old = std::mem::take(self);
         let mut changes = old.changes;
         changes.machines.extend(old.machines.into_keys());
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -26,10 +26,10 @@
     /// `pull_gb_per_s`.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
-    /// The price an hour of an ordinary machine; PROTOCOL's `hourly`.
+    /// The hourly price of an on-demand machine; PROTOCOL's `hourly`.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// The present price an hour of a spot machine.
+    /// The current hourly price of a spot machine.
     #[serde(rename = "spot_price", default)]
     pub spot_price: f64,
     /// The usual time to boot, in seconds; PROTOCOL's `ready_s`.
@@ -48,28 +48,28 @@
     pub types: Vec<MachineType>,
 }
 
-/// A rental, the body of `POST /rentals`.
+/// A request to create machines, the body of `POST /rentals`.
 #[derive(Debug, Serialize)]
 pub struct CreateMachinesRequest<'a> {
-    /// Names the request, so that repeating it rents nothing more; PROTOCOL's
-    /// `hire`.
+    /// Makes the request idempotent: a repetition creates no further machines.
+    /// PROTOCOL's `hire`.
     #[serde(rename = "hire")]
-    pub request: &'a str,
+    pub idempotency_key: &'a str,
     /// The machine type; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
-    pub kind: &'a str,
+    pub machine_type: &'a str,
     /// The zone; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: &'a str,
-    /// Whether to rent spot machines; PROTOCOL's `loaners`.
+    /// Whether to create spot machines; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The most machines to rent; PROTOCOL's `number`.
+    /// The maximum number of machines to create; PROTOCOL's `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines that were rented, or are to be returned.
+/// The machines that were created, or are to be deleted.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineIds {
     /// Their ids; PROTOCOL's `bays`.
@@ -77,16 +77,16 @@
     pub machines: Vec<String>,
 }
 
-/// What the cloud lists a machine to be doing.
+/// The stage of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListedStage {
-    /// Rented and charged, but not seen to be up.
+pub enum ListedMachineStage {
+    /// Created and charged, but not known to be up.
     #[serde(rename = "booting")]
     Booting,
     /// Up.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself; listed until it is returned.
+    /// Stopped by itself; listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
@@ -99,17 +99,17 @@
     pub id: String,
     /// Its type; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// What it is doing.
+    /// Its stage.
     #[serde(rename = "stage")]
-    pub stage: ListedStage,
-    /// Seconds since it was rented, at the time that the list describes.
+    pub stage: ListedMachineStage,
+    /// Seconds since it was created, at the time that the list describes.
     #[serde(rename = "age_s", default)]
     pub age_s: f64,
 }
@@ -122,5 +122,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether there are further pages; PROTOCOL's `truncated`.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -4,23 +4,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A record's value as it stands in a message: it is read once, into what it
-/// is. Trees of values would take many times the room, and a watch that was
-/// cut off for a while brings megabytes.
-pub type Raw = Box<RawValue>;
+/// A record's value as unparsed JSON, which is deserialized once, into the
+/// record's own type. A tree of JSON values would take many times the memory,
+/// and a watch that was interrupted for a while returns megabytes.
+pub type RawJson = Box<RawValue>;
 
-/// Records are plain data: writing them as JSON cannot fail.
-pub fn raw<T: Serialize>(value: &T) -> Raw {
+/// Serializes a record's value. Records are plain data, so this cannot fail.
+pub fn to_raw_json<T: Serialize>(value: &T) -> RawJson {
     serde_json::value::to_raw_value(value).unwrap_or_default()
 }
 
 /// A record of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Pair {
+pub struct StoredRecord {
     /// Its key.
     pub key: String,
     /// Its value.
-    pub value: Raw,
+    pub value: RawJson,
     /// The revision of its last change; PROTOCOL's `stamp`.
     #[serde(rename = "stamp")]
     pub version: u64,
@@ -28,21 +28,22 @@
 
 /// A page of records, the response to `GET /store?prefix=`.
 #[derive(Debug, Deserialize)]
-pub struct PairPage {
+pub struct StoredRecordPage {
     /// The records in the order of their keys; PROTOCOL's `pairs`.
     #[serde(rename = "pairs")]
-    pub items: Vec<Pair>,
+    pub records: Vec<StoredRecord>,
     /// Whether there are further pages; PROTOCOL's `truncated`.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The service's revision when it read the page; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// A condition of a commit: the key still has this version.
+/// A precondition of a commit, as in compare-and-swap: the key still has this
+/// version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     /// The key.
     pub key: String,
     /// The version that it must have, 0 if it must not exist; PROTOCOL's
@@ -51,7 +52,7 @@
     pub version: u64,
 }
 
-/// A change that a commit makes.
+/// A write of a commit.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -61,8 +62,8 @@
         #[serde(rename = "set")]
         key: String,
         /// The new value.
-        value: Raw,
-        /// The state lease with which the key is to end; PROTOCOL's `permit`.
+        value: RawJson,
+        /// The state lease with which the key expires; PROTOCOL's `permit`.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -84,12 +85,13 @@
 }
 
 /// A transaction, the body of `POST /commit`: all writes are made if every
-/// guard holds, and none otherwise.
+/// precondition holds, and none otherwise.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Commit {
-    /// The conditions.
-    pub guards: Vec<Guard>,
-    /// The changes.
+    /// The preconditions; PROTOCOL's `guards`.
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
@@ -101,9 +103,9 @@
     pub revision: u64,
 }
 
-/// The response to a commit whose guards do not all hold.
+/// The response to a commit whose preconditions do not all hold.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Refused {
+pub struct CommitConflict {
     /// The keys whose versions differ.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -112,7 +114,7 @@
     pub revision: u64,
 }
 
-/// A change: a key was set to a value, or removed.
+/// A change of one record: its key was set to a value, or removed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Event {
     /// The key that was set, if one was.
@@ -123,7 +125,7 @@
     pub remove: Option<String>,
     /// The new value of a key that was set.
     #[serde(default)]
-    pub value: Option<Raw>,
+    pub value: Option<RawJson>,
     /// The revision of the change; PROTOCOL's `stamp`.
     #[serde(rename = "stamp")]
     pub version: u64,
@@ -135,7 +137,7 @@
         Event {
             set: Some(key),
             remove: None,
-            value: Some(raw(value)),
+            value: Some(to_raw_json(value)),
             version,
         }
     }
@@ -143,23 +145,24 @@
 
 /// The response to `GET /watch`.
 #[derive(Debug, Deserialize)]
-pub struct WatchAnswer {
-    /// The revision up to which it is complete; PROTOCOL's `ledger_rev`.
+pub struct WatchResponse {
+    /// The revision up to which the events are complete; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// The changes since the revision that was asked from.
+    /// The changes after the revision that the request named.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// A request for a state lease, the body of `POST /holds`.
+/// A request for a state lease, the body of `POST /holds`. Keys that are written
+/// with the lease are removed when it expires.
 #[derive(Debug, Serialize)]
 pub struct StateLeaseRequest {
-    /// How long the lease lasts without being renewed, in milliseconds.
+    /// The lease's duration unless it is renewed, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// The response to a request for a state lease.
+/// A state lease, as the state service has granted it.
 #[derive(Debug, Deserialize)]
 pub struct StateLease {
     /// The id of the lease; PROTOCOL's `permit`.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a worker reports a task to be doing.
+/// The stage of a task, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStage {
     /// Waits for its image; PROTOCOL's `pulling`.
@@ -32,18 +32,18 @@
     /// It was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of its gang is gone; PROTOCOL's `peers`.
     #[serde(rename = "peers")]
-    PeerTable,
-    /// Its gang was not complete in time; PROTOCOL's `incomplete`.
+    PeerLost,
+    /// The other tasks of its gang did not start in time; PROTOCOL's `incomplete`.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// It failed by itself.
     #[serde(rename = "error")]
     Error,
     /// Not started: too few free resources on the machine; PROTOCOL's `full`.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Not started: the machine has another attempt of this task.
     #[serde(rename = "busy")]
     Busy,
@@ -52,7 +52,7 @@
     Unknown,
 }
 
-/// One task in a worker's report.
+/// The status of one task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task, such as `job-000412/3`; PROTOCOL's `board`.
@@ -61,12 +61,12 @@
     /// The attempt that was started; PROTOCOL's `try`.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// What it is doing.
+    /// Its stage.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
     /// Why it has ended, once it has; PROTOCOL's `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether a stopped task's progress was saved; PROTOCOL's `kept`.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -84,7 +84,7 @@
     pub addr: String,
     /// The machine's type; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
-    pub kind: String,
+    pub machine_type: String,
     /// The machine's zone; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -102,19 +102,19 @@
     /// The highest fencing token that the worker has seen; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine back, if it has said so;
+    /// Seconds until the cloud preempts the machine, if it has given notice;
     /// PROTOCOL's `recall_s`.
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine, ended ones until they are forgotten;
     /// PROTOCOL's `boards`.
     #[serde(rename = "boards", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a command tells a worker to do.
+/// What a worker is to do with a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CommandKind {
+pub enum CommandAction {
     /// Start an attempt of a task; PROTOCOL's `launch`.
     #[serde(rename = "launch")]
     Start,
@@ -129,16 +129,16 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommand {
-    /// What is to be done.
+    /// What to do with the task; PROTOCOL's `verb`.
     #[serde(rename = "verb")]
-    pub verb: CommandKind,
+    pub action: CommandAction,
     /// The task, such as `job-000412/3`; PROTOCOL's `board`.
     #[serde(rename = "board")]
     pub task: String,
-    /// The attempt that is meant; PROTOCOL's `try`.
+    /// The attempt that the command applies to; PROTOCOL's `try`.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Seconds that a stopped task may take to save; PROTOCOL's `easing_s`.
+    /// Seconds that a stopped task has to save a checkpoint; PROTOCOL's `easing_s`.
     #[serde(rename = "easing_s", default, skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
@@ -146,13 +146,13 @@
 /// The response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token; a worker drops a lower one than it has seen.
-    /// PROTOCOL's `baton`.
+    /// The fencing token; a worker ignores commands under a lower one than it has
+    /// seen. PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Direct commands, the body of `POST /orders`.
@@ -161,18 +161,18 @@
     /// The fencing token; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The epoch that the commands are meant for; PROTOCOL's `shift`.
+    /// The worker's epoch that the commands apply to; PROTOCOL's `shift`.
     #[serde(rename = "shift")]
     pub epoch: u64,
     /// Commands, executed in their order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// The body of a 421 response to a heartbeat.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to, if one is known; PROTOCOL's `foreman`.
+    /// The controller that owns the worker, if one is known; PROTOCOL's `foreman`.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub owner: Option<String>,
 }
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -19,7 +19,7 @@
 use crate::state::client::StoreError;
 use crate::state::keys::{machine_shard_key, shard_id};
 use crate::state::records::{Machine, MachineLifecycle};
-use crate::wire::{Guard, WorkerStatus, Write};
+use crate::wire::{Precondition, WorkerStatus, Write};
 
 /// How long a heartbeat waits for its claim: a worker drops an answer that takes
 /// 4 s, so one that cannot be claimed soon is refused while that still helps it.
@@ -84,7 +84,7 @@
     /// Machines whose claims are answered after the commit.
     decided: Vec<String>,
     taken: Vec<TakenClaim>,
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     writes: Vec<Write>,
 }
 
@@ -310,7 +310,7 @@
     id: &str,
     report: &WorkerStatus,
 ) -> Option<Machine> {
-    let (kind, zone) = (&report.kind, &report.zone);
+    let (kind, zone) = (&report.machine_type, &report.zone);
     let shard = machine_shards.new_shard(&controller.settings, id, kind, zone)?;
     Some(Machine {
         shard,
@@ -333,7 +333,7 @@
 
 async fn commit_claims(
     controller: &Controller,
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     writes: Vec<Write>,
 ) -> Result<u64, StoreError> {
     let result = controller.commit(RequestClass::Claim, guards, writes).await;
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -9,7 +9,7 @@
 use super::{OwnedWorker, Plan, reconcile};
 use crate::controller::Controller;
 use crate::http::{CallError, Deadlines, Response};
-use crate::wire::{CommandKind, WorkerCommand, WorkerCommands, WorkerStatus};
+use crate::wire::{CommandAction, WorkerCommand, WorkerCommands, WorkerStatus};
 
 /// How long a worker waits for the answers to its own reports; longer calls to it
 /// are given up as well.
@@ -25,12 +25,12 @@
 
 impl Call {
     fn launches(&self) -> bool {
-        launches(&self.body.orders)
+        launches(&self.body.commands)
     }
 }
 
 fn launches(orders: &[WorkerCommand]) -> bool {
-    orders.iter().any(|o| o.verb == CommandKind::Start)
+    orders.iter().any(|o| o.action == CommandAction::Start)
 }
 
 impl Controller {
@@ -147,7 +147,7 @@
     let (addr, epoch) = controller.endpoint(id, owned_worker)?;
     owned_worker.in_flight = true;
     for o in &plan.orders {
-        tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
+        tracing::debug!(verb = ?o.action, task = o.task, attempt = o.attempt, machine = id, "order");
     }
     owned_worker.note_orders(&plan.orders, now);
     Some(Call {
@@ -157,7 +157,7 @@
         body: WorkerCommands {
             fencing_token: owned_worker.fencing_token,
             epoch,
-            orders: plan.orders,
+            commands: plan.orders,
         },
     })
 }
@@ -231,7 +231,7 @@
             // Surely not there: heartbeat answers carry the orders meanwhile.
             tracing::debug!(machine = id, cause, "orders not sent");
             owned_worker.quiet_until = quiet_until;
-            owned_worker.withdraw_orders(&call.body.orders);
+            owned_worker.withdraw_orders(&call.body.commands);
         }
         Err(error) => {
             tracing::debug!(machine = id, %error, "orders not answered");
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -63,10 +63,10 @@
                 200,
                 &HeartbeatResponse {
                     fencing_token,
-                    orders,
+                    commands: orders,
                 },
             ),
-            Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
+            Answer::Redirect(report_to) => Response::json(421, &Redirect { owner: report_to }),
             Answer::Unavailable {
                 reason,
                 retry_after_s,
@@ -281,7 +281,7 @@
         if unconfirmed {
             self.ask_claim(id, report, false);
         }
-        if report.notice_s.is_some() {
+        if report.preemption_notice_s.is_some() {
             let mut fleet = self.fleet.borrow_mut();
             fleet.recalled.insert(id.to_string());
         }
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -11,7 +11,7 @@
 
 use crate::controller::shifted_past_pause;
 use crate::settings::CLOCK_DRIFT;
-use crate::wire::{CommandKind, WorkerCommand, WorkerStatus};
+use crate::wire::{CommandAction, WorkerCommand, WorkerStatus};
 
 /// What this controller knows of a machine that it holds, from the claim of its
 /// token on.
@@ -207,13 +207,13 @@
     pub(super) fn note_orders(&mut self, orders: &[WorkerCommand], now: Instant) {
         for order in orders {
             let attempt = (order.task.clone(), order.attempt);
-            match order.verb {
-                CommandKind::Start => _ = self.launched.insert(attempt),
-                CommandKind::Stop => {
+            match order.action {
+                CommandAction::Start => _ = self.launched.insert(attempt),
+                CommandAction::Stop => {
                     let grace_s = order.grace_s.unwrap_or(0.0);
                     self.stopped.insert(attempt, (now, grace_s));
                 }
-                CommandKind::Forget => _ = self.launched.remove(&attempt),
+                CommandAction::Forget => _ = self.launched.remove(&attempt),
             }
         }
     }
@@ -222,9 +222,9 @@
     pub(super) fn withdraw_orders(&mut self, orders: &[WorkerCommand]) {
         for order in orders {
             let attempt = (order.task.clone(), order.attempt);
-            match order.verb {
-                CommandKind::Start => _ = self.launched.remove(&attempt),
-                CommandKind::Stop | CommandKind::Forget => _ = self.stopped.remove(&attempt),
+            match order.action {
+                CommandAction::Start => _ = self.launched.remove(&attempt),
+                CommandAction::Stop | CommandAction::Forget => _ = self.stopped.remove(&attempt),
             }
         }
     }
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -20,7 +20,7 @@
     Machine, MachineLifecycle, MachineSlot, Resources, ZoneShard, split_task,
 };
 use crate::state::replica::Replica;
-use crate::wire::{Guard, TaskStage, TaskStatus, WorkerStatus};
+use crate::wire::{Precondition, TaskStage, TaskStatus, WorkerStatus};
 
 /// A zone shard's record is published at most once in this time, unless machines join.
 const INTERVAL: Duration = Duration::from_secs(5);
@@ -114,9 +114,9 @@
     }
 }
 
-fn all_guards(changes: &[RoomChange]) -> Vec<Guard> {
+fn all_guards(changes: &[RoomChange]) -> Vec<Precondition> {
     let guards = changes.iter().flat_map(|c| c.guards.iter().cloned());
-    let mut guards: Vec<Guard> = guards.collect();
+    let mut guards: Vec<Precondition> = guards.collect();
     guards.sort_by(|a, b| a.key.cmp(&b.key));
     guards.dedup_by(|a, b| a.key == b.key);
     guards
@@ -139,7 +139,7 @@
     /// Machines join or leave.
     members: bool,
     /// All that has to be as it is.
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
 }
 
 /// Zone shards whose records differ from what this controller knows of
@@ -365,7 +365,7 @@
     }
 
     /// What must be as it is for the change of a zone shard to hold.
-    fn guards(&self, shard: &str) -> Vec<Guard> {
+    fn guards(&self, shard: &str) -> Vec<Precondition> {
         let mut guards = vec![guard(
             zone_shard_key(shard),
             self.replica.zone_shard_version(shard),
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -9,7 +9,7 @@
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
 use crate::state::replica::{Entry, Replica};
-use crate::wire::{CommandKind, ExitReason, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
+use crate::wire::{CommandAction, ExitReason, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
 
 /// What a worker is to be told, and which bookings are to be released.
 #[derive(Debug, Default, PartialEq)]
@@ -23,7 +23,7 @@
 impl Plan {
     /// Whether any of the orders starts a task.
     pub fn launches(&self) -> bool {
-        self.orders.iter().any(|o| o.verb == CommandKind::Start)
+        self.orders.iter().any(|o| o.action == CommandAction::Start)
     }
 
     /// Takes the launches out unless the replica is recent enough for them: what an
@@ -34,13 +34,13 @@
         if recent || !self.launches() {
             return false;
         }
-        self.orders.retain(|o| o.verb != CommandKind::Start);
+        self.orders.retain(|o| o.action != CommandAction::Start);
         true
     }
 
-    fn order(&mut self, verb: CommandKind, task: &str, attempt: u64, grace_s: Option<f64>) {
+    fn order(&mut self, verb: CommandAction, task: &str, attempt: u64, grace_s: Option<f64>) {
         self.orders.push(WorkerCommand {
-            verb,
+            action: verb,
             task: task.to_string(),
             attempt,
             grace_s,
@@ -147,14 +147,14 @@
                 // booking is released nor the attempt forgotten.
                 if !self.owned_worker.unresolved {
                     let key = self.end_key(job, number, task.attempt);
-                    plan.ends.push((key, outcome(task.why)));
+                    plan.ends.push((key, outcome(task.exit_reason)));
                 }
             }
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if ended => {
                 // The end is on record, or was never ours to record.
                 if self.owned_worker.settled() {
-                    plan.order(CommandKind::Forget, &task.task, task.attempt, None);
+                    plan.order(CommandAction::Forget, &task.task, task.attempt, None);
                 }
             }
             None => self.stop_unbooked(task, plan),
@@ -178,7 +178,7 @@
             Some((at, given)) => *given > grace_s || (!saving && self.is_overdue(*at)),
         };
         if wanted {
-            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(grace_s));
+            plan.order(CommandAction::Stop, &task.task, task.attempt, Some(grace_s));
         }
     }
 
@@ -186,7 +186,7 @@
     fn stop_unbooked(&self, task: &TaskStatus, plan: &mut Plan) {
         let ordered = self.stop_ordered(task);
         if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
-            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
+            plan.order(CommandAction::Stop, &task.task, task.attempt, Some(0.0));
         }
     }
 
@@ -243,7 +243,7 @@
         if !job.is_open() || self.lifecycle != MachineLifecycle::Active || lost {
             plan.ends.push((key, Outcome::Lost));
         } else if entry.version <= self.replica.revision {
-            plan.order(CommandKind::Start, &task, run.attempt, None);
+            plan.order(CommandAction::Start, &task, run.attempt, None);
         }
     }
 }
@@ -279,7 +279,7 @@
             && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
     };
     let stop = |task: &TaskStatus| WorkerCommand {
-        verb: CommandKind::Stop,
+        action: CommandAction::Stop,
         task: task.task.clone(),
         attempt: task.attempt,
         grace_s: Some(0.0),
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -262,7 +262,7 @@
         }
         check(&replica, "arrivals");
         // A full read finds the same.
-        let mut pairs: Vec<Pair> = Vec::new();
+        let mut pairs: Vec<StoredRecord> = Vec::new();
         for (id, job) in &jobs {
             pairs.push(
                 serde_json::from_value(json!({"key": job_key(id), "value": job, "stamp": 9}))
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::setup::{settings, settings_json, spec, submission, view_with_types};
-use shelfhoist::api::{Refusal, check_submission, read_submission, should_shed};
+use shelfhoist::api::{SubmissionError, check_submission, read_submission, should_shed_query};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::job_key;
 use shelfhoist::state::replica::Replica;
@@ -73,7 +73,10 @@
 fn submissions_are_refused_by_their_form() {
     for body in ["", "nonsense", "[]", "7", "null", "{}"] {
         assert!(
-            matches!(read_submission(body.as_bytes()), Err(Refusal::Malformed(_))),
+            matches!(
+                read_submission(body.as_bytes()),
+                Err(SubmissionError::Malformed(_))
+            ),
             "{body}"
         );
     }
@@ -98,13 +101,19 @@
         let mut s = submission();
         s[field] = value.clone();
         let got = read_submission(s.to_string().as_bytes());
-        assert!(matches!(got, Err(Refusal::Malformed(_))), "{field} {value}");
+        assert!(
+            matches!(got, Err(SubmissionError::Malformed(_))),
+            "{field} {value}"
+        );
     }
     for field in ["crew", "vcpus", "notch_s", "scatter"] {
         let mut s = submission();
         s.as_object_mut().expect("object").remove(field);
         let got = read_submission(s.to_string().as_bytes());
-        assert!(matches!(got, Err(Refusal::Malformed(_))), "no {field}");
+        assert!(
+            matches!(got, Err(SubmissionError::Malformed(_))),
+            "no {field}"
+        );
     }
 }
 
@@ -121,9 +130,9 @@
         };
         match check_submission(&s, &set, replica) {
             Ok(_) => 201,
-            Err(Refusal::Malformed(_)) => 400,
-            Err(Refusal::Never(_)) => 422,
-            Err(Refusal::Unknown) => 503,
+            Err(SubmissionError::Malformed(_)) => 400,
+            Err(SubmissionError::Never(_)) => 422,
+            Err(SubmissionError::Unknown) => 503,
         }
     };
     let replica = view_with_types();
@@ -226,7 +235,7 @@
         (report * 9, None, false),
     ] {
         assert_eq!(
-            should_shed(lag, answered, &settings),
+            should_shed_query(lag, answered, &settings),
             shed,
             "{lag:?} {answered:?}"
         );
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -381,7 +381,11 @@
             false
         });
         let (guards, writes) = machine_shards.into_commit();
-        let body = serde_json::to_vec(&Commit { guards, writes }).expect("commit");
+        let body = serde_json::to_vec(&Commit {
+            preconditions: guards,
+            writes,
+        })
+        .expect("commit");
         assert!(body.len() <= 64 * 1024, "{} bytes", body.len());
         commits += 1;
     }
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -12,7 +12,7 @@
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key};
 use shelfhoist::state::records::*;
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Guard, Write};
+use shelfhoist::wire::{Event, Precondition, Write};
 
 use super::setup::settings;
 
@@ -110,7 +110,7 @@
     }
 
     /// The commit that takes up a new machine, as decided on the present state.
-    fn take_up(&self, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+    fn take_up(&self, machine: &str) -> (Vec<Precondition>, Vec<Write>) {
         let mut shards = MachineShardEdits::new(&self.replica);
         let shard = shards
             .new_shard(&self.settings, machine, "grande-occhio", "a")
@@ -124,8 +124,8 @@
     }
 
     /// Carries a commit out if its conditions hold.
-    fn commit(&mut self, (guards, writes): (Vec<Guard>, Vec<Write>)) -> bool {
-        let holds = |guard: &Guard| {
+    fn commit(&mut self, (guards, writes): (Vec<Precondition>, Vec<Write>)) -> bool {
+        let holds = |guard: &Precondition| {
             let id = guard.key.trim_start_matches("sh/machine/");
             self.replica.machine_shard_version(id) == guard.version
         };
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -192,7 +192,7 @@
             .orders
             .iter()
             .map(|o| {
-                serde_json::to_value(o.verb)
+                serde_json::to_value(o.action)
                     .expect("verb")
                     .as_str()
                     .unwrap_or("")
@@ -227,7 +227,7 @@
             now,
         )
     };
-    assert_eq!(plan(&owned_worker).orders[0].verb, CommandKind::Forget);
+    assert_eq!(plan(&owned_worker).orders[0].action, CommandAction::Forget);
     owned_worker.unresolved = true;
     assert!(
         plan(&owned_worker).orders.is_empty(),
@@ -402,9 +402,9 @@
         let stops = workers::stops_of_cancelled(&report, &over);
         let told: Vec<_> = stops
             .iter()
-            .map(|o| (o.verb, &*o.task, o.attempt))
+            .map(|o| (o.action, &*o.task, o.attempt))
             .collect();
-        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (CommandKind::Stop, t, 1));
+        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (CommandAction::Stop, t, 1));
         assert_eq!(told, all);
         assert!(stops.iter().all(|o| o.grace_s == Some(0.0)));
     }
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -12,7 +12,7 @@
 use shelfhoist::http::{CallError, Client, Deadlines, Handler, Response, ServerLimits, serve};
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
-use shelfhoist::wire::{CommandKind, WorkerCommand};
+use shelfhoist::wire::{CommandAction, WorkerCommand};
 use shelfhoist::workers::Plan;
 use stand_ins::{Shape, World, addr, in_world, job};
 use tokio::time::{Instant, sleep};
@@ -21,9 +21,9 @@
     Duration::from_secs_f64(s)
 }
 
-fn order(verb: CommandKind) -> WorkerCommand {
+fn order(verb: CommandAction) -> WorkerCommand {
     WorkerCommand {
-        verb,
+        action: verb,
         task: "job-1/0".to_string(),
         attempt: 1,
         grace_s: None,
@@ -33,7 +33,7 @@
 /// Without a recent last barrier all launches are held, and nothing else is.
 #[test]
 fn only_a_recent_view_launches() {
-    use CommandKind::{Forget, Start, Stop};
+    use CommandAction::{Forget, Start, Stop};
     let limit = secs(1.0);
     let cases = [
         ("recent", Some(secs(0.9)), vec![Start], vec![Start], false),
@@ -69,7 +69,7 @@
             ends: Vec::new(),
         };
         assert_eq!(plan.defer_launches(age, limit), deferred, "{name}");
-        let left: Vec<CommandKind> = plan.orders.iter().map(|o| o.verb).collect();
+        let left: Vec<CommandAction> = plan.orders.iter().map(|o| o.action).collect();
         assert_eq!(left, expected, "{name}");
     }
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -127,7 +127,7 @@
             key: format!("k/{n}"),
         };
         let commit = Commit {
-            guards: Vec::new(),
+            preconditions: Vec::new(),
             writes: (0..30).map(write).collect(),
         };
         // Into debt, for half a minute at this share.
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -59,7 +59,7 @@
 }
 
 impl World {
-    pub(super) fn cloud(self: Rc<Self>, r: Request) -> shelfhoist::http::Answer {
+    pub(super) fn cloud(self: Rc<Self>, r: Request) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
             let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
             if self.cloud_limit.is_exceeded() {
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shelfhoist::http::{Answer, CallError, Client, Request, Response};
+use shelfhoist::http::{CallError, Client, Request, Response, ResponseFuture};
 use tokio::time::Instant;
 
 use super::scenario::World;
@@ -146,8 +146,8 @@
     pub(super) fn recorded_handler(
         &self,
         at: SocketAddrV4,
-        handler: impl Fn(Request) -> Answer + 'static,
-    ) -> impl Fn(Request) -> Answer + 'static {
+        handler: impl Fn(Request) -> ResponseFuture + 'static,
+    ) -> impl Fn(Request) -> ResponseFuture + 'static {
         let frames = self.frames.clone();
         move |request| {
             let asked = format!("{} {}?{}", request.method, request.path, request.query);
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use shelfhoist::http::{Answer, Client, Request, ServerLimits, serve};
+use shelfhoist::http::{Client, Request, ResponseFuture, ServerLimits, serve};
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
 use tokio::sync::watch;
@@ -311,7 +311,7 @@
     pub(super) async fn serve_at(
         &self,
         address: SocketAddrV4,
-        handler: impl Fn(Request) -> Answer + 'static,
+        handler: impl Fn(Request) -> ResponseFuture + 'static,
     ) {
         let net = self.net(address);
         let listener = net.listen(address).await.expect("listen");
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -31,10 +31,11 @@
             answers: RefCell::default(),
         });
         let handling = own.clone();
-        let handler = move |request: shelfhoist::http::Request| -> shelfhoist::http::Answer {
-            let answer = handling.answer(&request.path);
-            Box::pin(async move { answer })
-        };
+        let handler =
+            move |request: shelfhoist::http::Request| -> shelfhoist::http::ResponseFuture {
+                let answer = handling.answer(&request.path);
+                Box::pin(async move { answer })
+            };
         world.serve_at(controller(0), handler).await;
         own
     }
--- a/tests/stand_ins/state_service.rs
+++ b/tests/stand_ins/state_service.rs
@@ -258,7 +258,7 @@
         }
     }
 
-    pub(super) fn answer(self: Rc<Self>, i: usize, r: Request) -> shelfhoist::http::Answer {
+    pub(super) fn answer(self: Rc<Self>, i: usize, r: Request) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
             let (before, after) = self.delays(i);
             sleep(before).await;
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -87,8 +87,8 @@
         self.note_ends(&world.finished);
         for o in orders {
             let mut tasks = self.tasks.borrow_mut();
-            match o.verb {
-                CommandKind::Start => {
+            match o.action {
+                CommandAction::Start => {
                     if tasks.get(&o.task).is_some_and(|t| t.attempt == o.attempt) {
                         continue;
                     }
@@ -106,7 +106,7 @@
                     drop(tasks);
                     world.check_start(&o.task, self);
                 }
-                CommandKind::Stop => {
+                CommandAction::Stop => {
                     if let Some(t) = tasks.get_mut(&o.task)
                         && t.attempt == o.attempt
                         && t.why.is_none()
@@ -115,7 +115,7 @@
                         t.why = Some(ExitReason::Stopped);
                     }
                 }
-                CommandKind::Forget => {
+                CommandAction::Forget => {
                     if let Some(task) = tasks.remove(&o.task) {
                         if task.why.is_none_or(|w| w == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
@@ -213,7 +213,7 @@
         let net = self.net(worker.port);
         let listener = net.listen(worker.port).await.expect("listen");
         let (world, at) = (self.clone(), worker.port);
-        let handler = move |r: Request| -> shelfhoist::http::Answer {
+        let handler = move |r: Request| -> shelfhoist::http::ResponseFuture {
             let (world, w) = (world.clone(), worker.clone());
             Box::pin(async move {
                 let Ok(orders) = serde_json::from_slice::<WorkerCommands>(&r.body) else {
@@ -231,7 +231,7 @@
                         return Response::json(409, &w.report());
                     }
                     w.fencing_token.set(orders.fencing_token);
-                    w.execute(&world, &orders.orders);
+                    w.execute(&world, &orders.commands);
                     Response::json(200, &w.report())
                 });
                 executed.await.expect("executed")
@@ -288,7 +288,7 @@
                         let news = a.fencing_token > w.fencing_token.get();
                         w.fencing_token.set(a.fencing_token);
                         w.renewed.set(sent);
-                        w.execute(&self, &a.orders);
+                        w.execute(&self, &a.commands);
                         if news {
                             sleep(Duration::from_millis(500)).await;
                             continue;
@@ -298,7 +298,7 @@
                         .await;
                 }
                 Ok(r) if r.status == 421 => {
-                    let foreman = r.parse::<Redirect>().ok().and_then(|r| r.report_to);
+                    let foreman = r.parse::<Redirect>().ok().and_then(|r| r.owner);
                     let named = foreman.and_then(|f| f.trim_start_matches('n').parse().ok());
                     to = named.unwrap_or((to + 1) % count);
                     sleep(Duration::from_millis(300)).await;
