--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -86,11 +86,11 @@
             let page = self.store.read_page(PREFIX, &after).await?;
             oldest_revision = oldest_revision.min(page.revision);
             newest_revision = newest_revision.max(page.revision);
-            if let Some(last) = page.items.last() {
+            if let Some(last) = page.records.last() {
                 after = last.key.clone();
             }
-            pairs.extend(page.items);
-            if !page.more {
+            pairs.extend(page.records);
+            if !page.has_more {
                 break;
             }
         }
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -7,7 +7,8 @@
 use crate::http::{BODY_LIMIT, Response};
 use crate::state::budget::RequestClass;
 use crate::wire::{
-    Commit, PairPage, Refused, Revision, StateLease, StateLeaseRequest, WatchAnswer, Write,
+    Commit, CommitConflict, Revision, StateLease, StateLeaseRequest, StoredRecordPage,
+    WatchResponse, Write,
 };
 
 /// How many records one page of a read may have.
@@ -30,7 +31,9 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse::<Revision>()?.revision),
-            409 => Err(StoreError::Conflict(response.parse::<Refused>()?.failed)),
+            409 => Err(StoreError::Conflict(
+                response.parse::<CommitConflict>()?.failed,
+            )),
             400 if names_missing_lease(&response) => Err(StoreError::NoLease),
             400 => {
                 let key = self.log_longest_record(commit, &response.body);
@@ -63,7 +66,7 @@
                 key,
                 bytes,
                 writes = commit.writes.len(),
-                guards = commit.guards.len(),
+                preconditions = commit.preconditions.len(),
                 limit = %String::from_utf8_lossy(body),
                 "commit exceeds the state service's limits"
             );
@@ -83,7 +86,11 @@
     }
 
     /// Reads records in the order of their keys, beginning after a key.
-    pub async fn read_page(&self, prefix: &str, after: &str) -> Result<PairPage, StoreError> {
+    pub async fn read_page(
+        &self,
+        prefix: &str,
+        after: &str,
+    ) -> Result<StoredRecordPage, StoreError> {
         let mut path = format!("/store?prefix={prefix}&limit={PAGE_RECORDS}");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
@@ -102,7 +109,7 @@
         prefix: &str,
         after: u64,
         block: Duration,
-    ) -> Result<WatchAnswer, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         let path = format!(
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
