--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -92,7 +92,7 @@
 
 /// For how long nothing has come from a worker.
 fn silence(owned_worker: &OwnedWorker, now: Instant) -> Duration {
-    now.saturating_duration_since(owned_worker.heard)
+    now.saturating_duration_since(owned_worker.last_message_at)
 }
 
 /// One pass over the machines that this controller holds.
@@ -143,14 +143,14 @@
     /// How long a machine may be silent.
     fn silence_limit(&self, machine: &Machine, owned_worker: &OwnedWorker) -> Duration {
         let lease = self.controller.settings.worker_lease();
-        let report = owned_worker.report.as_ref();
+        let report = owned_worker.status.as_ref();
         if report.is_some_and(|report| report.notice_s.is_some()) {
             // It was to be taken back and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
             return lease.min(self.controller.settings.heartbeat_interval() * RECALLED_REPORTS);
         }
         // With a launch that may land late only the cloud can end the doubt.
-        if owned_worker.unresolved {
+        if owned_worker.has_unanswered_launch {
             return lease;
         }
         match self.partitioned.contains(&machine.zone) {
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -292,8 +292,9 @@
     let now = controller.liveness_tick();
     let limit = controller.settings.heartbeat_interval() * 2;
     let owned_workers = controller.workers.owned_workers.borrow();
-    let is_silent =
-        |owned_worker: &&OwnedWorker| now.saturating_duration_since(owned_worker.heard) > limit;
+    let is_silent = |owned_worker: &&OwnedWorker| {
+        now.saturating_duration_since(owned_worker.last_message_at) > limit
+    };
     PeerStatus {
         controller: controller.name().to_string(),
         incarnation: controller.incarnation,
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -8,12 +8,12 @@
 
 use super::digits::{push_number, read_number};
 use super::names::{join_name, split_name};
-use crate::state::records::{Machine, MachineLifecycle, MachineShard};
+use crate::state::records::{HeartbeatId, Machine, MachineLifecycle, MachineShard};
 
 // --- a machine shard -----------------------------------------------------------------
 
 /// Machines of a machine shard that have owner, incarnation, lifecycle, type and kind in
-/// common; of each prefix and width a text: number, token, epoch and report.
+/// common; of each prefix and width a text: number, fencing token, epoch and sequence of the claim heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 struct Members(
     String,
@@ -77,7 +77,11 @@
             text.push(' ');
         }
         push_number(text, u64::from(number));
-        for figure in [m.fencing_token, m.seen.0, m.seen.1] {
+        for figure in [
+            m.fencing_token,
+            m.claim_heartbeat.epoch,
+            m.claim_heartbeat.sequence,
+        ] {
             text.push('.');
             push_number(text, figure);
         }
@@ -103,11 +107,26 @@
     ))
 }
 
-fn read_member(text: &str) -> Option<(u32, u64, (u64, u64))> {
+/// The figures of one machine: the number that ends its name, and what it has not in
+/// common with others of its class.
+struct MemberFigures {
+    number: u32,
+    fencing_token: u64,
+    claim_heartbeat: HeartbeatId,
+}
+
+/// Reads the figures of one machine; `None` if the text does not hold just these.
+fn read_member(text: &str) -> Option<MemberFigures> {
     let mut figures = text.split('.').map(read_number);
     let mut next = || figures.next().flatten();
-    let number = u32::try_from(next()?).ok()?;
-    let member = (number, next()?, (next()?, next()?));
+    let member = MemberFigures {
+        number: u32::try_from(next()?).ok()?,
+        fencing_token: next()?,
+        claim_heartbeat: HeartbeatId {
+            epoch: next()?,
+            sequence: next()?,
+        },
+    };
     figures.next().is_none().then_some(member)
 }
 
@@ -134,19 +153,19 @@
                 let Members(owner, incarnation, lifecycle, kind, spot, texts) = class;
                 for (prefix, width, text) in texts {
                     for one in text.split(' ') {
-                        let Some((number, fencing_token, seen)) = read_member(one) else {
+                        let Some(figures) = read_member(one) else {
                             return Err(A::Error::custom("not a text of machines"));
                         };
                         let machine = Machine {
                             owner: owner.clone(),
                             incarnation,
-                            fencing_token,
-                            seen,
+                            fencing_token: figures.fencing_token,
+                            claim_heartbeat: figures.claim_heartbeat,
                             lifecycle,
                             spot: spot != 0,
                             ..Machine::new(&kind, "")
                         };
-                        all.insert(join_name(&prefix, width, number), machine);
+                        all.insert(join_name(&prefix, width, figures.number), machine);
                     }
                 }
             }
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -5,7 +5,7 @@
 use resources::{Amount, Resources};
 use serde::{Deserialize, Serialize};
 
-use crate::wire::MachineType;
+use crate::wire::{MachineType, WorkerStatus};
 
 impl MachineType {
     /// All that a machine of this type has.
@@ -95,6 +95,45 @@
     machine.len() + kind.len() + owner + 110
 }
 
+/// Identifies one heartbeat of a worker; a newer one compares greater. Written as the
+/// pair of its numbers.
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct HeartbeatId {
+    /// The worker's epoch: it rises each time the worker's lease has run out.
+    pub epoch: u64,
+    /// The number of the status that the worker sent.
+    pub sequence: u64,
+}
+
+impl HeartbeatId {
+    /// The heartbeat of an epoch with a number.
+    pub const fn new(epoch: u64, sequence: u64) -> Self {
+        HeartbeatId { epoch, sequence }
+    }
+}
+
+impl From<(u64, u64)> for HeartbeatId {
+    fn from((epoch, sequence): (u64, u64)) -> Self {
+        HeartbeatId { epoch, sequence }
+    }
+}
+
+impl From<HeartbeatId> for (u64, u64) {
+    fn from(id: HeartbeatId) -> Self {
+        (id.epoch, id.sequence)
+    }
+}
+
+impl WorkerStatus {
+    /// What orders this status among those of the same worker.
+    pub fn heartbeat_id(&self) -> HeartbeatId {
+        HeartbeatId::new(self.epoch, self.sequence)
+    }
+}
+
 /// One machine, as its machine shard has it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
@@ -108,10 +147,10 @@
     /// The fencing token of the owner's commands.
     #[serde(rename = "k", default)]
     pub fencing_token: u64,
-    /// Session and number of the report that it was last claimed on: one that
-    /// is no newer is a late copy, whoever it comes to.
+    /// The heartbeat on which it was last claimed: one that is no newer is a late
+    /// copy, whichever controller receives it.
     #[serde(rename = "s", default)]
-    pub seen: (u64, u64),
+    pub claim_heartbeat: HeartbeatId,
     /// How far it has come.
     #[serde(rename = "f")]
     pub lifecycle: MachineLifecycle,
@@ -137,7 +176,7 @@
             owner: String::new(),
             incarnation: 0,
             fencing_token: 0,
-            seen: (0, 0),
+            claim_heartbeat: HeartbeatId::default(),
             lifecycle: MachineLifecycle::Booting,
             kind: kind.to_string(),
             zone: zone.to_string(),
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -14,8 +14,8 @@
 };
 pub use job::{AcceptedBatch, DOUBT, FAILED_ON, Job, JobStatus, Outcome, Run, Team};
 pub use machine::{
-    Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types, ZoneShard,
-    machine_entry_bytes, slot_entry_bytes,
+    HeartbeatId, Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types,
+    ZoneShard, machine_entry_bytes, slot_entry_bytes,
 };
 pub use ranges::Ranges;
 pub use resources::{Amount, Resources};
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -18,7 +18,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::keys::{machine_shard_key, shard_id};
-use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::records::{HeartbeatId, Machine, MachineLifecycle};
 use crate::wire::{Guard, WorkerStatus, Write};
 
 /// How long a heartbeat waits for its claim: a worker drops an answer that takes
@@ -74,8 +74,8 @@
 struct TakenClaim {
     machine: String,
     fencing_token: u64,
-    /// The newest (epoch, seq) of the worker by the machine's record.
-    seen: (u64, u64),
+    /// The newest heartbeat of the worker by the machine's record.
+    newest_heartbeat: HeartbeatId,
 }
 
 /// What one commit claims.
@@ -104,7 +104,7 @@
     }
 
     /// Asks for a claim of the machine; the receiver tells what becomes of it.
-    pub(super) fn ask_claim(
+    pub(super) fn request_claim(
         &self,
         id: &str,
         report: &WorkerStatus,
@@ -135,8 +135,8 @@
 
     /// Claims the machine and waits for the commit; true if it is held then. What
     /// the state service refuses is not waited for.
-    pub(super) async fn claim(&self, id: &str, report: &WorkerStatus) -> bool {
-        let mut progress = self.ask_claim(id, report, true);
+    pub(super) async fn claim(&self, id: &str, status: &WorkerStatus) -> bool {
+        let mut progress = self.request_claim(id, status, true);
         if self.workers.claims_awaited.get() < self.max_claims_awaited() {
             let _waiting = WaitingHeartbeat::new(&self.workers.claims_awaited);
             let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
@@ -294,7 +294,7 @@
         batch.taken.push(TakenClaim {
             machine: id.clone(),
             fencing_token: machine.fencing_token,
-            seen: machine.seen,
+            newest_heartbeat: machine.claim_heartbeat,
         });
         machine_shards.put(id, machine);
     }
@@ -327,7 +327,7 @@
     machine.fencing_token = machine.fencing_token.max(report.fencing_token) + 1;
     machine.owner = controller.name().to_string();
     machine.incarnation = controller.incarnation;
-    machine.seen = machine.seen.max((report.epoch, report.sequence));
+    machine.claim_heartbeat = machine.claim_heartbeat.max(report.heartbeat_id());
     machine
 }
 
@@ -380,16 +380,19 @@
     let TakenClaim {
         machine,
         fencing_token,
-        seen: (epoch, sequence),
+        newest_heartbeat,
     } = claim;
     tracing::info!(machine, fencing_token, "claimed");
     let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let mut owned_worker = OwnedWorker::new(fencing_token, revision, now);
     if let Some(earlier) = owned_workers.get(&machine) {
-        owned_worker.follow(earlier);
+        owned_worker.inherit_from(earlier);
     }
     // The report that asked for the claim is yet to be taken.
-    let before = (epoch, sequence.saturating_sub(1));
+    let before = HeartbeatId {
+        sequence: newest_heartbeat.sequence.saturating_sub(1),
+        ..newest_heartbeat
+    };
     owned_worker.newest_heartbeat = owned_worker.newest_heartbeat.max(before);
     owned_workers.insert(machine, owned_worker);
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, timeout};
 
-use super::{OwnedWorker, Plan, reconcile};
+use super::{OwnedWorker, WorkerPlan, reconcile};
 use crate::controller::Controller;
 use crate::http::{CallError, Deadlines, Response};
 use crate::wire::{CommandKind, WorkerCommand, WorkerCommands, WorkerStatus};
@@ -40,10 +40,10 @@
     }
 
     /// The plan of a machine by the present view; empty if it is not held.
-    pub(super) fn plan(&self, id: &str) -> Plan {
+    pub(super) fn plan(&self, id: &str) -> WorkerPlan {
         let owned_workers = self.workers.owned_workers.borrow();
         let Some(owned_worker) = owned_workers.get(id) else {
-            return Plan::default();
+            return WorkerPlan::default();
         };
         reconcile(
             id,
@@ -57,7 +57,7 @@
 
     /// Takes out launches that would follow from too old a replica, and asks for the
     /// read barrier after which they are planned again.
-    pub(super) fn defer_old_launches(&self, id: &str, plan: &mut Plan) {
+    pub(super) fn defer_old_launches(&self, id: &str, plan: &mut WorkerPlan) {
         let limit = self.settings.launch_limit();
         if plan.defer_launches(self.replica_staleness(), limit) {
             self.request_barrier_for(id);
@@ -80,7 +80,7 @@
         let fleet = self.fleet.borrow();
         let known = fleet.reports.get(id)?;
         let epoch = owned_worker
-            .report
+            .status
             .as_ref()
             .map_or(known.epoch, |r| r.epoch);
         Some((known.addr.clone(), epoch))
@@ -132,7 +132,7 @@
         return None;
     }
     let mut plan = controller.plan(id);
-    controller.queue_terminations(std::mem::take(&mut plan.ends));
+    controller.queue_terminations(std::mem::take(&mut plan.terminations));
     let mut owned_workers = controller.workers.owned_workers.borrow_mut();
     let owned_worker = owned_workers.get_mut(id)?;
     if !may_call(controller, owned_worker, now) {
@@ -140,24 +140,24 @@
     }
     controller.defer_old_launches(id, &mut plan);
     // The first call tells the worker the token, with or without orders.
-    let first = owned_worker.report.is_none();
-    if plan.orders.is_empty() && !first {
+    let first = owned_worker.status.is_none();
+    if plan.commands.is_empty() && !first {
         return None;
     }
     let (addr, epoch) = controller.endpoint(id, owned_worker)?;
     owned_worker.in_flight = true;
-    for o in &plan.orders {
+    for o in &plan.commands {
         tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
     }
-    owned_worker.note_orders(&plan.orders, now);
+    owned_worker.record_commands(&plan.commands, now);
     Some(Call {
         machine: id.to_string(),
         addr,
-        deadlines: deadlines(controller, launches(&plan.orders), now),
+        deadlines: deadlines(controller, launches(&plan.commands), now),
         body: WorkerCommands {
             fencing_token: owned_worker.fencing_token,
             epoch,
-            orders: plan.orders,
+            orders: plan.commands,
         },
     })
 }
@@ -166,7 +166,7 @@
 /// reached our own claim.
 fn drop_if_lost(controller: &Controller, id: &str) {
     if controller.replica.borrow().revision
-        >= controller.workers.owned_workers.borrow()[id].claimed_at
+        >= controller.workers.owned_workers.borrow()[id].claim_revision
     {
         tracing::info!(machine = id, "claimed by another controller, or gone");
         controller.workers.owned_workers.borrow_mut().remove(id);
@@ -177,11 +177,11 @@
 /// cut off takes a connection until it times out: hundreds of them would leave none
 /// for the rest. What is heard again has its orders by the answer.
 fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
-    let silent = now.saturating_duration_since(owned_worker.heard)
+    let silent = now.saturating_duration_since(owned_worker.last_message_at)
         > controller.settings.heartbeat_interval() * 2;
     !owned_worker.in_flight
-        && !owned_worker.unresolved
-        && owned_worker.quiet_until <= now
+        && !owned_worker.has_unanswered_launch
+        && owned_worker.next_call_at <= now
         && !silent
 }
 
@@ -225,24 +225,24 @@
         }
         Ok(answer) => {
             tracing::debug!(machine = id, status = answer.status, "orders refused");
-            owned_worker.quiet_until = quiet_until;
+            owned_worker.next_call_at = quiet_until;
         }
         Err(CallError::NotSent(cause)) => {
             // Surely not there: heartbeat answers carry the orders meanwhile.
             tracing::debug!(machine = id, cause, "orders not sent");
-            owned_worker.quiet_until = quiet_until;
-            owned_worker.withdraw_orders(&call.body.orders);
+            owned_worker.next_call_at = quiet_until;
+            owned_worker.withdraw_commands(&call.body.orders);
         }
         Err(error) => {
             tracing::debug!(machine = id, %error, "orders not answered");
-            owned_worker.quiet_until = quiet_until;
+            owned_worker.next_call_at = quiet_until;
             // Safety 3: an unanswered launch may be executed late. Only a higher
             // token that the worker has shown rules that out.
-            owned_worker.unresolved |= call.launches();
-            if owned_worker.unresolved
+            owned_worker.has_unanswered_launch |= call.launches();
+            if owned_worker.has_unanswered_launch
                 && let Some(report) = controller.known_report(id)
             {
-                controller.ask_claim(id, &report, true);
+                controller.request_claim(id, &report, true);
             }
         }
     }
@@ -274,11 +274,11 @@
         Ok(report) => report,
         Err(error) => {
             tracing::debug!(machine = id, %error, "report not understood");
-            owned_worker.unresolved |= call.launches();
+            owned_worker.has_unanswered_launch |= call.launches();
             return true;
         }
     };
-    owned_worker.see(&report, controller.settings.worker_lease(), now);
+    owned_worker.observe_status(&report, controller.settings.worker_lease(), now);
     if report.fencing_token > call.body.fencing_token {
         tracing::info!(machine = id, "has seen a higher token");
         return false;
@@ -286,8 +286,8 @@
     if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(id) {
         known.epoch = report.epoch;
     }
-    let first = owned_worker.report.is_none();
-    if owned_worker.take(report, false) && first {
+    let first = owned_worker.status.is_none();
+    if owned_worker.accept_status(report, false) && first {
         controller.workers.publication_notify.notify_one();
     }
     true
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-use super::{Plan, must_stop, stops_of_cancelled};
+use super::{WorkerPlan, must_stop, stops_of_cancelled_tasks};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::records::{Machine, MachineLifecycle};
@@ -156,7 +156,7 @@
                 retry_after_s: RETURNED_RETRY_S,
             });
         }
-        if !held && (report.epoch, report.sequence) <= machine.seen {
+        if !held && report.heartbeat_id() <= machine.claim_heartbeat {
             return Err(Answer::unavailable("a newer report has come"));
         }
         let lease = self.settings.worker_lease();
@@ -214,7 +214,7 @@
         if self.owns(heartbeat.id()) || must_stop(report, &self.replica.borrow()) {
             return Ok(());
         }
-        self.ask_claim(heartbeat.id(), report, false);
+        self.request_claim(heartbeat.id(), report, false);
         Err(Answer::without_orders(machine.fencing_token))
     }
 
@@ -233,7 +233,7 @@
         if report.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
             // Nobody has ever held it, so nobody can wait for its lease to run
             // out: the worker stays here until the machine is claimed.
-            self.ask_claim(id, report, false);
+            self.request_claim(id, report, false);
             return Err(Answer::without_orders(NO_TOKEN));
         }
         if self.claim(id, report).await {
@@ -272,14 +272,14 @@
             ) {
                 return Err(Answer::unavailable("a newer report has come"));
             }
-            let first = owned_worker.report.is_none();
+            let first = owned_worker.status.is_none();
             unconfirmed = owned_worker.unconfirmed;
-            if owned_worker.take(report.clone(), true) && first {
+            if owned_worker.accept_status(report.clone(), true) && first {
                 self.workers.publication_notify.notify_one();
             }
         }
         if unconfirmed {
-            self.ask_claim(id, report, false);
+            self.request_claim(id, report, false);
         }
         if report.notice_s.is_some() {
             let mut fleet = self.fleet.borrow_mut();
@@ -289,14 +289,14 @@
     }
 
     /// What the machine is to be told now; ends are queued at once.
-    fn plan_answer(&self, heartbeat: &Heartbeat) -> Plan {
+    fn plan_answer(&self, heartbeat: &Heartbeat) -> WorkerPlan {
         let mut plan = self.plan(heartbeat.id());
-        self.queue_terminations(std::mem::take(&mut plan.ends));
+        self.queue_terminations(std::mem::take(&mut plan.terminations));
         plan
     }
 
     /// The answer that renews the lease.
-    fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
+    fn answer_with(&self, mut plan: WorkerPlan, heartbeat: &Heartbeat) -> Step<Answer> {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut owned_workers = self.workers.owned_workers.borrow_mut();
         let Some(owned_worker) = owned_workers.get_mut(id) else {
@@ -305,25 +305,25 @@
         if owned_worker.in_flight {
             // What a direct call carries just now is not repeated here: the order
             // in which the two arrive would not be known.
-            plan.orders.clear();
+            plan.commands.clear();
         }
         self.defer_old_launches(id, &mut plan);
         // The bound may have passed while the claim was awaited.
         self.check_staleness()?;
         // Safety 4: the answer renews the lease, so it ends what is cancelled.
-        for stop in stops_of_cancelled(report, &self.replica.borrow()) {
-            if !plan.orders.contains(&stop) {
-                plan.orders.push(stop);
+        for stop in stops_of_cancelled_tasks(report, &self.replica.borrow()) {
+            if !plan.commands.contains(&stop) {
+                plan.commands.push(stop);
             }
         }
         if plan.launches() {
-            owned_worker.offered = Some((report.epoch, report.sequence));
+            owned_worker.launches_offered_on = Some(report.heartbeat_id());
         }
-        owned_worker.note_orders(&plan.orders, heartbeat.received);
-        owned_worker.answered = heartbeat.received;
+        owned_worker.record_commands(&plan.commands, heartbeat.received);
+        owned_worker.last_answered_at = heartbeat.received;
         Ok(Answer::WorkerCommands {
             fencing_token: owned_worker.fencing_token,
-            orders: plan.orders,
+            orders: plan.commands,
         })
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -21,7 +21,7 @@
 pub use commands::run_commands;
 pub use owned_worker::OwnedWorker;
 pub use publication::run_publication;
-pub use reconcile::{Plan, grace, must_stop, reconcile, stops_of_cancelled};
+pub use reconcile::{WorkerPlan, must_stop, reconcile, stop_grace_s, stops_of_cancelled_tasks};
 pub use routing::preferred_owner_of;
 pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
 pub use worker_table::WorkerTable;
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -232,7 +232,7 @@
             return Listing::TakesNone;
         }
         let kind = self.replica.type_of(&machine.kind);
-        let (Some(report), Some(kind)) = (&owned_worker.report, kind) else {
+        let (Some(report), Some(kind)) = (&owned_worker.status, kind) else {
             return Listing::Unknown;
         };
         let unbooked = self.unbooked(id, report);
@@ -249,9 +249,10 @@
     fn is_quiet(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
         let settings = &self.controller.settings;
         let since = |t: Instant| self.now.saturating_duration_since(t);
-        let unshown = owned_worker.report.is_none()
-            && since(owned_worker.claimed) > settings.heartbeat_interval() * 2;
-        let silent = since(owned_worker.heartbeat) > settings.worker_lease().mul_f64(QUIET_SHARE);
+        let unshown = owned_worker.status.is_none()
+            && since(owned_worker.claimed_at) > settings.heartbeat_interval() * 2;
+        let silent =
+            since(owned_worker.last_heartbeat_at) > settings.worker_lease().mul_f64(QUIET_SHARE);
         unshown || silent || self.suspects.contains(id)
     }
 
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -13,17 +13,17 @@
 
 /// What a worker is to be told, and which bookings are to be released.
 #[derive(Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct WorkerPlan {
     /// Orders for the worker, to be executed in this order.
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
     /// Attempts that have ended, with their outcome.
-    pub ends: Vec<(AttemptKey, Outcome)>,
+    pub terminations: Vec<(AttemptKey, Outcome)>,
 }
 
-impl Plan {
+impl WorkerPlan {
     /// Whether any of the orders starts a task.
     pub fn launches(&self) -> bool {
-        self.orders.iter().any(|o| o.verb == CommandKind::Start)
+        self.commands.iter().any(|o| o.verb == CommandKind::Start)
     }
 
     /// Takes the launches out unless the replica is recent enough for them: what an
@@ -34,12 +34,12 @@
         if recent || !self.launches() {
             return false;
         }
-        self.orders.retain(|o| o.verb != CommandKind::Start);
+        self.commands.retain(|o| o.verb != CommandKind::Start);
         true
     }
 
     fn order(&mut self, verb: CommandKind, task: &str, attempt: u64, grace_s: Option<f64>) {
-        self.orders.push(WorkerCommand {
+        self.commands.push(WorkerCommand {
             verb,
             task: task.to_string(),
             attempt,
@@ -58,7 +58,7 @@
 
 /// The grace period of a stop: enough to save a checkpoint, none for a job that
 /// is over.
-pub fn grace(job: &Job, spec: Option<&Spec>) -> f64 {
+pub fn stop_grace_s(job: &Job, spec: Option<&Spec>) -> f64 {
     match spec {
         Some(s) if job.is_open() && s.checkpoint_s > 0.0 => s.save_s * 1.5 + 1.0,
         _ => 0.0,
@@ -75,14 +75,14 @@
     ends: &BTreeMap<AttemptKey, TerminationEvidence>,
     repeat: Duration,
     now: Instant,
-) -> Plan {
-    let mut plan = Plan::default();
-    let (Some(report), Some(machine)) = (&owned_worker.report, replica.machines.get(id)) else {
+) -> WorkerPlan {
+    let mut plan = WorkerPlan::default();
+    let (Some(report), Some(machine)) = (&owned_worker.status, replica.machines.get(id)) else {
         return plan;
     };
     // Safety 2: act on bookings only once the replica has reached our claim, and
     // only while the claim is still ours as far as the replica tells.
-    if replica.revision < owned_worker.claimed_at
+    if replica.revision < owned_worker.claim_revision
         || machine.value.fencing_token != owned_worker.fencing_token
     {
         return plan;
@@ -105,7 +105,7 @@
     }
     // Safety 3: only a report newer than every launch proves that a task that it
     // lacks is not there.
-    if owned_worker.settled() {
+    if owned_worker.are_launches_settled() {
         reconciler.plan_missing(&reported, &mut plan);
     }
     plan
@@ -134,7 +134,7 @@
     }
 
     /// Plans for a task that the worker reports.
-    fn plan_reported(&self, job: &str, number: u32, task: &TaskStatus, plan: &mut Plan) {
+    fn plan_reported(&self, job: &str, number: u32, task: &TaskStatus, plan: &mut WorkerPlan) {
         let entry = self.replica.jobs.get(job);
         let booking = entry.and_then(|e| {
             let run = e.value.find(self.machine, task.attempt, number)?;
@@ -145,15 +145,15 @@
             Some(_) if ended => {
                 // Safety 3: with a launch that may be executed late neither the
                 // booking is released nor the attempt forgotten.
-                if !self.owned_worker.unresolved {
+                if !self.owned_worker.has_unanswered_launch {
                     let key = self.end_key(job, number, task.attempt);
-                    plan.ends.push((key, outcome(task.why)));
+                    plan.terminations.push((key, outcome(task.why)));
                 }
             }
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if ended => {
                 // The end is on record, or was never ours to record.
-                if self.owned_worker.settled() {
+                if self.owned_worker.are_launches_settled() {
                     plan.order(CommandKind::Forget, &task.task, task.attempt, None);
                 }
             }
@@ -163,7 +163,7 @@
 
     /// Stops a booked task whose job is over, whose run is to end, or whose
     /// machine is to be returned.
-    fn stop_booked(&self, job: &Job, run: &Run, task: &TaskStatus, plan: &mut Plan) {
+    fn stop_booked(&self, job: &Job, run: &Run, task: &TaskStatus, plan: &mut WorkerPlan) {
         let returning = matches!(
             self.lifecycle,
             MachineLifecycle::Returning | MachineLifecycle::Gone
@@ -171,7 +171,7 @@
         if job.is_open() && !run.stop && !returning {
             return;
         }
-        let grace_s = grace(job, job.spec.as_ref());
+        let grace_s = stop_grace_s(job, job.spec.as_ref());
         let saving = task.stage == TaskStage::Saving;
         let wanted = match self.stop_ordered(task) {
             None => !saving || grace_s == 0.0,
@@ -183,7 +183,7 @@
     }
 
     /// Stops a task that nobody has booked here, at once.
-    fn stop_unbooked(&self, task: &TaskStatus, plan: &mut Plan) {
+    fn stop_unbooked(&self, task: &TaskStatus, plan: &mut WorkerPlan) {
         let ordered = self.stop_ordered(task);
         if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
             plan.order(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
@@ -193,7 +193,7 @@
     /// When the task was last ordered to stop, and with how much grace.
     fn stop_ordered(&self, task: &TaskStatus) -> Option<&(Instant, f64)> {
         self.owned_worker
-            .stopped
+            .stop_commands
             .get(&(task.task.clone(), task.attempt))
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// Plans for the bookings of which the report shows no task.
-    fn plan_missing(&self, reported: &HashSet<(&str, u32, u64)>, plan: &mut Plan) {
+    fn plan_missing(&self, reported: &HashSet<(&str, u32, u64)>, plan: &mut WorkerPlan) {
         for (job, entry) in self.replica.jobs_on(self.machine) {
             let runs = entry.value.runs.iter();
             for run in runs.filter(|r| r.machine == self.machine) {
@@ -222,7 +222,7 @@
         entry: &Entry<Job>,
         run: &Run,
         number: u32,
-        plan: &mut Plan,
+        plan: &mut WorkerPlan,
     ) {
         let key = self.end_key(job_id, number, run.attempt);
         let recording = self.ends.get(&key);
@@ -232,7 +232,7 @@
         let task = format!("{job_id}/{number}");
         let launched = self
             .owned_worker
-            .launched
+            .launched_attempts
             .contains(&(task.clone(), run.attempt));
         // A gang's member that was there and is gone has broken the attempt; an
         // independent task is simply launched again, but not where no order
@@ -241,7 +241,7 @@
         let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
         let lost = run.stop || self.owned_worker.unreachable_since.is_some() || (gang && launched);
         if !job.is_open() || self.lifecycle != MachineLifecycle::Active || lost {
-            plan.ends.push((key, Outcome::Lost));
+            plan.terminations.push((key, Outcome::Lost));
         } else if entry.version <= self.replica.revision {
             plan.order(CommandKind::Start, &task, run.attempt, None);
         }
@@ -272,7 +272,7 @@
 /// report under our token nor a replica that has reached our claim, and a stop may
 /// be repeated at any time: it is not left out because it was ordered a moment
 /// ago, or is in a direct call just now, as neither may ever arrive.
-pub fn stops_of_cancelled(report: &WorkerStatus, replica: &Replica) -> Vec<WorkerCommand> {
+pub fn stops_of_cancelled_tasks(report: &WorkerStatus, replica: &Replica) -> Vec<WorkerCommand> {
     let cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
         task.stage != TaskStage::Ended
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -100,9 +100,9 @@
             tracing::info!(machine = id, "silent for a whole lease: its tasks are gone");
             lost.extend(all_bookings(&replica, id));
             // What it reports next counts as a new beginning.
-            owned_worker.report = None;
+            owned_worker.status = None;
             owned_worker.unconfirmed = true;
-            owned_worker.launched.clear();
+            owned_worker.launched_attempts.clear();
         }
     }
     controller.queue_terminations(lost);
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -322,7 +322,7 @@
             owner: "n0".into(),
             incarnation: u64::from(u32::MAX),
             fencing_token: 1_000_000,
-            seen: (1000, 1_000_000),
+            claim_heartbeat: HeartbeatId::new(1000, 1_000_000),
             spot: true,
             ..Machine::new("grande-occhio", "a")
         };
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -124,7 +124,7 @@
         owner: "n0".into(),
         incarnation: 1,
         fencing_token: 5,
-        seen: (0, 0),
+        claim_heartbeat: HeartbeatId::new(0, 0),
         lifecycle: MachineLifecycle::Active,
         kind: "small".into(),
         zone: "a".into(),
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -88,7 +88,7 @@
     type Edit = fn(&mut OwnedWorker);
     let plain: Edit = |_| {};
     let launched: Edit = |h| {
-        h.launched.insert(("job-1/0".into(), 1));
+        h.launched_attempts.insert(("job-1/0".into(), 1));
     };
     let cases: &[(&str, Kind, u64, &serde_json::Value, Edit, &str)] = &[
         ("absent: launch", Kind::Array, 5, &none, plain, "launch"),
@@ -131,7 +131,7 @@
             5,
             &none,
             |h| {
-                h.launched.insert(("job-1/0".into(), 1));
+                h.launched_attempts.insert(("job-1/0".into(), 1));
                 h.in_flight = true;
             },
             "",
@@ -142,8 +142,8 @@
             5,
             &none,
             |h| {
-                h.launched.insert(("job-1/0".into(), 1));
-                h.unresolved = true;
+                h.launched_attempts.insert(("job-1/0".into(), 1));
+                h.has_unanswered_launch = true;
             },
             "",
         ),
@@ -152,7 +152,7 @@
             Kind::Array,
             5,
             &done,
-            |h| h.unresolved = true,
+            |h| h.has_unanswered_launch = true,
             "",
         ),
         (
@@ -161,7 +161,7 @@
             5,
             &none,
             |h| {
-                h.offered = Some((1, 99));
+                h.launches_offered_on = Some(HeartbeatId::new(1, 99));
             },
             "",
         ),
@@ -170,7 +170,7 @@
             Kind::Array,
             5,
             &none,
-            |h| h.claimed_at = 11,
+            |h| h.claim_revision = 11,
             "",
         ),
     ];
@@ -178,7 +178,7 @@
         let replica = held(*kind, |_| {});
         let now = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 9, now);
-        owned_worker.take(report(7, *fencing_token, (*tasks).clone()), true);
+        owned_worker.accept_status(report(7, *fencing_token, (*tasks).clone()), true);
         edit(&mut owned_worker);
         let plan = reconcile(
             "m",
@@ -189,7 +189,7 @@
             now,
         );
         let mut got: Vec<String> = plan
-            .orders
+            .commands
             .iter()
             .map(|o| {
                 serde_json::to_value(o.verb)
@@ -200,7 +200,7 @@
             })
             .collect();
         got.extend(
-            plan.ends
+            plan.terminations
                 .iter()
                 .map(|(_, o)| format!("end {o:?}").to_lowercase()),
         );
@@ -213,7 +213,7 @@
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
-    owned_worker.take(report(7, 5, done), true);
+    owned_worker.accept_status(report(7, 5, done), true);
     let recorded = held(Kind::Array, |j| {
         j.release("m", 1, 0, Outcome::Done);
     });
@@ -227,10 +227,10 @@
             now,
         )
     };
-    assert_eq!(plan(&owned_worker).orders[0].verb, CommandKind::Forget);
-    owned_worker.unresolved = true;
+    assert_eq!(plan(&owned_worker).commands[0].verb, CommandKind::Forget);
+    owned_worker.has_unanswered_launch = true;
     assert!(
-        plan(&owned_worker).orders.is_empty(),
+        plan(&owned_worker).commands.is_empty(),
         "a late launch would start it again"
     );
 }
@@ -239,17 +239,20 @@
 fn older_reports_are_passed_over() {
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
-    assert!(owned_worker.take(report(7, 5, json!([])), true));
+    assert!(owned_worker.accept_status(report(7, 5, json!([])), true));
     assert!(
-        !owned_worker.take(report(7, 5, json!([])), true),
+        !owned_worker.accept_status(report(7, 5, json!([])), true),
         "the same again"
     );
-    assert!(!owned_worker.take(report(6, 5, json!([])), true), "late");
     assert!(
-        !owned_worker.take(report(8, 4, json!([])), true),
+        !owned_worker.accept_status(report(6, 5, json!([])), true),
+        "late"
+    );
+    assert!(
+        !owned_worker.accept_status(report(8, 4, json!([])), true),
         "another token"
     );
-    assert!(owned_worker.take(report(8, 5, json!([])), false));
+    assert!(owned_worker.accept_status(report(8, 5, json!([])), false));
 }
 
 /// A machine that was lost and claimed again: another controller may have
@@ -328,19 +331,19 @@
         !owned_worker.lease_is_over(lease, margin, late),
         "the token was never shown"
     );
-    owned_worker.take(report(7, 5, json!([])), true);
+    owned_worker.accept_status(report(7, 5, json!([])), true);
     assert!(owned_worker.lease_is_over(lease, margin, late));
     assert!(
         !owned_worker.lease_is_over(lease, margin, start + Duration::from_secs(11)),
         "margin"
     );
-    owned_worker.unresolved = true;
+    owned_worker.has_unanswered_launch = true;
     assert!(
         !owned_worker.lease_is_over(lease, margin, late),
         "a launch may land late"
     );
-    owned_worker.unresolved = false;
-    owned_worker.answered = start + Duration::from_secs(5);
+    owned_worker.has_unanswered_launch = false;
+    owned_worker.last_answered_at = start + Duration::from_secs(5);
     assert!(
         !owned_worker.lease_is_over(lease, margin, late),
         "renewed since"
@@ -397,9 +400,9 @@
     for fencing_token in [0, 5, 9] {
         let report = report(3, fencing_token, tasks.clone());
         for replica in [&open, &done] {
-            assert_eq!(workers::stops_of_cancelled(&report, replica), vec![]);
+            assert_eq!(workers::stops_of_cancelled_tasks(&report, replica), vec![]);
         }
-        let stops = workers::stops_of_cancelled(&report, &over);
+        let stops = workers::stops_of_cancelled_tasks(&report, &over);
         let told: Vec<_> = stops
             .iter()
             .map(|o| (o.verb, &*o.task, o.attempt))
@@ -460,7 +463,7 @@
                 owned_worker.record_heartbeat(&heartbeat, lease, now),
                 "{name} {n}"
             );
-            owned_worker.answered = now;
+            owned_worker.last_answered_at = now;
             assert_eq!(
                 owned_worker.unreachable_since.is_some(),
                 *deaf,
@@ -471,7 +474,10 @@
                 !owned_worker.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
                 "{name} {n}"
             );
-            assert_eq!(owned_worker.heard, now, "{name} {n}: a copy kept it alive");
+            assert_eq!(
+                owned_worker.last_message_at, now,
+                "{name} {n}: a copy kept it alive"
+            );
         }
     }
 }
@@ -504,9 +510,13 @@
         };
         match beats {
             true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
-            false => owned_worker.see(&report, lease, now),
+            false => owned_worker.observe_status(&report, lease, now),
         }
-        owned_worker.answered = if beats { now } else { owned_worker.answered };
+        owned_worker.last_answered_at = if beats {
+            now
+        } else {
+            owned_worker.last_answered_at
+        };
         assert_eq!(owned_worker.unreachable_since.is_some(), found, "{s}");
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -12,9 +12,9 @@
 use shelfhoist::gossip::{PeerStatus, decode, encode};
 use shelfhoist::state::keys;
 use shelfhoist::state::records::{
-    AcceptedBatch, Amount, ControllerRecord, Formats, Job, JobStatus, Machine, MachineLifecycle,
-    MachineShard, MachineSlot, ProvisioningRequest, Ranges, Resources, Run, Spec, Team, Types,
-    ZoneShard,
+    AcceptedBatch, Amount, ControllerRecord, Formats, HeartbeatId, Job, JobStatus, Machine,
+    MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Ranges, Resources, Run, Spec,
+    Team, Types, ZoneShard,
 };
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
@@ -177,7 +177,7 @@
         owner: owner.into(),
         incarnation: 4_000_000_000 * number.min(1),
         fencing_token: number * 41,
-        seen: (number, number * 88),
+        claim_heartbeat: HeartbeatId::new(number, number * 88),
         lifecycle,
         spot: number == 1,
         ..Machine::new("g8", "")
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -13,7 +13,7 @@
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::settings::Settings;
 use shelfhoist::wire::{CommandKind, WorkerCommand};
-use shelfhoist::workers::Plan;
+use shelfhoist::workers::WorkerPlan;
 use stand_ins::{Shape, World, addr, in_world, job};
 use tokio::time::{Instant, sleep};
 
@@ -64,12 +64,12 @@
         ),
     ];
     for (name, age, planned, expected, deferred) in cases {
-        let mut plan = Plan {
-            orders: planned.into_iter().map(order).collect(),
-            ends: Vec::new(),
+        let mut plan = WorkerPlan {
+            commands: planned.into_iter().map(order).collect(),
+            terminations: Vec::new(),
         };
         assert_eq!(plan.defer_launches(age, limit), deferred, "{name}");
-        let left: Vec<CommandKind> = plan.orders.iter().map(|o| o.verb).collect();
+        let left: Vec<CommandKind> = plan.commands.iter().map(|o| o.verb).collect();
         assert_eq!(left, expected, "{name}");
     }
 }
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -94,7 +94,7 @@
                 owner: format!("bay-{}", n % 3),
                 incarnation: rng.random::<u32>().into(),
                 fencing_token: rng.random::<u64>() >> rng.random_range(0..64),
-                seen: (rng.random(), rng.random()),
+                claim_heartbeat: HeartbeatId::new(rng.random(), rng.random()),
                 lifecycle: lives[n % 5],
                 spot: rng.random(),
                 ..Machine::new(kind, "")
@@ -144,7 +144,7 @@
                 owner: "bay-1".into(),
                 incarnation: u64::from(u32::MAX),
                 fencing_token: 60,
-                seen: (3, 4000),
+                claim_heartbeat: HeartbeatId::new(3, 4000),
                 lifecycle: MachineLifecycle::Active,
                 spot: n % 3 == 0,
                 ..Machine::new(kind, "")
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -120,7 +120,7 @@
                 owner: "n0".into(),
                 incarnation: u64::from(u32::MAX),
                 fencing_token: u64::MAX - 7,
-                seen: (u64::MAX, u64::MAX),
+                claim_heartbeat: HeartbeatId::new(u64::MAX, u64::MAX),
                 lifecycle: MachineLifecycle::Active,
                 ..Machine::new("grande-occhio", "a")
             };
