--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -17,8 +17,8 @@
 };
 pub use job::{FAULTY_JOB_THRESHOLD, Job, JobStatus, MAX_FAILED_MACHINES, Run, TaskOutcome};
 pub use machine::{
-    Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types, ZoneShard,
-    machine_entry_bytes, slot_entry_bytes,
+    HeartbeatId, Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types,
+    ZoneShard, machine_entry_bytes, slot_entry_bytes,
 };
 pub use ranges::Ranges;
 pub use resources::{Amount, Resources};
