--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -1,10 +1,8 @@
 //! Consolidation: services move off machines whose accelerators nobody needs,
-//! so that these can go back.
+//! so that these can be decommissioned.
 
-use tokio::time::Instant;
-
-use super::headroom::spare_places;
-use super::offers::price_of;
+use super::headroom::{free_accelerator_slots, open_accelerator_jobs};
+use super::pricing::machine_price;
 use crate::controller::Controller;
 use crate::scheduler::{self, AcceleratorProtection, MachineShardEdits, PlacementHints, Plan};
 use crate::settings::Settings;
@@ -15,24 +13,28 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Kind, Write};
 
-/// Places for so many of the usual jobs on accelerators stay free.
-const KEPT_GANGS: usize = 2;
+/// Slots for so many of the usual gangs on accelerators stay free.
+const RESERVED_GANGS: usize = 2;
 
 /// Writes of the commit beside the jobs' records: the machine's machine shard and zone shard.
 const MACHINE_WRITES: usize = 2;
 
-/// Empties a machine whose accelerators nobody needs, when the services that
-/// keep it rented have room elsewhere: they move, and it goes back.
+/// Drains a machine whose accelerators nobody needs, when the services that keep
+/// it provisioned fit elsewhere: they move, and it is decommissioned.
 pub(super) async fn consolidate(controller: &Controller) {
-    let pause = controller.settings.worker_lease();
-    let last = controller.fleet.borrow().consolidated_at;
-    if last.is_some_and(|last| last.elapsed() <= pause) {
+    let interval = controller.settings.worker_lease();
+    if !controller
+        .fleet
+        .borrow()
+        .consolidation_timer
+        .is_due(interval)
+    {
         return;
     }
     let Some(eviction) = find_eviction(controller) else {
         return;
     };
-    controller.fleet.borrow_mut().consolidated_at = Some(Instant::now());
+    controller.fleet.borrow_mut().consolidation_timer.restart();
     let Eviction {
         machine,
         guards,
@@ -43,98 +45,94 @@
         .commit(RequestClass::Publication, guards, writes)
         .await
     {
-        Ok(_) => tracing::info!(machine, services, "emptied: its services move"),
-        Err(error) => tracing::debug!(machine, %error, "not emptied"),
+        Ok(revision) => tracing::info!(machine, services, revision, "machine consolidated"),
+        Err(error) => tracing::debug!(machine, %error, "machine not consolidated"),
     }
 }
 
-/// The commit that empties a machine.
+/// The commit that evicts the services of a machine.
 struct Eviction {
     machine: String,
     guards: Vec<Guard>,
     writes: Vec<Write>,
 }
 
-/// A machine that could be emptied.
+/// A machine whose services could move.
 struct Candidate<'a> {
     id: &'a String,
     services: Vec<&'a str>,
-    /// What its price comes to for each service that has to move.
-    gain: f64,
+    /// Its price divided by the number of services that have to move.
+    savings_per_service: f64,
 }
 
 fn find_eviction(controller: &Controller) -> Option<Eviction> {
     let replica = controller.replica.borrow();
     let gpu = replica.gpu_spec.as_ref()?;
-    if gpu_work_waits(&replica) {
+    if open_accelerator_jobs(&replica).any(|job| job.waiting() > 0) {
         return None;
     }
-    let search = Search {
+    let search = ConsolidationSearch {
         replica: &replica,
         settings: &controller.settings,
         plan: Plan::of(&replica),
         hints: PlacementHints::new(&replica, controller.name()),
-        kept_places: KEPT_GANGS * gpu.tasks as usize,
+        reserved_slots: RESERVED_GANGS * gpu.tasks as usize,
     };
     let candidate = search.best()?;
-    eviction_of(&replica, &candidate)
+    plan_eviction(&replica, &candidate)
 }
 
-/// Whether tasks that need accelerators wait for room.
-fn gpu_work_waits(replica: &Replica) -> bool {
-    replica.open.iter().any(|(_, id)| {
-        let job = replica.jobs.get(id).map(|entry| &entry.value);
-        job.is_some_and(|job| {
-            let spec = job.spec.as_ref();
-            !job.is_doubtful() && job.waiting() > 0 && spec.is_some_and(|spec| spec.need.gpus.0 > 0)
-        })
-    })
-}
-
-/// A search for the machine whose emptying gains most.
-struct Search<'a> {
+/// A search for the machine whose consolidation saves most.
+struct ConsolidationSearch<'a> {
     replica: &'a Replica,
     settings: &'a Settings,
     plan: Plan,
     hints: PlacementHints<'a>,
-    /// Places that stay for work on accelerators.
-    kept_places: usize,
+    /// Slots that stay free for work on accelerators.
+    reserved_slots: usize,
 }
 
-impl<'a> Search<'a> {
+impl<'a> ConsolidationSearch<'a> {
     fn best(&self) -> Option<Candidate<'a>> {
         let mut best: Option<Candidate> = None;
         for (id, entry) in &self.replica.machines {
             let Some(candidate) = self.candidate(id, &entry.value) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|best| candidate.gain > best.gain) {
+            if best
+                .as_ref()
+                .is_none_or(|best| candidate.savings_per_service > best.savings_per_service)
+            {
                 best = Some(candidate);
             }
         }
         best
     }
 
-    /// The machine if it has accelerators, runs services alone, and these have
-    /// room elsewhere.
+    /// The machine if it has accelerators, runs services alone, and these fit
+    /// elsewhere.
     fn candidate(&self, id: &'a String, machine: &Machine) -> Option<Candidate<'a>> {
-        let kind = self.replica.type_of(&machine.kind)?;
-        if machine.lifecycle != MachineLifecycle::Active || kind.gpus <= 0.0 {
+        let machine_type = self.replica.type_of(&machine.kind)?;
+        if machine.lifecycle != MachineLifecycle::Active || machine_type.gpus <= 0.0 {
             return None;
         }
         let services = self.services_on(id)?;
         let mut without = self.plan.clone();
-        if let Some(spot) = without.find(self.replica, id) {
-            without.plan_slots[spot].free = Resources::default();
+        if let Some(slot) = without.find(self.replica, id) {
+            without.plan_slots[slot].free = Resources::default();
         }
-        if spare_places(self.replica, &without, None) < self.kept_places {
+        if free_accelerator_slots(self.replica, &without, None) < self.reserved_slots {
             return None;
         }
         let all_fit = services
             .iter()
             .all(|job| self.fits_elsewhere(job, id, &mut without));
-        let gain = price_of(kind, machine.spot) / services.len() as f64;
-        all_fit.then_some(Candidate { id, services, gain })
+        let savings_per_service = machine_price(machine_type, machine.spot) / services.len() as f64;
+        all_fit.then_some(Candidate {
+            id,
+            services,
+            savings_per_service,
+        })
     }
 
     /// The services on a machine, if it runs nothing else and they fit one
@@ -153,8 +151,8 @@
         (!services.is_empty() && fits_commit).then_some(services)
     }
 
-    /// Whether a service's replicas on a machine have places in the plan, which
-    /// it then takes.
+    /// Whether a service's replicas on a machine fit into the plan, which then
+    /// holds them.
     fn fits_elsewhere(&self, job: &str, machine: &str, plan: &mut Plan) -> bool {
         let recorded = &self.replica.jobs[job].value;
         let mut moved = recorded.clone();
@@ -162,15 +160,15 @@
             return false;
         };
         // What it would be after the stop: those tasks wait.
-        let mut count = 0;
+        let mut displaced_tasks = 0;
         for run in recorded.runs.iter().filter(|run| run.machine == machine) {
             for task in run.tasks.iter() {
                 moved.release(machine, run.attempt, task, Outcome::Lost);
-                count += 1;
+                displaced_tasks += 1;
             }
         }
         plan.teams.entry(spec.team.clone()).and_modify(|used| {
-            *used -= spec.need.times(count);
+            *used -= spec.need.times(displaced_tasks);
         });
         match scheduler::fit(
             &moved,
@@ -180,7 +178,7 @@
             self.settings,
             AcceleratorProtection::Strict,
         ) {
-            Ok(places) if places.len() >= count => {
+            Ok(places) if places.len() >= displaced_tasks => {
                 for place in &places {
                     plan.take(place, &spec.team, spec.need);
                 }
@@ -191,9 +189,9 @@
     }
 }
 
-/// Drains the machine, takes it out of its zone shard's record, and stops its
-/// services there.
-fn eviction_of(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
+/// The commit that drains the machine, takes it out of its zone shard's record,
+/// and stops its services there.
+fn plan_eviction(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
     let id = candidate.id;
     let mut machine = replica.machines.get(id)?.value.clone();
     machine.lifecycle = MachineLifecycle::Draining;
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -1,5 +1,6 @@
-//! Draining of machines that the cloud takes back: no new work goes there, and
-//! what runs there saves its progress while there is time.
+//! Draining of machines that the cloud preempts or that are not worth their price:
+//! no new work goes there, and what runs there saves its progress while there is
+//! time.
 
 use super::lifecycle::set_lifecycle;
 use crate::controller::Controller;
@@ -10,31 +11,32 @@
 use crate::state::records::{Job, MachineLifecycle, Spec};
 use crate::wire::{Guard, Kind, Write};
 
-/// Machines with a spot notice take no new work, and gangs that can save are
-/// told to while there is time.
-pub(super) async fn drain_recalled(controller: &Controller) {
-    let ids: Vec<String> = controller.fleet.borrow_mut().recalled.drain().collect();
+/// Drains the machines that are queued for it, such as those with a preemption
+/// notice: they take no new work, and gangs that can save are told to while there
+/// is time.
+pub(super) async fn drain_machines(controller: &Controller) {
+    let ids = controller.fleet.borrow_mut().take_pending_drains();
     for id in ids {
-        if is_active_here(controller, &id) {
-            tracing::info!(machine = id, "is being taken back: draining");
+        if is_active_and_owned(controller, &id) {
+            tracing::info!(machine = id, "machine draining");
             if !set_lifecycle(controller, &id, MachineLifecycle::Draining).await {
-                controller.fleet.borrow_mut().recalled.insert(id.clone());
+                controller.fleet.borrow_mut().queue_drain(&id);
                 continue;
             }
         }
-        let (guards, writes) = stops_for_drain(controller, &id);
+        let (guards, writes) = drain_commit(controller, &id);
         if !writes.is_empty()
             && let Err(error) = controller
                 .commit(RequestClass::Lifecycle, guards, writes)
                 .await
         {
-            tracing::debug!(machine = id, %error, "drain not committed");
+            tracing::debug!(machine = id, %error, "machine drain not committed");
         }
     }
 }
 
-/// Whether a machine takes work and is held by this controller.
-fn is_active_here(controller: &Controller, id: &str) -> bool {
+/// Whether a machine takes work and is owned by this controller.
+fn is_active_and_owned(controller: &Controller, id: &str) -> bool {
     let replica = controller.replica.borrow();
     let machine = replica.machines.get(id).map(|entry| &entry.value);
     machine.is_some_and(|machine| machine.lifecycle == MachineLifecycle::Active)
@@ -43,20 +45,20 @@
 
 /// The commit that stops the work on a machine that can save its progress; as
 /// much of it as one commit holds.
-fn stops_for_drain(controller: &Controller, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+fn drain_commit(controller: &Controller, machine: &str) -> (Vec<Guard>, Vec<Write>) {
     let replica = controller.replica.borrow();
     let max_writes = controller.settings.txn_ops();
     let mut guards = Vec::new();
     let mut writes = Vec::new();
-    let mut bytes = 0;
+    let mut commit_bytes = 0;
     for (id, entry) in replica.jobs_on(machine) {
-        let is_full = writes.len() == max_writes || bytes > COMMIT_BYTES / 2;
-        if is_full || !is_to_stop(&entry.value, machine) {
+        let is_full = writes.len() == max_writes || commit_bytes > COMMIT_BYTES / 2;
+        if is_full || !should_stop(&entry.value, machine) {
             continue;
         }
         let write = replica.put_job(id, &stopped(&entry.value, machine));
         if let Write::Put { value, .. } = &write {
-            bytes += value.get().len();
+            commit_bytes += value.get().len();
         }
         guards.push(guard(job_key(id), entry.version));
         writes.push(write);
@@ -65,13 +67,13 @@
 }
 
 /// Whether a job loses nothing by a stop, and has not been told yet.
-fn is_to_stop(job: &Job, machine: &str) -> bool {
-    let saves = job
+fn should_stop(job: &Job, machine: &str) -> bool {
+    let saves_progress = job
         .spec
         .as_ref()
         .is_some_and(|spec| spec.checkpoint_s > 0.0 || spec.kind == Kind::Service);
-    let mut here = job.runs.iter().filter(|run| run.machine == machine);
-    saves && job.is_open() && here.any(|run| !run.stop)
+    let mut runs = job.runs.iter().filter(|run| run.machine == machine);
+    saves_progress && job.is_open() && runs.any(|run| !run.stop)
 }
 
 /// The job with its tasks on the machine told to stop; all of a gang's.
--- a/src/cloud/blame.rs
+++ b/src/cloud/failure_attribution.rs
@@ -7,14 +7,14 @@
 use crate::state::replica::Replica;
 use crate::workers::{AttemptKey, OwnedWorker};
 
-/// One of so many machines held may be suspect at once.
-const SUSPECT_FRACTION: usize = 4;
+/// At most one of so many machines held is quarantined at once.
+const QUARANTINE_FRACTION: usize = 4;
 
-/// What a machine's failures say of it.
+/// What the failures on a machine say of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Health {
+pub(super) enum MachineHealth {
     /// Nothing, or the jobs fail on others as well.
-    Good,
+    Healthy,
     /// Several jobs failed there, and nobody knows yet whose fault it is.
     Suspect,
     /// A job that failed there has succeeded elsewhere since.
@@ -32,15 +32,16 @@
     Unknown,
 }
 
-/// Whom to blame for a job's failure on a machine, by the job's record, which
-/// holds that failure: the machine, if the job has succeeded since; the job, if
-/// it fails on others, too, or is cancelled.
-pub fn blame(job: &Job, machine: &str) -> FailureAttribution {
+/// Attributes a job's failure on a machine, by the job's record, which holds that
+/// failure: to the machine, if the job has succeeded since; to the job, if it
+/// fails on others, too, or is cancelled.
+#[must_use]
+pub fn attribute_failure(job: &Job, machine: &str) -> FailureAttribution {
     match job.status {
         JobStatus::Done => FailureAttribution::Machine,
         JobStatus::Cancelled => FailureAttribution::Job,
         JobStatus::Open if job.is_doubtful() => FailureAttribution::Job,
-        JobStatus::Open if job.failed_on.iter().any(|m| m == machine) => {
+        JobStatus::Open if job.failed_on.iter().any(|failed| failed == machine) => {
             FailureAttribution::Unknown
         }
         JobStatus::Open => FailureAttribution::Machine,
@@ -48,66 +49,66 @@
 }
 
 /// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
-/// on all machines alike, and would send one after another away.
-pub(super) fn health(
+/// on all machines alike, and would have one after another decommissioned.
+pub(super) fn machine_health(
     controller: &Controller,
     replica: &Replica,
     machine: &str,
     owned_worker: &OwnedWorker,
-) -> Health {
+) -> MachineHealth {
     let mut unknown = 0;
     for id in &owned_worker.failed_jobs {
         let Some(job) = replica.jobs.get(id) else {
             continue;
         };
-        if has_unrecorded_end(controller, id, machine) {
+        if has_unrecorded_termination(controller, id, machine) {
             unknown += 1;
             continue;
         }
-        match blame(&job.value, machine) {
-            FailureAttribution::Machine => return Health::Faulty,
+        match attribute_failure(&job.value, machine) {
+            FailureAttribution::Machine => return MachineHealth::Faulty,
             FailureAttribution::Unknown => unknown += 1,
             FailureAttribution::Job => {}
         }
     }
     match unknown {
-        0 | 1 => Health::Good,
-        _ => Health::Suspect,
+        0 | 1 => MachineHealth::Healthy,
+        _ => MachineHealth::Suspect,
     }
 }
 
-/// Whether the end of a job's task on a machine is still to be recorded: the
-/// job's record does not hold that failure yet.
-fn has_unrecorded_end(controller: &Controller, job: &str, machine: &str) -> bool {
+/// Whether the termination of a job's task on a machine is still to be recorded:
+/// the job's record does not hold that failure yet.
+fn has_unrecorded_termination(controller: &Controller, job: &str, machine: &str) -> bool {
     let first = AttemptKey {
         job: job.to_string(),
         machine: machine.to_string(),
         attempt: 0,
         task: 0,
     };
-    let ends = controller.workers.pending_terminations.borrow();
-    let next = ends.range(first..).next();
+    let terminations = controller.workers.pending_terminations.borrow();
+    let next = terminations.range(first..).next();
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
 
 /// Machines that take no new work until it is known whose fault the failures
 /// there are: a quarter of those held at most, or many jobs with a mistake
-/// would leave no room to tell.
-pub fn suspects(
+/// would leave no capacity to tell.
+pub fn quarantined_machines(
     controller: &Controller,
     replica: &Replica,
     owned_workers: &HashMap<String, OwnedWorker>,
 ) -> HashSet<String> {
-    let mut found: Vec<(usize, &String)> = owned_workers
+    let mut suspects: Vec<(usize, &String)> = owned_workers
         .iter()
         .filter(|(_, owned_worker)| owned_worker.failed_jobs.len() > 1)
         .filter(|(id, owned_worker)| {
-            health(controller, replica, id, owned_worker) == Health::Suspect
+            machine_health(controller, replica, id, owned_worker) == MachineHealth::Suspect
         })
         .map(|(id, owned_worker)| (owned_worker.failed_jobs.len(), id))
         .collect();
-    found.sort_by(|a, b| b.cmp(a));
-    let limit = (owned_workers.len() / SUSPECT_FRACTION).max(1);
-    let found = found.into_iter().take(limit);
-    found.map(|(_, id)| id.clone()).collect()
+    suspects.sort_by(|a, b| b.cmp(a));
+    let max_quarantined = (owned_workers.len() / QUARANTINE_FRACTION).max(1);
+    let quarantined = suspects.into_iter().take(max_quarantined);
+    quarantined.map(|(_, id)| id.clone()).collect()
 }
--- /dev/null
+++ b/src/cloud/garbage_collection.rs
@@ -0,0 +1,63 @@
+//! Garbage collection: records that are not needed any more are dropped.
+
+use crate::controller::Controller;
+use crate::state::budget::RequestClass;
+use crate::state::commit::guard;
+use crate::state::keys::{accepted_batch_key, rental_key};
+use crate::state::replica::Replica;
+use crate::wire::{Guard, Write};
+
+/// The key of a record that is not needed any more, and the version that was seen.
+struct ObsoleteRecord {
+    key: String,
+    version: u64,
+}
+
+impl ObsoleteRecord {
+    /// The guard and the write that drop it.
+    fn into_deletion(self) -> (Guard, Write) {
+        let ObsoleteRecord { key, version } = self;
+        (guard(key.clone(), version), Write::Delete { key })
+    }
+}
+
+/// Drops obsolete records, as many as one commit holds.
+pub(super) async fn collect_obsolete_records(controller: &Controller) {
+    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+        let replica = controller.replica.borrow();
+        obsolete_records(&replica)
+            .take(controller.settings.txn_ops())
+            .map(ObsoleteRecord::into_deletion)
+            .unzip()
+    };
+    if !writes.is_empty()
+        && let Err(error) = controller
+            .commit(RequestClass::Publication, guards, writes)
+            .await
+    {
+        tracing::debug!(%error, "obsolete records not dropped");
+    }
+}
+
+/// Provisioning requests whose machines all have a record of their own, accepted
+/// batches whose jobs all have. Those records never go while this one stands
+/// (`scale_in::record_drops`) or at all, so what the replica shows holds.
+fn obsolete_records(replica: &Replica) -> impl Iterator<Item = ObsoleteRecord> {
+    let requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
+        let machines = &entry.value.machines;
+        !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
+    });
+    let requests = requests.map(|(id, entry)| ObsoleteRecord {
+        key: rental_key(id),
+        version: entry.version,
+    });
+    let batches = replica.accepted_batches.iter().filter(|(_, entry)| {
+        let mut jobs = entry.value.jobs.keys();
+        jobs.all(|id| replica.job_version(id) > 0)
+    });
+    let batches = batches.map(|(id, entry)| ObsoleteRecord {
+        key: accepted_batch_key(id),
+        version: entry.version,
+    });
+    requests.chain(batches)
+}
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,4 +1,4 @@
-//! Places kept ready for the next gang on accelerators.
+//! Headroom: slots kept ready for the next gang on accelerators.
 
 use crate::controller::Controller;
 use crate::dependencies::QueueRank;
@@ -6,25 +6,34 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// How many tasks of the accelerators' usual shape there should be places
-/// for beyond those that run: none when no such job is open.
-pub(super) fn headroom(controller: &Controller, replica: &Replica, plan: &Plan) -> usize {
+/// Open jobs that need accelerators, but for those that fail wherever they run.
+pub(super) fn open_accelerator_jobs(replica: &Replica) -> impl Iterator<Item = &Job> {
+    replica.open.iter().filter_map(|(_, id)| {
+        let job = replica.jobs.get(id).map(|entry| &entry.value);
+        job.filter(|job| {
+            let spec = job.spec.as_ref();
+            !job.is_doubtful() && spec.is_some_and(|spec| spec.need.gpus.0 > 0)
+        })
+    })
+}
+
+/// How many slots of the accelerators' usual shape there should be beyond those
+/// in use: none when no such job is open.
+pub(super) fn wanted_headroom_slots(
+    controller: &Controller,
+    replica: &Replica,
+    plan: &Plan,
+) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
-    let has_gpu_jobs = replica.open.iter().any(|(_, id)| {
-        let job = replica.jobs.get(id).map(|entry| &entry.value);
-        let job = job.filter(|job| !job.is_doubtful());
-        let spec = job.and_then(|job| job.spec.as_ref());
-        spec.is_some_and(|spec| spec.need.gpus.0 > 0)
-    });
-    if !has_gpu_jobs {
+    if open_accelerator_jobs(replica).next().is_none() {
         return 0;
     }
-    let next = Job::new(gpu.clone(), 0);
+    let next_gang = Job::new(gpu.clone(), 0);
     let queue_rank = QueueRank::of(gpu);
     let facts = scheduler::facts(
-        &next,
+        &next_gang,
         gpu,
         plan,
         &controller.settings,
@@ -32,12 +41,12 @@
         0.0,
         &queue_rank,
     );
-    let jobs = controller.settings.policy.headroom(&facts);
-    (jobs * f64::from(gpu.tasks)).round() as usize
+    let gangs = controller.settings.policy.headroom(&facts);
+    (gangs * f64::from(gpu.tasks)).round() as usize
 }
 
-/// Free places of the accelerators' usual shape, in one zone or in all.
-pub(super) fn spare_places(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
+/// Free slots of the accelerators' usual shape, in one zone or in all.
+pub(super) fn free_accelerator_slots(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
@@ -51,7 +60,7 @@
         .collect();
     plan.plan_slots
         .iter()
-        .filter(|spot| allowed[spot.class as usize])
-        .map(|spot| spot.free.slots(&gpu.need))
+        .filter(|slot| allowed[slot.class as usize])
+        .map(|slot| slot.free.slots(&gpu.need))
         .sum()
 }
--- a/src/cloud/list.rs
+++ b/src/cloud/inventory.rs
@@ -1,14 +1,13 @@
-//! The cloud's list of machines, compared with the records: adopts those that
-//! nobody knows, gives up those that have failed.
+//! The cloud's inventory of machines, reconciled with the records: adopts those
+//! that nobody knows, gives up those that have failed.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use tokio::time::Instant;
-
+use super::client::CloudError;
+use super::fleet_state::FleetState;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::scale_out::rental_of;
-use super::state::FleetState;
+use super::provisioning::find_request_of;
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
@@ -16,12 +15,12 @@
 use crate::state::replica::Replica;
 use crate::wire::{ListedMachine, ListedStage, MachineList};
 
-/// How long, over the list's lag, a machine that is gone may still be listed.
+/// How many times the inventory's lag a machine that is gone may still be listed.
 const GONE_LAGS: u32 = 6;
 
 /// A listed machine without a record is recorded here after so many leases:
 /// one that runs reports sooner, and is claimed with a record of its own.
-const UNCLAIMED_LEASES: u32 = 2;
+const UNRECORDED_LEASES: u32 = 2;
 
 /// A machine that has no record yet.
 #[derive(Debug, Clone)]
@@ -30,41 +29,36 @@
     pub(super) machine: Machine,
 }
 
-/// What the cloud's list shows that the records do not.
+/// What the cloud's inventory shows that the records do not.
 #[derive(Debug, Default)]
-struct Differences {
+struct InventoryDifferences {
     /// Recorded machines that the cloud lists as failed.
     failed: Vec<String>,
     /// Machines to be recorded.
     new: Vec<NewMachine>,
 }
 
-/// Reads the cloud's list when it is due, and carries out what it shows.
-pub(super) async fn reconcile_list(controller: &Controller) {
+/// Reads the cloud's inventory when it is due, and carries out what it shows.
+pub(super) async fn reconcile_inventory(controller: &Controller) {
     let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
-    let read_at = controller.fleet.borrow().list_read_at;
-    if read_at.is_some_and(|read| read.elapsed() <= lag) {
+    if !controller.fleet.borrow().inventory_timer.is_due(lag) {
         return;
     }
-    let Some(listed) = read_list(controller).await else {
-        return;
+    let listed = match read_inventory(controller).await {
+        Ok(listed) => listed,
+        Err(error) => {
+            tracing::debug!(%error, "cloud inventory not read");
+            return;
+        }
     };
-    controller.fleet.borrow_mut().list_read_at = Some(Instant::now());
+    controller.fleet.borrow_mut().inventory_timer.restart();
     let differences = {
         let replica = controller.replica.borrow();
         let mut fleet = controller.fleet.borrow_mut();
-        fleet
-            .gone
-            .retain(|_, since| since.elapsed() < lag * GONE_LAGS);
-        fleet
-            .unrecorded
-            .retain(|id, _| !replica.machines.contains_key(id));
-        compare(
-            &replica,
-            &mut fleet,
-            &listed,
-            controller.settings.worker_lease(),
-        )
+        fleet.forget_gone(lag * GONE_LAGS);
+        fleet.forget_recorded(|id| replica.machines.contains_key(id));
+        let lease = controller.settings.worker_lease();
+        compare(&replica, &mut fleet, &listed, lease)
     };
     record_machines(controller, &differences.new).await;
     let returning: Vec<LifecycleChange> = differences
@@ -75,57 +69,58 @@
     set_lifecycles(controller, &returning).await;
 }
 
-/// All pages of the cloud's list.
-async fn read_list(controller: &Controller) -> Option<Vec<ListedMachine>> {
+/// All pages of the cloud's inventory.
+async fn read_inventory(controller: &Controller) -> Result<Vec<ListedMachine>, CloudError> {
     let mut all = Vec::new();
     let mut after = String::new();
     loop {
         let path = format!("/rentals?after={after}&limit=500");
-        let response = controller.cloud("GET", &path, None).await?;
-        let list = response.parse::<MachineList>().ok()?;
-        let Some(last) = list.machines.last() else {
-            return Some(all);
+        let response = controller.call_cloud("GET", &path, None).await?;
+        let page = response.parse::<MachineList>()?;
+        let Some(last) = page.machines.last() else {
+            return Ok(all);
         };
         after = last.id.clone();
-        all.extend(list.machines);
-        if !list.more {
-            return Some(all);
+        all.extend(page.machines);
+        if !page.more {
+            return Ok(all);
         }
     }
 }
 
+/// Compares the inventory with the records and with what is known to be on its way.
 fn compare(
     replica: &Replica,
     fleet: &mut FleetState,
     listed: &[ListedMachine],
     lease: Duration,
-) -> Differences {
+) -> InventoryDifferences {
     let unanswered = replica
         .provisioning_requests
         .values()
         .any(|entry| entry.value.machines.is_empty());
     let provisioning_requests = replica.provisioning_requests.values();
-    let rented: HashSet<&str> = provisioning_requests
+    let provisioned: HashSet<&str> = provisioning_requests
         .flat_map(|entry| entry.value.machines.iter().map(String::as_str))
         .collect();
-    let mut differences = Differences::default();
+    let mut differences = InventoryDifferences::default();
     for machine in listed {
         let has_failed = machine.stage == ListedStage::Failed;
         if let Some(known) = replica.machines.get(&machine.id) {
             if has_failed && known.value.lifecycle != MachineLifecycle::Gone {
                 differences.failed.push(machine.id.clone());
             }
-        } else if fleet.gone.contains_key(&machine.id) {
-            // A late list.
-        } else if rented.contains(machine.id.as_str()) {
+        } else if fleet.is_confirmed_gone(&machine.id) {
+            // A late inventory.
+        } else if provisioned.contains(machine.id.as_str()) {
             if has_failed {
                 differences
                     .new
-                    .extend(rented_but_not_up(replica, &machine.id));
+                    .extend(provisioned_but_not_up(replica, &machine.id));
             }
         } else if unanswered {
-            // The answer to a rental that is under way will name it.
-        } else if fleet.is_unclaimed(&machine.id, lease * UNCLAIMED_LEASES) {
+            // The answer to a request that is in progress will name it.
+        } else if fleet.is_long_unrecorded(&machine.id, lease * UNRECORDED_LEASES) {
             differences.new.push(NewMachine {
                 id: machine.id.clone(),
                 machine: Machine {
@@ -138,13 +133,13 @@
     differences
 }
 
-/// A rented machine without a record, to be sent back.
-pub(super) fn rented_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
-    let (_, rental) = rental_of(replica, id)?;
+/// A provisioned machine without a record, to be decommissioned.
+pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
+    let request = &find_request_of(replica, id)?.entry.value;
     let machine = Machine {
         lifecycle: MachineLifecycle::Returning,
-        spot: rental.value.spot,
-        ..Machine::new(&rental.value.kind, &rental.value.zone)
+        spot: request.spot,
+        ..Machine::new(&request.kind, &request.zone)
     };
     Some(NewMachine {
         id: id.to_string(),
@@ -152,8 +147,8 @@
     })
 }
 
-/// Records machines that have no record: rented ones that have not come up,
-/// which go back, and listed ones that nobody knows.
+/// Records machines that have no record: provisioned ones that have not come up,
+/// which are decommissioned, and listed ones that nobody knows.
 pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
     let max_writes = controller.settings.txn_ops();
     let mut recorded = Vec::new();
@@ -185,9 +180,9 @@
     {
         Ok(_) => {
             for (machine, lifecycle) in recorded {
-                tracing::info!(machine, ?lifecycle, "taken up");
+                tracing::info!(machine, ?lifecycle, "machine recorded");
             }
         }
-        Err(error) => tracing::debug!(%error, "machines not taken up"),
+        Err(error) => tracing::debug!(%error, "machines not recorded"),
     }
 }
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes of machines' states: active, draining, returning, gone.
+//! Changes of machines' lifecycles: active, draining, returning, gone.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -11,7 +11,7 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
 
-/// A machine's next state.
+/// A machine's next lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LifecycleChange {
     pub(super) machine: String,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Writes one machine's new state; whether it is written.
+/// Writes one machine's new lifecycle state; whether it is written.
 pub(super) async fn set_lifecycle(
     controller: &Controller,
     id: &str,
@@ -46,7 +46,7 @@
 ) -> HashSet<String> {
     let (mut changed, guards, writes) = {
         let replica = controller.replica.borrow();
-        let mut commit = LifeCommit::new(&replica, controller.settings.txn_ops());
+        let mut commit = LifecycleCommit::new(&replica, controller.settings.txn_ops());
         for change in changes {
             commit.add(change);
         }
@@ -61,7 +61,7 @@
         .commit(RequestClass::Lifecycle, guards, writes)
         .await
     {
-        tracing::debug!(?changes, %error, "lives not changed");
+        tracing::debug!(?changes, %error, "machine lifecycles not changed");
         changed.clear();
     }
     changed
@@ -74,7 +74,7 @@
 }
 
 /// The commit that changes machines' states, in the making.
-struct LifeCommit<'a> {
+struct LifecycleCommit<'a> {
     replica: &'a Replica,
     /// The most writes that one commit may have.
     max_writes: usize,
@@ -84,9 +84,9 @@
     changed: HashSet<String>,
 }
 
-impl<'a> LifeCommit<'a> {
+impl<'a> LifecycleCommit<'a> {
     fn new(replica: &'a Replica, max_writes: usize) -> Self {
-        LifeCommit {
+        LifecycleCommit {
             replica,
             max_writes,
             machine_shards: MachineShardEdits::new(replica),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds a change if it is one and there is room for it.
+    /// Adds a change if it is one and the commit has space for it.
     fn add(&mut self, change: &LifecycleChange) {
         let id = &change.machine;
         let Some(entry) = self.replica.machines.get(id) else {
@@ -105,7 +105,7 @@
         let machine_shard = shard_id(&machine.zone, &machine.shard);
         let shard = self.replica.zone_shard_of(id);
         let shard = shard.map_or_else(|| machine_shard.clone(), |shard| shard.to_string());
-        if !may_become(&machine, change.lifecycle) || !self.has_room(&machine_shard, &shard) {
+        if !is_allowed(&machine, change.lifecycle) || !self.has_space(&machine_shard, &shard) {
             return;
         }
         machine.lifecycle = change.lifecycle;
@@ -117,7 +117,7 @@
     }
 
     /// Whether the records of a machine shard and of a zone shard fit into the commit.
-    fn has_room(&self, machine_shard: &str, shard: &str) -> bool {
+    fn has_space(&self, machine_shard: &str, shard: &str) -> bool {
         // A machine shard and perhaps its zone shard, which is about as long: half of the
         // writes are for machine shards, the other half is for zone shards.
         let for_machine_shards = self.max_writes / 2;
@@ -161,8 +161,9 @@
     }
 }
 
-/// Safety 5: returning is never undone.
-fn may_become(machine: &Machine, lifecycle: MachineLifecycle) -> bool {
+/// Whether a machine may change to this lifecycle state. Safety 5: returning is
+/// never undone.
+fn is_allowed(machine: &Machine, lifecycle: MachineLifecycle) -> bool {
     match machine.lifecycle {
         MachineLifecycle::Gone => false,
         MachineLifecycle::Returning => lifecycle == MachineLifecycle::Gone,
--- a/src/cloud/types.rs
+++ b/src/cloud/machine_types.rs
@@ -1,12 +1,13 @@
-//! The machine types that the cloud offers. The fleet_leader reads them and keeps
+//! The machine types that the cloud offers. The fleet leader reads them and keeps
 //! them in the state, where every controller, a newly started one too, finds
 //! them.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::time::{Instant, sleep};
+use tokio::time::sleep;
 
+use super::client::CloudError;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
@@ -14,7 +15,7 @@
 use crate::state::records::Types;
 use crate::wire::MachineTypes;
 
-/// The types are read again after so many times the list's lag.
+/// The types are read again after so many times the inventory's lag.
 const REFRESH_LAGS: u32 = 3;
 
 /// Keeps the machine types in the state as the cloud tells them.
@@ -24,27 +25,34 @@
         // Until the types are known nobody can accept anything.
         let known = !controller.replica.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
-        if controller.is_fleet_leader() && is_due(&controller) {
+        if controller.is_fleet_leader() && is_refresh_due(&controller) {
             refresh(&controller).await;
         }
     }
 }
 
-fn is_due(controller: &Controller) -> bool {
+fn is_refresh_due(controller: &Controller) -> bool {
     let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
-    let read_at = controller.fleet.borrow().types_read_at;
-    read_at.is_none_or(|read| read.elapsed() > lag * REFRESH_LAGS)
+    let fleet = controller.fleet.borrow();
+    fleet.machine_types_timer.is_due(lag * REFRESH_LAGS)
 }
 
+async fn read_machine_types(controller: &Controller) -> Result<Types, CloudError> {
+    let response = controller.call_cloud("GET", "/flavors", None).await?;
+    let MachineTypes { types } = response.parse::<MachineTypes>()?;
+    Ok(Types { types })
+}
+
+/// Reads the machine types, and records them if they have changed.
 async fn refresh(controller: &Controller) {
-    let Some(response) = controller.cloud("GET", "/flavors", None).await else {
-        return;
-    };
-    let Ok(MachineTypes { types }) = response.parse::<MachineTypes>() else {
-        return;
+    let types = match read_machine_types(controller).await {
+        Ok(types) => types,
+        Err(error) => {
+            tracing::debug!(%error, "machine types not read");
+            return;
+        }
     };
-    controller.fleet.borrow_mut().types_read_at = Some(Instant::now());
-    let types = Types { types };
+    controller.fleet.borrow_mut().machine_types_timer.restart();
     let known = controller.replica.borrow().types.clone();
     let unreadable = controller.replica.borrow().absent_version(TYPES_KEY);
     if known.value == types && unreadable == 0 {
@@ -54,7 +62,7 @@
     let guards = vec![guard(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
     if let Err(error) = controller.commit(RequestClass::Lease, guards, writes).await {
-        tracing::debug!(%error, "types not recorded");
-        controller.fleet.borrow_mut().types_read_at = None;
+        tracing::debug!(%error, "machine types not recorded");
+        controller.fleet.borrow_mut().machine_types_timer.reset();
     }
 }
--- a/src/cloud/rounds.rs
+++ b/src/cloud/maintenance.rs
@@ -1,22 +1,23 @@
-//! The loop that keeps the fleet; renting has one of its own (`rentals`).
+//! The loop that maintains the fleet; scale-out has one of its own (`scale_out`).
 
 use std::rc::Rc;
 
 use tokio::time::sleep;
 
+use super::cancellations::record_dependent_cancellations;
 use super::consolidation::consolidate;
-use super::draining::drain_recalled;
-use super::idle::unneeded_machines;
-use super::list::reconcile_list;
+use super::draining::drain_machines;
+use super::garbage_collection::collect_obsolete_records;
+use super::inventory::reconcile_inventory;
 use super::removal::remove_machines;
-use super::scale_in::finish_returns;
-use super::settling::{settle_cancelled, settle_records};
-use super::silent::failing_machines;
-use super::summary::log_fleet;
+use super::scale_in::scale_in;
+use super::summary::log_fleet_summary;
+use super::unhealthy_machines::unhealthy_machines;
+use super::unneeded_machines::unneeded_machines;
 use crate::controller::Controller;
 
-/// Removes the machines that this controller holds and that fail; the fleet_leader
-/// also keeps the fleet as a whole.
+/// Removes the machines that this controller holds and that fail; the fleet
+/// leader also maintains the fleet as a whole.
 pub async fn run_fleet(controller: Rc<Controller>) {
     loop {
         let tick = controller
@@ -29,8 +30,8 @@
             continue;
         }
         if controller.is_state_service_reachable() {
-            drain_recalled(&controller).await;
-            remove_machines(&controller, failing_machines).await;
+            drain_machines(&controller).await;
+            remove_machines(&controller, unhealthy_machines).await;
         }
         if !controller.is_fleet_leader() || !controller.is_state_service_reachable() {
             continue;
@@ -39,13 +40,13 @@
     }
 }
 
-/// One pass of the fleet_leader over the fleet.
+/// One pass of the fleet leader over the fleet.
 async fn maintain_fleet(controller: &Rc<Controller>) {
-    log_fleet(controller);
-    finish_returns(controller).await;
-    settle_records(controller).await;
-    settle_cancelled(controller).await;
-    reconcile_list(controller).await;
+    log_fleet_summary(controller);
+    scale_in(controller).await;
+    collect_obsolete_records(controller).await;
+    record_dependent_cancellations(controller).await;
+    reconcile_inventory(controller).await;
     remove_machines(controller, unneeded_machines).await;
     consolidate(controller).await;
 }
--- /dev/null
+++ b/src/cloud/offer_search.rs
@@ -0,0 +1,121 @@
+//! The search for the offer that serves a job's tasks at the lowest price.
+
+use std::collections::HashSet;
+
+use tokio::time::Instant;
+
+use super::fleet_state::FleetState;
+use super::machine_offer::MachineOffer;
+use super::planned_provisioning::PlannedProvisioning;
+use super::pricing::{cheapest_slot_price, machine_price};
+use crate::scheduler::AcceleratorProtection;
+use crate::state::records::Spec;
+use crate::state::replica::Replica;
+use crate::wire::{Kind, MachineType};
+
+/// What restricts the choice of an offer, besides the job's own constraints.
+pub(super) struct OfferConstraints<'a> {
+    /// How strictly machines with accelerators are kept for work that needs them.
+    pub(super) protection: AcceleratorProtection,
+    /// The highest price of a slot, as a multiple of the cheapest one.
+    pub(super) max_price_ratio: f64,
+    /// Zones where more capacity would not help.
+    pub(super) excluded_zones: &'a HashSet<String>,
+}
+
+/// A search for the best offer: what it may choose from.
+pub(super) struct OfferSearch<'a, 'plan> {
+    pub(super) replica: &'a Replica,
+    pub(super) fleet: &'plan FleetState,
+    pub(super) planned: &'plan PlannedProvisioning,
+    pub(super) now: Instant,
+}
+
+/// The offer that a search has chosen.
+pub(super) struct ChosenOffer<'a> {
+    pub(super) machine_type: &'a MachineType,
+    pub(super) offer: MachineOffer,
+    price_per_task: f64,
+}
+
+impl<'a> OfferSearch<'a, '_> {
+    /// The offer that is cheapest for each task that it would hold of those
+    /// wanted.
+    pub(super) fn best(
+        &self,
+        spec: &Spec,
+        wanted_slots: usize,
+        constraints: &OfferConstraints,
+    ) -> Option<ChosenOffer<'a>> {
+        // Work that can wait is not worth any price.
+        let max_slot_price = cheapest_slot_price(self.replica, spec) * constraints.max_price_ratio;
+        let mut best: Option<ChosenOffer> = None;
+        for machine_type in &self.replica.types.value.types {
+            let slots = machine_type.resources().slots(&spec.need);
+            if slots == 0 || !spec.allows_type(&machine_type.name) {
+                continue;
+            }
+            let locations = machine_type
+                .zones
+                .iter()
+                .flat_map(|zone| [(zone, true), (zone, false)]);
+            for (zone, spot) in locations {
+                let price = machine_price(machine_type, spot);
+                if price / slots as f64 > max_slot_price
+                    || !self.is_usable(machine_type, zone, spot, spec, constraints)
+                {
+                    continue;
+                }
+                let offer = MachineOffer::new(&machine_type.name, zone, spot);
+                if !self.is_available(&offer) {
+                    continue;
+                }
+                let price_per_task = price / slots.min(wanted_slots) as f64;
+                if best
+                    .as_ref()
+                    .is_none_or(|best| price_per_task < best.price_per_task)
+                {
+                    best = Some(ChosenOffer {
+                        machine_type,
+                        offer,
+                        price_per_task,
+                    });
+                }
+            }
+        }
+        best
+    }
+
+    /// Whether the job may run on machines of this offer, within the constraints.
+    fn is_usable(
+        &self,
+        machine_type: &MachineType,
+        zone: &str,
+        spot: bool,
+        spec: &Spec,
+        constraints: &OfferConstraints,
+    ) -> bool {
+        if !spec.allows(&machine_type.name, zone, spot) || constraints.excluded_zones.contains(zone)
+        {
+            return false;
+        }
+        let avoids_accelerators = (spec.kind == Kind::Array
+            || constraints.protection == AcceleratorProtection::Strict)
+            && spec.need.gpus.0 == 0
+            && machine_type.gpus > 0.0;
+        // There it would stand in the way of work on accelerators, see
+        // `admission`.
+        let wanted_by_gpu_work = || {
+            let gpu = self.replica.gpu_spec.as_ref();
+            gpu.is_none_or(|gpu| gpu.allows(&machine_type.name, zone, spot))
+        };
+        !(avoids_accelerators && wanted_by_gpu_work())
+    }
+
+    /// Whether the cloud can be expected to deliver one more of this offer.
+    fn is_available(&self, offer: &MachineOffer) -> bool {
+        !self.fleet.is_refused(offer, self.now)
+            && !self.fleet.boots.is_backed_off(offer, self.now)
+            && !self.planned.is_full(offer)
+    }
+}
--- /dev/null
+++ b/src/cloud/provisioning.rs
@@ -0,0 +1,164 @@
+//! The calls to the cloud for recorded provisioning requests, and their answers.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::client::CloudError;
+use super::machine_offer::MachineOffer;
+use crate::controller::Controller;
+use crate::http::Response;
+use crate::state::budget::RequestClass;
+use crate::state::commit::{guard, put};
+use crate::state::keys::rental_key;
+use crate::state::records::ProvisioningRequest;
+use crate::state::replica::{Entry, Replica};
+use crate::wire::{CreateMachinesRequest, MachineIds, Write};
+
+/// Whether the cloud has delivered all machines that were asked for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Delivery {
+    Complete,
+    /// Fewer were delivered, or none: the cloud has no capacity for more.
+    Short,
+}
+
+/// A provisioning request as it is recorded.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RecordedRequest<'a> {
+    pub(super) id: &'a String,
+    pub(super) entry: &'a Entry<ProvisioningRequest>,
+}
+
+/// The provisioning request that still has this machine among those that boot.
+pub(super) fn find_request_of<'a>(
+    replica: &'a Replica,
+    machine: &str,
+) -> Option<RecordedRequest<'a>> {
+    replica
+        .provisioning_requests
+        .iter()
+        .map(|(id, entry)| RecordedRequest { id, entry })
+        .find(|request| request.entry.value.machines.iter().any(|id| id == machine))
+}
+
+/// Calls the cloud for every recorded request until it has answered: repeating
+/// a request by its name provisions nothing twice.
+pub(super) fn call_for_unanswered_requests(controller: &Rc<Controller>) {
+    let replica = controller.replica.borrow();
+    let mut fleet = controller.fleet.borrow_mut();
+    for (id, entry) in &replica.provisioning_requests {
+        if entry.value.machines.is_empty() && fleet.begin_call(id) {
+            let controller = controller.clone();
+            let id = id.clone();
+            let recorded = entry.clone();
+            tokio::task::spawn_local(async move {
+                complete_request(&controller, &id, recorded).await;
+                controller.fleet.borrow_mut().end_call(&id);
+            });
+        }
+    }
+}
+
+/// Calls the cloud for one recorded request, and records the answer.
+async fn complete_request(controller: &Controller, id: &str, recorded: Entry<ProvisioningRequest>) {
+    let Entry {
+        version,
+        value: mut request,
+    } = recorded;
+    let response = match create_machines(controller, id, version, &request).await {
+        Ok(response) => response,
+        Err(error) => {
+            tracing::debug!(request = id, %error, "scale-out request not answered");
+            return;
+        }
+    };
+    let delivery = apply_response(controller, &mut request, &response);
+    record_capacity(controller, &request, delivery);
+    let key = rental_key(id);
+    let guards = vec![guard(key.clone(), version)];
+    let write = match request.machines.is_empty() {
+        true => Write::Delete { key },
+        false => put(key, &request),
+    };
+    if let Err(error) = controller
+        .commit(RequestClass::Lease, guards, vec![write])
+        .await
+    {
+        // The next pass asks the cloud again and gets the same names.
+        tracing::debug!(request = id, %error, "scale-out answer not recorded");
+    }
+}
+
+/// Asks the cloud for a request's machines, if its record still stands as it was
+/// when the call's turn has come.
+async fn create_machines(
+    controller: &Controller,
+    id: &str,
+    version: u64,
+    request: &ProvisioningRequest,
+) -> Result<Response, CloudError> {
+    let body = serde_json::to_vec(&CreateMachinesRequest {
+        request: id,
+        kind: &request.kind,
+        zone: &request.zone,
+        spot: request.spot,
+        count: request.count,
+    })?;
+    let is_unchanged = || {
+        let replica = controller.replica.borrow();
+        let recorded = replica.provisioning_requests.get(id);
+        recorded.is_some_and(|entry| entry.version == version)
+    };
+    controller
+        .call_cloud_if("POST", "/rentals", Some(body), is_unchanged)
+        .await
+}
+
+/// Takes the machines that the cloud has delivered into the request.
+fn apply_response(
+    controller: &Controller,
+    request: &mut ProvisioningRequest,
+    response: &Response,
+) -> Delivery {
+    let mut delivery = Delivery::Short;
+    if response.status == 200
+        && let Ok(delivered) = response.parse::<MachineIds>()
+    {
+        if delivered.machines.len() as u32 >= request.count {
+            delivery = Delivery::Complete;
+        }
+        let replica = controller.replica.borrow();
+        // The workers of some may have been quicker than the answer.
+        request.machines = delivered.machines;
+        request
+            .machines
+            .retain(|id| !replica.machines.contains_key(id));
+    }
+    if delivery == Delivery::Short {
+        tracing::info!(
+            machine_type = request.kind,
+            zone = request.zone,
+            spot = request.spot,
+            status = response.status,
+            delivered = request.machines.len(),
+            requested = request.count,
+            "cloud capacity short"
+        );
+    }
+    delivery
+}
+
+/// Records whether the cloud had capacity for the request's offer.
+fn record_capacity(controller: &Controller, request: &ProvisioningRequest, delivery: Delivery) {
+    let offer = MachineOffer::from(request);
+    let mut fleet = controller.fleet.borrow_mut();
+    match delivery {
+        Delivery::Complete => fleet.clear_refusal(&offer),
+        Delivery::Short => {
+            let pause = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
+            fleet.record_refusal(offer, pause, Instant::now());
+        }
+    }
+}
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,16 +1,18 @@
 //! Removal of machines from service: decided, decided again once the budget of
 //! writes is there, and then written.
 
+use std::fmt;
+
+use super::inventory::{NewMachine, provisioned_but_not_up, record_machines};
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::list::{NewMachine, record_machines, rented_but_not_up};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 
 /// Why a machine leaves service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reason {
-    /// Its worker's reports arrive here, but no answer and no order does there.
+pub(super) enum RemovalReason {
+    /// Its worker's reports arrive here, but no answer and no command does there.
     Unreachable,
     /// Nothing has come from its worker for too long.
     Silent,
@@ -21,41 +23,40 @@
     /// It was draining, and its work has ended.
     Drained,
     /// It costs more than the work that it runs is worth.
-    OnlyFillers,
+    OpportunisticOnly,
     /// Nothing has run there for long enough.
     Idle,
     /// It has not reported within the limit for boots.
-    NeverCameUp,
+    BootTimeout,
 }
 
-impl Reason {
-    /// The reason as the log says it.
-    fn as_str(self) -> &'static str {
-        match self {
-            Reason::Unreachable => "reports, but hears nothing",
-            Reason::Silent => "silent",
-            Reason::Faulty => "fails what succeeds elsewhere",
-            Reason::Orphaned => "reports to nobody",
-            Reason::Drained => "drained",
-            Reason::OnlyFillers => "holds up fillers alone",
-            Reason::Idle => "idle",
-            Reason::NeverCameUp => "never came up",
-        }
+impl fmt::Display for RemovalReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            RemovalReason::Unreachable => "unreachable: reports, but receives nothing",
+            RemovalReason::Silent => "silent: no reports",
+            RemovalReason::Faulty => "faulty: jobs that failed there succeeded elsewhere",
+            RemovalReason::Orphaned => "orphaned: its owner is not up",
+            RemovalReason::Drained => "drained",
+            RemovalReason::OpportunisticOnly => "runs opportunistic work only",
+            RemovalReason::Idle => "idle",
+            RemovalReason::BootTimeout => "boot timed out",
+        })
     }
 }
 
 /// A machine that is to leave service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Removal {
+pub(super) struct MachineRemoval {
     pub(super) machine: String,
     /// Its next state: draining or returning.
     pub(super) lifecycle: MachineLifecycle,
-    pub(super) reason: Reason,
+    pub(super) reason: RemovalReason,
 }
 
-impl Removal {
-    pub(super) fn new(machine: &str, lifecycle: MachineLifecycle, reason: Reason) -> Self {
-        Removal {
+impl MachineRemoval {
+    pub(super) fn new(machine: &str, lifecycle: MachineLifecycle, reason: RemovalReason) -> Self {
+        MachineRemoval {
             machine: machine.to_string(),
             lifecycle,
             reason,
@@ -65,10 +66,10 @@
 
 /// Decides which machines leave, and carries it out. What is found is decided
 /// again once the budget is there: it may have waited, or this process may have
-/// stood still, and who was silent may have been heard meanwhile.
+/// been paused, and who was silent may have been heard meanwhile.
 pub(super) async fn remove_machines(
     controller: &Controller,
-    decide: fn(&Controller) -> Vec<Removal>,
+    decide: fn(&Controller) -> Vec<MachineRemoval>,
 ) {
     if decide(controller).is_empty() {
         return;
@@ -77,25 +78,26 @@
     if !controller.is_state_service_reachable() {
         return;
     }
-    let (recorded, unrecorded): (Vec<Removal>, Vec<Removal>) = {
+    let (recorded, unrecorded): (Vec<MachineRemoval>, Vec<MachineRemoval>) = {
         let removals = decide(controller);
         let replica = controller.replica.borrow();
         removals
             .into_iter()
             .partition(|removal| replica.machines.contains_key(&removal.machine))
     };
-    change_recorded(controller, &recorded).await;
-    let never_up: Vec<NewMachine> = {
+    change_lifecycles(controller, &recorded).await;
+    let not_up: Vec<NewMachine> = {
         let replica = controller.replica.borrow();
         unrecorded
             .iter()
-            .filter_map(|removal| rented_but_not_up(&replica, &removal.machine))
+            .filter_map(|removal| provisioned_but_not_up(&replica, &removal.machine))
             .collect()
     };
-    record_machines(controller, &never_up).await;
+    record_machines(controller, &not_up).await;
 }
 
-async fn change_recorded(controller: &Controller, removals: &[Removal]) {
+/// Writes the next lifecycle states of machines that have a record.
+async fn change_lifecycles(controller: &Controller, removals: &[MachineRemoval]) {
     let changes: Vec<LifecycleChange> = removals
         .iter()
         .map(|removal| LifecycleChange::new(&removal.machine, removal.lifecycle))
@@ -106,8 +108,8 @@
             tracing::info!(
                 machine = removal.machine,
                 lifecycle = ?removal.lifecycle,
-                why = removal.reason.as_str(),
-                "leaves service"
+                reason = %removal.reason,
+                "machine leaves service"
             );
         }
     }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -1,12 +1,13 @@
-//! Returns of machines to the cloud, and the end of their records.
+//! Scale-in: machines are given back to the cloud, and their records dropped.
 
 use std::collections::BTreeMap;
 
 use shares::release_machines;
 use tokio::time::Instant;
 
+use super::client::CloudError;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::scale_out::rental_of;
+use super::provisioning::{RecordedRequest, find_request_of};
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
 use crate::state::budget::RequestClass;
@@ -16,15 +17,15 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, MachineIds, Write};
 
-/// The most machines that one call returns.
-const MAX_RETURNED: usize = 100;
+/// The most machines that one call gives back.
+const MAX_MACHINES_PER_CALL: usize = 100;
 
-/// Returns what is to go, and drops the records of what is gone.
-pub(super) async fn finish_returns(controller: &Controller) {
+/// Gives back the machines that leave, and drops the records of those that are gone.
+pub(super) async fn scale_in(controller: &Controller) {
     let (returning, gone) = {
         let replica = controller.replica.borrow();
         let returning = machines_in(&replica, MachineLifecycle::Returning)
-            .take(MAX_RETURNED)
+            .take(MAX_MACHINES_PER_CALL)
             .cloned()
             .collect::<Vec<_>>();
         let gone = machines_in(&replica, MachineLifecycle::Gone)
@@ -34,8 +35,11 @@
             .collect::<Vec<_>>();
         (returning, gone)
     };
-    if !returning.is_empty() && return_to_cloud(controller, &returning).await {
-        record_returned(controller, returning).await;
+    if !returning.is_empty() {
+        match decommission(controller, &returning).await {
+            Ok(()) => record_decommissioned(controller, returning).await,
+            Err(error) => tracing::debug!(%error, "machines not decommissioned"),
+        }
     }
     drop_records(controller, &gone).await;
 }
@@ -48,28 +52,28 @@
         .map(|(id, _)| id)
 }
 
-/// Whether the cloud has taken the machines back.
-async fn return_to_cloud(controller: &Controller, machines: &[String]) -> bool {
-    let names = MachineIds {
+/// Gives machines back to the cloud.
+async fn decommission(controller: &Controller, machines: &[String]) -> Result<(), CloudError> {
+    let body = serde_json::to_vec(&MachineIds {
         machines: machines.to_vec(),
-    };
-    let Ok(body) = serde_json::to_vec(&names) else {
-        return false;
-    };
+    })?;
     let response = controller
-        .cloud("POST", "/rentals/return", Some(body))
-        .await;
-    response.is_some_and(|response| response.status == 200)
+        .call_cloud("POST", "/rentals/return", Some(body))
+        .await?;
+    match response.status {
+        200 => Ok(()),
+        status => Err(CloudError::Refused(status)),
+    }
 }
 
 /// Records that machines are gone.
-async fn record_returned(controller: &Controller, returned: Vec<String>) {
+async fn record_decommissioned(controller: &Controller, decommissioned: Vec<String>) {
     let now = Instant::now();
     // Nothing is booked on most: their records go at once.
     let (booked, empty): (Vec<String>, Vec<String>) = {
         let replica = controller.replica.borrow();
         let is_booked = |id: &String| replica.bookings.contains_key(id);
-        returned.iter().cloned().partition(is_booked)
+        decommissioned.iter().cloned().partition(is_booked)
     };
     let changes: Vec<LifecycleChange> = booked
         .iter()
@@ -78,11 +82,8 @@
     set_lifecycles(controller, &changes).await;
     drop_records(controller, &empty).await;
     let mut fleet = controller.fleet.borrow_mut();
-    for id in returned {
-        fleet.reports.remove(&id);
-        fleet.empty_since.remove(&id);
-        fleet.first_seen.remove(&id);
-        fleet.gone.insert(id, now);
+    for id in decommissioned {
+        fleet.confirm_gone(id, now);
     }
 }
 
@@ -94,12 +95,12 @@
             .commit(RequestClass::Publication, guards, writes)
             .await
     {
-        tracing::debug!(%error, "records of gone machines stay");
+        tracing::debug!(%error, "records of gone machines not dropped");
     }
 }
 
 /// The commit that drops the records of gone machines, and their names from the
-/// rental that may still list them: they would count as booting again.
+/// request that may still list them: they would count as booting again.
 fn record_drops(controller: &Controller, gone: &[String]) -> (Vec<Guard>, Vec<Write>) {
     let replica = controller.replica.borrow();
     // The pool is written with them.
@@ -107,7 +108,7 @@
     let max_writes = controller.settings.txn_ops() - usize::from(has_pool);
     let mut leaving = Resources::default();
     let mut machine_shards = MachineShardEdits::new(&replica);
-    let mut provisioning_requests: BTreeMap<&String, ProvisioningRequest> = BTreeMap::new();
+    let mut requests: BTreeMap<&String, ProvisioningRequest> = BTreeMap::new();
     for id in gone {
         // Nothing was booked meanwhile: its zone shard has lost it, and its machine shard
         // is guarded.
@@ -117,12 +118,12 @@
         if replica.bookings.contains_key(id) {
             continue;
         }
-        let rental = rental_of(&replica, id);
+        let request = find_request_of(&replica, id);
         let machine_shard = shard_id(&machine.zone, &machine.shard);
         let has_machine_shard = machine_shards.has(&machine_shard);
-        let adds_rental = rental.is_some_and(|(name, _)| !provisioning_requests.contains_key(name));
-        let added = usize::from(!has_machine_shard) + usize::from(adds_rental);
-        if machine_shards.len() + provisioning_requests.len() + added > max_writes
+        let adds_request = request.is_some_and(|request| !requests.contains_key(request.id));
+        let added = usize::from(!has_machine_shard) + usize::from(adds_request);
+        if machine_shards.len() + requests.len() + added > max_writes
             || (!has_machine_shard && machine_shards.is_full(max_writes))
         {
             continue;
@@ -131,23 +132,21 @@
             leaving += replica.resources_of(&machine.kind);
         }
         machine_shards.edit(&machine_shard).remove(id);
-        if let Some((name, entry)) = rental {
-            let rental = provisioning_requests
-                .entry(name)
-                .or_insert_with(|| entry.value.clone());
-            rental.machines.retain(|machine| machine != id);
+        if let Some(RecordedRequest { id: name, entry }) = request {
+            let request = requests.entry(name).or_insert_with(|| entry.value.clone());
+            request.machines.retain(|machine| machine != id);
         }
     }
     let (mut guards, mut writes) = machine_shards.into_commit();
-    for (id, rental) in provisioning_requests {
+    for (id, request) in requests {
         let key = rental_key(id);
         guards.push(guard(
             key.clone(),
             replica.provisioning_requests[id].version,
         ));
-        writes.push(match rental.machines.is_empty() {
+        writes.push(match request.machines.is_empty() {
             true => Write::Delete { key },
-            false => put(key, &rental),
+            false => put(key, &request),
         });
     }
     if writes.is_empty() || replica.shares_since().is_none() {
@@ -163,7 +162,7 @@
             (guards, writes)
         }
         Err(shortage) => {
-            tracing::debug!(%shortage, "records of gone machines stay");
+            tracing::debug!(%shortage, "records of gone machines not dropped");
             (Vec::new(), Vec::new())
         }
     }
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -1,18 +1,16 @@
 //! The fleet in numbers, for the log and for reports.
 
 use std::collections::BTreeMap;
-use std::fmt;
 
-use tokio::time::Instant;
-
-use super::headroom::spare_places;
+use super::headroom::free_accelerator_slots;
 use crate::controller::Controller;
 use crate::scheduler::Plan;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
 
-/// Machines by state, for the report.
-pub fn census(replica: &Replica) -> BTreeMap<&'static str, usize> {
+/// Machines by lifecycle state, for the report.
+#[must_use]
+pub fn count_machines_by_lifecycle(replica: &Replica) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for entry in replica.machines.values() {
         let name = match entry.value.lifecycle {
@@ -27,75 +25,66 @@
     counts
 }
 
-/// One line a while on what is rented and how full it is, for a replay.
-pub(super) fn log_fleet(controller: &Controller) {
+/// Logs at intervals which machines are provisioned and how full they are.
+pub(super) fn log_fleet_summary(controller: &Controller) {
     {
         let mut fleet = controller.fleet.borrow_mut();
         let interval = controller.settings.worker_lease();
-        if fleet.logged_at.is_some_and(|at| at.elapsed() < interval) {
+        if !fleet.summary_timer.is_due(interval) {
             return;
         }
-        fleet.logged_at = Some(Instant::now());
+        fleet.summary_timer.restart();
     }
     let replica = controller.replica.borrow();
     let plan = Plan::of(&replica);
-    let places: Vec<(&str, usize)> = replica
+    let free_accelerator_slots: Vec<(&str, usize)> = replica
         .zone_names
         .all()
-        .map(|zone| (zone, spare_places(&replica, &plan, Some(zone))))
+        .map(|zone| (zone, free_accelerator_slots(&replica, &plan, Some(zone))))
         .collect();
     tracing::debug!(
-        kinds = ?machines_by_kind(&replica),
-        waiting = ?tasks_by_class(&replica),
+        machine_types = ?machines_by_type(&replica),
+        tasks = ?tasks_by_class(&replica),
         unlisted = unlisted_machines(&replica),
-        ?places,
-        "fleet (number, CPUs booked, CPUs), tasks (waiting, booked)"
+        ?free_accelerator_slots,
+        "fleet summary"
     );
 }
 
-/// Machines of one kind.
-#[derive(Default)]
-struct KindSummary {
-    number: usize,
+/// Machines of one type.
+#[derive(Debug, Default)]
+struct MachineTypeSummary {
+    machines: usize,
     booked_cpus: f64,
     cpus: f64,
 }
 
-impl fmt::Debug for KindSummary {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        (self.number, self.booked_cpus, self.cpus).fmt(f)
-    }
-}
-
 /// Tasks of one class of jobs.
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct TaskSummary {
     waiting: usize,
     booked: usize,
 }
 
-impl fmt::Debug for TaskSummary {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        (self.waiting, self.booked).fmt(f)
-    }
-}
-
 /// Machines by type; `*` marks spot machines, `?` those that take no work.
-fn machines_by_kind(replica: &Replica) -> BTreeMap<String, KindSummary> {
-    let mut kinds: BTreeMap<String, KindSummary> = BTreeMap::new();
+fn machines_by_type(replica: &Replica) -> BTreeMap<String, MachineTypeSummary> {
+    let mut types: BTreeMap<String, MachineTypeSummary> = BTreeMap::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
         let spot = if machine.spot { "*" } else { "" };
         let inactive = if is_active(machine) { "" } else { "?" };
         let name = format!("{}{spot}{inactive}", machine.kind);
-        let summary = kinds.entry(name).or_default();
-        summary.number += 1;
+        let summary = types.entry(name).or_default();
+        summary.machines += 1;
         summary.booked_cpus += replica.booked_on(id).cpus.units();
-        summary.cpus += replica.type_of(&machine.kind).map_or(0.0, |kind| kind.cpus);
+        summary.cpus += replica
+            .type_of(&machine.kind)
+            .map_or(0.0, |machine_type| machine_type.cpus);
     }
-    kinds
+    types
 }
 
+/// Tasks of open jobs by the jobs' class.
 fn tasks_by_class(replica: &Replica) -> BTreeMap<&str, TaskSummary> {
     let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
     for (_, id) in &replica.open {
@@ -112,7 +101,10 @@
 
 /// Active machines that stand in no zone shard's record: nobody counts on them yet.
 fn unlisted_machines(replica: &Replica) -> usize {
-    let active = replica.machines.iter().filter(|(_, e)| is_active(&e.value));
+    let active = replica
+        .machines
+        .iter()
+        .filter(|(_, entry)| is_active(&entry.value));
     active.filter(|(id, _)| replica.slot(id).is_none()).count()
 }
 
--- a/src/cloud/silent.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -1,4 +1,5 @@
-//! Machines that their owner sends away: silent, unreachable and faulty ones.
+//! Machines that their owner removes from service: silent, unreachable and faulty
+//! ones.
 //!
 //! Only the owner knows when a machine was last heard: what another controller
 //! has not told is no sign of silence.
@@ -8,14 +9,14 @@
 
 use tokio::time::Instant;
 
-use super::blame::{Health, health};
-use super::removal::{Reason, Removal};
+use super::failure_attribution::{MachineHealth, machine_health};
+use super::removal::{MachineRemoval, RemovalReason};
 use crate::controller::Controller;
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
 use crate::workers::OwnedWorker;
 
-/// How many leases a machine may be silent before it is returned. When its
+/// How many leases a machine may be silent before it is decommissioned. When its
 /// lease is surely over its work is free to go elsewhere (`release_silent`), and
 /// it may be heard again.
 const SILENT_LEASES: u32 = 2;
@@ -23,34 +24,34 @@
 /// The same where most of its zone is silent at once.
 const PARTITIONED_LEASES: u32 = 3;
 
-/// How many report intervals a machine with a spot notice may be silent.
-const RECALLED_REPORTS: u32 = 3;
+/// How many report intervals a machine with a preemption notice may be silent.
+const PREEMPTED_REPORTS: u32 = 3;
 
-/// How many leases a worker's reports may arrive while answers and orders do
+/// How many leases a worker's reports may arrive while answers and commands do
 /// not.
 const UNREACHABLE_LEASES: u32 = 2;
 
 /// The fewest silent machines by which a zone counts as partitioned off.
-const MIN_PARTITIONED: usize = 4;
+const MIN_PARTITIONED_MACHINES: usize = 4;
 
-/// Machines held by this controller that should leave, and why.
-pub(super) fn failing_machines(controller: &Controller) -> Vec<Removal> {
+/// Machines owned by this controller that should leave service, and why.
+pub(super) fn unhealthy_machines(controller: &Controller) -> Vec<MachineRemoval> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned_workers.borrow();
-    let review = Review {
+    let review = OwnedMachineReview {
         controller,
         replica: &replica,
         now,
-        partitioned: partitioned_zones(controller, &replica, &owned_workers, now),
+        partitioned_zones: partitioned_zones(controller, &replica, &owned_workers, now),
     };
     let unreachable = controller
         .fleet
         .borrow()
         .unreachable(controller.settings.worker_lease(), now);
-    let mut removals: Vec<Removal> = unreachable
+    let mut removals: Vec<MachineRemoval> = unreachable
         .iter()
-        .map(|id| Removal::new(id, MachineLifecycle::Returning, Reason::Unreachable))
+        .map(|id| MachineRemoval::new(id, MachineLifecycle::Returning, RemovalReason::Unreachable))
         .collect();
     removals.extend(owned_workers.iter().filter_map(|(id, owned_worker)| {
         let machine = replica.machines.get(id).map(|entry| &entry.value)?;
@@ -59,7 +60,21 @@
     removals
 }
 
-/// Zones of which most machines that this controller holds are silent at once:
+/// How many of a zone's machines that this controller owns are silent.
+#[derive(Default)]
+struct ZoneSilence {
+    machines: usize,
+    silent: usize,
+}
+
+impl ZoneSilence {
+    /// Whether the zone is taken to be partitioned off.
+    fn is_partitioned(&self) -> bool {
+        self.silent >= MIN_PARTITIONED_MACHINES && self.silent * 2 > self.machines
+    }
+}
+
+/// Zones of which most machines that this controller owns are silent at once:
 /// they are partitioned off rather than lost, and come back together.
 fn partitioned_zones(
     controller: &Controller,
@@ -67,25 +82,18 @@
     owned_workers: &HashMap<String, OwnedWorker>,
     now: Instant,
 ) -> HashSet<String> {
-    #[derive(Default)]
-    struct Count {
-        all: usize,
-        silent: usize,
-    }
     let limit = controller.settings.worker_lease();
-    let mut zones: HashMap<&str, Count> = HashMap::new();
+    let mut zones: HashMap<&str, ZoneSilence> = HashMap::new();
     for (id, owned_worker) in owned_workers {
         if let Some(entry) = replica.machines.get(id) {
-            let count = zones.entry(&entry.value.zone).or_default();
-            count.all += 1;
-            count.silent += usize::from(silence(owned_worker, now) > limit);
+            let zone = zones.entry(&entry.value.zone).or_default();
+            zone.machines += 1;
+            zone.silent += usize::from(silence(owned_worker, now) > limit);
         }
     }
-    let is_partitioned =
-        |count: &Count| count.silent >= MIN_PARTITIONED && count.silent * 2 > count.all;
     zones
         .into_iter()
-        .filter(|(_, count)| is_partitioned(count))
+        .filter(|(_, zone)| zone.is_partitioned())
         .map(|(zone, _)| zone.to_string())
         .collect()
 }
@@ -95,25 +103,25 @@
     now.saturating_duration_since(owned_worker.heard)
 }
 
-/// One pass over the machines that this controller holds.
-struct Review<'a> {
+/// One pass over the machines that this controller owns.
+struct OwnedMachineReview<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     now: Instant,
-    partitioned: HashSet<String>,
+    partitioned_zones: HashSet<String>,
 }
 
-impl Review<'_> {
-    /// Whether a machine should leave.
+impl OwnedMachineReview<'_> {
+    /// Whether a machine should leave service.
     fn removal_of(
         &self,
         id: &str,
         machine: &Machine,
         owned_worker: &OwnedWorker,
-    ) -> Option<Removal> {
-        let is_held = machine.fencing_token == owned_worker.fencing_token
+    ) -> Option<MachineRemoval> {
+        let is_owned = machine.fencing_token == owned_worker.fencing_token
             && machine.incarnation == self.controller.incarnation;
-        if !is_held
+        if !is_owned
             || !matches!(
                 machine.lifecycle,
                 MachineLifecycle::Active | MachineLifecycle::Draining
@@ -122,22 +130,25 @@
             return None;
         }
         if silence(owned_worker, self.now) > self.silence_limit(machine, owned_worker) {
-            return Some(Removal::new(
+            return Some(MachineRemoval::new(
                 id,
                 MachineLifecycle::Returning,
-                Reason::Silent,
+                RemovalReason::Silent,
             ));
         }
         if self.is_unreachable(owned_worker) {
-            return Some(Removal::new(
+            return Some(MachineRemoval::new(
                 id,
                 MachineLifecycle::Returning,
-                Reason::Unreachable,
+                RemovalReason::Unreachable,
             ));
         }
         let is_active = machine.lifecycle == MachineLifecycle::Active;
-        (is_active && health(self.controller, self.replica, id, owned_worker) == Health::Faulty)
-            .then(|| Removal::new(id, MachineLifecycle::Draining, Reason::Faulty))
+        let is_faulty = is_active
+            && machine_health(self.controller, self.replica, id, owned_worker)
+                == MachineHealth::Faulty;
+        is_faulty
+            .then(|| MachineRemoval::new(id, MachineLifecycle::Draining, RemovalReason::Faulty))
     }
 
     /// How long a machine may be silent.
@@ -145,22 +156,22 @@
         let lease = self.controller.settings.worker_lease();
         let report = owned_worker.report.as_ref();
         if report.is_some_and(|report| report.notice_s.is_some()) {
-            // It was to be taken back and is silent: it has been, and the
+            // It was to be preempted and is silent: it has been, and the
             // cloud's answer proves it sooner than the lease does.
-            return lease.min(self.controller.settings.heartbeat_interval() * RECALLED_REPORTS);
+            return lease.min(self.controller.settings.heartbeat_interval() * PREEMPTED_REPORTS);
         }
-        // With a launch that may land late only the cloud can end the doubt.
+        // With a launch that may arrive late only the cloud's answer is certain.
         if owned_worker.unresolved {
             return lease;
         }
-        match self.partitioned.contains(&machine.zone) {
+        match self.partitioned_zones.contains(&machine.zone) {
             true => lease * PARTITIONED_LEASES,
             false => lease * SILENT_LEASES,
         }
     }
 
     /// Whether a worker's reports have arrived for too long while answers and
-    /// orders did not.
+    /// commands did not.
     fn is_unreachable(&self, owned_worker: &OwnedWorker) -> bool {
         let limit = self.controller.settings.worker_lease() * UNREACHABLE_LEASES;
         owned_worker
--- /dev/null
+++ b/src/cloud/unneeded_machines.rs
@@ -0,0 +1,212 @@
+//! Machines that the fleet leader decommissions: without an owner, without work
+//! that is worth their price, drained, or not up in time.
+
+use std::collections::HashSet;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::booting_machines::booting_machines;
+use super::fleet_state::FleetState;
+use super::headroom::{free_accelerator_slots, wanted_headroom_slots};
+use super::overdue_boots::timed_out_boots;
+use super::pricing::{cheapest_slot_price, machine_facts, machine_price};
+use super::removal::{MachineRemoval, RemovalReason};
+use crate::controller::Controller;
+use crate::scheduler::{self, Plan};
+use crate::settings::Settings;
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::replica::Replica;
+use crate::wire::MachineType;
+
+/// The highest price of a slot, as a multiple of the cheapest one, at which a
+/// machine is kept for opportunistic work alone.
+const MAX_OPPORTUNISTIC_PRICE_RATIO: f64 = 4.0;
+
+/// Machines without a live owner are decommissioned after so many leases. A zone
+/// that is partitioned off has all its machines owned by controllers that are
+/// partitioned off with it: they come back together, and to decommission them
+/// would be to provision a third of the fleet anew.
+const ORPHANED_LEASES: u32 = 3;
+
+/// Machines that the fleet leader removes from service, and why.
+pub(super) fn unneeded_machines(controller: &Controller) -> Vec<MachineRemoval> {
+    let now = controller.liveness_tick();
+    let replica = controller.replica.borrow();
+    let mut fleet = controller.fleet.borrow_mut();
+    let mut review = FleetReview::new(controller, &replica, now);
+    let mut removals = Vec::new();
+    for (id, entry) in &replica.machines {
+        let machine = &entry.value;
+        if matches!(
+            machine.lifecycle,
+            MachineLifecycle::Active | MachineLifecycle::Draining
+        ) && let Some(machine_type) = replica.type_of(&machine.kind)
+        {
+            removals.extend(review.removal_of(&mut fleet, id, machine, machine_type));
+        }
+    }
+    removals.extend(timed_out_boots(
+        &controller.settings,
+        &replica,
+        &mut fleet,
+        now,
+    ));
+    forget_unknown_machines(&replica, &mut fleet);
+    removals
+}
+
+/// One pass over the machines that are up.
+struct FleetReview<'a> {
+    controller: &'a Controller,
+    replica: &'a Replica,
+    now: Instant,
+    /// Slots that stay ready for the next gang on accelerators.
+    headroom_slots: usize,
+    /// Free slots for such work, less those on machines removed so far.
+    free_slots: usize,
+}
+
+impl<'a> FleetReview<'a> {
+    fn new(controller: &'a Controller, replica: &'a Replica, now: Instant) -> Self {
+        let plan = Plan::of(replica);
+        FleetReview {
+            controller,
+            replica,
+            now,
+            headroom_slots: wanted_headroom_slots(controller, replica, &plan),
+            free_slots: free_accelerator_slots(replica, &plan, None),
+        }
+    }
+
+    /// Whether an active or draining machine should leave service.
+    fn removal_of(
+        &mut self,
+        fleet: &mut FleetState,
+        id: &str,
+        machine: &Machine,
+        machine_type: &MachineType,
+    ) -> Option<MachineRemoval> {
+        if self.is_orphaned(fleet, id, machine) {
+            return Some(MachineRemoval::new(
+                id,
+                MachineLifecycle::Returning,
+                RemovalReason::Orphaned,
+            ));
+        }
+        let booked = self.replica.bookings.contains_key(id);
+        if booked && self.is_kept_for_work(fleet, id, machine, machine_type) {
+            fleet.clear_idle(id);
+            return None;
+        }
+        let idle_since = fleet.idle_since(id, self.now);
+        if machine.lifecycle == MachineLifecycle::Draining {
+            return Some(MachineRemoval::new(
+                id,
+                MachineLifecycle::Returning,
+                RemovalReason::Drained,
+            ));
+        }
+        let idle = self.now.saturating_duration_since(idle_since);
+        let facts = machine_facts(machine_type, machine.spot);
+        let idle_limit = Duration::from_secs_f64(self.controller.settings.policy.idle_s(&facts));
+        if idle <= idle_limit || self.is_headroom(machine, machine_type) {
+            return None;
+        }
+        Some(match booked {
+            true => MachineRemoval::new(
+                id,
+                MachineLifecycle::Draining,
+                RemovalReason::OpportunisticOnly,
+            ),
+            false => MachineRemoval::new(id, MachineLifecycle::Returning, RemovalReason::Idle),
+        })
+    }
+
+    /// A worker whose controller is gone reports to another one soon, and is
+    /// claimed by it; if not, it is gone, too.
+    fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
+        let owner = self.replica.nodes.get(&machine.owner);
+        if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
+            fleet.clear_not_up(id);
+            return false;
+        }
+        let not_up_since = fleet.not_up_since(id, self.now);
+        let limit = self.controller.settings.worker_lease() * ORPHANED_LEASES;
+        self.now.saturating_duration_since(not_up_since) > limit
+    }
+
+    /// Whether a machine's work keeps it provisioned. Opportunistic work does not
+    /// keep one that costs more than such work may: it is drained, so that the
+    /// work saves its progress and goes elsewhere.
+    fn is_kept_for_work(
+        &self,
+        fleet: &mut FleetState,
+        id: &str,
+        machine: &Machine,
+        machine_type: &MachineType,
+    ) -> bool {
+        if !runs_only_overpriced_opportunistic_work(
+            self.replica,
+            &self.controller.settings,
+            id,
+            machine_type,
+            machine.spot,
+        ) {
+            return true;
+        }
+        let draining = machine.lifecycle == MachineLifecycle::Draining;
+        if draining {
+            fleet.queue_drain(id);
+        }
+        draining
+    }
+
+    /// Whether an idle machine is kept for the next gang on accelerators.
+    fn is_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
+        if machine_type.gpus <= 0.0 {
+            return false;
+        }
+        let Some(gpu) = &self.replica.gpu_spec else {
+            return false;
+        };
+        if !gpu.allows(&machine.kind, &machine.zone, machine.spot) {
+            return false;
+        }
+        let slots = machine_type.resources().slots(&gpu.need);
+        if slots > 0 && self.free_slots < self.headroom_slots + slots {
+            return true;
+        }
+        self.free_slots -= slots.min(self.free_slots);
+        false
+    }
+}
+
+/// Whether all that a machine runs is opportunistic, at a price that such work is
+/// not worth.
+fn runs_only_overpriced_opportunistic_work(
+    replica: &Replica,
+    settings: &Settings,
+    machine: &str,
+    machine_type: &MachineType,
+    spot: bool,
+) -> bool {
+    replica.jobs_on(machine).all(|(id, entry)| {
+        let job = &entry.value;
+        let spec = job.spec.as_ref().filter(|_| job.is_open());
+        !replica.is_needed(id)
+            && spec.is_some_and(|spec| {
+                let slots = machine_type.resources().slots(&spec.need).max(1) as f64;
+                let max_price = cheapest_slot_price(replica, spec) * MAX_OPPORTUNISTIC_PRICE_RATIO;
+                scheduler::is_opportunistic(spec, settings)
+                    && machine_price(machine_type, spot) / slots > max_price
+            })
+    })
+}
+
+/// Drops what is remembered of machines that are neither recorded nor provisioned.
+fn forget_unknown_machines(replica: &Replica, fleet: &mut FleetState) {
+    let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
+    known.extend(booting_machines(replica).map(|machine| machine.id));
+    fleet.retain_machines(&known);
+}
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -303,6 +303,6 @@
         machines: owned_workers.len() as u32,
         silent: owned_workers.values().filter(is_silent).count() as u32,
         writes: controller.store.demand(),
-        refused: controller.fleet.borrow().refused_now(now),
+        refused: controller.fleet.borrow().refused_offers(now),
     }
 }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -177,7 +177,7 @@
 
     /// How many machines are in each state, and how many have work.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
-        let mut counts: BTreeMap<String, usize> = cloud::census(&self.replica)
+        let mut counts: BTreeMap<String, usize> = cloud::count_machines_by_lifecycle(&self.replica)
             .into_iter()
             .map(|(state, count)| (state.to_string(), count))
             .collect();
@@ -192,7 +192,7 @@
 
     /// Offers that the cloud has refused any controller of late.
     fn refused_offers(&self) -> Vec<String> {
-        let mut refused = self.controller.fleet.borrow().refused_now(self.now);
+        let mut refused = self.controller.fleet.borrow().refused_offers(self.now);
         let peers = self.controller.peers.borrow();
         refused.extend(peers.refused(self.controller, self.now));
         refused.sort();
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -110,7 +110,7 @@
         report: &WorkerStatus,
         urgent: bool,
     ) -> watch::Receiver<ClaimProgress> {
-        self.fleet.borrow_mut().remember(report);
+        self.fleet.borrow_mut().record_claim_report(report);
         let asked = Instant::now();
         let replica = self.replica.borrow();
         let fencing_token = replica
@@ -261,7 +261,7 @@
     let mut machine_shards = MachineShardEdits::new(&replica);
     let mut is_full = false;
     for (id, _) in order {
-        let Some(report) = fleet.reports.get(id) else {
+        let Some(report) = fleet.claim_report(id) else {
             batch.decided.push(id.clone());
             continue;
         };
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -72,13 +72,13 @@
     }
 
     fn known_report(&self, id: &str) -> Option<WorkerStatus> {
-        self.fleet.borrow().reports.get(id).cloned()
+        self.fleet.borrow().claim_report(id).cloned()
     }
 
     /// Where the worker takes calls, and the epoch that it is in.
     fn endpoint(&self, id: &str, owned_worker: &OwnedWorker) -> Option<(String, u64)> {
         let fleet = self.fleet.borrow();
-        let known = fleet.reports.get(id)?;
+        let known = fleet.claim_report(id)?;
         let epoch = owned_worker
             .report
             .as_ref()
@@ -283,7 +283,7 @@
         tracing::info!(machine = id, "has seen a higher token");
         return false;
     }
-    if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(id) {
+    if let Some(known) = controller.fleet.borrow_mut().claim_report_mut(id) {
         known.epoch = report.epoch;
     }
     let first = owned_worker.report.is_none();
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -161,7 +161,7 @@
         }
         let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
-        if fleet.is_unreachable(report, machine.fencing_token, lease, heartbeat.received) {
+        if fleet.check_unreachable(report, machine.fencing_token, lease, heartbeat.received) {
             return Err(Answer::unavailable("it does not hear"));
         }
         if report.fencing_token > machine.fencing_token {
@@ -253,7 +253,7 @@
     fn keeps(&self, id: &str, now: Instant) -> bool {
         let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
-        let first = fleet.kept.entry(id.to_string()).or_insert(now);
+        let first = fleet.claim_wait_since.entry(id.to_string()).or_insert(now);
         if now.saturating_duration_since(*first) > lease {
             *first = now;
         }
@@ -283,7 +283,7 @@
         }
         if report.notice_s.is_some() {
             let mut fleet = self.fleet.borrow_mut();
-            fleet.recalled.insert(id.to_string());
+            fleet.queue_drain(id);
         }
         Ok(())
     }
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -148,7 +148,7 @@
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned_workers.borrow();
-    let suspects = crate::cloud::suspects(controller, &replica, &owned_workers);
+    let suspects = crate::cloud::quarantined_machines(controller, &replica, &owned_workers);
     let mut planner = RoomPlanner::new(controller, &replica, suspects, now);
     for (id, owned_worker) in owned_workers.iter() {
         let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::setup::{held, report, settings, spec};
-use shelfhoist::cloud::{FailureAttribution, blame};
+use shelfhoist::cloud::{FailureAttribution, attribute_failure};
 use shelfhoist::scheduler::{Released, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
 use shelfhoist::workers::{self, AttemptKey, OwnedWorker, TerminationEvidence, reconcile};
@@ -72,10 +72,18 @@
             job.book(machine, "a", *attempt, task);
             assert!(job.release(machine, *attempt, task, *outcome));
         }
-        assert_eq!((job.errors, blame(&job, "m")), (errors, whose), "case {n}");
+        assert_eq!(
+            (job.errors, attribute_failure(&job, "m")),
+            (errors, whose),
+            "case {n}"
+        );
         let mut cancelled = job.clone();
         cancelled.cancel();
-        assert_eq!(blame(&cancelled, "m"), FailureAttribution::Job, "case {n}");
+        assert_eq!(
+            attribute_failure(&cancelled, "m"),
+            FailureAttribution::Job,
+            "case {n}"
+        );
     }
 }
 
