--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -63,7 +63,7 @@
 pub fn state_of<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
     let booked = job.booked() as u32;
-    let (stage, running) = match replica.state(id)? {
+    let (stage, running) = match replica.effective_status(id)? {
         JobStatus::Done => (JobStage::Done, 0),
         JobStatus::Cancelled => (JobStage::Cancelled, 0),
         JobStatus::Open if booked > 0 => (JobStage::Running, booked),
@@ -226,7 +226,7 @@
         .borrow()
         .get(id)
         .map(Instant::elapsed);
-    let is_open = controller.replica.borrow().state(id) == Some(JobStatus::Open);
+    let is_open = controller.replica.borrow().effective_status(id) == Some(JobStatus::Open);
     if is_open && should_shed(controller.lag(), age, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -137,7 +137,7 @@
     check_awaited_jobs(&spec, replica)?;
     // What is done stays done: nothing needs to remember it.
     spec.dependencies
-        .retain(|id| replica.state(id) != Some(JobStatus::Done));
+        .retain(|id| replica.effective_status(id) != Some(JobStatus::Done));
     check_record_size(&spec, settings, replica)?;
     Ok(spec)
 }
@@ -199,7 +199,7 @@
     match spec
         .dependencies
         .iter()
-        .find(|id| replica.state(id).is_none())
+        .find(|id| replica.effective_status(id).is_none())
     {
         Some(id) => Err(never(format!("awaits: {id} was never accepted"))),
         None => Ok(()),
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -72,7 +72,7 @@
     let search = Search {
         replica: &replica,
         settings: &controller.settings,
-        plan: Plan::of(&replica),
+        plan: Plan::from_replica(&replica),
         hints: PlacementHints::new(&replica, controller.name()),
         kept_places: KEPT_GANGS * gpu.tasks as usize,
     };
@@ -124,7 +124,7 @@
         }
         let services = self.services_on(id)?;
         let mut without = self.plan.clone();
-        if let Some(spot) = without.find(self.replica, id) {
+        if let Some(spot) = without.slot_index_of(self.replica, id) {
             without.plan_slots[spot].free = Resources::default();
         }
         if spare_places(self.replica, &without, None) < self.kept_places {
@@ -169,10 +169,10 @@
                 count += 1;
             }
         }
-        plan.teams.entry(spec.team.clone()).and_modify(|used| {
+        plan.team_usage.entry(spec.team.clone()).and_modify(|used| {
             *used -= spec.need.times(count);
         });
-        match scheduler::fit(
+        match scheduler::find_placements(
             &moved,
             &spec,
             plan,
@@ -182,7 +182,7 @@
         ) {
             Ok(places) if places.len() >= count => {
                 for place in &places {
-                    plan.take(place, &spec.team, spec.need);
+                    plan.reserve(place, &spec.team, spec.need);
                 }
                 true
             }
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -30,7 +30,7 @@
     let now = Instant::now();
     // The rentals are committed together, beside the fleet_leader's own key.
     let max_rentals = controller.settings.txn_ops().saturating_sub(2).max(1);
-    let first_seen = controller.placement.first_seen.borrow();
+    let first_seen = controller.placement.first_seen();
     let mut planner = Planner::new(controller, &replica, &first_seen, now);
     let queue = scheduler::queue(
         &replica,
@@ -98,7 +98,7 @@
         first_seen: &'a FirstSeenTimes,
         now: Instant,
     ) -> Self {
-        let mut plan = Plan::of(replica);
+        let mut plan = Plan::from_replica(replica);
         add_coming_room(&mut plan, controller, replica);
         Planner {
             controller,
@@ -123,7 +123,8 @@
             let Some(spec) = &job.spec else { continue };
             for run in &job.runs {
                 let room = spec.need.times(run.tasks.len());
-                self.plan.give(self.replica, &run.machine, &spec.team, room);
+                self.plan
+                    .release(self.replica, &run.machine, &spec.team, room);
             }
         }
     }
@@ -157,17 +158,10 @@
         let age = seen.map_or(0.0, |first| {
             self.now.saturating_duration_since(*first).as_secs_f64()
         });
-        let queue_rank = self.replica.queue_rank(id, spec, self.now);
+        let urgency = self.replica.effective_urgency(id, spec, self.now);
         let settings = &self.controller.settings;
-        let facts = scheduler::facts(
-            job,
-            spec,
-            &self.plan,
-            settings,
-            self.replica,
-            age,
-            &queue_rank,
-        );
+        let facts =
+            scheduler::job_facts(job, spec, &self.plan, settings, self.replica, age, &urgency);
         Some(JobDemand {
             id,
             spec,
@@ -184,7 +178,7 @@
     fn place(&mut self, demand: &mut JobDemand) {
         let settings = &self.controller.settings;
         let spec = demand.spec;
-        match scheduler::fit(
+        match scheduler::find_placements(
             &demand.planned,
             spec,
             &self.plan,
@@ -194,7 +188,7 @@
         ) {
             Ok(places) => {
                 for place in &places {
-                    self.plan.take(place, &spec.team, spec.need);
+                    self.plan.reserve(place, &spec.team, spec.need);
                 }
                 let places: Vec<_> = places.iter().collect();
                 crate::scheduler::book(&mut demand.planned, spec, &places);
@@ -211,8 +205,8 @@
         let waiting = demand.planned.waiting();
         match self.controller.settings.team(&spec.team) {
             Some(terms) => {
-                let used = self.plan.used(&spec.team);
-                waiting.min(scheduler::team_slots(terms, &used, &spec.need))
+                let used = self.plan.team_used(&spec.team);
+                waiting.min(scheduler::tasks_within_quota(terms, &used, &spec.need))
             }
             None => waiting,
         }
@@ -234,8 +228,9 @@
                 return Step::Again;
             }
             // What does not wait for room yet is not told so.
-            if self.replica.awaited(demand.id).is_empty() {
-                crate::scheduler::note(self.controller, demand.id, WaitReason::Refused, self.now);
+            if self.replica.pending_dependencies(demand.id).is_empty() {
+                let placement = &self.controller.placement;
+                placement.record_wait_reason(demand.id, WaitReason::Refused, self.now);
             }
             return Step::Done;
         };
@@ -321,7 +316,7 @@
 /// Adds the room of one machine of an offer to the plan.
 fn add_room(plan: &mut Plan, replica: &Replica, kind: &MachineType, zone: &str, spot: bool) {
     if let Some(class) = replica.find_class(&kind.name, zone, spot) {
-        plan.add(class, kind.resources());
+        plan.add_unassigned(class, kind.resources());
     }
 }
 
@@ -360,7 +355,7 @@
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
     };
-    let held = replica.blocked();
+    let held = replica.blocked_jobs();
     held.filter(|(_, left)| left.iter().all(ends_soon))
         .collect()
 }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,7 +1,7 @@
 //! Places kept ready for the next gang on accelerators.
 
 use crate::controller::Controller;
-use crate::dependencies::QueueRank;
+use crate::dependencies::EffectiveUrgency;
 use crate::scheduler::{self, Plan};
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -22,15 +22,15 @@
         return 0;
     }
     let next = Job::new(gpu.clone(), 0);
-    let queue_rank = QueueRank::of(gpu);
-    let facts = scheduler::facts(
+    let urgency = EffectiveUrgency::of(gpu);
+    let facts = scheduler::job_facts(
         &next,
         gpu,
         plan,
         &controller.settings,
         replica,
         0.0,
-        &queue_rank,
+        &urgency,
     );
     let jobs = controller.settings.policy.headroom(&facts);
     (jobs * f64::from(gpu.tasks)).round() as usize
--- a/src/cloud/idle.rs
+++ b/src/cloud/idle.rs
@@ -63,7 +63,7 @@
 
 impl<'a> Review<'a> {
     fn new(controller: &'a Controller, replica: &'a Replica, now: Instant) -> Self {
-        let plan = Plan::of(replica);
+        let plan = Plan::from_replica(replica);
         Review {
             controller,
             replica,
@@ -184,7 +184,7 @@
     replica.jobs_on(machine).all(|(id, entry)| {
         let job = &entry.value;
         let spec = job.spec.as_ref().filter(|_| job.is_open());
-        !replica.is_needed(id)
+        !replica.has_dependents(id)
             && spec.is_some_and(|spec| {
                 let slots = kind.resources().slots(&spec.need).max(1) as f64;
                 let max_price = cheapest_place(replica, spec) * MAX_FILLER_PRICE_RATIO;
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -126,7 +126,7 @@
             || self.machine_shards.bytes() > COMMIT_BYTES / 3;
         let shards_full = self.zone_shards.len() >= for_shards;
         (self.zone_shards.contains_key(shard) || !shards_full)
-            && (self.machine_shards.has(machine_shard) || !machine_shards_full)
+            && (self.machine_shards.contains(machine_shard) || !machine_shards_full)
     }
 
     /// Takes a machine out of its zone shard's record. The zone shard is guarded even if
--- a/src/cloud/list.rs
+++ b/src/cloud/list.rs
@@ -165,8 +165,12 @@
                 continue;
             }
             let mut machine = machine.clone();
-            let shard =
-                machine_shards.new_shard(&controller.settings, id, &machine.kind, &machine.zone);
+            let shard = machine_shards.allocate_shard(
+                &controller.settings,
+                id,
+                &machine.kind,
+                &machine.zone,
+            );
             let Some(shard) = shard else {
                 continue;
             };
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -119,7 +119,7 @@
         }
         let rental = rental_of(&replica, id);
         let machine_shard = shard_id(&machine.zone, &machine.shard);
-        let has_machine_shard = machine_shards.has(&machine_shard);
+        let has_machine_shard = machine_shards.contains(&machine_shard);
         let adds_rental = rental.is_some_and(|(name, _)| !provisioning_requests.contains_key(name));
         let added = usize::from(!has_machine_shard) + usize::from(adds_rental);
         if machine_shards.len() + provisioning_requests.len() + added > max_writes
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -38,7 +38,7 @@
         fleet.logged_at = Some(Instant::now());
     }
     let replica = controller.replica.borrow();
-    let plan = Plan::of(&replica);
+    let plan = Plan::from_replica(&replica);
     let places: Vec<(&str, usize)> = replica
         .zone_names
         .all()
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -145,7 +145,7 @@
             *r = revision.max(*r);
             newer
         });
-        self.placement.placement_notify.notify_one();
+        self.placement.wake();
         self.workers.commands_notify.notify_one();
     }
 }
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -56,24 +56,24 @@
 
 /// What a job's place in the queue goes by, with what needs it counted in.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QueueRank {
+pub struct EffectiveUrgency {
     /// The highest priority of the job and of those that need it.
     pub priority: Priority,
     /// The seconds left until its deadline, or until the tightest of those that
     /// need it, less the work between.
-    pub left_s: Option<f64>,
+    pub time_left_s: Option<f64>,
     /// A job that waits for it asks for a deadline, whatever its own class's
     /// objectives are.
-    pub asked: bool,
+    pub dependents_have_deadline: bool,
 }
 
-impl QueueRank {
+impl EffectiveUrgency {
     /// That of a job which nothing needs, submitted just now.
     pub fn of(spec: &Spec) -> Self {
-        QueueRank {
+        EffectiveUrgency {
             priority: spec.priority,
-            left_s: spec.deadline_s,
-            asked: false,
+            time_left_s: spec.deadline_s,
+            dependents_have_deadline: false,
         }
     }
 }
@@ -105,7 +105,7 @@
     /// A job's final state, whether its own record says so or it follows from
     /// what it awaits; `None` if it is not known. Whoever tells anybody what
     /// became of a job, or decides by it, asks here.
-    pub fn state(&self, id: &str) -> Option<JobStatus> {
+    pub fn effective_status(&self, id: &str) -> Option<JobStatus> {
         let own = self.jobs.get(id)?.value.status;
         match own == JobStatus::Open && self.dependency_graph.cancelled_by_dependency.contains(id) {
             true => Some(JobStatus::Cancelled),
@@ -115,19 +115,19 @@
 
     /// Whether all that a job awaits is done. That is final: a replica that lags
     /// can only say so late.
-    pub fn is_ready(&self, spec: &Spec) -> bool {
-        let done = |id: &String| self.state(id) == Some(JobStatus::Done);
+    pub fn dependencies_done(&self, spec: &Spec) -> bool {
+        let done = |id: &String| self.effective_status(id) == Some(JobStatus::Done);
         spec.dependencies.iter().all(done)
     }
 
     /// Open jobs that wait for others, with those that they still await.
-    pub fn blocked(&self) -> impl Iterator<Item = (&str, &[String])> {
+    pub fn blocked_jobs(&self) -> impl Iterator<Item = (&str, &[String])> {
         let blocked = self.dependency_graph.blocked.iter();
         blocked.map(|(id, left)| (id.as_str(), left.as_slice()))
     }
 
     /// What a job still awaits.
-    pub fn awaited(&self, id: &str) -> &[String] {
+    pub fn pending_dependencies(&self, id: &str) -> &[String] {
         self.dependency_graph
             .blocked
             .get(id)
@@ -144,18 +144,18 @@
     }
 
     /// The highest priority of a job and of the open jobs that need it.
-    pub fn priority(&self, id: &str, spec: &Spec) -> Priority {
+    pub fn effective_priority(&self, id: &str, spec: &Spec) -> Priority {
         let demanded = self.dependency_graph.demand.get(id).map(|d| d.priority);
         demanded.map_or(spec.priority, |p| p.max(spec.priority))
     }
 
     /// Whether an open job waits for this one.
-    pub fn is_needed(&self, id: &str) -> bool {
+    pub fn has_dependents(&self, id: &str) -> bool {
         self.dependency_graph.demand.contains_key(id)
     }
 
     /// What the job's place in the queue goes by at this moment.
-    pub fn queue_rank(&self, id: &str, spec: &Spec, now: Instant) -> QueueRank {
+    pub fn effective_urgency(&self, id: &str, spec: &Spec, now: Instant) -> EffectiveUrgency {
         let demanded = self.dependency_graph.demand.get(id).and_then(|d| d.due);
         let own = match spec.deadline_s {
             // Known by its spec alone, as in a plan: submitted just now.
@@ -164,10 +164,10 @@
             None => None,
         };
         let left = [own, demanded.map(|at| until(at, now))];
-        QueueRank {
-            priority: self.priority(id, spec),
-            left_s: left.into_iter().flatten().reduce(f64::min),
-            asked: demanded.is_some(),
+        EffectiveUrgency {
+            priority: self.effective_priority(id, spec),
+            time_left_s: left.into_iter().flatten().reduce(f64::min),
+            dependents_have_deadline: demanded.is_some(),
         }
     }
 
@@ -200,13 +200,13 @@
         let spec = self.jobs.get(id).and_then(|e| e.value.spec.as_ref());
         let has_deadline = spec.is_some_and(|s| s.deadline_s.is_some());
         let dependencies = spec.map_or(&[][..], |s| &s.dependencies);
-        let is_cancelled = |a: &String| self.state(a) == Some(JobStatus::Cancelled);
+        let is_cancelled = |a: &String| self.effective_status(a) == Some(JobStatus::Cancelled);
         if dependencies.iter().any(is_cancelled) {
             return self.cancel_with_dependency(id);
         }
         let left: Vec<String> = dependencies
             .iter()
-            .filter(|a| self.state(a) != Some(JobStatus::Done))
+            .filter(|a| self.effective_status(a) != Some(JobStatus::Done))
             .cloned()
             .collect();
         if has_deadline {
@@ -333,7 +333,7 @@
             if before == now {
                 continue;
             }
-            for awaited in self.awaited(&id).to_vec() {
+            for awaited in self.pending_dependencies(&id).to_vec() {
                 if !queue.contains(&awaited) {
                     queue.push_back(awaited);
                 }
@@ -356,7 +356,7 @@
         // Its own work comes between; tasks of one job run side by side.
         let work = Duration::try_from_secs_f64(spec.estimate_s).unwrap_or_default();
         Some(DependentDemand {
-            priority: self.priority(id, spec),
+            priority: self.effective_priority(id, spec),
             due: due.map(|at| at.checked_sub(work).unwrap_or(at)),
         })
     }
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -46,10 +46,10 @@
     }
 
     fn of_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
-        match controller.placement.wait_states.borrow().get(id) {
-            Some(reason) => {
-                let seconds = now.saturating_duration_since(reason.since).as_secs_f64();
-                PendingReason::new(wait_text(reason.why), seconds)
+        match controller.placement.wait_state(id) {
+            Some(wait) => {
+                let seconds = now.saturating_duration_since(wait.since).as_secs_f64();
+                PendingReason::new(wait_text(wait.reason), seconds)
             }
             None => PendingReason::new("its turn has not come yet", 0.0),
         }
@@ -74,7 +74,7 @@
 
 /// The jobs that have to be done before this one starts; `None` without any.
 fn dependencies_text(replica: &Replica, id: &str) -> Option<String> {
-    let dependencies = replica.awaited(id);
+    let dependencies = replica.pending_dependencies(id);
     if dependencies.is_empty() {
         return None;
     }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -52,7 +52,7 @@
         let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
         let stage = state_of(&self.replica, id)?.stage;
-        let is_open = self.replica.state(id) == Some(JobStatus::Open);
+        let is_open = self.replica.effective_status(id) == Some(JobStatus::Open);
         let reason = is_open.then(|| self.reason(id, job));
         let runs = job.runs.iter().take(PAGE_SIZE);
         Some(JobDetails {
@@ -77,8 +77,8 @@
     /// All teams, in the order of the settings.
     pub(super) fn teams(&self) -> Vec<TeamDetails> {
         let settings = &self.controller.settings;
-        let plan = Plan::of(&self.replica);
-        let first_seen = self.controller.placement.first_seen.borrow();
+        let plan = Plan::from_replica(&self.replica);
+        let first_seen = self.controller.placement.first_seen();
         let queue = scheduler::queue(&self.replica, &plan, settings, &first_seen, self.now);
         let teams = settings.deployment.teams.iter();
         teams.map(|terms| self.team(terms, &queue)).collect()
@@ -142,7 +142,7 @@
     /// unfinished work.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
         let ready = self.replica.open.iter().map(|(_, id)| id.as_str());
-        let blocked = self.replica.blocked().map(|(id, _)| id);
+        let blocked = self.replica.blocked_jobs().map(|(id, _)| id);
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
@@ -202,23 +202,18 @@
 
     /// How long this controller has known a job, in seconds.
     fn age_s(&self, id: &str) -> f64 {
-        let first_seen = self.controller.placement.first_seen.borrow();
-        first_seen.get(id).map_or(0.0, |first_seen| {
-            self.now
-                .saturating_duration_since(*first_seen)
-                .as_secs_f64()
-        })
+        self.controller.placement.age_s(id, self.now)
     }
 
     /// Whether a job is past its own deadline, or has waiting tasks and is too
     /// late for all that it is to meet.
     fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let queue_rank = self.replica.queue_rank(id, spec, self.now);
-        if queue_rank.left_s.is_some_and(|left| left < 0.0) {
+        let urgency = self.replica.effective_urgency(id, spec, self.now);
+        if urgency.time_left_s.is_some_and(|left| left < 0.0) {
             return true;
         }
         let settings = &self.controller.settings;
-        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &queue_rank)
+        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
--- a/src/scheduler/fit.rs
+++ b/src/scheduler/bin_packing.rs
@@ -8,9 +8,9 @@
 
 use foldhash::HashMap;
 
-use super::candidates::{AcceleratorProtection, Candidates, PlacementHints};
-use super::plan::{Place, Plan, UNASSIGNED, team_slots};
-use super::record_size::record_slots;
+use super::candidates::{AcceleratorProtection, MachineCandidates, PlacementHints};
+use super::plan::{Plan, TaskPlacement, UNASSIGNED, tasks_within_quota};
+use super::record_size::tasks_within_record_limit;
 use super::wait_states::WaitReason;
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
@@ -22,14 +22,14 @@
 
 /// Finds places for a job's waiting tasks: all of a gang's or none, as many
 /// as there are for independent tasks.
-pub fn fit(
+pub fn find_placements(
     job: &Job,
     spec: &Spec,
     plan: &Plan,
     hints: &PlacementHints,
     settings: &Settings,
     care: AcceleratorProtection,
-) -> Result<Vec<Place>, WaitReason> {
+) -> Result<Vec<TaskPlacement>, WaitReason> {
     let replica = hints.replica;
     let request = Request {
         job,
@@ -39,20 +39,20 @@
         settings,
         care,
     };
-    let mut places: Vec<Place> = request
+    let mut places: Vec<TaskPlacement> = request
         .find()?
         .into_iter()
         .map(|at| {
-            let spot = &plan.plan_slots[at];
-            Place {
-                at,
-                machine: replica.machine_names.name(spot.machine),
-                zone: replica.classes[spot.class as usize].zone.clone(),
-                shard: replica.zone_shard_names.name(spot.shard),
+            let slot = &plan.plan_slots[at];
+            TaskPlacement {
+                slot_index: at,
+                machine: replica.machine_names.name(slot.machine),
+                zone: replica.classes[slot.class as usize].zone.clone(),
+                shard: replica.zone_shard_names.name(slot.shard),
             }
         })
         .collect();
-    let slots = record_slots(
+    let slots = tasks_within_record_limit(
         job,
         &places,
         settings
@@ -68,7 +68,7 @@
 }
 
 /// How many of the job's tasks fit; cheaper than where.
-pub fn count(
+pub fn count_placements(
     job: &Job,
     spec: &Spec,
     plan: &Plan,
@@ -108,7 +108,10 @@
         let job = self.job;
         let found = self.find_without(&job.failed_on);
         match found {
-            Err(_) if !job.failed_on.is_empty() && (self.hints.lenient || job.is_doubtful()) => {
+            Err(_)
+                if !job.failed_on.is_empty()
+                    && (self.hints.retry_failed_machines || job.is_doubtful()) =>
+            {
                 self.find_without(&[])
             }
             found => found,
@@ -164,7 +167,7 @@
     /// All zone shards of the plan; those that hold most of the tasks come first.
     fn shards_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
         let mut zone_shards: Vec<u32> =
-            self.plan.plan_slots.iter().map(|spot| spot.shard).collect();
+            self.plan.plan_slots.iter().map(|slot| slot.shard).collect();
         zone_shards.sort_unstable();
         zone_shards.dedup();
         zone_shards.retain(|shard| *shard != UNASSIGNED);
@@ -183,7 +186,7 @@
         let waiting = self.job.waiting();
         let limit = self.task_limit()?;
         let zone_caps = self.zone_caps();
-        let candidates = Candidates::new(spec, self.hints, self.care)
+        let candidates = MachineCandidates::new(spec, self.hints, self.care)
             .without(excluded)
             .within(zone_shards);
         if spec.is_gang() || spec.one_zone {
@@ -222,7 +225,7 @@
         let Some(terms) = self.settings.team(&spec.team) else {
             return Err(WaitReason::TeamLimit);
         };
-        let by_team = team_slots(terms, &self.plan.used(&spec.team), &spec.need);
+        let by_team = tasks_within_quota(terms, &self.plan.team_used(&spec.team), &spec.need);
         let limit = waiting.min(by_team);
         if limit == 0 || (spec.is_gang() && limit < waiting) {
             return Err(WaitReason::TeamLimit);
@@ -253,7 +256,7 @@
 /// many, in the zone with the best places (KEP-2724: one domain that takes them
 /// all, and the best such one).
 fn best_zone(
-    candidates: &Candidates,
+    candidates: &MachineCandidates,
     plan: &Plan,
     zone_caps: &[usize],
     limit: usize,
@@ -274,22 +277,22 @@
 /// them, from what comes behind it in the queue. Machines that hold none of its
 /// tasks yet are left to others: a reservation would not free them any sooner.
 pub fn reserve_capacity(spec: &Spec, plan: &mut Plan, hints: &PlacementHints) {
-    let candidates = Candidates::new(spec, hints, AcceleratorProtection::Strict);
+    let candidates = MachineCandidates::new(spec, hints, AcceleratorProtection::Strict);
     let zones = hints.replica.zone_names.len();
     let mut slots = vec![0; zones];
-    let allowed = |spot: &&PlanSlot| candidates.class(spot).allowed;
-    for spot in plan.plan_slots.iter().filter(allowed) {
-        slots[candidates.class(spot).zone] += spot.free.slots(&spec.need);
+    let allowed = |slot: &&PlanSlot| candidates.class(slot).allowed;
+    for slot in plan.plan_slots.iter().filter(allowed) {
+        slots[candidates.class(slot).zone] += slot.free.slots(&spec.need);
     }
     let best = (0..zones).max_by_key(|zone| slots[*zone]);
     let Some(best) = best.filter(|zone| slots[*zone] > 0) else {
         return;
     };
     let mut left = spec.tasks as usize;
-    for spot in &mut plan.plan_slots {
-        let class = candidates.class(spot);
-        while left > 0 && class.allowed && class.zone == best && spot.free.fits(&spec.need) {
-            spot.free -= spec.need;
+    for slot in &mut plan.plan_slots {
+        let class = candidates.class(slot);
+        while left > 0 && class.allowed && class.zone == best && slot.free.fits(&spec.need) {
+            slot.free -= spec.need;
             left -= 1;
         }
     }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -15,12 +15,12 @@
     pub replica: &'a Replica,
     /// The controller that plans: between machines that are as good, those of
     /// its own zone shards, where its commits meet no others.
-    pub home: &'a str,
+    pub home_controller: &'a str,
     /// Parts that the commit in the making writes anyway come before those.
-    pub touched: BTreeSet<String>,
+    pub touched_shards: BTreeSet<String>,
     /// Machines that the job has failed on may be tried again: it has waited
     /// long enough for another.
-    pub lenient: bool,
+    pub retry_failed_machines: bool,
 }
 
 impl<'a> PlacementHints<'a> {
@@ -28,9 +28,9 @@
     pub fn new(replica: &'a Replica, home: &'a str) -> Self {
         PlacementHints {
             replica,
-            home,
-            touched: BTreeSet::new(),
-            lenient: false,
+            home_controller: home,
+            touched_shards: BTreeSet::new(),
+            retry_failed_machines: false,
         }
     }
 }
@@ -60,7 +60,7 @@
     given: i64,
     score: Score,
     /// The index of the machine in the plan.
-    spot: usize,
+    slot_index: usize,
 }
 
 /// What makes one zone's best offer better than another's.
@@ -104,7 +104,7 @@
 }
 
 /// Where a job's tasks may go.
-pub(super) struct Candidates<'a> {
+pub(super) struct MachineCandidates<'a> {
     spec: &'a Spec,
     hints: &'a PlacementHints<'a>,
     care: AcceleratorProtection,
@@ -122,7 +122,7 @@
     only_shards: Option<[u32; 2]>,
 }
 
-impl<'a> Candidates<'a> {
+impl<'a> MachineCandidates<'a> {
     pub(super) fn new(
         spec: &'a Spec,
         hints: &'a PlacementHints<'a>,
@@ -131,7 +131,7 @@
         let replica = hints.replica;
         let classes = replica.classes.iter();
         let zone_shards = 0..replica.zone_shard_names.len() as u32;
-        Candidates {
+        MachineCandidates {
             classes: classes.map(|c| ClassFit::new(spec, replica, c)).collect(),
             shard_costs: zone_shards.map(|shard| shard_cost(hints, shard)).collect(),
             spec,
@@ -157,38 +157,38 @@
     }
 
     /// What the machine's class means to the job.
-    pub(super) fn class(&self, spot: &PlanSlot) -> &ClassFit {
-        &self.classes[spot.class as usize]
+    pub(super) fn class(&self, slot: &PlanSlot) -> &ClassFit {
+        &self.classes[slot.class as usize]
     }
 
     /// How many tasks of the accelerators' usual shape lose their place on
     /// this machine if the job's task takes it. Work without accelerators is
     /// kept off them only as far as it takes resources that they need.
-    fn loss(&self, spot: &PlanSlot) -> i64 {
-        if !self.class(spot).contended {
+    fn loss(&self, slot: &PlanSlot) -> i64 {
+        if !self.class(slot).contended {
             return 0;
         }
         match &self.hints.replica.gpu_spec {
             Some(usual) => {
-                let after = spot.free - self.spec.need;
-                spot.free.slots(&usual.need) as i64 - after.slots(&usual.need) as i64
+                let after = slot.free - self.spec.need;
+                slot.free.slots(&usual.need) as i64 - after.slots(&usual.need) as i64
             }
             None => 1,
         }
     }
 
     /// Whether a task of the job may go onto the machine.
-    fn is_open(&self, spot: &PlanSlot) -> bool {
-        let class = self.class(spot);
-        if !class.allowed || !spot.free.fits(&self.spec.need) {
+    fn is_open(&self, slot: &PlanSlot) -> bool {
+        let class = self.class(slot);
+        if !class.allowed || !slot.free.fits(&self.spec.need) {
             return false;
         }
-        if self.excluded.contains(&spot.machine) {
+        if self.excluded.contains(&slot.machine) {
             return false;
         }
         if let Some(zone_shards) = self.only_shards
-            && spot.shard != UNASSIGNED
-            && !zone_shards.contains(&spot.shard)
+            && slot.shard != UNASSIGNED
+            && !zone_shards.contains(&slot.shard)
         {
             return false;
         }
@@ -199,10 +199,10 @@
             // Independent tasks come and go: they never take resources that the
             // accelerators' work needs, and they do not keep a machine rented
             // whose accelerators are idle.
-            (Kind::Array, _) => spot.free.gpus < class.gpus && self.loss(spot) == 0,
+            (Kind::Array, _) => slot.free.gpus < class.gpus && self.loss(slot) == 0,
             // What stays for long goes elsewhere if it can.
             (_, AcceleratorProtection::Strict) => false,
-            (_, AcceleratorProtection::Mild) => self.loss(spot) == 0,
+            (_, AcceleratorProtection::Mild) => self.loss(slot) == 0,
             (_, AcceleratorProtection::Lax) => true,
         }
     }
@@ -210,17 +210,17 @@
     /// Accelerators are kept for those that need them; then a service looks
     /// for its image first, as it should run at once; then the cheaper
     /// machine, and the tightest fit, so that others stay whole.
-    fn score(&self, spot: &PlanSlot) -> Score {
+    fn score(&self, slot: &PlanSlot) -> Score {
         let replica = self.hints.replica;
-        let class = self.class(spot);
+        let class = self.class(slot);
         let spec = self.spec;
         let needs_gpus = spec.need.gpus.0 > 0;
         let usual_slots = match &replica.gpu_spec {
-            Some(usual) if class.gpus.0 > 0 && !needs_gpus => spot.free.slots(&usual.need),
+            Some(usual) if class.gpus.0 > 0 && !needs_gpus => slot.free.slots(&usual.need),
             _ => 0,
         };
-        let no_image = i64::from(!replica.has_image(spot.machine, self.image));
-        let shard_cost = self.shard_costs.get(spot.shard as usize);
+        let no_image = i64::from(!replica.has_image(slot.machine, self.image));
+        let shard_cost = self.shard_costs.get(slot.shard as usize);
         let shard_cost = shard_cost.copied().unwrap_or(i64::MAX);
         // A service stays for long and would keep a costly machine rented.
         let is_service = spec.kind == Kind::Service;
@@ -233,7 +233,7 @@
             Kind::Gang => (class.costly, no_image, shard_cost),
         };
         [
-            self.loss(spot),
+            self.loss(slot),
             keeps_rented,
             third,
             fourth,
@@ -242,7 +242,7 @@
             // Of two places that accelerators' work could use, the one among more
             // accelerators.
             if needs_gpus { 1 } else { -1 } * class.gpus.0,
-            spot.free.cpus.0,
+            slot.free.cpus.0,
         ]
     }
 
@@ -278,37 +278,37 @@
         limit: usize,
     ) {
         let is_service = self.spec.kind == Kind::Service;
-        let mut spot = plan.plan_slots[offer.spot];
+        let mut slot = plan.plan_slots[offer.slot_index];
         for _ in 0..offer.given {
-            spot.free -= self.spec.need;
+            slot.free -= self.spec.need;
         }
         loop {
             for (sum, figure) in filled.score.iter_mut().zip(offer.score) {
                 *sum = sum.saturating_add(figure);
             }
-            filled.plan_slots.push(offer.spot);
-            spot.free -= self.spec.need;
+            filled.plan_slots.push(offer.slot_index);
+            slot.free -= self.spec.need;
             offers.given[zone] += 1;
             offers.caps[zone] -= 1;
             let more =
-                filled.plan_slots.len() < limit && offers.caps[zone] > 0 && self.is_open(&spot);
+                filled.plan_slots.len() < limit && offers.caps[zone] > 0 && self.is_open(&slot);
             if is_service || !more {
                 break;
             }
         }
-        if is_service && self.is_open(&spot) {
-            offers.push(zone, self.offer(&spot, offer.spot, offer.given + 1));
+        if is_service && self.is_open(&slot) {
+            offers.push(zone, self.offer(&slot, offer.slot_index, offer.given + 1));
         }
     }
 
     /// The machine as it is offered after it was given that many tasks.
-    fn offer(&self, spot: &PlanSlot, index: usize, given: i64) -> Offer {
-        let score = self.score(spot);
+    fn offer(&self, slot: &PlanSlot, index: usize, given: i64) -> Offer {
+        let score = self.score(slot);
         Offer {
             loss: score[0],
             given,
             score,
-            spot: index,
+            slot_index: index,
         }
     }
 }
@@ -318,8 +318,8 @@
 fn shard_cost(hints: &PlacementHints, shard: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
-    let own = workers::preferred_owner_of(local_name) == hints.home;
-    let touched = hints.touched.contains(&*name);
+    let own = workers::preferred_owner_of(local_name) == hints.home_controller;
+    let touched = hints.touched_shards.contains(&*name);
     match (touched, own) {
         (true, _) => 0,
         (_, true) => 1,
@@ -339,12 +339,12 @@
 }
 
 impl ZoneOffers {
-    fn new(candidates: &Candidates, plan: &Plan, caps: &[usize]) -> Self {
+    fn new(candidates: &MachineCandidates, plan: &Plan, caps: &[usize]) -> Self {
         let mut offers: Vec<Vec<Reverse<Offer>>> = vec![Vec::new(); caps.len()];
-        for (index, spot) in plan.plan_slots.iter().enumerate() {
-            let zone = candidates.class(spot).zone;
-            if caps.get(zone).is_some_and(|cap| *cap > 0) && candidates.is_open(spot) {
-                offers[zone].push(Reverse(candidates.offer(spot, index, 0)));
+        for (index, slot) in plan.plan_slots.iter().enumerate() {
+            let zone = candidates.class(slot).zone;
+            if caps.get(zone).is_some_and(|cap| *cap > 0) && candidates.is_open(slot) {
+                offers[zone].push(Reverse(candidates.offer(slot, index, 0)));
             }
         }
         ZoneOffers {
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,7 +1,7 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
-use crate::dependencies::QueueRank;
+use crate::dependencies::EffectiveUrgency;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Amount, Job, Resources, Spec};
@@ -28,11 +28,11 @@
 /// for the deadline of the jobs that depend on it. A job without any is never late.
 /// Deadlines count from the submission, all else from when it could first start
 /// (`age`).
-pub fn is_late(spec: &Spec, settings: &Settings, age: f64, queue_rank: &QueueRank) -> bool {
-    let in_time = queue_rank
-        .left_s
+pub fn is_late(spec: &Spec, settings: &Settings, age: f64, urgency: &EffectiveUrgency) -> bool {
+    let in_time = urgency
+        .time_left_s
         .is_some_and(|left| left >= spec.estimate_s);
-    let mut any = queue_rank.asked;
+    let mut any = urgency.dependents_have_deadline;
     if any && in_time {
         return false;
     }
@@ -56,21 +56,21 @@
 }
 
 /// What the policy may know of a job.
-pub fn facts(
+pub fn job_facts(
     job: &Job,
     spec: &Spec,
     plan: &Plan,
     settings: &Settings,
     replica: &Replica,
     age: f64,
-    queue_rank: &QueueRank,
+    urgency: &EffectiveUrgency,
 ) -> JobFacts {
-    let team = team_standing(spec, &plan.used(&spec.team), settings.team(&spec.team));
+    let team = team_standing(spec, &plan.team_used(&spec.team), settings.team(&spec.team));
     JobFacts {
         borrows: team.borrows,
-        priority: f64::from(queue_rank.priority as u8),
+        priority: f64::from(urgency.priority as u8),
         share: team.share,
-        late: is_late(spec, settings, age, queue_rank),
+        late: is_late(spec, settings, age, urgency),
         work: work(job, spec),
         age_s: age,
         tasks: f64::from(spec.tasks),
@@ -81,7 +81,7 @@
             Kind::Gang => 1.0,
             Kind::Service => 2.0,
         },
-        has_deadline: queue_rank.left_s.is_some(),
+        has_deadline: urgency.time_left_s.is_some(),
         boot_s: replica.least_boot_s(),
         aimed: has_slo(spec, settings),
     }
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::machine_shard_limits::{MemberSizes, guard_limit, shard_limit};
-use super::shard_allocation::{Candidates, max_group, numbered_id, uses_groups};
+use super::shard_allocation::{ShardCandidates, max_group, numbered_id, uses_groups};
 use super::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
 use crate::settings::Settings;
 use crate::state::commit::guard;
@@ -133,7 +133,7 @@
     }
 
     /// Whether a machine shard is changed.
-    pub fn has(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.edited.contains_key(id)
     }
 
@@ -157,7 +157,7 @@
     /// of its candidates with room for its records, or a new one. The home follows
     /// from the settings alone. `None` if the commit has no room for the conditions
     /// that this depends on.
-    pub fn new_shard(
+    pub fn allocate_shard(
         &mut self,
         settings: &Settings,
         name: &str,
@@ -168,8 +168,8 @@
         let shards = self.shard_count(zone, home);
         let grouped = uses_groups(self.replica, &shard_id(zone, home));
         let candidates = match grouped {
-            true => Candidates::select(name, shards, max_group(settings)),
-            false => Candidates::all(shards),
+            true => ShardCandidates::select(name, shards, max_group(settings)),
+            false => ShardCandidates::all(shards),
         };
         let conditions: BTreeSet<String> = candidates
             .numbers()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -16,9 +16,8 @@
 //! | `transaction`, `machine_shards` | records as a transaction will leave them |
 //! | `wait_states` | why a job waits |
 
+mod bin_packing;
 mod candidates;
-mod ends;
-mod fit;
 mod job_facts;
 mod machine_shard_limits;
 mod machine_shards;
@@ -26,6 +25,7 @@
 mod placement_state;
 mod plan;
 mod preemption;
+mod preemption_search;
 mod queue;
 mod record_size;
 mod round;
@@ -33,24 +33,26 @@
 mod round_state;
 mod rounds;
 mod shard_allocation;
+mod terminations;
 mod transaction;
-mod victims;
 mod wait_states;
 
 pub use crate::hash::preferred;
 pub use crate::state::record_bound::least_record;
+pub use bin_packing::{count_placements, find_placements, reserve_capacity};
 pub use candidates::{AcceleratorProtection, PlacementHints};
-pub use fit::{count, fit, reserve_capacity};
-pub use job_facts::{facts, has_slo, is_late, is_opportunistic, within_guarantee};
+pub use job_facts::{has_slo, is_late, is_opportunistic, job_facts, within_guarantee};
 pub use machine_shards::MachineShardEdits;
-pub use ownership::placer;
+pub use ownership::preferred_placer;
 pub use placement_state::PlacementState;
-pub use plan::{Place, Plan, UNASSIGNED, team_slots};
-pub use queue::{FirstSeenTimes, Rank, queue, starves};
-pub use record_size::record_slots;
-pub use round_state::back_off;
+pub use plan::{Plan, TaskPlacement, UNASSIGNED, tasks_within_quota};
+pub use preemption_search::{PreemptionCandidate, may_preempt};
+pub use queue::{FirstSeenTimes, QueueSortKey, is_starving, queue};
+pub use record_size::tasks_within_record_limit;
+pub use round_state::retry_delay;
 pub use rounds::run_placement;
-pub use shard_allocation::Candidates;
-pub use transaction::{COMMIT_BYTES, GUARDS_PER_WRITE, Released, SLOT, Transaction, book};
-pub use victims::{PreemptionCandidate, may_preempt};
-pub use wait_states::{WaitReason, WaitState, note};
+pub use shard_allocation::ShardCandidates;
+pub use transaction::{
+    COMMIT_BYTES, GUARDS_PER_WRITE, ReleaseOutcome, SLOT_BYTES, Transaction, book,
+};
+pub use wait_states::{WaitReason, WaitState};
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -6,7 +6,6 @@
 use tokio::time::Instant;
 
 use super::round_state::RoundState;
-use super::wait_states::note;
 use crate::controller::Controller;
 use crate::hash::preferred;
 use crate::settings::Settings;
@@ -16,7 +15,7 @@
 /// The controller that places a job first. With teams enough to go round it is
 /// the same for all of a team: its record is then written by one, and jobs
 /// that are placed together share that write.
-pub fn placer<'a>(
+pub fn preferred_placer<'a>(
     settings: &Settings,
     job: &str,
     team: &str,
@@ -45,22 +44,21 @@
     let peers = controller.peers.borrow();
     let alive: Vec<&str> = peers.alive(controller, now);
     state.forget_closed_jobs(replica);
-    let mut first_seen = controller.placement.first_seen.borrow_mut();
-    first_seen.retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
+    controller.placement.retain_open_jobs(replica);
     let mut own = Vec::new();
     for (_, id) in &replica.open {
         let Some(entry) = replica.jobs.get(id) else {
             continue;
         };
         let job = &entry.value;
-        first_seen.entry(id.clone()).or_insert(now);
+        controller.placement.observe_job(id, now);
         state.observe(id, entry.version, now);
         if job.waiting() == 0 || state.is_excluded(id) {
             continue;
         }
         state.update_back_off(id, job.errors, report_interval, now);
-        if let Some(why) = state.failure_wait(controller, id, job, now) {
-            note(controller, id, why, now);
+        if let Some(reason) = state.failure_wait(controller, id, job, now) {
+            controller.placement.record_wait_reason(id, reason, now);
             continue;
         }
         if is_own(controller, id, job, &alive) || has_waited(state, id, takeover_delay, now) {
@@ -73,7 +71,7 @@
 /// Whether this controller is the job's preferred one.
 fn is_own(controller: &Controller, id: &str, job: &Job, alive: &[&str]) -> bool {
     let team = job.spec.as_ref().map_or("", |spec| &spec.team);
-    let preferred = placer(&controller.settings, id, team, alive.iter().copied());
+    let preferred = preferred_placer(&controller.settings, id, team, alive.iter().copied());
     preferred == Some(controller.name())
 }
 
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -18,43 +18,43 @@
 pub struct Plan {
     /// The machines that take work, with what is free on them.
     pub plan_slots: Vec<PlanSlot>,
-    /// The index of a machine in `spots`, by the machine's number.
+    /// The index of a machine in `plan_slots`, by the machine's number.
     index: Vec<u32>,
     /// What each team uses.
-    pub teams: HashMap<String, Resources>,
+    pub team_usage: HashMap<String, Resources>,
 }
 
 impl Plan {
     /// The plan that a round on this replica starts from.
-    pub fn of(replica: &Replica) -> Self {
+    pub fn from_replica(replica: &Replica) -> Self {
         let mut plan = Plan {
             plan_slots: replica
                 .plan_slots()
                 .map(|s| replica.with_free_resources(s))
                 .collect(),
             index: vec![UNASSIGNED; replica.machine_names.len()],
-            teams: replica.teams_used().clone(),
+            team_usage: replica.teams_used().clone(),
         };
-        for (at, spot) in plan.plan_slots.iter().enumerate() {
-            plan.index[spot.machine as usize] = at as u32;
+        for (at, slot) in plan.plan_slots.iter().enumerate() {
+            plan.index[slot.machine as usize] = at as u32;
         }
         plan
     }
 
     /// What a team uses.
-    pub fn used(&self, team: &str) -> Resources {
-        self.teams.get(team).copied().unwrap_or_default()
+    pub fn team_used(&self, team: &str) -> Resources {
+        self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// The index of a machine among the spots, if it takes work.
-    pub fn find(&self, replica: &Replica, machine: &str) -> Option<usize> {
+    /// The index of a machine among the plan slots, if it takes work.
+    pub fn slot_index_of(&self, replica: &Replica, machine: &str) -> Option<usize> {
         let number = replica.machine_names.find(machine)?;
         let at = *self.index.get(number as usize)?;
         (at != UNASSIGNED).then_some(at as usize)
     }
 
     /// Adds a machine that is not there yet.
-    pub fn add(&mut self, class: u32, free: Resources) {
+    pub fn add_unassigned(&mut self, class: u32, free: Resources) {
         self.plan_slots.push(PlanSlot {
             machine: UNASSIGNED,
             shard: UNASSIGNED,
@@ -64,32 +64,32 @@
     }
 
     /// Takes one task's resources at this place.
-    pub fn take(&mut self, place: &Place, team: &str, need: Resources) {
-        self.plan_slots[place.at].free -= need;
-        match self.teams.get_mut(team) {
+    pub fn reserve(&mut self, place: &TaskPlacement, team: &str, need: Resources) {
+        self.plan_slots[place.slot_index].free -= need;
+        match self.team_usage.get_mut(team) {
             Some(used) => *used += need,
             None => {
-                self.teams.insert(team.to_string(), need);
+                self.team_usage.insert(team.to_string(), need);
             }
         }
     }
 
     /// Gives back resources that are, or will be, free again.
-    pub fn give(&mut self, replica: &Replica, machine: &str, team: &str, room: Resources) {
-        match self.find(replica, machine) {
-            Some(at) => self.free(at, team, room),
+    pub fn release(&mut self, replica: &Replica, machine: &str, team: &str, room: Resources) {
+        match self.slot_index_of(replica, machine) {
+            Some(at) => self.release_at(at, team, room),
             None => self.give_team(team, room),
         }
     }
 
-    /// The same where the machine's index among the spots is known.
-    pub fn free(&mut self, at: usize, team: &str, room: Resources) {
+    /// The same where the machine's index among the plan slots is known.
+    pub fn release_at(&mut self, at: usize, team: &str, room: Resources) {
         self.plan_slots[at].free += room;
         self.give_team(team, room);
     }
 
     fn give_team(&mut self, team: &str, room: Resources) {
-        if let Some(used) = self.teams.get_mut(team) {
+        if let Some(used) = self.team_usage.get_mut(team) {
             *used -= room;
         }
     }
@@ -97,9 +97,9 @@
 
 /// One task's place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct TaskPlacement {
     /// The index of the machine in the plan.
-    pub at: usize,
+    pub slot_index: usize,
     /// The machine's name.
     pub machine: Rc<str>,
     /// The machine's zone.
@@ -109,7 +109,7 @@
 }
 
 /// How many more tasks the team's limit lets run.
-pub fn team_slots(terms: &TeamQuota, used: &Resources, need: &Resources) -> usize {
+pub fn tasks_within_quota(terms: &TeamQuota, used: &Resources, need: &Resources) -> usize {
     let (cpus, gpus) = terms.limit();
     let slots = |cap: Option<Amount>, used: i64, need: i64| match cap {
         Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -5,13 +5,13 @@
 
 use tokio::time::Instant;
 
+use super::bin_packing::find_placements;
 use super::candidates::{AcceleratorProtection, PlacementHints};
-use super::fit::fit;
 use super::plan::Plan;
+use super::preemption_search::{PreemptionCandidate, VictimSearch, places_wanted};
 use super::round_search::{RoundSearch, VICTIM_SEARCHES};
 use super::round_state::RoundState;
 use super::transaction::Transaction;
-use super::victims::{PreemptionCandidate, VictimSearch, places_wanted};
 use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
@@ -85,14 +85,18 @@
                 continue;
             };
             let touched = found.victims.iter().map(|v| v.job.as_str());
-            if !self.transaction.fits_jobs(touched.chain([id.as_str()])) {
+            if !self
+                .transaction
+                .has_capacity_for_jobs(touched.chain([id.as_str()]))
+            {
                 return;
             }
             self.state.preempted_for.insert(id.clone(), self.now);
             for victim in &found.victims {
                 self.stop(victim, id);
             }
-            self.transaction.change(id, |job| job.cleared = true);
+            self.transaction
+                .edit_job_record(id, |job| job.cleared = true);
             self.take_places(job, spec, found.care);
         }
     }
@@ -110,9 +114,9 @@
     /// Takes the job's places out of the plan, and tells how many there are.
     fn take_places(&mut self, job: &Job, spec: &Spec, care: AcceleratorProtection) -> usize {
         let settings = &self.controller.settings;
-        let places = fit(job, spec, &self.expected, &self.hints, settings, care);
+        let places = find_placements(job, spec, &self.expected, &self.hints, settings, care);
         for place in places.iter().flatten() {
-            self.expected.take(place, &spec.team, spec.need);
+            self.expected.reserve(place, &spec.team, spec.need);
         }
         places.map_or(0, |places| places.len())
     }
@@ -157,10 +161,10 @@
         );
         let (replica, expected) = (self.replica, &mut self.expected);
         let value_limit_bytes = self.controller.settings.value_limit_bytes();
-        self.transaction.change(&victim.job, |stopped| {
+        self.transaction.edit_job_record(&victim.job, |stopped| {
             if let Some(spec) = &stopped.spec {
                 let resources = spec.need.times(victim.tasks);
-                expected.give(replica, &victim.machine, &spec.team, resources);
+                expected.release(replica, &victim.machine, &spec.team, resources);
             }
             let fits = |job: &Job| replica.fits_job(job, value_limit_bytes);
             stopped.stop_tasks(&victim.machine, victim.tasks, fits);
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/preemption_search.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
+use super::bin_packing::{count_placements, find_placements};
 use super::candidates::{AcceleratorProtection, PlacementHints};
-use super::fit::{count, fit};
 use super::job_facts::within_guarantee;
-use super::plan::{Place, Plan};
+use super::plan::{Plan, TaskPlacement};
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Job, Run, Spec};
 use crate::state::replica::Replica;
@@ -84,7 +84,7 @@
     /// Its index among the job's runs.
     run: usize,
     /// The index of its machine in the plan.
-    spot: usize,
+    slot_index: usize,
 }
 
 /// An open job that runs, as searches for victims look at it: where each of its
@@ -114,8 +114,11 @@
 fn stoppable_runs(job: &Job, replica: &Replica, plan: &Plan) -> Vec<RunningAt> {
     let runs = job.runs.iter().enumerate().filter(|(_, run)| !run.stop);
     runs.filter_map(|(index, run)| {
-        let spot = plan.find(replica, &run.machine)?;
-        Some(RunningAt { run: index, spot })
+        let slot_index = plan.slot_index_of(replica, &run.machine)?;
+        Some(RunningAt {
+            run: index,
+            slot_index,
+        })
     })
     .collect()
 }
@@ -134,7 +137,7 @@
 struct Candidate<'a> {
     order: StopOrder,
     /// The index of its machine in the plan.
-    spot: usize,
+    slot_index: usize,
     job: &'a String,
     run: &'a Run,
     spec: &'a Spec,
@@ -176,7 +179,7 @@
 /// back, and stop other work for it.
 fn is_borrowed(victim: &Spec, terms: Option<&TeamQuota>, plan: &Plan) -> bool {
     let resources = || victim.need.times(tasks_together(victim));
-    terms.is_some_and(|terms| terms.can_lend(&plan.used(&victim.team), &resources()))
+    terms.is_some_and(|terms| terms.can_lend(&plan.team_used(&victim.team), &resources()))
 }
 
 /// What a search for victims goes by.
@@ -209,7 +212,7 @@
         let in_guarantee = spec.kind != Kind::Array
             && within_guarantee(
                 terms,
-                &self.expected.used(&spec.team),
+                &self.expected.team_used(&spec.team),
                 spec,
                 tasks_together(spec),
             );
@@ -217,7 +220,7 @@
             id,
             job,
             spec,
-            priority: self.hints.replica.priority(id, spec),
+            priority: self.hints.replica.effective_priority(id, spec),
             care,
             in_guarantee,
         };
@@ -244,25 +247,25 @@
             };
             let Some(spec) = &job.spec else { continue };
             let terms = self.settings.team(&spec.team);
-            let priority = replica.priority(&running.job, spec);
+            let priority = replica.effective_priority(&running.job, spec);
             if !self.is_candidate(preemptor, spec, priority, terms) {
                 continue;
             }
             let changed_runs = changed.map(|job| stoppable_runs(job, replica, self.expected));
             for at in changed_runs.as_ref().unwrap_or(&running.runs) {
-                let spot = &self.expected.plan_slots[at.spot];
-                if !allowed[spot.class as usize] {
+                let slot = &self.expected.plan_slots[at.slot_index];
+                if !allowed[slot.class as usize] {
                     continue;
                 }
                 let order = StopOrder {
                     priority,
-                    without_image: !replica.has_image(spot.machine, image),
+                    without_image: !replica.has_image(slot.machine, image),
                     order_class: running.order_class,
                     accepted_revision: Reverse(job.accepted_revision),
                 };
                 candidates.push(Candidate {
                     order,
-                    spot: at.spot,
+                    slot_index: at.slot_index,
                     job: &running.job,
                     run: &job.runs[at.run],
                     spec,
@@ -324,7 +327,7 @@
         let Preemptor {
             job, spec, care, ..
         } = preemptor;
-        let most = count(job, spec, &plan, search.hints, search.settings, *care);
+        let most = count_placements(job, spec, &plan, search.hints, search.settings, *care);
         Trial {
             search,
             preemptor,
@@ -369,7 +372,7 @@
             let tasks = if victim.is_gang() { left } else { 1 };
             left -= tasks;
             self.stop_tasks(candidate, tasks);
-            match self.try_to_fit(candidate.spot) {
+            match self.try_to_fit(candidate.slot_index) {
                 Step::Continue => {}
                 done => return done,
             }
@@ -382,7 +385,7 @@
         let spec = candidate.spec;
         let machine = &candidate.run.machine;
         self.plan
-            .free(candidate.spot, &spec.team, spec.need.times(tasks));
+            .release_at(candidate.slot_index, &spec.team, spec.need.times(tasks));
         match self.stopped.last_mut() {
             Some(last) if last.job == *candidate.job && last.machine == *machine => {
                 last.tasks += tasks;
@@ -396,12 +399,12 @@
     }
 
     /// Tries whether the job fits, now that tasks on this machine are stopped.
-    fn try_to_fit(&mut self, spot: usize) -> Step {
+    fn try_to_fit(&mut self, slot_index: usize) -> Step {
         let Preemptor {
             job, spec, care, ..
         } = self.preemptor;
         // Only a machine that now holds a task can have made it fit.
-        if !self.plan.plan_slots[spot].free.fits(&spec.need) {
+        if !self.plan.plan_slots[slot_index].free.fits(&spec.need) {
             return Step::Continue;
         }
         self.trials += 1;
@@ -409,7 +412,7 @@
             return Step::GiveUp;
         }
         let (hints, settings) = (self.search.hints, self.search.settings);
-        let Ok(places) = fit(job, spec, &self.plan, hints, settings, *care) else {
+        let Ok(places) = find_placements(job, spec, &self.plan, hints, settings, *care) else {
             return Step::Continue;
         };
         if places.len() <= self.most {
@@ -425,7 +428,7 @@
     }
 
     /// The victims on machines that the job will have: the others are not needed.
-    fn victims_at(&self, places: &[Place]) -> Vec<PreemptionCandidate> {
+    fn victims_at(&self, places: &[TaskPlacement]) -> Vec<PreemptionCandidate> {
         let used: BTreeSet<&str> = places.iter().map(|place| &*place.machine).collect();
         let needed = self
             .stopped
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -6,7 +6,7 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use super::job_facts::facts;
+use super::job_facts::job_facts;
 use super::plan::Plan;
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
@@ -16,7 +16,7 @@
 /// that no order by size, team or lateness can push back. Only for what has
 /// never begun: the rest of an array follows in the usual order, and what was
 /// stopped for a guarantee must not push back in before it.
-pub fn starves(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
+pub fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
     age > settings.starvation_threshold_s()
         && job.attempt == 0
         && job.waiting() == spec.tasks as usize
@@ -24,7 +24,7 @@
 
 /// A job's place in the queue: lower goes first.
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
-pub struct Rank {
+pub struct QueueSortKey {
     /// It fails wherever it runs: all others go first.
     pub doubtful: bool,
     /// No resources have been cleared for it. Jobs that work was preempted for go
@@ -49,17 +49,17 @@
     first_seen: &FirstSeenTimes,
     now: Instant,
 ) -> Vec<&'a str> {
-    let mut queue: Vec<(Rank, &str)> = replica
+    let mut queue: Vec<(QueueSortKey, &str)> = replica
         .open
         .iter()
         .filter_map(|(accepted_revision, id)| {
             let job = &replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
             let age = age_s(first_seen, id, now);
-            let queue_rank = replica.queue_rank(id, spec, now);
-            let facts = facts(job, spec, plan, settings, replica, age, &queue_rank);
-            let starves = starves(job, spec, settings, age);
-            let rank = Rank {
+            let urgency = replica.effective_urgency(id, spec, now);
+            let facts = job_facts(job, spec, plan, settings, replica, age, &urgency);
+            let starves = is_starving(job, spec, settings, age);
+            let rank = QueueSortKey {
                 doubtful: job.is_doubtful(),
                 waits_for_room: !job.cleared,
                 patient: !starves,
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::plan::Place;
+use super::plan::TaskPlacement;
 use crate::state::encoding;
 use crate::state::record_bound::{failed_on_bytes, short_fixed_bytes};
 use crate::state::records::{Job, Run, Spec};
@@ -17,7 +17,12 @@
 /// How many of `places` the job's record can hold: every booked or retried
 /// task may come to stand alone, every machine and attempt takes a run. Fresh
 /// tasks share one attempt, see [`super::book`].
-pub fn record_slots(job: &Job, places: &[Place], value_limit_bytes: usize, short: bool) -> usize {
+pub fn tasks_within_record_limit(
+    job: &Job,
+    places: &[TaskPlacement],
+    value_limit_bytes: usize,
+    short: bool,
+) -> usize {
     if short {
         return short_record_slots(job, places, value_limit_bytes);
     }
@@ -32,7 +37,7 @@
     let mut machines = HashSet::new();
     for (index, place) in places.iter().enumerate() {
         size += task_bytes;
-        if machines.insert(place.at) {
+        if machines.insert(place.slot_index) {
             size += run_bytes(&place.machine, &place.zone, job.attempt + 2);
             // Retried and fresh tasks may meet on one machine.
             if !job.retry.is_empty() {
@@ -64,7 +69,7 @@
 
 /// The length of the longest name among the machines that the job may come to
 /// have failed on.
-fn longest_machine_name(job: &Job, places: &[Place]) -> usize {
+fn longest_machine_name(job: &Job, places: &[TaskPlacement]) -> usize {
     let running = job.runs.iter().map(|run| run.machine.len());
     let coming = places.iter().map(|place| place.machine.len());
     let failed = job.failed_on.iter().map(String::len);
@@ -74,7 +79,7 @@
 /// The same for the compact encoding: exact in what the runs and tasks can come to
 /// take, with the mark of a stop. A run that is split for a stop makes two; who
 /// stops has it stop as a whole where there is no room for that.
-fn short_record_slots(job: &Job, places: &[Place], value_limit_bytes: usize) -> usize {
+fn short_record_slots(job: &Job, places: &[TaskPlacement], value_limit_bytes: usize) -> usize {
     let task_bytes = encoding::task_bytes(job.tasks);
     let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
     let mut new_runs = NewRuns::new(job);
@@ -98,7 +103,7 @@
 
 /// What the short record takes before the places are booked, with the table of
 /// their machines.
-fn short_bytes_now(job: &Job, places: &[Place], task_bytes: usize) -> usize {
+fn short_bytes_now(job: &Job, places: &[TaskPlacement], task_bytes: usize) -> usize {
     let running = job.runs.iter().map(|run| (&*run.machine, &*run.zone));
     let coming = places.iter().map(|place| (&*place.machine, &*place.zone));
     let run_bytes = |run: &Run| encoding::run_bytes(run.attempt);
@@ -130,16 +135,16 @@
     }
 
     /// What the run of a retried task adds at this place.
-    fn retried_task_bytes(&mut self, place: &Place) -> usize {
-        match self.retried.insert(place.at) {
+    fn retried_task_bytes(&mut self, place: &TaskPlacement) -> usize {
+        match self.retried.insert(place.slot_index) {
             true => encoding::run_bytes(self.retry_attempt),
             false => 0,
         }
     }
 
     /// What the run of a task adds at this place that has never run.
-    fn fresh_task_bytes(&mut self, place: &Place) -> usize {
-        let new = !self.running.contains(&*place.machine) && self.fresh.insert(place.at);
+    fn fresh_task_bytes(&mut self, place: &TaskPlacement) -> usize {
+        let new = !self.running.contains(&*place.machine) && self.fresh.insert(place.slot_index);
         if new { encoding::run_bytes(1) } else { 0 }
     }
 }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -6,15 +6,15 @@
 use tokio::time::Instant;
 
 use super::candidates::PlacementHints;
-use super::ends::record_ends;
-use super::ownership::{jobs_to_place, placer};
-use super::plan::{Place, Plan};
+use super::ownership::{jobs_to_place, preferred_placer};
+use super::plan::{Plan, TaskPlacement};
 use super::preemption::{Preemption, forget_old_attempts};
-use super::queue::{age_s, queue, starves};
+use super::queue::{is_starving, queue};
 use super::round_search::RoundSearch;
 use super::round_state::RoundState;
+use super::terminations::record_ends;
 use super::transaction::Transaction;
-use super::wait_states::{WaitReason, note};
+use super::wait_states::WaitReason;
 use crate::accounting::BookingAccounts;
 use crate::controller::Controller;
 use crate::state::records::{Job, Resources, Spec};
@@ -59,7 +59,7 @@
     round.place_queue();
     let admitted = round.book_placements(ends_first);
     if !ends_first {
-        ends = round.record_ends(round.transaction.most);
+        ends = round.record_ends(round.transaction.max_records);
     }
     if admitted == 0 {
         round.preempt();
@@ -84,7 +84,7 @@
 
 /// The free resources that a round starts from.
 fn starting_plan(controller: &Controller, replica: &Replica) -> Plan {
-    let mut plan = Plan::of(replica);
+    let mut plan = Plan::from_replica(replica);
     // A machine that receives no orders may stand in its zone shard's record for a
     // while: what is placed there ends at once, and would be placed there again.
     let owned_workers = controller.workers.owned_workers.borrow();
@@ -92,7 +92,7 @@
         .iter()
         .filter(|(_, h)| h.unreachable_since.is_some())
     {
-        if let Some(at) = plan.find(replica, machine) {
+        if let Some(at) = plan.slot_index_of(replica, machine) {
             plan.plan_slots[at].free = Resources::default();
         }
     }
@@ -103,13 +103,13 @@
 struct Placement<'a> {
     id: &'a str,
     spec: Spec,
-    places: Vec<Place>,
+    places: Vec<TaskPlacement>,
 }
 
 /// What a round decides about one job of the queue.
 enum Decision {
     /// The job's tasks take these places.
-    Place(Spec, Vec<Place>),
+    Place(Spec, Vec<TaskPlacement>),
     /// The job waits.
     WaitReason(Waiting),
 }
@@ -175,8 +175,8 @@
     /// some are left for what is to be placed.
     fn limit_for_array_ends(&self) -> usize {
         match self.own.is_empty() {
-            true => self.transaction.most,
-            false => self.transaction.most * 5 / 8,
+            true => self.transaction.max_records,
+            false => self.transaction.max_records * 5 / 8,
         }
     }
 
@@ -193,9 +193,7 @@
 
     /// Drops the reasons of jobs that wait no longer.
     fn forget_settled_reasons(&self) {
-        let mut wait_states = self.controller.placement.wait_states.borrow_mut();
-        let jobs = &self.replica.jobs;
-        wait_states.retain(|id, _| jobs.get(id).is_some_and(|e| e.value.waiting() > 0));
+        self.controller.placement.retain_waiting_jobs(self.replica);
     }
 
     /// Gives places to the jobs that wait, in queue order. All of them are in one
@@ -205,7 +203,7 @@
         self.touched_shards = self.transaction.zone_shards();
         let settings = &self.controller.settings;
         let queue = {
-            let first_seen = self.controller.placement.first_seen.borrow();
+            let first_seen = self.controller.placement.first_seen();
             queue(self.replica, &self.plan, settings, &first_seen, self.now)
         };
         for id in queue {
@@ -276,27 +274,27 @@
             true => self.controller.name(),
             false => {
                 let alive = self.alive.iter().map(String::as_str);
-                placer(&self.controller.settings, id, &spec.team, alive).unwrap_or("")
+                preferred_placer(&self.controller.settings, id, &spec.team, alive).unwrap_or("")
             }
         };
         let mut hints = PlacementHints::new(self.replica, home);
         if own {
-            hints.touched = self.touched_shards.clone();
+            hints.touched_shards = self.touched_shards.clone();
         }
-        hints.lenient =
+        hints.retry_failed_machines =
             self.state.unchanged_for(id, self.now) > self.controller.settings.worker_lease();
         hints
     }
 
     fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
-        let age = age_s(&self.controller.placement.first_seen.borrow(), id, self.now);
-        starves(job, spec, &self.controller.settings, age)
+        let age = self.controller.placement.age_s(id, self.now);
+        is_starving(job, spec, &self.controller.settings, age)
     }
 
     /// Takes a job's places out of the plan; those of an own job are booked later.
-    fn reserve(&mut self, id: &'a str, spec: Spec, places: Vec<Place>, own: bool) {
+    fn reserve(&mut self, id: &'a str, spec: Spec, places: Vec<TaskPlacement>, own: bool) {
         for place in &places {
-            self.plan.take(place, &spec.team, spec.need);
+            self.plan.reserve(place, &spec.team, spec.need);
         }
         if own {
             let zone_shards = places.iter().map(|place| place.shard.to_string());
@@ -307,7 +305,9 @@
 
     /// Notes why a job waits, and what is done about it.
     fn leave_waiting(&mut self, id: &str, waiting: &Waiting) {
-        note(self.controller, id, waiting.why, self.now);
+        self.controller
+            .placement
+            .record_wait_reason(id, waiting.why, self.now);
         if waiting.starving {
             self.search
                 .reserve_for_first_gang(self.replica, &mut self.plan, &waiting.spec);
@@ -327,7 +327,7 @@
         placements.sort_by_key(|p| {
             p.spec.kind == Kind::Array
                 && p.spec.dependencies.is_empty()
-                && !self.replica.is_needed(p.id)
+                && !self.replica.has_dependents(p.id)
         });
         self.state.gangs_deferred = false;
         let mut admitted = 0;
@@ -337,7 +337,9 @@
             if booked < places.len() {
                 // The rest go into the next commit, every other time before ends.
                 self.state.gangs_deferred |= ends_first && spec.kind != Kind::Array;
-                note(self.controller, id, WaitReason::Queue, self.now);
+                self.controller
+                    .placement
+                    .record_wait_reason(id, WaitReason::Queue, self.now);
             }
             if booked > 0 {
                 admitted += 1;
@@ -350,7 +352,7 @@
     /// Logs a booking, and notes why the rest of the job waits.
     fn report_booking(&mut self, placement: &Placement, booked: usize) {
         let Placement { id, spec, places } = placement;
-        let class = self.plan.plan_slots[places[0].at].class;
+        let class = self.plan.plan_slots[places[0].slot_index].class;
         tracing::debug!(
             job = id,
             class = spec.class,
@@ -361,14 +363,12 @@
         );
         let job = self.transaction.job(id);
         if job.is_none_or(|job| job.waiting() == 0) {
-            self.controller
-                .placement
-                .wait_states
-                .borrow_mut()
-                .remove(*id);
+            self.controller.placement.clear_wait_reason(id);
         } else if booked == places.len() && job.is_some_and(|job| !job.is_doubtful()) {
             self.blocked.push((*id).to_string());
-            note(self.controller, id, WaitReason::NoRoom, self.now);
+            self.controller
+                .placement
+                .record_wait_reason(id, WaitReason::NoRoom, self.now);
         }
     }
 
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -7,10 +7,10 @@
 
 use foldhash::HashMap;
 
+use super::bin_packing::{count_placements, find_placements, reserve_capacity};
 use super::candidates::{AcceleratorProtection, PlacementHints};
-use super::fit::{count, fit, reserve_capacity};
-use super::plan::{Place, Plan};
-use super::victims::{RunningJob, VictimSearch, places_wanted, running_jobs};
+use super::plan::{Plan, TaskPlacement};
+use super::preemption_search::{RunningJob, VictimSearch, places_wanted, running_jobs};
 use super::wait_states::WaitReason;
 use crate::controller::Controller;
 use crate::state::records::{Job, Spec};
@@ -86,7 +86,7 @@
         id: &str,
         job: &Job,
         spec: &Spec,
-    ) -> Result<Vec<Place>, WaitReason> {
+    ) -> Result<Vec<TaskPlacement>, WaitReason> {
         let tasks = if spec.is_gang() { job.waiting() } else { 1 };
         let shape = shape(job, spec).filter(|_| job.failed_on.is_empty());
         if let Some(failed) = shape.and_then(|shape| self.failed.get(&shape))
@@ -113,9 +113,9 @@
         id: &str,
         job: &Job,
         spec: &Spec,
-    ) -> Result<Vec<Place>, WaitReason> {
+    ) -> Result<Vec<TaskPlacement>, WaitReason> {
         let settings = &controller.settings;
-        let strict = fit(
+        let strict = find_placements(
             job,
             spec,
             plan,
@@ -129,7 +129,7 @@
         if spec.kind == Kind::Service && !job.retry.is_empty() {
             // A replica that is down is replaced at once where it takes nothing
             // from others, even if that keeps a costly machine rented.
-            let mild = fit(
+            let mild = find_placements(
                 job,
                 spec,
                 plan,
@@ -141,7 +141,7 @@
                 return mild;
             }
         }
-        let lax = fit(job, spec, plan, hints, settings, AcceleratorProtection::Lax);
+        let lax = find_placements(job, spec, plan, hints, settings, AcceleratorProtection::Lax);
         if self.will_fit_strictly(controller, hints, plan, id, job, spec) {
             strict
         } else {
@@ -163,7 +163,7 @@
         let settings = &controller.settings;
         let expected = self.expected(hints.replica, plan).clone();
         let wanted = places_wanted(job, spec);
-        if count(
+        if count_placements(
             job,
             spec,
             &expected,
@@ -217,7 +217,7 @@
         let Some(spec) = &job.spec else { continue };
         for run in job.runs.iter().filter(|run| run.stop) {
             let resources = spec.need.times(run.tasks.len());
-            expected.give(replica, &run.machine, &spec.team, resources);
+            expected.release(replica, &run.machine, &spec.team, resources);
         }
     }
     expected
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -19,7 +19,7 @@
 const MAX_BACK_OFF_EXPONENT: u32 = 5;
 
 /// How long a job that failed so often waits before it is tried again.
-pub fn back_off(errors: u32, base: Duration) -> Duration {
+pub fn retry_delay(errors: u32, base: Duration) -> Duration {
     match errors {
         0 => Duration::ZERO,
         errors => base * 2u32.pow((errors - 1).min(MAX_BACK_OFF_EXPONENT)),
@@ -100,7 +100,7 @@
     pub(super) fn update_back_off(&mut self, id: &str, errors: u32, base: Duration, now: Instant) {
         let known = self.back_offs.get(id);
         if known.is_none_or(|known| known.errors != errors) {
-            let until = now + back_off(errors, base);
+            let until = now + retry_delay(errors, base);
             self.back_offs
                 .insert(id.to_string(), BackOff { errors, until });
         }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -25,7 +25,7 @@
     let mut released: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = controller.placement.placement_notify.notified() => {}
+            () = controller.placement.woken() => {}
             () = controller.workers.terminations_notify.notified() => {}
             () = sleep(idle) => {}
         }
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -30,7 +30,7 @@
 
 /// The machine shards of a home that a new machine may be put into.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Candidates {
+pub struct ShardCandidates {
     /// The first shard of the group.
     first: usize,
     /// The distance between successive shards of the group.
@@ -39,13 +39,13 @@
     shards: usize,
 }
 
-impl Candidates {
+impl ShardCandidates {
     /// Selects the group of a machine among a home's shards, with at most `most`
     /// shards a group.
     pub fn select(machine: &str, shards: usize, most: usize) -> Self {
         let groups = shards.div_ceil(most.max(1)).next_power_of_two();
         let selected = block_hash(machine) % groups as u64;
-        Candidates {
+        ShardCandidates {
             first: selected as usize,
             step: groups,
             shards,
@@ -54,7 +54,7 @@
 
     /// All shards of the home.
     pub fn all(shards: usize) -> Self {
-        Candidates {
+        ShardCandidates {
             first: 0,
             step: 1,
             shards,
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/terminations.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Plan;
 use super::round_state::RoundState;
-use super::transaction::{Released, Transaction};
+use super::transaction::{ReleaseOutcome, Transaction};
 use crate::controller::Controller;
 use crate::state::replica::Replica;
 use crate::wire::Kind;
@@ -43,14 +43,14 @@
         for (key, proof) in others {
             ends.record(controller, replica, transaction, plan, key, *proof);
         }
-        let limit = std::mem::replace(&mut transaction.most, limit_for_arrays);
+        let limit = std::mem::replace(&mut transaction.max_records, limit_for_arrays);
         for (key, proof) in arrays {
             let released = ends.record(controller, replica, transaction, plan, key, *proof);
-            if released == Released::Full && state.next_end.is_none() {
+            if released == ReleaseOutcome::Full && state.next_end.is_none() {
                 state.next_end = Some(key.clone());
             }
         }
-        transaction.most = limit;
+        transaction.max_records = limit;
     }
     let mut pending = controller.workers.pending_terminations.borrow_mut();
     for key in &ends.stale {
@@ -65,7 +65,7 @@
         .jobs
         .get(&key.job)
         .and_then(|e| e.value.spec.as_ref());
-    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.is_needed(&key.job)
+    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.has_dependents(&key.job)
 }
 
 impl Ends {
@@ -78,21 +78,21 @@
         plan: &mut Plan,
         key: &AttemptKey,
         proof: TerminationEvidence,
-    ) -> Released {
+    ) -> ReleaseOutcome {
         let released = transaction.release(key, proof, controller.name(), controller.incarnation);
         match released {
-            Released::Yes => {
+            ReleaseOutcome::Yes => {
                 if let Some(spec) = replica
                     .jobs
                     .get(&key.job)
                     .and_then(|e| e.value.spec.as_ref())
                 {
-                    plan.give(replica, &key.machine, &spec.team, spec.need);
+                    plan.release(replica, &key.machine, &spec.team, spec.need);
                 }
                 self.recorded.push(key.clone());
             }
-            Released::Full => {}
-            Released::Stale => self.stale.push(key.clone()),
+            ReleaseOutcome::Full => {}
+            ReleaseOutcome::Stale => self.stale.push(key.clone()),
         }
         released
     }
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -8,7 +8,7 @@
 
 use shares::ControllerName;
 
-use super::plan::Place;
+use super::plan::TaskPlacement;
 use crate::accounting::{BookingAccounts, BookingRequest, CommitParts, Space};
 use crate::state::commit::{guard, put};
 use crate::state::keys::{job_key, machine_shard_key, shard_id, team_key, zone_shard_key};
@@ -26,7 +26,7 @@
 pub const COMMIT_BYTES: usize = crate::http::BODY_LIMIT * 9 / 10;
 
 /// About what a machine takes in a zone shard's record, and in a machine shard's.
-pub const SLOT: usize = 110;
+pub const SLOT_BYTES: usize = 110;
 
 /// The same in a zone shard's compact encoding.
 const SHORT_SLOT_BYTES: usize = 10;
@@ -46,7 +46,7 @@
 pub struct Transaction<'a> {
     replica: &'a Replica,
     /// The most records that one commit may write.
-    pub most: usize,
+    pub max_records: usize,
     /// The jobs that it writes, by id.
     pub jobs: BTreeMap<String, Job>,
     teams: BTreeMap<String, Resources>,
@@ -74,7 +74,7 @@
     pub fn new(replica: &'a Replica, most: usize) -> Self {
         Transaction {
             replica,
-            most,
+            max_records: most,
             jobs: BTreeMap::new(),
             teams: BTreeMap::new(),
             zone_shards: BTreeMap::new(),
@@ -118,7 +118,8 @@
     fn bytes(&self) -> usize {
         let jobs: usize = self.jobs.values().map(job_bytes).sum();
         let slots: usize = self.zone_shards.values().map(|p| p.machines.len()).sum();
-        jobs + slots * self.slot_entry_bytes() + (self.len() + self.machine_shards.len()) * SLOT
+        jobs + slots * self.slot_entry_bytes()
+            + (self.len() + self.machine_shards.len()) * SLOT_BYTES
     }
 
     /// About what a machine takes in the text that its zone shard will have.
@@ -126,7 +127,7 @@
         if self.replica.uses_compact_encoding() {
             SHORT_SLOT_BYTES
         } else {
-            SLOT
+            SLOT_BYTES
         }
     }
 
@@ -162,7 +163,7 @@
             return false;
         }
         let new_records = usize::from(new_job) + usize::from(new_account) + new_shards().count();
-        self.len() + new_records <= self.most
+        self.len() + new_records <= self.max_records
     }
 
     /// Which record a job's bookings count against; `None` if none may be made, as that
@@ -190,7 +191,7 @@
     }
 
     /// How many of the places the job's account has room for; they are counted there.
-    fn admit(&mut self, id: &str, spec: &Spec, places: &[&Place]) -> usize {
+    fn admit(&mut self, id: &str, spec: &Spec, places: &[&TaskPlacement]) -> usize {
         let job = self.job(id);
         match job.and_then(|job| self.account_of(&spec.team, job)) {
             Some(Account::Team) => {
@@ -206,7 +207,7 @@
         &mut self,
         id: &str,
         spec: &Spec,
-        places: &[&Place],
+        places: &[&TaskPlacement],
         controller: &ControllerName,
     ) -> usize {
         let shards: BTreeSet<&str> = places.iter().map(|place| &*place.shard).collect();
@@ -216,7 +217,7 @@
         let new_records = new_shards.count()
             + usize::from(!self.jobs.contains_key(id))
             + usize::from(self.is_new_account(id, &spec.team));
-        let max_writes = self.most;
+        let max_writes = self.max_records;
         let alone = self.space();
         let beside = Space {
             writes: alone.writes.saturating_sub(new_records),
@@ -242,8 +243,8 @@
         let reads = self.accounts.as_ref().map_or(0, BookingAccounts::reads);
         let guards = self.len() + self.machine_shards.len() + reads;
         Space {
-            writes: self.most.saturating_sub(self.len()),
-            guards: (self.most * GUARDS_PER_WRITE).saturating_sub(guards),
+            writes: self.max_records.saturating_sub(self.len()),
+            guards: (self.max_records * GUARDS_PER_WRITE).saturating_sub(guards),
         }
     }
 
@@ -308,29 +309,29 @@
         proof: TerminationEvidence,
         controller: &str,
         incarnation: u64,
-    ) -> Released {
+    ) -> ReleaseOutcome {
         let Some(machine_shard) = self.proven_by(key, proof, controller, incarnation) else {
-            return Released::Stale;
+            return ReleaseOutcome::Stale;
         };
         let Some(job) = self.job(&key.job) else {
-            return Released::Stale;
+            return ReleaseOutcome::Stale;
         };
         let Some(spec) = job.spec.clone() else {
-            return Released::Stale;
+            return ReleaseOutcome::Stale;
         };
         if job.find(&key.machine, key.attempt, key.task).is_none() {
-            return Released::Stale;
+            return ReleaseOutcome::Stale;
         }
         let accounts = self.accounts.as_ref();
         let share = accounts.map(|accounts| accounts.booked_share(&spec.team, job));
         // Neither the team's record nor the zone shard's is written: what ends is
         // known to all from the job's, and the next booking there counts it.
-        let max_machine_shards = self.most * (GUARDS_PER_WRITE - 1);
+        let max_machine_shards = self.max_records * (GUARDS_PER_WRITE - 1);
         let reads = self.accounts.as_ref().map_or(0, BookingAccounts::reads);
         let guards_full = self.machine_shards.len() + reads >= max_machine_shards
             && !self.machine_shards.contains(&machine_shard);
         if guards_full || !self.has_room(&key.job, None, &BTreeSet::new(), 0) {
-            return Released::Full;
+            return ReleaseOutcome::Full;
         }
         if let (Some(accounts), Some(share)) = (&mut self.accounts, share) {
             accounts.release(&spec.team, &share, spec.need);
@@ -341,15 +342,20 @@
         *self.released.entry(key.machine.clone()).or_default() += spec.need;
         *self.team_released.entry(spec.team).or_default() += spec.need;
         self.machine_shards.insert(machine_shard);
-        Released::Yes
+        ReleaseOutcome::Yes
     }
 
     /// The places that this commit has room for: all of a gang's or none, of
     /// other jobs as many as there are. An array may have its places in more
     /// zone shards than any commit writes: the rest follow, or it would wait for ever.
-    fn bookable<'p>(&self, id: &str, spec: &Spec, places: &'p [Place]) -> Vec<&'p Place> {
+    fn bookable<'p>(
+        &self,
+        id: &str,
+        spec: &Spec,
+        places: &'p [TaskPlacement],
+    ) -> Vec<&'p TaskPlacement> {
         let zone_shards: BTreeSet<&str> = places.iter().map(|place| &*place.shard).collect();
-        let machines: BTreeSet<usize> = places.iter().map(|place| place.at).collect();
+        let machines: BTreeSet<usize> = places.iter().map(|place| place.slot_index).collect();
         if self.has_room(id, Some(&spec.team), &zone_shards, machines.len()) {
             return places.iter().collect();
         }
@@ -364,14 +370,14 @@
         &self,
         id: &str,
         spec: &Spec,
-        places: &'p [Place],
-    ) -> Vec<&'p Place> {
+        places: &'p [TaskPlacement],
+    ) -> Vec<&'p TaskPlacement> {
         let mut zone_shards: BTreeSet<&str> = BTreeSet::new();
         let mut machines: BTreeSet<usize> = BTreeSet::new();
         let mut bookable = Vec::new();
         for place in places {
             let new_shard = zone_shards.insert(&place.shard);
-            let new_machine = machines.insert(place.at);
+            let new_machine = machines.insert(place.slot_index);
             if (!new_shard && !new_machine)
                 || self.has_room(id, Some(&spec.team), &zone_shards, machines.len())
             {
@@ -382,7 +388,7 @@
                 zone_shards.remove(&*place.shard);
             }
             if new_machine {
-                machines.remove(&place.at);
+                machines.remove(&place.slot_index);
             }
         }
         bookable
@@ -390,7 +396,7 @@
 
     /// Books a job's waiting tasks, and tells how many; none when the commit
     /// is full.
-    pub fn book(&mut self, id: &str, spec: &Spec, places: &[Place]) -> usize {
+    pub fn book(&mut self, id: &str, spec: &Spec, places: &[TaskPlacement]) -> usize {
         let places = self.bookable(id, spec, places);
         if places.is_empty() {
             return 0;
@@ -398,7 +404,7 @@
         // Safety 7: no task starts before all that its job awaits is done. That
         // is final, so this replica, which the commit is decided on, can only be
         // late in knowing it; what is launched follows from bookings alone.
-        if !self.replica.is_ready(spec) {
+        if !self.replica.dependencies_done(spec) {
             return 0;
         }
         let admitted = self.admit(id, spec, &places);
@@ -440,18 +446,18 @@
     }
 
     /// Whether the transaction has room for the records of these jobs alone.
-    pub fn fits_jobs<'b>(&self, ids: impl Iterator<Item = &'b str>) -> bool {
+    pub fn has_capacity_for_jobs<'b>(&self, ids: impl Iterator<Item = &'b str>) -> bool {
         let new: BTreeSet<&str> = ids.filter(|id| !self.jobs.contains_key(*id)).collect();
         let more: usize = new
             .iter()
             .filter_map(|id| self.job(id))
             .map(job_bytes)
             .sum();
-        self.len() + new.len() <= self.most && self.bytes() + more <= COMMIT_BYTES
+        self.len() + new.len() <= self.max_records && self.bytes() + more <= COMMIT_BYTES
     }
 
     /// Changes a job's record alone.
-    pub fn change(&mut self, id: &str, edit: impl FnOnce(&mut Job)) {
+    pub fn edit_job_record(&mut self, id: &str, edit: impl FnOnce(&mut Job)) {
         if let Some(job) = self.edit_job(id) {
             edit(job);
         }
@@ -495,7 +501,7 @@
 
 /// What became of an end.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Released {
+pub enum ReleaseOutcome {
     /// It is in the transaction.
     Yes,
     /// The commit is full: it goes into the next.
@@ -507,7 +513,7 @@
 /// Books the places for the job's next waiting tasks. A gang's attempt is new.
 /// Tasks that were never started share the first attempt, so that those on one
 /// machine share one run in the job's record; those that were get a new one.
-pub fn book(job: &mut Job, spec: &Spec, places: &[&Place]) {
+pub fn book(job: &mut Job, spec: &Spec, places: &[&TaskPlacement]) {
     job.cleared = false;
     // More replicas follow what has failed only once others run well.
     if spec.kind == Kind::Service && job.is_doubtful() && job.booked() > 0 {
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -1,10 +1,8 @@
-//! Why a job waits, as the last decision about it found.
+//! Why a job waits, as the last placement decision about it found.
 
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::controller::Controller;
-
 /// Why a job has to wait, as the decision found it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -35,22 +33,9 @@
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct WaitState {
     /// Why it waits.
-    pub why: WaitReason,
+    #[serde(rename = "why")]
+    pub reason: WaitReason,
     /// Since when it has waited for that reason.
     #[serde(skip)]
     pub since: Instant,
 }
-
-/// Notes why a job waits. What the cloud says of its machines is kept.
-pub fn note(controller: &Controller, id: &str, why: WaitReason, now: Instant) {
-    let mut wait_states = controller.placement.wait_states.borrow_mut();
-    match wait_states.get_mut(id) {
-        Some(known) if known.why == why => {}
-        // The controller that rents knows better why there is no room.
-        Some(known) if known.why == WaitReason::Refused && why == WaitReason::NoRoom => {}
-        _ => {
-            tracing::debug!(job = id, ?why, "waits");
-            wait_states.insert(id.to_string(), WaitState { why, since: now });
-        }
-    }
-}
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -73,7 +73,7 @@
         let context = TrimContext {
             machine_types: &self.types.value.types,
             slo_classes: &self.slo_classes,
-            is_done: &|id| self.state(id) == Some(JobStatus::Done),
+            is_done: &|id| self.effective_status(id) == Some(JobStatus::Done),
         };
         record_trim::trim_job(job, &context, |job| {
             self.job_bytes(job) <= most && (!is_long(job, most) || self.runs_within(job, most))
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -268,7 +268,7 @@
         let known = replica.machines.get(id).map(|e| &e.value);
         // A machine of a machine shard that is in the commit already adds nothing to it.
         let machine_shard = known.map(|m| shard_id(&m.zone, &m.shard));
-        let is_edited = machine_shard.is_some_and(|id| machine_shards.has(&id));
+        let is_edited = machine_shard.is_some_and(|id| machine_shards.contains(&id));
         // Once full it stays full, and there may be thousands of claims.
         is_full = is_full || machine_shards.is_full(ops);
         if is_full && !is_edited {
@@ -311,7 +311,7 @@
     report: &WorkerStatus,
 ) -> Option<Machine> {
     let (kind, zone) = (&report.kind, &report.zone);
-    let shard = machine_shards.new_shard(&controller.settings, id, kind, zone)?;
+    let shard = machine_shards.allocate_shard(&controller.settings, id, kind, zone)?;
     Some(Machine {
         shard,
         spot: report.spot,
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -6,7 +6,7 @@
 use super::setup::{
     after, ended, hints, jobs_of, settings, settings_json, spec, view_with, view_with_types,
 };
-use shelfhoist::dependencies::QueueRank;
+use shelfhoist::dependencies::EffectiveUrgency;
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::job_key;
@@ -43,16 +43,16 @@
         let now = Instant::now();
         for (id, priority, left_s) in expected {
             let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
-            let queue_rank = replica.queue_rank(id, spec, now);
-            assert_eq!(queue_rank.priority, *priority, "{step}: {id}");
-            let near = match (queue_rank.left_s, left_s) {
+            let urgency = replica.effective_urgency(id, spec, now);
+            assert_eq!(urgency.priority, *priority, "{step}: {id}");
+            let near = match (urgency.time_left_s, left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
                 (a, b) => a.is_none() && b.is_none(),
             };
             assert!(
                 near,
                 "{step}: {id}: {:?}, not {left_s:?}",
-                queue_rank.left_s
+                urgency.time_left_s
             );
         }
     };
@@ -92,7 +92,7 @@
     assert_eq!(replica.open.len(), 2, "job-1 and job-6");
     set(&mut replica, "job-1", &ended(JobStatus::Done));
     assert_eq!(replica.open.len(), 3, "job-2, job-3 and job-6");
-    assert_eq!(replica.blocked().count(), 0);
+    assert_eq!(replica.blocked_jobs().count(), 0);
 }
 
 /// Lateness goes by the deadline of what needs a job, too.
@@ -127,12 +127,12 @@
             deadline_s,
             ..spec(Kind::Array, 1, 1.0)
         };
-        let queue_rank = QueueRank {
+        let urgency = EffectiveUrgency {
             priority: Priority::Low,
-            left_s,
-            asked,
+            time_left_s: left_s,
+            dependents_have_deadline: asked,
         };
-        let got = scheduler::is_late(&spec, &set, age, &queue_rank);
+        let got = scheduler::is_late(&spec, &set, age, &urgency);
         assert_eq!(got, expected, "{case:?}");
     }
 }
@@ -220,7 +220,7 @@
         let check = |replica: &Replica, how: &str| {
             for ((id, _), state) in jobs.iter().zip(states) {
                 assert_eq!(
-                    replica.state(id),
+                    replica.effective_status(id),
                     Some(state),
                     "{status:?} {other:?} {how}: {id}"
                 );
@@ -236,7 +236,7 @@
                 "{how}"
             );
             let held = 6 - open.len() - states.iter().filter(|s| **s != Open).count();
-            assert_eq!(replica.blocked().count(), held, "{how}");
+            assert_eq!(replica.blocked_jobs().count(), held, "{how}");
         };
         for order in &orders {
             let mut replica = Replica::default();
@@ -293,9 +293,9 @@
             ],
             4,
         );
-        let plan = Plan::of(&replica);
+        let plan = Plan::from_replica(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = scheduler::fit(
+        let places = scheduler::find_placements(
             &second,
             &spec,
             &plan,
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -73,8 +73,8 @@
     let replica = view_with(&rooms);
     let mut job = Job::new(s.clone(), 1);
     for _ in 0..20 {
-        let plan = Plan::of(&replica);
-        let Ok(places) = scheduler::fit(
+        let plan = Plan::from_replica(&replica);
+        let Ok(places) = scheduler::find_placements(
             &job,
             &s,
             &plan,
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -23,8 +23,8 @@
     let whole = view_with(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
     let fit = |spec: &Spec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
-        let plan = Plan::of(replica);
-        scheduler::fit(
+        let plan = Plan::from_replica(replica);
+        scheduler::find_placements(
             &job,
             spec,
             &plan,
@@ -93,7 +93,7 @@
     let set = settings();
     let replica = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
     let hints = hints(&replica);
-    let plan = Plan::of(&replica);
+    let plan = Plan::from_replica(&replica);
     let s = Spec {
         one_zone: true,
         ..spec(Kind::Array, 3, 2.0)
@@ -102,13 +102,14 @@
     let task = job.take_fresh().expect("one");
     job.book("m9", "b", 1, task);
     let places =
-        scheduler::fit(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax).expect("fits");
+        scheduler::find_placements(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax)
+            .expect("fits");
     assert!(places.iter().all(|p| &*p.zone == "b"), "{places:?}");
     let gang = spec(Kind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
-        scheduler::fit(&job, &gang, &plan, &hints, &set, AcceleratorProtection::Lax),
+        scheduler::find_placements(&job, &gang, &plan, &hints, &set, AcceleratorProtection::Lax),
         Err(WaitReason::OldAttempt)
     );
 }
@@ -168,10 +169,10 @@
             },
         );
         let job = replica.jobs["job-1"].value.clone();
-        let plan = Plan::of(&replica);
+        let plan = Plan::from_replica(&replica);
         let mut terms = set.clone();
         terms.deployment.teams[0].cpus_max = 1e6;
-        let places = scheduler::fit(
+        let places = scheduler::find_placements(
             &job,
             &wide,
             &plan,
@@ -274,7 +275,13 @@
         let first_seen = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
         let mut first_seen: scheduler::FirstSeenTimes = first_seen.into_iter().collect();
         first_seen.insert("job-1".into(), later);
-        let queue = scheduler::queue(&replica, &Plan::of(&replica), &set, &first_seen, later);
+        let queue = scheduler::queue(
+            &replica,
+            &Plan::from_replica(&replica),
+            &set,
+            &first_seen,
+            later,
+        );
         assert_eq!(queue[0], first, "{age:?}: {queue:?}");
     }
 }
@@ -293,10 +300,10 @@
         one_zone: true,
         ..spec(Kind::Gang, 3, 4.0)
     };
-    let mut plan = Plan::of(&replica);
+    let mut plan = Plan::from_replica(&replica);
     scheduler::reserve_capacity(&gang, &mut plan, &hints(&replica));
     let free = |m: &str| {
-        plan.plan_slots[plan.find(&replica, m).expect("spot")]
+        plan.plan_slots[plan.slot_index_of(&replica, m).expect("spot")]
             .free
             .cpus
             .units()
@@ -317,7 +324,7 @@
         let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         let machine = Machine {
             shard: machine_shards
-                .new_shard(&set, &name, "grande-occhio", "a")
+                .allocate_shard(&set, &name, "grande-occhio", "a")
                 .expect("a shard"),
             owner: "n0".into(),
             incarnation: u64::from(u32::MAX),
@@ -374,7 +381,7 @@
         left.retain(|name| {
             let machine = &replica.machines[name].value;
             let machine_shard = shard_id(&machine.zone, &machine.shard);
-            if machine_shards.is_full(ops) && !machine_shards.has(&machine_shard) {
+            if machine_shards.is_full(ops) && !machine_shards.contains(&machine_shard) {
                 return true;
             }
             machine_shards.put(name, machine.clone());
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 use shelfhoist::compaction;
-use shelfhoist::scheduler::{Candidates, MachineShardEdits};
+use shelfhoist::scheduler::{MachineShardEdits, ShardCandidates};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key};
@@ -22,14 +22,14 @@
     #[test]
     fn groups_cover_all_shards(shards in 0usize..400, most in 1usize..16, block in 0u32..9000) {
         let machines = (0..64).map(|n| format!("host-{:06}", block * 64 + n));
-        let first = Candidates::select(&format!("host-{:06}", block * 64), shards, most);
+        let first = ShardCandidates::select(&format!("host-{:06}", block * 64), shards, most);
         for machine in machines {
-            prop_assert_eq!(&Candidates::select(&machine, shards, most), &first);
+            prop_assert_eq!(&ShardCandidates::select(&machine, shards, most), &first);
         }
         prop_assert!(first.numbers().count() <= most);
         prop_assert_eq!(first.next(), shards);
         let groups: BTreeSet<Vec<usize>> = (0..20_000)
-            .map(|n| Candidates::select(&format!("host-{n:06}"), shards, most))
+            .map(|n| ShardCandidates::select(&format!("host-{n:06}"), shards, most))
             .map(|candidates| candidates.numbers().collect())
             .collect();
         let covered: Vec<usize> = groups.iter().flatten().copied().collect();
@@ -113,7 +113,7 @@
     fn take_up(&self, machine: &str) -> (Vec<Guard>, Vec<Write>) {
         let mut shards = MachineShardEdits::new(&self.replica);
         let shard = shards
-            .new_shard(&self.settings, machine, "grande-occhio", "a")
+            .allocate_shard(&self.settings, machine, "grande-occhio", "a")
             .expect("a shard");
         let record = Machine {
             shard,
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -8,7 +8,7 @@
 
 use super::setup::{held, report, settings, spec};
 use shelfhoist::cloud::{FailureAttribution, blame};
-use shelfhoist::scheduler::{Released, Transaction};
+use shelfhoist::scheduler::{ReleaseOutcome, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
 use shelfhoist::workers::{self, AttemptKey, OwnedWorker, TerminationEvidence, reconcile};
 
@@ -257,34 +257,34 @@
 /// the queue since before proves nothing any more.
 #[test]
 fn an_end_is_released_only_under_the_claim_that_proved_it() {
-    let cases: &[(&str, u64, MachineLifecycle, u64, Released)] = &[
+    let cases: &[(&str, u64, MachineLifecycle, u64, ReleaseOutcome)] = &[
         (
             "the claim that stands",
             5,
             MachineLifecycle::Active,
             1,
-            Released::Yes,
+            ReleaseOutcome::Yes,
         ),
         (
             "an earlier claim",
             4,
             MachineLifecycle::Active,
             1,
-            Released::Stale,
+            ReleaseOutcome::Stale,
         ),
         (
             "another run's claim",
             5,
             MachineLifecycle::Active,
             2,
-            Released::Stale,
+            ReleaseOutcome::Stale,
         ),
         (
             "the cloud's word",
             0,
             MachineLifecycle::Gone,
             2,
-            Released::Yes,
+            ReleaseOutcome::Yes,
         ),
     ];
     for (name, fencing_token, lifecycle, incarnation, want) in cases {
@@ -313,7 +313,7 @@
         // The commit depends on the machine's record, too.
         let guards = transaction.into_commit().0;
         let on_machine_shard = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
-        assert_eq!(on_machine_shard, *want == Released::Yes, "{name}");
+        assert_eq!(on_machine_shard, *want == ReleaseOutcome::Yes, "{name}");
     }
 }
 
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::setup::{LIMIT, name, places, read, spec};
-use shelfhoist::scheduler::{Place, book, least_record, record_slots};
+use shelfhoist::scheduler::{TaskPlacement, book, least_record, tasks_within_record_limit};
 use shelfhoist::state::encoding;
 use shelfhoist::wire::Kind;
 
@@ -183,8 +183,8 @@
 #[test]
 fn a_short_record_holds_as_much() {
     let array = Job::new(spec(Kind::Array, 1800), 1 << 40);
-    let before = record_slots(&array, &places(40, 12), 8192, false);
-    let slots = record_slots(&array, &places(40, 12), LIMIT, true);
+    let before = tasks_within_record_limit(&array, &places(40, 12), 8192, false);
+    let slots = tasks_within_record_limit(&array, &places(40, 12), LIMIT, true);
     assert!(slots * 10 >= before.min(450) * 9, "{slots} of {before}");
     for (kind, tasks, most) in [
         (Kind::Gang, 8, 8),
@@ -193,7 +193,10 @@
     ] {
         let job = Job::new(spec(kind, tasks), 1 << 40);
         let places = places(most.min(40), most.div_ceil(40));
-        assert!(record_slots(&job, &places, LIMIT, true) >= most, "{kind:?}");
+        assert!(
+            tasks_within_record_limit(&job, &places, LIMIT, true) >= most,
+            "{kind:?}"
+        );
         let least = least_record(&spec(kind, tasks), "host-000231", "capannone-nord");
         assert!(least <= LIMIT, "{kind:?} {least}");
     }
@@ -212,8 +215,8 @@
         for round in 0..60 {
             let mut wanted = places(40, 14);
             wanted.truncate(job.waiting());
-            let n = record_slots(&job, &wanted, LIMIT, true);
-            let taken: Vec<&Place> = wanted[..n].iter().collect();
+            let n = tasks_within_record_limit(&job, &wanted, LIMIT, true);
+            let taken: Vec<&TaskPlacement> = wanted[..n].iter().collect();
             if !taken.is_empty() {
                 book(&mut job, &s, &taken);
             }
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::stand_ins::{Shape, StateLimits, World, job};
-use shelfhoist::scheduler::Place;
+use shelfhoist::scheduler::TaskPlacement;
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, Kind, Priority};
@@ -93,9 +93,9 @@
     }
 }
 
-pub fn places(machines: usize, each: usize) -> Vec<Place> {
-    let place = |at: usize| Place {
-        at,
+pub fn places(machines: usize, each: usize) -> Vec<TaskPlacement> {
+    let place = |at: usize| TaskPlacement {
+        slot_index: at,
         machine: format!("host-{:06}", at * 17).into(),
         zone: ["capannone-nord", "capannone-sud", "ufficio-porto"][at % 3].into(),
         shard: "capannone-nord/bay-1.0".into(),
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -180,9 +180,16 @@
         events.push(Event::put(job_key("job-1"), &job, 3));
         let mut replica = Replica::with_compact_limit(Some(LIMIT));
         replica.advance(events, 5);
-        let plan = Plan::of(&replica);
+        let plan = Plan::from_replica(&replica);
         let hints = PlacementHints::new(&replica, "n0");
-        let found = scheduler::fit(&job, &spec, &plan, &hints, &set, AcceleratorProtection::Lax);
+        let found = scheduler::find_placements(
+            &job,
+            &spec,
+            &plan,
+            &hints,
+            &set,
+            AcceleratorProtection::Lax,
+        );
         let Ok(places) = found else {
             // It fits the rooms of three zone shards only: machines are rented for it.
             assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -5,7 +5,7 @@
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
 use shelfhoist::introspection::{FleetReport, JobDetails, TeamDetails};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
-use shelfhoist::scheduler::{back_off, preferred};
+use shelfhoist::scheduler::{preferred, retry_delay};
 
 fn facts() -> JobFacts {
     JobFacts {
@@ -259,7 +259,7 @@
 fn failures_wait_longer_and_longer_up_to_a_bound() {
     let base = std::time::Duration::from_secs(2);
     let waits: Vec<u64> = [0, 1, 2, 3, 6, 50]
-        .map(|n| back_off(n, base).as_secs())
+        .map(|n| retry_delay(n, base).as_secs())
         .to_vec();
     assert_eq!(waits, [0, 2, 4, 8, 64, 64]);
 }
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -380,8 +380,8 @@
         replica.advance(vec![put("job-000001", &first, 2)], 2);
         replica.advance(vec![put("job-000002", &next, 3)], 3);
         let left_s = |replica: &Replica| {
-            let queue_rank = replica.queue_rank("job-000002", &spec, Instant::now());
-            queue_rank.left_s.expect("a deadline").round()
+            let urgency = replica.effective_urgency("job-000002", &spec, Instant::now());
+            urgency.time_left_s.expect("a deadline").round()
         };
         assert_eq!(left_s(&replica), 100.0);
         sleep(secs(30.0)).await;
@@ -392,7 +392,7 @@
             ..first
         };
         replica.advance(vec![put("job-000001", &done, 4)], 4);
-        assert!(replica.is_ready(&spec));
+        assert!(replica.dependencies_done(&spec));
         assert_eq!(left_s(&replica), 70.0, "just ready");
         sleep(secs(10.0)).await;
         assert_eq!(left_s(&replica), 60.0, "ready");
