--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -74,7 +74,7 @@
     let search = ConsolidationSearch {
         replica: &replica,
         settings: &controller.settings,
-        plan: Plan::of(&replica),
+        plan: Plan::from_replica(&replica),
         hints: PlacementHints::new(&replica, controller.name()),
         reserved_slots: RESERVED_GANGS * gpu.tasks as usize,
     };
@@ -118,7 +118,7 @@
         }
         let services = self.services_on(id)?;
         let mut without = self.plan.clone();
-        if let Some(slot) = without.find(self.replica, id) {
+        if let Some(slot) = without.slot_index_of(self.replica, id) {
             without.plan_slots[slot].free = Resources::default();
         }
         if free_accelerator_slots(self.replica, &without, None) < self.reserved_slots {
@@ -167,10 +167,10 @@
                 displaced_tasks += 1;
             }
         }
-        plan.teams.entry(spec.team.clone()).and_modify(|used| {
+        plan.team_usage.entry(spec.team.clone()).and_modify(|used| {
             *used -= spec.need.times(displaced_tasks);
         });
-        match scheduler::fit(
+        match scheduler::find_placements(
             &moved,
             &spec,
             plan,
@@ -180,7 +180,7 @@
         ) {
             Ok(places) if places.len() >= displaced_tasks => {
                 for place in &places {
-                    plan.take(place, &spec.team, spec.need);
+                    plan.reserve(place, &spec.team, spec.need);
                 }
                 true
             }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,7 +1,7 @@
 //! Headroom: slots kept ready for the next gang on accelerators.
 
 use crate::controller::Controller;
-use crate::dependencies::QueueRank;
+use crate::dependencies::EffectiveUrgency;
 use crate::scheduler::{self, Plan};
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -31,15 +31,15 @@
         return 0;
     }
     let next_gang = Job::new(gpu.clone(), 0);
-    let queue_rank = QueueRank::of(gpu);
-    let facts = scheduler::facts(
+    let urgency = EffectiveUrgency::of(gpu);
+    let facts = scheduler::job_facts(
         &next_gang,
         gpu,
         plan,
         &controller.settings,
         replica,
         0.0,
-        &queue_rank,
+        &urgency,
     );
     let gangs = controller.settings.policy.headroom(&facts);
     (gangs * f64::from(gpu.tasks)).round() as usize
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -89,7 +89,7 @@
         spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
     };
     replica
-        .blocked()
+        .blocked_jobs()
         .filter(|(_, awaited)| awaited.iter().all(ends_soon))
         .map(|(id, awaited)| DependentJob { id, awaited })
         .collect()
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -120,7 +120,7 @@
         }
         let request = find_request_of(&replica, id);
         let machine_shard = shard_id(&machine.zone, &machine.shard);
-        let has_machine_shard = machine_shards.has(&machine_shard);
+        let has_machine_shard = machine_shards.contains(&machine_shard);
         let adds_request = request.is_some_and(|request| !requests.contains_key(request.id));
         let added = usize::from(!has_machine_shard) + usize::from(adds_request);
         if machine_shards.len() + requests.len() + added > max_writes
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -33,7 +33,7 @@
     let now = Instant::now();
     // The requests are committed together, beside the fleet leader's own key.
     let max_requests = controller.settings.txn_ops().saturating_sub(2).max(1);
-    let first_seen = controller.placement.first_seen.borrow();
+    let first_seen = controller.placement.first_seen();
     let mut planner = ScaleOutPlanner::new(controller, &replica, &first_seen, now);
     let queue = scheduler::queue(
         &replica,
@@ -84,7 +84,7 @@
         first_seen: &'a FirstSeenTimes,
         now: Instant,
     ) -> Self {
-        let mut plan = Plan::of(replica);
+        let mut plan = Plan::from_replica(replica);
         add_incoming_capacity(&mut plan, replica, &controller.fleet.borrow().boots);
         ScaleOutPlanner {
             controller,
@@ -110,7 +110,7 @@
             for run in &job.runs {
                 let released = spec.need.times(run.tasks.len());
                 self.plan
-                    .give(self.replica, &run.machine, &spec.team, released);
+                    .release(self.replica, &run.machine, &spec.team, released);
             }
         }
     }
@@ -144,17 +144,10 @@
         let age = seen.map_or(0.0, |first| {
             self.now.saturating_duration_since(*first).as_secs_f64()
         });
-        let queue_rank = self.replica.queue_rank(id, spec, self.now);
+        let urgency = self.replica.effective_urgency(id, spec, self.now);
         let settings = &self.controller.settings;
-        let facts = scheduler::facts(
-            job,
-            spec,
-            &self.plan,
-            settings,
-            self.replica,
-            age,
-            &queue_rank,
-        );
+        let facts =
+            scheduler::job_facts(job, spec, &self.plan, settings, self.replica, age, &urgency);
         Some(JobDemand {
             id,
             spec,
@@ -171,7 +164,7 @@
     fn place_tasks(&mut self, demand: &mut JobDemand) {
         let settings = &self.controller.settings;
         let spec = demand.spec;
-        match scheduler::fit(
+        match scheduler::find_placements(
             &demand.planned,
             spec,
             &self.plan,
@@ -181,7 +174,7 @@
         ) {
             Ok(places) => {
                 for place in &places {
-                    self.plan.take(place, &spec.team, spec.need);
+                    self.plan.reserve(place, &spec.team, spec.need);
                 }
                 let places: Vec<_> = places.iter().collect();
                 scheduler::book(&mut demand.planned, spec, &places);
@@ -198,8 +191,8 @@
         let waiting = demand.planned.waiting();
         match self.controller.settings.team(&spec.team) {
             Some(terms) => {
-                let used = self.plan.used(&spec.team);
-                waiting.min(scheduler::team_slots(terms, &used, &spec.need))
+                let used = self.plan.team_used(&spec.team);
+                waiting.min(scheduler::tasks_within_quota(terms, &used, &spec.need))
             }
             None => waiting,
         }
@@ -235,8 +228,9 @@
             return DemandProgress::NeedsMore;
         }
         // What does not wait for capacity yet is not told so.
-        if self.replica.awaited(demand.id).is_empty() {
-            scheduler::note(self.controller, demand.id, WaitReason::Refused, self.now);
+        if self.replica.pending_dependencies(demand.id).is_empty() {
+            let placement = &self.controller.placement;
+            placement.record_wait_reason(demand.id, WaitReason::Refused, self.now);
         }
         DemandProgress::Settled
     }
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -36,7 +36,7 @@
         fleet.summary_timer.restart();
     }
     let replica = controller.replica.borrow();
-    let plan = Plan::of(&replica);
+    let plan = Plan::from_replica(&replica);
     let free_accelerator_slots: Vec<(&str, usize)> = replica
         .zone_names
         .all()
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -69,7 +69,7 @@
 
 impl<'a> FleetReview<'a> {
     fn new(controller: &'a Controller, replica: &'a Replica, now: Instant) -> Self {
-        let plan = Plan::of(replica);
+        let plan = Plan::from_replica(replica);
         FleetReview {
             controller,
             replica,
@@ -194,7 +194,7 @@
     replica.jobs_on(machine).all(|(id, entry)| {
         let job = &entry.value;
         let spec = job.spec.as_ref().filter(|_| job.is_open());
-        !replica.is_needed(id)
+        !replica.has_dependents(id)
             && spec.is_some_and(|spec| {
                 let slots = machine_type.resources().slots(&spec.need).max(1) as f64;
                 let max_price = cheapest_slot_price(replica, spec) * MAX_OPPORTUNISTIC_PRICE_RATIO;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -151,7 +151,7 @@
     pub fn announce(&self) {
         let revision = self.replica.borrow().revision;
         self.state_sync.advance_to(revision);
-        self.placement.placement_notify.notify_one();
+        self.placement.wake();
         self.workers.commands_notify.notify_one();
     }
 }
