--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::setup::{LIMIT, name, places, read, spec};
-use shelfhoist::scheduler::{Place, book, min_record_bytes, record_slots};
+use shelfhoist::scheduler::{TaskPlacement, book, min_record_bytes, tasks_within_record_limit};
 use shelfhoist::state::encoding;
 use shelfhoist::wire::Kind;
 
