--- /dev/null
+++ b/src/state/replica/jobs.rs
@@ -0,0 +1,189 @@
+//! What the replica works out of jobs' records as they come in: bookings by
+//! machine, resources in use, images.
+
+use std::collections::BTreeSet;
+
+use foldhash::HashMap;
+
+use super::{Entry, Replica};
+use crate::state::records::{Job, Ranges, Run};
+
+/// How many images are remembered of a machine.
+const MAX_IMAGES_PER_MACHINE: usize = 16;
+
+/// About what a gang's task takes of its job's record once it is placed, in bytes.
+const GANG_TASK_BYTES: usize = 20;
+
+/// Whether an open job's names, with a gang's placed tasks, take half of a record of
+/// `max_bytes`.
+pub(super) fn is_long(job: &Job, max_bytes: usize) -> bool {
+    let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
+        return false;
+    };
+    let placed_bytes = match spec.is_gang() {
+        true => spec.tasks as usize * GANG_TASK_BYTES,
+        false => 0,
+    };
+    spec.names_bytes() + placed_bytes > max_bytes / 2
+}
+
+/// What tells a job's runs apart.
+#[derive(PartialEq, Eq, Hash)]
+struct RunKey<'a> {
+    machine: &'a str,
+    attempt: u64,
+    stop: bool,
+}
+
+impl<'a> From<&'a Run> for RunKey<'a> {
+    fn from(run: &'a Run) -> Self {
+        RunKey {
+            machine: &run.machine,
+            attempt: run.attempt,
+            stop: run.stop,
+        }
+    }
+}
+
+/// The tasks of a job's runs.
+type TasksByRun<'a> = HashMap<RunKey<'a>, &'a Ranges>;
+
+fn tasks_by_run(job: Option<&Job>) -> TasksByRun<'_> {
+    let runs = job.into_iter().flat_map(|job| &job.runs);
+    runs.map(|run| (RunKey::from(run), &run.tasks)).collect()
+}
+
+fn machines_of<'a>(runs: &TasksByRun<'a>) -> BTreeSet<&'a str> {
+    runs.keys().map(|key| key.machine).collect()
+}
+
+/// Whether a job's bookings begin or cease to count.
+#[derive(Clone, Copy)]
+enum Count {
+    Add,
+    Remove,
+}
+
+impl Count {
+    fn sign(self) -> i64 {
+        match self {
+            Count::Add => 1,
+            Count::Remove => -1,
+        }
+    }
+}
+
+impl Replica {
+    /// Takes a job's record, or its removal.
+    pub(super) fn set_job(&mut self, id: &str, version: u64, job: Option<Job>) {
+        if self.jobs.get(id).is_some_and(|e| e.version >= version) {
+            return;
+        }
+        if job.is_none() && self.is_unreadable_job(id) && !self.is_open_or_unknown(id) {
+            // What is final stays so, whatever its record has come to be.
+            return;
+        }
+        let old = self.jobs.remove(id).map(|entry| entry.value);
+        self.long_jobs.remove(id);
+        self.index_job(id, old.as_ref(), job.as_ref());
+        if let Some(job) = job {
+            self.place_job(id, version, job);
+        }
+    }
+
+    fn is_open_or_unknown(&self, id: &str) -> bool {
+        self.jobs.get(id).is_none_or(|entry| entry.value.is_open())
+    }
+
+    /// Puts a job into the table, and into what follows from its dependencies.
+    pub(super) fn place_job(&mut self, id: &str, version: u64, job: Job) {
+        let limit = self.compact_limit;
+        if limit.is_some_and(|max_bytes| is_long(&job, max_bytes)) {
+            self.long_jobs.insert(id.to_string());
+        }
+        let value = job;
+        self.jobs.insert(id.to_string(), Entry { version, value });
+        self.index_job_dependencies(id);
+    }
+
+    /// Brings what follows from a job's runs up to date.
+    fn index_job(&mut self, id: &str, old: Option<&Job>, new: Option<&Job>) {
+        self.count_bookings(old, Count::Remove);
+        self.count_bookings(new, Count::Add);
+        let (before, after) = (tasks_by_run(old), tasks_by_run(new));
+        let is_open = |job: Option<&Job>| job.is_some_and(Job::is_open);
+        // Whether a job runs may be all that has changed for its machines.
+        let all_changed = is_open(old) != is_open(new);
+        self.mark_changed_machines(&before, &after, all_changed);
+        self.mark_changed_machines(&after, &before, all_changed);
+        let (machines_before, machines_after) = (machines_of(&before), machines_of(&after));
+        for machine in machines_before.difference(&machines_after) {
+            self.remove_booking(machine, id);
+        }
+        let spec = new.and_then(|job| job.spec.as_ref());
+        let image = spec.map(|spec| self.image_names.number(&spec.image));
+        for machine in machines_after.difference(&machines_before) {
+            let jobs = self.bookings.entry(machine.to_string()).or_default();
+            jobs.insert(id.to_string());
+            if let Some(image) = image {
+                self.remember_image(machine, image);
+            }
+        }
+        if let Some(old) = old.filter(|job| job.is_open()) {
+            self.unindex_job_dependencies(id, old);
+        }
+    }
+
+    /// Counts what a job's runs take, or no longer take.
+    fn count_bookings(&mut self, job: Option<&Job>, count: Count) {
+        let Some(job) = job else { return };
+        let Some(spec) = &job.spec else { return };
+        let mut tasks = 0;
+        for run in &job.runs {
+            let run_tasks = count.sign() * run.tasks.len() as i64;
+            tasks += run_tasks;
+            let machine = self.machine_names.number(&run.machine);
+            *self.booked.entry(machine).or_default() += spec.need.scaled(run_tasks);
+        }
+        if tasks == 0 {
+            return;
+        }
+        let resources = spec.need.scaled(tasks);
+        *self.team_booked.entry(spec.team.clone()).or_default() += resources;
+        let by_share = self.share_booked.entry(spec.team.clone()).or_default();
+        by_share.add(job.share.as_ref(), resources);
+    }
+
+    /// Marks the machines of runs that are not the same among the others, or of all.
+    fn mark_changed_machines(&mut self, runs: &TasksByRun, others: &TasksByRun, all: bool) {
+        for (key, tasks) in runs {
+            if all || others.get(key) != Some(tasks) {
+                self.changes.machines.insert(key.machine.to_string());
+            }
+        }
+    }
+
+    fn remove_booking(&mut self, machine: &str, id: &str) {
+        let Some(jobs) = self.bookings.get_mut(machine) else {
+            return;
+        };
+        jobs.remove(id);
+        if jobs.is_empty() {
+            self.bookings.remove(machine);
+        }
+    }
+
+    /// Remembers an image as the latest that a machine was sent.
+    fn remember_image(&mut self, machine: &str, image: u32) {
+        let machine = self.machine_names.number(machine);
+        let images = self.images.entry(machine).or_default();
+        if images.last() == Some(&image) {
+            return;
+        }
+        images.retain(|known| *known != image);
+        images.push(image);
+        if images.len() > MAX_IMAGES_PER_MACHINE {
+            images.remove(0);
+        }
+    }
+}
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -1,12 +1,10 @@
 //! Questions to the replica.
 
-use std::rc::Rc;
-
 use foldhash::HashMap;
 
-use super::{Entry, MachineClass, PlanSlot, Replica};
+use super::{Entry, Replica};
 use crate::state::keys::{machine_shard_key, team_key, zone_shard_key};
-use crate::state::records::{Job, MachineSlot, Resources};
+use crate::state::records::{Job, Resources};
 use crate::wire::MachineType;
 
 impl Replica {
@@ -18,22 +16,6 @@
             .map_or_else(absent, |e| e.version)
     }
 
-    /// The number of a class of machines, if it has one.
-    pub fn find_class(&self, kind: &str, zone: &str, spot: bool) -> Option<u32> {
-        let key = (kind.to_string(), zone.to_string(), spot);
-        self.class_numbers.get(&key).copied()
-    }
-
-    /// The machine type of a class, if the cloud still offers it.
-    pub fn class_type(&self, class: &MachineClass) -> Option<&crate::wire::MachineType> {
-        self.types.value.types.get(class.type_index?)
-    }
-
-    /// All machines that take work.
-    pub fn plan_slots(&self) -> impl Iterator<Item = &PlanSlot> {
-        self.plan_slots.values().flatten()
-    }
-
     /// The number of an image that some machine has been sent.
     pub fn image(&self, image: &str) -> Option<u32> {
         self.image_names.find(image)
@@ -62,21 +44,8 @@
         booked.copied().unwrap_or_default()
     }
 
-    /// A machine that takes work, with its room as the bookings of this replica
-    /// leave it. Whoever books more there writes its zone shard, so that a commit
-    /// guarded by the zone shard's version counts on no less than this.
-    pub fn with_free_resources(&self, spot: &PlanSlot) -> PlanSlot {
-        let kind = self.class_type(&self.classes[spot.class as usize]);
-        let booked = self.booked.get(&spot.machine).copied().unwrap_or_default();
-        let room = kind.map_or(Resources::default(), MachineType::resources);
-        PlanSlot {
-            free: room - booked - spot.free,
-            ..*spot
-        }
-    }
-
     /// The machine type of this name, if the cloud offers it.
-    pub fn machine_type(&self, kind: &str) -> Option<&crate::wire::MachineType> {
+    pub fn machine_type(&self, kind: &str) -> Option<&MachineType> {
         self.types.value.types.iter().find(|t| t.name == kind)
     }
 
@@ -87,20 +56,6 @@
         if least.is_finite() { least } else { 0.0 }
     }
 
-    /// The slot that a machine has in its zone's record.
-    pub fn slot(&self, machine: &str) -> Option<&MachineSlot> {
-        let shard = self.zone_shards.get(&*self.zone_shard_of(machine)?)?;
-        shard.value.machines.get(machine)
-    }
-
-    /// The zone shard that has a machine's slot. Any of its home's may: they are
-    /// merged while there is room, as a commit writes few.
-    pub fn zone_shard_of(&self, machine: &str) -> Option<Rc<str>> {
-        let number = self.machine_names.find(machine)?;
-        let shard = self.slot_shards.get(&number)?;
-        Some(self.zone_shard_names.name(*shard))
-    }
-
     /// Whether a zone shard stands in the compact encoding: nothing that was decided before
     /// these were written can change it any more, as its version is a newer one.
     pub fn is_compact_zone_shard(&self, id: &str) -> bool {
--- a/src/state/replica/unreadable.rs
+++ b/src/state/replica/unreadable.rs
@@ -4,11 +4,18 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-use super::{Replica, parse};
+use super::Replica;
 use crate::state::keys::job_key;
 
+/// Reads a record's text; one that cannot be read is logged.
+pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
+    serde_json::from_str(value.get())
+        .inspect_err(|error| tracing::error!(key, %error, "record not understood"))
+        .ok()
+}
+
 impl Replica {
-    /// Reads a record's text; one that cannot be read is logged and noted.
+    /// Reads a record's text; one that cannot be read is logged, and its version kept.
     pub(super) fn read<T: DeserializeOwned>(
         &mut self,
         key: &str,
--- /dev/null
+++ b/src/state/replica/updates.rs
@@ -0,0 +1,242 @@
+//! How news of records gets into the replica: full reads, the watch, and commits of
+//! this controller.
+
+use serde::de::DeserializeOwned;
+use serde_json::value::RawValue;
+
+use super::{Entry, Replica, Table};
+use crate::state::encoding::is_compact_zone_shard;
+use crate::state::keys::PREFIX;
+use crate::state::records::Job;
+use crate::wire::{Event, Pair, Write};
+
+/// One record as it is from a version on; without a value it is removed.
+#[derive(Clone, Copy)]
+pub(super) struct RecordUpdate<'a> {
+    pub(super) key: &'a str,
+    /// The part of the key behind its table.
+    pub(super) id: &'a str,
+    pub(super) version: u64,
+    pub(super) value: Option<&'a RawValue>,
+}
+
+/// Whether a record is older than this version, or there is none.
+fn is_older<T>(entry: Option<&Entry<T>>, version: u64) -> bool {
+    entry.is_none_or(|entry| entry.version < version)
+}
+
+/// Sets or removes a record, unless the table has a newer one; false in that case.
+pub(super) fn put<T>(table: &mut Table<T>, id: &str, version: u64, value: Option<T>) -> bool {
+    if !is_older(table.get(id), version) {
+        return false;
+    }
+    match value {
+        Some(value) => {
+            table.insert(id.to_string(), Entry { version, value });
+        }
+        None => {
+            table.remove(id);
+        }
+    }
+    true
+}
+
+impl Replica {
+    /// Takes a full read in place of what was known.
+    pub fn reload(&mut self, pairs: Vec<Pair>, revision: u64) {
+        let old = std::mem::take(self);
+        let mut changes = old.changes;
+        changes.machines.extend(old.machines.into_keys());
+        *self = Replica {
+            images: old.images,
+            image_names: old.image_names,
+            machine_names: old.machine_names,
+            zone_shard_names: old.zone_shard_names,
+            zone_names: old.zone_names,
+            classes: old.classes,
+            class_numbers: old.class_numbers,
+            gpu_spec: old.gpu_spec,
+            compact_limit: old.compact_limit,
+            slo_classes: old.slo_classes,
+            changes,
+            dependency_graph: old.dependency_graph.after_reload(),
+            loaded: true,
+            revision,
+            ..Replica::default()
+        };
+        for pair in pairs {
+            self.set(&pair.key, pair.version, Some(&pair.value));
+        }
+        // A page may be newer than the revision of the first: the watch goes
+        // on from the oldest, and older events than an entry are passed over.
+    }
+
+    /// Takes what the watch brought.
+    pub fn advance(&mut self, events: Vec<Event>, revision: u64) {
+        for event in events {
+            match (&event.set, &event.remove) {
+                (Some(key), _) => self.set(key, event.version, event.value.as_deref()),
+                (None, Some(key)) => self.set(key, event.version, None),
+                (None, None) => tracing::debug!("watch event without a key"),
+            }
+        }
+        self.revision = self.revision.max(revision);
+        let reached = self.revision;
+        self.removed.retain(|_, version| *version > reached);
+    }
+
+    /// Lays a commit of our own over the replica, ahead of the watch.
+    pub fn overlay(&mut self, writes: &[Write], revision: u64) {
+        for write in writes {
+            match write {
+                Write::Put { key, value, .. } => self.set(key, revision, Some(value)),
+                Write::Delete { key } => {
+                    self.set(key, revision, None);
+                    if revision > self.revision {
+                        self.removed.insert(key.clone(), revision);
+                    }
+                }
+            }
+        }
+    }
+
+    fn set(&mut self, key: &str, version: u64, value: Option<&RawValue>) {
+        if self.is_outdated(key, version) {
+            return;
+        }
+        self.unreadable.remove(key);
+        let Some(path) = key.strip_prefix(PREFIX) else {
+            return;
+        };
+        let (table, id) = path.split_once('/').unwrap_or((path, ""));
+        self.track_size(key, value);
+        let update = RecordUpdate {
+            key,
+            id,
+            version,
+            value,
+        };
+        if matches!(table, "machine" | "types" | "formats") {
+            self.machine_sums.set(None);
+        }
+        self.set_record(table, update);
+    }
+
+    /// Whether a newer removal is known of this key, or a newer record that cannot be
+    /// read.
+    fn is_outdated(&self, key: &str, version: u64) -> bool {
+        let is_known = |known: Option<&u64>| known.is_some_and(|known| *known >= version);
+        is_known(self.removed.get(key)) || is_known(self.unreadable.get(key))
+    }
+
+    /// Keeps the list of records that exceed the coming limit.
+    fn track_size(&mut self, key: &str, value: Option<&RawValue>) {
+        let Some(limit) = self.compact_limit else {
+            return;
+        };
+        // Older news may come after newer: what looks at this looks at the
+        // record itself then.
+        let bytes = value.map_or(0, |value| value.get().len());
+        if bytes > limit {
+            self.oversized_records.insert(key.to_string(), bytes);
+        } else {
+            self.oversized_records.remove(key);
+        }
+    }
+
+    /// Sets a record in the table that its key names.
+    fn set_record(&mut self, table: &str, update: RecordUpdate) {
+        match table {
+            "job" => {
+                let job = self.read_update::<Job>(update);
+                self.set_job(update.id, update.version, job);
+            }
+            "team" => self.set_in_table(|replica| &mut replica.teams, update),
+            "share" => self.set_in_table(|replica| &mut replica.shares, update),
+            "use" => self.set_in_table(|replica| &mut replica.share_uses, update),
+            "move" => self.set_in_table(|replica| &mut replica.moves, update),
+            "hire" => self.set_in_table(|replica| &mut replica.provisioning_requests, update),
+            "node" => self.set_in_table(|replica| &mut replica.controllers, update),
+            "pool" => self.set_single(|replica| &mut replica.pool, update),
+            "fleet" => self.set_single(|replica| &mut replica.fleet, update),
+            "zone" => self.set_zone_shard(update),
+            "machine" => {
+                let machine_shard = self.read_update(update);
+                self.set_machine_shard(update.id, update.version, machine_shard);
+            }
+            "new" => self.set_accepted_batch(update),
+            "types" => {
+                if self.set_permanent(|replica| &mut replica.types, update) {
+                    self.index_machine_types();
+                }
+            }
+            "formats" => {
+                self.set_permanent(|replica| &mut replica.formats, update);
+            }
+            _ => tracing::debug!(key = update.key, "unknown key"),
+        }
+    }
+
+    fn set_in_table<T: DeserializeOwned>(
+        &mut self,
+        table: impl FnOnce(&mut Replica) -> &mut Table<T>,
+        update: RecordUpdate,
+    ) {
+        let record = self.read_update(update);
+        put(table(self), update.id, update.version, record);
+    }
+
+    /// Sets a record of which there is at most one.
+    fn set_single<T: DeserializeOwned>(
+        &mut self,
+        slot: impl Fn(&mut Replica) -> &mut Option<Entry<T>>,
+        update: RecordUpdate,
+    ) {
+        let version = update.version;
+        if !is_older(slot(self).as_ref(), version) {
+            return;
+        }
+        let record = self.read_update(update);
+        *slot(self) = record.map(|value| Entry { version, value });
+    }
+
+    /// Sets a record that is never removed; its last readable text stays in force. True
+    /// if it was set.
+    fn set_permanent<T: DeserializeOwned>(
+        &mut self,
+        entry: impl FnOnce(&mut Replica) -> &mut Entry<T>,
+        update: RecordUpdate,
+    ) -> bool {
+        let version = update.version;
+        let Some(value) = self.read_update(update) else {
+            return false;
+        };
+        let entry = entry(self);
+        let is_newer = version > entry.version;
+        if is_newer {
+            *entry = Entry { version, value };
+        }
+        is_newer
+    }
+
+    fn set_zone_shard(&mut self, update: RecordUpdate) {
+        let RecordUpdate {
+            id, version, value, ..
+        } = update;
+        let shard = self.read_update(update);
+        if !put(&mut self.zone_shards, id, version, shard) {
+            return;
+        }
+        if value.is_some_and(|value| is_compact_zone_shard(value.get())) {
+            self.compact_zone_shards.insert(id.to_string());
+        } else {
+            self.compact_zone_shards.remove(id);
+        }
+        self.index_zone_shard(id);
+    }
+
+    /// Reads the record of an update; `None` if it is removed or cannot be read.
+    fn read_update<T: DeserializeOwned>(&mut self, update: RecordUpdate) -> Option<T> {
+        self.read(update.key, update.version, update.value?)
+    }
+}
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -3,7 +3,7 @@
 use serde_json::value::RawValue;
 
 use super::Replica;
-use super::index::is_long;
+use super::jobs::is_long;
 use crate::state::encoding::zone_shard_bytes_bound;
 use crate::state::keys::{job_key, machine_shard_key, zone_shard_key};
 use crate::state::record_trim::{self, TrimContext};
