--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -1,4 +1,4 @@
-//! Room for a booking: of the share itself, else from the team's other shares, else
+//! Capacity for a booking: of the share itself, else from the team's other shares, else
 //! from the pool, else from what other teams' shares have free.
 
 use std::cmp::Reverse;
@@ -9,9 +9,8 @@
 use crate::ledger::Ledger;
 use crate::names::{ControllerName, TeamName};
 use crate::records::Pool;
-use crate::transfer::balance;
 
-/// Why a booking gets no room.
+/// Why a booking gets no capacity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Shortage {
     /// The team's bookings do not count against shares.
@@ -29,7 +28,7 @@
     Partial(Box<Change>),
 }
 
-/// The room that a booking needs in a controller's share, with all that has to be
+/// The capacity that a booking needs in a controller's share, with all that has to be
 /// written for it beside the booking itself. What it reads is part of the change: the
 /// booking writes the record of use, and is guarded by the split. The change writes at
 /// most `max_writes` records, of which there have to be three.
@@ -54,7 +53,7 @@
     let max_others = max_writes.saturating_sub(2);
     match grow(&mut draft, ledger, team, controller, lacking, max_others) {
         Ok(()) => Ok(draft.finish()),
-        Err(Shortage::Machines) if draft.shrunk(team) >= max_others.max(1) => {
+        Err(Shortage::Machines) if draft.written_shares_of_others(team) >= max_others.max(1) => {
             Err(Shortage::Partial(Box::new(draft.finish())))
         }
         Err(shortage) => Err(shortage),
@@ -71,7 +70,7 @@
     (need - draft.free(team, controller.as_str())).positive()
 }
 
-/// Takes what is lacking out of the free room of the team's other shares, the largest
+/// Takes what is lacking out of the free capacity of the team's other shares, the largest
 /// first.
 fn pull_from_siblings(
     draft: &mut Draft,
@@ -93,12 +92,12 @@
         if let Some(share) = draft.edit_share(team) {
             share.add_granted(&sibling, Resources::default() - part);
             share.add_granted(controller, part);
-            balance(share);
+            share.rebalance();
         }
     }
 }
 
-/// Grows a share by what it lacks, from the pool and from other teams' free room.
+/// Grows a share by what it lacks, from the pool and from other teams' free capacity.
 fn grow(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -109,19 +108,19 @@
 ) -> Result<(), Shortage> {
     let limit = ledger.teams.get(team).map(|account| account.limit);
     let total = draft.share(team).map(|share| share.total());
-    let below_limit = limit
+    let remaining = limit
         .unwrap_or_default()
         .remaining(total.unwrap_or_default());
-    if !below_limit.fits(&lacking) {
+    if !remaining.fits(&lacking) {
         return Err(Shortage::Limit(team.clone()));
     }
-    let Some(mut pool) = pool_with_room(draft, ledger, team, lacking, max_others) else {
+    let Some(mut pool) = pool_with_free(draft, ledger, team, lacking, max_others) else {
         return Err(Shortage::Machines);
     };
     let more = lacking
         .scaled(i64::from(ledger.growth))
         .min(&pool.free())
-        .min(&below_limit);
+        .min(&remaining);
     let part = lacking.max(&more);
     pool.granted += part;
     draft.set_pool(pool);
@@ -132,8 +131,8 @@
 }
 
 /// The pool with as much free as is lacking: machines that have come since count from now
-/// on, and other teams give free room back. `None` if that is not enough.
-pub(crate) fn pool_with_room(
+/// on, and other teams give free capacity back. `None` if that is not enough.
+pub(crate) fn pool_with_free(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
@@ -150,7 +149,7 @@
     draft.pool().filter(|pool| pool.free().fits(&lacking))
 }
 
-/// Gives free room of other teams, of so many at most, back to the pool until it has as
+/// Gives free capacity of other teams, of so many at most, back to the pool until it has as
 /// much as is lacking.
 fn shrink_others(
     draft: &mut Draft,
@@ -162,14 +161,14 @@
     for other in ledger.teams.keys().filter(|name| *name != team) {
         let Some(pool) = draft.pool() else { return };
         let missing = (lacking - pool.free()).positive();
-        if missing.is_empty() || draft.shrunk(team) == max_others {
+        if missing.is_empty() || draft.written_shares_of_others(team) == max_others {
             return;
         }
         shrink_team(draft, other, missing);
     }
 }
 
-/// Gives as much of a team's free room back to the pool as is asked for and there is.
+/// Gives as much of a team's free capacity back to the pool as is asked for and there is.
 pub(crate) fn shrink_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
     let controllers = draft.share(team).map(|share| share.controllers());
     let mut missing = wanted;
@@ -182,7 +181,7 @@
         draft.read_use(team, &controller);
         if let Some(share) = draft.edit_share(team) {
             share.add_granted(&controller, Resources::default() - part);
-            balance(share);
+            share.rebalance();
         }
         pool.granted -= part;
         draft.set_pool(pool);
--- a/crates/shares/src/capacity.rs
+++ b/crates/shares/src/capacity.rs
@@ -2,7 +2,7 @@
 //!
 //! Capacity is never more than the machines on record have. It rises late, with a
 //! growth or by itself, and falls before, or in, the commit that takes a machine off
-//! the record. There is always free room to take it from: bookings are on machines, and
+//! the record. There is always free capacity to take it from: bookings are on machines, and
 //! no machine with a booking leaves the record, so that what is booked never exceeds
 //! what the remaining machines have.
 
@@ -19,7 +19,7 @@
 pub struct CapacityShortage;
 
 /// The change that brings the capacity to what the machines have that stay, as far as
-/// shares have free room; `None` if there is nothing to do. A first pool is made by it. It
+/// shares have free capacity; `None` if there is nothing to do. A first pool is made by it. It
 /// writes at most `max_writes` records: what is left to shrink comes next.
 pub fn adjust_capacity(ledger: &Ledger, max_writes: usize) -> Option<Change> {
     let mut draft = Draft::new(ledger);
@@ -34,7 +34,7 @@
         }
     }
     let mut pool = draft.pool().unwrap_or_default();
-    // Bookings on machines that are about to leave still need their room.
+    // Bookings on machines that are about to leave still need their capacity.
     pool.capacity = ledger.staying.max(&pool.granted);
     draft.set_pool(pool);
     let change = draft.finish();
--- a/crates/shares/src/change.rs
+++ b/crates/shares/src/change.rs
@@ -85,7 +85,7 @@
 
     /// A team's split as the change leaves it.
     pub(crate) fn share(&self, team: &TeamName) -> Option<&Share> {
-        let known = || self.ledger.teams.get(team)?.share.as_ref();
+        let known = || self.ledger.share(team);
         self.change.shares.get(team).or_else(known)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// How many splits of other teams are written.
-    pub(crate) fn shrunk(&self, team: &TeamName) -> usize {
+    pub(crate) fn written_shares_of_others(&self, team: &TeamName) -> usize {
         let others = self.change.shares.keys().filter(|name| *name != team);
         others.count()
     }
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -17,21 +17,23 @@
 }
 
 impl TeamLimit {
-    /// What the team may have beside an amount that it has.
+    /// What the team may have beyond an amount that it has; negative where it has more
+    /// than its limit.
+    #[must_use]
     pub fn remaining(&self, has: Resources) -> Resources {
-        let beside = |limit: Option<Amount>, has: Amount| match limit {
+        let remaining = |limit: Option<Amount>, has: Amount| match limit {
             Some(limit) => Amount(limit.0 - has.0),
             None => Amount(UNLIMITED),
         };
         Resources {
-            cpus: beside(self.cpus, has.cpus),
-            gpus: beside(self.gpus, has.gpus),
+            cpus: remaining(self.cpus, has.cpus),
+            gpus: remaining(self.gpus, has.gpus),
             ram: Amount(UNLIMITED),
         }
     }
 }
 
-/// More than any fleet has, with room to add to it.
+/// More than any fleet has, far enough from overflow to add to it.
 const UNLIMITED: i64 = i64::MAX / 4;
 
 /// What is accounted for one team.
@@ -39,7 +41,7 @@
 pub struct TeamAccount {
     /// The team's limit.
     pub limit: TeamLimit,
-    /// The split of its room, while its bookings count against shares.
+    /// The split of its limit, while its bookings count against shares.
     pub share: Option<Share>,
     /// What is booked, by the controller whose share it counts against.
     pub used: Split,
@@ -124,6 +126,11 @@
 }
 
 impl Ledger {
+    /// The split of a team's limit, if its bookings count against shares.
+    pub(crate) fn share(&self, team: &TeamName) -> Option<&Share> {
+        self.teams.get(team)?.share.as_ref()
+    }
+
     /// All breaches of the invariants.
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -5,7 +5,7 @@
 
 use resources::Resources;
 
-use crate::booking::pool_with_room;
+use crate::booking::pool_with_free;
 use crate::change::{Change, Draft};
 use crate::ledger::Ledger;
 use crate::names::{ControllerName, TeamName};
@@ -20,7 +20,7 @@
     /// There is no pool yet, or it does not hold what is booked.
     #[error("the pool does not hold what is booked yet")]
     PoolTooSmall,
-    /// Other teams' free room is more than one commit takes back: this is to be committed
+    /// Other teams' free capacity is more than one commit takes back: this is to be committed
     /// first.
     #[error("other teams have to give room back first")]
     Partial(Box<Change>),
@@ -47,8 +47,8 @@
     }
     // The split, the pool and the team's own record are written anyway.
     let max_others = max_writes.saturating_sub(3);
-    let Some(mut pool) = pool_with_room(&mut draft, ledger, team, total, max_others) else {
-        return Err(match draft.shrunk(team) {
+    let Some(mut pool) = pool_with_free(&mut draft, ledger, team, total, max_others) else {
+        return Err(match draft.written_shares_of_others(team) {
             0 => OpenError::PoolTooSmall,
             _ => OpenError::Partial(Box::new(draft.finish())),
         });
--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -43,6 +43,16 @@
         self.pending.get(controller).copied().unwrap_or_default()
     }
 
+    /// What a controller is still to give.
+    pub(crate) fn owed_by(&self, controller: &str) -> Resources {
+        (Resources::default() - self.pending_for(controller)).positive()
+    }
+
+    /// What a controller is still to receive, nothing where it is to give.
+    pub(crate) fn due_to(&self, controller: &str) -> Resources {
+        self.pending_for(controller).positive()
+    }
+
     /// What a controller will have once nothing is left to move.
     pub fn target_for(&self, controller: &str) -> Resources {
         self.granted_to(controller) + self.pending_for(controller)
--- /dev/null
+++ b/crates/shares/src/unblock.rs
@@ -0,0 +1,69 @@
+//! Free capacity for a receiver, where every job that could be taken along is larger
+//! than what is left to move.
+
+use resources::{Amount, Resources};
+
+use crate::booking::reserve;
+use crate::change::Change;
+use crate::ledger::Ledger;
+use crate::names::{ControllerName, TeamName};
+use crate::records::Share;
+use crate::transfer::JobBooking;
+
+/// The change that gives a receiver the free capacity without which no job can be taken
+/// along, as the smallest one is larger than what is left to move; the next step then
+/// takes it. `None` if that is not what is in the way, or there is no such capacity.
+pub fn reserve_for_smallest_job(
+    ledger: &Ledger,
+    team: &TeamName,
+    jobs: &[JobBooking],
+    max_writes: usize,
+) -> Option<Change> {
+    let pending = FirstPending::of(ledger.share(team)?)?;
+    let smallest = jobs
+        .iter()
+        .filter(|job| job.controller == pending.from)
+        .filter(|job| !pending.left.min(&job.booked).is_empty())
+        .min_by_key(|job| (job.booked.cpus, &job.job))?;
+    let needed = excess_over(pending.left, smallest.booked);
+    let change = reserve(ledger, team, &pending.to, needed, max_writes).ok()?;
+    (change.writes() > 0).then_some(change)
+}
+
+/// The first pair of controllers between which something is left to move.
+struct FirstPending {
+    from: ControllerName,
+    to: ControllerName,
+    left: Resources,
+}
+
+impl FirstPending {
+    fn of(share: &Share) -> Option<Self> {
+        let controllers = share.controllers();
+        let from = controllers
+            .iter()
+            .find(|name| !share.owed_by(name.as_str()).is_empty())?;
+        let owed = share.owed_by(from.as_str());
+        let to = controllers
+            .iter()
+            .find(|name| !owed.min(&share.due_to(name.as_str())).is_empty())?;
+        Some(FirstPending {
+            left: owed.min(&share.due_to(to.as_str())),
+            from: from.clone(),
+            to: to.clone(),
+        })
+    }
+}
+
+/// What bookings take beyond what is left to move, where something is.
+fn excess_over(left: Resources, booked: Resources) -> Resources {
+    let excess = |left: Amount, booked: Amount| match left.0 {
+        0 => Amount(0),
+        left => Amount((booked.0 - left).max(0)),
+    };
+    Resources {
+        cpus: excess(left.cpus, booked.cpus),
+        gpus: excess(left.gpus, booked.gpus),
+        ram: excess(left.ram, booked.ram),
+    }
+}
--- a/src/accounting/mod.rs
+++ b/src/accounting/mod.rs
@@ -6,19 +6,25 @@
 //! | --- | --- |
 //! | `booking` | what the bookings of one transaction count against |
 //! | `commit` | a change as conditions and writes |
-//! | `messages`, `operators` | what operators ask: the splits, moves, and a new move |
-//! | `reconcile` | the loop, and the next step that it takes |
+//! | `messages`, `operators` | operators' queries: the splits and the moves |
+//! | `move_request` | an operator's request of a move |
+//! | `reconcile` | the next step of the accounting by shares |
+//! | `share_loop` | the loop that commits these steps |
 
 mod booking;
 mod commit;
 mod messages;
+mod move_request;
 mod operators;
 mod reconcile;
+mod share_loop;
 
 pub use booking::{BookingAccounts, BookingRequest, CommitCapacity};
 pub use commit::CommitParts;
 pub use messages::{
     Amounts, ControllerShare, MoveAnswer, MoveReport, MoveRequest, ShareReport, TeamShares,
 };
-pub use operators::{move_share, moves, shares};
-pub use reconcile::{ReconcileStep, next_reconcile_step, run_shares};
+pub use move_request::move_share;
+pub use operators::{moves, shares};
+pub use reconcile::{ReconcileStep, next_reconcile_step};
+pub use share_loop::run_shares;
--- /dev/null
+++ b/src/accounting/move_request.rs
@@ -0,0 +1,194 @@
+//! An operator's request to move a part of a share to another controller.
+//!
+//! A move is one commit, guarded by the split and by its id being new: a request that
+//! is repeated takes effect once.
+
+use shares::{Change, ControllerName, MoveError, MoveRecord, TeamName, request_move};
+
+use super::CommitParts;
+use super::messages::{MoveAnswer, MoveRequest};
+use super::operators::{RETRY_AFTER_S, move_answer, move_report, refusal};
+use crate::controller::Controller;
+use crate::http::Response;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::state::commit::{guard, put};
+use crate::state::keys::move_key;
+use crate::state::records::Resources;
+use crate::state::replica::Replica;
+use crate::wire::{Guard, Write};
+
+/// How often a move is decided again after a conflict.
+const MAX_ATTEMPTS: usize = 8;
+
+/// The longest id of an operation.
+const MAX_ID_BYTES: usize = 64;
+
+/// Why a requested move is not carried out.
+#[derive(Debug, thiserror::Error)]
+enum MoveRefusal {
+    #[error("an id has 1 to 64 letters, digits, dashes or dots")]
+    InvalidId,
+    #[error("an amount is negative, too large or not a number")]
+    InvalidAmount,
+    #[error("no controller {0}")]
+    UnknownController(String),
+    #[error("no team {0}")]
+    UnknownTeam(TeamName),
+    #[error("the id stands for another move")]
+    IdInUse,
+    #[error("the team's split cannot be read")]
+    SplitUnreadable,
+    #[error(transparent)]
+    Move(#[from] MoveError),
+}
+
+impl From<MoveRefusal> for Response {
+    fn from(refusal: MoveRefusal) -> Self {
+        let problem = refusal.to_string();
+        match refusal {
+            MoveRefusal::SplitUnreadable => Response::unavailable(&problem, RETRY_AFTER_S),
+            _ => Response::error(400, &problem),
+        }
+    }
+}
+
+/// What is to be done about a requested move.
+enum MoveDecision {
+    /// It is known already, or only asked about.
+    Answer(MoveAnswer),
+    /// It is to be committed, and then decided again.
+    Commit {
+        guards: Vec<Guard>,
+        writes: Vec<Write>,
+    },
+}
+
+/// The answer to `POST /ops/shares/move`.
+pub async fn move_share(controller: &Controller, body: &[u8]) -> Response {
+    let Ok(request) = serde_json::from_slice::<MoveRequest>(body) else {
+        return Response::error(400, "not a move");
+    };
+    for _ in 0..MAX_ATTEMPTS {
+        if !controller.is_state_service_reachable() {
+            break;
+        }
+        if let Some(refusal) = refusal(controller, &controller.replica.borrow()) {
+            return refusal;
+        }
+        match decide(controller, &request) {
+            Err(refusal) => return refusal.into(),
+            Ok(MoveDecision::Answer(answer)) => return Response::json(200, &answer),
+            Ok(MoveDecision::Commit { guards, writes }) => {
+                if !commit_move(controller, guards, writes).await {
+                    break;
+                }
+            }
+        }
+    }
+    Response::unavailable("the state service does not answer", RETRY_AFTER_S)
+}
+
+/// Commits a move; false if the state service does not answer. Whether the commit took
+/// effect, the replica tells.
+async fn commit_move(controller: &Controller, guards: Vec<Guard>, writes: Vec<Write>) -> bool {
+    let committed = controller
+        .commit(RequestClass::Accept, guards, writes)
+        .await;
+    match committed {
+        Ok(_) => return true,
+        Err(StoreError::Conflict(_)) => controller.expedite_watch(),
+        Err(error) if error.is_refusal() => return false,
+        Err(error) => tracing::debug!(%error, "share move commit failed"),
+    }
+    // What has come between is on its way; or the commit was carried out.
+    let limit = controller.settings.worker_lease() / 8;
+    controller.barrier(limit).await
+}
+
+/// Decides on the replica whether a move is known, refused, or to be committed.
+fn decide(controller: &Controller, request: &MoveRequest) -> Result<MoveDecision, MoveRefusal> {
+    let replica = controller.replica.borrow();
+    if let Some(entry) = replica.moves.get(&request.id) {
+        return repeated_move(controller, &replica, request, &entry.value);
+    }
+    let amount = validated_amount(controller, request)?;
+    let mut ledger = replica.ledger(&controller.settings);
+    let team = TeamName::from(request.team.as_str());
+    if !ledger.teams.contains_key(&team) {
+        return Err(MoveRefusal::UnknownTeam(team));
+    }
+    if replica.is_share_unreadable(team.as_str()) {
+        return Err(MoveRefusal::SplitUnreadable);
+    }
+    let from = ControllerName::from(request.from.as_str());
+    let to = ControllerName::from(request.to.as_str());
+    let share = request_move(&ledger, &team, &from, &to, amount)?;
+    let record = MoveRecord {
+        team: team.clone(),
+        from,
+        to,
+        amount,
+        generation: share.generation,
+    };
+    let mut change = Change::default();
+    change.shares.insert(team, share);
+    if request.dry_run {
+        change.apply(&mut ledger);
+        return Ok(MoveDecision::Answer(MoveAnswer {
+            revision: replica.revision,
+            moves: vec![move_report(&ledger, &request.id, &record)],
+        }));
+    }
+    let mut parts = CommitParts::new(&replica);
+    parts.add_change(&change);
+    let key = move_key(&request.id);
+    let version = replica.absent_version(&key);
+    parts.guards.push(guard(key.clone(), version));
+    parts.writes.push(put(key, &record));
+    Ok(MoveDecision::Commit {
+        guards: parts.guards,
+        writes: parts.writes,
+    })
+}
+
+/// The amount of a move whose fields are valid.
+fn validated_amount(
+    controller: &Controller,
+    request: &MoveRequest,
+) -> Result<Resources, MoveRefusal> {
+    if !is_valid_id(&request.id) {
+        return Err(MoveRefusal::InvalidId);
+    }
+    let amount = request.amount.resources();
+    let amount = amount.ok_or(MoveRefusal::InvalidAmount)?;
+    let controllers = controller.settings.controllers();
+    for name in [&request.from, &request.to] {
+        if !controllers.contains(&name.as_str()) {
+            return Err(MoveRefusal::UnknownController(name.clone()));
+        }
+    }
+    Ok(amount)
+}
+
+/// The answer to a move whose id is known.
+fn repeated_move(
+    controller: &Controller,
+    replica: &Replica,
+    request: &MoveRequest,
+    known: &MoveRecord,
+) -> Result<MoveDecision, MoveRefusal> {
+    let is_same = known.team.as_str() == request.team
+        && known.from.as_str() == request.from
+        && known.to.as_str() == request.to
+        && Some(known.amount) == request.amount.resources();
+    move_answer(replica, &controller.settings, &request.id)
+        .filter(|_| is_same)
+        .map(MoveDecision::Answer)
+        .ok_or(MoveRefusal::IdInUse)
+}
+
+fn is_valid_id(id: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+    (1..=MAX_ID_BYTES).contains(&id.len()) && id.chars().all(is_allowed)
+}
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -1,34 +1,28 @@
-//! The loop that closes what is left to move, keeps the pool in step with the machines,
-//! and begins and ends the accounting by shares.
+//! The next step of the accounting by shares: it completes what is left to move, keeps
+//! the pool in step with the machines, and begins and ends the accounting.
 //!
 //! There is no state here: each step is decided on the replica alone, again once the
 //! budget is there, and any controller may take it. Each subject has a preferred
 //! controller among those that are up, so that they seldom meet.
 
-use std::rc::Rc;
-
 use shares::{
-    JobBooking, Ledger, OpenError, TeamName, adjust_capacity, close_team, next_transfer, open_team,
-    rebuild_team, reserve_for_smallest_job,
+    ControllerName, JobBooking, Ledger, OpenError, TeamName, Transfer, adjust_capacity, close_team,
+    next_transfer, open_team, rebuild_team, reserve_for_smallest_job,
 };
-use tokio::time::{Instant, sleep};
 
 use super::CommitParts;
-use crate::controller::Controller;
 use crate::hash::preferred;
 use crate::settings::Settings;
-use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
 use crate::state::commit::guard;
 use crate::state::keys::machine_shard_key;
 use crate::state::records::FORMATS_SHARES;
 use crate::state::replica::{Replica, fallback_controller};
 use crate::wire::{Guard, Write};
 
-/// One commit of this loop, and what it is for.
+/// One commit of the accounting by shares.
 pub struct ReconcileStep {
     /// What it does, for the log.
-    pub what: &'static str,
+    pub action: &'static str,
     /// The conditions.
     pub guards: Vec<Guard>,
     /// The writes.
@@ -36,80 +30,15 @@
 }
 
 impl ReconcileStep {
-    fn new(what: &'static str, parts: CommitParts) -> Self {
+    fn new(action: &'static str, parts: CommitParts) -> Self {
         ReconcileStep {
-            what,
+            action,
             guards: parts.guards,
             writes: parts.writes,
         }
     }
 }
 
-/// Takes one step after another, as the budget allows.
-pub async fn run_shares(controller: Rc<Controller>) {
-    let tick = controller.settings.heartbeat_interval()
-        / controller.settings.features.shares.passes_per_report;
-    loop {
-        sleep(controller.store.jitter(tick)).await;
-        while has_step(&controller) {
-            if !take_step(&controller).await {
-                break;
-            }
-        }
-    }
-}
-
-fn has_step(controller: &Controller) -> bool {
-    controller.replica.borrow().loaded
-        && controller.is_state_service_reachable()
-        && step_of(controller).is_some()
-}
-
-/// Decides the next step once the budget is there, and commits it; false if the loop
-/// is to pause.
-async fn take_step(controller: &Controller) -> bool {
-    controller
-        .store
-        .wait_for_budget(RequestClass::Lifecycle, 1)
-        .await;
-    if !controller.is_state_service_reachable() {
-        return false;
-    }
-    let Some(step) = step_of(controller) else {
-        return false;
-    };
-    let committed = controller
-        .commit(RequestClass::Lifecycle, step.guards, step.writes)
-        .await;
-    match committed {
-        Ok(_) => {
-            tracing::debug!(step = step.what, "shares");
-            true
-        }
-        Err(StoreError::Conflict(keys)) => {
-            tracing::debug!(step = step.what, ?keys, "shares: conflict");
-            controller.expedite_watch();
-            false
-        }
-        Err(error) => {
-            // It may have happened: the replica tells after a barrier, and nothing more
-            // is decided before.
-            tracing::debug!(step = step.what, %error, "shares: not answered");
-            controller
-                .barrier(controller.settings.worker_lease() / 4)
-                .await;
-            false
-        }
-    }
-}
-
-fn step_of(controller: &Controller) -> Option<ReconcileStep> {
-    let replica = controller.replica.borrow();
-    let peers = controller.peers.borrow();
-    let alive = peers.alive(controller, Instant::now());
-    next_reconcile_step(&replica, &controller.settings, &alive)
-}
-
 /// The next step that this controller takes, with these controllers up.
 pub fn next_reconcile_step(
     replica: &Replica,
@@ -120,29 +49,28 @@
     let is_mine = |subject: &str| {
         preferred(subject, alive.iter().copied()) == Some(settings.controller_name.as_str())
     };
-    let wanted = is_wanted(replica, settings);
-    if !wanted && replica.pool.is_none() {
+    let is_enabled = is_enabled(replica, settings);
+    if !is_enabled && replica.pool.is_none() {
         return None;
     }
     let ledger = replica.ledger(settings);
     let mut teams = ledger.teams.keys().filter(|team| is_mine(team.as_str()));
-    match wanted {
-        true => {
-            let opened = || pool_step(replica, settings, &ledger, is_mine("pool"));
-            teams
-                .find_map(|team| team_step(replica, settings, &ledger, team))
-                .or_else(opened)
-        }
-        false => teams
+    if is_enabled {
+        teams
+            .find_map(|team| team_step(replica, settings, &ledger, team))
+            .or_else(|| pool_step(replica, settings, &ledger, is_mine("pool")))
+    } else {
+        teams
             .find_map(|team| close_step(replica, &ledger, team))
-            .or_else(|| remove_pool_step(replica, is_mine("pool"))),
+            .or_else(|| remove_pool_step(replica, is_mine("pool")))
     }
 }
 
 /// Whether every controller that is up has the feature on, this one included.
-fn is_wanted(replica: &Replica, settings: &Settings) -> bool {
-    let mut nodes = replica.controllers.values();
-    settings.features.shares.enabled && nodes.all(|entry| entry.value.formats >= FORMATS_SHARES)
+fn is_enabled(replica: &Replica, settings: &Settings) -> bool {
+    let mut controllers = replica.controllers.values();
+    settings.features.shares.enabled
+        && controllers.all(|entry| entry.value.formats >= FORMATS_SHARES)
 }
 
 /// The pool is made once all machine shards count. It falls here only where shares hold more
@@ -160,10 +88,10 @@
     if let Some(step) = count_machine_shards(replica, settings) {
         return Some(step);
     }
-    let falls = ledger
+    let must_adjust = ledger
         .pool
         .is_none_or(|pool| !ledger.staying.fits(&pool.granted));
-    let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| falls)?;
+    let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| must_adjust)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
     Some(ReconcileStep::new("capacity", parts))
@@ -192,7 +120,7 @@
     Some(ReconcileStep::new("count machines", parts))
 }
 
-/// A team's accounting by shares is begun, or what is left of its moves is closed.
+/// A team's accounting by shares is begun, or what is left of its moves is completed.
 fn team_step(
     replica: &Replica,
     settings: &Settings,
@@ -205,22 +133,37 @@
     if replica.is_share_unreadable(team.as_str()) {
         return None;
     }
-    let account = ledger.teams.get(team)?;
-    let Some(share) = &account.share else {
-        return open_step(replica, settings, ledger, team);
-    };
-    if share.pending.is_empty() {
-        return None;
+    match &ledger.teams.get(team)?.share {
+        None => open_step(replica, settings, ledger, team),
+        Some(share) if share.pending.is_empty() => None,
+        Some(share) => transfer_step(replica, settings, ledger, team, &share.fallback),
     }
-    let jobs = job_bookings(replica, team, &share.fallback);
+}
+
+/// A transfer, or what has to be committed before one is possible.
+fn transfer_step(
+    replica: &Replica,
+    settings: &Settings,
+    ledger: &Ledger,
+    team: &TeamName,
+    fallback: &ControllerName,
+) -> Option<ReconcileStep> {
+    let jobs = job_bookings(replica, team, fallback);
     // The split is written, too.
     let max_jobs = settings.txn_ops().saturating_sub(1);
     let mut parts = CommitParts::new(replica);
     let Some(transfer) = next_transfer(ledger, team, &jobs, max_jobs) else {
         let change = reserve_for_smallest_job(ledger, team, &jobs, settings.txn_ops())?;
         parts.add_change(&change);
-        return Some(ReconcileStep::new("room for a transfer", parts));
+        return Some(ReconcileStep::new("reserve for a transfer", parts));
     };
+    log_transfer(team, &transfer);
+    parts.add_change(&transfer.change);
+    parts.reassign_jobs(&transfer.change);
+    Some(ReconcileStep::new("transfer", parts))
+}
+
+fn log_transfer(team: &TeamName, transfer: &Transfer) {
     tracing::info!(
         team = team.as_str(),
         from = transfer.from.as_str(),
@@ -230,9 +173,6 @@
         jobs = transfer.change.reassigned.len(),
         "share moves"
     );
-    parts.add_change(&transfer.change);
-    parts.reassign_jobs(&transfer.change);
-    Some(ReconcileStep::new("transfer", parts))
 }
 
 /// A split that cannot be read is made anew from what is booked.
@@ -270,7 +210,7 @@
         Ok(change) => parts.add_change(&change),
         Err(OpenError::Partial(first)) => {
             parts.add_change(&first);
-            return Some(ReconcileStep::new("room for a team", parts));
+            return Some(ReconcileStep::new("reserve for a team", parts));
         }
         Err(_) => return None,
     }
@@ -299,11 +239,7 @@
 }
 
 /// What the team's jobs have booked, and whose share it counts against.
-fn job_bookings(
-    replica: &Replica,
-    team: &TeamName,
-    fallback: &shares::ControllerName,
-) -> Vec<JobBooking> {
+fn job_bookings(replica: &Replica, team: &TeamName, fallback: &ControllerName) -> Vec<JobBooking> {
     let jobs = replica.jobs.iter().filter_map(|(id, entry)| {
         let job = &entry.value;
         let spec = job.spec.as_ref()?;
--- /dev/null
+++ b/src/accounting/share_loop.rs
@@ -0,0 +1,83 @@
+//! The loop that commits the steps of [`super::reconcile`], one after another.
+
+use std::rc::Rc;
+
+use tokio::time::{Instant, sleep};
+
+use super::reconcile::{ReconcileStep, next_reconcile_step};
+use crate::controller::Controller;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+
+/// Commits one step after another, as the budget allows.
+pub async fn run_shares(controller: Rc<Controller>) {
+    let settings = &controller.settings;
+    let interval = settings.heartbeat_interval() / settings.features.shares.passes_per_report;
+    loop {
+        sleep(controller.store.jitter(interval)).await;
+        while has_step(&controller) {
+            if commit_next_step(&controller).await == Progress::Pause {
+                break;
+            }
+        }
+    }
+}
+
+/// Whether the loop goes on at once after a step.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    /// The step was committed; there may be another.
+    Continue,
+    /// Nothing more can be decided before the next pass.
+    Pause,
+}
+
+fn has_step(controller: &Controller) -> bool {
+    controller.replica.borrow().loaded
+        && controller.is_state_service_reachable()
+        && next_step(controller).is_some()
+}
+
+fn next_step(controller: &Controller) -> Option<ReconcileStep> {
+    let replica = controller.replica.borrow();
+    let peers = controller.peers.borrow();
+    let alive = peers.alive(controller, Instant::now());
+    next_reconcile_step(&replica, &controller.settings, &alive)
+}
+
+/// Decides the next step once the budget is there, and commits it.
+async fn commit_next_step(controller: &Controller) -> Progress {
+    controller
+        .store
+        .wait_for_budget(RequestClass::Lifecycle, 1)
+        .await;
+    if !controller.is_state_service_reachable() {
+        return Progress::Pause;
+    }
+    let Some(step) = next_step(controller) else {
+        return Progress::Pause;
+    };
+    let action = step.action;
+    let committed = controller
+        .commit(RequestClass::Lifecycle, step.guards, step.writes)
+        .await;
+    match committed {
+        Ok(_) => {
+            tracing::debug!(action, "share accounting committed");
+            Progress::Continue
+        }
+        Err(StoreError::Conflict(keys)) => {
+            tracing::debug!(action, ?keys, "share accounting conflict");
+            controller.expedite_watch();
+            Progress::Pause
+        }
+        Err(error) => {
+            tracing::debug!(action, %error, "share accounting commit failed");
+            // It may have happened: the replica tells after a barrier, and nothing more
+            // is decided before.
+            let limit = controller.settings.worker_lease() / 4;
+            controller.barrier(limit).await;
+            Progress::Pause
+        }
+    }
+}
