--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,4 +1,4 @@
-//! Acceptance of submissions: those that wait are committed together.
+//! The acceptance loop: commits pending submissions in batches.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use super::users::is_hopeless;
+use super::is_retry_futile;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
@@ -16,94 +16,86 @@
 use crate::state::records::{AcceptedBatch, Job, Spec};
 use crate::wire::{Precondition, Write};
 
-/// What became of a submission that was to be accepted.
+/// The outcome of a submission that waited for its commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Acceptance {
+pub enum AcceptanceOutcome {
     /// It has been committed.
     Committed,
     /// Its id was accepted before.
-    KnownBefore,
+    AlreadyKnown,
 }
 
-/// A submission that waits to be accepted, and who waits for that. It is dropped
-/// when acceptance is given up.
+/// A submission that waits for its commit, and the channel to its request. It is
+/// dropped without an outcome when acceptance is given up.
 pub struct PendingSubmission {
     pub(super) id: String,
     pub(super) spec: Spec,
-    pub(super) done: oneshot::Sender<Acceptance>,
+    pub(super) outcome_sender: oneshot::Sender<AcceptanceOutcome>,
 }
 
 impl PendingSubmission {
-    fn answer(self, acceptance: Acceptance) {
-        // Its user may have gone.
-        let _ = self.done.send(acceptance);
+    fn complete(self, outcome: AcceptanceOutcome) {
+        // The request may be gone.
+        let _ = self.outcome_sender.send(outcome);
     }
 
-    /// The bytes that it takes in a record of arrivals.
-    fn bytes(&self) -> Option<usize> {
+    /// Whether nobody waits for the outcome any more.
+    fn is_abandoned(&self) -> bool {
+        self.outcome_sender.is_closed()
+    }
+
+    /// The bytes that it takes in the record of an accepted batch; `None` if it
+    /// cannot be serialized.
+    fn record_bytes(&self) -> Option<usize> {
         // The quotes, the colon and the comma.
-        let marks = 4;
+        const PUNCTUATION_BYTES: usize = 4;
         let spec = serde_json::to_vec(&self.spec).ok()?;
-        Some(spec.len() + self.id.len() + marks)
+        Some(spec.len() + self.id.len() + PUNCTUATION_BYTES)
     }
 }
 
 /// Accepts submissions, as many at once as have gathered while the budget or
-/// the last commit was waited for: a rush costs few writes.
+/// the last commit was waited for: a burst costs few writes.
 pub async fn run_acceptance(controller: Rc<Controller>) {
-    // The first does not wait; those behind it gather for a moment.
-    let gather = controller.request_gap() * 4;
+    // The first does not wait; those behind it gather for this long.
+    let batch_interval = controller.request_gap() * 4;
     loop {
-        controller.admissions.acceptance_notify.notified().await;
-        while !controller
-            .admissions
-            .pending_submissions
-            .borrow()
-            .is_empty()
-        {
+        controller.admissions.wait_for_submission().await;
+        while !controller.admissions.is_queue_empty() {
             controller.store.ready(RequestClass::Accept, 1).await;
-            let begun = Instant::now();
+            let began = Instant::now();
             let batch = take_batch(&controller);
             if !batch.is_empty() {
                 commit_batch(&controller, batch).await;
             }
-            sleep(gather.saturating_sub(begun.elapsed())).await;
+            sleep(batch_interval.saturating_sub(began.elapsed())).await;
         }
     }
 }
 
-/// Takes as many of those that wait as one record and one commit hold.
+/// Takes as many pending submissions as one record and one commit hold.
 fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
-    // Each is a condition, and the record of all of them one more.
-    let most_jobs = controller.settings.txn_ops() * 2;
-    let most_bytes = controller.settings.value_limit_bytes() * 9 / 10;
+    // Each job is a precondition, and the record of all of them one more.
+    let max_jobs = controller.settings.txn_ops() * 2;
+    let max_bytes = controller.settings.value_limit_bytes() * 9 / 10;
     let mut batch: Vec<PendingSubmission> = Vec::new();
     let mut bytes = 0;
-    while batch.len() < most_jobs {
-        let Some(next) = controller
-            .admissions
-            .pending_submissions
-            .borrow_mut()
-            .pop_front()
-        else {
+    while batch.len() < max_jobs {
+        let Some(next) = controller.admissions.dequeue() else {
             break;
         };
         // Its user has gone, or asks again.
-        if next.done.is_closed() {
+        if next.is_abandoned() {
             continue;
         }
-        let is_twice = batch.iter().any(|a| a.id == next.id);
-        if is_twice || controller.replica.borrow().jobs.contains_key(&next.id) {
-            next.answer(Acceptance::KnownBefore);
+        let is_duplicate = batch.iter().any(|pending| pending.id == next.id);
+        if is_duplicate || controller.replica.borrow().jobs.contains_key(&next.id) {
+            next.complete(AcceptanceOutcome::AlreadyKnown);
             continue;
         }
-        bytes += next.bytes().unwrap_or(most_bytes);
-        if bytes > most_bytes && !batch.is_empty() {
-            controller
-                .admissions
-                .pending_submissions
-                .borrow_mut()
-                .push_front(next);
+        bytes += next.record_bytes().unwrap_or(max_bytes);
+        if bytes > max_bytes && !batch.is_empty() {
+            controller.admissions.requeue(std::iter::once(next));
             break;
         }
         batch.push(next);
@@ -111,85 +103,88 @@
     batch
 }
 
-/// Commits a batch, and tells those who wait.
+/// Commits a batch, and completes its submissions.
 async fn commit_batch(controller: &Controller, batch: Vec<PendingSubmission>) {
-    let (guards, write) = batch_commit(controller, &batch);
-    match controller
-        .commit(RequestClass::Accept, guards, vec![write])
-        .await
-    {
+    let BatchCommit {
+        preconditions,
+        write,
+    } = batch_commit(controller, &batch);
+    let committed = controller
+        .commit(RequestClass::Accept, preconditions, vec![write])
+        .await;
+    match committed {
         Ok(_) => {
-            tracing::debug!(jobs = batch.len(), "accepted");
+            tracing::debug!(jobs = batch.len(), "submissions accepted");
             for pending in batch {
-                pending.answer(Acceptance::Committed);
+                pending.complete(AcceptanceOutcome::Committed);
             }
         }
-        Err(StoreError::Conflict(keys)) => sort_out(controller, batch, &keys),
-        Err(error) if is_hopeless(controller, &error) => {
-            tracing::debug!(%error, "not accepted: all who wait are told to come back");
+        Err(StoreError::Conflict(keys)) => resolve_conflict(controller, batch, &keys),
+        Err(error) if is_retry_futile(controller, &error) => {
+            tracing::debug!(%error, "acceptance failed: all pending submissions are rejected");
             drop(batch);
-            controller
-                .admissions
-                .pending_submissions
-                .borrow_mut()
-                .clear();
+            controller.admissions.reject_all();
         }
         Err(error) => {
-            tracing::debug!(%error, "not accepted");
+            tracing::debug!(%error, "acceptance failed: the batch is retried");
             // It may have happened. Trying again is harmless: jobs that two
             // such records name are one job.
-            put_back(controller, batch);
+            controller.admissions.requeue(batch.into_iter());
             sleep(controller.store.jitter(controller.request_gap() * 4)).await;
         }
     }
 }
 
-/// One job stands in a record of its own, several in a record of arrivals.
-fn batch_commit(
-    controller: &Controller,
-    batch: &[PendingSubmission],
-) -> (Vec<Precondition>, Write) {
+/// The commit that accepts a batch.
+struct BatchCommit {
+    preconditions: Vec<Precondition>,
+    write: Write,
+}
+
+/// A single job gets a record of its own, several share the record of an accepted
+/// batch.
+fn batch_commit(controller: &Controller, batch: &[PendingSubmission]) -> BatchCommit {
     let accepted_revision = controller.replica.borrow().revision;
-    let mut guards: Vec<Precondition> = batch.iter().map(|a| guard(job_key(&a.id), 0)).collect();
-    if let [one] = batch {
-        let job = Job::new(one.spec.clone(), accepted_revision);
-        return (guards, put(job_key(&one.id), &job));
+    let mut preconditions: Vec<Precondition> = batch
+        .iter()
+        .map(|pending| guard(job_key(&pending.id), 0))
+        .collect();
+    if let [single] = batch {
+        let job = Job::new(single.spec.clone(), accepted_revision);
+        return BatchCommit {
+            preconditions,
+            write: put(job_key(&single.id), &job),
+        };
     }
     let jobs: BTreeMap<String, Spec> = batch
         .iter()
-        .map(|a| (a.id.clone(), a.spec.clone()))
+        .map(|pending| (pending.id.clone(), pending.spec.clone()))
         .collect();
-    let number = controller.rng.borrow_mut().random::<u64>();
-    let key = accepted_batch_key(&format!("{}-{number:x}", controller.name()));
-    guards.push(guard(key.clone(), 0));
-    (
-        guards,
-        put(
-            key,
-            &AcceptedBatch {
-                accepted_revision,
-                jobs,
-            },
-        ),
-    )
+    let suffix = controller.rng.borrow_mut().random::<u64>();
+    let key = accepted_batch_key(&format!("{}-{suffix:x}", controller.name()));
+    preconditions.push(guard(key.clone(), 0));
+    let record = AcceptedBatch {
+        accepted_revision,
+        jobs,
+    };
+    BatchCommit {
+        preconditions,
+        write: put(key, &record),
+    }
 }
 
-/// Those whose keys have failed are known by now, to another controller or by a
-/// commit of our own that got no answer; the rest go into the next commit.
-fn sort_out(controller: &Controller, batch: Vec<PendingSubmission>, failed: &[String]) {
+/// Completes the submissions whose keys exist by now, written by another controller
+/// or by a commit of our own that got no response; the rest go into the next commit.
+fn resolve_conflict(
+    controller: &Controller,
+    batch: Vec<PendingSubmission>,
+    conflicting_keys: &[String],
+) {
     let (known, rest): (Vec<PendingSubmission>, Vec<PendingSubmission>) = batch
         .into_iter()
-        .partition(|a| failed.contains(&job_key(&a.id)));
+        .partition(|pending| conflicting_keys.contains(&job_key(&pending.id)));
     for pending in known {
-        pending.answer(Acceptance::KnownBefore);
-    }
-    put_back(controller, rest);
-}
-
-/// Puts these first in line again, in their order.
-fn put_back(controller: &Controller, batch: Vec<PendingSubmission>) {
-    let mut pending_submissions = controller.admissions.pending_submissions.borrow_mut();
-    for pending in batch.into_iter().rev() {
-        pending_submissions.push_front(pending);
+        pending.complete(AcceptanceOutcome::AlreadyKnown);
     }
+    controller.admissions.requeue(rest.into_iter());
 }
--- a/src/api/admissions.rs
+++ b/src/api/admissions.rs
@@ -1,21 +1,77 @@
-//! The state of the users' interface: submissions that wait for their commit, and
-//! the questions that were answered lately.
+//! The state of the users' interface: the queue of submissions that wait for their
+//! commit, and when queries were last answered, for load shedding.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
 
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
 use super::PendingSubmission;
 
-/// Submissions that wait, and when jobs were last asked about.
+/// The queue of pending submissions, and the times of the latest query responses.
 #[derive(Default)]
 pub struct Admissions {
-    /// Submissions that wait to be accepted.
-    pub(crate) pending_submissions: RefCell<VecDeque<PendingSubmission>>,
-    /// Wakes the acceptance of submissions.
-    pub(crate) acceptance_notify: Notify,
-    /// When a question about a job was last answered here.
-    pub(crate) last_answered: RefCell<HashMap<String, Instant>>,
+    /// Submissions that wait to be committed, in the order of their arrival.
+    queue: RefCell<VecDeque<PendingSubmission>>,
+    /// Wakes the acceptance loop.
+    queue_notify: Notify,
+    /// When this controller last answered a query about an open job.
+    last_answered: RefCell<HashMap<String, Instant>>,
+}
+
+impl Admissions {
+    /// Appends a submission to the queue, and wakes the acceptance loop.
+    pub(super) fn enqueue(&self, submission: PendingSubmission) {
+        self.queue.borrow_mut().push_back(submission);
+        self.queue_notify.notify_one();
+    }
+
+    /// Waits until a submission is enqueued.
+    pub(super) async fn wait_for_submission(&self) {
+        self.queue_notify.notified().await;
+    }
+
+    /// Whether no submission waits.
+    pub(super) fn is_queue_empty(&self) -> bool {
+        self.queue.borrow().is_empty()
+    }
+
+    /// Takes the first submission from the queue.
+    pub(super) fn dequeue(&self) -> Option<PendingSubmission> {
+        self.queue.borrow_mut().pop_front()
+    }
+
+    /// Puts submissions back at the head of the queue, in their order.
+    pub(super) fn requeue(&self, batch: impl DoubleEndedIterator<Item = PendingSubmission>) {
+        let mut queue = self.queue.borrow_mut();
+        for submission in batch.rev() {
+            queue.push_front(submission);
+        }
+    }
+
+    /// Drops all submissions of the queue; their users are told to come back.
+    pub(super) fn reject_all(&self) {
+        self.queue.borrow_mut().clear();
+    }
+
+    /// The time since a query about this job was last answered here.
+    pub(super) fn time_since_answer(&self, id: &str) -> Option<Duration> {
+        let last_answered = self.last_answered.borrow();
+        last_answered.get(id).map(Instant::elapsed)
+    }
+
+    /// Records that a query about this job has just been answered.
+    pub(super) fn record_answer(&self, id: &str) {
+        let mut last_answered = self.last_answered.borrow_mut();
+        last_answered.insert(id.to_string(), Instant::now());
+    }
+
+    /// Drops the times of answers that were given at least `max_age` ago, which
+    /// bounds the memory that they take.
+    pub(crate) fn prune_answers(&self, max_age: Duration) {
+        let mut last_answered = self.last_answered.borrow_mut();
+        last_answered.retain(|_, answered_at| answered_at.elapsed() < max_age);
+    }
 }
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -1,4 +1,4 @@
-//! What the load balancer's probes are told.
+//! `GET /up`: the response to the load balancer's health checks.
 
 use tokio::time::Instant;
 
@@ -8,14 +8,14 @@
 /// Healthy means able to take requests. When no controller reaches the state
 /// service, leaving the balancer would only delay the return: all stay, and
 /// requests are answered with when to come back.
-pub(super) fn up(controller: &Controller) -> Response {
-    let alone = controller
+pub(super) fn health(controller: &Controller) -> Response {
+    let state_serves_another = controller
         .peers
         .borrow()
         .state_serves_another(controller, Instant::now());
-    let loaded =
+    let is_loaded =
         controller.replica.borrow().loaded && controller.state_sync.last_barrier.get().is_some();
-    if loaded && (controller.is_state_service_reachable() || !alone) {
+    if is_loaded && (controller.is_state_service_reachable() || !state_serves_another) {
         Response::empty(200)
     } else {
         Response::unavailable("no contact with the state service", 1)
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,48 +1,58 @@
 //! The HTTP interface: what users, workers, probes and operators ask of a
 //! controller.
 //!
-//! - [`users`]: submission, query and withdrawal of jobs.
+//! - [`submission`], [`query`] and [`cancellation`] of jobs, for users.
 //! - [`validation`]: whether a submission is well formed, and can ever run.
 //! - [`acceptance`]: the loop that commits accepted submissions in batches.
-//! - [`health`]: what the load balancer's probes are told.
+//! - [`admissions`]: the queue of pending submissions.
+//! - [`responses`]: the responses to users that several requests share.
+//! - [`health`]: the response to the load balancer's health checks.
 
 pub mod acceptance;
-mod admissions;
+pub mod admissions;
+pub mod cancellation;
 pub mod health;
-pub mod users;
+pub mod query;
+pub mod responses;
+pub mod submission;
 pub mod validation;
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use health::up;
-use users::{query, submit, withdraw};
+use cancellation::withdraw;
+use health::health;
+use query::query;
+use submission::submit;
 
 use crate::accounting;
 use crate::controller::Controller;
 use crate::http::{Request, Response, ServerLimits, query_value};
 use crate::introspection;
 use crate::net::Listener;
+use crate::state::client::StoreError;
 use crate::wire::WorkerStatus;
 
 pub use acceptance::{PendingSubmission, run_acceptance};
 pub use admissions::Admissions;
-pub use users::{job_state, should_shed_query};
+pub use query::{job_state, should_shed_query};
 pub use validation::{SubmissionError, check_submission, read_submission};
 
 /// How long a request may take to arrive in full.
-const ARRIVAL_LIMIT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-const REPORT_PATH: &str = "/agent/beat";
+/// The path of workers' heartbeats.
+const HEARTBEAT_PATH: &str = "/agent/beat";
 
-/// Serves until dropped. Must run inside a `LocalSet`.
+/// Serves users, workers, health checks and operators until dropped. Must run inside
+/// a `LocalSet`.
 pub async fn serve(controller: Rc<Controller>, listener: Listener) {
     let limits = ServerLimits {
         connections: controller.settings.served_connections(),
         idle: controller.settings.worker_lease() * 4,
-        arrive: ARRIVAL_LIMIT,
-        // One connection a machine, while there are connections for all.
-        stays: |request| request.path == REPORT_PATH,
+        arrive: REQUEST_TIMEOUT,
+        // One connection for each machine, while there are connections for all.
+        stays: |request| request.path == HEARTBEAT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::ResponseFuture {
         let controller = controller.clone();
@@ -56,8 +66,8 @@
         return route_job(controller, &request.method, rest).await;
     }
     match (request.method.as_str(), request.path.as_str()) {
-        ("GET", "/up") => up(controller),
-        ("POST", REPORT_PATH) => report(controller, &request.body).await,
+        ("GET", "/up") => health(controller),
+        ("POST", HEARTBEAT_PATH) => heartbeat(controller, &request.body).await,
         ("POST", "/submissions") => submit(controller, &request.body).await,
         ("GET", "/ops/teams") => introspection::teams(controller),
         ("GET", "/ops/report") => introspection::report(controller, &request.query),
@@ -73,14 +83,14 @@
         }
         (
             _,
-            "/up" | REPORT_PATH | "/submissions" | "/ops/teams" | "/ops/report" | "/ops/shares"
+            "/up" | HEARTBEAT_PATH | "/submissions" | "/ops/teams" | "/ops/report" | "/ops/shares"
             | "/ops/shares/moves" | "/ops/shares/move",
         ) => method_not_allowed(),
         _ => Response::error(404, "no such path"),
     }
 }
 
-/// Routes what concerns one job; `rest` is the path behind `/submissions/`.
+/// Routes a request about one job; `rest` is the path after `/submissions/`.
 async fn route_job(controller: &Rc<Controller>, method: &str, rest: &str) -> Response {
     match (method, rest.strip_suffix("/withdraw")) {
         ("POST", Some(id)) => withdraw(controller, id).await,
@@ -93,10 +103,17 @@
     Response::error(405, "method not allowed")
 }
 
-/// `POST /agent/beat`: a worker's report.
-async fn report(controller: &Rc<Controller>, body: &[u8]) -> Response {
+/// `POST /agent/beat`: a worker's heartbeat.
+async fn heartbeat(controller: &Rc<Controller>, body: &[u8]) -> Response {
     match serde_json::from_slice::<WorkerStatus>(body) {
-        Ok(report) => controller.heartbeat(report).await,
+        Ok(status) => controller.heartbeat(status).await,
         Err(_) => Response::error(400, "not a report"),
     }
 }
+
+/// Whether retrying a user's commit is futile for now: the state service serves
+/// nothing here, or would refuse the same again.
+fn is_retry_futile(controller: &Controller, error: &StoreError) -> bool {
+    let exceeds_limits = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
+    exceeds_limits || error.is_refusal() || !controller.is_state_service_reachable()
+}
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -8,57 +8,64 @@
 use crate::state::replica::Replica;
 use crate::wire::{Kind, Submission};
 
-/// The most tasks that a job may have.
+/// The maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
 
-/// The largest amount of anything: of CPUs, gigabytes or seconds.
+/// The maximum of any amount: of CPUs, gigabytes or seconds.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// The longest name of a class, team, image, machine type or zone, in bytes.
+/// The maximum length of the name of a class, team, image, machine type or zone, in
+/// bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// The most machine types that a submission may name.
+/// The maximum number of machine types that a submission may name.
 const MAX_TYPES: usize = 64;
 
-/// What a record takes beside its spec before anything is booked, in bytes.
-const EMPTY_RECORD_BYTES: usize = 150;
+/// What a job's record takes beside its spec before any task is booked, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 150;
+
+/// How many characters of a malformed id the error repeats.
+const MAX_QUOTED_CHARS: usize = 40;
 
 /// Why a submission is not accepted.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
     /// 400: its form is wrong, or no record can hold it.
+    #[error("malformed submission: {0}")]
     Malformed(String),
-    /// 422: it can never run.
-    Never(String),
+    /// 422: the job can never run.
+    #[error("the job can never run: {0}")]
+    Unsatisfiable(String),
     /// 503: not decidable yet.
-    Unknown,
+    #[error("not decidable yet")]
+    Undecidable,
 }
 
 fn malformed(problem: impl Into<String>) -> SubmissionError {
     SubmissionError::Malformed(problem.into())
 }
 
-fn never(problem: impl Into<String>) -> SubmissionError {
-    SubmissionError::Never(problem.into())
+fn unsatisfiable(problem: impl Into<String>) -> SubmissionError {
+    SubmissionError::Unsatisfiable(problem.into())
 }
 
-/// Reads a submission and checks its form; 400 on failure.
+/// Deserializes a submission and checks its form; 400 on failure.
 pub fn read_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let submission = parse(body)?;
     check_identity(&submission)?;
     check_amounts(&submission)?;
     check_names(&submission)?;
-    check_awaited_ids(&submission)?;
+    check_dependency_ids(&submission)?;
     Ok(submission)
 }
 
 fn parse(body: &[u8]) -> Result<Submission, SubmissionError> {
     let value: serde_json::Value =
-        serde_json::from_slice(body).map_err(|e| malformed(format!("not JSON: {e}")))?;
+        serde_json::from_slice(body).map_err(|error| malformed(format!("not JSON: {error}")))?;
     if !value.is_object() {
         return Err(malformed("not an object"));
     }
-    serde_json::from_value(value).map_err(|e| malformed(format!("field: {e}")))
+    serde_json::from_value(value).map_err(|error| malformed(format!("field: {error}")))
 }
 
 fn check_identity(submission: &Submission) -> Result<(), SubmissionError> {
@@ -83,7 +90,7 @@
         ("due_s", submission.deadline_s),
     ];
     for (field, amount) in amounts {
-        if amount.is_some_and(|a| !(0.0..=MAX_AMOUNT).contains(&a)) {
+        if amount.is_some_and(|amount| !(0.0..=MAX_AMOUNT).contains(&amount)) {
             return Err(malformed(format!("{field}: out of range")));
         }
     }
@@ -98,22 +105,22 @@
         ("yard", submission.zone.as_ref()),
     ];
     for (field, name) in names {
-        if name.is_some_and(|n| n.len() > MAX_NAME_BYTES) {
+        if name.is_some_and(|name| name.len() > MAX_NAME_BYTES) {
             return Err(malformed(format!("{field}: too long")));
         }
     }
     let types = submission.types.as_deref().unwrap_or_default();
-    if types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES) {
+    if types.len() > MAX_TYPES || types.iter().any(|name| name.len() > MAX_NAME_BYTES) {
         return Err(malformed("grades: too many or too long"));
     }
     Ok(())
 }
 
-fn check_awaited_ids(submission: &Submission) -> Result<(), SubmissionError> {
+fn check_dependency_ids(submission: &Submission) -> Result<(), SubmissionError> {
     let mut ids = submission.dependencies.iter().flatten();
     match ids.find(|id| !is_job_id(id)) {
         Some(id) => {
-            let start: String = id.chars().take(40).collect();
+            let start: String = id.chars().take(MAX_QUOTED_CHARS).collect();
             Err(malformed(format!("awaits: not a job id: {start}")))
         }
         None => Ok(()),
@@ -130,19 +137,19 @@
     let mut spec = Spec::from(submission);
     let team = settings
         .team(&submission.team)
-        .ok_or_else(|| never("crew: unknown team"))?;
+        .ok_or_else(|| unsatisfiable("crew: unknown team"))?;
     let zones = usable_zones(&spec, settings, replica)?;
     check_spread(&spec, zones)?;
-    check_team_limit(&spec, team)?;
-    check_awaited_jobs(&spec, replica)?;
-    // What is done stays done: nothing needs to remember it.
+    check_team_quota(&spec, team)?;
+    check_dependencies(&spec, replica)?;
+    // A job that is done stays done: the record does not need the dependency.
     spec.dependencies
         .retain(|id| replica.state(id) != Some(JobStatus::Done));
     check_record_size(&spec, settings, replica)?;
     Ok(spec)
 }
 
-/// The number of zones in which the cloud has machines that take a task.
+/// The number of zones in which the cloud offers machines that a task fits on.
 fn usable_zones(
     spec: &Spec,
     settings: &Settings,
@@ -150,11 +157,11 @@
 ) -> Result<usize, SubmissionError> {
     let types = &replica.types.value.types;
     if types.is_empty() {
-        return Err(SubmissionError::Unknown);
+        return Err(SubmissionError::Undecidable);
     }
     let configured = &settings.deployment.zones;
     if spec.zone.as_ref().is_some_and(|z| !configured.contains(z)) {
-        return Err(never("yard: unknown zone"));
+        return Err(unsatisfiable("yard: unknown zone"));
     }
     let zones: BTreeSet<&str> = types
         .iter()
@@ -163,86 +170,88 @@
         .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
         .collect();
     match zones.len() {
-        0 => Err(never("a task fits no allowed machine type")),
+        0 => Err(unsatisfiable("a task fits no allowed machine type")),
         count => Ok(count),
     }
 }
 
-/// A gang runs whole or not at all: one that has to be spread over more zones
-/// than it may use never does.
+/// A gang runs all of its tasks or none: one that has to be spread over more zones
+/// than it may use never runs.
 fn check_spread(spec: &Spec, zones: usize) -> Result<(), SubmissionError> {
     let zones_at_once = if spec.one_zone { 1 } else { zones };
-    let most_in_a_zone = spec.tasks.div_ceil(2) as usize;
+    let max_per_zone = spec.tasks.div_ceil(2) as usize;
     let is_spread_gang = spec.kind == Kind::Gang && spec.spread;
-    if is_spread_gang && most_in_a_zone * zones_at_once < spec.tasks as usize {
-        return Err(never("scatter: the gang may use too few zones"));
+    if is_spread_gang && max_per_zone * zones_at_once < spec.tasks as usize {
+        return Err(unsatisfiable("scatter: the gang may use too few zones"));
     }
     Ok(())
 }
 
-fn check_team_limit(spec: &Spec, team: &TeamQuota) -> Result<(), SubmissionError> {
+fn check_team_quota(spec: &Spec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
         Kind::Array => 1,
         Kind::Gang | Kind::Service => spec.tasks as usize,
     };
     match team.allows(&spec.need.times(tasks_at_once)) {
         true => Ok(()),
-        false => Err(never("needs more than the team's limit")),
+        false => Err(unsatisfiable("needs more than the team's limit")),
     }
 }
 
-/// A job's own id is not known either: it was never accepted.
-fn check_awaited_jobs(spec: &Spec, replica: &Replica) -> Result<(), SubmissionError> {
+/// All dependencies have to be accepted jobs. A job that depends on itself is
+/// rejected, too: its own id is not known yet.
+fn check_dependencies(spec: &Spec, replica: &Replica) -> Result<(), SubmissionError> {
     if spec
         .dependencies
         .iter()
         .any(|id| replica.is_unreadable_job(id))
     {
-        return Err(SubmissionError::Unknown);
+        return Err(SubmissionError::Undecidable);
     }
     match spec
         .dependencies
         .iter()
         .find(|id| replica.state(id).is_none())
     {
-        Some(id) => Err(never(format!("awaits: {id} was never accepted"))),
+        Some(id) => Err(unsatisfiable(format!("awaits: {id} was never accepted"))),
         None => Ok(()),
     }
 }
 
-/// Whether records can hold the job as it waits, and once tasks of it run. What
-/// it awaits leaves its record before any of its tasks comes in.
+/// Whether records can hold the job while it waits, and while tasks of it run. The
+/// dependencies leave the record before the first task is booked.
 fn check_record_size(
     spec: &Spec,
     settings: &Settings,
     replica: &Replica,
 ) -> Result<(), SubmissionError> {
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
-    let dependencies = spec.awaits_bytes();
-    let most = settings.value_limit_bytes();
-    let is_too_long = if settings.limits_will_fall() {
-        // Where records are to be small: what could not be written, or never run
-        // within one.
-        let waiting = bytes + EMPTY_RECORD_BYTES;
-        let running = least_running_record(spec, settings, replica).saturating_sub(dependencies);
-        waiting > most || running > most
+    let dependency_bytes = spec.awaits_bytes();
+    let max_bytes = settings.value_limit_bytes();
+    let exceeds_limit = if settings.limits_will_fall() {
+        // Record sizes are limited: reject a job that could not be written, or not run
+        // within one record.
+        let waiting = bytes + RECORD_OVERHEAD_BYTES;
+        let running =
+            min_running_record_bytes(spec, settings, replica).saturating_sub(dependency_bytes);
+        waiting > max_bytes || running > max_bytes
     } else {
-        bytes > most / 2 || bytes.saturating_sub(dependencies) > most / 4
+        bytes > max_bytes / 2 || bytes.saturating_sub(dependency_bytes) > max_bytes / 4
     };
-    match is_too_long {
+    match exceeds_limit {
         true => Err(malformed("too long")),
         false => Ok(()),
     }
 }
 
 /// The bytes of the smallest record in which one task or one gang runs.
-fn least_running_record(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
-    let machine = max_name_length(replica.machines.keys());
-    let zone = max_name_length(settings.deployment.zones.iter());
+fn min_running_record_bytes(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
+    let machine = longest_name(replica.machines.keys());
+    let zone = longest_name(settings.deployment.zones.iter());
     scheduler::least_record(spec, machine, zone)
 }
 
-fn max_name_length<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
+fn longest_name<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
     names
         .max_by_key(|name| name.len())
         .map_or("", String::as_str)
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -60,8 +60,7 @@
                 .lag
                 .set((self.process_clock.lag.get() * 3 + late) / 4);
             let lease = self.settings.worker_lease();
-            let mut answered = self.admissions.last_answered.borrow_mut();
-            answered.retain(|_, t| t.elapsed() < lease);
+            self.admissions.prune_answers(lease);
         }
     }
 
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -131,8 +131,8 @@
         match check_submission(&s, &set, replica) {
             Ok(_) => 201,
             Err(SubmissionError::Malformed(_)) => 400,
-            Err(SubmissionError::Never(_)) => 422,
-            Err(SubmissionError::Unknown) => 503,
+            Err(SubmissionError::Unsatisfiable(_)) => 422,
+            Err(SubmissionError::Undecidable) => 503,
         }
     };
     let replica = view_with_types();
