--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Asking a running controller, and printing what it responds.
+//! Requests to a running controller, and the output of its responses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::introspection::{FleetReport, JobDetails, TeamDetails};
 use crate::net::Net;
 
-/// How long a controller may take to respond.
+/// The time after which a controller that has not responded is given up.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Which controller to ask, and how to print its response.
@@ -30,8 +30,8 @@
 
 impl ControllerArgs {
     pub(super) fn show_job(&self, id: &str) -> Result<u8, CliError> {
-        let story: JobDetails = self.get(&format!("/ops/job/{id}"))?;
-        self.print(&story, job_text)?;
+        let details: JobDetails = self.get(&format!("/ops/job/{id}"))?;
+        self.print(&details, job_text)?;
         Ok(EXIT_DONE)
     }
 
@@ -67,9 +67,9 @@
         self.read(&response)
     }
 
-    /// Asks something that refers to the arguments: what the controller finds wrong with
-    /// them is told as such.
-    pub(super) fn ask<T: DeserializeOwned>(
+    /// Makes a request that depends on the command's arguments: a client error of the
+    /// response is reported as wrong arguments.
+    pub(super) fn request<T: DeserializeOwned>(
         &self,
         method: &str,
         path: &str,
@@ -77,7 +77,7 @@
     ) -> Result<T, CliError> {
         let response = self.call(method, path, body)?;
         match response.status {
-            400..=499 => Err(CliError::WrongArguments(reason(&response))),
+            400..=499 => Err(CliError::WrongArguments(error_reason(&response))),
             _ => self.read(&response),
         }
     }
@@ -91,7 +91,7 @@
 
     fn read<T: DeserializeOwned>(&self, response: &Response) -> Result<T, CliError> {
         if response.status != 200 {
-            return Err(self.refusal(response));
+            return Err(self.refused(response));
         }
         response.parse().map_err(|cause| self.call_error(cause))
     }
@@ -103,10 +103,10 @@
         }
     }
 
-    fn refusal(&self, response: &Response) -> CliError {
+    fn refused(&self, response: &Response) -> CliError {
         CliError::Refused {
             controller: self.node,
-            reason: reason(response),
+            reason: error_reason(response),
         }
     }
 
@@ -125,8 +125,8 @@
     }
 }
 
-/// Why a controller has refused what it was asked.
-fn reason(response: &Response) -> String {
+/// The reason that a controller gives for refusing a request.
+fn error_reason(response: &Response) -> String {
     let body: serde_json::Value = response.parse().unwrap_or_default();
     let reason = body["error"].as_str().unwrap_or("no reason given");
     reason.to_string()
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,8 +1,8 @@
-//! The command line: running a controller, checking what it is to be run
-//! with, and asking a running one.
+//! The command line: runs a controller, checks its settings and policy, and makes
+//! requests to a running one.
 //!
-//! `error` holds what can go wrong and the exit codes, `client` the requests to
-//! a running controller, `render` the texts for people.
+//! `error` holds the errors and the exit codes, `client` the requests to a running
+//! controller, `share` the commands about shares, `render` the texts for people.
 
 mod client;
 mod error;
@@ -190,10 +190,7 @@
     let Some(file) = file else {
         return Ok(Policy::default());
     };
-    let text = std::fs::read_to_string(file).map_err(|cause| CliError::PolicyFile {
-        path: file.display().to_string(),
-        cause,
-    })?;
+    let text = read_file(file, |path, cause| CliError::PolicyFile { path, cause })?;
     Ok(Policy::parse(&text)?)
 }
 
@@ -201,13 +198,17 @@
     let Some(file) = file else {
         return Ok(Features::default());
     };
-    let text = std::fs::read_to_string(file).map_err(|cause| CliError::FeaturesFile {
-        path: file.display().to_string(),
-        cause,
-    })?;
+    let text = read_file(file, |path, cause| CliError::FeaturesFile { path, cause })?;
     Ok(Features::parse(&text)?)
 }
 
+fn read_file(
+    file: &Path,
+    error: impl FnOnce(String, std::io::Error) -> CliError,
+) -> Result<String, CliError> {
+    std::fs::read_to_string(file).map_err(|cause| error(file.display().to_string(), cause))
+}
+
 fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
     // One thread: a controller has a small part of one core.
     tokio::runtime::Builder::new_current_thread()
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -36,26 +36,26 @@
 }
 
 /// The state of a job, a line for each part.
-pub fn job_text(story: &JobDetails) -> String {
-    let mut text = format!("{}: {}", story.job, stage_text(story.stage));
-    if let (Some(class), Some(team)) = (&story.class, &story.team) {
+pub fn job_text(details: &JobDetails) -> String {
+    let mut text = format!("{}: {}", details.job, stage_text(details.stage));
+    if let (Some(class), Some(team)) = (&details.class, &details.team) {
         text += &format!(", {class} of {team}");
     }
     text += &format!(
         "\n  {} of {} tasks done, {} on machines, {} waiting\n",
-        story.done, story.tasks, story.running, story.waiting
+        details.done, details.tasks, details.running, details.waiting
     );
-    if let Some(known_s) = story.known_s {
-        let late = if story.late { ", late" } else { "" };
+    if let Some(known_s) = details.known_s {
+        let late = if details.late { ", late" } else { "" };
         text += &format!("  known for {}{late}\n", span_text(known_s));
     }
-    if let (Some(reason), Some(reason_s)) = (&story.reason, story.reason_s) {
+    if let (Some(reason), Some(reason_s)) = (&details.reason, details.reason_s) {
         text += &format!("  {reason}, for {}\n", span_text(reason_s));
     }
-    if story.failures > 0 {
-        text += &format!("  failed {} times in a row\n", story.failures);
+    if details.failures > 0 {
+        text += &format!("  failed {} times in a row\n", details.failures);
     }
-    text.extend(story.runs.iter().map(run_text));
+    text.extend(details.runs.iter().map(run_text));
     text
 }
 
--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -79,12 +79,12 @@
         match self {
             ShareCommand::Show { team, controller } => {
                 let path = with_query("/ops/shares", "team", team.as_deref());
-                let report: ShareReport = controller.ask("GET", &path, None)?;
+                let report: ShareReport = controller.request("GET", &path, None)?;
                 controller.print(&report, shares_text)?;
             }
             ShareCommand::Status { id, controller } => {
                 let path = with_query("/ops/shares/moves", "id", id.as_deref());
-                let answer: MoveAnswer = controller.ask("GET", &path, None)?;
+                let answer: MoveAnswer = controller.request("GET", &path, None)?;
                 controller.print(&answer, moves_text)?;
             }
             ShareCommand::Move {
@@ -113,7 +113,8 @@
                     dry_run,
                 };
                 let body = serde_json::to_vec(&request).map_err(CliError::Json)?;
-                let answer: MoveAnswer = controller.ask("POST", "/ops/shares/move", Some(body))?;
+                let answer: MoveAnswer =
+                    controller.request("POST", "/ops/shares/move", Some(body))?;
                 controller.print(&answer, moves_text)?;
             }
         }
--- /dev/null
+++ b/src/http/client/response.rs
@@ -0,0 +1,198 @@
+//! Reading a response from a connection.
+
+use std::io;
+
+use tokio::io::AsyncReadExt;
+
+use crate::http::{MAX_HEADERS, Response};
+use crate::net::Stream;
+
+/// The capacity that is reserved for each read, in bytes.
+const READ_BYTES: usize = 4096;
+
+fn malformed(problem: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, problem.to_string())
+}
+
+fn too_large() -> io::Error {
+    io::Error::from(io::ErrorKind::FileTooLarge)
+}
+
+/// Reads further bytes into the buffer; fails at the end of the stream, and when the
+/// buffer holds more than `limit` already.
+async fn read_more(stream: &mut Stream, buffer: &mut Vec<u8>, limit: usize) -> io::Result<()> {
+    if buffer.len() > limit {
+        return Err(too_large());
+    }
+    buffer.reserve(READ_BYTES);
+    match stream.read_buf(buffer).await? {
+        0 => Err(io::Error::from(io::ErrorKind::UnexpectedEof)),
+        _ => Ok(()),
+    }
+}
+
+/// The head of a response.
+struct ResponseHead {
+    status: u16,
+    /// The bytes that it takes.
+    len: usize,
+    /// What marks the end of the body.
+    body: BodyEnd,
+    /// `Retry-After`, in seconds.
+    retry_after: Option<u32>,
+    keep_alive: bool,
+}
+
+/// What marks the end of a body.
+#[derive(Clone, Copy)]
+enum BodyEnd {
+    Chunked,
+    Length(usize),
+    /// The end of the connection.
+    Close,
+}
+
+/// The headers of a response that the client acts on.
+#[derive(Default)]
+struct HeaderFields {
+    content_length: Option<usize>,
+    is_chunked: bool,
+    /// The server closes the connection.
+    closes: bool,
+    /// `Retry-After`, in seconds.
+    retry_after: Option<u32>,
+}
+
+impl HeaderFields {
+    fn read(headers: &[httparse::Header]) -> io::Result<Self> {
+        let mut fields = HeaderFields::default();
+        for header in headers {
+            let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+            if header.name.eq_ignore_ascii_case("content-length") {
+                let length = value.parse().map_err(|_| malformed("content-length"))?;
+                fields.content_length = Some(length);
+            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+                fields.is_chunked = value.eq_ignore_ascii_case("chunked");
+            } else if header.name.eq_ignore_ascii_case("connection") {
+                fields.closes |= value.eq_ignore_ascii_case("close");
+            } else if header.name.eq_ignore_ascii_case("retry-after") {
+                fields.retry_after = value.parse().ok();
+            }
+        }
+        Ok(fields)
+    }
+
+    fn body_end(&self) -> BodyEnd {
+        match self.content_length {
+            _ if self.is_chunked => BodyEnd::Chunked,
+            Some(length) => BodyEnd::Length(length),
+            None => BodyEnd::Close,
+        }
+    }
+}
+
+/// Parses the head at the start of `buffer`; `None` if more bytes are needed.
+fn parse_head(buffer: &[u8]) -> io::Result<Option<ResponseHead>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let len = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(len)) => len,
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(error) => return Err(malformed(&error.to_string())),
+    };
+    let fields = HeaderFields::read(head.headers)?;
+    let body = fields.body_end();
+    let keeps_alive = head.version == Some(1) && !fields.closes;
+    Ok(Some(ResponseHead {
+        status: head.code.unwrap_or(0),
+        len,
+        body,
+        retry_after: fields.retry_after,
+        keep_alive: keeps_alive && !matches!(body, BodyEnd::Close),
+    }))
+}
+
+/// A response, as the client has received it.
+pub(super) struct ReceivedResponse {
+    pub(super) response: Response,
+    /// Whether the connection may be used again.
+    pub(super) keep_alive: bool,
+}
+
+/// Reads a response of at most `limit` bytes.
+pub(super) async fn read_response(
+    stream: &mut Stream,
+    limit: usize,
+) -> io::Result<ReceivedResponse> {
+    let mut buffer = Vec::new();
+    let head = loop {
+        read_more(stream, &mut buffer, limit).await?;
+        if let Some(head) = parse_head(&buffer)? {
+            break head;
+        }
+    };
+    let body_start = buffer.split_off(head.len);
+    let response = Response {
+        status: head.status,
+        body: read_body(stream, body_start, head.body, limit).await?,
+        retry_after: head.retry_after,
+        text: false,
+    };
+    Ok(ReceivedResponse {
+        response,
+        keep_alive: head.keep_alive,
+    })
+}
+
+/// Reads the rest of a body, whose start has arrived with the head.
+async fn read_body(
+    stream: &mut Stream,
+    mut body: Vec<u8>,
+    end: BodyEnd,
+    limit: usize,
+) -> io::Result<Vec<u8>> {
+    match end {
+        BodyEnd::Chunked => return read_chunks(stream, body, limit).await,
+        BodyEnd::Length(length) => {
+            if length > limit {
+                return Err(too_large());
+            }
+            body.reserve(length.saturating_sub(body.len()));
+            while body.len() < length {
+                read_more(stream, &mut body, limit).await?;
+            }
+            body.truncate(length);
+        }
+        BodyEnd::Close => while read_more(stream, &mut body, limit).await.is_ok() {},
+    }
+    Ok(body)
+}
+
+/// Reads a body in the chunked transfer encoding.
+async fn read_chunks(
+    stream: &mut Stream,
+    mut buffer: Vec<u8>,
+    limit: usize,
+) -> io::Result<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        match httparse::parse_chunk_size(&buffer) {
+            Err(_) => return Err(malformed("chunk size")),
+            Ok(httparse::Status::Partial) => read_more(stream, &mut buffer, limit).await?,
+            Ok(httparse::Status::Complete((used, size))) => {
+                let size = usize::try_from(size).map_err(|_| malformed("chunk size"))?;
+                if body.len().saturating_add(size) > limit {
+                    return Err(too_large());
+                }
+                while buffer.len() < used + size + 2 {
+                    read_more(stream, &mut buffer, limit).await?;
+                }
+                body.extend_from_slice(&buffer[used..used + size]);
+                buffer.drain(..used + size + 2);
+                if size == 0 {
+                    return Ok(body);
+                }
+            }
+        }
+    }
+}
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,11 +1,11 @@
-//! Requests and responses, and how they stand on a connection.
+//! Requests and responses, and their encoding on a connection.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::{BODY_LIMIT, CallError, HEAD_LIMIT, MAX_HEADERS};
 
-/// A request as the server has read it.
+/// A request, as the server has received it.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The method, as it was sent.
@@ -25,7 +25,7 @@
     pub status: u16,
     /// The body: JSON, unless `text` is set.
     pub body: Vec<u8>,
-    /// Whole seconds after which the client may come back.
+    /// `Retry-After`, in whole seconds.
     pub retry_after: Option<u32>,
     /// The body is plain text.
     pub text: bool,
@@ -72,8 +72,8 @@
     }
 }
 
-/// The phrase that goes with a status code.
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -93,39 +93,46 @@
     }
 }
 
-/// What became of reading one request.
+/// The outcome of parsing one request.
 #[derive(Debug)]
 pub enum Parsed {
     /// More bytes are needed.
     Partial,
-    /// A request, the bytes that it took, and whether the connection stays.
-    Whole(Request, usize, bool),
-    /// Answer with this status and close.
-    Refuse(u16, &'static str),
+    /// A whole request.
+    Complete {
+        /// The request.
+        request: Request,
+        /// The bytes that it took.
+        len: usize,
+        /// Whether the client keeps the connection open.
+        keep_alive: bool,
+    },
+    /// The request is malformed or exceeds a limit: respond and close.
+    Invalid(RequestError),
 }
 
-/// Reads one request from the start of `buffer`; pure.
+/// Parses one request at the start of `buffer`; pure.
 pub fn parse_request(buffer: &[u8]) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_len = match head.parse(buffer) {
         Ok(httparse::Status::Complete(len)) => len,
         Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Parsed::Refuse(431, "head too large");
+            return invalid(431, "head too large");
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Refuse(431, "too many headers"),
-        Err(_) => return Parsed::Refuse(400, "malformed request"),
+        Err(httparse::Error::TooManyHeaders) => return invalid(431, "too many headers"),
+        Err(_) => return invalid(400, "malformed request"),
     };
     if head_len > HEAD_LIMIT {
-        return Parsed::Refuse(431, "head too large");
+        return invalid(431, "head too large");
     }
     let framing = match framing_of(&head) {
         Ok(framing) => framing,
-        Err(RequestError { status, problem }) => return Parsed::Refuse(status, problem),
+        Err(error) => return Parsed::Invalid(error),
     };
     if framing.length > BODY_LIMIT {
-        return Parsed::Refuse(400, "body over 64 KiB");
+        return invalid(400, "body over 64 KiB");
     }
     let end = head_len + framing.length;
     if buffer.len() < end {
@@ -139,21 +146,34 @@
         query: query.to_string(),
         body: buffer[head_len..end].to_vec(),
     };
-    Parsed::Whole(request, end, framing.keep_alive)
+    Parsed::Complete {
+        request,
+        len: end,
+        keep_alive: framing.keep_alive,
+    }
+}
+
+fn invalid(status: u16, problem: &'static str) -> Parsed {
+    Parsed::Invalid(RequestError { status, problem })
 }
 
-/// What a request's headers say of its body and of the connection.
+/// The length of a request's body, and what is to become of the connection.
 struct Framing {
     length: usize,
     keep_alive: bool,
 }
 
-/// Why a request is refused.
-struct RequestError {
-    status: u16,
-    problem: &'static str,
+/// Why a request is refused before it reaches the handler.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{status}: {problem}")]
+pub struct RequestError {
+    /// The status of the response.
+    pub status: u16,
+    /// The problem, as the client is told.
+    pub problem: &'static str,
 }
 
+/// Reads the headers that frame the request.
 fn framing_of(head: &httparse::Request) -> Result<Framing, RequestError> {
     let refuse = |status, problem| Err(RequestError { status, problem });
     let mut length: Option<usize> = None;
@@ -196,7 +216,7 @@
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
     if let Some(seconds) = response.retry_after {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -8,18 +8,18 @@
 mod server;
 
 pub use client::{CallError, Client, Deadlines};
-pub use message::{Parsed, Request, Response, parse_request, query_value};
+pub use message::{Parsed, Request, RequestError, Response, parse_request, query_value};
 pub use server::{Handler, ResponseFuture, ServerLimits, serve};
 
 /// PROTOCOL: a request body can be at most 64 KiB.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// The longest head of a request.
+/// The maximum bytes of a request's head.
 const HEAD_LIMIT: usize = 8 * 1024;
 
-/// The most headers of a request or an answer.
+/// The maximum number of headers of a request or a response.
 const MAX_HEADERS: usize = 48;
 
-/// What an answer may hold, unless the client says otherwise: this bounds what
-/// a broken peer can make us hold.
-const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
+/// The maximum bytes of a response, unless the client sets another limit: it bounds
+/// the memory that a broken peer can take here.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -18,16 +18,16 @@
 /// The response that a handler will give.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
-/// What answers the server's requests.
+/// Handles the server's requests.
 pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
 /// How long to wait when no connection can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The room that is made for each read.
+/// The capacity that is reserved for each read, in bytes.
 const READ_BYTES: usize = 2048;
 
-/// Bounds on what the server's connections may take.
+/// Limits on the server's connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
     /// The most connections that are open at once.
@@ -88,7 +88,7 @@
     }
 }
 
-/// What became of waiting for a request.
+/// The outcome of waiting for a request.
 enum Received {
     Request {
         request: Request,
@@ -130,8 +130,8 @@
     }
 }
 
-/// Reads until `buffer` holds a request, and takes it out of there. One that is
-/// malformed is answered at once.
+/// Reads until `buffer` holds a request, and removes it from there. A malformed one
+/// gets its response at once.
 async fn receive(
     stream: &mut Stream,
     limits: &ServerLimits,
@@ -140,8 +140,12 @@
     let mut begun: Option<Instant> = (!buffer.is_empty()).then(Instant::now);
     loop {
         match parse_request(buffer) {
-            Parsed::Whole(request, used, keep_alive) => {
-                buffer.drain(..used);
+            Parsed::Complete {
+                request,
+                len,
+                keep_alive,
+            } => {
+                buffer.drain(..len);
                 if buffer.is_empty() {
                     // Idle connections hold no buffer: there may be many.
                     *buffer = Vec::new();
@@ -151,8 +155,8 @@
                     keep_alive,
                 });
             }
-            Parsed::Refuse(status, problem) => {
-                let bytes = encode(&Response::error(status, problem), false);
+            Parsed::Invalid(error) => {
+                let bytes = encode(&Response::error(error.status, error.problem), false);
                 let _ = timeout(limits.arrive, stream.write_all(&bytes)).await;
                 let _ = timeout(limits.arrive, stream.shutdown()).await;
                 return Ok(Received::Closed);
--- a/src/introspection/mod.rs
+++ b/src/introspection/mod.rs
@@ -1,9 +1,8 @@
-//! What operators may ask a running controller: the state of a job, the teams,
-//! and what is unfinished or late, with the one reason each.
+//! Introspection of a running controller for operators: the state of a job, the
+//! teams, and what is unfinished or late, each with the one reason.
 //!
 //! Read-only, answered from this controller's replica alone, and bounded in
-//! size: a question here costs the state service nothing and cannot slow
-//! acceptance. `messages` holds the responses, `reason` why a job is not over,
+//! size: such a request costs the state service nothing and cannot slow acceptance. `messages` holds the responses, `reason` why a job is not over,
 //! `snapshot` puts the responses together.
 
 mod messages;
@@ -20,7 +19,7 @@
 /// The response to `GET /ops/job/{id}`: a [`JobDetails`].
 pub fn job(controller: &Controller, id: &str) -> Response {
     match Snapshot::new(controller).job(id) {
-        Some(story) => Response::json(200, &story),
+        Some(details) => Response::json(200, &details),
         None => Response::error(404, "no such job"),
     }
 }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -1,4 +1,4 @@
-//! Operators' responses, put together from one moment's state.
+//! Builds the responses to operators from the controller's state at one moment.
 
 use std::cell::Ref;
 use std::collections::BTreeMap;
@@ -16,10 +16,10 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobStage, Kind};
 
-/// The most jobs that one page of the report names, and runs of one job.
+/// The maximum number of jobs on a page of the report, and of runs of one job.
 const PAGE_SIZE: usize = 100;
 
-/// The entry of the machine counts for machines that tasks are booked on.
+/// The key of the machine counts for machines that tasks are booked on.
 const MACHINES_WITH_WORK: &str = "with-work";
 
 /// The state of a controller at one moment.
@@ -70,7 +70,7 @@
             late: spec.is_some_and(|spec| is_open && self.is_late(id, job, spec)),
             reason_s: reason.as_ref().map(|reason| reason.seconds),
             reason: reason.map(|reason| reason.text),
-            runs: runs.map(|run| run_story(run, is_open)).collect(),
+            runs: runs.map(|run| run_details(run, is_open)).collect(),
         })
     }
 
@@ -81,27 +81,27 @@
         let first_seen = self.controller.placement.first_seen.borrow();
         let queue = scheduler::queue(&self.replica, &plan, settings, &first_seen, self.now);
         let teams = settings.deployment.teams.iter();
-        teams.map(|terms| self.team(terms, &queue)).collect()
+        teams.map(|quota| self.team(quota, &queue)).collect()
     }
 
-    fn team(&self, terms: &TeamQuota, queue: &[&str]) -> TeamDetails {
-        let used = self.replica.team_used(&terms.name);
+    fn team(&self, quota: &TeamQuota, queue: &[&str]) -> TeamDetails {
+        let used = self.replica.team_used(&quota.name);
         let (cpus, gpus) = (used.cpus.units(), used.gpus.units());
         let waiting: Vec<(&str, &Job)> = queue
             .iter()
             .filter_map(|id| Some((*id, &self.replica.jobs.get(*id)?.value)))
-            .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == terms.name))
+            .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == quota.name))
             .collect();
         TeamDetails {
-            team: terms.name.clone(),
+            team: quota.name.clone(),
             cpus_used: cpus,
-            cpus_guaranteed: terms.cpus,
-            cpus_limit: terms.cpus_max,
-            cpus_borrowed: (cpus - terms.cpus).max(0.0),
+            cpus_guaranteed: quota.cpus,
+            cpus_limit: quota.cpus_max,
+            cpus_borrowed: (cpus - quota.cpus).max(0.0),
             gpus_used: gpus,
-            gpus_guaranteed: terms.gpus,
-            gpus_limit: terms.gpus_max,
-            gpus_borrowed: (gpus - terms.gpus).max(0.0),
+            gpus_guaranteed: quota.gpus,
+            gpus_limit: quota.gpus_max,
+            gpus_borrowed: (gpus - quota.gpus).max(0.0),
             waiting_jobs: waiting.len(),
             waiting_tasks: waiting.iter().map(|(_, job)| job.waiting()).sum(),
             why: waiting.first().map(|(id, job)| self.reason(id, job).text),
@@ -175,7 +175,7 @@
         }
     }
 
-    /// How many machines are in each state, and how many have work.
+    /// How many machines are in each state, and how many have tasks booked on them.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
         let mut counts: BTreeMap<String, usize> = cloud::census(&self.replica)
             .into_iter()
@@ -190,7 +190,7 @@
         counts
     }
 
-    /// Offers that the cloud has refused any controller of late.
+    /// The offers that the cloud has recently refused to any controller.
     fn refused_offers(&self) -> Vec<String> {
         let mut refused = self.controller.fleet.borrow().refused_now(self.now);
         let peers = self.controller.peers.borrow();
@@ -210,8 +210,8 @@
         })
     }
 
-    /// Whether a job is past its own deadline, or has waiting tasks and is too
-    /// late for all that it is to meet.
+    /// Whether a job is past its own deadline, or has waiting tasks and is too late
+    /// for every SLO of its class.
     fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
         let queue_rank = self.replica.queue_rank(id, spec, self.now);
         if queue_rank.left_s.is_some_and(|left| left < 0.0) {
@@ -226,7 +226,7 @@
     }
 }
 
-fn run_story(run: &Run, is_open: bool) -> RunDetails {
+fn run_details(run: &Run, is_open: bool) -> RunDetails {
     RunDetails {
         machine: run.machine.clone(),
         zone: run.zone.clone(),
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -30,7 +30,7 @@
     ];
     for (text, status) in refused {
         match parse_request(text.as_bytes()) {
-            Parsed::Refuse(s, _) => assert_eq!(s, *status, "{text:.60}"),
+            Parsed::Invalid(error) => assert_eq!(error.status, *status, "{text:.60}"),
             other => panic!("{text:.60}: {other:?}"),
         }
     }
@@ -42,12 +42,20 @@
         );
     }
     match parse_request(text.as_bytes()) {
-        Parsed::Whole(r, used, keep) => {
+        Parsed::Complete {
+            request,
+            len,
+            keep_alive,
+        } => {
             assert_eq!(
-                (r.path.as_str(), r.query.as_str(), r.body.as_slice()),
+                (
+                    request.path.as_str(),
+                    request.query.as_str(),
+                    request.body.as_slice()
+                ),
                 ("/a", "b=c", &b"hi"[..])
             );
-            assert_eq!((used, keep), (text.len() - 3, false));
+            assert_eq!((len, keep_alive), (text.len() - 3, false));
         }
         other => panic!("{other:?}"),
     }
--- a/tests/rule_checker/answers.rs
+++ b/tests/rule_checker/answers.rs
@@ -1,7 +1,7 @@
 //! Answers to users: forgotten, invented, done too early, gone back.
 
 use crate::history::{
-    Cancel, Case, FIRST, Launch, Poll, PollFor, SECOND, Stop, Submit, SubmitTo, WaitReason, beside,
+    Cancel, Case, Elapse, FIRST, Launch, Poll, PollFor, SECOND, Stop, Submit, SubmitTo, beside,
     long_batch, short_batch, unrelated_start,
 };
 use crate::stand_ins::{Rule, after, job};
@@ -91,10 +91,10 @@
                 vec![
                     Submit(short_batch(1)),
                     Launch(0, "job-000001/0"),
-                    WaitReason(4.0),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Poll(FIRST, 200, "done")],
+            lawful: || vec![Elapse(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
@@ -104,13 +104,13 @@
                 vec![
                     Submit(short_batch(2)),
                     Launch(0, "job-000001/0"),
-                    WaitReason(6.0),
+                    Elapse(6.0),
                 ]
             },
             lawful: || {
                 vec![
                     Launch(1, "job-000001/1"),
-                    WaitReason(6.0),
+                    Elapse(6.0),
                     Poll(FIRST, 200, "done"),
                 ]
             },
@@ -120,11 +120,11 @@
             name: "a stopped task has not completed",
             rule: Rule::NotDone,
             before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0")],
-            lawful: || vec![WaitReason(6.0), Poll(FIRST, 200, "done")],
+            lawful: || vec![Elapse(6.0), Poll(FIRST, 200, "done")],
             violation: || {
                 vec![
                     Stop(0, "job-000001/0"),
-                    WaitReason(6.0),
+                    Elapse(6.0),
                     Poll(FIRST, 200, "done"),
                 ]
             },
@@ -137,10 +137,10 @@
                     Submit(job(1, "gang", 2, 5.0)),
                     Launch(0, "job-000001/0"),
                     Launch(1, "job-000001/1"),
-                    WaitReason(4.0),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Poll(FIRST, 200, "done")],
+            lawful: || vec![Elapse(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
@@ -150,10 +150,10 @@
                 vec![
                     Submit(short_batch(1)),
                     Launch(0, "job-000001/0"),
-                    WaitReason(4.0),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Cancel(FIRST, 200, "done")],
+            lawful: || vec![Elapse(2.0), Cancel(FIRST, 200, "done")],
             violation: || vec![Cancel(FIRST, 200, "done")],
         },
     ]
@@ -164,7 +164,7 @@
         vec![
             Submit(short_batch(1)),
             Launch(0, "job-000001/0"),
-            WaitReason(6.0),
+            Elapse(6.0),
             Poll(FIRST, 200, "done"),
         ]
     };
@@ -172,7 +172,7 @@
         vec![
             Submit(short_batch(1)),
             Launch(0, "job-000001/0"),
-            WaitReason(6.0),
+            Elapse(6.0),
             Cancel(FIRST, 200, "aborted"),
         ]
     };
--- a/tests/rule_checker/further.rs
+++ b/tests/rule_checker/further.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::history::{
-    Cancel, Case, FIRST, Launch, Poll, Record, SECOND, Submit, WaitReason, beside, long_batch,
+    Cancel, Case, Elapse, FIRST, Launch, Poll, Record, SECOND, Submit, beside, long_batch,
     short_batch,
 };
 use crate::stand_ins::{Rule, after, job};
@@ -18,10 +18,10 @@
                     Submit(short_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Launch(0, "job-000001/0"),
-                    WaitReason(4.0),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Launch(1, "job-000002/0")],
+            lawful: || vec![Elapse(2.0), Launch(1, "job-000002/0")],
             violation: || vec![Launch(1, "job-000002/0")],
         },
         Case {
@@ -32,12 +32,12 @@
                     Submit(long_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(29.0),
+                    Elapse(29.0),
                     Poll(SECOND, 200, "queued"),
                 ])
             },
-            lawful: || vec![WaitReason(2.0), Poll(SECOND, 200, "aborted")],
-            violation: || vec![WaitReason(2.0), Poll(SECOND, 200, "queued")],
+            lawful: || vec![Elapse(2.0), Poll(SECOND, 200, "aborted")],
+            violation: || vec![Elapse(2.0), Poll(SECOND, 200, "queued")],
         },
         Case {
             name: "a task of a job that nobody submitted",
@@ -49,7 +49,7 @@
         Case {
             name: "no task was started",
             rule: Rule::NothingRan,
-            before: || vec![Submit(long_batch(1)), WaitReason(5.0)],
+            before: || vec![Submit(long_batch(1)), Elapse(5.0)],
             lawful: || vec![Launch(0, "job-000001/0")],
             violation: Vec::new,
         },
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -34,12 +34,10 @@
     Record(&'static str, Value),
     /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
     PollFor(f64, Vec<(&'static str, u16)>),
-    WaitReason(f64),
+    Elapse(f64),
 }
 
-pub use Step::{
-    Cancel, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo, WaitReason,
-};
+pub use Step::{Cancel, Elapse, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo};
 
 /// A history that goes on in two ways.
 pub struct Case {
@@ -73,7 +71,7 @@
             Lose(machine) => world.lose(&format!("host-{machine:06}")),
             Record(key, value) => world.state.write(key, &value),
             PollFor(seconds, jobs) => poll_for(world, controller, seconds, &jobs).await,
-            WaitReason(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
+            Elapse(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         }
     }
 }
--- a/tests/rule_checker/tasks.rs
+++ b/tests/rule_checker/tasks.rs
@@ -3,8 +3,7 @@
 use serde_json::json;
 
 use crate::history::{
-    Cancel, Case, FIRST, Hang, Launch, Lose, Stop, Submit, WaitReason, long_batch, short_batch,
-    with,
+    Cancel, Case, Elapse, FIRST, Hang, Launch, Lose, Stop, Submit, long_batch, short_batch, with,
 };
 use crate::stand_ins::{Rule, after, job};
 
@@ -32,10 +31,10 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Hang(0, 60.0),
-                    WaitReason(5.0),
+                    Elapse(5.0),
                 ]
             },
-            lawful: || vec![WaitReason(7.0), Launch(1, "job-000001/0")],
+            lawful: || vec![Elapse(7.0), Launch(1, "job-000001/0")],
             violation: || vec![Launch(1, "job-000001/0")],
         },
         Case {
@@ -45,10 +44,10 @@
                 vec![
                     Submit(short_batch(1)),
                     Launch(0, "job-000001/0"),
-                    WaitReason(4.0),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Launch(1, "job-000001/0")],
+            lawful: || vec![Elapse(2.0), Launch(1, "job-000001/0")],
             violation: || vec![Launch(1, "job-000001/0")],
         },
     ]
@@ -69,17 +68,17 @@
                     Launch(1, "job-000001/3"),
                     Launch(2, "job-000001/4"),
                     Launch(2, "job-000001/5"),
-                    WaitReason(1.0),
+                    Elapse(1.0),
                 ]
             },
             lawful: || {
                 vec![
                     Stop(0, "job-000001/0"),
                     Launch(3, "job-000001/6"),
-                    WaitReason(1.0),
+                    Elapse(1.0),
                 ]
             },
-            violation: || vec![Launch(3, "job-000001/6"), WaitReason(1.0)],
+            violation: || vec![Launch(3, "job-000001/6"), Elapse(1.0)],
         },
         Case {
             name: "two jobs of one team, or of two",
@@ -93,8 +92,8 @@
                     Launch(0, "job-000001/0"),
                 ]
             },
-            lawful: || vec![Launch(1, "job-000003/0"), WaitReason(1.0)],
-            violation: || vec![Launch(1, "job-000002/0"), WaitReason(1.0)],
+            lawful: || vec![Launch(1, "job-000003/0"), Elapse(1.0)],
+            violation: || vec![Launch(1, "job-000002/0"), Elapse(1.0)],
         },
     ]
 }
@@ -163,11 +162,11 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(29.0),
+                    Elapse(29.0),
                 ]
             },
-            lawful: || vec![Stop(0, "job-000001/0"), WaitReason(3.0)],
-            violation: || vec![WaitReason(3.0)],
+            lawful: || vec![Stop(0, "job-000001/0"), Elapse(3.0)],
+            violation: || vec![Elapse(3.0)],
         },
         Case {
             name: "a second confirmation gives no more time",
@@ -177,13 +176,13 @@
                     Submit(long_batch(1)),
                     Launch(0, "job-000001/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(20.0),
+                    Elapse(20.0),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(9.0),
+                    Elapse(9.0),
                 ]
             },
-            lawful: || vec![Stop(0, "job-000001/0"), WaitReason(3.0)],
-            violation: || vec![WaitReason(3.0)],
+            lawful: || vec![Stop(0, "job-000001/0"), Elapse(3.0)],
+            violation: || vec![Elapse(3.0)],
         },
         Case {
             name: "a start",
@@ -192,13 +191,13 @@
                 vec![
                     Submit(long_batch(1)),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(29.0),
+                    Elapse(29.0),
                 ]
             },
             lawful: || vec![Launch(0, "job-000001/0"), Stop(0, "job-000001/0")],
             violation: || {
                 vec![
-                    WaitReason(2.0),
+                    Elapse(2.0),
                     Launch(0, "job-000001/0"),
                     Stop(0, "job-000001/0"),
                 ]
@@ -212,14 +211,14 @@
                     Submit(short_batch(1)),
                     Submit(after(job(2, "daemon", 1, 0.0), &[FIRST])),
                     Launch(0, "job-000001/0"),
-                    WaitReason(6.0),
+                    Elapse(6.0),
                     Launch(1, "job-000002/0"),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(29.0),
+                    Elapse(29.0),
                 ]
             },
-            lawful: || vec![Stop(1, "job-000002/0"), WaitReason(3.0)],
-            violation: || vec![WaitReason(3.0)],
+            lawful: || vec![Stop(1, "job-000002/0"), Elapse(3.0)],
+            violation: || vec![Elapse(3.0)],
         },
     ]
 }
