--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -1,5 +1,5 @@
-//! The commands about shares: what each controller has of a team's room, moving a part of
-//! it, and how far moves have come.
+//! The commands about shares: showing each controller's share of a team's quota, moving
+//! a part of it, and the status of moves.
 
 use clap::Subcommand;
 use rand::rngs::SmallRng;
@@ -77,16 +77,8 @@
 impl ShareCommand {
     pub(super) fn run(self) -> Result<u8, CliError> {
         match self {
-            ShareCommand::Show { team, controller } => {
-                let path = with_query("/ops/shares", "team", team.as_deref());
-                let report: ShareReport = controller.request("GET", &path, None)?;
-                controller.print(&report, shares_text)?;
-            }
-            ShareCommand::Status { id, controller } => {
-                let path = with_query("/ops/shares/moves", "id", id.as_deref());
-                let answer: MoveAnswer = controller.request("GET", &path, None)?;
-                controller.print(&answer, moves_text)?;
-            }
+            ShareCommand::Show { team, controller } => show(&controller, team.as_deref())?,
+            ShareCommand::Status { id, controller } => status(&controller, id.as_deref())?,
             ShareCommand::Move {
                 team,
                 from,
@@ -112,17 +104,32 @@
                     amount,
                     dry_run,
                 };
-                let body = serde_json::to_vec(&request).map_err(CliError::Json)?;
-                let answer: MoveAnswer =
-                    controller.request("POST", "/ops/shares/move", Some(body))?;
-                controller.print(&answer, moves_text)?;
+                request_move(&controller, &request)?;
             }
         }
         Ok(EXIT_DONE)
     }
 }
 
-/// An id that no other operation has.
+fn show(controller: &ControllerArgs, team: Option<&str>) -> Result<(), CliError> {
+    let path = with_query("/ops/shares", "team", team);
+    let report: ShareReport = controller.request("GET", &path, None)?;
+    controller.print(&report, shares_text)
+}
+
+fn status(controller: &ControllerArgs, id: Option<&str>) -> Result<(), CliError> {
+    let path = with_query("/ops/shares/moves", "id", id);
+    let answer: MoveAnswer = controller.request("GET", &path, None)?;
+    controller.print(&answer, moves_text)
+}
+
+fn request_move(controller: &ControllerArgs, request: &MoveRequest) -> Result<(), CliError> {
+    let body = serde_json::to_vec(request).map_err(CliError::Json)?;
+    let answer: MoveAnswer = controller.request("POST", "/ops/shares/move", Some(body))?;
+    controller.print(&answer, moves_text)
+}
+
+/// A random id, which makes the operation idempotent.
 fn random_id() -> String {
     let mut rng = SmallRng::from_os_rng();
     format!("move-{:016x}", rng.random::<u64>())
@@ -135,7 +142,7 @@
     }
 }
 
-/// The splits of teams' rooms, a line for each controller.
+/// The shares of each team's quota, a line for each controller.
 pub fn shares_text(report: &ShareReport) -> String {
     let mut text = format!(
         "At revision {}: shares hold {} of {}.\n",
@@ -175,7 +182,7 @@
     text + "\n"
 }
 
-/// Moves, a line for each.
+/// The moves of shares, a line for each.
 pub fn moves_text(answer: &MoveAnswer) -> String {
     let mut text = format!("At revision {}:\n", answer.revision);
     text.extend(answer.moves.iter().map(move_text));
@@ -185,21 +192,21 @@
     text
 }
 
-fn move_text(one: &MoveReport) -> String {
-    let state = match one.state {
+fn move_text(report: &MoveReport) -> String {
+    let state = match report.state {
         MoveState::Pending => "pending",
         MoveState::Superseded => "superseded by a later move, and part of it",
         MoveState::Done => "done",
     };
     let mut text = format!(
         "  {}: {} of {} from {} to {}: {state}\n",
-        one.id,
-        amounts_text(&one.amount),
-        one.team,
-        one.from,
-        one.to
+        report.id,
+        amounts_text(&report.amount),
+        report.team,
+        report.from,
+        report.to
     );
-    if let Some(obstacle) = &one.obstacle {
+    if let Some(obstacle) = &report.obstacle {
         text += &format!("    {obstacle}\n");
     }
     text
--- /dev/null
+++ b/src/policy/check/mod.rs
@@ -0,0 +1,159 @@
+//! The checker: resolves names, and proves by interval arithmetic that an
+//! expression is always defined and stays in the range of its rule.
+//!
+//! `operators` checks operators, `calls` checks function calls.
+
+mod calls;
+mod operators;
+
+use super::error::{LocatedProblem, Problem, SORT_KEYS_LIMIT};
+use super::eval::{Expression, boolean_value};
+use super::parser::parse_expressions;
+use super::rules::{CONSTANTS, Rule, Subject};
+use super::syntax::{SourceRange, SyntaxKind, SyntaxNode};
+use super::types::{Interval, Type};
+
+/// A checked expression with its type.
+struct Typed {
+    expression: Expression,
+    value_type: Type,
+}
+
+impl Typed {
+    fn number(expression: Expression, interval: Interval) -> Self {
+        Typed {
+            expression,
+            value_type: Type::Number(interval),
+        }
+    }
+
+    fn boolean(expression: Expression) -> Self {
+        Typed {
+            expression,
+            value_type: Type::Boolean,
+        }
+    }
+}
+
+/// A checked expression of numbers with its range.
+struct Numeric {
+    expression: Expression,
+    interval: Interval,
+}
+
+/// Parses and checks the text of a rule.
+pub(super) fn compile(rule: &Rule, text: &str) -> Result<Vec<Expression>, LocatedProblem> {
+    let nodes = parse_expressions(text)?;
+    match rule.range {
+        Some(allowed) => single_value(rule, allowed, &nodes).map(|value| vec![value]),
+        None => sort_keys(rule, &nodes),
+    }
+}
+
+/// Checks a rule that has a single number.
+fn single_value(
+    rule: &Rule,
+    allowed: Interval,
+    nodes: &[SyntaxNode],
+) -> Result<Expression, LocatedProblem> {
+    if let Some(second) = nodes.get(1) {
+        return Err(Problem::MultipleValues.at(&second.range));
+    }
+    let checker = Checker::new(rule.subject);
+    let value = checker.number(&nodes[0])?;
+    if !value.interval.is_within(&allowed) {
+        let problem = Problem::OutOfRange {
+            found: value.interval,
+            rule: rule.name,
+            allowed,
+        };
+        return Err(problem.at(&nodes[0].range));
+    }
+    Ok(value.expression)
+}
+
+/// Checks a rule that has a list of sort keys.
+fn sort_keys(rule: &Rule, nodes: &[SyntaxNode]) -> Result<Vec<Expression>, LocatedProblem> {
+    if let Some(excess) = nodes.get(SORT_KEYS_LIMIT) {
+        return Err(Problem::TooManySortKeys.at(&excess.range));
+    }
+    let checker = Checker::new(rule.subject);
+    nodes
+        .iter()
+        .map(|node| Ok(checker.typed(node)?.expression))
+        .collect()
+}
+
+/// Checks expressions over the variables of one subject.
+struct Checker {
+    subject: Subject,
+}
+
+impl Checker {
+    fn new(subject: Subject) -> Self {
+        Checker { subject }
+    }
+
+    /// Checks an expression of any type.
+    fn typed(&self, node: &SyntaxNode) -> Result<Typed, LocatedProblem> {
+        let typed = match &node.kind {
+            SyntaxKind::Number(number) => {
+                Typed::number(Expression::Number(*number), Interval::point(*number))
+            }
+            SyntaxKind::Boolean(value) => Typed::boolean(Expression::Number(boolean_value(*value))),
+            SyntaxKind::Name(name) => self.name(name, &node.range)?,
+            SyntaxKind::Unary(operator, operand) => self.unary(*operator, operand)?,
+            SyntaxKind::Binary(operator, left, right) => self.binary(*operator, left, right)?,
+            SyntaxKind::Call {
+                function,
+                arguments,
+            } => self.call(function, arguments, &node.range)?,
+        };
+        match typed.value_type {
+            Type::Number(interval) if !interval.is_finite() => {
+                Err(Problem::Overflow.at(&node.range))
+            }
+            _ => Ok(typed),
+        }
+    }
+
+    /// Checks an expression that has to be a number.
+    fn number(&self, node: &SyntaxNode) -> Result<Numeric, LocatedProblem> {
+        let typed = self.typed(node)?;
+        match typed.value_type {
+            Type::Number(interval) => Ok(Numeric {
+                expression: typed.expression,
+                interval,
+            }),
+            Type::Boolean => Err(Problem::ExpectedNumber.at(&node.range)),
+        }
+    }
+
+    /// Checks an expression that has to be a boolean.
+    fn boolean(&self, node: &SyntaxNode) -> Result<Expression, LocatedProblem> {
+        let typed = self.typed(node)?;
+        match typed.value_type {
+            Type::Boolean => Ok(typed.expression),
+            Type::Number(_) => Err(Problem::ExpectedBoolean.at(&node.range)),
+        }
+    }
+
+    /// Resolves the name of a constant or a variable.
+    fn name(&self, name: &str, range: &SourceRange) -> Result<Typed, LocatedProblem> {
+        if let Some(constant) = CONSTANTS.iter().find(|constant| constant.name == name) {
+            let expression = Expression::Number(constant.value);
+            return Ok(Typed::number(expression, Interval::point(constant.value)));
+        }
+        let variables = self.subject.variables();
+        let Some(position) = variables.iter().position(|variable| variable.name == name) else {
+            let known: Vec<&str> = variables.iter().map(|variable| variable.name).collect();
+            let known = known.join(", ");
+            return Err(Problem::UnknownName { known }.at(range));
+        };
+        let expression = Expression::Variable(position);
+        Ok(match variables[position].range {
+            Some(interval) => Typed::number(expression, interval),
+            None => Typed::boolean(expression),
+        })
+    }
+}
--- /dev/null
+++ b/src/policy/check/operators.rs
@@ -0,0 +1,74 @@
+//! Checks of operators.
+
+use super::{Checker, Typed};
+use crate::policy::error::{LocatedProblem, Problem};
+use crate::policy::eval::Expression;
+use crate::policy::syntax::{ArithmeticOperator, BinaryOperator, SyntaxNode, UnaryOperator};
+
+impl Checker {
+    pub(super) fn unary(
+        &self,
+        operator: UnaryOperator,
+        operand: &SyntaxNode,
+    ) -> Result<Typed, LocatedProblem> {
+        match operator {
+            UnaryOperator::Negate => {
+                let operand = self.number(operand)?;
+                let expression = Expression::Unary(operator, Box::new(operand.expression));
+                Ok(Typed::number(expression, operand.interval.negated()))
+            }
+            UnaryOperator::Not => {
+                let operand = self.boolean(operand)?;
+                Ok(Typed::boolean(Expression::Unary(
+                    operator,
+                    Box::new(operand),
+                )))
+            }
+        }
+    }
+
+    pub(super) fn binary(
+        &self,
+        operator: BinaryOperator,
+        left: &SyntaxNode,
+        right: &SyntaxNode,
+    ) -> Result<Typed, LocatedProblem> {
+        match operator {
+            BinaryOperator::Logical(operator) => {
+                let left = Box::new(self.boolean(left)?);
+                let right = Box::new(self.boolean(right)?);
+                Ok(Typed::boolean(Expression::Logical(operator, left, right)))
+            }
+            BinaryOperator::Comparison(operator) => {
+                let left = Box::new(self.number(left)?.expression);
+                let right = Box::new(self.number(right)?.expression);
+                Ok(Typed::boolean(Expression::Comparison(
+                    operator, left, right,
+                )))
+            }
+            BinaryOperator::Arithmetic(operator) => self.arithmetic(operator, left, right),
+        }
+    }
+
+    fn arithmetic(
+        &self,
+        operator: ArithmeticOperator,
+        left: &SyntaxNode,
+        right: &SyntaxNode,
+    ) -> Result<Typed, LocatedProblem> {
+        let left_value = self.number(left)?;
+        let right_value = self.number(right)?;
+        if operator == ArithmeticOperator::Divide && right_value.interval.contains(0.0) {
+            return Err(Problem::DivisorMayBeZero.at(&right.range));
+        }
+        let interval = left_value
+            .interval
+            .combine(&right_value.interval, |x, y| operator.apply(x, y));
+        let expression = Expression::Arithmetic(
+            operator,
+            Box::new(left_value.expression),
+            Box::new(right_value.expression),
+        );
+        Ok(Typed::number(expression, interval))
+    }
+}
--- /dev/null
+++ b/tests/stand_ins/state_service/commits.rs
@@ -0,0 +1,144 @@
+//! Commits: their preconditions, their writes, and the faults that they meet.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::Rng;
+use serde_json::{Value, json};
+use shelfhoist::http::Response;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use super::{State, Trouble};
+use crate::stand_ins::production::as_production;
+
+/// The key that a write sets or removes.
+pub(super) fn written_key(write: &Value) -> &str {
+    let key = write["set"].as_str().or(write["remove"].as_str());
+    key.expect("set or remove")
+}
+
+impl State {
+    pub(super) async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
+        match as_production(body) {
+            Some(body) => self.commit(body).await,
+            None => {
+                let at = self.revision.get();
+                let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
+                Response::json(409, &failed)
+            }
+        }
+    }
+
+    pub(super) async fn commit(self: &Rc<Self>, body: Value) -> Response {
+        if self.trouble.get() == Trouble::NoCommits {
+            return Response::empty(503);
+        }
+        if self.troubled.get() > 0 {
+            self.troubled.set(self.troubled.get() - 1);
+            match self.trouble.get() {
+                Trouble::LoseAnswers => {
+                    self.apply(&body);
+                    std::future::pending::<()>().await;
+                }
+                Trouble::Late => {
+                    sleep(Duration::from_secs(3)).await;
+                    self.apply(&body);
+                    std::future::pending::<()>().await;
+                }
+                _ => {}
+            }
+        }
+        let (late, unanswered) = {
+            let troubles = self.troubles.borrow();
+            (troubles.late, troubles.unanswered)
+        };
+        if self.chance(late) {
+            let after = self.rng.borrow_mut().random_range(2.0..12.0);
+            let state = self.clone();
+            // Whoever sent it gives up on it meanwhile; it is carried out.
+            spawn_local(async move {
+                sleep(Duration::from_secs_f64(after)).await;
+                while state.is_down() {
+                    sleep(Duration::from_millis(100)).await;
+                }
+                state.apply(&body);
+            });
+            return std::future::pending().await;
+        }
+        if self.chance(unanswered) {
+            self.apply(&body);
+            return std::future::pending().await;
+        }
+        self.apply(&body)
+    }
+
+    /// Carries a transaction out, if the limits, its leases and its guards allow.
+    pub(super) fn apply(&self, body: &Value) -> Response {
+        let empty = vec![];
+        let writes = body["writes"].as_array().unwrap_or(&empty);
+        let failed = self.failed_guards(body);
+        let at = self.revision.get();
+        if let Some(problem) = self.exceeds(body) {
+            self.beyond.borrow_mut().push(problem.clone());
+            return Response::json(400, &json!({"error": problem}));
+        }
+        if self
+            .writes
+            .refuses(self.limits.get().write_rps, writes.len())
+        {
+            self.too_many.set(self.too_many.get() + 1);
+            return Response::json(429, &json!({"error": "too many"}));
+        }
+        let mut permits = writes.iter().filter_map(|w| w["permit"].as_u64());
+        if permits.any(|permit| !self.leases.borrow().contains_key(&permit)) {
+            return Response::json(400, &json!({"error": "no such lease"}));
+        }
+        if !failed.is_empty() {
+            self.conflicts.set(self.conflicts.get() + 1);
+            return Response::json(409, &json!({"failed": failed, "ledger_rev": at}));
+        }
+        if writes.is_empty() {
+            return Response::json(200, &json!({"ledger_rev": at}));
+        }
+        let at = at + 1;
+        for write in writes {
+            self.attach_to_lease(write);
+            let event = self.carry_out(write, at);
+            self.log.borrow_mut().push(event);
+        }
+        self.check_changed_places(writes, at);
+        let keys: Vec<&str> = writes.iter().map(written_key).collect();
+        for observer in self.observers.borrow().iter() {
+            observer(&self.pairs.borrow(), &keys, at);
+        }
+        self.revision.set(at);
+        self.revision_changed.notify_waiters();
+        Response::json(200, &json!({"ledger_rev": at}))
+    }
+
+    /// The keys whose revision is not the one that the transaction expects.
+    fn failed_guards(&self, body: &Value) -> Vec<String> {
+        let pairs = self.pairs.borrow();
+        let guards = body["guards"].as_array().into_iter().flatten();
+        let failed = guards.filter_map(|guard| {
+            let key = guard["key"].as_str()?;
+            let now = pairs.get(key).map_or(0, |pair| pair.1);
+            (guard["stamp"].as_u64() != Some(now)).then(|| key.to_string())
+        });
+        failed.collect()
+    }
+
+    /// Sets or removes a key; returns what watches tell of it.
+    fn carry_out(&self, write: &Value, at: u64) -> Value {
+        let mut pairs = self.pairs.borrow_mut();
+        let key = written_key(write);
+        if write["set"].is_string() {
+            pairs.insert(key.to_string(), (write["value"].clone(), at));
+            json!({"set": key, "value": write["value"], "stamp": at})
+        } else {
+            pairs.remove(key);
+            json!({"remove": key, "stamp": at})
+        }
+    }
+}
--- /dev/null
+++ b/tests/stand_ins/state_service/leases.rs
@@ -0,0 +1,91 @@
+//! State leases and the keys that expire with them.
+
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use shelfhoist::http::Response;
+use tokio::time::{Instant, sleep};
+
+use super::State;
+use super::commits::written_key;
+
+/// A state lease and the keys that end with it, in the order in which they are removed.
+pub(super) struct StateLease {
+    ttl: Duration,
+    ends: Instant,
+    keys: BTreeSet<String>,
+}
+
+impl State {
+    /// State leases end with their keys. In an outage none does, and after it
+    /// each has its full time again.
+    pub(in crate::stand_ins) async fn run_lease_renewal(self: Rc<Self>) {
+        loop {
+            sleep(Duration::from_millis(50)).await;
+            let now = Instant::now();
+            let mut over = Vec::new();
+            self.leases.borrow_mut().retain(|_, lease| {
+                if self.is_down() {
+                    lease.ends = now + lease.ttl;
+                }
+                let stands = lease.ends > now;
+                if !stands {
+                    over.extend(std::mem::take(&mut lease.keys));
+                }
+                stands
+            });
+            self.remove(over);
+        }
+    }
+
+    fn remove(&self, keys: Vec<String>) {
+        let writes: Vec<Value> = keys.iter().map(|k| json!({"remove": k})).collect();
+        for some in writes.chunks(self.limits.get().txn_ops.max(1)) {
+            self.apply(&json!({"guards": [], "writes": some}));
+        }
+    }
+
+    pub(super) fn lease(&self, method: &str, path: &str, body: &Value) -> Response {
+        let now = Instant::now();
+        let id = path.trim_matches('/').trim_end_matches("/extend").parse();
+        match (method, id) {
+            ("POST", Err(_)) => {
+                let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
+                let id = self.next_lease.get() + 1;
+                self.next_lease.set(id);
+                let keys = BTreeSet::new();
+                let ends = now + ttl;
+                let lease = StateLease { ttl, ends, keys };
+                self.leases.borrow_mut().insert(id, lease);
+                Response::json(200, &json!({"permit": id}))
+            }
+            ("POST", Ok(id)) => match self.leases.borrow_mut().get_mut(&id) {
+                Some(lease) => {
+                    lease.ends = now + lease.ttl;
+                    Response::json(200, &json!({}))
+                }
+                None => Response::empty(404),
+            },
+            (_, Ok(id)) => {
+                let ended = self.leases.borrow_mut().remove(&id);
+                self.remove(ended.into_iter().flat_map(|l| l.keys).collect());
+                Response::empty(200)
+            }
+            _ => Response::empty(400),
+        }
+    }
+
+    /// A key belongs to the lease of its last write, if that names one.
+    pub(super) fn attach_to_lease(&self, write: &Value) {
+        let key = written_key(write);
+        for (id, lease) in self.leases.borrow_mut().iter_mut() {
+            if write["permit"].as_u64() == Some(*id) {
+                lease.keys.insert(key.to_string());
+            } else {
+                lease.keys.remove(key);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/stand_ins/state_service/reads.rs
@@ -0,0 +1,78 @@
+//! Reads: pages of records, and watches.
+
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use shelfhoist::http::{Response, query_value};
+use tokio::time::{sleep, timeout};
+
+use super::{State, Trouble};
+
+/// The most records of a page, and the most bytes of their texts.
+const PAGE_RECORDS: usize = 1000;
+const PAGE_BYTES: usize = 512 * 1024;
+
+/// So many changes are kept for watches.
+const KEPT_CHANGES: usize = 10_000;
+
+impl State {
+    /// One page of the records under a prefix.
+    pub(super) fn list(&self, query: &str) -> Response {
+        let prefix = query_value(query, "prefix").unwrap_or("");
+        let after = query_value(query, "after").unwrap_or("");
+        let limit = query_value(query, "limit").and_then(|v| v.parse().ok());
+        let limit = limit.unwrap_or(PAGE_RECORDS).min(PAGE_RECORDS);
+        let pairs = self.pairs.borrow();
+        let mut matching = pairs
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
+        let mut page: Vec<Value> = Vec::new();
+        let mut bytes = 0;
+        let mut truncated = false;
+        for (key, (value, stamp)) in &mut matching {
+            let record = json!({"key": key, "value": value, "stamp": stamp});
+            bytes += record.to_string().len();
+            if page.len() == limit || (bytes > PAGE_BYTES && !page.is_empty()) {
+                truncated = true;
+                break;
+            }
+            page.push(record);
+        }
+        let at = self.revision.get();
+        Response::json(
+            200,
+            &json!({"pairs": page, "truncated": truncated, "ledger_rev": at}),
+        )
+    }
+
+    /// Waits for a revision later than this.
+    async fn revision_after(&self, after: u64) {
+        while self.revision.get() <= after {
+            self.revision_changed.notified().await;
+        }
+    }
+
+    pub(super) async fn watch(&self, i: usize, query: &str) -> Response {
+        let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
+        let after = number("after").unwrap_or(0);
+        let block = Duration::from_millis(number("block_ms").unwrap_or(0));
+        let _ = timeout(block, self.revision_after(after)).await;
+        // An open watch waits through an outage, and while it is refused.
+        while self.refuses(i) {
+            sleep(Duration::from_millis(100)).await;
+        }
+        let log = self.log.borrow();
+        let forgotten = log.len().checked_sub(KEPT_CHANGES + 1);
+        if forgotten.is_some_and(|last| log[last]["stamp"].as_u64() > Some(after)) {
+            return Response::empty(410);
+        }
+        let news = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
+        let events: Vec<&Value> = news.collect();
+        let at = self.revision.get();
+        let mut answer = Response::json(200, &json!({"ledger_rev": at, "events": events}));
+        if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
+            answer.body.resize(16 << 20, b' ');
+        }
+        answer
+    }
+}
