--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -93,50 +93,58 @@
     }
 }
 
-/// The outcome of parsing one request.
+/// A request that has arrived in full.
 #[derive(Debug)]
-pub enum Parsed {
-    /// More bytes are needed.
-    Partial,
-    /// A whole request.
-    Complete {
-        /// The request.
-        request: Request,
-        /// The bytes that it took.
-        len: usize,
-        /// Whether the client keeps the connection open.
-        keep_alive: bool,
-    },
-    /// The request is malformed or exceeds a limit: respond and close.
-    Invalid(RequestError),
+pub struct ParsedRequest {
+    /// The request.
+    pub request: Request,
+    /// The bytes that it took.
+    pub len: usize,
+    /// Whether the client keeps the connection open.
+    pub keep_alive: bool,
 }
 
-/// Parses one request at the start of `buffer`; pure.
-pub fn parse_request(buffer: &[u8]) -> Parsed {
+/// Why a request is refused before it reaches the handler.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{status}: {problem}")]
+pub struct RequestError {
+    /// The status of the response.
+    pub status: u16,
+    /// The problem, as the client is told.
+    pub problem: &'static str,
+}
+
+impl RequestError {
+    const fn new(status: u16, problem: &'static str) -> Self {
+        RequestError { status, problem }
+    }
+}
+
+const HEAD_TOO_LARGE: RequestError = RequestError::new(431, "head too large");
+
+/// Parses one request at the start of `buffer`; `None` if more bytes are needed.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<ParsedRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_len = match head.parse(buffer) {
         Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return invalid(431, "head too large");
+        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => return Err(HEAD_TOO_LARGE),
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(RequestError::new(431, "too many headers"));
         }
-        Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return invalid(431, "too many headers"),
-        Err(_) => return invalid(400, "malformed request"),
+        Err(_) => return Err(RequestError::new(400, "malformed request")),
     };
     if head_len > HEAD_LIMIT {
-        return invalid(431, "head too large");
+        return Err(HEAD_TOO_LARGE);
     }
-    let framing = match framing_of(&head) {
-        Ok(framing) => framing,
-        Err(error) => return Parsed::Invalid(error),
-    };
+    let framing = Framing::read(&head)?;
     if framing.length > BODY_LIMIT {
-        return invalid(400, "body over 64 KiB");
+        return Err(RequestError::new(400, "body over 64 KiB"));
     }
-    let end = head_len + framing.length;
-    if buffer.len() < end {
-        return Parsed::Partial;
+    let len = head_len + framing.length;
+    if buffer.len() < len {
+        return Ok(None);
     }
     let target = head.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -144,17 +152,13 @@
         method: head.method.unwrap_or("").to_string(),
         path: path.to_string(),
         query: query.to_string(),
-        body: buffer[head_len..end].to_vec(),
+        body: buffer[head_len..len].to_vec(),
     };
-    Parsed::Complete {
+    Ok(Some(ParsedRequest {
         request,
-        len: end,
+        len,
         keep_alive: framing.keep_alive,
-    }
-}
-
-fn invalid(status: u16, problem: &'static str) -> Parsed {
-    Parsed::Invalid(RequestError { status, problem })
+    }))
 }
 
 /// The length of a request's body, and what is to become of the connection.
@@ -163,46 +167,39 @@
     keep_alive: bool,
 }
 
-/// Why a request is refused before it reaches the handler.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{status}: {problem}")]
-pub struct RequestError {
-    /// The status of the response.
-    pub status: u16,
-    /// The problem, as the client is told.
-    pub problem: &'static str,
-}
-
-/// Reads the headers that frame the request.
-fn framing_of(head: &httparse::Request) -> Result<Framing, RequestError> {
-    let refuse = |status, problem| Err(RequestError { status, problem });
-    let mut length: Option<usize> = None;
-    let mut keep_alive = head.version == Some(1);
-    for header in head.headers.iter() {
-        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-        if header.name.eq_ignore_ascii_case("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            match value.parse::<usize>() {
-                Ok(given) if digits && length.is_none_or(|known| known == given) => {
-                    length = Some(given);
+impl Framing {
+    fn read(head: &httparse::Request) -> Result<Self, RequestError> {
+        let mut length = None;
+        let mut keep_alive = head.version == Some(1);
+        for header in head.headers.iter() {
+            let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+            if header.name.eq_ignore_ascii_case("content-length") {
+                length = Some(parse_content_length(value, length)?);
+            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+                return Err(RequestError::new(411, "give a content-length"));
+            } else if header.name.eq_ignore_ascii_case("connection") {
+                if value.eq_ignore_ascii_case("close") {
+                    keep_alive = false;
+                } else if value.eq_ignore_ascii_case("keep-alive") {
+                    keep_alive = true;
                 }
-                _ if digits && length.is_none() => return refuse(400, "body too large"),
-                _ => return refuse(400, "bad content-length"),
-            }
-        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return refuse(411, "give a content-length");
-        } else if header.name.eq_ignore_ascii_case("connection") {
-            if value.eq_ignore_ascii_case("close") {
-                keep_alive = false;
-            } else if value.eq_ignore_ascii_case("keep-alive") {
-                keep_alive = true;
             }
         }
+        Ok(Framing {
+            length: length.unwrap_or(0),
+            keep_alive,
+        })
+    }
+}
+
+/// Parses a `Content-Length`; a repeated one has to agree with the `earlier` one.
+fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, RequestError> {
+    let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    match value.parse::<usize>() {
+        Ok(length) if is_number && earlier.is_none_or(|earlier| earlier == length) => Ok(length),
+        _ if is_number && earlier.is_none() => Err(RequestError::new(400, "body too large")),
+        _ => Err(RequestError::new(400, "bad content-length")),
     }
-    Ok(Framing {
-        length: length.unwrap_or(0),
-        keep_alive,
-    })
 }
 
 /// A response as it is sent; one that does not keep the connection says so.
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,14 +1,14 @@
 //! HTTP/1.1 over `httparse`: a small server and a small keep-alive client.
 //!
-//! Time and memory are bounded for every connection: a head and a body have
-//! sizes that they may not exceed and a span in which they must arrive.
+//! Time and memory are bounded for every connection: a head and a body have maximum
+//! sizes, and have to arrive within a timeout.
 
 mod client;
 mod message;
 mod server;
 
 pub use client::{CallError, Client, Deadlines};
-pub use message::{Parsed, Request, RequestError, Response, parse_request, query_value};
+pub use message::{ParsedRequest, Request, RequestError, Response, parse_request, query_value};
 pub use server::{Handler, ResponseFuture, ServerLimits, serve};
 
 /// PROTOCOL: a request body can be at most 64 KiB.
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -12,7 +12,7 @@
 
 use super::client::OpenConnection;
 use super::message::encode;
-use super::{Parsed, Request, Response, parse_request};
+use super::{ParsedRequest, Request, Response, parse_request};
 use crate::net::{Listener, Stream};
 
 /// The response that a handler will give.
@@ -90,15 +90,13 @@
 
 /// The outcome of waiting for a request.
 enum Received {
-    Request {
-        request: Request,
-        keep_alive: bool,
-    },
+    Request(ParsedRequest),
     /// The connection is to be closed.
     Closed,
 }
 
-/// Answers one request after another. `open` counts the server's connections.
+/// Serves the requests of one connection in turn. `open` counts the server's
+/// connections.
 async fn serve_connection(
     mut stream: Stream,
     limits: ServerLimits,
@@ -108,10 +106,11 @@
     let mut buffer: Vec<u8> = Vec::new();
     loop {
         let received = receive(&mut stream, &limits, &mut buffer).await?;
-        let Received::Request {
+        let Received::Request(ParsedRequest {
             request,
             keep_alive,
-        } = received
+            ..
+        }) = received
         else {
             return Ok(());
         };
@@ -140,28 +139,21 @@
     let mut begun: Option<Instant> = (!buffer.is_empty()).then(Instant::now);
     loop {
         match parse_request(buffer) {
-            Parsed::Complete {
-                request,
-                len,
-                keep_alive,
-            } => {
-                buffer.drain(..len);
+            Ok(Some(parsed)) => {
+                buffer.drain(..parsed.len);
                 if buffer.is_empty() {
                     // Idle connections hold no buffer: there may be many.
                     *buffer = Vec::new();
                 }
-                return Ok(Received::Request {
-                    request,
-                    keep_alive,
-                });
+                return Ok(Received::Request(parsed));
             }
-            Parsed::Invalid(error) => {
+            Ok(None) => {}
+            Err(error) => {
                 let bytes = encode(&Response::error(error.status, error.problem), false);
                 let _ = timeout(limits.arrive, stream.write_all(&bytes)).await;
                 let _ = timeout(limits.arrive, stream.shutdown()).await;
                 return Ok(Received::Closed);
             }
-            Parsed::Partial => {}
         }
         let wait = match begun {
             None => limits.idle,
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -1,4 +1,4 @@
-//! The one reason for which a job is not over, in words.
+//! The one reason why a job is not over, in words for operators.
 
 use tokio::time::Instant;
 
@@ -7,13 +7,13 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// How many of the jobs that a job depends on its reason names.
-const NAMED_DEPENDENCIES: usize = 3;
+/// How many of a job's dependencies its reason names.
+const MAX_NAMED_DEPENDENCIES: usize = 3;
 
 /// Why a job is not over.
 pub(super) struct PendingReason {
     pub(super) text: String,
-    /// For how many seconds this has been the reason, as far as it is known.
+    /// For how many seconds this has been the reason; 0 where that is not tracked.
     pub(super) seconds: f64,
 }
 
@@ -78,7 +78,7 @@
     if dependencies.is_empty() {
         return None;
     }
-    let named = dependencies.len().min(NAMED_DEPENDENCIES);
+    let named = dependencies.len().min(MAX_NAMED_DEPENDENCIES);
     let names = dependencies[..named].join(", ");
     Some(match dependencies.len() - named {
         0 => format!("it awaits {names}"),
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,5 +1,5 @@
-//! Where streams come from: the system's sockets, or a fabric inside one
-//! process that tests run whole services on, in simulated time.
+//! The network: the system's sockets, or a simulated network inside one process (a
+//! fabric), on which tests run whole services in simulated time.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -13,24 +13,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What can be read from and written to.
+/// A bidirectional byte stream.
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
 
 /// An open connection.
 pub type Stream = Box<dyn Duplex>;
 
-/// The bytes that a fabric's stream holds on the way.
-const FABRIC_BUFFER: usize = 64 * 1024;
+/// The bytes that a stream on a fabric buffers in each direction.
+const FABRIC_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A network inside one process, of which parts can be cut off from others.
+/// A simulated network inside one process, which can be partitioned.
 #[derive(Default)]
 pub struct Fabric {
     listeners: RefCell<HashMap<SocketAddrV4, mpsc::UnboundedSender<DuplexStream>>>,
     cut: RefCell<HashSet<Route>>,
 }
 
-/// From where to where a stream was opened.
+/// The two ends of a stream: who opened it, and to which address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Route {
     from: SocketAddrV4,
@@ -38,18 +38,18 @@
 }
 
 impl Fabric {
-    /// From now on `from` reaches `to` no more: dials hang, and so do streams
-    /// that are open already, as behind a cut.
+    /// Partitions `from` from `to`: new connections hang, and so do streams that are
+    /// open already.
     pub fn cut(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.cut.borrow_mut().insert(Route { from, to });
     }
 
-    /// Undoes a cut: dials and open streams go on.
+    /// Heals a partition: connecting and open streams go on.
     pub fn mend(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.cut.borrow_mut().remove(&Route { from, to });
     }
 
-    /// The listener at `addr` is gone, as when its process has ended.
+    /// Removes the listener at `addr`, as when its process has ended.
     pub fn close(&self, addr: SocketAddrV4) {
         self.listeners.borrow_mut().remove(&addr);
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// The dialler's end of a stream on a fabric.
+/// The client's end of a stream on a fabric.
 struct FabricStream {
     inner: DuplexStream,
     fabric: Rc<Fabric>,
@@ -67,7 +67,7 @@
 }
 
 impl FabricStream {
-    /// Whoever waits on a cut stream is woken by his own timeout only.
+    /// Whether the stream crosses a partition: its user is woken by a timeout only.
     fn is_cut(&self) -> bool {
         self.fabric.is_cut(self.route)
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// How one process reaches others.
+/// The network as one process sees it.
 #[derive(Clone)]
 pub enum Net {
     /// By the system's sockets.
@@ -116,7 +116,7 @@
     Fabric(Rc<Fabric>, SocketAddrV4),
 }
 
-/// Accepts the streams that others open.
+/// Accepts incoming streams.
 pub enum Listener {
     /// On a socket of the system.
     System(TcpListener),
@@ -141,7 +141,7 @@
                 if fabric.is_cut(route) {
                     std::future::pending::<()>().await;
                 }
-                let (ours, theirs) = tokio::io::duplex(FABRIC_BUFFER);
+                let (ours, theirs) = tokio::io::duplex(FABRIC_BUFFER_BYTES);
                 let listeners = fabric.listeners.borrow();
                 let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
                 let listener = listeners.get(&addr).ok_or_else(refused)?;
@@ -171,7 +171,7 @@
 }
 
 impl Listener {
-    /// The next stream that another opens.
+    /// Waits for the next incoming stream.
     pub async fn accept(&mut self) -> io::Result<Stream> {
         match self {
             Listener::System(listener) => {
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shelfhoist::http::{CallError, Client, Parsed, Response, ServerLimits, parse_request, serve};
+use shelfhoist::http::{
+    CallError, Client, ParsedRequest, Response, ServerLimits, parse_request, serve,
+};
 use shelfhoist::net::{Fabric, Net};
 
 #[test]
@@ -30,23 +32,23 @@
     ];
     for (text, status) in refused {
         match parse_request(text.as_bytes()) {
-            Parsed::Invalid(error) => assert_eq!(error.status, *status, "{text:.60}"),
+            Err(error) => assert_eq!(error.status, *status, "{text:.60}"),
             other => panic!("{text:.60}: {other:?}"),
         }
     }
     let text = "POST /a?b=c HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhiGET";
     for cut in 0..text.len() - 3 {
         assert!(
-            matches!(parse_request(&text.as_bytes()[..cut]), Parsed::Partial),
+            matches!(parse_request(&text.as_bytes()[..cut]), Ok(None)),
             "{cut}"
         );
     }
     match parse_request(text.as_bytes()) {
-        Parsed::Complete {
+        Ok(Some(ParsedRequest {
             request,
             len,
             keep_alive,
-        } => {
+        })) => {
             assert_eq!(
                 (
                     request.path.as_str(),
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -108,7 +108,7 @@
                     let bays: Vec<Value> = listed
                         .take(limit)
                         .map(|(n, (w, _))| {
-                            json!({"name_id": n, "endpoint": w.port.to_string(), "grade": w.kind,
+                            json!({"name_id": n, "endpoint": w.port.to_string(), "grade": w.machine_type,
                                 "yard": w.zone, "loaners": false, "stage": "running", "age_s": 1.0})
                         })
                         .collect();
@@ -124,7 +124,7 @@
         let name = format!("host-{n:06}");
         let worker = Rc::new(Worker {
             name: name.clone(),
-            kind: body["grade"].as_str().unwrap_or("").to_string(),
+            machine_type: body["grade"].as_str().unwrap_or("").to_string(),
             zone: body["yard"].as_str().unwrap_or("").to_string(),
             port: addr(&format!("127.1.{}.{}:9000", n / 250, n % 250 + 1)),
             fencing_token: Cell::new(0),
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -221,7 +221,7 @@
             return;
         };
         self.check_start_after_cancel(task, id, on);
-        if !allows(&job, "yard", &on.zone) || !allows(&job, "grades", &on.kind) {
+        if !allows(&job, "yard", &on.zone) || !allows(&job, "grades", &on.machine_type) {
             self.report_violation(Rule::WrongPlace, &format!("{task} on {}", on.name));
         }
         self.check_zones(task, id, &job);
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -20,13 +20,13 @@
 pub(super) struct Task {
     attempt: u64,
     ends: Option<Instant>,
-    why: Option<ExitReason>,
+    exit_reason: Option<ExitReason>,
 }
 
 /// One machine's worker, by the protocol's rules for tokens and leases.
 pub struct Worker {
     pub(super) name: String,
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) port: SocketAddrV4,
     pub(super) fencing_token: Cell<u64>,
@@ -58,9 +58,9 @@
             .tasks
             .borrow()
             .iter()
-            .map(|(id, t)| match (t.why, t.ends) {
-                (Some(why), _) => {
-                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": why})
+            .map(|(id, t)| match (t.exit_reason, t.ends) {
+                (Some(exit_reason), _) => {
+                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": exit_reason})
                 }
                 (None, Some(e)) if e <= now => {
                     json!({"board": id, "try": t.attempt, "stage": "ended", "cause": "done"})
@@ -68,7 +68,7 @@
                 _ => json!({"board": id, "try": t.attempt, "stage": "running"}),
             })
             .collect();
-        json!({"bay": self.name, "endpoint": self.port.to_string(), "grade": self.kind,
+        json!({"bay": self.name, "endpoint": self.port.to_string(), "grade": self.machine_type,
             "yard": self.zone, "loaners": false, "shift": self.epoch.get(),
             "tally": self.sequence.get(), "baton": self.fencing_token.get(), "recall_s": null, "boards": tasks})
     }
@@ -77,7 +77,7 @@
     pub(super) fn note_ends(&self, finished: &RefCell<HashSet<String>>) {
         let now = Instant::now();
         for (id, task) in self.tasks.borrow().iter() {
-            if !self.hangs() && task.why.is_none() && task.ends.is_some_and(|e| e <= now) {
+            if !self.hangs() && task.exit_reason.is_none() && task.ends.is_some_and(|e| e <= now) {
                 finished.borrow_mut().insert(id.clone());
             }
         }
@@ -94,7 +94,7 @@
                     }
                     let run = world.run_time(&o.task);
                     let fails = self.sick.get() || world.is_mistaken(&o.task);
-                    let why = fails.then_some(ExitReason::Error);
+                    let exit_reason = fails.then_some(ExitReason::Error);
                     // The result of a task that has once ended is kept.
                     let run = match world.finished.borrow().contains(&o.task) {
                         true => Some(Duration::ZERO),
@@ -102,22 +102,31 @@
                     };
                     let ends = run.map(|r| Instant::now() + r);
                     let attempt = o.attempt;
-                    tasks.insert(o.task.clone(), Task { attempt, ends, why });
+                    tasks.insert(
+                        o.task.clone(),
+                        Task {
+                            attempt,
+                            ends,
+                            exit_reason,
+                        },
+                    );
                     drop(tasks);
                     world.check_start(&o.task, self);
                 }
                 CommandAction::Stop => {
                     if let Some(t) = tasks.get_mut(&o.task)
                         && t.attempt == o.attempt
-                        && t.why.is_none()
+                        && t.exit_reason.is_none()
                         && t.ends.is_none_or(|e| e > Instant::now())
                     {
-                        t.why = Some(ExitReason::Stopped);
+                        t.exit_reason = Some(ExitReason::Stopped);
                     }
                 }
                 CommandAction::Forget => {
                     if let Some(task) = tasks.remove(&o.task) {
-                        if task.why.is_none_or(|w| w == ExitReason::Done)
+                        if task
+                            .exit_reason
+                            .is_none_or(|reason| reason == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
                         {
                             world.finished.borrow_mut().insert(o.task.clone());
@@ -134,7 +143,7 @@
         let tasks = self.tasks.borrow();
         let here = tasks.get(task);
         let gone = self.hangs() && self.is_over(lease);
-        !gone && here.is_some_and(|t| t.why.is_none() && t.ends.is_none_or(|e| e > now))
+        !gone && here.is_some_and(|t| t.exit_reason.is_none() && t.ends.is_none_or(|e| e > now))
     }
 
     /// The tasks that are on the machine.
@@ -157,7 +166,7 @@
     pub fn hang(&self, span: Duration) {
         self.hangs_until.set(Some(Instant::now() + span));
         for task in self.tasks.borrow_mut().values_mut() {
-            if task.why.is_none() {
+            if task.exit_reason.is_none() {
                 task.ends = task.ends.map(|e| match e > Instant::now() {
                     true => e + span,
                     false => e,
