--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -69,8 +69,7 @@
             let delay = now.elapsed().saturating_sub(tick);
             self.process_clock.record_delay(delay.min(max_delay));
             let lease = self.settings.worker_lease();
-            let mut last_answered = self.admissions.last_answered.borrow_mut();
-            last_answered.retain(|_, answered_at| answered_at.elapsed() < lease);
+            self.admissions.prune_answers(lease);
         }
     }
 
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,11 +1,11 @@
-//! Requests and responses, and how they stand on a connection.
+//! Requests and responses, and their encoding on a connection.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::{BODY_LIMIT, CallError, HEAD_LIMIT, MAX_HEADERS};
 
-/// A request as the server has read it.
+/// A request, as the server has received it.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The method, as it was sent.
@@ -25,7 +25,7 @@
     pub status: u16,
     /// The body: JSON, unless `text` is set.
     pub body: Vec<u8>,
-    /// Whole seconds after which the client may come back.
+    /// `Retry-After`, in whole seconds.
     pub retry_after: Option<u32>,
     /// The body is plain text.
     pub text: bool,
@@ -72,8 +72,8 @@
     }
 }
 
-/// The phrase that goes with a status code.
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -93,43 +93,58 @@
     }
 }
 
-/// What became of reading one request.
+/// A request that has arrived in full.
 #[derive(Debug)]
-pub enum Parsed {
-    /// More bytes are needed.
-    Partial,
-    /// A request, the bytes that it took, and whether the connection stays.
-    Whole(Request, usize, bool),
-    /// Answer with this status and close.
-    Refuse(u16, &'static str),
+pub struct ParsedRequest {
+    /// The request.
+    pub request: Request,
+    /// The bytes that it took.
+    pub len: usize,
+    /// Whether the client keeps the connection open.
+    pub keep_alive: bool,
 }
 
-/// Reads one request from the start of `buffer`; pure.
-pub fn parse_request(buffer: &[u8]) -> Parsed {
+/// Why a request is refused before it reaches the handler.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{status}: {problem}")]
+pub struct RequestError {
+    /// The status of the response.
+    pub status: u16,
+    /// The problem, as the client is told.
+    pub problem: &'static str,
+}
+
+impl RequestError {
+    const fn new(status: u16, problem: &'static str) -> Self {
+        RequestError { status, problem }
+    }
+}
+
+const HEAD_TOO_LARGE: RequestError = RequestError::new(431, "head too large");
+
+/// Parses one request at the start of `buffer`; `None` if more bytes are needed.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<ParsedRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_len = match head.parse(buffer) {
         Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => {
-            return Parsed::Refuse(431, "head too large");
+        Ok(httparse::Status::Partial) if buffer.len() > HEAD_LIMIT => return Err(HEAD_TOO_LARGE),
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(RequestError::new(431, "too many headers"));
         }
-        Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Refuse(431, "too many headers"),
-        Err(_) => return Parsed::Refuse(400, "malformed request"),
+        Err(_) => return Err(RequestError::new(400, "malformed request")),
     };
     if head_len > HEAD_LIMIT {
-        return Parsed::Refuse(431, "head too large");
+        return Err(HEAD_TOO_LARGE);
     }
-    let framing = match framing_of(&head) {
-        Ok(framing) => framing,
-        Err(RequestError { status, problem }) => return Parsed::Refuse(status, problem),
-    };
+    let framing = Framing::read(&head)?;
     if framing.length > BODY_LIMIT {
-        return Parsed::Refuse(400, "body over 64 KiB");
+        return Err(RequestError::new(400, "body over 64 KiB"));
     }
-    let end = head_len + framing.length;
-    if buffer.len() < end {
-        return Parsed::Partial;
+    let len = head_len + framing.length;
+    if buffer.len() < len {
+        return Ok(None);
     }
     let target = head.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -137,52 +152,54 @@
         method: head.method.unwrap_or("").to_string(),
         path: path.to_string(),
         query: query.to_string(),
-        body: buffer[head_len..end].to_vec(),
+        body: buffer[head_len..len].to_vec(),
     };
-    Parsed::Whole(request, end, framing.keep_alive)
+    Ok(Some(ParsedRequest {
+        request,
+        len,
+        keep_alive: framing.keep_alive,
+    }))
 }
 
-/// What a request's headers say of its body and of the connection.
+/// The length of a request's body, and what is to become of the connection.
 struct Framing {
     length: usize,
     keep_alive: bool,
 }
 
-/// Why a request is refused.
-struct RequestError {
-    status: u16,
-    problem: &'static str,
-}
-
-fn framing_of(head: &httparse::Request) -> Result<Framing, RequestError> {
-    let refuse = |status, problem| Err(RequestError { status, problem });
-    let mut length: Option<usize> = None;
-    let mut keep_alive = head.version == Some(1);
-    for header in head.headers.iter() {
-        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-        if header.name.eq_ignore_ascii_case("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            match value.parse::<usize>() {
-                Ok(given) if digits && length.is_none_or(|known| known == given) => {
-                    length = Some(given);
+impl Framing {
+    fn read(head: &httparse::Request) -> Result<Self, RequestError> {
+        let mut length = None;
+        let mut keep_alive = head.version == Some(1);
+        for header in head.headers.iter() {
+            let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+            if header.name.eq_ignore_ascii_case("content-length") {
+                length = Some(parse_content_length(value, length)?);
+            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+                return Err(RequestError::new(411, "give a content-length"));
+            } else if header.name.eq_ignore_ascii_case("connection") {
+                if value.eq_ignore_ascii_case("close") {
+                    keep_alive = false;
+                } else if value.eq_ignore_ascii_case("keep-alive") {
+                    keep_alive = true;
                 }
-                _ if digits && length.is_none() => return refuse(400, "body too large"),
-                _ => return refuse(400, "bad content-length"),
-            }
-        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return refuse(411, "give a content-length");
-        } else if header.name.eq_ignore_ascii_case("connection") {
-            if value.eq_ignore_ascii_case("close") {
-                keep_alive = false;
-            } else if value.eq_ignore_ascii_case("keep-alive") {
-                keep_alive = true;
             }
         }
+        Ok(Framing {
+            length: length.unwrap_or(0),
+            keep_alive,
+        })
+    }
+}
+
+/// Parses a `Content-Length`; a repeated one has to agree with the `earlier` one.
+fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, RequestError> {
+    let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    match value.parse::<usize>() {
+        Ok(length) if is_number && earlier.is_none_or(|earlier| earlier == length) => Ok(length),
+        _ if is_number && earlier.is_none() => Err(RequestError::new(400, "body too large")),
+        _ => Err(RequestError::new(400, "bad content-length")),
     }
-    Ok(Framing {
-        length: length.unwrap_or(0),
-        keep_alive,
-    })
 }
 
 /// A response as it is sent; one that does not keep the connection says so.
@@ -196,7 +213,7 @@
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
     if let Some(seconds) = response.retry_after {
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shelfhoist::http::{CallError, Client, Parsed, Response, ServerLimits, parse_request, serve};
+use shelfhoist::http::{
+    CallError, Client, ParsedRequest, Response, ServerLimits, parse_request, serve,
+};
 use shelfhoist::net::{Fabric, Net};
 
 #[test]
@@ -30,24 +32,32 @@
     ];
     for (text, status) in refused {
         match parse_request(text.as_bytes()) {
-            Parsed::Refuse(s, _) => assert_eq!(s, *status, "{text:.60}"),
+            Err(error) => assert_eq!(error.status, *status, "{text:.60}"),
             other => panic!("{text:.60}: {other:?}"),
         }
     }
     let text = "POST /a?b=c HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhiGET";
     for cut in 0..text.len() - 3 {
         assert!(
-            matches!(parse_request(&text.as_bytes()[..cut]), Parsed::Partial),
+            matches!(parse_request(&text.as_bytes()[..cut]), Ok(None)),
             "{cut}"
         );
     }
     match parse_request(text.as_bytes()) {
-        Parsed::Whole(r, used, keep) => {
+        Ok(Some(ParsedRequest {
+            request,
+            len,
+            keep_alive,
+        })) => {
             assert_eq!(
-                (r.path.as_str(), r.query.as_str(), r.body.as_slice()),
+                (
+                    request.path.as_str(),
+                    request.query.as_str(),
+                    request.body.as_slice()
+                ),
                 ("/a", "b=c", &b"hi"[..])
             );
-            assert_eq!((used, keep), (text.len() - 3, false));
+            assert_eq!((len, keep_alive), (text.len() - 3, false));
         }
         other => panic!("{other:?}"),
     }
--- a/tests/rule_checker/further.rs
+++ b/tests/rule_checker/further.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 
 use crate::history::{
-    Cancel, Case, FIRST, Launch, Poll, Record, SECOND, Submit, WaitReason, beside, long_batch,
-    short_batch,
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Launch, Poll, Record, SECOND, Submit, beside,
+    long_batch, short_batch,
 };
 use crate::stand_ins::{Rule, after, job};
 
@@ -17,11 +17,11 @@
                 vec![
                     Submit(short_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
-                    Launch(0, "job-000001/0"),
-                    WaitReason(4.0),
+                    Launch(0, FIRST_TASK),
+                    Elapse(4.0),
                 ]
             },
-            lawful: || vec![WaitReason(2.0), Launch(1, "job-000002/0")],
+            lawful: || vec![Elapse(2.0), Launch(1, "job-000002/0")],
             violation: || vec![Launch(1, "job-000002/0")],
         },
         Case {
@@ -32,25 +32,25 @@
                     Submit(long_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Cancel(FIRST, 200, "aborted"),
-                    WaitReason(29.0),
+                    Elapse(29.0),
                     Poll(SECOND, 200, "queued"),
                 ])
             },
-            lawful: || vec![WaitReason(2.0), Poll(SECOND, 200, "aborted")],
-            violation: || vec![WaitReason(2.0), Poll(SECOND, 200, "queued")],
+            lawful: || vec![Elapse(2.0), Poll(SECOND, 200, "aborted")],
+            violation: || vec![Elapse(2.0), Poll(SECOND, 200, "queued")],
         },
         Case {
             name: "a task of a job that nobody submitted",
             rule: Rule::UnknownJob,
             before: || vec![Submit(long_batch(1))],
-            lawful: || vec![Launch(0, "job-000001/0")],
+            lawful: || vec![Launch(0, FIRST_TASK)],
             violation: || vec![Launch(0, "job-000002/0")],
         },
         Case {
             name: "no task was started",
             rule: Rule::NothingRan,
-            before: || vec![Submit(long_batch(1)), WaitReason(5.0)],
-            lawful: || vec![Launch(0, "job-000001/0")],
+            before: || vec![Submit(long_batch(1)), Elapse(5.0)],
+            lawful: || vec![Launch(0, FIRST_TASK)],
             violation: Vec::new,
         },
         Case {
