--- a/src/cloud/blame.rs
+++ b/src/cloud/blame.rs
@@ -85,7 +85,7 @@
         attempt: 0,
         task: 0,
     };
-    let ends = controller.workers.pending_terminations.borrow();
+    let ends = controller.workers.pending_terminations();
     let next = ends.range(first..).next();
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
--- a/src/cloud/silent.rs
+++ b/src/cloud/silent.rs
@@ -37,7 +37,7 @@
 pub(super) fn failing_machines(controller: &Controller) -> Vec<Removal> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
-    let owned_workers = controller.workers.owned_workers.borrow();
+    let owned_workers = controller.workers.owned();
     let review = Review {
         controller,
         replica: &replica,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -146,7 +146,7 @@
             newer
         });
         self.placement.placement_notify.notify_one();
-        self.workers.commands_notify.notify_one();
+        self.workers.wake_commands();
     }
 }
 
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -50,7 +50,7 @@
         if !deferred.is_empty() {
             let changes = &mut self.replica.borrow_mut().changes;
             changes.machines.append(&mut deferred);
-            self.workers.commands_notify.notify_one();
+            self.workers.wake_commands();
         }
     }
 
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -38,9 +38,7 @@
         let gap = now.saturating_duration_since(self.process_clock.last_ran.replace(now));
         if gap > self.settings.worker_lease() / 8 {
             tracing::info!(gap_s = gap.as_secs_f64(), "process paused");
-            for owned_worker in self.workers.owned_workers.borrow_mut().values_mut() {
-                owned_worker.exclude_pause(gap, now);
-            }
+            self.workers.exclude_pause(gap, now);
             self.fleet.borrow_mut().exclude_pause(gap, now);
         }
         now
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -291,7 +291,7 @@
 fn gossip_of(controller: &Controller) -> PeerStatus {
     let now = controller.liveness_tick();
     let limit = controller.settings.heartbeat_interval() * 2;
-    let owned_workers = controller.workers.owned_workers.borrow();
+    let owned_workers = controller.workers.owned();
     let is_silent = |owned_worker: &&OwnedWorker| {
         now.saturating_duration_since(owned_worker.last_message_at) > limit
     };
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/ends.rs
@@ -31,7 +31,7 @@
 ) -> Vec<AttemptKey> {
     let mut ends = Ends::default();
     {
-        let pending = controller.workers.pending_terminations.borrow();
+        let pending = controller.workers.pending_terminations();
         let first = state.next_end.take();
         let (later, earlier): (Vec<_>, Vec<_>) = pending
             .iter()
@@ -52,10 +52,7 @@
         }
         transaction.most = limit;
     }
-    let mut pending = controller.workers.pending_terminations.borrow_mut();
-    for key in &ends.stale {
-        pending.remove(key);
-    }
+    controller.workers.remove_terminations(&ends.stale);
     ends.recorded
 }
 
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -40,7 +40,7 @@
     let own = jobs_to_place(controller, state, &replica, now);
     if own.is_empty()
         && !is_queue_due(controller, state, now)
-        && controller.workers.pending_terminations.borrow().is_empty()
+        && controller.workers.pending_terminations().is_empty()
     {
         return None;
     }
@@ -87,7 +87,7 @@
     let mut plan = Plan::of(replica);
     // A machine that receives no orders may stand in its zone shard's record for a
     // while: what is placed there ends at once, and would be placed there again.
-    let owned_workers = controller.workers.owned_workers.borrow();
+    let owned_workers = controller.workers.owned();
     for (machine, _) in owned_workers
         .iter()
         .filter(|(_, h)| h.unreachable_since.is_some())
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -26,7 +26,7 @@
     loop {
         tokio::select! {
             () = controller.placement.placement_notify.notified() => {}
-            () = controller.workers.terminations_notify.notified() => {}
+            () = controller.workers.terminations_queued() => {}
             () = sleep(idle) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
@@ -38,8 +38,8 @@
         // few times a report interval is soon enough.
         if released.is_none_or(|at| at.elapsed() > idle / 2) {
             released = Some(Instant::now());
-            workers::release_silent(&controller);
-            workers::release_gone(&controller);
+            workers::release_expired_leases(&controller);
+            workers::release_gone_machines(&controller);
         }
         let begun = Instant::now();
         run_rounds(&controller, &mut state).await;
@@ -95,10 +95,7 @@
         Ok(_) => {
             state.small_commits = false;
             tracing::debug!(jobs = batch.jobs, ends = ends.len(), "decided");
-            let mut pending = controller.workers.pending_terminations.borrow_mut();
-            for key in &ends {
-                pending.remove(key);
-            }
+            controller.workers.remove_terminations(&ends);
         }
         Err(StoreError::TooLong(_)) => state.small_commits = true,
         Err(StoreError::Limits(key)) => {
--- /dev/null
+++ b/src/workers/command_call.rs
@@ -0,0 +1,141 @@
+//! One direct call to a worker, `POST /orders`, and what its answer tells.
+
+use std::rc::Rc;
+
+use tokio::time::Instant;
+
+use super::OwnedWorker;
+use super::claim_queue::ClaimPriority;
+use super::worker_plan::includes_launch;
+use crate::controller::Controller;
+use crate::http::{CallError, Deadlines, Response};
+use crate::wire::{WorkerCommands, WorkerStatus};
+
+/// A direct call that is ready to be sent.
+pub(super) struct CommandCall {
+    pub machine: String,
+    /// Where the worker takes calls, as it has told.
+    pub addr: String,
+    pub body: WorkerCommands,
+    pub deadlines: Deadlines,
+}
+
+impl CommandCall {
+    fn launches(&self) -> bool {
+        includes_launch(&self.body.orders)
+    }
+}
+
+/// Whether an answer shows that the machine is still ours.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Ownership {
+    Kept,
+    /// The worker has seen a higher fencing token.
+    Superseded,
+}
+
+/// Sends a worker its commands, and takes in the status that it answers with.
+pub(super) async fn send(controller: Rc<Controller>, call: CommandCall) {
+    let result = exchange(&controller, &call).await;
+    let now = Instant::now();
+    let id = call.machine.as_str();
+    let mut owned_workers = controller.workers.owned_mut();
+    let Some(owned_worker) = owned_workers
+        .get_mut(id)
+        .filter(|w| w.fencing_token == call.body.fencing_token)
+    else {
+        return;
+    };
+    owned_worker.in_flight = false;
+    match result {
+        Ok(answer) if answer.status == 200 || answer.status == 409 => {
+            let ownership = accept_answer(&controller, owned_worker, &call, &answer, now);
+            if ownership == Ownership::Superseded {
+                owned_workers.remove(id);
+            }
+        }
+        Ok(answer) => {
+            tracing::debug!(machine = id, status = answer.status, "commands refused");
+            owned_worker.next_call_at = now + controller.settings.heartbeat_interval();
+        }
+        Err(error) => {
+            owned_worker.next_call_at = now + controller.settings.heartbeat_interval();
+            handle_call_error(&controller, owned_worker, &call, &error);
+        }
+    }
+    drop(owned_workers);
+    controller.call_worker(id);
+}
+
+/// Records what may have become of commands that were not answered.
+fn handle_call_error(
+    controller: &Controller,
+    owned_worker: &mut OwnedWorker,
+    call: &CommandCall,
+    error: &CallError,
+) {
+    let machine = call.machine.as_str();
+    if matches!(error, CallError::NotSent(_)) {
+        // Surely not there: heartbeat answers carry the commands meanwhile.
+        tracing::debug!(machine, %error, "commands not sent");
+        owned_worker.withdraw_commands(&call.body.orders);
+        return;
+    }
+    tracing::debug!(machine, %error, "commands not answered");
+    // Safety 3: an unanswered launch may be executed late. Only a higher
+    // fencing token that the worker has shown rules that out.
+    owned_worker.has_unanswered_launch |= call.launches();
+    if !owned_worker.has_unanswered_launch {
+        return;
+    }
+    let status = controller.fleet.borrow().reports.get(machine).cloned();
+    if let Some(status) = status {
+        controller.request_claim(&status, ClaimPriority::Urgent);
+    }
+}
+
+async fn exchange(controller: &Controller, call: &CommandCall) -> Result<Response, CallError> {
+    let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
+        return Err(CallError::NotSent("bad address".into()));
+    };
+    let workers = &controller.worker_client;
+    workers
+        .call_within(addr, "POST", "/orders", Some(body), call.deadlines)
+        .await
+}
+
+/// Accepts the status that a worker has answered a call with.
+fn accept_answer(
+    controller: &Controller,
+    owned_worker: &mut OwnedWorker,
+    call: &CommandCall,
+    answer: &Response,
+    now: Instant,
+) -> Ownership {
+    let machine = call.machine.as_str();
+    let status = match answer.parse::<WorkerStatus>() {
+        Ok(status) => status,
+        Err(error) => {
+            tracing::debug!(machine, %error, "worker status invalid");
+            owned_worker.has_unanswered_launch |= call.launches();
+            return Ownership::Kept;
+        }
+    };
+    owned_worker.observe_status(&status, controller.settings.worker_lease(), now);
+    if status.fencing_token > call.body.fencing_token {
+        tracing::info!(
+            machine,
+            fencing_token = status.fencing_token,
+            "fencing token superseded"
+        );
+        return Ownership::Superseded;
+    }
+    if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(machine) {
+        known.epoch = status.epoch;
+    }
+    let is_first = owned_worker.status.is_none();
+    if owned_worker.accept_status(status, false) && is_first {
+        controller.workers.wake_publication();
+    }
+    Ownership::Kept
+}
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,47 +1,41 @@
-//! Direct calls to workers, `POST /orders`: they carry orders as soon as bookings
-//! or reports have changed, where the answer to the next heartbeat would be late.
+//! Direct commands to workers: which workers are called, and when. They carry commands
+//! as soon as bookings or statuses have changed, where the answer to the next heartbeat
+//! would be late.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout};
 
-use super::{OwnedWorker, WorkerPlan, reconcile};
+use super::command_call::{CommandCall, send};
+use super::reconcile::reconcile;
+use super::worker_plan::{WorkerPlan, includes_launch};
+use super::{OwnedWorker, Termination};
 use crate::controller::Controller;
-use crate::http::{CallError, Deadlines, Response};
-use crate::wire::{CommandKind, WorkerCommand, WorkerCommands, WorkerStatus};
+use crate::http::Deadlines;
+use crate::wire::{WorkerCommand, WorkerCommands};
 
-/// How long a worker waits for the answers to its own reports; longer calls to it
+/// How long a worker waits for the answers to its own heartbeats; longer calls to it
 /// are given up as well.
 const WORKER_PATIENCE: Duration = Duration::from_secs(4);
 
-/// A direct call that is ready to be sent.
-struct Call {
-    machine: String,
-    addr: String,
-    body: WorkerCommands,
-    deadlines: Deadlines,
-}
-
-impl Call {
-    fn launches(&self) -> bool {
-        launches(&self.body.orders)
-    }
-}
-
-fn launches(orders: &[WorkerCommand]) -> bool {
-    orders.iter().any(|o| o.verb == CommandKind::Start)
-}
-
 impl Controller {
-    /// The wait after which an order that has shown no effect is repeated.
-    fn repeat(&self) -> Duration {
+    /// The wait after which a command that has shown no effect is repeated.
+    fn command_retry_interval(&self) -> Duration {
         self.settings.heartbeat_interval() * 2
     }
 
-    /// The plan of a machine by the present view; empty if it is not held.
-    pub(super) fn plan(&self, id: &str) -> WorkerPlan {
-        let owned_workers = self.workers.owned_workers.borrow();
+    /// What a machine's worker is to be told by the present replica; empty if the
+    /// machine is not owned. Terminations that follow are queued at once.
+    pub(super) fn reconcile_worker(&self, id: &str) -> WorkerPlan {
+        let mut plan = self.plan_of(id);
+        let terminations: Vec<Termination> = std::mem::take(&mut plan.terminations);
+        self.queue_terminations(terminations);
+        plan
+    }
+
+    fn plan_of(&self, id: &str) -> WorkerPlan {
+        let owned_workers = self.workers.owned();
         let Some(owned_worker) = owned_workers.get(id) else {
             return WorkerPlan::default();
         };
@@ -49,72 +43,51 @@
             id,
             owned_worker,
             &self.replica.borrow(),
-            &self.workers.pending_terminations.borrow(),
-            self.repeat(),
+            &self.workers.pending_terminations(),
+            self.command_retry_interval(),
             Instant::now(),
         )
     }
 
     /// Takes out launches that would follow from too old a replica, and asks for the
     /// read barrier after which they are planned again.
-    pub(super) fn defer_old_launches(&self, id: &str, plan: &mut WorkerPlan) {
+    pub(super) fn defer_stale_launches(&self, id: &str, plan: &mut WorkerPlan) {
         let limit = self.settings.launch_limit();
         if plan.defer_launches(self.replica_staleness(), limit) {
             self.request_barrier_for(id);
         }
     }
 
-    /// Has a machine's orders worked out anew.
+    /// Has a machine's commands worked out anew.
     pub(super) fn call_worker(&self, id: &str) {
         let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
-        self.workers.commands_notify.notify_one();
-    }
-
-    fn known_report(&self, id: &str) -> Option<WorkerStatus> {
-        self.fleet.borrow().reports.get(id).cloned()
-    }
-
-    /// Where the worker takes calls, and the epoch that it is in.
-    fn endpoint(&self, id: &str, owned_worker: &OwnedWorker) -> Option<(String, u64)> {
-        let fleet = self.fleet.borrow();
-        let known = fleet.reports.get(id)?;
-        let epoch = owned_worker
-            .status
-            .as_ref()
-            .map_or(known.epoch, |r| r.epoch);
-        Some((known.addr.clone(), epoch))
+        self.workers.wake_commands();
     }
 }
 
-/// Sends orders directly, whenever bookings or reports have changed: to the
+/// Sends commands directly, whenever bookings or statuses have changed: to the
 /// machines that these concern, and now and then to all.
 pub async fn run_commands(controller: Rc<Controller>) {
-    let tick = controller.settings.heartbeat_interval() / 2;
-    let mut swept = Instant::now();
+    let sweep_interval = controller.settings.heartbeat_interval() / 2;
+    let mut last_sweep = Instant::now();
     loop {
-        let _ = timeout(tick, controller.workers.commands_notify.notified()).await;
+        let _ = timeout(sweep_interval, controller.workers.commands_woken()).await;
         let now = controller.liveness_tick();
         let changed = std::mem::take(&mut controller.replica.borrow_mut().changes.machines);
-        let sweep = now.saturating_duration_since(swept) >= tick;
-        if sweep {
-            swept = now;
+        let is_sweep = now.saturating_duration_since(last_sweep) >= sweep_interval;
+        if is_sweep {
+            last_sweep = now;
         }
-        // A controller with an old view gives no new orders by itself.
+        // A controller with an old replica gives no new commands by itself.
         if !controller.is_state_service_reachable() {
             continue;
         }
-        let ids: Vec<String> = match sweep {
-            true => controller
-                .workers
-                .owned_workers
-                .borrow()
-                .keys()
-                .cloned()
-                .collect(),
+        let machines: Vec<String> = match is_sweep {
+            true => controller.workers.owned().keys().cloned().collect(),
             false => changed.into_iter().collect(),
         };
-        for id in ids {
+        for id in machines {
             if let Some(call) = next_call(&controller, &id, now) {
                 tokio::task::spawn_local(send(controller.clone(), call));
             }
@@ -123,37 +96,34 @@
 }
 
 /// The call that a machine's worker is to get now, if any.
-fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<Call> {
-    if !controller.workers.owned_workers.borrow().contains_key(id) {
+fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<CommandCall> {
+    if !controller.workers.owned().contains_key(id) {
         return None;
     }
     if !controller.owns(id) {
-        drop_if_lost(controller, id);
+        release_if_lost(controller, id);
         return None;
     }
-    let mut plan = controller.plan(id);
-    controller.queue_terminations(std::mem::take(&mut plan.terminations));
-    let mut owned_workers = controller.workers.owned_workers.borrow_mut();
+    let mut plan = controller.reconcile_worker(id);
+    let mut owned_workers = controller.workers.owned_mut();
     let owned_worker = owned_workers.get_mut(id)?;
     if !may_call(controller, owned_worker, now) {
         return None;
     }
-    controller.defer_old_launches(id, &mut plan);
-    // The first call tells the worker the token, with or without orders.
-    let first = owned_worker.status.is_none();
-    if plan.commands.is_empty() && !first {
+    controller.defer_stale_launches(id, &mut plan);
+    // The first call tells the worker the fencing token, with or without commands.
+    let is_first = owned_worker.status.is_none();
+    if plan.commands.is_empty() && !is_first {
         return None;
     }
-    let (addr, epoch) = controller.endpoint(id, owned_worker)?;
+    let (addr, epoch) = endpoint(controller, id, owned_worker)?;
     owned_worker.in_flight = true;
-    for o in &plan.commands {
-        tracing::debug!(verb = ?o.verb, task = o.task, attempt = o.attempt, machine = id, "order");
-    }
+    log_commands(id, owned_worker.fencing_token, &plan.commands);
     owned_worker.record_commands(&plan.commands, now);
-    Some(Call {
+    Some(CommandCall {
         machine: id.to_string(),
         addr,
-        deadlines: deadlines(controller, launches(&plan.commands), now),
+        deadlines: deadlines(controller, includes_launch(&plan.commands), now),
         body: WorkerCommands {
             fencing_token: owned_worker.fencing_token,
             epoch,
@@ -162,34 +132,62 @@
     })
 }
 
+fn log_commands(machine: &str, fencing_token: u64, commands: &[WorkerCommand]) {
+    for command in commands {
+        tracing::debug!(
+            command = ?command.verb,
+            task = command.task,
+            attempt = command.attempt,
+            machine,
+            fencing_token,
+            "command issued"
+        );
+    }
+}
+
+/// Where the worker takes calls, and the epoch that it is in.
+fn endpoint(
+    controller: &Controller,
+    id: &str,
+    owned_worker: &OwnedWorker,
+) -> Option<(String, u64)> {
+    let fleet = controller.fleet.borrow();
+    let known = fleet.reports.get(id)?;
+    let status = owned_worker.status.as_ref();
+    let epoch = status.map_or(known.epoch, |status| status.epoch);
+    Some((known.addr.clone(), epoch))
+}
+
 /// Forgets a machine that another controller has claimed, once the replica has
 /// reached our own claim.
-fn drop_if_lost(controller: &Controller, id: &str) {
-    if controller.replica.borrow().revision
-        >= controller.workers.owned_workers.borrow()[id].claim_revision
-    {
-        tracing::info!(machine = id, "claimed by another controller, or gone");
-        controller.workers.owned_workers.borrow_mut().remove(id);
+fn release_if_lost(controller: &Controller, id: &str) {
+    let mut owned_workers = controller.workers.owned_mut();
+    let revision = controller.replica.borrow().revision;
+    let is_lost = owned_workers
+        .get(id)
+        .is_some_and(|owned_worker| revision >= owned_worker.claim_revision);
+    if is_lost {
+        tracing::info!(machine = id, revision, "worker ownership lost");
+        owned_workers.remove(id);
     }
 }
 
 /// Whether a worker may be called now. A call to a machine that is gone, hung or
 /// cut off takes a connection until it times out: hundreds of them would leave none
-/// for the rest. What is heard again has its orders by the answer.
+/// for the rest. What sends heartbeats again has its commands by the answer.
 fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
-    let silent = now.saturating_duration_since(owned_worker.last_message_at)
-        > controller.settings.heartbeat_interval() * 2;
+    let silence_limit = controller.settings.heartbeat_interval() * 2;
     !owned_worker.in_flight
         && !owned_worker.has_unanswered_launch
         && owned_worker.next_call_at <= now
-        && !silent
+        && !owned_worker.is_silent(silence_limit, now)
 }
 
 /// By when a call must be sent and answered. If this process stands still before
 /// it is sent, it is sent no more, as work may have been cancelled or moved since;
 /// a launch not once the last barrier that it was planned with is too old for it.
-fn deadlines(controller: &Controller, launches: bool, decided: Instant) -> Deadlines {
-    let answer = decided + WORKER_PATIENCE.min(controller.settings.worker_lease() / 4);
+fn deadlines(controller: &Controller, launches: bool, decided_at: Instant) -> Deadlines {
+    let answer = decided_at + WORKER_PATIENCE.min(controller.settings.worker_lease() / 4);
     let last_barrier = controller
         .state_sync
         .last_barrier
@@ -201,94 +199,3 @@
         answer,
     }
 }
-
-/// Sends a worker its orders, and takes the report that it answers with.
-async fn send(controller: Rc<Controller>, call: Call) {
-    let result = exchange(&controller, &call).await;
-    let now = Instant::now();
-    let quiet_until = now + controller.settings.heartbeat_interval();
-    let id = call.machine.as_str();
-    let mut owned_workers = controller.workers.owned_workers.borrow_mut();
-    let Some(owned_worker) = owned_workers
-        .get_mut(id)
-        .filter(|h| h.fencing_token == call.body.fencing_token)
-    else {
-        return;
-    };
-    owned_worker.in_flight = false;
-    match result {
-        Ok(answer) if answer.status == 200 || answer.status == 409 => {
-            let keep = take_answer(&controller, owned_worker, &call, &answer, now);
-            if !keep {
-                owned_workers.remove(id);
-            }
-        }
-        Ok(answer) => {
-            tracing::debug!(machine = id, status = answer.status, "orders refused");
-            owned_worker.next_call_at = quiet_until;
-        }
-        Err(CallError::NotSent(cause)) => {
-            // Surely not there: heartbeat answers carry the orders meanwhile.
-            tracing::debug!(machine = id, cause, "orders not sent");
-            owned_worker.next_call_at = quiet_until;
-            owned_worker.withdraw_commands(&call.body.orders);
-        }
-        Err(error) => {
-            tracing::debug!(machine = id, %error, "orders not answered");
-            owned_worker.next_call_at = quiet_until;
-            // Safety 3: an unanswered launch may be executed late. Only a higher
-            // token that the worker has shown rules that out.
-            owned_worker.has_unanswered_launch |= call.launches();
-            if owned_worker.has_unanswered_launch
-                && let Some(report) = controller.known_report(id)
-            {
-                controller.request_claim(id, &report, true);
-            }
-        }
-    }
-    drop(owned_workers);
-    controller.call_worker(id);
-}
-
-async fn exchange(controller: &Controller, call: &Call) -> Result<Response, CallError> {
-    let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
-        return Err(CallError::NotSent("bad address".into()));
-    };
-    let workers = &controller.worker_client;
-    workers
-        .call_within(addr, "POST", "/orders", Some(body), call.deadlines)
-        .await
-}
-
-/// Takes the report that a worker has answered a call with; false if it shows that
-/// another controller has claimed the machine.
-fn take_answer(
-    controller: &Controller,
-    owned_worker: &mut OwnedWorker,
-    call: &Call,
-    answer: &Response,
-    now: Instant,
-) -> bool {
-    let id = call.machine.as_str();
-    let report = match answer.parse::<WorkerStatus>() {
-        Ok(report) => report,
-        Err(error) => {
-            tracing::debug!(machine = id, %error, "report not understood");
-            owned_worker.has_unanswered_launch |= call.launches();
-            return true;
-        }
-    };
-    owned_worker.observe_status(&report, controller.settings.worker_lease(), now);
-    if report.fencing_token > call.body.fencing_token {
-        tracing::info!(machine = id, "has seen a higher token");
-        return false;
-    }
-    if let Some(known) = controller.fleet.borrow_mut().reports.get_mut(id) {
-        known.epoch = report.epoch;
-    }
-    let first = owned_worker.status.is_none();
-    if owned_worker.accept_status(report, false) && first {
-        controller.workers.publication_notify.notify_one();
-    }
-    true
-}
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,329 +1,264 @@
-//! `POST /agent/beat`: the answer to a worker's heartbeat.
+//! `POST /agent/beat`: a worker's heartbeat.
 //!
-//! The answer renews the worker's lease and carries its orders, so it is given only
+//! The answer renews the worker's lease and carries its commands, so it is given only
 //! by the owner of the machine, only while the replica is recent (Safety 4), and only
-//! with the stops that the report calls for.
+//! with the stops that the status calls for.
 
 use tokio::time::Instant;
 
-use super::{WorkerPlan, must_stop, stops_of_cancelled_tasks};
+use super::claim_queue::ClaimPriority;
+use super::heartbeat_answer::HeartbeatAnswer;
+use super::worker_plan::WorkerPlan;
+use super::{must_stop, stops_of_cancelled_tasks};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::records::{Machine, MachineLifecycle};
-use crate::wire::{HeartbeatResponse, Redirect, WorkerCommand, WorkerStatus};
+use crate::wire::WorkerStatus;
 
-/// A worker drops answers with a lower token than it has shown, so this one keeps
-/// it at this controller without renewing its lease.
+/// A worker drops answers with a lower fencing token than it has shown, so this one
+/// keeps it at this controller without renewing its lease.
 const NO_TOKEN: u64 = 0;
 
-/// How long a worker is to wait before it reports about a returned machine again.
+/// How long a worker is to wait before its next heartbeat for a returned machine, in
+/// seconds.
 const RETURNED_RETRY_S: u32 = 30;
 
-/// How a heartbeat is answered.
-#[derive(Debug)]
-enum Answer {
-    /// The worker executes the orders, and its lease is renewed if the token is
-    /// not below the one that it has shown.
-    WorkerCommands {
-        fencing_token: u64,
-        orders: Vec<WorkerCommand>,
-    },
-    /// The worker is to report to this controller, or else to any other.
-    Redirect(Option<String>),
-    /// The worker is to try the next controller.
-    Unavailable {
-        reason: &'static str,
-        retry_after_s: u32,
-    },
-}
-
-impl Answer {
-    fn without_orders(fencing_token: u64) -> Self {
-        let orders = Vec::new();
-        Answer::WorkerCommands {
-            fencing_token,
-            orders,
-        }
-    }
-
-    fn unavailable(reason: &'static str) -> Self {
-        let retry_after_s = 1;
-        Answer::Unavailable {
-            reason,
-            retry_after_s,
-        }
-    }
-
-    fn into_response(self) -> Response {
-        match self {
-            Answer::WorkerCommands {
-                fencing_token,
-                orders,
-            } => Response::json(
-                200,
-                &HeartbeatResponse {
-                    fencing_token,
-                    orders,
-                },
-            ),
-            Answer::Redirect(report_to) => Response::json(421, &Redirect { report_to }),
-            Answer::Unavailable {
-                reason,
-                retry_after_s,
-            } => Response::unavailable(reason, retry_after_s),
-        }
-    }
-}
-
 /// One step of the handler: an error is the answer, and ends it.
-type Step<T = ()> = Result<T, Answer>;
+type Step<T = ()> = Result<T, HeartbeatAnswer>;
 
 /// A heartbeat, with what is known of its machine when it comes.
 struct Heartbeat {
-    report: WorkerStatus,
+    status: WorkerStatus,
     machine: Option<Machine>,
-    received: Instant,
+    received_at: Instant,
 }
 
 impl Heartbeat {
-    fn id(&self) -> &str {
-        &self.report.machine
+    fn machine_id(&self) -> &str {
+        &self.status.machine
     }
 
-    /// The token that the machine was last claimed under; zero before the first.
+    /// The fencing token that the machine was last claimed under; zero before the first.
     fn recorded_token(&self) -> u64 {
-        self.machine.as_ref().map_or(0, |m| m.fencing_token)
+        self.machine.as_ref().map_or(NO_TOKEN, |m| m.fencing_token)
     }
 }
 
 impl Controller {
     /// `POST /agent/beat`.
-    pub async fn heartbeat(&self, report: WorkerStatus) -> Response {
-        let answer = self.answer_heartbeat(report).await;
-        answer.unwrap_or_else(|answer| answer).into_response()
+    pub async fn heartbeat(&self, status: WorkerStatus) -> Response {
+        let answer = self.answer_heartbeat(status).await;
+        answer.unwrap_or_else(|answer| answer).into()
     }
 
-    async fn answer_heartbeat(&self, report: WorkerStatus) -> Step<Answer> {
-        let received = self.liveness_tick();
+    async fn answer_heartbeat(&self, status: WorkerStatus) -> Step<HeartbeatAnswer> {
+        let received_at = self.liveness_tick();
         self.check_staleness()?;
-        self.redirect_home(&report, received)?;
-        let machine = self.replica.borrow().machines.get(&report.machine).cloned();
+        self.check_preferred_owner(&status, received_at)?;
+        let machine = self.replica.borrow().machines.get(&status.machine).cloned();
         let heartbeat = Heartbeat {
-            report,
+            status,
             machine: machine.map(|entry| entry.value),
-            received,
+            received_at,
         };
         self.check_record(&heartbeat)?;
-        self.drop_if_claimed_elsewhere(&heartbeat)?;
+        self.release_if_claimed_elsewhere(&heartbeat)?;
         self.renew_after_restart(&heartbeat)?;
-        self.hold(&heartbeat).await?;
-        self.take_report(&heartbeat)?;
-        let plan = self.plan_answer(&heartbeat);
-        self.answer_with(plan, &heartbeat)
+        self.ensure_owned(&heartbeat).await?;
+        self.accept_heartbeat(&heartbeat)?;
+        let plan = self.reconcile_worker(heartbeat.machine_id());
+        self.renew_lease(plan, &heartbeat)
     }
 
-    /// Safety 4: a controller whose view may be too old renews no lease.
+    /// Safety 4: a controller whose replica may be too old renews no lease.
     fn check_staleness(&self) -> Step {
         match self.may_renew_leases() {
             true => Ok(()),
-            false => Err(Answer::unavailable("cut off from the state service")),
+            false => Err(HeartbeatAnswer::unavailable(
+                "cut off from the state service",
+            )),
         }
     }
 
-    fn redirect_home(&self, report: &WorkerStatus, now: Instant) -> Step {
-        match self.redirect_to_preferred_owner(report, now) {
-            Some(home) => Err(Answer::Redirect(Some(home))),
+    fn check_preferred_owner(&self, status: &WorkerStatus, now: Instant) -> Step {
+        match self.redirect_to_preferred_owner(status, now) {
+            Some(preferred_owner) => Err(HeartbeatAnswer::Redirect(Some(preferred_owner))),
             None => Ok(()),
         }
     }
 
     /// Refuses what the machine's record speaks against: it was returned, the
-    /// report is a late copy, no answer reaches the worker, or the replica is older
+    /// heartbeat is a late copy, no answer reaches the worker, or the replica is older
     /// than the newest claim.
     fn check_record(&self, heartbeat: &Heartbeat) -> Step {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
-        let report = &heartbeat.report;
-        let held = self.owns(heartbeat.id());
-        if matches!(
+        let status = &heartbeat.status;
+        let is_owned = self.owns(heartbeat.machine_id());
+        let was_returned = matches!(
             machine.lifecycle,
             MachineLifecycle::Returning | MachineLifecycle::Gone
-        ) && !held
-        {
-            return Err(Answer::Unavailable {
+        );
+        if was_returned && !is_owned {
+            return Err(HeartbeatAnswer::Unavailable {
                 reason: "machine was returned",
                 retry_after_s: RETURNED_RETRY_S,
             });
         }
-        if !held && report.heartbeat_id() <= machine.claim_heartbeat {
-            return Err(Answer::unavailable("a newer report has come"));
+        if !is_owned && status.heartbeat_id() <= machine.claim_heartbeat {
+            return Err(HeartbeatAnswer::unavailable("a newer report has come"));
         }
         let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
-        if fleet.is_unreachable(report, machine.fencing_token, lease, heartbeat.received) {
-            return Err(Answer::unavailable("it does not hear"));
+        if fleet.is_unreachable(status, machine.fencing_token, lease, heartbeat.received_at) {
+            return Err(HeartbeatAnswer::unavailable("it does not hear"));
         }
-        if report.fencing_token > machine.fencing_token {
+        if status.fencing_token > machine.fencing_token {
             // Another controller has claimed it since; the replica will tell which.
-            self.workers
-                .owned_workers
-                .borrow_mut()
-                .remove(heartbeat.id());
-            return Err(Answer::Redirect(None));
+            self.workers.owned_mut().remove(heartbeat.machine_id());
+            return Err(HeartbeatAnswer::Redirect(None));
         }
         Ok(())
     }
 
     /// Whether this controller, in this run or an earlier one, is recorded as the
     /// owner of the machine.
-    fn is_recorded_holder(&self, machine: &Machine) -> bool {
+    fn is_recorded_owner(&self, machine: &Machine) -> bool {
         machine.owner == self.name()
-            && machine.fencing_token > 0
+            && machine.fencing_token > NO_TOKEN
             && machine.lifecycle != MachineLifecycle::Booting
     }
 
-    /// Forgets a machine that was held here until another controller claimed it.
-    fn drop_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> Step {
+    /// Forgets a machine that was owned here until another controller claimed it.
+    fn release_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> Step {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
-        if self.is_recorded_holder(machine) {
+        if self.is_recorded_owner(machine) {
             return Ok(());
         }
-        match self
-            .workers
-            .owned_workers
-            .borrow_mut()
-            .remove(heartbeat.id())
-        {
-            Some(_) => Err(Answer::Redirect(self.recorded_holder(machine))),
+        let released = self.workers.owned_mut().remove(heartbeat.machine_id());
+        match released {
+            Some(_) => Err(HeartbeatAnswer::Redirect(
+                self.recorded_other_owner(machine),
+            )),
             None => Ok(()),
         }
     }
 
-    /// Renews the lease of a machine that an earlier run of this process held: its
-    /// token still does so while the new claim is being committed. Without orders,
-    /// and only where nothing on the machine has to end.
+    /// Renews the lease of a machine that an earlier run of this process owned: its
+    /// fencing token still does so while the new claim is being committed. Without
+    /// commands, and only where nothing on the machine has to end.
     fn renew_after_restart(&self, heartbeat: &Heartbeat) -> Step {
         let machine = heartbeat.machine.as_ref();
-        let Some(machine) = machine.filter(|m| self.is_recorded_holder(m)) else {
+        let Some(machine) = machine.filter(|m| self.is_recorded_owner(m)) else {
             return Ok(());
         };
-        let report = &heartbeat.report;
-        if self.owns(heartbeat.id()) || must_stop(report, &self.replica.borrow()) {
+        let status = &heartbeat.status;
+        if self.owns(heartbeat.machine_id()) || must_stop(status, &self.replica.borrow()) {
             return Ok(());
         }
-        self.request_claim(heartbeat.id(), report, false);
-        Err(Answer::without_orders(machine.fencing_token))
+        self.request_claim(status, ClaimPriority::Normal);
+        Err(HeartbeatAnswer::without_commands(machine.fencing_token))
     }
 
-    /// Claims the machine unless it is held already, or sends the worker back to
+    /// Claims the machine unless it is owned already, or sends the worker back to
     /// its owner.
-    async fn hold(&self, heartbeat: &Heartbeat) -> Step {
-        let id = heartbeat.id();
+    async fn ensure_owned(&self, heartbeat: &Heartbeat) -> Step {
+        let id = heartbeat.machine_id();
         if self.owns(id) {
             return Ok(());
         }
-        let owner = self.redirect_to_owner(id, heartbeat.machine.as_ref(), heartbeat.received);
+        let owner = self.redirect_to_owner(id, heartbeat.machine.as_ref(), heartbeat.received_at);
         if let Some(owner) = owner {
-            return Err(Answer::Redirect(Some(owner)));
+            return Err(HeartbeatAnswer::Redirect(Some(owner)));
         }
-        let report = &heartbeat.report;
-        if report.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
-            // Nobody has ever held it, so nobody can wait for its lease to run
+        let status = &heartbeat.status;
+        if status.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
+            // Nobody has ever owned it, so nobody can wait for its lease to run
             // out: the worker stays here until the machine is claimed.
-            self.request_claim(id, report, false);
-            return Err(Answer::without_orders(NO_TOKEN));
+            self.request_claim(status, ClaimPriority::Normal);
+            return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
-        if self.claim(id, report).await {
+        if self.claim(status).await {
             return Ok(());
         }
-        if report.fencing_token > NO_TOKEN && self.keeps(id, Instant::now()) {
+        if status.fencing_token > NO_TOKEN && self.may_wait_for_claim(id, Instant::now()) {
             // Its lease is not renewed, but it stays, and its claim is on its
             // way. A worker that goes on tries all controllers that are cut off,
             // and is back when its lease is over.
-            return Err(Answer::without_orders(NO_TOKEN));
+            return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
-        Err(Answer::unavailable("not claimed yet"))
+        Err(HeartbeatAnswer::unavailable("not claimed yet"))
     }
 
     /// Whether a worker whose claim takes long should stay here: for half a
     /// lease, and only where claims can be committed at all.
-    fn keeps(&self, id: &str, now: Instant) -> bool {
+    fn may_wait_for_claim(&self, id: &str, now: Instant) -> bool {
         let lease = self.settings.worker_lease();
         let mut fleet = self.fleet.borrow_mut();
-        let first = fleet.kept.entry(id.to_string()).or_insert(now);
-        if now.saturating_duration_since(*first) > lease {
-            *first = now;
+        let since = fleet.kept.entry(id.to_string()).or_insert(now);
+        if now.saturating_duration_since(*since) > lease {
+            *since = now;
         }
-        now.saturating_duration_since(*first) < lease / 2 && self.is_state_service_reachable()
+        now.saturating_duration_since(*since) < lease / 2 && self.is_state_service_reachable()
     }
 
-    /// Takes the report over as the machine's newest, unless it is a late copy.
-    fn take_report(&self, heartbeat: &Heartbeat) -> Step {
-        let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut unconfirmed = false;
-        if let Some(owned_worker) = self.workers.owned_workers.borrow_mut().get_mut(id) {
-            if !owned_worker.record_heartbeat(
-                report,
-                self.settings.worker_lease(),
-                heartbeat.received,
-            ) {
-                return Err(Answer::unavailable("a newer report has come"));
+    /// Accepts the status as the machine's newest, unless it is a late copy.
+    fn accept_heartbeat(&self, heartbeat: &Heartbeat) -> Step {
+        let (id, status) = (heartbeat.machine_id(), &heartbeat.status);
+        let mut is_unconfirmed = false;
+        if let Some(owned_worker) = self.workers.owned_mut().get_mut(id) {
+            let lease = self.settings.worker_lease();
+            if !owned_worker.record_heartbeat(status, lease, heartbeat.received_at) {
+                return Err(HeartbeatAnswer::unavailable("a newer report has come"));
             }
-            let first = owned_worker.status.is_none();
-            unconfirmed = owned_worker.unconfirmed;
-            if owned_worker.accept_status(report.clone(), true) && first {
-                self.workers.publication_notify.notify_one();
+            let is_first = owned_worker.status.is_none();
+            is_unconfirmed = owned_worker.unconfirmed;
+            if owned_worker.accept_status(status.clone(), true) && is_first {
+                self.workers.wake_publication();
             }
         }
-        if unconfirmed {
-            self.request_claim(id, report, false);
+        if is_unconfirmed {
+            self.request_claim(status, ClaimPriority::Normal);
         }
-        if report.notice_s.is_some() {
+        if status.notice_s.is_some() {
             let mut fleet = self.fleet.borrow_mut();
             fleet.recalled.insert(id.to_string());
         }
         Ok(())
     }
 
-    /// What the machine is to be told now; ends are queued at once.
-    fn plan_answer(&self, heartbeat: &Heartbeat) -> WorkerPlan {
-        let mut plan = self.plan(heartbeat.id());
-        self.queue_terminations(std::mem::take(&mut plan.terminations));
-        plan
-    }
-
     /// The answer that renews the lease.
-    fn answer_with(&self, mut plan: WorkerPlan, heartbeat: &Heartbeat) -> Step<Answer> {
-        let (id, report) = (heartbeat.id(), &heartbeat.report);
-        let mut owned_workers = self.workers.owned_workers.borrow_mut();
+    fn renew_lease(&self, mut plan: WorkerPlan, heartbeat: &Heartbeat) -> Step<HeartbeatAnswer> {
+        let (id, status) = (heartbeat.machine_id(), &heartbeat.status);
+        let mut owned_workers = self.workers.owned_mut();
         let Some(owned_worker) = owned_workers.get_mut(id) else {
-            return Err(Answer::unavailable("lost while answering"));
+            return Err(HeartbeatAnswer::unavailable("lost while answering"));
         };
         if owned_worker.in_flight {
             // What a direct call carries just now is not repeated here: the order
             // in which the two arrive would not be known.
             plan.commands.clear();
         }
-        self.defer_old_launches(id, &mut plan);
+        self.defer_stale_launches(id, &mut plan);
         // The bound may have passed while the claim was awaited.
         self.check_staleness()?;
         // Safety 4: the answer renews the lease, so it ends what is cancelled.
-        for stop in stops_of_cancelled_tasks(report, &self.replica.borrow()) {
+        for stop in stops_of_cancelled_tasks(status, &self.replica.borrow()) {
             if !plan.commands.contains(&stop) {
                 plan.commands.push(stop);
             }
         }
         if plan.launches() {
-            owned_worker.launches_offered_on = Some(report.heartbeat_id());
+            owned_worker.launches_offered_on = Some(status.heartbeat_id());
         }
-        owned_worker.record_commands(&plan.commands, heartbeat.received);
-        owned_worker.last_answered_at = heartbeat.received;
-        Ok(Answer::WorkerCommands {
+        owned_worker.record_commands(&plan.commands, heartbeat.received_at);
+        owned_worker.last_answered_at = heartbeat.received_at;
+        Ok(HeartbeatAnswer::Commands {
             fencing_token: owned_worker.fencing_token,
-            orders: plan.commands,
+            commands: plan.commands,
         })
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,27 +1,38 @@
-//! The workers whose machines this controller holds: claims, heartbeats, orders
-//! and the ends of tasks.
+//! The workers whose machines this controller owns: claims, heartbeats, commands
+//! and the terminations of tasks.
 //!
 //! The wanted state of a machine is its bookings in the replica, the actual state its
-//! newest report. [`reconcile`] works out the difference, and nothing else
+//! newest status. [`reconcile()`] works out the difference, and nothing else
 //! decides what a worker is told. What it decides reaches the worker in the answer
 //! to a heartbeat (`heartbeat`) or in a direct call (`commands`).
 
+mod capacity_plan;
+mod claim_plan;
+mod claim_queue;
 mod claims;
+mod command_call;
 mod commands;
 mod heartbeat;
+mod heartbeat_answer;
 mod owned_worker;
 mod publication;
 mod reconcile;
-mod routing;
+mod redirects;
+mod required_stops;
 mod termination;
+mod worker_plan;
 mod worker_table;
 mod zone_shards;
 
-pub use claims::{Claim, run_claims};
+pub use claims::run_claims;
 pub use commands::run_commands;
-pub use owned_worker::OwnedWorker;
+pub use owned_worker::{OwnedWorker, StopCommand, TaskAttempt, WorkerEpoch};
 pub use publication::run_publication;
-pub use reconcile::{WorkerPlan, must_stop, reconcile, stop_grace_s, stops_of_cancelled_tasks};
-pub use routing::preferred_owner_of;
-pub use termination::{AttemptKey, TerminationEvidence, release_gone, release_silent};
+pub use reconcile::{reconcile, stop_grace_s};
+pub use redirects::preferred_owner_of;
+pub use required_stops::{must_stop, stops_of_cancelled_tasks};
+pub use termination::{
+    AttemptKey, Termination, TerminationEvidence, release_expired_leases, release_gone_machines,
+};
+pub use worker_plan::WorkerPlan;
 pub use worker_table::WorkerTable;
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,83 +1,56 @@
 //! What a worker is to be told: the difference between the bookings of its machine
-//! and its newest report. Nothing is sent or recorded here.
+//! and its newest status. Nothing is sent or recorded here.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::{AttemptKey, OwnedWorker, TerminationEvidence};
-use crate::state::records::{Job, JobStatus, MachineLifecycle, Outcome, Run, Spec, split_task};
+use super::owned_worker::{OwnedWorker, StopCommand, TaskAttempt};
+use super::termination::{AttemptKey, Termination, TerminationEvidence};
+use super::worker_plan::WorkerPlan;
+use crate::state::records::{Job, MachineLifecycle, Outcome, Run, Spec, split_task};
 use crate::state::replica::{Entry, Replica};
-use crate::wire::{CommandKind, ExitReason, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
+use crate::wire::{CommandKind, ExitReason, TaskStage, TaskStatus};
 
-/// What a worker is to be told, and which bookings are to be released.
-#[derive(Debug, Default, PartialEq)]
-pub struct WorkerPlan {
-    /// Orders for the worker, to be executed in this order.
-    pub commands: Vec<WorkerCommand>,
-    /// Attempts that have ended, with their outcome.
-    pub terminations: Vec<(AttemptKey, Outcome)>,
-}
+/// The grace period of a stop is this many times as long as the job says that it takes
+/// to save a checkpoint, and `SAVE_MARGIN_S` longer.
+const SAVE_FACTOR: f64 = 1.5;
 
-impl WorkerPlan {
-    /// Whether any of the orders starts a task.
-    pub fn launches(&self) -> bool {
-        self.commands.iter().any(|o| o.verb == CommandKind::Start)
-    }
+/// What a grace period adds for the way of the command, in seconds.
+const SAVE_MARGIN_S: f64 = 1.0;
 
-    /// Takes the launches out unless the replica is recent enough for them: what an
-    /// older view books may have been cancelled at another controller since.
-    /// True if any were taken out; they are planned again after a read barrier.
-    pub fn defer_launches(&mut self, replica_staleness: Option<Duration>, limit: Duration) -> bool {
-        let recent = replica_staleness.is_some_and(|age| age < limit);
-        if recent || !self.launches() {
-            return false;
-        }
-        self.commands.retain(|o| o.verb != CommandKind::Start);
-        true
-    }
-
-    fn order(&mut self, verb: CommandKind, task: &str, attempt: u64, grace_s: Option<f64>) {
-        self.commands.push(WorkerCommand {
-            verb,
-            task: task.to_string(),
-            attempt,
-            grace_s,
-        });
+/// The grace period of a stop, in seconds: enough to save a checkpoint, none for a job
+/// that is over.
+pub fn stop_grace_s(job: &Job, spec: Option<&Spec>) -> f64 {
+    match spec {
+        Some(s) if job.is_open() && s.checkpoint_s > 0.0 => s.save_s * SAVE_FACTOR + SAVE_MARGIN_S,
+        _ => 0.0,
     }
 }
 
-fn outcome(why: Option<ExitReason>) -> Outcome {
-    match why {
+/// The outcome of an attempt that a worker reports as ended.
+fn outcome_of(reason: Option<ExitReason>) -> Outcome {
+    match reason {
         Some(ExitReason::Done) => Outcome::Done,
         Some(ExitReason::Error | ExitReason::Unknown) => Outcome::Failed,
         _ => Outcome::Lost,
     }
 }
 
-/// The grace period of a stop: enough to save a checkpoint, none for a job that
-/// is over.
-pub fn stop_grace_s(job: &Job, spec: Option<&Spec>) -> f64 {
-    match spec {
-        Some(s) if job.is_open() && s.checkpoint_s > 0.0 => s.save_s * 1.5 + 1.0,
-        _ => 0.0,
-    }
-}
-
 /// Works out the difference between the bookings of a machine and its newest
-/// report. Stops that have shown no effect are ordered again after `repeat`. Pure:
-/// nothing is sent or recorded here.
+/// status. Stops that have shown no effect are commanded again after `retry_after`.
+/// Pure: nothing is sent or recorded here.
 pub fn reconcile(
     id: &str,
     owned_worker: &OwnedWorker,
     replica: &Replica,
-    ends: &BTreeMap<AttemptKey, TerminationEvidence>,
-    repeat: Duration,
+    pending_terminations: &BTreeMap<AttemptKey, TerminationEvidence>,
+    retry_after: Duration,
     now: Instant,
 ) -> WorkerPlan {
     let mut plan = WorkerPlan::default();
-    let (Some(report), Some(machine)) = (&owned_worker.status, replica.machines.get(id)) else {
+    let (Some(status), Some(machine)) = (&owned_worker.status, replica.machines.get(id)) else {
         return plan;
     };
     // Safety 2: act on bookings only once the replica has reached our claim, and
@@ -92,18 +65,22 @@
         lifecycle: machine.value.lifecycle,
         owned_worker,
         replica,
-        ends,
-        repeat,
+        pending_terminations,
+        retry_after,
         now,
     };
     let mut reported = HashSet::new();
-    for task in &report.tasks {
+    for task in &status.tasks {
         if let Some((job, number)) = split_task(&task.task) {
-            reported.insert((job, number, task.attempt));
+            reported.insert(ReportedTask {
+                job,
+                number,
+                attempt: task.attempt,
+            });
             reconciler.plan_reported(job, number, task, &mut plan);
         }
     }
-    // Safety 3: only a report newer than every launch proves that a task that it
+    // Safety 3: only a status newer than every launch proves that a task that it
     // lacks is not there.
     if owned_worker.are_launches_settled() {
         reconciler.plan_missing(&reported, &mut plan);
@@ -111,20 +88,29 @@
     plan
 }
 
+/// A task that the worker's newest status shows.
+#[derive(PartialEq, Eq, Hash)]
+struct ReportedTask<'a> {
+    job: &'a str,
+    number: u32,
+    attempt: u64,
+}
+
 /// What the plan of one machine depends on.
 struct Reconciler<'a> {
     machine: &'a str,
     lifecycle: MachineLifecycle,
     owned_worker: &'a OwnedWorker,
     replica: &'a Replica,
-    /// Ends that wait to be recorded.
-    ends: &'a BTreeMap<AttemptKey, TerminationEvidence>,
-    repeat: Duration,
+    /// Terminations that wait to be recorded.
+    pending_terminations: &'a BTreeMap<AttemptKey, TerminationEvidence>,
+    /// The wait after which a stop that has shown no effect is repeated.
+    retry_after: Duration,
     now: Instant,
 }
 
 impl Reconciler<'_> {
-    fn end_key(&self, job: &str, task: u32, attempt: u64) -> AttemptKey {
+    fn attempt_key(&self, job: &str, task: u32, attempt: u64) -> AttemptKey {
         AttemptKey {
             job: job.to_string(),
             machine: self.machine.to_string(),
@@ -140,21 +126,23 @@
             let run = e.value.find(self.machine, task.attempt, number)?;
             Some((&e.value, run))
         });
-        let ended = task.stage == TaskStage::Ended;
+        let has_ended = task.stage == TaskStage::Ended;
         match booking {
-            Some(_) if ended => {
+            Some(_) if has_ended => {
                 // Safety 3: with a launch that may be executed late neither the
                 // booking is released nor the attempt forgotten.
                 if !self.owned_worker.has_unanswered_launch {
-                    let key = self.end_key(job, number, task.attempt);
-                    plan.terminations.push((key, outcome(task.why)));
+                    plan.terminations.push(Termination {
+                        key: self.attempt_key(job, number, task.attempt),
+                        outcome: outcome_of(task.why),
+                    });
                 }
             }
             Some((job, run)) => self.stop_booked(job, run, task, plan),
-            None if ended => {
-                // The end is on record, or was never ours to record.
+            None if has_ended => {
+                // The termination is on record, or was never ours to record.
                 if self.owned_worker.are_launches_settled() {
-                    plan.order(CommandKind::Forget, &task.task, task.attempt, None);
+                    plan.command(CommandKind::Forget, &task.task, task.attempt, None);
                 }
             }
             None => self.stop_unbooked(task, plan),
@@ -164,50 +152,57 @@
     /// Stops a booked task whose job is over, whose run is to end, or whose
     /// machine is to be returned.
     fn stop_booked(&self, job: &Job, run: &Run, task: &TaskStatus, plan: &mut WorkerPlan) {
-        let returning = matches!(
+        let is_returning = matches!(
             self.lifecycle,
             MachineLifecycle::Returning | MachineLifecycle::Gone
         );
-        if job.is_open() && !run.stop && !returning {
+        if job.is_open() && !run.stop && !is_returning {
             return;
         }
         let grace_s = stop_grace_s(job, job.spec.as_ref());
-        let saving = task.stage == TaskStage::Saving;
-        let wanted = match self.stop_ordered(task) {
-            None => !saving || grace_s == 0.0,
-            Some((at, given)) => *given > grace_s || (!saving && self.is_overdue(*at)),
+        let is_saving = task.stage == TaskStage::Saving;
+        let is_due = match self.last_stop(task) {
+            None => !is_saving || grace_s == 0.0,
+            Some(stop) => stop.grace_s > grace_s || (!is_saving && self.is_overdue(stop)),
         };
-        if wanted {
-            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(grace_s));
+        if is_due {
+            plan.command(CommandKind::Stop, &task.task, task.attempt, Some(grace_s));
         }
     }
 
     /// Stops a task that nobody has booked here, at once.
     fn stop_unbooked(&self, task: &TaskStatus, plan: &mut WorkerPlan) {
-        let ordered = self.stop_ordered(task);
-        if ordered.is_none_or(|(at, _)| self.is_overdue(*at)) {
-            plan.order(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
+        if self
+            .last_stop(task)
+            .is_none_or(|stop| self.is_overdue(stop))
+        {
+            plan.command(CommandKind::Stop, &task.task, task.attempt, Some(0.0));
         }
     }
 
-    /// When the task was last ordered to stop, and with how much grace.
-    fn stop_ordered(&self, task: &TaskStatus) -> Option<&(Instant, f64)> {
-        self.owned_worker
-            .stop_commands
-            .get(&(task.task.clone(), task.attempt))
+    /// The last stop of the task that was commanded.
+    fn last_stop(&self, task: &TaskStatus) -> Option<&StopCommand> {
+        let attempt = TaskAttempt::new(task.task.clone(), task.attempt);
+        self.owned_worker.stop_commands.get(&attempt)
     }
 
-    fn is_overdue(&self, ordered: Instant) -> bool {
-        self.now.saturating_duration_since(ordered) > self.repeat
+    /// Whether a stop should have shown its effect by now.
+    fn is_overdue(&self, stop: &StopCommand) -> bool {
+        self.now.saturating_duration_since(stop.sent_at) > self.retry_after
     }
 
-    /// Plans for the bookings of which the report shows no task.
-    fn plan_missing(&self, reported: &HashSet<(&str, u32, u64)>, plan: &mut WorkerPlan) {
+    /// Plans for the bookings of which the status shows no task.
+    fn plan_missing(&self, reported: &HashSet<ReportedTask>, plan: &mut WorkerPlan) {
         for (job, entry) in self.replica.jobs_on(self.machine) {
             let runs = entry.value.runs.iter();
             for run in runs.filter(|r| r.machine == self.machine) {
                 for number in run.tasks.iter() {
-                    if !reported.contains(&(job, number, run.attempt)) {
+                    let booked = ReportedTask {
+                        job,
+                        number,
+                        attempt: run.attempt,
+                    };
+                    if !reported.contains(&booked) {
                         self.plan_missing_task(job, entry, run, number, plan);
                     }
                 }
@@ -224,65 +219,33 @@
         number: u32,
         plan: &mut WorkerPlan,
     ) {
-        let key = self.end_key(job_id, number, run.attempt);
-        let recording = self.ends.get(&key);
-        if recording.is_some_and(|proof| proof.fencing_token == self.owned_worker.fencing_token) {
+        let key = self.attempt_key(job_id, number, run.attempt);
+        let pending = self.pending_terminations.get(&key);
+        let fencing_token = self.owned_worker.fencing_token;
+        if pending.is_some_and(|evidence| evidence.fencing_token == fencing_token) {
             return;
         }
-        let task = format!("{job_id}/{number}");
-        let launched = self
-            .owned_worker
-            .launched_attempts
-            .contains(&(task.clone(), run.attempt));
-        // A gang's member that was there and is gone has broken the attempt; an
-        // independent task is simply launched again, but not where no order
-        // arrives.
+        let attempt = TaskAttempt::new(format!("{job_id}/{number}"), run.attempt);
         let job = &entry.value;
-        let gang = job.spec.as_ref().is_some_and(Spec::is_gang);
-        let lost = run.stop || self.owned_worker.unreachable_since.is_some() || (gang && launched);
-        if !job.is_open() || self.lifecycle != MachineLifecycle::Active || lost {
-            plan.terminations.push((key, Outcome::Lost));
+        if !job.is_open()
+            || self.lifecycle != MachineLifecycle::Active
+            || self.is_lost(job, run, &attempt)
+        {
+            plan.terminations.push(Termination {
+                key,
+                outcome: Outcome::Lost,
+            });
         } else if entry.version <= self.replica.revision {
-            plan.order(CommandKind::Start, &task, run.attempt, None);
+            plan.command(CommandKind::Start, &attempt.task, attempt.attempt, None);
         }
     }
-}
 
-/// Whether something on the machine has to end: its lease must not be renewed by
-/// a controller that cannot order that yet. A cancelled task would outlive
-/// `cancel_s` if its owner came back again and again before it could claim the
-/// machine.
-pub fn must_stop(report: &WorkerStatus, replica: &Replica) -> bool {
-    let reported = report.tasks.iter().any(|task| {
-        let Some((id, number)) = split_task(&task.task) else {
-            return false;
-        };
-        let job = replica.jobs.get(id).map(|e| &e.value);
-        let stays = job.is_some_and(|job| {
-            job.is_open() && job.find(&report.machine, task.attempt, number).is_some()
-        });
-        task.stage != TaskStage::Ended && !stays
-    });
-    let mut booked = replica.jobs_on(&report.machine);
-    reported || booked.any(|(_, entry)| !entry.value.is_open())
-}
-
-/// The stops that an answer which renews the lease has to carry: for every task
-/// in that very report whose job is cancelled. What is final needs neither a
-/// report under our token nor a replica that has reached our claim, and a stop may
-/// be repeated at any time: it is not left out because it was ordered a moment
-/// ago, or is in a direct call just now, as neither may ever arrive.
-pub fn stops_of_cancelled_tasks(report: &WorkerStatus, replica: &Replica) -> Vec<WorkerCommand> {
-    let cancelled = |task: &&TaskStatus| {
-        let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
-        task.stage != TaskStage::Ended
-            && job.is_some_and(|e| e.value.status == JobStatus::Cancelled)
-    };
-    let stop = |task: &TaskStatus| WorkerCommand {
-        verb: CommandKind::Stop,
-        task: task.task.clone(),
-        attempt: task.attempt,
-        grace_s: Some(0.0),
-    };
-    report.tasks.iter().filter(cancelled).map(stop).collect()
+    /// Whether a missing task is not to be launched again under this attempt. A gang's
+    /// member that was there and is gone has broken the attempt; an independent task is
+    /// simply launched again, but not where no command arrives.
+    fn is_lost(&self, job: &Job, run: &Run, attempt: &TaskAttempt) -> bool {
+        let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+        let was_launched = self.owned_worker.launched_attempts.contains(attempt);
+        run.stop || self.owned_worker.unreachable_since.is_some() || (is_gang && was_launched)
+    }
 }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,10 +1,16 @@
-//! Ends of tasks: what proves that an attempt is over, and the queue of those that
-//! are to be recorded.
+//! Terminations of tasks: what proves that an attempt is over, and the queue of those
+//! that are to be recorded.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
 
 use crate::controller::Controller;
 use crate::state::records::{MachineLifecycle, Outcome};
 use crate::state::replica::Replica;
 
+use super::OwnedWorker;
+
 /// A task's attempt on a machine whose booking is to be released.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
@@ -18,121 +24,138 @@
     pub task: u32,
 }
 
-/// An end that is to be recorded, and the token under which it was proven. A
+/// An attempt that is over.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Termination {
+    /// The attempt.
+    pub key: AttemptKey,
+    /// How it ended.
+    pub outcome: Outcome,
+}
+
+/// How an attempt ended, and the fencing token under which that was proven. A
 /// controller that loses a machine and claims it again may have let another launch
 /// the same attempt there meanwhile: what was proven before the new claim is void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminationEvidence {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The token of the claim under which that was proven.
+    /// The fencing token of the claim under which that was proven.
     pub fencing_token: u64,
 }
 
 impl Controller {
-    /// Queues ends for the next commit that records some.
-    pub(super) fn queue_terminations(&self, ends: Vec<(AttemptKey, Outcome)>) {
-        if ends.is_empty() {
+    /// Queues terminations for the next commit that records some.
+    pub(super) fn queue_terminations(&self, terminations: Vec<Termination>) {
+        if terminations.is_empty() {
             return;
         }
-        for (key, outcome) in ends {
-            self.queue_end(key, outcome);
+        for termination in terminations {
+            self.queue_termination(termination);
         }
-        self.workers.terminations_notify.notify_one();
+        self.workers.wake_termination_recording();
     }
 
-    fn queue_end(&self, key: AttemptKey, outcome: Outcome) {
-        let mut owned_workers = self.workers.owned_workers.borrow_mut();
-        let mut queue = self.workers.pending_terminations.borrow_mut();
+    fn queue_termination(&self, Termination { key, outcome }: Termination) {
+        let mut owned_workers = self.workers.owned_mut();
+        let mut pending = self.workers.pending_terminations_mut();
         let owned_worker = owned_workers.get_mut(&key.machine);
-        // Of a machine that is not held only the cloud's word proves an end.
-        let fencing_token = owned_worker.as_ref().map_or(0, |h| h.fencing_token);
-        if queue
-            .get(&key)
-            .is_some_and(|proof| proof.fencing_token >= fencing_token)
-        {
+        // Of a machine that is not owned only the cloud's word proves a termination.
+        let fencing_token = owned_worker.as_ref().map_or(0, |w| w.fencing_token);
+        let known = pending.get(&key);
+        if known.is_some_and(|evidence| evidence.fencing_token >= fencing_token) {
             return;
         }
         if let Some(owned_worker) = owned_worker {
-            match outcome {
-                Outcome::Failed => _ = owned_worker.failed_jobs.insert(key.job.clone()),
-                Outcome::Done => owned_worker.failed_jobs.clear(),
-                Outcome::Lost => {}
-            }
+            record_failure(owned_worker, &key.job, outcome);
         }
         tracing::debug!(
             job = key.job,
             task = key.task,
             attempt = key.attempt,
             machine = key.machine,
+            fencing_token,
             ?outcome,
-            "ended"
-        );
-        queue.insert(
-            key,
-            TerminationEvidence {
-                outcome,
-                fencing_token,
-            },
+            "task terminated"
         );
+        let evidence = TerminationEvidence {
+            outcome,
+            fencing_token,
+        };
+        pending.insert(key, evidence);
+    }
+}
+
+/// Records which jobs have failed on a machine since the last task that was done there.
+fn record_failure(owned_worker: &mut OwnedWorker, job: &str, outcome: Outcome) {
+    match outcome {
+        Outcome::Failed => _ = owned_worker.failed_jobs.insert(job.to_string()),
+        Outcome::Done => owned_worker.failed_jobs.clear(),
+        Outcome::Lost => {}
     }
 }
 
 /// Releases the bookings on machines whose worker's lease is surely over.
-pub fn release_silent(controller: &Controller) {
+pub fn release_expired_leases(controller: &Controller) {
     let now = controller.liveness_tick();
-    let (lease, margin) = (
-        controller.settings.worker_lease(),
-        controller.settings.margin(),
-    );
+    let lease = controller.settings.worker_lease();
+    let margin = controller.settings.margin();
+    let lost = expire_leases(controller, lease, margin, now);
+    controller.queue_terminations(lost);
+}
+
+/// Expires the leases that are over, and returns what is lost by that.
+fn expire_leases(
+    controller: &Controller,
+    lease: Duration,
+    margin: Duration,
+    now: Instant,
+) -> Vec<Termination> {
     let mut lost = Vec::new();
-    {
-        let mut owned_workers = controller.workers.owned_workers.borrow_mut();
-        let replica = controller.replica.borrow();
-        for (id, owned_worker) in owned_workers.iter_mut() {
-            let held = replica.machines.get(id).is_some_and(|m| {
-                m.value.fencing_token == owned_worker.fencing_token
-                    && m.value.incarnation == controller.incarnation
-            });
-            if !held || !owned_worker.lease_is_over(lease, margin, now) {
-                continue;
-            }
-            tracing::info!(machine = id, "silent for a whole lease: its tasks are gone");
-            lost.extend(all_bookings(&replica, id));
-            // What it reports next counts as a new beginning.
-            owned_worker.status = None;
-            owned_worker.unconfirmed = true;
-            owned_worker.launched_attempts.clear();
+    let mut owned_workers = controller.workers.owned_mut();
+    let replica = controller.replica.borrow();
+    for (id, owned_worker) in owned_workers.iter_mut() {
+        let is_owned = replica.machines.get(id).is_some_and(|m| {
+            m.value.fencing_token == owned_worker.fencing_token
+                && m.value.incarnation == controller.incarnation
+        });
+        if !is_owned || !owned_worker.lease_is_over(lease, margin, now) {
+            continue;
         }
+        tracing::info!(machine = id, "worker lease expired");
+        lost.extend(lost_bookings(&replica, id));
+        owned_worker.expire_lease();
     }
-    controller.queue_terminations(lost);
+    lost
 }
 
 /// Releases the bookings on machines that the cloud has confirmed as gone.
-pub fn release_gone(controller: &Controller) {
-    let lost: Vec<_> = {
+pub fn release_gone_machines(controller: &Controller) {
+    let lost: Vec<Termination> = {
         let replica = controller.replica.borrow();
         let machines = replica.machines.iter();
         let gone = machines.filter(|(_, m)| m.value.lifecycle == MachineLifecycle::Gone);
-        gone.flat_map(|(id, _)| all_bookings(&replica, id))
+        gone.flat_map(|(id, _)| lost_bookings(&replica, id))
             .collect()
     };
     controller.queue_terminations(lost);
 }
 
 /// Every attempt that is booked on a machine, as lost.
-fn all_bookings(replica: &Replica, machine: &str) -> Vec<(AttemptKey, Outcome)> {
-    let mut all = Vec::new();
+fn lost_bookings(replica: &Replica, machine: &str) -> Vec<Termination> {
+    let mut lost = Vec::new();
     for (job, entry) in replica.jobs_on(machine) {
         for run in entry.value.runs.iter().filter(|r| r.machine == machine) {
-            let keys = run.tasks.iter().map(|task| AttemptKey {
-                job: job.to_string(),
-                machine: machine.to_string(),
-                attempt: run.attempt,
-                task,
-            });
-            all.extend(keys.map(|key| (key, Outcome::Lost)));
+            lost.extend(run.tasks.iter().map(|task| Termination {
+                key: AttemptKey {
+                    job: job.to_string(),
+                    machine: machine.to_string(),
+                    attempt: run.attempt,
+                    task,
+                },
+                outcome: Outcome::Lost,
+            }));
         }
     }
-    all
+    lost
 }
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -1,30 +1,93 @@
 //! The state that a controller keeps of workers: those that it owns, the claims
 //! that are under way, and terminations that are yet to be recorded.
 
-use std::cell::{Cell, RefCell};
+use std::cell::{Ref, RefCell, RefMut};
 use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 
 use tokio::sync::Notify;
+use tokio::sync::futures::Notified;
+use tokio::time::Instant;
 
-use super::{AttemptKey, Claim, OwnedWorker, TerminationEvidence};
+use super::claim_queue::ClaimQueue;
+use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 
 /// The workers that this controller owns, and what waits to be committed for them.
 #[derive(Debug, Default)]
 pub struct WorkerTable {
     /// The workers of the machines that this controller owns, by machine.
-    pub owned_workers: RefCell<HashMap<String, OwnedWorker>>,
+    owned: RefCell<HashMap<String, OwnedWorker>>,
     /// Terminations of tasks that wait to be recorded.
-    pub pending_terminations: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
-    /// Claims that wait to be committed, by machine.
-    pub(crate) claims: RefCell<BTreeMap<String, Claim>>,
-    /// How many heartbeats wait for their claims, each with its connection.
-    pub(crate) claims_awaited: Cell<usize>,
-    /// Wakes the commits of claims.
-    pub(crate) claims_notify: Notify,
+    pending_terminations: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
+    /// Claims that wait to be committed.
+    pub(super) claims: ClaimQueue,
     /// Wakes the direct commands: bookings or statuses of machines have changed.
-    pub(crate) commands_notify: Notify,
+    commands_notify: Notify,
     /// Wakes the recording of terminations.
-    pub(crate) terminations_notify: Notify,
+    terminations_notify: Notify,
     /// Wakes the publication of capacity: a machine can take work from now on.
-    pub(crate) publication_notify: Notify,
+    publication_notify: Notify,
+}
+
+impl WorkerTable {
+    /// The workers that this controller owns, by machine.
+    pub fn owned(&self) -> Ref<'_, HashMap<String, OwnedWorker>> {
+        self.owned.borrow()
+    }
+
+    pub(super) fn owned_mut(&self) -> RefMut<'_, HashMap<String, OwnedWorker>> {
+        self.owned.borrow_mut()
+    }
+
+    /// Takes a pause of this process out of every worker's span of silence.
+    pub fn exclude_pause(&self, pause: Duration, now: Instant) {
+        for owned_worker in self.owned.borrow_mut().values_mut() {
+            owned_worker.exclude_pause(pause, now);
+        }
+    }
+
+    /// The terminations that wait to be recorded.
+    pub fn pending_terminations(&self) -> Ref<'_, BTreeMap<AttemptKey, TerminationEvidence>> {
+        self.pending_terminations.borrow()
+    }
+
+    pub(super) fn pending_terminations_mut(
+        &self,
+    ) -> RefMut<'_, BTreeMap<AttemptKey, TerminationEvidence>> {
+        self.pending_terminations.borrow_mut()
+    }
+
+    /// Drops terminations that have been recorded, or whose evidence is void.
+    pub fn remove_terminations(&self, keys: &[AttemptKey]) {
+        let mut pending = self.pending_terminations.borrow_mut();
+        for key in keys {
+            pending.remove(key);
+        }
+    }
+
+    /// Waits until terminations have been queued.
+    pub fn terminations_queued(&self) -> Notified<'_> {
+        self.terminations_notify.notified()
+    }
+
+    pub(super) fn wake_termination_recording(&self) {
+        self.terminations_notify.notify_one();
+    }
+
+    /// Has the loop of direct commands look for what has changed.
+    pub fn wake_commands(&self) {
+        self.commands_notify.notify_one();
+    }
+
+    pub(super) fn commands_woken(&self) -> Notified<'_> {
+        self.commands_notify.notified()
+    }
+
+    pub(super) fn wake_publication(&self) {
+        self.publication_notify.notify_one();
+    }
+
+    pub(super) fn publication_woken(&self) -> Notified<'_> {
+        self.publication_notify.notified()
+    }
 }
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -14,7 +14,7 @@
 pub(super) struct ShardEdit {
     pub record: ZoneShard,
     /// Machines join or leave.
-    pub members: bool,
+    pub changes_members: bool,
 }
 
 /// The records that a choice depends on, with their versions.
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -10,7 +10,9 @@
 use shelfhoist::cloud::{FailureAttribution, blame};
 use shelfhoist::scheduler::{Released, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
-use shelfhoist::workers::{self, AttemptKey, OwnedWorker, TerminationEvidence, reconcile};
+use shelfhoist::workers::{
+    self, AttemptKey, OwnedWorker, TaskAttempt, TerminationEvidence, reconcile,
+};
 
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
@@ -88,7 +90,7 @@
     type Edit = fn(&mut OwnedWorker);
     let plain: Edit = |_| {};
     let launched: Edit = |h| {
-        h.launched_attempts.insert(("job-1/0".into(), 1));
+        h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
     };
     let cases: &[(&str, Kind, u64, &serde_json::Value, Edit, &str)] = &[
         ("absent: launch", Kind::Array, 5, &none, plain, "launch"),
@@ -131,7 +133,7 @@
             5,
             &none,
             |h| {
-                h.launched_attempts.insert(("job-1/0".into(), 1));
+                h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
                 h.in_flight = true;
             },
             "",
@@ -142,7 +144,7 @@
             5,
             &none,
             |h| {
-                h.launched_attempts.insert(("job-1/0".into(), 1));
+                h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
                 h.has_unanswered_launch = true;
             },
             "",
@@ -202,7 +204,7 @@
         got.extend(
             plan.terminations
                 .iter()
-                .map(|(_, o)| format!("end {o:?}").to_lowercase()),
+                .map(|t| format!("end {:?}", t.outcome).to_lowercase()),
         );
         assert_eq!(got.join(" "), *expected, "{name}");
     }
