--- a/src/controller.rs
+++ b/src/controller.rs
@@ -26,16 +26,12 @@
 use crate::net::Net;
 use crate::scheduler::PlacementState;
 use crate::settings::Settings;
-use crate::state::budget::{Budget, RequestClass};
+use crate::state::budget::{BUDGET_SHARE, Budget, RequestClass};
 use crate::state::client::{Store, StoreError};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Guard, Write};
 use crate::workers::WorkerTable;
 
-/// The limits of the state service are shared by all controllers, which do not
-/// count for one another: together they keep to so much of them.
-const BUDGET_SHARE: f64 = 0.97;
-
 /// The context that the loops of one controller share; all of them run on one thread.
 /// Each subsystem's state is in a struct of that subsystem's module.
 pub struct Controller {
--- /dev/null
+++ b/src/gossip/receiver.rs
@@ -0,0 +1,68 @@
+//! Receives what the other controllers tell of themselves.
+
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::{Instant, sleep, timeout};
+
+use super::gossip_interval;
+use super::message::{ACK, MAX_MESSAGE_BYTES, PeerStatus, decode};
+use crate::controller::Controller;
+use crate::net::{Listener, Stream};
+
+/// How long to wait when no connection can be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// A connection that brings no frame for so many intervals is closed.
+const MAX_SILENT_INTERVALS: u32 = 10;
+
+/// Accepts the other controllers' connections.
+pub async fn run_receiver(controller: Rc<Controller>, mut listener: Listener) {
+    loop {
+        match listener.accept().await {
+            Ok(stream) => {
+                tokio::task::spawn_local(receive_frames(controller.clone(), stream));
+            }
+            Err(_) => sleep(ACCEPT_PAUSE).await,
+        }
+    }
+}
+
+/// Records one peer's frames until it sends none or a bad one.
+async fn receive_frames(controller: Rc<Controller>, mut stream: Stream) {
+    let patience = gossip_interval(&controller.settings) * MAX_SILENT_INTERVALS;
+    loop {
+        let Ok(Ok(body)) = timeout(patience, read_frame(&mut stream)).await else {
+            return;
+        };
+        match decode(&body) {
+            Ok(status) if is_known(&controller, &status) => {
+                let mut peers = controller.peers.borrow_mut();
+                peers.record(status, Instant::now());
+            }
+            _ => return,
+        }
+        let acknowledged = timeout(patience, stream.write_all(&[ACK])).await;
+        if !matches!(acknowledged, Ok(Ok(()))) {
+            return;
+        }
+    }
+}
+
+/// Whether the settings name the controller that a message is of.
+fn is_known(controller: &Controller, status: &PeerStatus) -> bool {
+    let mut others = controller.settings.others.iter();
+    others.any(|peer| peer.name == status.controller)
+}
+
+async fn read_frame(stream: &mut Stream) -> io::Result<Vec<u8>> {
+    let length = stream.read_u32().await? as usize;
+    if length > MAX_MESSAGE_BYTES {
+        return Err(io::Error::from(io::ErrorKind::InvalidData));
+    }
+    let mut body = vec![0; length];
+    stream.read_exact(&mut body).await?;
+    Ok(body)
+}
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -5,6 +5,10 @@
 
 use tokio::time::Instant;
 
+/// The limits of the state service are shared by all controllers, which do not
+/// count for one another: together they keep to so much of them.
+pub const BUDGET_SHARE: f64 = 0.97;
+
 /// Who goes first when the budget is short: the earlier, the sooner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -473,5 +473,5 @@
         assert_eq!(format!("{read:?}"), format!("{gossip:?}"));
         assert_eq!(encode(&read).expect("a frame"), frame);
     }
-    assert!(decode(&FRAME[4..FRAME.len() - 1]).is_none());
+    assert!(decode(&FRAME[4..FRAME.len() - 1]).is_err());
 }
