--- /dev/null
+++ b/src/compaction/zone_shards.rs
@@ -0,0 +1,151 @@
+//! Zone shards: they take the compact encoding, are split where they may outgrow their
+//! records, and are merged until they are few.
+
+use std::collections::BTreeMap;
+
+use super::DeferredKeys;
+use crate::state::commit::guard;
+use crate::state::keys::zone_shard_key;
+use crate::state::records::ZoneShard;
+use crate::state::replica::Replica;
+use crate::wire::{Commit, Guard};
+
+/// Zone shards that do not stand in the compact encoding yet, one for each machine
+/// shard, there or not: from then on a commit that was decided before cannot change
+/// them.
+pub(super) fn compact(
+    replica: &Replica,
+    deferred: &DeferredKeys,
+    is_responsible: &dyn Fn(&str) -> bool,
+    max_writes: usize,
+) -> Option<Commit> {
+    let (mut guards, mut writes) = (Vec::<Guard>::new(), Vec::new());
+    let ids = replica
+        .machine_shards
+        .keys()
+        .chain(replica.zone_shards.keys());
+    for id in ids.filter(|id| is_responsible(id) && !replica.is_compact_zone_shard(id)) {
+        let key = zone_shard_key(id);
+        let is_included = guards.iter().any(|g| g.key == key);
+        if writes.len() == max_writes || deferred.contains_key(&key) || is_included {
+            continue;
+        }
+        let shard = replica.zone_shards.get(id).map(|e| e.value.clone());
+        writes.push(replica.put_zone_shard(id, &shard.unwrap_or_default()));
+        guards.push(guard(key, replica.zone_shard_version(id)));
+    }
+    (!writes.is_empty()).then_some(Commit { guards, writes })
+}
+
+/// Moves half of the machines of a zone shard that may outgrow its record into one
+/// of the same preferred owner that is empty: its text becomes longer as machines leave
+/// it, and one that is too long could not be written. Both are written under guard, as
+/// with a merge.
+pub fn split_long(
+    replica: &Replica,
+    deferred: &DeferredKeys,
+    is_responsible: &dyn Fn(&str) -> bool,
+) -> Option<Commit> {
+    let (id, entry) = replica.zone_shards.iter().find(|(id, entry)| {
+        is_responsible(id)
+            && replica.is_compact_zone_shard(id)
+            && !deferred.contains_key(&zone_shard_key(id))
+            && replica.may_outgrow_record(&entry.value)
+    })?;
+    let (zone_and_owner, _) = id.rsplit_once('.')?;
+    let empty = first_empty(replica, deferred, zone_and_owner)?;
+    let mut first = entry.value.clone();
+    let middle = first.machines.keys().nth(first.machines.len() / 2)?.clone();
+    let second = ZoneShard {
+        machines: first.machines.split_off(&middle),
+    };
+    Some(write_both(replica, [(id, &first), (&empty, &second)]))
+}
+
+/// The first zone shard of a preferred owner in a zone that lists no machine.
+fn first_empty(replica: &Replica, deferred: &DeferredKeys, zone_and_owner: &str) -> Option<String> {
+    let is_empty = |id: &String| {
+        let shard = replica.zone_shards.get(id);
+        shard.is_none_or(|entry| entry.value.machines.is_empty())
+            && !deferred.contains_key(&zone_shard_key(id))
+    };
+    (0..)
+        .map(|number| format!("{zone_and_owner}.{number}"))
+        .find(is_empty)
+}
+
+/// The commit that writes two zone shards, both under guard.
+fn write_both(replica: &Replica, shards: [(&str, &ZoneShard); 2]) -> Commit {
+    let guards = shards.map(|(id, _)| guard(zone_shard_key(id), replica.zone_shard_version(id)));
+    let writes = shards.map(|(id, shard)| replica.put_zone_shard(id, shard));
+    Commit {
+        guards: guards.into(),
+        writes: writes.into(),
+    }
+}
+
+/// A zone shard that may be merged with others of its preferred owner.
+struct MergeCandidate<'a> {
+    /// The number that its name ends with.
+    number: u32,
+    id: &'a String,
+    shard: &'a ZoneShard,
+}
+
+/// Empties a zone shard of a preferred owner into the first that takes all of it. Both
+/// are written under guard, so each machine stands in one of them throughout.
+pub fn merge(
+    replica: &Replica,
+    deferred: &DeferredKeys,
+    is_responsible: &dyn Fn(&str) -> bool,
+) -> Option<Commit> {
+    let mut by_owner: BTreeMap<&str, Vec<MergeCandidate>> = BTreeMap::new();
+    for (id, entry) in &replica.zone_shards {
+        let Some((zone_and_owner, number)) = id.rsplit_once('.') else {
+            continue;
+        };
+        let Ok(number) = number.parse() else { continue };
+        if !is_responsible(id)
+            || !replica.is_compact_zone_shard(id)
+            || deferred.contains_key(&zone_shard_key(id))
+        {
+            continue;
+        }
+        by_owner
+            .entry(zone_and_owner)
+            .or_default()
+            .push(MergeCandidate {
+                number,
+                id,
+                shard: &entry.value,
+            });
+    }
+    by_owner.into_values().find_map(|mut candidates| {
+        candidates.sort_unstable_by_key(|candidate| candidate.number);
+        merge_last(replica, &candidates)
+    })
+}
+
+/// Empties the last zone shard that another takes wholly: the last is the one that was
+/// needed least.
+fn merge_last(replica: &Replica, candidates: &[MergeCandidate]) -> Option<Commit> {
+    let last_first = candidates.iter().enumerate().rev();
+    let mut with_machines = last_first.filter(|(_, last)| !last.shard.machines.is_empty());
+    with_machines.find_map(|(at, from)| {
+        candidates[..at].iter().find_map(|to| {
+            let merged = merged(to.shard, from.shard);
+            let emptied = ZoneShard::default();
+            replica
+                .fits_zone_shard(&merged)
+                .then(|| write_both(replica, [(from.id, &emptied), (to.id, &merged)]))
+        })
+    })
+}
+
+/// One zone shard with the machines of another besides.
+fn merged(shard: &ZoneShard, other: &ZoneShard) -> ZoneShard {
+    let mut merged = shard.clone();
+    let more = other.machines.iter().map(|(id, s)| (id.clone(), s.clone()));
+    merged.machines.extend(more);
+    merged
+}
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -12,7 +12,7 @@
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key};
 use shelfhoist::state::records::*;
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Guard, Write};
+use shelfhoist::wire::{Commit, Event, Guard, Write};
 
 use super::setup::settings;
 
@@ -221,7 +221,8 @@
     let write = replica.put_zone_shard("a/n0.0", &shard);
     replica.overlay(&[write], 2);
     let left = Default::default();
-    let (guards, writes) = compaction::split_long(&replica, &left, &|_| true).expect("a split");
+    let Commit { guards, writes } =
+        compaction::split_long(&replica, &left, &|_| true).expect("a split");
     assert_eq!((guards.len(), writes.len()), (2, 2));
     replica.overlay(&writes, 3);
     assert_eq!(replica.plan_slots().count(), 700);
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -12,7 +12,7 @@
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Kind, Write};
+use shelfhoist::wire::{Commit, Event, Kind, Write};
 
 use shelfhoist::state::records::*;
 
@@ -101,7 +101,9 @@
         replica.overlay(&[write], version);
     }
     let mut steps = 0;
-    while let Some((guards, mut writes)) = compaction::merge(&replica, &HashMap::new(), &tended) {
+    while let Some(Commit { guards, mut writes }) =
+        compaction::merge(&replica, &HashMap::new(), &tended)
+    {
         assert_eq!((guards.len(), writes.len()), (2, 2));
         for w in &writes {
             let id = w.key().trim_start_matches("sh/zone/");
