--- a/src/cloud/failure_attribution.rs
+++ b/src/cloud/failure_attribution.rs
@@ -86,7 +86,7 @@
         attempt: 0,
         task: 0,
     };
-    let terminations = controller.workers.pending_terminations.borrow();
+    let terminations = controller.workers.pending_terminations();
     let next = terminations.range(first..).next();
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -38,7 +38,7 @@
 pub(super) fn unhealthy_machines(controller: &Controller) -> Vec<MachineRemoval> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
-    let owned_workers = controller.workers.owned_workers.borrow();
+    let owned_workers = controller.workers.owned();
     let review = OwnedMachineReview {
         controller,
         replica: &replica,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -34,16 +34,12 @@
 use crate::net::Net;
 use crate::scheduler::PlacementState;
 use crate::settings::Settings;
-use crate::state::budget::{Budget, RequestClass};
+use crate::state::budget::{BUDGET_SHARE, Budget, RequestClass};
 use crate::state::client::{Store, StoreError};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
 use crate::workers::WorkerTable;
 
-/// The part of the state service's limits that all controllers together use: none of
-/// them counts the requests of the others.
-const USED_LIMIT_FRACTION: f64 = 0.97;
-
 /// How much longer than a request's body a worker's answer to commands may be.
 const WORKER_RESPONSE_BODIES: usize = 4;
 
@@ -152,7 +148,7 @@
         let revision = self.replica.borrow().revision;
         self.state_sync.advance_to(revision);
         self.placement.wake();
-        self.workers.commands_notify.notify_one();
+        self.workers.wake_commands();
     }
 }
 
@@ -175,8 +171,8 @@
 fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> Store {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
-        settings.rps(false) / count * USED_LIMIT_FRACTION,
-        settings.write_rps(false) / count * USED_LIMIT_FRACTION,
+        settings.rps(false) / count * BUDGET_SHARE,
+        settings.write_rps(false) / count * BUDGET_SHARE,
         now,
     );
     let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -50,9 +50,7 @@
         let pause = self.process_clock.take_pause(now);
         if pause > self.settings.worker_lease() / 8 {
             tracing::info!(pause_s = pause.as_secs_f64(), "process paused");
-            for owned_worker in self.workers.owned_workers.borrow_mut().values_mut() {
-                owned_worker.exclude_pause(pause, now);
-            }
+            self.workers.exclude_pause(pause, now);
             self.fleet.borrow_mut().exclude_pause(pause, now);
         }
         now
