--- a/src/cloud/boot_tracking.rs
+++ b/src/cloud/boot_tracking.rs
@@ -38,7 +38,7 @@
 }
 
 /// A boot in progress.
-#[derive(Debug)]
+#[derive(Debug, Clone)]
 struct Boot {
     started_at: Instant,
     offer: MachineOffer,
@@ -81,13 +81,14 @@
         }
         self.overdue
             .retain(|id| still_booting.contains(id.as_str()));
-        let ended = self
-            .in_progress
-            .extract_if(|id, _| !still_booting.contains(id.as_str()));
-        let completed: Vec<Boot> = ended
-            .filter(|(id, _)| is_up(id))
-            .map(|(_, boot)| boot)
-            .collect();
+        let mut completed = Vec::new();
+        self.in_progress.retain(|id, boot| {
+            let is_booting = still_booting.contains(id.as_str());
+            if !is_booting && is_up(id) {
+                completed.push(boot.clone());
+            }
+            is_booting
+        });
         for boot in completed {
             self.record_completed(boot, now);
         }
--- a/src/cloud/cancellations.rs
+++ b/src/cloud/cancellations.rs
@@ -1,18 +1,19 @@
 //! Cancellations that follow from those of other jobs, recorded job by job.
 
+use super::commit::commit_unless_empty;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{guard, put};
 use crate::state::keys::job_key;
-use crate::wire::{Guard, Write};
+use crate::wire::Commit;
 
 /// Writes onto jobs' own records that they are cancelled with what they await:
 /// some at a time, in any order. All controllers know it without, and what it
 /// follows from stays: final records are never dropped.
 pub(super) async fn record_dependent_cancellations(controller: &Controller) {
-    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+    let commit = {
         let replica = controller.replica.borrow();
-        replica
+        let (guards, writes) = replica
             .cancelled_with_dependency()
             .filter_map(|id| {
                 let mut job = replica.jobs.get(id)?.value.clone();
@@ -21,13 +22,10 @@
                 Some((guard(job_key(id), version), put(job_key(id), &job)))
             })
             .take(controller.settings.txn_ops())
-            .unzip()
+            .unzip();
+        Commit { guards, writes }
     };
-    if !writes.is_empty()
-        && let Err(error) = controller
-            .commit(RequestClass::Publication, guards, writes)
-            .await
-    {
+    if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
         tracing::debug!(%error, "dependent cancellations not recorded");
     }
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -69,7 +69,7 @@
         body: Option<Vec<u8>>,
         is_wanted: impl Fn() -> bool,
     ) -> Result<Response, CloudError> {
-        if self.fleet.borrow().is_cloud_paused() {
+        if self.fleet.borrow().cloud_calls.is_paused() {
             return Err(CloudError::Paused);
         }
         self.wait_for_cloud_rate_limit().await;
@@ -89,7 +89,7 @@
             .await?;
         if is_overloaded(&response) {
             let pause = self.store.jitter(OVERLOAD_PAUSE);
-            self.fleet.borrow_mut().pause_cloud(pause);
+            self.fleet.borrow_mut().cloud_calls.pause(pause);
             return Err(CloudError::Overloaded(response.status));
         }
         Ok(response)
@@ -103,7 +103,8 @@
             let taken = self
                 .fleet
                 .borrow_mut()
-                .take_cloud_call(max_rps, Instant::now());
+                .cloud_calls
+                .take(max_rps, Instant::now());
             match taken {
                 Ok(()) => return,
                 Err(wait) => sleep(wait).await,
--- /dev/null
+++ b/src/cloud/commit.rs
@@ -0,0 +1,19 @@
+//! Commits of this module's loops, which are often empty.
+
+use crate::controller::Controller;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::wire::Commit;
+
+/// Sends a commit, unless there is nothing to write.
+pub(super) async fn commit_unless_empty(
+    controller: &Controller,
+    class: RequestClass,
+    commit: Commit,
+) -> Result<(), StoreError> {
+    let Commit { guards, writes } = commit;
+    if writes.is_empty() {
+        return Ok(());
+    }
+    controller.commit(class, guards, writes).await.map(drop)
+}
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -11,7 +11,7 @@
 use crate::state::keys::{job_key, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, Outcome, Resources};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Kind, Write};
+use crate::wire::{Commit, Kind};
 
 /// Slots for so many of the usual gangs on accelerators stay free.
 const RESERVED_GANGS: usize = 2;
@@ -37,10 +37,9 @@
     controller.fleet.borrow_mut().consolidation_timer.restart();
     let Eviction {
         machine,
-        guards,
-        writes,
+        services,
+        commit: Commit { guards, writes },
     } = eviction;
-    let services = writes.len().saturating_sub(MACHINE_WRITES);
     match controller
         .commit(RequestClass::Publication, guards, writes)
         .await
@@ -50,11 +49,11 @@
     }
 }
 
-/// The commit that evicts the services of a machine.
+/// The eviction of a machine's services.
 struct Eviction {
     machine: String,
-    guards: Vec<Guard>,
-    writes: Vec<Write>,
+    services: usize,
+    commit: Commit,
 }
 
 /// A machine whose services could move.
@@ -215,7 +214,7 @@
     }
     Some(Eviction {
         machine: id.clone(),
-        guards,
-        writes,
+        services: candidate.services.len(),
+        commit: Commit { guards, writes },
     })
 }
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -2,6 +2,7 @@
 //! no new work goes there, and what runs there saves its progress while there is
 //! time.
 
+use super::commit::commit_unless_empty;
 use super::lifecycle::set_lifecycle;
 use crate::controller::Controller;
 use crate::scheduler::COMMIT_BYTES;
@@ -9,7 +10,7 @@
 use crate::state::commit::guard;
 use crate::state::keys::job_key;
 use crate::state::records::{Job, MachineLifecycle, Spec};
-use crate::wire::{Guard, Kind, Write};
+use crate::wire::{Commit, Kind, Write};
 
 /// Drains the machines that are queued for it, such as those with a preemption
 /// notice: they take no new work, and gangs that can save are told to while there
@@ -24,12 +25,8 @@
                 continue;
             }
         }
-        let (guards, writes) = drain_commit(controller, &id);
-        if !writes.is_empty()
-            && let Err(error) = controller
-                .commit(RequestClass::Lifecycle, guards, writes)
-                .await
-        {
+        let commit = drain_commit(controller, &id);
+        if let Err(error) = commit_unless_empty(controller, RequestClass::Lifecycle, commit).await {
             tracing::debug!(machine = id, %error, "machine drain not committed");
         }
     }
@@ -45,7 +42,7 @@
 
 /// The commit that stops the work on a machine that can save its progress; as
 /// much of it as one commit holds.
-fn drain_commit(controller: &Controller, machine: &str) -> (Vec<Guard>, Vec<Write>) {
+fn drain_commit(controller: &Controller, machine: &str) -> Commit {
     let replica = controller.replica.borrow();
     let max_writes = controller.settings.txn_ops();
     let mut guards = Vec::new();
@@ -63,7 +60,7 @@
         guards.push(guard(job_key(id), entry.version));
         writes.push(write);
     }
-    (guards, writes)
+    Commit { guards, writes }
 }
 
 /// Whether a job loses nothing by a stop, and has not been told yet.
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -6,22 +6,14 @@
 
 use tokio::time::Instant;
 
-use super::backoff::Backoff;
 use super::boot_tracking::BootTracker;
+use super::cloud_calls::CloudCalls;
 use super::interval_timer::IntervalTimer;
-use super::machine_offer::MachineOffer;
+use super::offer_refusals::OfferRefusals;
 use super::stale_tokens::StaleTokens;
 use crate::controller::shifted_past_pause;
-use crate::state::budget::Bucket;
 use crate::wire::WorkerStatus;
 
-/// The pause after a refusal doubles with each one in a row, so many times at
-/// most.
-const MAX_REFUSAL_DOUBLINGS: u32 = 2;
-
-/// The part of the cloud's rate limit that is used.
-const RATE_LIMIT_SHARE: f64 = 0.9;
-
 /// What one controller remembers of the fleet and of the cloud.
 #[derive(Default)]
 pub struct FleetState {
@@ -33,8 +25,12 @@
     pub sent_back: HashMap<String, Instant>,
     /// When any was sent home that another controller holds.
     pub last_sent_home: Option<Instant>,
-    /// What boots now, and what boots have taken.
+    /// The boots in progress, and the durations and failures of recent ones.
     pub(super) boots: BootTracker,
+    /// Offers that the cloud has refused.
+    pub(super) refusals: OfferRefusals,
+    /// The calls to the cloud.
+    pub(super) cloud_calls: CloudCalls,
     /// The pace of reading the cloud's inventory.
     pub(super) inventory_timer: IntervalTimer,
     /// The pace of the log's summaries of the fleet.
@@ -48,8 +44,6 @@
     claim_reports: HashMap<String, WorkerStatus>,
     /// Machines that are to be drained and are not yet.
     pending_drains: HashSet<String>,
-    /// Offers that the cloud has refused.
-    refused: HashMap<MachineOffer, Backoff>,
     /// Since when machines have had no work that justifies their price.
     idle_since: HashMap<String, Instant>,
     /// Since when machines boot, or have an owner that is not up.
@@ -60,13 +54,8 @@
     unrecorded_since: HashMap<String, Instant>,
     /// Machines confirmed gone: a late inventory may still name them.
     gone_since: HashMap<String, Instant>,
+    /// The state lease of this controller, if one is held as far as is known.
     state_lease: Option<HeldLease>,
-    /// The cloud is not called until then.
-    cloud_paused_until: Option<Instant>,
-    /// The limit on calls to the cloud.
-    cloud_call_limit: Option<Bucket>,
-    /// Provisioning requests whose call is in progress.
-    calls_in_progress: HashSet<String>,
 }
 
 /// The state lease of this controller.
@@ -236,73 +225,10 @@
     }
 }
 
-/// The calls to the cloud.
+/// What reports say of this state.
 impl FleetState {
-    /// Whether the cloud is not called now, as it has refused calls.
-    #[must_use]
-    pub(super) fn is_cloud_paused(&self) -> bool {
-        self.cloud_paused_until
-            .is_some_and(|until| until > Instant::now())
-    }
-
-    /// Does not call the cloud for a while.
-    pub(super) fn pause_cloud(&mut self, pause: Duration) {
-        self.cloud_paused_until = Some(Instant::now() + pause);
-    }
-
-    /// Takes one call out of the cloud's limit of `max_rps` calls a second, or
-    /// says how long to wait for it.
-    pub(super) fn take_cloud_call(&mut self, max_rps: f64, now: Instant) -> Result<(), Duration> {
-        let limit = self
-            .cloud_call_limit
-            .get_or_insert_with(|| Bucket::new(max_rps * RATE_LIMIT_SHARE, max_rps, now));
-        limit.take_one(now)
-    }
-
-    /// Begins the call for a provisioning request, unless one is in progress.
-    pub(super) fn begin_call(&mut self, request: &str) -> bool {
-        self.calls_in_progress.insert(request.to_string())
-    }
-
-    /// The call for a provisioning request has ended.
-    pub(super) fn end_call(&mut self, request: &str) {
-        self.calls_in_progress.remove(request);
-    }
-
-    /// Whether the call for any provisioning request is in progress.
-    #[must_use]
-    pub(super) fn has_calls_in_progress(&self) -> bool {
-        !self.calls_in_progress.is_empty()
-    }
-
-    /// The cloud had no capacity for an offer: each time in a row it is held off
-    /// for longer.
-    pub(super) fn record_refusal(&mut self, offer: MachineOffer, pause: Duration, now: Instant) {
-        let backoff = self.refused.entry(offer).or_insert(Backoff::none(now));
-        backoff.extend(pause, MAX_REFUSAL_DOUBLINGS, now);
-    }
-
-    /// The cloud has delivered all that was asked of an offer.
-    pub(super) fn clear_refusal(&mut self, offer: &MachineOffer) {
-        self.refused.remove(offer);
-    }
-
-    /// Whether an offer was refused and is not asked for yet.
-    #[must_use]
-    pub(super) fn is_refused(&self, offer: &MachineOffer, now: Instant) -> bool {
-        let backoff = self.refused.get(offer);
-        backoff.is_some_and(|backoff| backoff.is_active(now))
-    }
-
     /// Offers that the cloud has refused of late, in alphabetical order.
     pub fn refused_offers(&self, now: Instant) -> Vec<String> {
-        let mut refused: Vec<String> = self
-            .refused
-            .iter()
-            .filter(|(_, backoff)| backoff.is_active(now))
-            .map(|(offer, _)| offer.to_string())
-            .collect();
-        refused.sort();
-        refused
+        self.refusals.held_off(now)
     }
 }
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -1,11 +1,12 @@
 //! Garbage collection: records that are not needed any more are dropped.
 
+use super::commit::commit_unless_empty;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::guard;
 use crate::state::keys::{accepted_batch_key, rental_key};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::{Commit, Guard, Write};
 
 /// The key of a record that is not needed any more, and the version that was seen.
 struct ObsoleteRecord {
@@ -23,25 +24,22 @@
 
 /// Drops obsolete records, as many as one commit holds.
 pub(super) async fn collect_obsolete_records(controller: &Controller) {
-    let (guards, writes): (Vec<Guard>, Vec<Write>) = {
+    let commit = {
         let replica = controller.replica.borrow();
-        obsolete_records(&replica)
+        let (guards, writes) = obsolete_records(&replica)
             .take(controller.settings.txn_ops())
             .map(ObsoleteRecord::into_deletion)
-            .unzip()
+            .unzip();
+        Commit { guards, writes }
     };
-    if !writes.is_empty()
-        && let Err(error) = controller
-            .commit(RequestClass::Publication, guards, writes)
-            .await
-    {
+    if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
         tracing::debug!(%error, "obsolete records not dropped");
     }
 }
 
 /// Provisioning requests whose machines all have a record of their own, accepted
 /// batches whose jobs all have. Those records never go while this one stands
-/// (`scale_in::record_drops`) or at all, so what the replica shows holds.
+/// (`record_drops`) or at all, so what the replica shows holds.
 fn obsolete_records(replica: &Replica) -> impl Iterator<Item = ObsoleteRecord> {
     let requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
         let machines = &entry.value.machines;
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,8 +1,8 @@
 //! Headroom: slots kept ready for the next gang on accelerators.
 
-use crate::controller::Controller;
 use crate::dependencies::QueueRank;
 use crate::scheduler::{self, Plan};
+use crate::settings::Settings;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
@@ -19,11 +19,7 @@
 
 /// How many slots of the accelerators' usual shape there should be beyond those
 /// in use: none when no such job is open.
-pub(super) fn wanted_headroom_slots(
-    controller: &Controller,
-    replica: &Replica,
-    plan: &Plan,
-) -> usize {
+pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
     };
@@ -32,16 +28,8 @@
     }
     let next_gang = Job::new(gpu.clone(), 0);
     let queue_rank = QueueRank::of(gpu);
-    let facts = scheduler::facts(
-        &next_gang,
-        gpu,
-        plan,
-        &controller.settings,
-        replica,
-        0.0,
-        &queue_rank,
-    );
-    let gangs = controller.settings.policy.headroom(&facts);
+    let facts = scheduler::facts(&next_gang, gpu, plan, settings, replica, 0.0, &queue_rank);
+    let gangs = settings.policy.headroom(&facts);
     (gangs * f64::from(gpu.tasks)).round() as usize
 }
 
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -7,11 +7,9 @@
 use super::client::CloudError;
 use super::fleet_state::FleetState;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::provisioning::find_request_of;
+use super::new_machines::{NewMachine, provisioned_but_not_up, record_machines};
 use crate::controller::Controller;
-use crate::scheduler::MachineShardEdits;
-use crate::state::budget::RequestClass;
-use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
 use crate::wire::{ListedMachine, ListedStage, MachineList};
 
@@ -22,13 +20,6 @@
 /// one that runs reports sooner, and is claimed with a record of its own.
 const UNRECORDED_LEASES: u32 = 2;
 
-/// A machine that has no record yet.
-#[derive(Debug, Clone)]
-pub(super) struct NewMachine {
-    pub(super) id: String,
-    pub(super) machine: Machine,
-}
-
 /// What the cloud's inventory shows that the records do not.
 #[derive(Debug, Default)]
 struct InventoryDifferences {
@@ -95,12 +86,9 @@
     listed: &[ListedMachine],
     lease: Duration,
 ) -> InventoryDifferences {
-    let unanswered = replica
-        .provisioning_requests
-        .values()
-        .any(|entry| entry.value.machines.is_empty());
-    let provisioning_requests = replica.provisioning_requests.values();
-    let provisioned: HashSet<&str> = provisioning_requests
+    let requests = || replica.provisioning_requests.values();
+    let has_unanswered_requests = requests().any(|entry| entry.value.machines.is_empty());
+    let provisioned: HashSet<&str> = requests()
         .flat_map(|entry| entry.value.machines.iter().map(String::as_str))
         .collect();
     let mut differences = InventoryDifferences::default();
@@ -118,71 +106,11 @@
                     .new
                     .extend(provisioned_but_not_up(replica, &machine.id));
             }
-        } else if unanswered {
+        } else if has_unanswered_requests {
             // The answer to a request that is in progress will name it.
         } else if fleet.is_long_unrecorded(&machine.id, lease * UNRECORDED_LEASES) {
-            differences.new.push(NewMachine {
-                id: machine.id.clone(),
-                machine: Machine {
-                    spot: machine.spot,
-                    ..Machine::new(&machine.kind, &machine.zone)
-                },
-            });
+            differences.new.push(NewMachine::adopted(machine));
         }
     }
     differences
 }
-
-/// A provisioned machine without a record, to be decommissioned.
-pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
-    let request = &find_request_of(replica, id)?.entry.value;
-    let machine = Machine {
-        lifecycle: MachineLifecycle::Returning,
-        spot: request.spot,
-        ..Machine::new(&request.kind, &request.zone)
-    };
-    Some(NewMachine {
-        id: id.to_string(),
-        machine,
-    })
-}
-
-/// Records machines that have no record: provisioned ones that have not come up,
-/// which are decommissioned, and listed ones that nobody knows.
-pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
-    let max_writes = controller.settings.txn_ops();
-    let mut recorded = Vec::new();
-    let (guards, writes) = {
-        let replica = controller.replica.borrow();
-        let mut machine_shards = MachineShardEdits::new(&replica);
-        for NewMachine { id, machine } in machines {
-            if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
-                continue;
-            }
-            let mut machine = machine.clone();
-            let shard =
-                machine_shards.new_shard(&controller.settings, id, &machine.kind, &machine.zone);
-            let Some(shard) = shard else {
-                continue;
-            };
-            machine.shard = shard;
-            recorded.push((id, machine.lifecycle));
-            machine_shards.put(id, machine);
-        }
-        machine_shards.into_commit()
-    };
-    if writes.is_empty() {
-        return;
-    }
-    match controller
-        .commit(RequestClass::Lifecycle, guards, writes)
-        .await
-    {
-        Ok(_) => {
-            for (machine, lifecycle) in recorded {
-                tracing::info!(machine, ?lifecycle, "machine recorded");
-            }
-        }
-        Err(error) => tracing::debug!(%error, "machines not recorded"),
-    }
-}
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -2,6 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
+use super::commit::commit_unless_empty;
 use crate::controller::Controller;
 use crate::scheduler::{COMMIT_BYTES, MachineShardEdits};
 use crate::state::budget::RequestClass;
@@ -9,7 +10,7 @@
 use crate::state::keys::{shard_id, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, ZoneShard};
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write};
+use crate::wire::Commit;
 
 /// A machine's next lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,30 +38,23 @@
     changed.contains(id)
 }
 
-/// Writes machines' new states, taking them out of their zone shards' records unless
-/// they stay active; as many as one commit holds, and tells which. Guarded by
+/// Writes machines' new lifecycle states, taking them out of their zone shards'
+/// records unless they stay active; as many as one commit holds, and tells which. Guarded by
 /// the zone shards, too, so that no booking slips in between.
 pub(super) async fn set_lifecycles(
     controller: &Controller,
     changes: &[LifecycleChange],
 ) -> HashSet<String> {
-    let (mut changed, guards, writes) = {
+    let (mut changed, commit) = {
         let replica = controller.replica.borrow();
         let mut commit = LifecycleCommit::new(&replica, controller.settings.txn_ops());
         for change in changes {
             commit.add(change);
         }
         let changed = std::mem::take(&mut commit.changed);
-        let (guards, writes) = commit.into_commit();
-        (changed, guards, writes)
+        (changed, commit.into_commit())
     };
-    if writes.is_empty() {
-        return changed;
-    }
-    if let Err(error) = controller
-        .commit(RequestClass::Lifecycle, guards, writes)
-        .await
-    {
+    if let Err(error) = commit_unless_empty(controller, RequestClass::Lifecycle, commit).await {
         tracing::debug!(?changes, %error, "machine lifecycles not changed");
         changed.clear();
     }
@@ -76,7 +70,7 @@
 /// The commit that changes machines' states, in the making.
 struct LifecycleCommit<'a> {
     replica: &'a Replica,
-    /// The most writes that one commit may have.
+    /// The limit on the writes of one commit.
     max_writes: usize,
     machine_shards: MachineShardEdits<'a>,
     zone_shards: BTreeMap<String, EditedShard>,
@@ -146,7 +140,7 @@
         edited.changed |= edited.record.machines.remove(id).is_some();
     }
 
-    fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
+    fn into_commit(self) -> Commit {
         let (mut guards, mut writes) = self.machine_shards.into_commit();
         for (id, shard) in self.zone_shards {
             guards.push(guard(
@@ -157,7 +151,7 @@
                 writes.push(self.replica.put_zone_shard(&id, &shard.record));
             }
         }
-        (guards, writes)
+        Commit { guards, writes }
     }
 }
 
--- /dev/null
+++ b/src/cloud/new_machines.rs
@@ -0,0 +1,84 @@
+//! Machines that have no record yet: they are recorded to be used, or to be
+//! decommissioned.
+
+use super::provisioning::find_request_of;
+use crate::controller::Controller;
+use crate::scheduler::MachineShardEdits;
+use crate::state::budget::RequestClass;
+use crate::state::records::{Machine, MachineLifecycle};
+use crate::state::replica::Replica;
+use crate::wire::ListedMachine;
+
+/// A machine that has no record yet.
+#[derive(Debug, Clone)]
+pub(super) struct NewMachine {
+    pub(super) id: String,
+    pub(super) machine: Machine,
+}
+
+impl NewMachine {
+    /// A listed machine that nobody knows.
+    pub(super) fn adopted(listed: &ListedMachine) -> Self {
+        NewMachine {
+            id: listed.id.clone(),
+            machine: Machine {
+                spot: listed.spot,
+                ..Machine::new(&listed.kind, &listed.zone)
+            },
+        }
+    }
+}
+
+/// A provisioned machine without a record, to be decommissioned.
+pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
+    let request = &find_request_of(replica, id)?.entry.value;
+    let machine = Machine {
+        lifecycle: MachineLifecycle::Returning,
+        spot: request.spot,
+        ..Machine::new(&request.kind, &request.zone)
+    };
+    Some(NewMachine {
+        id: id.to_string(),
+        machine,
+    })
+}
+
+/// Records machines that have no record: provisioned ones that have not come up,
+/// which are decommissioned, and listed ones that nobody knows.
+pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
+    let max_writes = controller.settings.txn_ops();
+    let mut recorded = Vec::new();
+    let (guards, writes) = {
+        let replica = controller.replica.borrow();
+        let mut machine_shards = MachineShardEdits::new(&replica);
+        for NewMachine { id, machine } in machines {
+            if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
+                continue;
+            }
+            let mut machine = machine.clone();
+            let shard =
+                machine_shards.new_shard(&controller.settings, id, &machine.kind, &machine.zone);
+            let Some(shard) = shard else {
+                continue;
+            };
+            machine.shard = shard;
+            recorded.push((id, machine.lifecycle));
+            machine_shards.put(id, machine);
+        }
+        machine_shards.into_commit()
+    };
+    if writes.is_empty() {
+        return;
+    }
+    match controller
+        .commit(RequestClass::Lifecycle, guards, writes)
+        .await
+    {
+        Ok(_) => {
+            for (machine, lifecycle) in recorded {
+                tracing::info!(machine, ?lifecycle, "machine recorded");
+            }
+        }
+        Err(error) => tracing::debug!(%error, "machines not recorded"),
+    }
+}
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -114,7 +114,7 @@
 
     /// Whether the cloud can be expected to deliver one more of this offer.
     fn is_available(&self, offer: &MachineOffer) -> bool {
-        !self.fleet.is_refused(offer, self.now)
+        !self.fleet.refusals.is_held_off(offer, self.now)
             && !self.fleet.boots.is_backed_off(offer, self.now)
             && !self.planned.is_full(offer)
     }
--- a/src/cloud/overdue_boots.rs
+++ b/src/cloud/overdue_boots.rs
@@ -65,9 +65,5 @@
         return None;
     }
     fleet.boots.record_failure(id, pause * 2, now);
-    Some(MachineRemoval::new(
-        id,
-        MachineLifecycle::Returning,
-        RemovalReason::BootTimeout,
-    ))
+    Some(MachineRemoval::decommission(id, RemovalReason::BootTimeout))
 }
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -49,13 +49,13 @@
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
     for (id, entry) in &replica.provisioning_requests {
-        if entry.value.machines.is_empty() && fleet.begin_call(id) {
+        if entry.value.machines.is_empty() && fleet.cloud_calls.begin(id) {
             let controller = controller.clone();
             let id = id.clone();
             let recorded = entry.clone();
             tokio::task::spawn_local(async move {
                 complete_request(&controller, &id, recorded).await;
-                controller.fleet.borrow_mut().end_call(&id);
+                controller.fleet.borrow_mut().cloud_calls.end(&id);
             });
         }
     }
@@ -153,12 +153,12 @@
 /// Records whether the cloud had capacity for the request's offer.
 fn record_capacity(controller: &Controller, request: &ProvisioningRequest, delivery: Delivery) {
     let offer = MachineOffer::from(request);
-    let mut fleet = controller.fleet.borrow_mut();
+    let refusals = &mut controller.fleet.borrow_mut().refusals;
     match delivery {
-        Delivery::Complete => fleet.clear_refusal(&offer),
+        Delivery::Complete => refusals.clear(&offer),
         Delivery::Short => {
             let pause = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
-            fleet.record_refusal(offer, pause, Instant::now());
+            refusals.record(offer, pause, Instant::now());
         }
     }
 }
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -3,8 +3,8 @@
 
 use std::fmt;
 
-use super::inventory::{NewMachine, provisioned_but_not_up, record_machines};
 use super::lifecycle::{LifecycleChange, set_lifecycles};
+use super::new_machines::{NewMachine, provisioned_but_not_up, record_machines};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
@@ -49,13 +49,23 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MachineRemoval {
     pub(super) machine: String,
-    /// Its next state: draining or returning.
+    /// Its next lifecycle state: draining or returning.
     pub(super) lifecycle: MachineLifecycle,
     pub(super) reason: RemovalReason,
 }
 
 impl MachineRemoval {
-    pub(super) fn new(machine: &str, lifecycle: MachineLifecycle, reason: RemovalReason) -> Self {
+    /// The machine takes no new work, and is decommissioned once its work has ended.
+    pub(super) fn drain(machine: &str, reason: RemovalReason) -> Self {
+        MachineRemoval::new(machine, MachineLifecycle::Draining, reason)
+    }
+
+    /// The machine is given back to the cloud.
+    pub(super) fn decommission(machine: &str, reason: RemovalReason) -> Self {
+        MachineRemoval::new(machine, MachineLifecycle::Returning, reason)
+    }
+
+    fn new(machine: &str, lifecycle: MachineLifecycle, reason: RemovalReason) -> Self {
         MachineRemoval {
             machine: machine.to_string(),
             lifecycle,
@@ -66,7 +76,7 @@
 
 /// Decides which machines leave, and carries it out. What is found is decided
 /// again once the budget is there: it may have waited, or this process may have
-/// been paused, and who was silent may have been heard meanwhile.
+/// been paused, and a silent worker may have reported meanwhile.
 pub(super) async fn remove_machines(
     controller: &Controller,
     decide: fn(&Controller) -> Vec<MachineRemoval>,
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -36,7 +36,7 @@
 async fn scale_out(controller: &Rc<Controller>) {
     call_for_unanswered_requests(controller);
     // What an answer that is awaited refuses is not asked for again.
-    if controller.fleet.borrow().has_calls_in_progress() {
+    if controller.fleet.borrow().cloud_calls.is_any_in_progress() {
         return;
     }
     let requests = plan_scale_out(controller);
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -246,7 +246,7 @@
         let Some(gpu) = &self.replica.gpu_spec else {
             return;
         };
-        let wanted = wanted_headroom_slots(self.controller, self.replica, &self.plan);
+        let wanted = wanted_headroom_slots(&self.controller.settings, self.replica, &self.plan);
         let excluded_zones = HashSet::new();
         let constraints = OfferConstraints {
             protection: AcceleratorProtection::Lax,
--- a/src/cloud/stale_tokens.rs
+++ b/src/cloud/stale_tokens.rs
@@ -80,7 +80,7 @@
         if number <= seen.newest {
             return false;
         }
-        // It may have been with others meanwhile, and heard them.
+        // It may have reported to other controllers meanwhile, and had their answers.
         if now.saturating_duration_since(seen.last) > lease * 2 {
             *seen = fresh;
         }
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -14,7 +14,7 @@
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
-use crate::wire::{Guard, Write, raw};
+use crate::wire::{Commit, Guard, Write, raw};
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
@@ -92,7 +92,7 @@
 
 /// Writes the keys that do not say yet what they should.
 async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
-    let (guards, writes) =
+    let Commit { guards, writes } =
         KeyEdits::missing(controller, &controller.replica.borrow(), lease).into_commit();
     if writes.is_empty() {
         return Ok(());
@@ -204,7 +204,10 @@
         });
     }
 
-    fn into_commit(self) -> (Vec<Guard>, Vec<Write>) {
-        (self.guards, self.writes)
+    fn into_commit(self) -> Commit {
+        Commit {
+            guards: self.guards,
+            writes: self.writes,
+        }
     }
 }
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -1,8 +1,8 @@
 //! Machines that their owner removes from service: silent, unreachable and faulty
 //! ones.
 //!
-//! Only the owner knows when a machine was last heard: what another controller
-//! has not told is no sign of silence.
+//! Only the owner knows when a machine's last report arrived: that another
+//! controller has received none is no sign of silence.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 /// How many leases a machine may be silent before it is decommissioned. When its
 /// lease is surely over its work is free to go elsewhere (`release_silent`), and
-/// it may be heard again.
+/// its reports may arrive again.
 const SILENT_LEASES: u32 = 2;
 
 /// The same where most of its zone is silent at once.
@@ -51,7 +51,7 @@
         .unreachable(controller.settings.worker_lease(), now);
     let mut removals: Vec<MachineRemoval> = unreachable
         .iter()
-        .map(|id| MachineRemoval::new(id, MachineLifecycle::Returning, RemovalReason::Unreachable))
+        .map(|id| MachineRemoval::decommission(id, RemovalReason::Unreachable))
         .collect();
     removals.extend(owned_workers.iter().filter_map(|(id, owned_worker)| {
         let machine = replica.machines.get(id).map(|entry| &entry.value)?;
@@ -130,25 +130,16 @@
             return None;
         }
         if silence(owned_worker, self.now) > self.silence_limit(machine, owned_worker) {
-            return Some(MachineRemoval::new(
-                id,
-                MachineLifecycle::Returning,
-                RemovalReason::Silent,
-            ));
+            return Some(MachineRemoval::decommission(id, RemovalReason::Silent));
         }
         if self.is_unreachable(owned_worker) {
-            return Some(MachineRemoval::new(
-                id,
-                MachineLifecycle::Returning,
-                RemovalReason::Unreachable,
-            ));
+            return Some(MachineRemoval::decommission(id, RemovalReason::Unreachable));
         }
         let is_active = machine.lifecycle == MachineLifecycle::Active;
         let is_faulty = is_active
             && machine_health(self.controller, self.replica, id, owned_worker)
                 == MachineHealth::Faulty;
-        is_faulty
-            .then(|| MachineRemoval::new(id, MachineLifecycle::Draining, RemovalReason::Faulty))
+        is_faulty.then(|| MachineRemoval::drain(id, RemovalReason::Faulty))
     }
 
     /// How long a machine may be silent.
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -34,7 +34,7 @@
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
-    let mut review = FleetReview::new(controller, &replica, now);
+    let mut review = FleetReview::new(&controller.settings, &replica, now);
     let mut removals = Vec::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
@@ -58,7 +58,7 @@
 
 /// One pass over the machines that are up.
 struct FleetReview<'a> {
-    controller: &'a Controller,
+    settings: &'a Settings,
     replica: &'a Replica,
     now: Instant,
     /// Slots that stay ready for the next gang on accelerators.
@@ -68,13 +68,13 @@
 }
 
 impl<'a> FleetReview<'a> {
-    fn new(controller: &'a Controller, replica: &'a Replica, now: Instant) -> Self {
+    fn new(settings: &'a Settings, replica: &'a Replica, now: Instant) -> Self {
         let plan = Plan::of(replica);
         FleetReview {
-            controller,
+            settings,
             replica,
             now,
-            headroom_slots: wanted_headroom_slots(controller, replica, &plan),
+            headroom_slots: wanted_headroom_slots(settings, replica, &plan),
             free_slots: free_accelerator_slots(replica, &plan, None),
         }
     }
@@ -88,11 +88,7 @@
         machine_type: &MachineType,
     ) -> Option<MachineRemoval> {
         if self.is_orphaned(fleet, id, machine) {
-            return Some(MachineRemoval::new(
-                id,
-                MachineLifecycle::Returning,
-                RemovalReason::Orphaned,
-            ));
+            return Some(MachineRemoval::decommission(id, RemovalReason::Orphaned));
         }
         let booked = self.replica.bookings.contains_key(id);
         if booked && self.is_kept_for_work(fleet, id, machine, machine_type) {
@@ -101,25 +97,17 @@
         }
         let idle_since = fleet.idle_since(id, self.now);
         if machine.lifecycle == MachineLifecycle::Draining {
-            return Some(MachineRemoval::new(
-                id,
-                MachineLifecycle::Returning,
-                RemovalReason::Drained,
-            ));
+            return Some(MachineRemoval::decommission(id, RemovalReason::Drained));
         }
         let idle = self.now.saturating_duration_since(idle_since);
         let facts = machine_facts(machine_type, machine.spot);
-        let idle_limit = Duration::from_secs_f64(self.controller.settings.policy.idle_s(&facts));
+        let idle_limit = Duration::from_secs_f64(self.settings.policy.idle_s(&facts));
         if idle <= idle_limit || self.is_headroom(machine, machine_type) {
             return None;
         }
         Some(match booked {
-            true => MachineRemoval::new(
-                id,
-                MachineLifecycle::Draining,
-                RemovalReason::OpportunisticOnly,
-            ),
-            false => MachineRemoval::new(id, MachineLifecycle::Returning, RemovalReason::Idle),
+            true => MachineRemoval::drain(id, RemovalReason::OpportunisticOnly),
+            false => MachineRemoval::decommission(id, RemovalReason::Idle),
         })
     }
 
@@ -132,7 +120,7 @@
             return false;
         }
         let not_up_since = fleet.not_up_since(id, self.now);
-        let limit = self.controller.settings.worker_lease() * ORPHANED_LEASES;
+        let limit = self.settings.worker_lease() * ORPHANED_LEASES;
         self.now.saturating_duration_since(not_up_since) > limit
     }
 
@@ -148,7 +136,7 @@
     ) -> bool {
         if !runs_only_overpriced_opportunistic_work(
             self.replica,
-            &self.controller.settings,
+            self.settings,
             id,
             machine_type,
             machine.spot,
