--- /dev/null
+++ b/src/cloud/commit.rs
@@ -0,0 +1,25 @@
+//! Commits of this module's loops, which are often empty.
+
+use crate::controller::Controller;
+use crate::state::budget::RequestClass;
+use crate::state::client::StoreError;
+use crate::wire::Commit;
+
+/// Sends a commit, unless there is nothing to write.
+pub(super) async fn commit_unless_empty(
+    controller: &Controller,
+    class: RequestClass,
+    commit: Commit,
+) -> Result<(), StoreError> {
+    let Commit {
+        preconditions,
+        writes,
+    } = commit;
+    if writes.is_empty() {
+        return Ok(());
+    }
+    controller
+        .commit(class, preconditions, writes)
+        .await
+        .map(drop)
+}
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -11,7 +11,7 @@
 use crate::state::keys::{job_key, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, Resources, TaskOutcome};
 use crate::state::replica::Replica;
-use crate::wire::{Kind, Precondition, Write};
+use crate::wire::{Commit, Kind};
 
 /// Slots for so many of the usual gangs on accelerators stay free.
 const RESERVED_GANGS: usize = 2;
@@ -37,12 +37,14 @@
     controller.fleet.borrow_mut().consolidation_timer.restart();
     let Eviction {
         machine,
-        guards,
-        writes,
+        services,
+        commit: Commit {
+            preconditions,
+            writes,
+        },
     } = eviction;
-    let services = writes.len().saturating_sub(MACHINE_WRITES);
     match controller
-        .commit(RequestClass::Publication, guards, writes)
+        .commit(RequestClass::Publication, preconditions, writes)
         .await
     {
         Ok(revision) => tracing::info!(machine, services, revision, "machine consolidated"),
@@ -50,11 +52,11 @@
     }
 }
 
-/// The commit that evicts the services of a machine.
+/// The eviction of a machine's services.
 struct Eviction {
     machine: String,
-    guards: Vec<Precondition>,
-    writes: Vec<Write>,
+    services: usize,
+    commit: Commit,
 }
 
 /// A machine whose services could move.
@@ -201,8 +203,8 @@
     record.machines.remove(id);
     let mut machine_shards = MachineShardEdits::new(replica);
     machine_shards.put(id, machine);
-    let (mut guards, mut writes) = machine_shards.into_commit();
-    guards.push(guard(zone_shard_key(&shard_id), shard.version));
+    let (mut preconditions, mut writes) = machine_shards.into_commit();
+    preconditions.push(guard(zone_shard_key(&shard_id), shard.version));
     writes.push(replica.put_zone_shard(&shard_id, &record));
     for job_id in &candidate.services {
         let mut job = replica.jobs[*job_id].value.clone();
@@ -210,12 +212,15 @@
             run.stop = true;
         }
         job.has_preempted = true;
-        guards.push(guard(job_key(job_id), replica.job_version(job_id)));
+        preconditions.push(guard(job_key(job_id), replica.job_version(job_id)));
         writes.push(replica.put_job(job_id, &job));
     }
     Some(Eviction {
         machine: id.clone(),
-        guards,
-        writes,
+        services: candidate.services.len(),
+        commit: Commit {
+            preconditions,
+            writes,
+        },
     })
 }
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -59,9 +59,12 @@
         return;
     }
     let version = known.version.max(unreadable);
-    let guards = vec![guard(TYPES_KEY.to_string(), version)];
+    let preconditions = vec![guard(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
-    if let Err(error) = controller.commit(RequestClass::Lease, guards, writes).await {
+    if let Err(error) = controller
+        .commit(RequestClass::Lease, preconditions, writes)
+        .await
+    {
         tracing::debug!(%error, "machine types not recorded");
         controller.fleet.borrow_mut().machine_types_timer.reset();
     }
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -49,13 +49,13 @@
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
     for (id, entry) in &replica.provisioning_requests {
-        if entry.value.machines.is_empty() && fleet.begin_call(id) {
+        if entry.value.machines.is_empty() && fleet.cloud_calls.begin(id) {
             let controller = controller.clone();
             let id = id.clone();
             let recorded = entry.clone();
             tokio::task::spawn_local(async move {
                 complete_request(&controller, &id, recorded).await;
-                controller.fleet.borrow_mut().end_call(&id);
+                controller.fleet.borrow_mut().cloud_calls.end(&id);
             });
         }
     }
@@ -77,13 +77,13 @@
     let delivery = apply_response(controller, &mut request, &response);
     record_capacity(controller, &request, delivery);
     let key = rental_key(id);
-    let guards = vec![guard(key.clone(), version)];
+    let preconditions = vec![guard(key.clone(), version)];
     let write = match request.machines.is_empty() {
         true => Write::Delete { key },
         false => put(key, &request),
     };
     if let Err(error) = controller
-        .commit(RequestClass::Lease, guards, vec![write])
+        .commit(RequestClass::Lease, preconditions, vec![write])
         .await
     {
         // The next pass asks the cloud again and gets the same names.
@@ -153,12 +153,12 @@
 /// Records whether the cloud had capacity for the request's offer.
 fn record_capacity(controller: &Controller, request: &ProvisioningRequest, delivery: Delivery) {
     let offer = MachineOffer::from(request);
-    let mut fleet = controller.fleet.borrow_mut();
+    let refusals = &mut controller.fleet.borrow_mut().refusals;
     match delivery {
-        Delivery::Complete => fleet.clear_refusal(&offer),
+        Delivery::Complete => refusals.clear(&offer),
         Delivery::Short => {
             let pause = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
-            fleet.record_refusal(offer, pause, Instant::now());
+            refusals.record(offer, pause, Instant::now());
         }
     }
 }
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -36,7 +36,7 @@
 async fn scale_out(controller: &Rc<Controller>) {
     call_for_unanswered_requests(controller);
     // What an answer that is awaited refuses is not asked for again.
-    if controller.fleet.borrow().has_calls_in_progress() {
+    if controller.fleet.borrow().cloud_calls.is_any_in_progress() {
         return;
     }
     let requests = plan_scale_out(controller);
@@ -47,7 +47,7 @@
 
 /// Records the requests, and calls the cloud for them.
 async fn commit_requests(controller: &Rc<Controller>, requests: &[ProvisioningRequest]) {
-    let mut guards = Vec::new();
+    let mut preconditions = Vec::new();
     let mut writes = Vec::new();
     for request in requests {
         let id = new_request_id(controller);
@@ -60,15 +60,20 @@
             "scale-out requested"
         );
         // Safety 5: the intent comes before the call, under a unique name.
-        guards.push(guard(rental_key(&id), 0));
+        preconditions.push(guard(rental_key(&id), 0));
         writes.push(put(rental_key(&id), request));
     }
     // Who was paused, and is the fleet leader no more, finds out by this.
     match controller.replica.borrow().fleet.as_ref() {
-        Some(fleet_leader) => guards.push(guard(FLEET_KEY.to_string(), fleet_leader.version)),
+        Some(fleet_leader) => {
+            preconditions.push(guard(FLEET_KEY.to_string(), fleet_leader.version))
+        }
         None => return,
     }
-    match controller.commit(RequestClass::Lease, guards, writes).await {
+    match controller
+        .commit(RequestClass::Lease, preconditions, writes)
+        .await
+    {
         Ok(revision) => {
             tracing::debug!(revision, "scale-out request committed");
             call_for_unanswered_requests(controller);
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -14,7 +14,7 @@
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
-use crate::wire::{Precondition, Write, to_raw_json};
+use crate::wire::{Commit, Precondition, Write, to_raw_json};
 
 /// Keeps the state lease by a loop of its own: the cloud's answers and the
 /// budget may hold up the rest for longer than it lasts.
@@ -92,13 +92,18 @@
 
 /// Writes the keys that do not say yet what they should.
 async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
-    let (guards, writes) =
-        KeyEdits::missing(controller, &controller.replica.borrow(), lease).into_commit();
+    let Commit {
+        preconditions,
+        writes,
+    } = KeyEdits::missing(controller, &controller.replica.borrow(), lease).into_commit();
     if writes.is_empty() {
         return Ok(());
     }
-    let takes_fleet_key = guards.iter().any(|guard| guard.key == FLEET_KEY);
-    match controller.commit(RequestClass::Lease, guards, writes).await {
+    let takes_fleet_key = preconditions.iter().any(|guard| guard.key == FLEET_KEY);
+    match controller
+        .commit(RequestClass::Lease, preconditions, writes)
+        .await
+    {
         Ok(_) => {
             if takes_fleet_key {
                 tracing::info!(controller = controller.name(), "became fleet leader");
@@ -121,7 +126,7 @@
     lease: u64,
     /// What this controller's keys are to say.
     own_record: ControllerRecord,
-    guards: Vec<Precondition>,
+    preconditions: Vec<Precondition>,
     writes: Vec<Write>,
 }
 
@@ -136,7 +141,7 @@
                 incarnation: controller.incarnation,
                 formats: controller.settings.formats(),
             },
-            guards: Vec::new(),
+            preconditions: Vec::new(),
             writes: Vec::new(),
         };
         edits.add_node_key();
@@ -192,13 +197,14 @@
             && (next != known.value || unreadable)
         {
             let version = known.version.max(replica.absent_version(FORMATS_KEY));
-            self.guards.push(guard(FORMATS_KEY.to_string(), version));
+            self.preconditions
+                .push(guard(FORMATS_KEY.to_string(), version));
             self.writes.push(put(FORMATS_KEY.to_string(), &next));
         }
     }
 
     fn put_own_record(&mut self, key: String, version: u64) {
-        self.guards.push(guard(key.clone(), version));
+        self.preconditions.push(guard(key.clone(), version));
         self.writes.push(Write::Put {
             key,
             value: to_raw_json(&self.own_record),
@@ -206,7 +212,10 @@
         });
     }
 
-    fn into_commit(self) -> (Vec<Precondition>, Vec<Write>) {
-        (self.guards, self.writes)
+    fn into_commit(self) -> Commit {
+        Commit {
+            preconditions: self.preconditions,
+            writes: self.writes,
+        }
     }
 }
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -122,7 +122,7 @@
         ids.push(new.clone());
         open.push(new);
         sleep(secs(f64::from(change % 4) * 0.3)).await;
-        let victims: Vec<String> = open.drain(..open_jobs.len().min(2)).collect();
+        let victims: Vec<String> = open.drain(..open.len().min(2)).collect();
         take_leader_away(w, case, change, leader).await;
         cancel_all(w, case, leader, &victims).await;
         if case.late_reports {
