--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -1,4 +1,5 @@
-//! Whether a job fits, and where: pure decisions on a plan of free resources.
+//! Bin packing: whether a job's tasks fit, and onto which machines. Pure decisions on
+//! a plan of free resources.
 //!
 //! KEP-2724, "Computing the assignment": a required gang is admitted only when
 //! all its tasks fit one topology domain, here a zone, else it waits; a
@@ -8,19 +9,20 @@
 
 use foldhash::HashMap;
 
-use super::candidates::{AcceleratorProtection, MachineCandidates, PlacementHints};
+use super::assignment::assign;
+use super::candidates::MachineCandidates;
+use super::hints::{AcceleratorProtection, PlacementHints};
 use super::plan::{Plan, TaskPlacement, UNASSIGNED, tasks_within_quota};
 use super::record_size::tasks_within_record_limit;
 use super::wait_states::WaitReason;
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
-use crate::state::replica::PlanSlot;
 use crate::wire::Kind;
 
 /// How many records of a transaction are not zone shards: the job and its team.
-const RECORDS_BESIDE_PARTS: usize = 2;
+const RECORDS_BESIDE_ZONE_SHARDS: usize = 2;
 
-/// Finds places for a job's waiting tasks: all of a gang's or none, as many
+/// Finds placements for a job's waiting tasks: all of a gang's or none, as many
 /// as there are for independent tasks.
 pub fn find_placements(
     job: &Job,
@@ -28,97 +30,101 @@
     plan: &Plan,
     hints: &PlacementHints,
     settings: &Settings,
-    care: AcceleratorProtection,
+    protection: AcceleratorProtection,
 ) -> Result<Vec<TaskPlacement>, WaitReason> {
-    let replica = hints.replica;
-    let request = Request {
+    let request = PlacementRequest {
         job,
         spec,
         plan,
         hints,
         settings,
-        care,
+        protection,
     };
-    let mut places: Vec<TaskPlacement> = request
-        .find()?
-        .into_iter()
-        .map(|at| {
-            let slot = &plan.plan_slots[at];
-            TaskPlacement {
-                slot_index: at,
-                machine: replica.machine_names.name(slot.machine),
-                zone: replica.classes[slot.class as usize].zone.clone(),
-                shard: replica.zone_shard_names.name(slot.shard),
-            }
-        })
-        .collect();
-    let slots = tasks_within_record_limit(
-        job,
-        &places,
-        settings
-            .value_limit_bytes()
-            .saturating_sub(replica.share_name_bytes(&spec.team)),
-        replica.uses_compact_encoding(),
-    );
-    if slots == 0 || (spec.is_gang() && slots < places.len()) {
-        return Err(WaitReason::RecordFull);
-    }
-    places.truncate(slots);
-    Ok(places)
+    request.find_placements()
 }
 
-/// How many of the job's tasks fit; cheaper than where.
-pub fn count_placements(
-    job: &Job,
-    spec: &Spec,
-    plan: &Plan,
-    hints: &PlacementHints,
-    settings: &Settings,
-    care: AcceleratorProtection,
-) -> usize {
-    let request = Request {
-        job,
-        spec,
-        plan,
-        hints,
-        settings,
-        care,
-    };
-    request.find().map_or(0, |plan_slots| plan_slots.len())
-}
-
-/// A job that places are searched for, and what the search goes by.
+/// A job that placements are searched for, and what the search goes by.
 #[derive(Clone, Copy)]
-struct Request<'a> {
-    job: &'a Job,
-    spec: &'a Spec,
-    plan: &'a Plan,
-    hints: &'a PlacementHints<'a>,
-    settings: &'a Settings,
-    care: AcceleratorProtection,
+pub(super) struct PlacementRequest<'a> {
+    pub(super) job: &'a Job,
+    pub(super) spec: &'a Spec,
+    pub(super) plan: &'a Plan,
+    pub(super) hints: &'a PlacementHints<'a>,
+    pub(super) settings: &'a Settings,
+    pub(super) protection: AcceleratorProtection,
 }
 
-/// Places as indices of machines in the plan.
-type Spots = Vec<usize>;
+/// One entry a task: the index of its machine in the plan.
+type SlotIndices = Vec<usize>;
+
+impl PlacementRequest<'_> {
+    /// The same request with other protection of accelerators.
+    pub(super) fn with_protection(self, protection: AcceleratorProtection) -> Self {
+        PlacementRequest { protection, ..self }
+    }
+
+    /// Finds placements for the job's waiting tasks, as many as its record can hold.
+    pub(super) fn find_placements(&self) -> Result<Vec<TaskPlacement>, WaitReason> {
+        let slot_indices = self.find_slots()?;
+        let mut placements: Vec<TaskPlacement> = slot_indices
+            .into_iter()
+            .map(|slot_index| self.placement_at(slot_index))
+            .collect();
+        let bookable = self.tasks_within_record(&placements);
+        if bookable == 0 || (self.spec.is_gang() && bookable < placements.len()) {
+            return Err(WaitReason::RecordFull);
+        }
+        placements.truncate(bookable);
+        Ok(placements)
+    }
+
+    /// How many of the job's tasks fit; cheaper than where.
+    pub(super) fn count_placements(&self) -> usize {
+        self.find_slots()
+            .map_or(0, |slot_indices| slot_indices.len())
+    }
+
+    /// The placement of a task on the machine with this index in the plan.
+    fn placement_at(&self, slot_index: usize) -> TaskPlacement {
+        let replica = self.hints.replica;
+        let slot = &self.plan.plan_slots[slot_index];
+        TaskPlacement {
+            slot_index,
+            machine: replica.machine_names.name(slot.machine),
+            zone: replica.classes[slot.class as usize].zone.clone(),
+            shard: replica.zone_shard_names.name(slot.shard),
+        }
+    }
+
+    /// How many of the placements the job's record can hold.
+    fn tasks_within_record(&self, placements: &[TaskPlacement]) -> usize {
+        let replica = self.hints.replica;
+        let share_bytes = replica.share_name_bytes(&self.spec.team);
+        let limit_bytes = self
+            .settings
+            .value_limit_bytes()
+            .saturating_sub(share_bytes);
+        let compact = replica.uses_compact_encoding();
+        tasks_within_record_limit(self.job, placements, limit_bytes, compact)
+    }
 
-impl Request<'_> {
     /// The machines that a job has failed on come last: for one that fails on all
     /// of them, when there is no other; for the rest, once it has waited for one.
-    fn find(&self) -> Result<Spots, WaitReason> {
+    fn find_slots(&self) -> Result<SlotIndices, WaitReason> {
         let job = self.job;
-        let found = self.find_without(&job.failed_on);
+        let found = self.find_excluding(&job.failed_on);
         match found {
             Err(_)
                 if !job.failed_on.is_empty()
                     && (self.hints.retry_failed_machines || job.is_doubtful()) =>
             {
-                self.find_without(&[])
+                self.find_excluding(&[])
             }
             found => found,
         }
     }
 
-    /// Places that are not on these machines, in as many zone shards as one commit
+    /// Slots that are not on these machines, in as many zone shards as one commit
     /// writes beside the job and its team.
     ///
     /// What is guaranteed once compact encodings are written: a gang that fits into two
@@ -126,38 +132,40 @@
     /// home in it, unless it has some hundreds of machines for each, so a required
     /// gang that fits its zone does where two are at home there at most. A
     /// preferred one that only more zone shards would hold waits as if there were no
-    /// room, so that machines are rented for it. A service takes two zone shards if they
+    /// capacity, so that machines are rented for it. A service takes two zone shards if they
     /// hold all that waits of it; else it is admitted by zone shards, replica by replica.
-    fn find_without(&self, excluded: &[String]) -> Result<Spots, WaitReason> {
-        let found = self.find_within(None, excluded)?;
+    fn find_excluding(&self, excluded: &[String]) -> Result<SlotIndices, WaitReason> {
+        let found = self.find_in_shards(None, excluded)?;
         if self.spec.kind == Kind::Array || !self.hints.replica.uses_compact_encoding() {
             return Ok(found);
         }
         let txn_ops = self.settings.txn_ops();
-        let max_shards = txn_ops.saturating_sub(RECORDS_BESIDE_PARTS).max(1);
+        let max_shards = txn_ops.saturating_sub(RECORDS_BESIDE_ZONE_SHARDS).max(1);
         let tasks_by_shard = self.tasks_by_shard(&found);
         if tasks_by_shard.len() <= max_shards {
             return Ok(found);
         }
         let zone_shards = self.shards_by_tasks(&tasks_by_shard);
-        let pairs = (1..zone_shards.len()).flat_map(|b| (0..b).map(move |a| (a, b)));
-        let narrow = pairs
-            .filter_map(|(a, b)| {
-                self.find_within(Some([zone_shards[a], zone_shards[b]]), excluded)
-                    .ok()
-            })
-            .find(|plan_slots| plan_slots.len() >= found.len());
-        match narrow {
-            Some(plan_slots) => Ok(plan_slots),
+        let pairs = (1..zone_shards.len())
+            .flat_map(|second| (0..second).map(move |first| (first, second)))
+            .map(|(first, second)| [zone_shards[first], zone_shards[second]]);
+        let in_two_shards = pairs
+            .filter_map(|pair| self.find_in_shards(Some(pair), excluded).ok())
+            .find(|slot_indices| slot_indices.len() >= found.len());
+        match in_two_shards {
+            Some(slot_indices) => Ok(slot_indices),
             None if self.spec.is_gang() => Err(WaitReason::NoRoom),
             None => Ok(found),
         }
     }
 
-    /// How many of the places each zone shard has.
-    fn tasks_by_shard(&self, plan_slots: &[usize]) -> HashMap<u32, usize> {
+    /// How many of the tasks each zone shard gets.
+    fn tasks_by_shard(&self, slot_indices: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
-        let zone_shards = plan_slots.iter().map(|at| self.plan.plan_slots[*at].shard);
+        let slots = slot_indices
+            .iter()
+            .map(|index| &self.plan.plan_slots[*index]);
+        let zone_shards = slots.map(|slot| slot.shard);
         for shard in zone_shards.filter(|shard| *shard != UNASSIGNED) {
             *tasks.entry(shard).or_default() += 1;
         }
@@ -175,26 +183,26 @@
         zone_shards
     }
 
-    /// Places in these zone shards, or in all: in one zone if the job wants that and a
-    /// zone has room, else spread over the zones.
-    fn find_within(
+    /// Slots in these zone shards, or in all: in one zone if the job wants that and a
+    /// zone has capacity, else spread over the zones.
+    fn find_in_shards(
         &self,
         zone_shards: Option<[u32; 2]>,
         excluded: &[String],
-    ) -> Result<Spots, WaitReason> {
+    ) -> Result<SlotIndices, WaitReason> {
         let spec = self.spec;
         let waiting = self.job.waiting();
         let limit = self.task_limit()?;
         let zone_caps = self.zone_caps();
-        let candidates = MachineCandidates::new(spec, self.hints, self.care)
+        let candidates = MachineCandidates::new(spec, self.hints, self.protection)
             .without(excluded)
             .within(zone_shards);
         if spec.is_gang() || spec.one_zone {
             let best = best_zone(&candidates, self.plan, &zone_caps, limit);
-            if let Some(plan_slots) = best
-                && (!spec.is_gang() || plan_slots.len() == waiting)
+            if let Some(slot_indices) = best
+                && (!spec.is_gang() || slot_indices.len() == waiting)
             {
-                return Ok(plan_slots);
+                return Ok(slot_indices);
             }
             if spec.one_zone {
                 return Err(match spec.is_gang() {
@@ -204,15 +212,15 @@
             }
         }
         let capped = zone_caps.iter().any(|cap| *cap < limit);
-        let plan_slots = candidates.fill(self.plan, &zone_caps, limit).plan_slots;
-        if plan_slots.is_empty() || (spec.is_gang() && plan_slots.len() < waiting) {
+        let slot_indices = assign(&candidates, self.plan, &zone_caps, limit).slot_indices;
+        if slot_indices.is_empty() || (spec.is_gang() && slot_indices.len() < waiting) {
             return Err(if capped {
                 WaitReason::Spread
             } else {
                 WaitReason::NoRoom
             });
         }
-        Ok(plan_slots)
+        Ok(slot_indices)
     }
 
     /// How many tasks wait that the team's limit lets run.
@@ -222,10 +230,10 @@
         if waiting == 0 {
             return Err(WaitReason::OldAttempt);
         }
-        let Some(terms) = self.settings.team(&spec.team) else {
+        let Some(quota) = self.settings.team(&spec.team) else {
             return Err(WaitReason::TeamLimit);
         };
-        let by_team = tasks_within_quota(terms, &self.plan.team_used(&spec.team), &spec.need);
+        let by_team = tasks_within_quota(quota, &self.plan.team_used(&spec.team), &spec.need);
         let limit = waiting.min(by_team);
         if limit == 0 || (spec.is_gang() && limit < waiting) {
             return Err(WaitReason::TeamLimit);
@@ -252,48 +260,23 @@
     }
 }
 
-/// The places in the one zone that takes most of the tasks; of those that take as
-/// many, in the zone with the best places (KEP-2724: one domain that takes them
+/// The slots in the one zone that takes most of the tasks; of those that take as
+/// many, in the zone with the best score (KEP-2724: one domain that takes them
 /// all, and the best such one).
 fn best_zone(
     candidates: &MachineCandidates,
     plan: &Plan,
     zone_caps: &[usize],
     limit: usize,
-) -> Option<Spots> {
+) -> Option<SlotIndices> {
     let best = (0..zone_caps.len())
         .filter(|zone| zone_caps[*zone] > 0)
         .map(|zone| {
             let mut only = vec![0; zone_caps.len()];
             only[zone] = zone_caps[zone];
-            candidates.fill(plan, &only, limit)
+            assign(candidates, plan, &only, limit)
         })
-        .filter(|filled| !filled.plan_slots.is_empty())
-        .min_by_key(|filled| (Reverse(filled.plan_slots.len()), filled.score));
-    best.map(|filled| filled.plan_slots)
-}
-
-/// Keeps the resources that a gang waits for, in the zone that has the most of
-/// them, from what comes behind it in the queue. Machines that hold none of its
-/// tasks yet are left to others: a reservation would not free them any sooner.
-pub fn reserve_capacity(spec: &Spec, plan: &mut Plan, hints: &PlacementHints) {
-    let candidates = MachineCandidates::new(spec, hints, AcceleratorProtection::Strict);
-    let zones = hints.replica.zone_names.len();
-    let mut slots = vec![0; zones];
-    let allowed = |slot: &&PlanSlot| candidates.class(slot).allowed;
-    for slot in plan.plan_slots.iter().filter(allowed) {
-        slots[candidates.class(slot).zone] += slot.free.slots(&spec.need);
-    }
-    let best = (0..zones).max_by_key(|zone| slots[*zone]);
-    let Some(best) = best.filter(|zone| slots[*zone] > 0) else {
-        return;
-    };
-    let mut left = spec.tasks as usize;
-    for slot in &mut plan.plan_slots {
-        let class = candidates.class(slot);
-        while left > 0 && class.allowed && class.zone == best && slot.free.fits(&spec.need) {
-            slot.free -= spec.need;
-            left -= 1;
-        }
-    }
+        .filter(|assignment| !assignment.slot_indices.is_empty())
+        .min_by_key(|assignment| (Reverse(assignment.slot_indices.len()), assignment.score));
+    best.map(|assignment| assignment.slot_indices)
 }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,6 +1,7 @@
 //! What the policy may know of a job: its lateness, its size and its team's share.
 
 use super::plan::Plan;
+use super::waiting_job::tasks_together;
 use crate::dependencies::EffectiveUrgency;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamQuota};
@@ -25,15 +26,15 @@
 }
 
 /// Whether a job, started now, is too late for every objective of its class and
-/// for the deadline of the jobs that depend on it. A job without any is never late.
+/// for the deadline of its dependents. A job without any is never late.
 /// Deadlines count from the submission, all else from when it could first start
-/// (`age`).
+/// (`age`, in seconds).
 pub fn is_late(spec: &Spec, settings: &Settings, age: f64, urgency: &EffectiveUrgency) -> bool {
     let in_time = urgency
         .time_left_s
         .is_some_and(|left| left >= spec.estimate_s);
-    let mut any = urgency.dependents_have_deadline;
-    if any && in_time {
+    let mut has_objective = urgency.dependents_have_deadline;
+    if has_objective && in_time {
         return false;
     }
     for objective in &settings.deployment.objectives {
@@ -47,12 +48,12 @@
             ("deadline", _, Some(_)) => in_time,
             _ => continue,
         };
-        any = true;
+        has_objective = true;
         if possible {
             return false;
         }
     }
-    any
+    has_objective
 }
 
 /// What the policy may know of a job.
@@ -97,22 +98,17 @@
 
 /// How a job's team stands to its guarantee in what the job mainly needs. A team
 /// without a guarantee counts as if it had one unit.
-fn team_standing(spec: &Spec, used: &Resources, terms: Option<&TeamQuota>) -> TeamStanding {
-    let Some(terms) = terms else {
+fn team_standing(spec: &Spec, used: &Resources, quota: Option<&TeamQuota>) -> TeamStanding {
+    let Some(quota) = quota else {
         return TeamStanding {
             borrows: true,
             share: f64::MAX,
         };
     };
-    let tasks = if spec.is_gang() {
-        spec.tasks as usize
-    } else {
-        1
-    };
-    let guarantee = terms.guarantee();
+    let guarantee = quota.guarantee();
     let share = |used: Amount, guarantee: Amount| used.units() / guarantee.units().max(1.0);
     TeamStanding {
-        borrows: !within_guarantee(terms, used, spec, tasks),
+        borrows: !within_guarantee(quota, used, spec, tasks_together(spec)),
         share: match spec.need.gpus.0 > 0 {
             true => share(used.gpus, guarantee.gpus),
             false => share(used.cpus, guarantee.cpus),
@@ -134,9 +130,9 @@
 }
 
 /// Whether `tasks` more of this job stay within the team's guarantee.
-pub fn within_guarantee(terms: &TeamQuota, used: &Resources, spec: &Spec, tasks: usize) -> bool {
+pub fn within_guarantee(quota: &TeamQuota, used: &Resources, spec: &Spec, tasks: usize) -> bool {
     let with = *used + spec.need.times(tasks);
-    let guarantee = terms.guarantee();
+    let guarantee = quota.guarantee();
     let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
     with.cpus <= guarantee.cpus && (!gpus_count || with.gpus <= guarantee.gpus)
 }
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -32,18 +32,19 @@
 
 /// Jobs that this controller places now: its own, and those that their
 /// preferred controller has left waiting. Brings the state of all open jobs up to
-/// date, and notes which of them wait after a failure.
+/// date, and records which of them wait after a failure.
 pub(super) fn jobs_to_place(
     controller: &Controller,
     state: &mut RoundState,
     replica: &Replica,
     now: Instant,
 ) -> Vec<String> {
-    let report_interval = controller.settings.heartbeat_interval();
-    let takeover_delay = report_interval * 2;
+    let settings = &controller.settings;
+    let heartbeat_interval = settings.heartbeat_interval();
+    let takeover_delay = heartbeat_interval * 2;
     let peers = controller.peers.borrow();
     let alive: Vec<&str> = peers.alive(controller, now);
-    state.forget_closed_jobs(replica);
+    state.retain_open_jobs(replica);
     controller.placement.retain_open_jobs(replica);
     let mut own = Vec::new();
     for (_, id) in &replica.open {
@@ -56,8 +57,8 @@
         if job.waiting() == 0 || state.is_excluded(id) {
             continue;
         }
-        state.update_back_off(id, job.errors, report_interval, now);
-        if let Some(reason) = state.failure_wait(controller, id, job, now) {
+        state.update_backoff(id, job.errors, heartbeat_interval, now);
+        if let Some(reason) = state.failure_wait(settings, id, job, now) {
             controller.placement.record_wait_reason(id, reason, now);
             continue;
         }
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -1,5 +1,5 @@
-//! Free resources as a placement round plans with them: a copy that the round
-//! takes places from and gives freed resources back to.
+//! Free resources as a placement round plans with them: a copy in which the round
+//! reserves placements and releases freed resources.
 
 use std::rc::Rc;
 
@@ -12,14 +12,14 @@
 /// Stands for a machine that has no name yet, as it is not rented yet.
 pub const UNASSIGNED: u32 = u32::MAX;
 
-/// Free room as a round plans with it: what the replica's bookings leave, less
+/// Free capacity as a round plans with it: what the replica's bookings leave, less
 /// what the round has given out already. Copied often, so it holds no text.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// The machines that take work, with what is free on them.
     pub plan_slots: Vec<PlanSlot>,
     /// The index of a machine in `plan_slots`, by the machine's number.
-    index: Vec<u32>,
+    slot_index_by_machine: Vec<u32>,
     /// What each team uses.
     pub team_usage: HashMap<String, Resources>,
 }
@@ -30,13 +30,13 @@
         let mut plan = Plan {
             plan_slots: replica
                 .plan_slots()
-                .map(|s| replica.with_free_resources(s))
+                .map(|slot| replica.with_free_resources(slot))
                 .collect(),
-            index: vec![UNASSIGNED; replica.machine_names.len()],
+            slot_index_by_machine: vec![UNASSIGNED; replica.machine_names.len()],
             team_usage: replica.teams_used().clone(),
         };
-        for (at, slot) in plan.plan_slots.iter().enumerate() {
-            plan.index[slot.machine as usize] = at as u32;
+        for (index, slot) in plan.plan_slots.iter().enumerate() {
+            plan.slot_index_by_machine[slot.machine as usize] = index as u32;
         }
         plan
     }
@@ -49,11 +49,11 @@
     /// The index of a machine among the plan slots, if it takes work.
     pub fn slot_index_of(&self, replica: &Replica, machine: &str) -> Option<usize> {
         let number = replica.machine_names.find(machine)?;
-        let at = *self.index.get(number as usize)?;
-        (at != UNASSIGNED).then_some(at as usize)
+        let index = *self.slot_index_by_machine.get(number as usize)?;
+        (index != UNASSIGNED).then_some(index as usize)
     }
 
-    /// Adds a machine that is not there yet.
+    /// Adds a machine of this class that is not rented yet.
     pub fn add_unassigned(&mut self, class: u32, free: Resources) {
         self.plan_slots.push(PlanSlot {
             machine: UNASSIGNED,
@@ -63,9 +63,9 @@
         });
     }
 
-    /// Takes one task's resources at this place.
-    pub fn reserve(&mut self, place: &TaskPlacement, team: &str, need: Resources) {
-        self.plan_slots[place.slot_index].free -= need;
+    /// Reserves one task's resources for this placement.
+    pub fn reserve(&mut self, placement: &TaskPlacement, team: &str, need: Resources) {
+        self.plan_slots[placement.slot_index].free -= need;
         match self.team_usage.get_mut(team) {
             Some(used) => *used += need,
             None => {
@@ -75,27 +75,27 @@
     }
 
     /// Gives back resources that are, or will be, free again.
-    pub fn release(&mut self, replica: &Replica, machine: &str, team: &str, room: Resources) {
+    pub fn release(&mut self, replica: &Replica, machine: &str, team: &str, freed: Resources) {
         match self.slot_index_of(replica, machine) {
-            Some(at) => self.release_at(at, team, room),
-            None => self.give_team(team, room),
+            Some(slot_index) => self.release_at(slot_index, team, freed),
+            None => self.release_team_usage(team, freed),
         }
     }
 
     /// The same where the machine's index among the plan slots is known.
-    pub fn release_at(&mut self, at: usize, team: &str, room: Resources) {
-        self.plan_slots[at].free += room;
-        self.give_team(team, room);
+    pub fn release_at(&mut self, slot_index: usize, team: &str, freed: Resources) {
+        self.plan_slots[slot_index].free += freed;
+        self.release_team_usage(team, freed);
     }
 
-    fn give_team(&mut self, team: &str, room: Resources) {
+    fn release_team_usage(&mut self, team: &str, freed: Resources) {
         if let Some(used) = self.team_usage.get_mut(team) {
-            *used -= room;
+            *used -= freed;
         }
     }
 }
 
-/// One task's place.
+/// The machine that one task is placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskPlacement {
     /// The index of the machine in the plan.
@@ -104,18 +104,18 @@
     pub machine: Rc<str>,
     /// The machine's zone.
     pub zone: Rc<str>,
-    /// The part of the zone's record that has the machine.
+    /// The zone shard whose record has the machine.
     pub shard: Rc<str>,
 }
 
-/// How many more tasks the team's limit lets run.
-pub fn tasks_within_quota(terms: &TeamQuota, used: &Resources, need: &Resources) -> usize {
-    let (cpus, gpus) = terms.limit();
-    let slots = |cap: Option<Amount>, used: i64, need: i64| match cap {
-        Some(cap) if need > 0 => ((cap.0 - used).max(0) / need) as usize,
+/// How many more tasks the team's quota lets run.
+pub fn tasks_within_quota(quota: &TeamQuota, used: &Resources, need: &Resources) -> usize {
+    let (max_cpus, max_gpus) = quota.limit();
+    let tasks = |limit: Option<Amount>, used: i64, need: i64| match limit {
+        Some(limit) if need > 0 => ((limit.0 - used).max(0) / need) as usize,
         _ => usize::MAX,
     };
-    let by_cpus = slots(cpus, used.cpus.0, need.cpus.0);
-    let by_gpus = slots(gpus, used.gpus.0, need.gpus.0);
+    let by_cpus = tasks(max_cpus, used.cpus.0, need.cpus.0);
+    let by_gpus = tasks(max_gpus, used.gpus.0, need.gpus.0);
     by_cpus.min(by_gpus)
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,191 +1,193 @@
-//! Preemption: running work is stopped for jobs that find no room.
+//! Preemption: running work is stopped for jobs that no machine has capacity for.
 
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::bin_packing::find_placements;
-use super::candidates::{AcceleratorProtection, PlacementHints};
+use super::bin_packing::PlacementRequest;
+use super::hints::{AcceleratorProtection, PlacementHints};
 use super::plan::Plan;
-use super::preemption_search::{PreemptionCandidate, VictimSearch, places_wanted};
-use super::round_search::{RoundSearch, VICTIM_SEARCHES};
+use super::preemption_candidates::RunningWorkload;
+use super::preemption_search::{PreemptionCandidate, find_preemption};
+use super::round_search::{MAX_PREEMPTION_SEARCHES, RoundSearch};
 use super::round_state::RoundState;
 use super::transaction::Transaction;
+use super::waiting_job::WaitingJob;
 use crate::controller::Controller;
-use crate::state::records::{Job, Spec};
+use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// How long a preemption is given to show its effect before the same job may
-/// preempt again, as a multiple of a gang's wait for its peers.
-const PREEMPTION_PATIENCE: u32 = 2;
+/// What a round hands to its preemptions.
+pub(super) struct PreemptionContext<'a, 'r> {
+    pub(super) controller: &'a Controller,
+    pub(super) replica: &'r Replica,
+    pub(super) state: &'a mut RoundState,
+    pub(super) transaction: &'a mut Transaction<'r>,
+    pub(super) search: &'a mut RoundSearch,
+    /// The plan that the round ends with.
+    pub(super) plan: &'a Plan,
+    pub(super) now: Instant,
+}
 
 /// The preemptions of one round.
-pub(super) struct Preemption<'a, 'v> {
-    controller: &'a Controller,
-    replica: &'v Replica,
-    state: &'a mut RoundState,
-    transaction: &'a mut Transaction<'v>,
-    search: &'a mut RoundSearch,
+pub(super) struct Preemption<'a, 'r> {
+    context: PreemptionContext<'a, 'r>,
     hints: PlacementHints<'a>,
     /// The plan as it will be: resources that are being cleared count as free,
     /// once for each job that they will serve.
-    expected: Plan,
-    /// Jobs with victims, as this round has left them so far.
+    expected_plan: Plan,
+    /// Jobs with preempted tasks, as this round has left them so far.
     changed: BTreeMap<String, Job>,
-    now: Instant,
 }
 
-/// Victims that make room for a job, and the care under which it fits then.
-struct Found {
-    victims: Vec<PreemptionCandidate>,
-    care: AcceleratorProtection,
+/// Work that is to be preempted for a job, and the protection of accelerators under
+/// which the job fits then.
+struct Selection {
+    candidates: Vec<PreemptionCandidate>,
+    protection: AcceleratorProtection,
 }
 
-impl<'a, 'v> Preemption<'a, 'v> {
-    /// Prepares the preemptions of a round that ends with this plan.
-    pub(super) fn new(
-        controller: &'a Controller,
-        replica: &'v Replica,
-        state: &'a mut RoundState,
-        transaction: &'a mut Transaction<'v>,
-        search: &'a mut RoundSearch,
-        plan: &Plan,
-        now: Instant,
-    ) -> Preemption<'a, 'v> {
-        let expected = search.expected(replica, plan).clone();
+impl<'a, 'r: 'a> Preemption<'a, 'r> {
+    /// Prepares the preemptions of a round.
+    pub(super) fn new(context: PreemptionContext<'a, 'r>) -> Self {
+        let replica = context.replica;
+        let expected_plan = context.search.expected_plan(replica, context.plan).clone();
         Preemption {
-            controller,
-            replica,
-            state,
-            transaction,
-            search,
-            hints: PlacementHints::new(replica, controller.name()),
-            expected,
+            hints: PlacementHints::new(replica, context.controller.name()),
+            context,
+            expected_plan,
             changed: BTreeMap::new(),
-            now,
         }
     }
 
-    /// Stops work for the blocked jobs, as many as one transaction holds.
-    pub(super) fn run(&mut self, plan: &Plan, blocked: &[String]) {
+    /// Preempts work for the blocked jobs, as much as one transaction holds.
+    pub(super) fn run(&mut self, blocked: &[String]) {
+        let replica = self.context.replica;
         for id in blocked {
-            if self.search.victim_searches >= VICTIM_SEARCHES * 2 {
+            if self.context.search.preemption_searches >= MAX_PREEMPTION_SEARCHES * 2 {
                 return;
             }
-            let Some(job) = self.replica.jobs.get(id).map(|e| &e.value) else {
+            let Some(job) = replica.jobs.get(id).map(|e| &e.value) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
-            let Some(missing) = self.missing_places(id, job, spec) else {
+            let waiting = WaitingJob { id, job, spec };
+            let Some(missing) = self.missing_placements(waiting) else {
                 continue;
             };
-            let Some(found) = self.find_victims(plan, id, job, spec, missing) else {
-                self.state.without_victims.insert(id.clone(), self.now);
+            let now = self.context.now;
+            let Some(selection) = self.select(waiting, missing) else {
+                let state = &mut self.context.state;
+                state.without_candidates.insert(id.clone(), now);
                 continue;
             };
-            let touched = found.victims.iter().map(|v| v.job.as_str());
-            if !self
-                .transaction
-                .has_capacity_for_jobs(touched.chain([id.as_str()]))
-            {
+            if !self.has_capacity_to_preempt(id, &selection) {
                 return;
             }
-            self.state.preempted_for.insert(id.clone(), self.now);
-            for victim in &found.victims {
-                self.stop(victim, id);
+            self.context.state.preempted_for.insert(id.clone(), now);
+            for candidate in &selection.candidates {
+                self.preempt(candidate, id);
             }
-            self.transaction
-                .edit_job_record(id, |job| job.cleared = true);
-            self.take_places(job, spec, found.care);
+            let transaction = &mut self.context.transaction;
+            transaction.edit_job_record(id, |job| job.cleared = true);
+            self.reserve_placements(waiting, selection.protection);
         }
     }
 
-    /// How many places the job lacks, unless none, or preemption for it was tried
-    /// lately. The places that it will have are taken out of the plan.
-    fn missing_places(&mut self, id: &str, job: &Job, spec: &Spec) -> Option<usize> {
-        let wanted = places_wanted(job, spec);
-        let found = self.take_places(job, spec, AcceleratorProtection::Strict);
-        let tried = self.state.preempted_for.contains_key(id)
-            || self.state.without_victims.contains_key(id);
+    /// How many placements the job lacks, unless none, or preemption for it was tried
+    /// lately. The placements that it will have are reserved in the plan.
+    fn missing_placements(&mut self, waiting: WaitingJob) -> Option<usize> {
+        let wanted = waiting.placements_wanted();
+        let found = self.reserve_placements(waiting, AcceleratorProtection::Strict);
+        let state = &self.context.state;
+        let tried = state.preempted_for.contains_key(waiting.id)
+            || state.without_candidates.contains_key(waiting.id);
         (found < wanted && !tried).then(|| wanted - found)
     }
 
-    /// Takes the job's places out of the plan, and tells how many there are.
-    fn take_places(&mut self, job: &Job, spec: &Spec, care: AcceleratorProtection) -> usize {
-        let settings = &self.controller.settings;
-        let places = find_placements(job, spec, &self.expected, &self.hints, settings, care);
-        for place in places.iter().flatten() {
-            self.expected.reserve(place, &spec.team, spec.need);
+    /// Reserves the job's placements in the plan, and returns how many there are.
+    fn reserve_placements(
+        &mut self,
+        waiting: WaitingJob,
+        protection: AcceleratorProtection,
+    ) -> usize {
+        let spec = waiting.spec;
+        let request = PlacementRequest {
+            job: waiting.job,
+            spec,
+            plan: &self.expected_plan,
+            hints: &self.hints,
+            settings: &self.context.controller.settings,
+            protection,
+        };
+        let placements = request.find_placements();
+        for placement in placements.iter().flatten() {
+            self.expected_plan.reserve(placement, &spec.team, spec.need);
         }
-        places.map_or(0, |places| places.len())
+        placements.map_or(0, |placements| placements.len())
     }
 
-    /// Victims for a job; those whose machines it may take with care come first.
-    fn find_victims(
-        &mut self,
-        plan: &Plan,
-        id: &str,
-        job: &Job,
-        spec: &Spec,
-        missing: usize,
-    ) -> Option<Found> {
-        self.search.victim_searches += 1;
-        let running = self
-            .search
-            .running(self.controller.name(), self.replica, plan);
-        let search = VictimSearch {
-            settings: &self.controller.settings,
+    /// Work that is to be preempted for a job: if there is any, such that the job fits
+    /// under strict protection of accelerators.
+    fn select(&mut self, waiting: WaitingJob, missing: usize) -> Option<Selection> {
+        let PreemptionContext {
+            controller,
+            replica,
+            search,
+            plan,
+            ..
+        } = &mut self.context;
+        search.preemption_searches += 1;
+        let running = search.running(controller.name(), replica, plan);
+        let workload = RunningWorkload {
+            settings: &controller.settings,
             hints: &self.hints,
             running: &running,
             changed: &self.changed,
-            expected: &self.expected,
+            expected_plan: &self.expected_plan,
         };
         [AcceleratorProtection::Strict, AcceleratorProtection::Lax]
             .into_iter()
-            .find_map(|care| {
-                let found = search.find(id, job, spec, care, missing)?;
-                let victims = found.victims;
-                Some(Found { victims, care })
+            .find_map(|protection| {
+                let found = find_preemption(&workload, waiting, protection, missing)?;
+                let candidates = found.candidates;
+                Some(Selection {
+                    candidates,
+                    protection,
+                })
             })
     }
 
-    /// Stops a victim's tasks and gives their resources back to the plan.
-    fn stop(&mut self, victim: &PreemptionCandidate, for_job: &str) {
+    /// Whether the transaction can take the records of all jobs that this changes.
+    fn has_capacity_to_preempt(&self, for_job: &str, selection: &Selection) -> bool {
+        let candidates = selection.candidates.iter();
+        let touched = candidates.map(|candidate| candidate.job.as_str());
+        let transaction = &self.context.transaction;
+        transaction.has_capacity_for_jobs(touched.chain([for_job]))
+    }
+
+    /// Stops a candidate's tasks and gives their resources back to the plan.
+    fn preempt(&mut self, candidate: &PreemptionCandidate, for_job: &str) {
         tracing::info!(
-            job = victim.job,
-            machine = victim.machine,
-            tasks = victim.tasks,
+            job = candidate.job,
+            machine = candidate.machine,
+            tasks = candidate.tasks,
             for_job,
-            "preempted"
+            "tasks preempted"
         );
-        let (replica, expected) = (self.replica, &mut self.expected);
-        let value_limit_bytes = self.controller.settings.value_limit_bytes();
-        self.transaction.edit_job_record(&victim.job, |stopped| {
-            if let Some(spec) = &stopped.spec {
-                let resources = spec.need.times(victim.tasks);
-                expected.release(replica, &victim.machine, &spec.team, resources);
+        let (replica, expected_plan) = (self.context.replica, &mut self.expected_plan);
+        let value_limit_bytes = self.context.controller.settings.value_limit_bytes();
+        let transaction = &mut self.context.transaction;
+        transaction.edit_job_record(&candidate.job, |job| {
+            if let Some(spec) = &job.spec {
+                let resources = spec.need.times(candidate.tasks);
+                expected_plan.release(replica, &candidate.machine, &spec.team, resources);
             }
             let fits = |job: &Job| replica.fits_job(job, value_limit_bytes);
-            stopped.stop_tasks(&victim.machine, victim.tasks, fits);
+            job.stop_tasks(&candidate.machine, candidate.tasks, fits);
         });
-        if let Some(stopped) = self.transaction.job(&victim.job) {
-            self.changed.insert(victim.job.clone(), stopped.clone());
+        if let Some(job) = transaction.job(&candidate.job) {
+            self.changed.insert(candidate.job.clone(), job.clone());
         }
     }
 }
-
-/// Forgets preemptions and vain searches of so long ago that the same job may
-/// try again.
-pub(super) fn forget_old_attempts(controller: &Controller, state: &mut RoundState, now: Instant) {
-    let settings = &controller.settings;
-    let gang_wait = Duration::from_secs_f64(settings.deployment.workers.gang_peer_s);
-    let patience = gang_wait * PREEMPTION_PATIENCE;
-    let pause = settings.heartbeat_interval() / 2;
-    state
-        .preempted_for
-        .retain(|_, at| now.saturating_duration_since(*at) < patience);
-    state
-        .without_victims
-        .retain(|_, at| now.saturating_duration_since(*at) < pause);
-}
--- a/src/scheduler/preemption_search.rs
+++ b/src/scheduler/preemption_search.rs
@@ -1,26 +1,17 @@
-//! The search for victims: running work whose end makes room for a job.
+//! The search for the least running work whose preemption frees capacity for a job.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{DefaultHasher, Hash, Hasher};
+use std::collections::BTreeSet;
 
-use super::bin_packing::{count_placements, find_placements};
-use super::candidates::{AcceleratorProtection, PlacementHints};
-use super::job_facts::within_guarantee;
+use super::bin_packing::PlacementRequest;
+use super::hints::AcceleratorProtection;
 use super::plan::{Plan, TaskPlacement};
-use crate::settings::{Settings, TeamQuota};
-use crate::state::records::{Job, Run, Spec};
-use crate::state::replica::Replica;
-use crate::wire::{Kind, Priority};
+use super::preemption_candidates::{PreemptibleRun, Preemptor, RunningWorkload};
+use super::waiting_job::WaitingJob;
 
 /// How often one search tries whether the job fits now.
 const MAX_TRIALS: usize = 200;
 
-/// The number of classes that a controller puts jobs into, so that controllers
-/// that preempt at once begin with different victims.
-const ORDER_CLASSES: u64 = 4;
-
-/// Work that may be stopped for another job.
+/// Work that may be preempted for another job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreemptionCandidate {
     /// The job whose tasks stop.
@@ -32,408 +23,172 @@
 }
 
 /// The work that a search has found.
-pub(super) struct Victims {
-    pub(super) victims: Vec<PreemptionCandidate>,
-    /// It makes room for all tasks that were asked for, not only for some.
+pub(super) struct PreemptionSet {
+    pub(super) candidates: Vec<PreemptionCandidate>,
+    /// It frees capacity for all tasks that were asked for, not only for some.
     pub(super) complete: bool,
 }
 
-/// Whether PROTOCOL lets work of `victim` be stopped for `job`. The priorities
-/// are those of the replica, which count in the jobs that depend on either.
-pub fn may_preempt(
-    job: (&Spec, Priority),
-    job_in_guarantee: bool,
-    victim: (&Spec, Priority),
-    victim_borrows: bool,
-) -> bool {
-    let ((job, priority), (victim, victim_priority)) = (job, victim);
-    if victim_priority < priority {
-        return true;
-    }
-    // Borrowed work of another team goes back for a guarantee, but for
-    // services: what people use now is not ended for what is to begin.
-    job_in_guarantee && victim_borrows && victim.team != job.team && victim.kind != Kind::Service
-}
-
-/// How many places a job needs at once: a service all, as its replicas serve
-/// together; of independent tasks, one after another will do.
-pub(super) fn places_wanted(job: &Job, spec: &Spec) -> usize {
-    match spec.kind {
-        Kind::Array => 1,
-        _ => job.waiting(),
-    }
-}
-
-/// How many tasks of a job start or stop together.
-fn tasks_together(spec: &Spec) -> usize {
-    match spec.is_gang() {
-        true => spec.tasks as usize,
-        false => 1,
-    }
-}
-
-/// One of a few classes that a controller puts a job into.
-fn order_class(controller: &str, job: &str) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    (controller, job).hash(&mut hasher);
-    hasher.finish() % ORDER_CLASSES
-}
-
-/// A run that may be stopped.
-struct RunningAt {
-    /// Its index among the job's runs.
-    run: usize,
-    /// The index of its machine in the plan.
-    slot_index: usize,
-}
-
-/// An open job that runs, as searches for victims look at it: where each of its
-/// runs stands in the plan is worked out once a round, by number.
-pub(super) struct RunningJob {
-    job: String,
-    order_class: u64,
-    runs: Vec<RunningAt>,
-}
-
-/// All open jobs that run.
-pub(super) fn running_jobs(controller: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
-    let open = replica.open.iter().filter_map(|(_, id)| {
-        let job = &replica.jobs.get(id)?.value;
-        Some((id, job))
-    });
-    open.filter(|(_, job)| !job.runs.is_empty())
-        .map(|(id, job)| RunningJob {
-            job: id.clone(),
-            order_class: order_class(controller, id),
-            runs: stoppable_runs(job, replica, plan),
-        })
-        .collect()
-}
-
-/// The job's runs that may be stopped, and where they stand in the plan.
-fn stoppable_runs(job: &Job, replica: &Replica, plan: &Plan) -> Vec<RunningAt> {
-    let runs = job.runs.iter().enumerate().filter(|(_, run)| !run.stop);
-    runs.filter_map(|(index, run)| {
-        let slot_index = plan.slot_index_of(replica, &run.machine)?;
-        Some(RunningAt {
-            run: index,
-            slot_index,
-        })
-    })
-    .collect()
-}
-
-/// The order in which candidates are stopped, the first ones first: the lowest
-/// priority; where the job's image is; and the youngest job.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct StopOrder {
-    priority: Priority,
-    without_image: bool,
-    order_class: u64,
-    accepted_revision: Reverse<u64>,
-}
-
-/// A run that may be stopped for the job.
-struct Candidate<'a> {
-    order: StopOrder,
-    /// The index of its machine in the plan.
-    slot_index: usize,
-    job: &'a String,
-    run: &'a Run,
-    spec: &'a Spec,
-    terms: Option<&'a TeamQuota>,
-}
-
-/// The job that room is searched for.
-struct Preemptor<'a> {
-    id: &'a str,
-    job: &'a Job,
-    spec: &'a Spec,
-    priority: Priority,
-    care: AcceleratorProtection,
-    /// It stays within its team's guarantee.
-    in_guarantee: bool,
-}
-
-impl Preemptor<'_> {
-    /// Whether it may have tasks stopped of a job with this priority, given what
-    /// the victim's team uses in the plan.
-    fn may_stop(
-        &self,
-        victim: &Spec,
-        priority: Priority,
-        terms: Option<&TeamQuota>,
-        plan: &Plan,
-    ) -> bool {
-        may_preempt(
-            (self.spec, self.priority),
-            self.in_guarantee,
-            (victim, priority),
-            is_borrowed(victim, terms, plan),
-        )
-    }
-}
-
-/// Whether work uses resources beyond its team's guarantee. What would stay
-/// within the guarantee, were it stopped, is not borrowed: its team would have it
-/// back, and stop other work for it.
-fn is_borrowed(victim: &Spec, terms: Option<&TeamQuota>, plan: &Plan) -> bool {
-    let resources = || victim.need.times(tasks_together(victim));
-    terms.is_some_and(|terms| terms.can_lend(&plan.team_used(&victim.team), &resources()))
-}
-
-/// What a search for victims goes by.
-pub(super) struct VictimSearch<'a> {
-    pub(super) settings: &'a Settings,
-    pub(super) hints: &'a PlacementHints<'a>,
-    pub(super) running: &'a [RunningJob],
-    /// Jobs as this round has left them so far.
-    pub(super) changed: &'a BTreeMap<String, Job>,
-    /// The plan, with resources that are being cleared counted as free.
-    pub(super) expected: &'a Plan,
-}
-
-impl<'a> VictimSearch<'a> {
-    /// The least work whose end makes room for `wanted` of the job's tasks: one
-    /// task after another, of the lowest priority and the youngest job first,
-    /// until they fit; or for some of them, which the answer tells.
-    pub(super) fn find(
-        &self,
-        id: &str,
-        job: &Job,
-        spec: &Spec,
-        care: AcceleratorProtection,
-        wanted: usize,
-    ) -> Option<Victims> {
-        let terms = self.settings.team(&spec.team)?;
-        // Independent tasks that preempt independent tasks lose more than they
-        // gain: such work ends soon and makes room by itself. They stop lower
-        // priorities only.
-        let in_guarantee = spec.kind != Kind::Array
-            && within_guarantee(
-                terms,
-                &self.expected.team_used(&spec.team),
-                spec,
-                tasks_together(spec),
-            );
-        let preemptor = Preemptor {
-            id,
-            job,
-            spec,
-            priority: self.hints.replica.effective_priority(id, spec),
-            care,
-            in_guarantee,
-        };
-        let candidates = self.candidates(&preemptor);
-        Trial::new(self, &preemptor, wanted).run(candidates)
-    }
-
-    /// The runs that may be stopped, the first to be stopped first.
-    fn candidates(&self, preemptor: &Preemptor) -> Vec<Candidate<'a>> {
-        let replica = self.hints.replica;
-        let image = replica.image(&preemptor.spec.image);
-        let allowed: Vec<bool> = replica
-            .classes
-            .iter()
-            .map(|c| preemptor.spec.allows(&c.kind, &c.zone, c.spot))
-            .collect();
-        let mut candidates = Vec::new();
-        for running in self.running.iter().filter(|r| r.job != preemptor.id) {
-            // As this round has left it so far.
-            let changed = self.changed.get(&running.job);
-            let known = replica.jobs.get(&running.job).map(|e| &e.value);
-            let Some(job) = changed.or(known) else {
-                continue;
-            };
-            let Some(spec) = &job.spec else { continue };
-            let terms = self.settings.team(&spec.team);
-            let priority = replica.effective_priority(&running.job, spec);
-            if !self.is_candidate(preemptor, spec, priority, terms) {
-                continue;
-            }
-            let changed_runs = changed.map(|job| stoppable_runs(job, replica, self.expected));
-            for at in changed_runs.as_ref().unwrap_or(&running.runs) {
-                let slot = &self.expected.plan_slots[at.slot_index];
-                if !allowed[slot.class as usize] {
-                    continue;
-                }
-                let order = StopOrder {
-                    priority,
-                    without_image: !replica.has_image(slot.machine, image),
-                    order_class: running.order_class,
-                    accepted_revision: Reverse(job.accepted_revision),
-                };
-                candidates.push(Candidate {
-                    order,
-                    slot_index: at.slot_index,
-                    job: &running.job,
-                    run: &job.runs[at.run],
-                    spec,
-                    terms,
-                });
-            }
-        }
-        candidates.sort_by_key(|candidate| candidate.order);
-        candidates
-    }
-
-    /// Whether tasks of a job may be stopped at all.
-    fn is_candidate(
-        &self,
-        preemptor: &Preemptor,
-        victim: &Spec,
-        priority: Priority,
-        terms: Option<&TeamQuota>,
-    ) -> bool {
-        if !preemptor.may_stop(victim, priority, terms, self.expected) {
-            return false;
-        }
-        // Work on accelerators is the last to go for work without.
-        let takes_accelerators = preemptor.spec.need.gpus.0 == 0 && victim.need.gpus.0 > 0;
-        !(preemptor.care == AcceleratorProtection::Strict && takes_accelerators)
-    }
-}
-
-/// Candidates are stopped in a copy of the plan, one after another, until the job
-/// fits.
-struct Trial<'a, 'p> {
-    search: &'a VictimSearch<'a>,
-    preemptor: &'a Preemptor<'p>,
-    /// How many places would be enough.
+/// The least work whose preemption frees capacity for `wanted` of the job's tasks: one
+/// task after another, of the lowest priority and the youngest job first,
+/// until they fit; or for some of them, which the answer tells.
+pub(super) fn find_preemption(
+    workload: &RunningWorkload,
+    waiting: WaitingJob,
+    protection: AcceleratorProtection,
+    wanted: usize,
+) -> Option<PreemptionSet> {
+    let (settings, replica) = (workload.settings, workload.hints.replica);
+    let plan = workload.expected_plan;
+    let preemptor = Preemptor::new(waiting, protection, settings, replica, plan)?;
+    let runs = workload.preemptible_runs(&preemptor);
+    Trial::new(workload, &preemptor, wanted).run(&runs)
+}
+
+/// Runs are preempted in a copy of the plan, one after another, until the job fits.
+struct Trial<'a> {
+    workload: &'a RunningWorkload<'a>,
+    preemptor: &'a Preemptor<'a>,
+    /// How many placements would be enough.
     wanted: usize,
-    /// The plan without what has been stopped so far.
+    /// The plan without what has been preempted so far.
     plan: Plan,
-    stopped: Vec<PreemptionCandidate>,
-    /// The most places found so far, and the victims that make room for them.
-    most: usize,
+    preempted: Vec<PreemptionCandidate>,
+    /// The most placements found so far.
+    max_placements: usize,
+    /// The candidates that free capacity for these, unless they were free at first.
     partial: Option<Vec<PreemptionCandidate>>,
     /// How often it was tried whether the job fits.
     trials: usize,
 }
 
-/// What one more stopped task has brought.
-enum Step {
+/// What one more preempted task has brought.
+enum TrialStep {
     /// Not enough yet.
     Continue,
-    /// All wanted places.
+    /// All wanted placements.
     Complete(Vec<PreemptionCandidate>),
     /// The search has taken long enough.
     GiveUp,
 }
 
-impl<'a, 'p> Trial<'a, 'p> {
-    fn new(search: &'a VictimSearch<'a>, preemptor: &'a Preemptor<'p>, wanted: usize) -> Self {
-        let plan = search.expected.clone();
-        let Preemptor {
-            job, spec, care, ..
-        } = preemptor;
-        let most = count_placements(job, spec, &plan, search.hints, search.settings, *care);
-        Trial {
-            search,
+impl<'a> Trial<'a> {
+    fn new(workload: &'a RunningWorkload<'a>, preemptor: &'a Preemptor<'a>, wanted: usize) -> Self {
+        let mut trial = Trial {
+            workload,
             preemptor,
             wanted,
-            plan,
-            stopped: Vec::new(),
-            most,
+            plan: workload.expected_plan.clone(),
+            preempted: Vec::new(),
+            max_placements: 0,
             partial: None,
             trials: 0,
+        };
+        trial.max_placements = trial.request().count_placements();
+        trial
+    }
+
+    /// The search for placements on the plan as it stands now.
+    fn request(&self) -> PlacementRequest<'_> {
+        PlacementRequest {
+            job: self.preemptor.waiting.job,
+            spec: self.preemptor.waiting.spec,
+            plan: &self.plan,
+            hints: self.workload.hints,
+            settings: self.workload.settings,
+            protection: self.preemptor.protection,
         }
     }
 
-    fn run(mut self, candidates: Vec<Candidate>) -> Option<Victims> {
-        for candidate in &candidates {
-            match self.stop_run(candidate) {
-                Step::Continue => {}
-                Step::GiveUp => break,
-                Step::Complete(victims) => {
-                    return Some(Victims {
-                        victims,
+    fn run(mut self, runs: &[PreemptibleRun]) -> Option<PreemptionSet> {
+        for run in runs {
+            match self.preempt_run(run) {
+                TrialStep::Continue => {}
+                TrialStep::GiveUp => break,
+                TrialStep::Complete(candidates) => {
+                    return Some(PreemptionSet {
+                        candidates,
                         complete: true,
                     });
                 }
             }
         }
-        self.partial.map(|victims| Victims {
-            victims,
+        self.partial.map(|candidates| PreemptionSet {
+            candidates,
             complete: false,
         })
     }
 
-    /// Stops the tasks of one run: a gang's all at once, others one by one.
-    fn stop_run(&mut self, candidate: &Candidate) -> Step {
-        let mut left = candidate.run.tasks.len();
+    /// Preempts the tasks of one run: a gang's all at once, others one by one.
+    fn preempt_run(&mut self, run: &PreemptibleRun) -> TrialStep {
+        let mut left = run.run.tasks.len();
         while left > 0 {
             // Borrowed work counts as borrowed only down to the guarantee.
-            let (victim, terms) = (candidate.spec, candidate.terms);
-            let priority = candidate.order.priority;
-            if !self.preemptor.may_stop(victim, priority, terms, &self.plan) {
-                return Step::Continue;
+            if !self.preemptor.may_preempt_run(run, &self.plan) {
+                return TrialStep::Continue;
             }
-            let tasks = if victim.is_gang() { left } else { 1 };
+            let tasks = if run.spec.is_gang() { left } else { 1 };
             left -= tasks;
-            self.stop_tasks(candidate, tasks);
-            match self.try_to_fit(candidate.slot_index) {
-                Step::Continue => {}
+            self.preempt_tasks(run, tasks);
+            match self.try_to_fit(run.slot_index) {
+                TrialStep::Continue => {}
                 done => return done,
             }
         }
-        Step::Continue
+        TrialStep::Continue
     }
 
-    /// Counts tasks of a run as stopped.
-    fn stop_tasks(&mut self, candidate: &Candidate, tasks: usize) {
-        let spec = candidate.spec;
-        let machine = &candidate.run.machine;
+    /// Counts tasks of a run as preempted.
+    fn preempt_tasks(&mut self, run: &PreemptibleRun, tasks: usize) {
+        let spec = run.spec;
+        let machine = &run.run.machine;
         self.plan
-            .release_at(candidate.slot_index, &spec.team, spec.need.times(tasks));
-        match self.stopped.last_mut() {
-            Some(last) if last.job == *candidate.job && last.machine == *machine => {
+            .release_at(run.slot_index, &spec.team, spec.need.times(tasks));
+        match self.preempted.last_mut() {
+            Some(last) if last.job == *run.job && last.machine == *machine => {
                 last.tasks += tasks;
             }
-            _ => self.stopped.push(PreemptionCandidate {
-                job: candidate.job.clone(),
+            _ => self.preempted.push(PreemptionCandidate {
+                job: run.job.clone(),
                 machine: machine.clone(),
                 tasks,
             }),
         }
     }
 
-    /// Tries whether the job fits, now that tasks on this machine are stopped.
-    fn try_to_fit(&mut self, slot_index: usize) -> Step {
-        let Preemptor {
-            job, spec, care, ..
-        } = self.preemptor;
+    /// Tries whether the job fits, now that tasks on this machine are preempted.
+    fn try_to_fit(&mut self, slot_index: usize) -> TrialStep {
+        let need = &self.preemptor.waiting.spec.need;
         // Only a machine that now holds a task can have made it fit.
-        if !self.plan.plan_slots[slot_index].free.fits(&spec.need) {
-            return Step::Continue;
+        if !self.plan.plan_slots[slot_index].free.fits(need) {
+            return TrialStep::Continue;
         }
         self.trials += 1;
         if self.trials > MAX_TRIALS {
-            return Step::GiveUp;
+            return TrialStep::GiveUp;
         }
-        let (hints, settings) = (self.search.hints, self.search.settings);
-        let Ok(places) = find_placements(job, spec, &self.plan, hints, settings, *care) else {
-            return Step::Continue;
+        let Ok(placements) = self.request().find_placements() else {
+            return TrialStep::Continue;
         };
-        if places.len() <= self.most {
-            return Step::Continue;
+        if placements.len() <= self.max_placements {
+            return TrialStep::Continue;
         }
-        self.most = places.len();
-        let victims = self.victims_at(&places);
-        if self.most >= self.wanted {
-            return Step::Complete(victims);
+        self.max_placements = placements.len();
+        let candidates = self.candidates_at(&placements);
+        if self.max_placements >= self.wanted {
+            return TrialStep::Complete(candidates);
         }
-        self.partial = Some(victims);
-        Step::Continue
+        self.partial = Some(candidates);
+        TrialStep::Continue
     }
 
-    /// The victims on machines that the job will have: the others are not needed.
-    fn victims_at(&self, places: &[TaskPlacement]) -> Vec<PreemptionCandidate> {
-        let used: BTreeSet<&str> = places.iter().map(|place| &*place.machine).collect();
+    /// The preempted work on machines that the job will have: the rest is not needed.
+    fn candidates_at(&self, placements: &[TaskPlacement]) -> Vec<PreemptionCandidate> {
+        let used: BTreeSet<&str> = placements.iter().map(|p| &*p.machine).collect();
         let needed = self
-            .stopped
+            .preempted
             .iter()
-            .filter(|victim| used.contains(victim.machine.as_str()));
+            .filter(|candidate| used.contains(candidate.machine.as_str()));
         needed.cloned().collect()
     }
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -12,26 +12,26 @@
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
 
-/// Whether a job has waited so long that it goes first: a bound on waiting
-/// that no order by size, team or lateness can push back. Only for what has
+/// Whether a job has waited so long (`age`, in seconds) that it goes first: a bound on
+/// waiting that no order by size, team or lateness can push back. Only for what has
 /// never begun: the rest of an array follows in the usual order, and what was
-/// stopped for a guarantee must not push back in before it.
+/// preempted for a guarantee must not push back in before it.
 pub fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
     age > settings.starvation_threshold_s()
         && job.attempt == 0
         && job.waiting() == spec.tasks as usize
 }
 
-/// A job's place in the queue: lower goes first.
+/// What the queue is sorted by, the first differing field first: lower goes first.
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
 pub struct QueueSortKey {
     /// It fails wherever it runs: all others go first.
     pub doubtful: bool,
-    /// No resources have been cleared for it. Jobs that work was preempted for go
+    /// No capacity has been cleared for it. Jobs that work was preempted for go
     /// first whatever the policy says, or it would serve another job.
-    pub waits_for_room: bool,
+    pub without_cleared_capacity: bool,
     /// It has not waited beyond the bound; those that have go first, by age.
-    pub patient: bool,
+    pub not_starving: bool,
     /// The policy's keys.
     pub keys: Vec<f64>,
     /// The revision that the job was accepted at.
@@ -58,18 +58,18 @@
             let age = age_s(first_seen, id, now);
             let urgency = replica.effective_urgency(id, spec, now);
             let facts = job_facts(job, spec, plan, settings, replica, age, &urgency);
-            let starves = is_starving(job, spec, settings, age);
-            let rank = QueueSortKey {
+            let is_starving = is_starving(job, spec, settings, age);
+            let sort_key = QueueSortKey {
                 doubtful: job.is_doubtful(),
-                waits_for_room: !job.cleared,
-                patient: !starves,
-                keys: match starves {
+                without_cleared_capacity: !job.cleared,
+                not_starving: !is_starving,
+                keys: match is_starving {
                     true => Vec::new(),
                     false => settings.policy.queue_order(&facts),
                 },
                 accepted_revision: *accepted_revision,
             };
-            Some((rank, id.as_str()))
+            Some((sort_key, id.as_str()))
         })
         .collect();
     queue.sort_by(|(left, _), (right, _)| left.partial_cmp(right).unwrap_or(Ordering::Equal));
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -16,18 +16,18 @@
 use crate::state::keys::job_key;
 use crate::workers;
 
-/// Runs placement rounds for ever: what has ended is recorded and what waits is
+/// Runs placement rounds for ever: terminations are recorded and waiting jobs are
 /// placed, in one transaction a round.
 pub async fn run_placement(controller: Rc<Controller>) {
     let mut state = RoundState::default();
-    let idle = controller.settings.heartbeat_interval() / 3;
+    let idle_interval = controller.settings.heartbeat_interval() / 3;
     let shortest_pause = controller.request_gap();
-    let mut released: Option<Instant> = None;
+    let mut last_release: Option<Instant> = None;
     loop {
         tokio::select! {
             () = controller.placement.woken() => {}
             () = controller.workers.terminations_notify.notified() => {}
-            () = sleep(idle) => {}
+            () = sleep(idle_interval) => {}
         }
         // A controller that is cut off by itself learns nothing from silence:
         // its workers have moved to others.
@@ -35,9 +35,9 @@
             continue;
         }
         // Both go through all machines, and are about leases and returns: a
-        // few times a report interval is soon enough.
-        if released.is_none_or(|at| at.elapsed() > idle / 2) {
-            released = Some(Instant::now());
+        // few times a heartbeat interval is soon enough.
+        if last_release.is_none_or(|at| at.elapsed() > idle_interval / 2) {
+            last_release = Some(Instant::now());
             workers::release_silent(&controller);
             workers::release_gone(&controller);
         }
@@ -52,8 +52,8 @@
 /// Decides and commits until there is nothing left to write; each transaction
 /// waits for the answer to the one before.
 async fn run_rounds(controller: &Rc<Controller>, state: &mut RoundState) {
-    // Ends within this span go into one transaction: reports come so often that
-    // nobody notices.
+    // Terminations within this span go into one transaction: heartbeats come so often
+    // that nobody notices.
     let shortest_gap = controller.settings.heartbeat_interval() / 100;
     let mut gap = Duration::ZERO;
     loop {
@@ -70,7 +70,7 @@
         };
         gap = deciding.elapsed().max(shortest_gap);
         state.records_written = batch.writes.len();
-        if commit(controller, state, batch).await == Next::Pause {
+        if commit(controller, state, batch).await == NextStep::Pause {
             return;
         }
     }
@@ -78,7 +78,7 @@
 
 /// What follows a commit.
 #[derive(PartialEq, Eq)]
-enum Next {
+enum NextStep {
     /// Decide again on what the replica shows now.
     DecideAgain,
     /// Stop until the next wake-up, as the state service cannot be reached.
@@ -86,17 +86,22 @@
 }
 
 /// Sends one round's transaction and deals with its answer.
-async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> Next {
-    let ends = batch.ends;
+async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> NextStep {
+    let terminations = batch.terminations;
     match controller
         .commit(RequestClass::Round, batch.guards, batch.writes)
         .await
     {
-        Ok(_) => {
+        Ok(revision) => {
             state.small_commits = false;
-            tracing::debug!(jobs = batch.jobs, ends = ends.len(), "decided");
+            tracing::debug!(
+                revision,
+                jobs = batch.jobs,
+                terminations = terminations.len(),
+                "round committed"
+            );
             let mut pending = controller.workers.pending_terminations.borrow_mut();
-            for key in &ends {
+            for key in &terminations {
                 pending.remove(key);
             }
         }
@@ -106,21 +111,21 @@
             sleep(controller.store.jitter(controller.request_gap() * 4)).await;
         }
         Err(StoreError::Conflict(keys)) => {
-            tracing::debug!(?keys, "conflict");
+            tracing::debug!(?keys, "round conflicted");
             await_newer_replica(controller).await;
         }
         Err(error) => {
             // The commit may have happened: the replica tells after a barrier.
-            tracing::debug!(%error, "decisions not answered");
+            tracing::debug!(%error, "round commit not answered");
             if !controller
                 .barrier(controller.settings.worker_lease() / 4)
                 .await
             {
-                return Next::Pause;
+                return NextStep::Pause;
             }
         }
     }
-    Next::DecideAgain
+    NextStep::DecideAgain
 }
 
 /// The same transaction would be refused again: the next has fewer records, and
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -1,4 +1,4 @@
-//! Ends of tasks: those that are proven go into a round's transaction.
+//! Terminations of tasks: those that are proven go into a round's transaction.
 
 use super::plan::Plan;
 use super::round_state::RoundState;
@@ -8,92 +8,103 @@
 use crate::wire::Kind;
 use crate::workers::{AttemptKey, TerminationEvidence};
 
-/// Ends that a transaction takes in, and those that are void.
-#[derive(Default)]
-struct Ends {
-    recorded: Vec<AttemptKey>,
-    stale: Vec<AttemptKey>,
-}
-
-/// Records ends in the transaction and gives their resources back to the plan;
-/// returns which ends it has taken.
+/// Records the pending terminations in the transaction and gives their resources back
+/// to the plan; returns which of them it has taken.
 ///
-/// Gangs and services come first, whose resources many wait for, and jobs that
-/// others depend on. The ends of other arrays come last, up to a limit of their
+/// Gangs and services come first, whose resources many wait for, and jobs with
+/// dependents. The terminations of other arrays come last, up to a limit of their
 /// own, and begin where the last round stopped, so that none waits for ever.
-pub(super) fn record_ends(
+pub(super) fn record_terminations(
     controller: &Controller,
     replica: &Replica,
     state: &mut RoundState,
     transaction: &mut Transaction,
     plan: &mut Plan,
-    limit_for_arrays: usize,
+    max_records_for_arrays: usize,
 ) -> Vec<AttemptKey> {
-    let mut ends = Ends::default();
-    {
-        let pending = controller.workers.pending_terminations.borrow();
-        let first = state.next_end.take();
+    let mut recorder = TerminationRecorder {
+        controller,
+        replica,
+        transaction,
+        plan,
+        recorded: Vec::new(),
+        stale: Vec::new(),
+    };
+    recorder.record_pending(state, max_records_for_arrays);
+    let mut pending = controller.workers.pending_terminations.borrow_mut();
+    for key in &recorder.stale {
+        pending.remove(key);
+    }
+    recorder.recorded
+}
+
+/// Whether the termination is of an array without dependents.
+fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
+    let job = replica.jobs.get(&key.job);
+    let spec = job.and_then(|e| e.value.spec.as_ref());
+    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.has_dependents(&key.job)
+}
+
+/// Records terminations in a transaction.
+struct TerminationRecorder<'a, 'r> {
+    controller: &'a Controller,
+    replica: &'a Replica,
+    transaction: &'a mut Transaction<'r>,
+    plan: &'a mut Plan,
+    /// The terminations that the transaction has taken.
+    recorded: Vec<AttemptKey>,
+    /// Those that nothing is booked for any more, or whose evidence no longer holds.
+    stale: Vec<AttemptKey>,
+}
+
+impl TerminationRecorder<'_, '_> {
+    /// Records the pending terminations, as many as the transaction can take.
+    fn record_pending(&mut self, state: &mut RoundState, max_records_for_arrays: usize) {
+        let pending = self.controller.workers.pending_terminations.borrow();
+        let first = state.next_termination.take();
         let (later, earlier): (Vec<_>, Vec<_>) = pending
             .iter()
             .partition(|(key, _)| first.as_ref().is_none_or(|first| *key >= first));
         let in_order = later.into_iter().chain(earlier);
         let in_order = in_order.filter(|(key, _)| !state.is_excluded(&key.job));
         let (arrays, others): (Vec<_>, Vec<_>) =
-            in_order.partition(|(key, _)| is_plain_array(replica, key));
-        for (key, proof) in others {
-            ends.record(controller, replica, transaction, plan, key, *proof);
+            in_order.partition(|(key, _)| is_plain_array(self.replica, key));
+        for (key, evidence) in others {
+            self.record(key, *evidence);
         }
-        let limit = std::mem::replace(&mut transaction.max_records, limit_for_arrays);
-        for (key, proof) in arrays {
-            let released = ends.record(controller, replica, transaction, plan, key, *proof);
-            if released == ReleaseOutcome::Full && state.next_end.is_none() {
-                state.next_end = Some(key.clone());
+        let max_records = self.transaction.max_records;
+        self.transaction.max_records = max_records_for_arrays;
+        for (key, evidence) in arrays {
+            let outcome = self.record(key, *evidence);
+            let is_full = outcome == ReleaseOutcome::TransactionFull;
+            if is_full && state.next_termination.is_none() {
+                state.next_termination = Some(key.clone());
             }
         }
-        transaction.max_records = limit;
+        self.transaction.max_records = max_records;
     }
-    let mut pending = controller.workers.pending_terminations.borrow_mut();
-    for key in &ends.stale {
-        pending.remove(key);
-    }
-    ends.recorded
-}
 
-/// Whether the end is of an array that no other job depends on.
-fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
-    let spec = replica
-        .jobs
-        .get(&key.job)
-        .and_then(|e| e.value.spec.as_ref());
-    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.has_dependents(&key.job)
-}
-
-impl Ends {
-    /// Records one end, if the transaction has room for it.
-    fn record(
-        &mut self,
-        controller: &Controller,
-        replica: &Replica,
-        transaction: &mut Transaction,
-        plan: &mut Plan,
-        key: &AttemptKey,
-        proof: TerminationEvidence,
-    ) -> ReleaseOutcome {
-        let released = transaction.release(key, proof, controller.name(), controller.incarnation);
-        match released {
-            ReleaseOutcome::Yes => {
-                if let Some(spec) = replica
-                    .jobs
-                    .get(&key.job)
-                    .and_then(|e| e.value.spec.as_ref())
-                {
-                    plan.release(replica, &key.machine, &spec.team, spec.need);
-                }
+    /// Records one termination, if the transaction can take it.
+    fn record(&mut self, key: &AttemptKey, evidence: TerminationEvidence) -> ReleaseOutcome {
+        let (name, incarnation) = (self.controller.name(), self.controller.incarnation);
+        let outcome = self.transaction.release(key, evidence, name, incarnation);
+        match outcome {
+            ReleaseOutcome::Recorded => {
+                self.release_in_plan(key);
                 self.recorded.push(key.clone());
             }
-            ReleaseOutcome::Full => {}
+            ReleaseOutcome::TransactionFull => {}
             ReleaseOutcome::Stale => self.stale.push(key.clone()),
         }
-        released
+        outcome
+    }
+
+    /// Gives the task's resources back to the plan.
+    fn release_in_plan(&mut self, key: &AttemptKey) {
+        let job = self.replica.jobs.get(&key.job);
+        if let Some(spec) = job.and_then(|e| e.value.spec.as_ref()) {
+            self.plan
+                .release(self.replica, &key.machine, &spec.team, spec.need);
+        }
     }
 }
--- /dev/null
+++ b/src/scheduler/transaction/accounts.rs
@@ -0,0 +1,111 @@
+//! The record that a job's bookings count against: its team's own, or a controller's
+//! share where the team's quota is split.
+
+use std::collections::BTreeSet;
+
+use shares::ControllerName;
+
+use super::Transaction;
+use crate::accounting::{BookingRequest, Space};
+use crate::scheduler::plan::TaskPlacement;
+use crate::state::records::{Job, Spec};
+
+/// Which record a booking counts against.
+enum Account {
+    /// The team's own.
+    Team,
+    /// A controller's share of the team's quota.
+    Share(ControllerName),
+}
+
+impl Transaction<'_> {
+    /// Which record a job's bookings count against; `None` if none may be made, as that
+    /// cannot be told.
+    fn account_of(&self, team: &str, job: &Job) -> Option<Account> {
+        if self.replica.is_share_unreadable(team) {
+            return None;
+        }
+        if self.replica.share(team).is_none() {
+            return Some(Account::Team);
+        }
+        let accounts = self.accounts.as_ref()?;
+        Some(Account::Share(accounts.share_of(team, job)))
+    }
+
+    /// Whether the record that the job's bookings count against is not written yet.
+    pub(super) fn is_new_account(&self, job: &str, team: &str) -> bool {
+        let account = self.job(job).and_then(|job| self.account_of(team, job));
+        match (account, &self.accounts) {
+            (Some(Account::Share(controller)), Some(accounts)) => {
+                !accounts.has_use(team, &controller)
+            }
+            _ => !self.teams.contains_key(team),
+        }
+    }
+
+    /// The controller whose share a job names once it is booked; `None` where its name
+    /// stays as it is.
+    pub(super) fn share_to_name(&self, id: &str, spec: &Spec) -> Option<ControllerName> {
+        let job = self.job(id)?;
+        match self.account_of(&spec.team, job)? {
+            Account::Share(controller) => Some(controller),
+            Account::Team => None,
+        }
+    }
+
+    /// Charges the job's account for as many of the placements as it admits, and
+    /// returns how many these are.
+    pub(super) fn admit(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
+        let job = self.job(id);
+        match job.and_then(|job| self.account_of(&spec.team, job)) {
+            Some(Account::Team) => {
+                *self.edit_team(&spec.team) += spec.need.times(placements.len());
+                placements.len()
+            }
+            Some(Account::Share(controller)) => {
+                self.admit_to_share(id, spec, placements, &controller)
+            }
+            None => 0,
+        }
+    }
+
+    fn admit_to_share(
+        &mut self,
+        id: &str,
+        spec: &Spec,
+        placements: &[&TaskPlacement],
+        controller: &ControllerName,
+    ) -> usize {
+        let new_records = self.new_records(id, spec, placements);
+        let max_writes = self.max_records;
+        let alone = self.remaining_space();
+        let beside = Space {
+            writes: alone.writes.saturating_sub(new_records),
+            guards: alone.guards.saturating_sub(new_records),
+        };
+        let Some(accounts) = &mut self.accounts else {
+            return 0;
+        };
+        accounts.admit(&BookingRequest {
+            team: &spec.team,
+            controller,
+            need: spec.need,
+            tasks: placements.len(),
+            together: spec.is_gang(),
+            max_writes,
+            beside,
+            alone,
+        })
+    }
+
+    /// How many records a booking of these placements adds to the transaction.
+    fn new_records(&self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
+        let shards: BTreeSet<&str> = placements.iter().map(|p| &*p.shard).collect();
+        let new_shards = shards
+            .iter()
+            .filter(|shard| !self.zone_shards.contains_key(**shard));
+        new_shards.count()
+            + usize::from(!self.jobs.contains_key(id))
+            + usize::from(self.is_new_account(id, &spec.team))
+    }
+}
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -4,7 +4,8 @@
 use tokio::time::Instant;
 
 use super::setup::{
-    after, ended, hints, jobs_of, settings, settings_json, spec, view_with, view_with_types,
+    after, ended, hints, jobs_of, may_preempt, settings, settings_json, spec, view_with,
+    view_with_types,
 };
 use shelfhoist::dependencies::EffectiveUrgency;
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
@@ -137,9 +138,9 @@
     }
 }
 
-/// Work is stopped by the priority that counts, on both sides.
+/// Work is preempted by the effective priority, on both sides.
 #[test]
-fn preemption_goes_by_the_priority_of_what_needs_a_job() {
+fn preemption_goes_by_the_effective_priority() {
     use Priority::*;
     let low = spec(Kind::Array, 1, 1.0);
     let low = Spec {
@@ -152,7 +153,7 @@
         (High, High, false),
         (Low, High, false),
     ] {
-        let got = scheduler::may_preempt((&low, ours), false, (&low, theirs), false);
+        let got = may_preempt((&low, ours), false, (&low, theirs), false);
         assert_eq!(got, expected, "{ours:?} {theirs:?}");
     }
 }
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::setup::{hints, settings, settings_json, spec, view_with, view_with_types};
+use super::setup::{hints, may_preempt, settings, settings_json, spec, view_with, view_with_types};
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction, WaitReason};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{job_key, shard_id, zone_shard_key};
@@ -211,11 +211,11 @@
         ..with("u", Production)
     };
     assert!(
-        !scheduler::may_preempt((&with("t", High), High), true, (&service, Production), true),
+        !may_preempt((&with("t", High), High), true, (&service, Production), true),
         "a service is not ended for a guarantee"
     );
     for (job, inside, victim, borrows, expected) in cases {
-        let got = scheduler::may_preempt(
+        let got = may_preempt(
             (&with(job.0, job.1), job.1),
             inside,
             (&with(victim.0, victim.1), victim.1),
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use shelfhoist::scheduler::PlacementHints;
+use shelfhoist::scheduler::{self, PlacementHints, PreemptingJob, RunningWork};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{job_key, machine_shard_key, shard_id, zone_shard_key};
 use shelfhoist::state::replica::Replica;
@@ -186,3 +186,24 @@
         .map(|(id, job)| (id.to_string(), open(job).or(open(&none)).expect("a spec")))
         .collect()
 }
+
+/// Whether work with a spec and effective priority may be preempted for a job with
+/// others.
+pub fn may_preempt(
+    (job, job_priority): (&Spec, Priority),
+    within_guarantee: bool,
+    (running, running_priority): (&Spec, Priority),
+    borrows: bool,
+) -> bool {
+    let job = PreemptingJob {
+        spec: job,
+        priority: job_priority,
+        within_guarantee,
+    };
+    let running = RunningWork {
+        spec: running,
+        priority: running_priority,
+        borrows,
+    };
+    scheduler::may_preempt(job, running)
+}
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -263,7 +263,7 @@
             5,
             MachineLifecycle::Active,
             1,
-            ReleaseOutcome::Yes,
+            ReleaseOutcome::Recorded,
         ),
         (
             "an earlier claim",
@@ -284,7 +284,7 @@
             0,
             MachineLifecycle::Gone,
             2,
-            ReleaseOutcome::Yes,
+            ReleaseOutcome::Recorded,
         ),
     ];
     for (name, fencing_token, lifecycle, incarnation, want) in cases {
@@ -313,7 +313,11 @@
         // The commit depends on the machine's record, too.
         let guards = transaction.into_commit().0;
         let on_machine_shard = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
-        assert_eq!(on_machine_shard, *want == ReleaseOutcome::Yes, "{name}");
+        assert_eq!(
+            on_machine_shard,
+            *want == ReleaseOutcome::Recorded,
+            "{name}"
+        );
     }
 }
 
