--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -211,16 +211,26 @@
                 });
             }
         }
-        let capped = zone_caps.iter().any(|cap| *cap < limit);
-        let slot_indices = assign(&candidates, self.plan, &zone_caps, limit).slot_indices;
-        if slot_indices.is_empty() || (spec.is_gang() && slot_indices.len() < waiting) {
-            return Err(if capped {
-                WaitReason::Spread
-            } else {
-                WaitReason::NoRoom
-            });
+        self.spread_over_zones(&candidates, &zone_caps, limit)
+    }
+
+    /// Slots in all zones, as far as their caps allow.
+    fn spread_over_zones(
+        &self,
+        candidates: &MachineCandidates,
+        zone_caps: &[usize],
+        limit: usize,
+    ) -> Result<SlotIndices, WaitReason> {
+        let slot_indices = assign(candidates, self.plan, zone_caps, limit).slot_indices;
+        let incomplete_gang = self.spec.is_gang() && slot_indices.len() < self.job.waiting();
+        if !slot_indices.is_empty() && !incomplete_gang {
+            return Ok(slot_indices);
         }
-        Ok(slot_indices)
+        let is_capped = zone_caps.iter().any(|cap| *cap < limit);
+        Err(match is_capped {
+            true => WaitReason::Spread,
+            false => WaitReason::NoRoom,
+        })
     }
 
     /// How many tasks wait that the team's limit lets run.
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -10,7 +10,7 @@
 use crate::wire::{Kind, Priority};
 
 /// Whether an objective names the job's class.
-pub fn has_slo(spec: &Spec, settings: &Settings) -> bool {
+pub(super) fn has_slo(spec: &Spec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
 }
@@ -130,7 +130,12 @@
 }
 
 /// Whether `tasks` more of this job stay within the team's guarantee.
-pub fn within_guarantee(quota: &TeamQuota, used: &Resources, spec: &Spec, tasks: usize) -> bool {
+pub(super) fn within_guarantee(
+    quota: &TeamQuota,
+    used: &Resources,
+    spec: &Spec,
+    tasks: usize,
+) -> bool {
     let with = *used + spec.need.times(tasks);
     let guarantee = quota.guarantee();
     let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::machine_shard_limits::{MemberSizes, guard_limit, shard_limit};
+use super::machine_shard_limits::{ShardRecordSizes, max_guards, max_shard_bytes};
 use super::shard_allocation::{ShardCandidates, max_group, numbered_id, uses_groups};
 use super::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
 use crate::settings::Settings;
@@ -14,12 +14,13 @@
 use crate::state::replica::Replica;
 use crate::wire::{Guard, Write};
 
-/// About what a machine takes in a machine shard's record.
-const MEMBER_BYTES: usize = 125;
+/// About what a machine takes in a machine shard's record, in bytes.
+const MACHINE_BYTES: usize = 125;
 
 /// Machine shards as one transaction will leave them.
 pub struct MachineShardEdits<'a> {
     replica: &'a Replica,
+    /// The machine shards that are changed, by id.
     edited: BTreeMap<String, MachineShard>,
     /// The ids of shards that must be as they are, too.
     guarded: BTreeSet<String>,
@@ -45,7 +46,7 @@
         self.edited.is_empty()
     }
 
-    /// Whether a commit of `ops` writes, with its conditions, can hold no more.
+    /// Whether a commit of `ops` writes, with its guards, can hold no more.
     pub fn is_full(&self, ops: usize) -> bool {
         let guards = self.edited.len() + self.guarded.len();
         // The next may bring a whole machine shard with it.
@@ -53,33 +54,36 @@
             .replica
             .machine_shards
             .values()
-            .map(|g| g.value.machines.len());
+            .map(|shard| shard.value.machines.len());
         let largest = sizes.max().unwrap_or(0).max(1);
-        let bytes = self.bytes() + (largest + guards) * self.member_bytes();
+        let bytes = self.bytes() + (largest + guards) * self.machine_bytes();
         // One that is to be split is written as two.
-        let split = self.edited.iter().filter(|(id, g)| self.splits(id, g));
+        let split = self
+            .edited
+            .iter()
+            .filter(|(id, shard)| self.must_split(id, shard));
         let writes = self.edited.len() + split.count();
         bytes > COMMIT_BYTES || writes >= ops || guards >= ops * (GUARDS_PER_WRITE - 1)
     }
 
-    /// About how long it is as a request.
+    /// About how long it is as a request, in bytes.
     pub fn bytes(&self) -> usize {
-        let all: usize = self.edited.values().map(|g| g.machines.len()).sum();
-        all * self.member_bytes()
+        let machines: usize = self.edited.values().map(|s| s.machines.len()).sum();
+        machines * self.machine_bytes()
     }
 
     /// About what a machine takes in the text that its machine shard will have.
-    fn member_bytes(&self) -> usize {
+    fn machine_bytes(&self) -> usize {
         match self.replica.uses_compact_encoding() {
             true => encoding::MEMBER,
-            false => MEMBER_BYTES,
+            false => MACHINE_BYTES,
         }
     }
 
     /// Whether a machine shard is too long for a record even in the compact encoding. One
-    /// whose part could still be changed by what was decided before these were
+    /// whose zone shard could still be changed by what was decided before these were
     /// written stays whole: its machines' slots must not be looked for elsewhere.
-    fn splits(&self, id: &str, machine_shard: &MachineShard) -> bool {
+    fn must_split(&self, id: &str, machine_shard: &MachineShard) -> bool {
         let Some(limit) = self
             .replica
             .compact_limit
@@ -105,10 +109,13 @@
     /// Takes the last machines out of machine shards that are too long, into new ones
     /// of the same home. Both are in the commit, under guard: no machine is lost
     /// or doubled.
-    fn split_long(&mut self) {
-        let long = self.edited.iter().filter(|(id, g)| self.splits(id, g));
-        let long: Vec<String> = long.map(|(id, _)| id.clone()).collect();
-        for id in long {
+    fn split_oversized(&mut self) {
+        let oversized = self
+            .edited
+            .iter()
+            .filter(|(id, shard)| self.must_split(id, shard));
+        let oversized: Vec<String> = oversized.map(|(id, _)| id.clone()).collect();
+        for id in oversized {
             let Some((home, _)) = id.rsplit_once('.') else {
                 continue;
             };
@@ -147,15 +154,15 @@
         &mut machine_shard.machines
     }
 
-    /// Puts a machine where its zone and part say.
+    /// Puts a machine into the shard that its record names.
     pub fn put(&mut self, name: &str, machine: Machine) {
         let id = shard_id(&machine.zone, &machine.shard);
         self.edit(&id).insert(name.to_string(), machine);
     }
 
     /// The shard that a machine without a record belongs to from now on: the first
-    /// of its candidates with room for its records, or a new one. The home follows
-    /// from the settings alone. `None` if the commit has no room for the conditions
+    /// of its candidates with capacity for its records, or a new one. The home follows
+    /// from the settings alone. `None` if the commit cannot hold the guards
     /// that this depends on.
     pub fn allocate_shard(
         &mut self,
@@ -171,28 +178,28 @@
             true => ShardCandidates::select(name, shards, max_group(settings)),
             false => ShardCandidates::all(shards),
         };
-        let conditions: BTreeSet<String> = candidates
+        let guarded: BTreeSet<String> = candidates
             .numbers()
             .chain([candidates.next()])
             .map(|number| numbered_id(zone, home, number))
             .collect();
-        if self.guard_count_with(&conditions) > guard_limit(settings, grouped) {
+        if self.guard_count_with(&guarded) > max_guards(settings, grouped) {
             return None;
         }
-        self.guarded.extend(conditions);
-        let sizes = MemberSizes {
-            short: self.replica.uses_compact_encoding(),
+        self.guarded.extend(guarded);
+        let sizes = ShardRecordSizes {
+            compact: self.replica.uses_compact_encoding(),
             max_name_length: settings.max_name_length(),
         };
-        let added = sizes.member(name, kind);
-        let with_room = candidates.numbers().find(|number| {
-            let limit = shard_limit(settings, sizes.short, *number);
+        let added = sizes.machine_bytes(name, kind);
+        let with_capacity = candidates.numbers().find(|number| {
+            let limit = max_shard_bytes(settings, sizes.compact, *number);
             let shard = self.shard(&numbered_id(zone, home, *number));
-            let used = shard.map_or(0, |shard| sizes.machine_shard(shard));
+            let used = shard.map_or(0, |shard| sizes.shard_bytes(shard));
             // One that alone is too long for a record still has a shard.
             used == 0 || used + added <= limit
         });
-        let number = with_room.unwrap_or(candidates.next());
+        let number = with_capacity.unwrap_or(candidates.next());
         Some(format!("{home}.{number}"))
     }
 
@@ -209,9 +216,9 @@
     }
 
     /// How many machine shards must be as they are if these must be, too.
-    fn guard_count_with(&self, conditions: &BTreeSet<String>) -> usize {
+    fn guard_count_with(&self, more: &BTreeSet<String>) -> usize {
         let edited: BTreeSet<&String> = self.edited.keys().collect();
-        let guarded = self.guarded.iter().chain(conditions);
+        let guarded = self.guarded.iter().chain(more);
         edited
             .into_iter()
             .chain(guarded)
@@ -221,7 +228,7 @@
 
     /// Guards every machine shard that it depends on, and writes those that it changes.
     pub fn into_commit(mut self) -> (Vec<Guard>, Vec<Write>) {
-        self.split_long();
+        self.split_oversized();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
         let guards = all
             .into_iter()
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -15,7 +15,7 @@
 /// The controller that places a job first. With teams enough to go round it is
 /// the same for all of a team: its record is then written by one, and jobs
 /// that are placed together share that write.
-pub fn preferred_placer<'a>(
+pub(super) fn preferred_placer<'a>(
     settings: &Settings,
     job: &str,
     team: &str,
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -10,7 +10,7 @@
 use crate::state::replica::{PlanSlot, Replica};
 
 /// Stands for a machine that has no name yet, as it is not rented yet.
-pub const UNASSIGNED: u32 = u32::MAX;
+pub(super) const UNASSIGNED: u32 = u32::MAX;
 
 /// Free capacity as a round plans with it: what the replica's bookings leave, less
 /// what the round has given out already. Copied often, so it holds no text.
--- a/src/scheduler/preemption_search.rs
+++ b/src/scheduler/preemption_search.rs
@@ -13,13 +13,13 @@
 
 /// Work that may be preempted for another job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PreemptionCandidate {
+pub(super) struct PreemptionCandidate {
     /// The job whose tasks stop.
-    pub job: String,
+    pub(super) job: String,
     /// The machine that they run on.
-    pub machine: String,
+    pub(super) machine: String,
     /// How many tasks of the job stop there.
-    pub tasks: usize,
+    pub(super) tasks: usize,
 }
 
 /// The work that a search has found.
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -16,7 +16,7 @@
 /// waiting that no order by size, team or lateness can push back. Only for what has
 /// never begun: the rest of an array follows in the usual order, and what was
 /// preempted for a guarantee must not push back in before it.
-pub fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
+pub(super) fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
     age > settings.starvation_threshold_s()
         && job.attempt == 0
         && job.waiting() == spec.tasks as usize
@@ -24,18 +24,18 @@
 
 /// What the queue is sorted by, the first differing field first: lower goes first.
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
-pub struct QueueSortKey {
+struct QueueSortKey {
     /// It fails wherever it runs: all others go first.
-    pub doubtful: bool,
+    doubtful: bool,
     /// No capacity has been cleared for it. Jobs that work was preempted for go
     /// first whatever the policy says, or it would serve another job.
-    pub without_cleared_capacity: bool,
+    without_cleared_capacity: bool,
     /// It has not waited beyond the bound; those that have go first, by age.
-    pub not_starving: bool,
+    not_starving: bool,
     /// The policy's keys.
-    pub keys: Vec<f64>,
+    keys: Vec<f64>,
     /// The revision that the job was accepted at.
-    pub accepted_revision: u64,
+    accepted_revision: u64,
 }
 
 /// How long each open job has been known here; a hint for the queue's order.
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -36,6 +36,17 @@
     )
 }
 
+/// The placements that a job gets in this round: of one that fails wherever it runs, a
+/// part. One task shows whether it still fails; of a gang it takes all, and a service
+/// whose first replica has run for a while is in order.
+fn limited_if_doubtful(waiting: WaitingJob, mut tasks: Vec<TaskPlacement>) -> Vec<TaskPlacement> {
+    let WaitingJob { job, spec, .. } = waiting;
+    if job.is_doubtful() && !spec.is_gang() && job.booked() == 0 {
+        tasks.truncate(1);
+    }
+    tasks
+}
+
 impl<'a> Round<'a> {
     /// Finds placements for the jobs that wait, in queue order. All of them are in one
     /// queue, whoever places them: a job that another controller places first
@@ -66,6 +77,7 @@
         }
         let spec = job.spec.clone()?;
         let context = SearchContext {
+            controller: self.controller.name(),
             settings: &self.controller.settings,
             hints: &self.hints(id, &spec, own),
             plan: &self.plan,
@@ -75,32 +87,34 @@
             job,
             spec: &spec,
         };
-        let controller = self.controller.name();
-        let decision = match self.search.find_placements(controller, &context, waiting) {
-            Ok(mut tasks) => {
-                // One task shows whether the job still fails; of a gang it takes
-                // all, and a service whose first replica has run for a while is
-                // in order.
-                if job.is_doubtful() && !spec.is_gang() && job.booked() == 0 {
-                    tasks.truncate(1);
-                }
+        let decision = match self.search.find_placements(&context, waiting) {
+            Ok(tasks) => {
+                let tasks = limited_if_doubtful(waiting, tasks);
                 JobDecision::Place(spec, tasks)
             }
-            // It preempts nobody and has nothing reserved for it.
-            Err(_) if job.is_doubtful() => JobDecision::Wait(Wait {
+            Err(reason) => JobDecision::Wait(self.wait(id, job, spec, reason, own)),
+        };
+        Some(decision)
+    }
+
+    /// How a job waits that no placements were found for.
+    fn wait(&self, id: &str, job: &Job, spec: Spec, reason: WaitReason, own: bool) -> Wait {
+        // It preempts nobody and has nothing reserved for it.
+        if job.is_doubtful() {
+            return Wait {
                 spec,
                 reason: WaitReason::Fails,
                 starving: false,
                 blocked: false,
-            }),
-            Err(reason) => JobDecision::Wait(Wait {
-                starving: lacks_capacity(reason) && self.is_starving(id, job, &spec),
-                blocked: own && lacks_capacity(reason),
-                spec,
-                reason,
-            }),
-        };
-        Some(decision)
+            };
+        }
+        let lacks_capacity = lacks_capacity(reason);
+        Wait {
+            starving: lacks_capacity && self.is_starving(id, job, &spec),
+            blocked: own && lacks_capacity,
+            spec,
+            reason,
+        }
     }
 
     /// Whether the job is in its retry back-off. One that failed in this very
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -49,6 +49,8 @@
 
 /// What a search for a job's placements goes by.
 pub(super) struct SearchContext<'a> {
+    /// The name of the controller that searches.
+    pub(super) controller: &'a str,
     pub(super) settings: &'a Settings,
     pub(super) hints: &'a PlacementHints<'a>,
     pub(super) plan: &'a Plan,
@@ -110,7 +112,6 @@
     /// its shape.
     pub(super) fn find_placements(
         &mut self,
-        controller: &str,
         context: &SearchContext,
         waiting: WaitingJob,
     ) -> Result<Vec<TaskPlacement>, WaitReason> {
@@ -122,7 +123,7 @@
         {
             return Err(failed.reason);
         }
-        let found = self.search(controller, context, waiting);
+        let found = self.search(context, waiting);
         if let (Some(shape), Err(reason @ (WaitReason::NoRoom | WaitReason::NoZone))) =
             (shape, &found)
         {
@@ -137,7 +138,6 @@
     /// it may.
     fn search(
         &mut self,
-        controller: &str,
         context: &SearchContext,
         waiting: WaitingJob,
     ) -> Result<Vec<TaskPlacement>, WaitReason> {
@@ -156,7 +156,7 @@
                 return mild;
             }
         }
-        if self.will_fit_strictly(controller, context, waiting) {
+        if self.will_fit_strictly(context, waiting) {
             return strict;
         }
         let lax = request.with_protection(AcceleratorProtection::Lax);
@@ -165,12 +165,7 @@
 
     /// Whether capacity for the job under strict protection is being cleared, or can be
     /// by a preemption.
-    fn will_fit_strictly(
-        &mut self,
-        controller: &str,
-        context: &SearchContext,
-        waiting: WaitingJob,
-    ) -> bool {
+    fn will_fit_strictly(&mut self, context: &SearchContext, waiting: WaitingJob) -> bool {
         let replica = context.hints.replica;
         let expected_plan = self.expected_plan(replica, context.plan).clone();
         let wanted = waiting.placements_wanted();
@@ -183,7 +178,7 @@
             return false;
         }
         self.preemption_searches += 1;
-        let running = self.running(controller, replica, context.plan);
+        let running = self.running(context.controller, replica, context.plan);
         let workload = RunningWorkload {
             settings: context.settings,
             hints: context.hints,
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -3,7 +3,7 @@
 //! Two controllers that take up a new machine at once must not put it into two
 //! shards. So a commit that adds a machine guards every shard that the machine could
 //! have been put into, and the absence of the next shard of its home. While a home
-//! has few shards these are all of them. A home with more, of which the conditions
+//! has few shards these are all of them. A home with more, of which the guards
 //! of one commit could not hold all, has its shards in groups: a machine belongs to
 //! the group that its name and the number of shards select.
 //!
@@ -40,10 +40,10 @@
 }
 
 impl ShardCandidates {
-    /// Selects the group of a machine among a home's shards, with at most `most`
-    /// shards a group.
-    pub fn select(machine: &str, shards: usize, most: usize) -> Self {
-        let groups = shards.div_ceil(most.max(1)).next_power_of_two();
+    /// Selects the group of a machine among a home's shards, with at most
+    /// `max_group` shards a group.
+    pub fn select(machine: &str, shards: usize, max_group: usize) -> Self {
+        let groups = shards.div_ceil(max_group.max(1)).next_power_of_two();
         let selected = block_hash(machine) % groups as u64;
         ShardCandidates {
             first: selected as usize,
@@ -66,7 +66,7 @@
         (self.first..self.shards).step_by(self.step)
     }
 
-    /// The number of the shard that is created if none of the others has room.
+    /// The number of the shard that is created if none of the others has capacity.
     pub fn next(&self) -> usize {
         self.shards
     }
@@ -79,7 +79,7 @@
     fnv1a(prefix.bytes().chain(block.to_le_bytes()))
 }
 
-/// The most shards that a new machine is chosen among: an eighth of the conditions
+/// The most shards that a new machine is chosen among: an eighth of the guards
 /// that a commit may have, so that machines of several groups fit into one.
 pub(super) fn max_group(settings: &Settings) -> usize {
     settings.txn_ops() * GUARDS_PER_WRITE / 8
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// No zone has room for the whole gang, or no machine for a task.
+    /// No zone has capacity for the whole gang, or no machine for a task.
     NoRoom,
     /// No single zone holds a gang that must stay in one.
     NoZone,
@@ -19,7 +19,7 @@
     BackOff,
     /// It fails wherever it runs: a part of it is tried now and then.
     Fails,
-    /// Its tasks may not all be in the zones that have room.
+    /// Its tasks may not all be in the zones that have capacity.
     Spread,
     /// More tasks would not fit into the job's record.
     RecordFull,
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -42,17 +42,17 @@
     }
     let check = |replica: &Replica, step: &str, expected: &[(&str, Priority, Option<f64>)]| {
         let now = Instant::now();
-        for (id, priority, left_s) in expected {
+        for (id, priority, time_left_s) in expected {
             let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
             let urgency = replica.effective_urgency(id, spec, now);
             assert_eq!(urgency.priority, *priority, "{step}: {id}");
-            let near = match (urgency.time_left_s, left_s) {
+            let near = match (urgency.time_left_s, time_left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
                 (a, b) => a.is_none() && b.is_none(),
             };
             assert!(
                 near,
-                "{step}: {id}: {:?}, not {left_s:?}",
+                "{step}: {id}: {:?}, not {time_left_s:?}",
                 urgency.time_left_s
             );
         }
@@ -105,7 +105,7 @@
         {"kind": "deadline", "class": "d", "target": 0.9},
     ]);
     let set = Settings::parse(&set.to_string()).expect("settings");
-    // RequestClass, own deadline, left of the effective one, asked for, age -> late.
+    // Class, own deadline, time left, whether dependents have a deadline, age -> late.
     // The estimate is 10 s.
     let cases = [
         ("x", None, None, false, 999.0, false),
@@ -122,7 +122,7 @@
         ("d", None, None, false, 999.0, false),
     ];
     for case in cases {
-        let (class, deadline_s, left_s, asked, age, expected) = case;
+        let (class, deadline_s, time_left_s, dependents_have_deadline, age, expected) = case;
         let spec = Spec {
             class: class.into(),
             deadline_s,
@@ -130,8 +130,8 @@
         };
         let urgency = EffectiveUrgency {
             priority: Priority::Low,
-            time_left_s: left_s,
-            dependents_have_deadline: asked,
+            time_left_s,
+            dependents_have_deadline,
         };
         let got = scheduler::is_late(&spec, &set, age, &urgency);
         assert_eq!(got, expected, "{case:?}");
@@ -275,7 +275,7 @@
     }
 }
 
-/// Safety 7: what waits is not booked, whoever found places for it; and once it
+/// Safety 7: what waits is not booked, whoever found placements for it; and once it
 /// is, its record no longer names what was awaited.
 #[test]
 fn what_waits_is_not_booked() {
@@ -296,7 +296,7 @@
         );
         let plan = Plan::from_replica(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = scheduler::find_placements(
+        let placements = scheduler::find_placements(
             &second,
             &spec,
             &plan,
@@ -305,7 +305,7 @@
             AcceleratorProtection::Lax,
         );
         let mut transaction = Transaction::new(&replica, 9);
-        let got = transaction.book("job-2", &spec, &places.expect("places"));
+        let got = transaction.book("job-2", &spec, &placements.expect("placements"));
         assert_eq!(got, booked, "{status:?}");
         let left = transaction.job("job-2").and_then(|j| j.spec.as_ref());
         let left = left.map_or(0, |s| s.dependencies.len());
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -32,9 +32,9 @@
             &set,
             AcceleratorProtection::Lax,
         )
-        .map(|places| {
+        .map(|placements| {
             let mut zones = BTreeMap::new();
-            for p in places {
+            for p in placements {
                 *zones.entry(p.zone.to_string()).or_insert(0) += 1;
             }
             zones.into_iter().collect::<Vec<_>>()
@@ -74,7 +74,7 @@
     };
     let one = view_with(&[("a", "m1", 8.0)]);
     assert_eq!(fit(&spread, &one), Ok(vec![("a".into(), 2)]));
-    // 16 CPUs are the team's limit, whatever the room.
+    // 16 CPUs are the team's limit, whatever the free capacity.
     let wide = view_with(&[("a", "m1", 40.0)]);
     assert_eq!(
         fit(&spec(Kind::Array, 20, 2.0), &wide),
@@ -101,10 +101,10 @@
     let mut job = Job::new(s.clone(), 1);
     let task = job.take_fresh().expect("one");
     job.book("m9", "b", 1, task);
-    let places =
+    let placements =
         scheduler::find_placements(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax)
             .expect("fits");
-    assert!(places.iter().all(|p| &*p.zone == "b"), "{places:?}");
+    assert!(placements.iter().all(|p| &*p.zone == "b"), "{placements:?}");
     let gang = spec(Kind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
@@ -144,7 +144,7 @@
     }
 }
 
-/// An array may have its places in more zone shards than a commit writes, a gang goes
+/// An array may have its placements in more zone shards than a commit writes, a gang goes
 /// whole or not at all.
 #[test]
 fn what_a_commit_cannot_hold_is_booked_by_several() {
@@ -170,20 +170,24 @@
         );
         let job = replica.jobs["job-1"].value.clone();
         let plan = Plan::from_replica(&replica);
-        let mut terms = set.clone();
-        terms.deployment.teams[0].cpus_max = 1e6;
-        let places = scheduler::find_placements(
+        let mut unlimited = set.clone();
+        unlimited.deployment.teams[0].cpus_max = 1e6;
+        let placements = scheduler::find_placements(
             &job,
             &wide,
             &plan,
             &hints(&replica),
-            &terms,
+            &unlimited,
             AcceleratorProtection::Lax,
         );
-        let places = places.expect("room for all");
-        assert_eq!(places.len(), 9);
+        let placements = placements.expect("capacity for all");
+        assert_eq!(placements.len(), 9);
         let mut transaction = Transaction::new(&replica, 6);
-        assert_eq!(transaction.book("job-1", &wide, &places), want, "{kind:?}");
+        assert_eq!(
+            transaction.book("job-1", &wide, &placements),
+            want,
+            "{kind:?}"
+        );
         assert!(transaction.len() <= 6);
     }
 }
@@ -196,7 +200,7 @@
         ..spec(Kind::Array, 1, 1.0)
     };
     use Priority::*;
-    // (job, in guarantee, victim, victim borrows) -> may stop
+    // (job, within guarantee, running work, it borrows) -> may be preempted
     let cases = [
         (("t", High), false, ("t", Low), false, true),
         (("t", Normal), false, ("u", Normal), true, false),
@@ -214,14 +218,17 @@
         !may_preempt((&with("t", High), High), true, (&service, Production), true),
         "a service is not ended for a guarantee"
     );
-    for (job, inside, victim, borrows, expected) in cases {
+    for (job, within_guarantee, running, borrows, expected) in cases {
         let got = may_preempt(
             (&with(job.0, job.1), job.1),
-            inside,
-            (&with(victim.0, victim.1), victim.1),
+            within_guarantee,
+            (&with(running.0, running.1), running.1),
             borrows,
         );
-        assert_eq!(got, expected, "{job:?} {inside} {victim:?} {borrows}");
+        assert_eq!(
+            got, expected,
+            "{job:?} {within_guarantee} {running:?} {borrows}"
+        );
     }
 }
 
@@ -286,7 +293,7 @@
     }
 }
 
-/// The first large gang in line has its room kept from what comes behind it,
+/// The first large gang in line has capacity reserved from what comes behind it,
 /// in the zone that has the most of it, and there only.
 #[test]
 fn room_is_held_for_a_large_gang() {
@@ -303,7 +310,7 @@
     let mut plan = Plan::from_replica(&replica);
     scheduler::reserve_capacity(&gang, &mut plan, &hints(&replica));
     let free = |m: &str| {
-        plan.plan_slots[plan.slot_index_of(&replica, m).expect("spot")]
+        plan.plan_slots[plan.slot_index_of(&replica, m).expect("a plan slot")]
             .free
             .cpus
             .units()
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Shards of the only home of zone `a`, full or with room, under the newest formats.
+/// Shards of the only home of zone `a`, full or with capacity, under the newest formats.
 struct Home {
     settings: Settings,
     replica: Replica,
