--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -4,7 +4,8 @@
 use tokio::time::Instant;
 
 use super::setup::{
-    after, ended, hints, jobs_of, settings, settings_json, spec, view_with, view_with_types,
+    after, ended, hints, jobs_of, may_preempt, settings, settings_json, spec, view_with,
+    view_with_types,
 };
 use shelfhoist::dependencies::EffectiveUrgency;
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
@@ -41,17 +42,17 @@
     }
     let check = |replica: &Replica, step: &str, expected: &[(&str, Priority, Option<f64>)]| {
         let now = Instant::now();
-        for (id, priority, left_s) in expected {
+        for (id, priority, time_left_s) in expected {
             let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
             let urgency = replica.effective_urgency(id, spec, now);
             assert_eq!(urgency.priority, *priority, "{step}: {id}");
-            let near = match (urgency.time_left_s, left_s) {
+            let near = match (urgency.time_left_s, time_left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
                 (a, b) => a.is_none() && b.is_none(),
             };
             assert!(
                 near,
-                "{step}: {id}: {:?}, not {left_s:?}",
+                "{step}: {id}: {:?}, not {time_left_s:?}",
                 urgency.time_left_s
             );
         }
@@ -104,7 +105,7 @@
         {"kind": "deadline", "class": "d", "target": 0.9},
     ]);
     let set = Settings::parse(&set.to_string()).expect("settings");
-    // RequestClass, own deadline, left of the effective one, asked for, age -> late.
+    // Class, own deadline, time left, whether dependents have a deadline, age -> late.
     // The estimate is 10 s.
     let cases = [
         ("x", None, None, false, 999.0, false),
@@ -121,7 +122,7 @@
         ("d", None, None, false, 999.0, false),
     ];
     for case in cases {
-        let (class, deadline_s, left_s, asked, age, expected) = case;
+        let (class, deadline_s, time_left_s, dependents_have_deadline, age, expected) = case;
         let spec = Spec {
             class: class.into(),
             deadline_s,
@@ -129,17 +130,17 @@
         };
         let urgency = EffectiveUrgency {
             priority: Priority::Low,
-            time_left_s: left_s,
-            dependents_have_deadline: asked,
+            time_left_s,
+            dependents_have_deadline,
         };
         let got = scheduler::is_late(&spec, &set, age, &urgency);
         assert_eq!(got, expected, "{case:?}");
     }
 }
 
-/// Work is stopped by the priority that counts, on both sides.
+/// Work is preempted by the effective priority, on both sides.
 #[test]
-fn preemption_goes_by_the_priority_of_what_needs_a_job() {
+fn preemption_goes_by_the_effective_priority() {
     use Priority::*;
     let low = spec(Kind::Array, 1, 1.0);
     let low = Spec {
@@ -152,7 +153,7 @@
         (High, High, false),
         (Low, High, false),
     ] {
-        let got = scheduler::may_preempt((&low, ours), false, (&low, theirs), false);
+        let got = may_preempt((&low, ours), false, (&low, theirs), false);
         assert_eq!(got, expected, "{ours:?} {theirs:?}");
     }
 }
@@ -278,7 +279,7 @@
     }
 }
 
-/// Safety 7: what waits is not booked, whoever found places for it; and once it
+/// Safety 7: what waits is not booked, whoever found placements for it; and once it
 /// is, its record no longer names what was awaited.
 #[test]
 fn what_waits_is_not_booked() {
@@ -299,7 +300,7 @@
         );
         let plan = Plan::from_replica(&replica);
         let spec = second.spec.clone().expect("spec");
-        let places = scheduler::find_placements(
+        let placements = scheduler::find_placements(
             &second,
             &spec,
             &plan,
@@ -308,7 +309,7 @@
             AcceleratorProtection::Lax,
         );
         let mut transaction = Transaction::new(&replica, 9);
-        let got = transaction.book("job-2", &spec, &places.expect("places"));
+        let got = transaction.book("job-2", &spec, &placements.expect("placements"));
         assert_eq!(got, booked, "{status:?}");
         let left = transaction.job("job-2").and_then(|j| j.spec.as_ref());
         let left = left.map_or(0, |s| s.dependencies.len());
