--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -66,14 +66,12 @@
                 {
                     continue;
                 }
-                let offer = MachineOffer::new(&machine_type.name, zone, spot);
-                if !self.is_available(&offer) {
-                    continue;
-                }
                 let price_per_task = price / slots.min(wanted_slots) as f64;
-                if best
-                    .as_ref()
-                    .is_none_or(|best| price_per_task < best.price_per_task)
+                let offer = MachineOffer::new(&machine_type.name, zone, spot);
+                if self.is_available(&offer)
+                    && best
+                        .as_ref()
+                        .is_none_or(|best| price_per_task < best.price_per_task)
                 {
                     best = Some(ChosenOffer {
                         machine_type,
--- /dev/null
+++ b/tests/fleet/deployments.rs
@@ -0,0 +1,55 @@
+//! The deployments that operators have named, at the size of the largest one.
+
+use serde_json::json;
+
+use crate::stand_ins::Shape;
+
+/// Five controllers in three zones, 1,905 machines.
+pub fn yard() -> Shape {
+    Shape {
+        controllers: 5,
+        locations: vec!["a", "b", "c", "a", "b"],
+        zones: vec!["a", "b", "c"],
+        machine_zones: vec!["a", "b", "c"],
+        report_s: 5.0,
+        report_jitter: 0.25,
+        lease_s: 26.5,
+        cancel_s: 46.5,
+        teams: teams(16, 1500.0, 6000.0),
+        state: json!({"rps": 150.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16}),
+        sockets: 2752,
+        machines: 1905,
+        ready_s: 3600.0,
+        boot_s: 4.0,
+        shares: false,
+        loopback: false,
+    }
+}
+
+/// Three controllers in two zones, 1,295 machines.
+pub fn clubs() -> Shape {
+    Shape {
+        controllers: 3,
+        locations: vec!["a", "a", "b"],
+        zones: vec!["a", "b"],
+        machine_zones: vec!["a", "b"],
+        report_s: 4.0,
+        report_jitter: 0.25,
+        lease_s: 22.0,
+        cancel_s: 52.0,
+        teams: teams(4, 5000.0, 18000.0),
+        state: json!({"rps": 700.0, "write_rps": 300.0, "value_kb": 16.0, "txn_ops": 12}),
+        sockets: 3004,
+        machines: 1295,
+        ready_s: 3600.0,
+        boot_s: 4.0,
+        shares: false,
+        loopback: false,
+    }
+}
+
+/// Teams `t0`, `t1` and so on with the same limits each.
+pub fn teams(count: usize, max_cpus: f64, max_memory: f64) -> Vec<(String, f64, f64)> {
+    let team = |number| (format!("t{number}"), max_cpus, max_memory);
+    (0..count).map(team).collect()
+}
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -10,6 +10,7 @@
 use shelfhoist::state::records::{MachineShard, ZoneShard};
 use tokio::time::{Instant, sleep};
 
+use crate::deployments::{clubs, teams, yard};
 use crate::stand_ins::{Shape, StateLimits, World, in_world, job};
 
 const MACHINES: usize = 4000;
@@ -24,53 +25,34 @@
 }
 
 /// The yard's limits, with sockets for fewer workers than there are.
-fn yard(layout: Layout) -> Shape {
-    Shape {
-        controllers: layout.locations.len(),
-        locations: layout.locations,
-        zones: vec!["a", "b", "c"],
-        machine_zones: layout.machine_zones,
-        report_s: 5.0,
-        report_jitter: 0.25,
-        lease_s: 26.5,
-        cancel_s: 46.5,
-        teams: teams(),
-        state: json!({"rps": 150.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16}),
-        sockets: 2752,
-        machines: MACHINES,
-        ready_s: 3600.0,
-        boot_s: 4.0,
-        shares: false,
-        loopback: false,
-    }
+fn yard_with(layout: Layout) -> Shape {
+    with_layout(yard(), layout)
 }
 
 /// The clubs' limits, and the fewest sockets that any deployment gives.
-fn clubs(layout: Layout) -> Shape {
+fn clubs_with(layout: Layout) -> Shape {
     Shape {
-        report_s: 4.0,
-        lease_s: 22.0,
-        cancel_s: 52.0,
-        state: json!({"rps": 700.0, "write_rps": 300.0, "value_kb": 16.0, "txn_ops": 12}),
         sockets: 900,
-        ..yard(layout)
+        ..with_layout(clubs(), layout)
     }
 }
 
-fn teams() -> Vec<(String, f64, f64)> {
-    let team = |n: usize| {
-        (
-            format!("t{n}"),
-            8.0 * MACHINES as f64,
-            64.0 * MACHINES as f64,
-        )
-    };
-    (0..8).map(team).collect()
+/// A deployment with 4,000 machines in this layout.
+fn with_layout(deployment: Shape, layout: Layout) -> Shape {
+    Shape {
+        controllers: layout.locations.len(),
+        locations: layout.locations,
+        zones: vec!["a", "b", "c"],
+        machine_zones: layout.machine_zones,
+        teams: teams(8, 8.0 * MACHINES as f64, 64.0 * MACHINES as f64),
+        machines: MACHINES,
+        ..deployment
+    }
 }
 
 /// Machines by what the state says of them.
 struct Recorded {
-    /// Held by a controller.
+    /// Owned by a controller.
     claimed: BTreeSet<String>,
     /// In a zone shard: they take work.
     listed: BTreeSet<String>,
@@ -86,7 +68,7 @@
         let held = shard
             .machines
             .into_iter()
-            .filter(|(_, m)| m.fencing_token > 0);
+            .filter(|(_, machine)| machine.fencing_token > 0);
         recorded.claimed.extend(held.map(|(name, _)| name));
     }
     for (key, value) in world.state.records("sh/zone/") {
@@ -97,7 +79,7 @@
 }
 
 /// Waits until every machine is claimed and listed.
-async fn all_take_part(world: &World, limit_s: f64, after: &str) {
+async fn wait_until_all_take_part(world: &World, limit_s: f64, after: &str) {
     let began = Instant::now();
     loop {
         let names: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
@@ -118,17 +100,17 @@
 }
 
 /// Submits work for every machine, a task each, and waits until each has one.
-async fn all_work(world: &World, wave: u32, limit_s: f64, after: &str) -> Vec<String> {
+async fn submit_work_for_all(world: &World, wave: u32, limit_s: f64, after: &str) -> Vec<String> {
     let machines = world.workers.borrow().len();
     let mut ids = Vec::new();
-    for n in 0..machines.div_ceil(TASKS_PER_JOB) {
+    for number in 0..machines.div_ceil(TASKS_PER_JOB) {
         let mut array: Value = job(
-            wave * 1000 + n as u32,
+            wave * 1000 + number as u32,
             "batch",
             TASKS_PER_JOB as u32,
             limit_s,
         );
-        array["crew"] = json!(format!("t{}", n % world.shape.teams.len()));
+        array["crew"] = json!(format!("t{}", number % world.shape.teams.len()));
         array["vcpus"] = json!(8.0);
         ids.push(world.submit(array).await);
     }
@@ -150,10 +132,11 @@
     ids
 }
 
-async fn all_done(world: &World, ids: &[String], limit_s: f64) {
+/// Waits until every job is done, as its controller tells.
+async fn wait_until_all_done(world: &World, ids: &[String], limit_s: f64) {
     let began = Instant::now();
-    for (n, id) in ids.iter().enumerate() {
-        let controller = n % world.shape.controllers;
+    for (number, id) in ids.iter().enumerate() {
+        let controller = number % world.shape.controllers;
         while world.stage(controller, id).await.as_deref() != Some("done") {
             assert!(began.elapsed().as_secs_f64() < limit_s, "{id} is not done");
             sleep(Duration::from_secs(1)).await;
@@ -169,26 +152,28 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-fn goes_through(shape: Shape) {
-    goes_through_with_limits(shape, None);
+/// A start, a takeover of all by one controller, a fifth of the machines lost, and a
+/// restart of all controllers.
+fn run_all_stages(shape: Shape) {
+    run_all_stages_with_limits(shape, None);
 }
 
 /// The same, with limits that come into force once all machines have taken part.
-fn goes_through_with_limits(shape: Shape, falls_to: Option<StateLimits>) {
+fn run_all_stages_with_limits(shape: Shape, reduced_limits: Option<StateLimits>) {
     in_world(|| async move {
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
         let world = World::of(31, shape).await;
-        all_take_part(&world, lease_s * 3.0, "a start").await;
-        if let Some(limits) = falls_to {
+        wait_until_all_take_part(&world, lease_s * 3.0, "a start").await;
+        if let Some(limits) = reduced_limits {
             world.state.limits.set(limits);
         }
-        let ids = all_work(&world, 1, lease_s * 6.0, "a start").await;
+        let ids = submit_work_for_all(&world, 1, lease_s * 6.0, "a start").await;
         assert_eq!(world.lapsed(), 0, "leases ran out at the start");
 
-        for i in 1..controllers {
-            world.kill(i);
+        for controller in 1..controllers {
+            world.kill(controller);
         }
         sleep(lease * 2).await;
         let lapsed = world.lapsed() as usize;
@@ -196,25 +181,25 @@
         let held = world.holders();
         let by_last = held.iter().filter(|(_, owner)| owner == "n0").count();
         assert_eq!(by_last, MACHINES, "machines of the last controller");
-        for i in 1..controllers {
-            world.start(i);
+        for controller in 1..controllers {
+            world.start(controller);
         }
-        all_done(&world, &ids, lease_s * 12.0).await;
+        wait_until_all_done(&world, &ids, lease_s * 12.0).await;
 
         let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
             world.lose(name);
         }
-        let ids = all_work(&world, 2, lease_s * 12.0, "a fifth was lost").await;
-        for i in 0..controllers {
-            world.kill(i);
+        let ids = submit_work_for_all(&world, 2, lease_s * 12.0, "a fifth was lost").await;
+        for controller in 0..controllers {
+            world.kill(controller);
         }
         sleep(lease / 4).await;
-        for i in 0..controllers {
-            world.start(i);
+        for controller in 0..controllers {
+            world.start(controller);
         }
-        all_take_part(&world, lease_s * 6.0, "a restart of all").await;
-        all_done(&world, &ids, lease_s * 16.0).await;
+        wait_until_all_take_part(&world, lease_s * 6.0, "a restart of all").await;
+        wait_until_all_done(&world, &ids, lease_s * 16.0).await;
         assert_within_limits(&world);
         world.assert_kept();
     });
@@ -222,7 +207,7 @@
 
 #[test]
 fn four_thousand_machines_spread_over_three_zones_with_five_controllers() {
-    goes_through(yard(Layout {
+    run_all_stages(yard_with(Layout {
         locations: vec!["a", "b", "c", "a", "b"],
         machine_zones: vec!["a", "b", "c"],
     }));
@@ -230,7 +215,7 @@
 
 #[test]
 fn four_thousand_machines_in_one_zone_with_five_controllers_of_which_one_is_there() {
-    goes_through(yard(Layout {
+    run_all_stages(yard_with(Layout {
         locations: vec!["a", "b", "c", "b", "c"],
         machine_zones: vec!["a"],
     }));
@@ -238,7 +223,7 @@
 
 #[test]
 fn four_thousand_machines_spread_over_two_zones_with_three_controllers() {
-    goes_through(clubs(Layout {
+    run_all_stages(clubs_with(Layout {
         locations: vec!["a", "a", "b"],
         machine_zones: vec!["a", "b"],
     }));
@@ -246,7 +231,7 @@
 
 #[test]
 fn four_thousand_machines_in_one_zone_with_three_controllers() {
-    goes_through(clubs(Layout {
+    run_all_stages(clubs_with(Layout {
         locations: vec!["a", "a", "a"],
         machine_zones: vec!["a"],
     }));
@@ -256,16 +241,16 @@
 /// page names: 2 KiB and four writes.
 #[test]
 fn four_thousand_machines_of_one_home_when_the_limits_fall() {
-    let mut shape = yard(Layout {
+    let mut shape = yard_with(Layout {
         locations: vec!["a", "b", "c", "b", "c"],
         machine_zones: vec!["a"],
     });
     shape.state["next"] = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0});
-    let fallen = StateLimits {
+    let reduced = StateLimits {
         txn_ops: 4,
         value_limit_bytes: 2048,
         write_rps: 30.0,
         rps: 150.0,
     };
-    goes_through_with_limits(shape, Some(fallen));
+    run_all_stages_with_limits(shape, Some(reduced));
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -6,5 +6,6 @@
 #[allow(dead_code)]
 mod stand_ins;
 
+mod deployments;
 mod four_thousand;
 mod mass_failures;
