--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -191,18 +191,29 @@
             compact: self.replica.uses_compact_encoding(),
             max_name_length: settings.max_name_length(),
         };
-        let added = sizes.machine_bytes(name, kind);
+        let added_bytes = sizes.machine_bytes(name, kind);
         let with_capacity = candidates.numbers().find(|number| {
-            let limit = max_shard_bytes(settings, sizes.compact, *number);
-            let shard = self.shard(&numbered_id(zone, home, *number));
-            let used = shard.map_or(0, |shard| sizes.shard_bytes(shard));
-            // One that alone is too long for a record still has a shard.
-            used == 0 || used + added <= limit
+            let max_bytes = max_shard_bytes(settings, sizes.compact, *number);
+            let id = numbered_id(zone, home, *number);
+            self.has_capacity_for(&id, added_bytes, max_bytes, &sizes)
         });
         let number = with_capacity.unwrap_or(candidates.next());
         Some(format!("{home}.{number}"))
     }
 
+    /// Whether the shard's record can grow by so many bytes.
+    fn has_capacity_for(
+        &self,
+        id: &str,
+        added_bytes: usize,
+        max_bytes: usize,
+        sizes: &ShardRecordSizes,
+    ) -> bool {
+        let used_bytes = self.shard(id).map_or(0, |shard| sizes.shard_bytes(shard));
+        // One that alone is too long for a record still has a shard.
+        used_bytes == 0 || used_bytes + added_bytes <= max_bytes
+    }
+
     /// How many machine shards a home has, those that this commit creates included.
     fn shard_count(&self, zone: &str, home: &str) -> usize {
         let exists = |number: &usize| self.shard(&numbered_id(zone, home, *number)).is_some();
