--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 pub use message::{FrameError, PeerStatus, decode, encode};
-pub use peer_table::{PeerState, PeerTable};
+pub use peer_table::PeerTable;
 pub use receiver::run_receiver;
 pub use sender::run_sender;
 pub use write_budget::run_write_budget;
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -17,21 +17,10 @@
 
 /// What another controller has last told of itself.
 #[derive(Debug)]
-pub struct PeerState {
+struct PeerState {
     /// When it told so.
-    pub received_at: Instant,
-    /// The run of its process.
-    pub incarnation: u64,
-    /// How old its last barrier was, in milliseconds; `None` before its first barrier.
-    pub staleness_ms: Option<u64>,
-    /// How many machines it owned.
-    pub machines: u32,
-    /// How many of them had sent it nothing for two heartbeat intervals.
-    pub silent: u32,
-    /// What it would write to the state service, in keys a second.
-    pub writes: f64,
-    /// Offers that the cloud had refused it of late.
-    pub refused: Vec<String>,
+    received_at: Instant,
+    status: PeerStatus,
 }
 
 /// What the other controllers have told, by name.
@@ -40,19 +29,13 @@
 
 impl PeerTable {
     /// Records what a controller tells.
-    pub fn record(&mut self, status: PeerStatus, now: Instant) {
-        self.0.insert(
-            status.controller,
-            PeerState {
-                received_at: now,
-                incarnation: status.incarnation,
-                staleness_ms: status.staleness_ms,
-                machines: status.machines,
-                silent: status.silent,
-                writes: status.writes.clamp(0.0, MAX_WRITES_PER_S),
-                refused: status.refused,
-            },
-        );
+    pub fn record(&mut self, mut status: PeerStatus, now: Instant) {
+        status.writes = status.writes.clamp(0.0, MAX_WRITES_PER_S);
+        let state = PeerState {
+            received_at: now,
+            status,
+        };
+        self.0.insert(state.status.controller.clone(), state);
     }
 
     /// Those that were heard of late.
@@ -60,12 +43,12 @@
         &self,
         controller: &Controller,
         now: Instant,
-    ) -> impl Iterator<Item = (&str, &PeerState)> {
+    ) -> impl Iterator<Item = (&str, &PeerStatus)> {
         let max_age = gossip_interval(&controller.settings) * FRESH_INTERVALS;
         self.0
             .iter()
             .filter(move |(_, peer)| now.saturating_duration_since(peer.received_at) < max_age)
-            .map(|(name, peer)| (name.as_str(), peer))
+            .map(|(name, peer)| (name.as_str(), &peer.status))
     }
 
     /// This controller and those that were heard of late and are served by the state
@@ -86,7 +69,7 @@
     /// workers alone still talks to us and to the state service.
     pub fn receives_heartbeats(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(controller, now);
-        fresh.any(|(name, state)| name == peer && state.silent <= (state.machines / 4).max(1))
+        fresh.any(|(name, status)| name == peer && status.silent <= (status.machines / 4).max(1))
     }
 
     /// What the other controllers would write, in keys a second, in the order of the
--- a/src/workers/claim_queue.rs
+++ b/src/workers/claim_queue.rs
@@ -3,21 +3,9 @@
 use std::cell::{Cell, Ref, RefCell};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 use tokio::sync::{Notify, watch};
-use tokio::time::{Instant, timeout};
-
-use crate::controller::Controller;
-use crate::wire::WorkerStatus;
-
-/// How long a heartbeat waits for its claim: a worker drops an answer that takes
-/// 4 s, so one that cannot be claimed soon is refused while that still helps it.
-const CLAIM_WAIT: Duration = Duration::from_millis(3200);
-
-/// With more workers than connections, one connection in so many may be held by a
-/// heartbeat that waits for its claim.
-const CONNECTIONS_PER_AWAITED_CLAIM: usize = 16;
+use tokio::time::Instant;
 
 /// What has become of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -81,7 +69,7 @@
     }
 
     /// Adds a claim, or renews the one that waits already.
-    fn request(
+    pub(super) fn request(
         &self,
         machine: &str,
         known_fencing_token: u64,
@@ -104,6 +92,13 @@
         progress
     }
 
+    /// Counts a heartbeat that waits for its claim while the value lives; `None` if
+    /// `max` of them wait already.
+    pub(super) fn begin_wait(&self, max: usize) -> Option<WaitingHeartbeat<'_>> {
+        let count = &self.waiting_heartbeats;
+        (count.get() < max).then(|| WaitingHeartbeat::new(count))
+    }
+
     /// Waits until a claim has been asked for.
     pub(super) async fn requested(&self) {
         self.notify.notified().await;
@@ -136,7 +131,7 @@
 }
 
 /// Counts a heartbeat that waits for its claim, for as long as it does.
-struct WaitingHeartbeat<'a>(&'a Cell<usize>);
+pub(super) struct WaitingHeartbeat<'a>(&'a Cell<usize>);
 
 impl<'a> WaitingHeartbeat<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
@@ -150,63 +145,3 @@
         self.0.set(self.0.get() - 1);
     }
 }
-
-impl Controller {
-    /// Whether this run of the controller owns the machine, as far as its replica
-    /// tells.
-    pub fn owns(&self, machine: &str) -> bool {
-        let replica = self.replica.borrow();
-        let owned_workers = self.workers.owned();
-        match (owned_workers.get(machine), replica.machines.get(machine)) {
-            (Some(owned_worker), Some(record)) => {
-                owned_worker.fencing_token == record.value.fencing_token
-                    && record.value.incarnation == self.incarnation
-            }
-            _ => false,
-        }
-    }
-
-    /// Asks for a claim of the machine that the status is of; the receiver tells what
-    /// becomes of it.
-    pub(super) fn request_claim(
-        &self,
-        status: &WorkerStatus,
-        priority: ClaimPriority,
-    ) -> watch::Receiver<ClaimProgress> {
-        self.fleet.borrow_mut().remember(status);
-        let machine = status.machine.as_str();
-        let known_fencing_token = {
-            let replica = self.replica.borrow();
-            let record = replica.machines.get(machine);
-            record.map_or(0, |entry| entry.value.fencing_token)
-        };
-        self.workers
-            .claims
-            .request(machine, known_fencing_token, priority, Instant::now())
-    }
-
-    /// Claims the machine and waits for the commit; true if it is owned then. What
-    /// the state service refuses is not waited for.
-    pub(super) async fn claim(&self, status: &WorkerStatus) -> bool {
-        let mut progress = self.request_claim(status, ClaimPriority::Urgent);
-        let waiting = &self.workers.claims.waiting_heartbeats;
-        if waiting.get() < self.max_waiting_heartbeats() {
-            let _waiting = WaitingHeartbeat::new(waiting);
-            let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
-            let _ = timeout(CLAIM_WAIT, answered).await;
-        }
-        self.owns(&status.machine)
-    }
-
-    /// How many heartbeats may wait for their claims, each with its connection.
-    /// Where there may be more workers than connections, those that wait must not
-    /// shut the others out: most are told to stay, and send another heartbeat.
-    fn max_waiting_heartbeats(&self) -> usize {
-        let connections = self.settings.served_connections();
-        let machines = self.replica.borrow().machines.len();
-        match machines > connections / 4 * 3 {
-            true => connections / CONNECTIONS_PER_AWAITED_CLAIM,
-            false => connections,
-        }
-    }
-}
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -2,7 +2,7 @@
 //!
 //! A claim writes this controller as the owner into the machine's record, under a
 //! fencing token one above the highest known. Heartbeats ask for claims
-//! (`claim_queue`); several are committed at a time (`claim_plan`).
+//! (`claim_request`, `claim_queue`); several are committed at a time (`claim_plan`).
 
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -9,6 +9,7 @@
 mod capacity_plan;
 mod claim_plan;
 mod claim_queue;
+mod claim_request;
 mod claims;
 mod command_call;
 mod commands;
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -11,6 +11,7 @@
 
 use super::claim_queue::ClaimQueue;
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
+use crate::controller::Controller;
 
 /// The workers that this controller owns, and what waits to be committed for them.
 #[derive(Debug, Default)]
@@ -91,3 +92,19 @@
         self.publication_notify.notified()
     }
 }
+
+impl Controller {
+    /// Whether this run of the controller owns the machine, as far as its replica
+    /// tells.
+    pub fn owns(&self, machine: &str) -> bool {
+        let replica = self.replica.borrow();
+        let owned_workers = self.workers.owned();
+        match (owned_workers.get(machine), replica.machines.get(machine)) {
+            (Some(owned_worker), Some(record)) => {
+                owned_worker.fencing_token == record.value.fencing_token
+                    && record.value.incarnation == self.incarnation
+            }
+            _ => false,
+        }
+    }
+}
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -1,4 +1,4 @@
-//! The part of a zone's record that a machine's slot is put into.
+//! The zone shard that a machine's slot is put into.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct ShardEdit {
     pub record: ZoneShard,
-    /// Machines join or leave.
+    /// Machines join or leave it.
     pub changes_members: bool,
 }
 
@@ -27,8 +27,9 @@
     pub conditions: Conditions,
 }
 
-/// What zone shards' records may come to take, as a commit in the making leaves them. A home
-/// may have thousands of machines: each length is worked out once for each change.
+/// What zone shards' records may come to take, in bytes, as a commit in the making
+/// leaves them. A preferred owner may have thousands of machines: each length is worked
+/// out once for each change.
 #[derive(Default)]
 pub(super) struct ShardLengths(RefCell<HashMap<String, usize>>);
 
@@ -53,7 +54,7 @@
     pub replica: &'a Replica,
     pub edits: &'a BTreeMap<String, ShardEdit>,
     pub lengths: &'a ShardLengths,
-    /// Every machine's candidates begin with so many zone shards of its home.
+    /// Every machine's candidates begin with so many zone shards of its preferred owner.
     pub first_candidates: usize,
 }
 
@@ -65,7 +66,7 @@
     ///   is while that zone shard does not stand in the compact encoding: a commit that
     ///   an earlier version decided may still arrive, and knows no condition but the
     ///   zone shard's.
-    /// - Then the first of its candidates with room. The machine shard is a condition:
+    /// - Then the first of its candidates with capacity. The machine shard is a condition:
     ///   only its owner puts a machine anywhere, and a claim changes the machine
     ///   shard. So are all candidates up to that one, and the machine shard's own zone
     ///   shard: a commit of ours without an answer, which may be carried out later, had
@@ -94,20 +95,20 @@
             );
             let version = self.replica.zone_shard_version(&next);
             conditions.insert(zone_shard_key(&next), version);
-            if self.has_room(&next, id, machine) {
+            if self.has_capacity(&next, id, machine) {
                 shard = next;
                 break;
             }
         }
-        let whole = conditions.values().all(|v| *v <= self.replica.revision);
-        whole.then_some(ShardChoice { shard, conditions })
+        let is_known_wholly = conditions.values().all(|v| *v <= self.replica.revision);
+        is_known_wholly.then_some(ShardChoice { shard, conditions })
     }
 
     /// Whether the zone shard, as edited so far, is empty or takes the slot besides.
     /// What follows must depend on the record and the machine's names alone: not on
     /// what unbooked tasks take there just now.
-    fn has_room(&self, shard: &str, id: &str, machine: &Machine) -> bool {
-        let edited = self.edits.get(shard).map(|p| &p.record);
+    fn has_capacity(&self, shard: &str, id: &str, machine: &Machine) -> bool {
+        let edited = self.edits.get(shard).map(|edit| &edit.record);
         let known = || self.replica.zone_shards.get(shard).map(|e| &e.value);
         let Some(record) = edited.or_else(known) else {
             return true;
@@ -124,7 +125,7 @@
 
 /// The numbers of the zone shards that a machine may be put into, in an order that
 /// follows from its machine shard and the settings alone. The first ones are the same
-/// for all machines of the home, so that few zone shards hold them all. A home whose
+/// for all machines of a preferred owner, so that few zone shards hold them all. One whose
 /// machines fill these has more than the conditions of one commit could tell of: then
 /// come those from the machine shard's own on, in steps that double, so that the empty
 /// ones at the end are soon reached.
@@ -134,8 +135,8 @@
         .and_then(|p| p.1.parse().ok());
     let own: usize = number.unwrap_or(0);
     let steps = (0..usize::BITS).map(|exponent| 1usize << exponent);
-    let behind = std::iter::once(0)
+    let from_own = std::iter::once(0)
         .chain(steps)
         .map(move |step| own.saturating_add(step));
-    (0..first).chain(behind.filter(move |number| *number >= first))
+    (0..first).chain(from_own.filter(move |number| *number >= first))
 }
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -1,4 +1,4 @@
-//! Reports, evidence of ends, leases and failing machines.
+//! Worker statuses, evidence of terminations, leases and failing machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -88,12 +88,14 @@
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let none = json!([]);
     type Edit = fn(&mut OwnedWorker);
-    let plain: Edit = |_| {};
-    let launched: Edit = |h| {
-        h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
+    let unchanged: Edit = |_| {};
+    let launched: Edit = |worker| {
+        worker
+            .launched_attempts
+            .insert(TaskAttempt::new("job-1/0", 1));
     };
     let cases: &[(&str, Kind, u64, &serde_json::Value, Edit, &str)] = &[
-        ("absent: launch", Kind::Array, 5, &none, plain, "launch"),
+        ("absent: launch", Kind::Array, 5, &none, unchanged, "launch"),
         (
             "absent array task: launch again",
             Kind::Array,
@@ -110,13 +112,13 @@
             launched,
             "end lost",
         ),
-        ("running: nothing", Kind::Array, 5, &running, plain, ""),
+        ("running: nothing", Kind::Array, 5, &running, unchanged, ""),
         (
             "done: recorded first, not forgotten",
             Kind::Array,
             5,
             &done,
-            plain,
+            unchanged,
             "end done",
         ),
         (
@@ -132,9 +134,11 @@
             Kind::Gang,
             5,
             &none,
-            |h| {
-                h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
-                h.in_flight = true;
+            |worker| {
+                worker
+                    .launched_attempts
+                    .insert(TaskAttempt::new("job-1/0", 1));
+                worker.in_flight = true;
             },
             "",
         ),
@@ -143,9 +147,11 @@
             Kind::Gang,
             5,
             &none,
-            |h| {
-                h.launched_attempts.insert(TaskAttempt::new("job-1/0", 1));
-                h.has_unanswered_launch = true;
+            |worker| {
+                worker
+                    .launched_attempts
+                    .insert(TaskAttempt::new("job-1/0", 1));
+                worker.has_unanswered_launch = true;
             },
             "",
         ),
@@ -154,7 +160,7 @@
             Kind::Array,
             5,
             &done,
-            |h| h.has_unanswered_launch = true,
+            |worker| worker.has_unanswered_launch = true,
             "",
         ),
         (
@@ -162,8 +168,8 @@
             Kind::Array,
             5,
             &none,
-            |h| {
-                h.launches_offered_on = Some(HeartbeatId::new(1, 99));
+            |worker| {
+                worker.launches_offered_on = Some(HeartbeatId::new(1, 99));
             },
             "",
         ),
@@ -172,7 +178,7 @@
             Kind::Array,
             5,
             &none,
-            |h| h.claim_revision = 11,
+            |worker| worker.claim_revision = 11,
             "",
         ),
     ];
@@ -308,12 +314,12 @@
             task: 0,
         };
         let outcome = Outcome::Lost;
-        let proof = TerminationEvidence {
+        let evidence = TerminationEvidence {
             outcome,
             fencing_token: *fencing_token,
         };
         let mut transaction = Transaction::new(&replica, 12);
-        let got = transaction.release(&key, proof, "n0", *incarnation);
+        let got = transaction.release(&key, evidence, "n0", *incarnation);
         assert_eq!(&got, want, "{name}");
         // The commit depends on the machine's record, too.
         let guards = transaction.into_commit().0;
@@ -360,7 +366,7 @@
     assert!(total < w.cancel_s && total > w.cancel_s * 0.95, "{total}");
 }
 
-/// A owner that cannot give orders yet renews no lease where something has
+/// An owner that cannot give commands yet renews no lease where something has
 /// to end: a cancelled task would live on.
 #[test]
 fn leases_are_not_renewed_by_who_cannot_stop() {
@@ -415,15 +421,15 @@
     }
 }
 
-/// Reports that arrive while answers do not: a epoch that rises although its
-/// heartbeats were answered, or a token that is not taken up.
+/// Heartbeats that arrive while answers do not: an epoch that rises although its
+/// heartbeats were answered, or a fencing token that is not shown.
 #[test]
 fn a_worker_that_hears_nothing_is_found_out() {
     let lease = Duration::from_secs(10);
     let at = |start: Instant, s: f64| start + Duration::from_secs_f64(s);
-    // (seconds, epoch, number, token) and whether it is deaf after that.
-    type Beat = (f64, u64, u64, u64, bool);
-    let cases: &[(&str, &[Beat])] = &[
+    // (seconds, epoch, sequence, fencing token) and whether it is unreachable after that.
+    type HeartbeatCase = (f64, u64, u64, u64, bool);
+    let cases: &[(&str, &[HeartbeatCase])] = &[
         ("well", &[(1.0, 1, 1, 5, false), (12.0, 1, 12, 5, false)]),
         (
             "deaf",
@@ -455,7 +461,7 @@
     for (name, beats) in cases {
         let start = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 1, start);
-        for (n, (s, epoch, sequence, fencing_token, deaf)) in beats.iter().enumerate() {
+        for (n, (s, epoch, sequence, fencing_token, unreachable)) in beats.iter().enumerate() {
             let now = at(start, *s);
             let heartbeat = WorkerStatus {
                 epoch: *epoch,
@@ -468,7 +474,7 @@
             owned_worker.last_answered_at = now;
             assert_eq!(
                 owned_worker.unreachable_since.is_some(),
-                *deaf,
+                *unreachable,
                 "{name} {n}"
             );
             // The same again, or an older one, is a late copy.
@@ -484,16 +490,16 @@
     }
 }
 
-/// A worker that answers orders but sends no report has no lease: its epoch
+/// A worker that answers commands but sends no heartbeat has no lease: its epoch
 /// rises again and again, and what is started there ends each time.
 #[test]
 fn a_worker_that_cannot_report_is_found_out() {
     let lease = Duration::from_secs(10);
     let start = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 1, start);
-    // Seconds, epoch, number, whether it is a heartbeat, whether it counts as one
-    // that takes no work.
-    for (s, epoch, sequence, beats, found) in [
+    // Seconds, epoch, sequence, whether it is a heartbeat, whether the worker counts as
+    // unreachable.
+    for (s, epoch, sequence, is_heartbeat, unreachable) in [
         (1.0, 1, 1, true, false),
         (5.0, 1, 2, false, false),
         (9.0, 1, 3, false, false),
@@ -510,15 +516,15 @@
             epoch,
             ..report(sequence, 5, json!([]))
         };
-        match beats {
+        match is_heartbeat {
             true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
             false => owned_worker.observe_status(&report, lease, now),
         }
-        owned_worker.last_answered_at = if beats {
+        owned_worker.last_answered_at = if is_heartbeat {
             now
         } else {
             owned_worker.last_answered_at
         };
-        assert_eq!(owned_worker.unreachable_since.is_some(), found, "{s}");
+        assert_eq!(owned_worker.unreachable_since.is_some(), unreachable, "{s}");
     }
 }
--- a/tests/service/reports.rs
+++ b/tests/service/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' reports: late copies, claims that take long, controllers that are lost.
+//! Heartbeats: late copies, claims that take long, controllers that are lost.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::stand_ins::{CONTROLLERS, Scenario, Trouble, job};
 
-/// Late copies of reports, at every controller and at one that has just come
+/// Late copies of heartbeats, at every controller and at one that has just come
 /// back: no end, no release and no launch comes from one.
 #[test]
 fn late_copies_of_reports_change_nothing() {
@@ -17,12 +17,12 @@
         w.until(&array, "done", 100).await;
         sleep(Duration::from_secs(3)).await;
         let name = w.machine_of(&service);
-        let beats = w.workers.borrow()[&name].0.sent.borrow().clone();
+        let heartbeats = w.workers.borrow()[&name].0.sent.borrow().clone();
         let before = w.starts.get();
         w.kill(0);
         w.start(0);
         for i in 0..CONTROLLERS {
-            w.replay(i, &beats).await;
+            w.replay(i, &heartbeats).await;
         }
         sleep(Duration::from_secs(15)).await;
         assert_eq!((w.running(&service), w.starts.get()), (2, before));
@@ -31,7 +31,7 @@
         for _ in 0..4 {
             sleep(Duration::from_secs(4)).await;
             for i in 0..CONTROLLERS {
-                w.replay(i, &beats).await;
+                w.replay(i, &heartbeats).await;
             }
         }
         sleep(Duration::from_secs(20)).await;
@@ -61,10 +61,10 @@
                     "recall_s": null, "boards": []});
                 let (status, body) = w.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
                 answers.push((status, body["baton"].as_u64()));
-                // As a worker reports; no answer keeps it waiting.
+                // As a worker sends them; no answer keeps it waiting.
                 sleep(Duration::from_secs(1)).await;
             }
-            // It may be sent home, or to its owner, once.
+            // It may be redirected to its preferred owner, or to its owner, once.
             answers.retain(|a| a.0 != 421);
             if answers[0].1 == Some(1) {
                 continue;
@@ -131,7 +131,7 @@
         assert!(held(&name) > 1, "{:?}", w.holders());
         w.cut_workers(i, true);
         sleep(Duration::from_secs(14)).await;
-        // The last of them might as well be deaf itself: it goes back once.
+        // The last of them might as well be unreachable itself: it goes back once.
         assert!(held(&name) <= 1, "not taken over: {:?}", w.holders());
         let lapsed = w.lapsed();
         assert!(lapsed <= 1, "leases have run out");
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -4,8 +4,8 @@
 #[path = "../stand_ins/mod.rs"]
 mod stand_ins;
 
+mod heartbeats;
 mod jobs;
 mod machines;
-mod reports;
 mod silence;
 mod state_service;
