--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -1,5 +1,5 @@
 //! What the bookings of one transaction count against: the team's own record, or a
-//! controller's share of the team's room.
+//! controller's share of the team's limit.
 
 use std::collections::BTreeMap;
 
@@ -32,13 +32,13 @@
     /// How many tasks are to be booked.
     pub tasks: usize,
     /// All of them are booked, or none.
-    pub together: bool,
+    pub all_or_nothing: bool,
     /// The most records that the transaction may write.
     pub max_writes: usize,
     /// What the transaction can take beside the booking itself.
-    pub beside: CommitCapacity,
+    pub capacity_with_booking: CommitCapacity,
     /// What it can take without the booking.
-    pub alone: CommitCapacity,
+    pub capacity_without_booking: CommitCapacity,
 }
 
 /// The accounting by shares as one transaction will leave it.
@@ -103,58 +103,58 @@
         }
     }
 
-    /// Finds room for the tasks of a booking, for as many as there is or for all or none
-    /// if they belong together, and books it; tells how many. Where the transaction has no
-    /// space for what has to be written beside the booking, that alone goes into it if it
-    /// can, and the booking follows in the next.
+    /// Reserves capacity for the tasks of a booking, for as many as there is or for all or
+    /// none of a gang, and books it; returns how many. Where the transaction cannot take
+    /// what has to be written beside the booking, that alone goes into it if it can, and
+    /// the booking follows in the next.
     pub fn admit(&mut self, request: &BookingRequest) -> usize {
         let team = TeamName::from(request.team);
         let mut tasks = request.tasks;
         while tasks > 0 {
-            let room = request.need.times(tasks);
-            let found = reserve(
+            let resources = request.need.times(tasks);
+            let reserved = reserve(
                 &self.ledger,
                 &team,
                 request.controller,
-                room,
+                resources,
                 request.max_writes,
             );
-            match found {
+            match reserved {
                 Ok(change) => {
-                    let booked = self.take(&change, request.beside);
+                    let booked = self.try_merge(&change, request.capacity_with_booking);
                     if booked {
-                        self.book(&team, request.controller, room);
+                        self.book(&team, request.controller, resources);
                         return tasks;
                     }
-                    self.take(&change, request.alone);
+                    self.try_merge(&change, request.capacity_without_booking);
                     return 0;
                 }
                 Err(Shortage::Partial(first)) => {
-                    self.take(&first, request.alone);
+                    self.try_merge(&first, request.capacity_without_booking);
                     return 0;
                 }
-                Err(_) if request.together => return 0,
+                Err(_) if request.all_or_nothing => return 0,
                 Err(_) => tasks /= 2,
             }
         }
         0
     }
 
-    fn book(&mut self, team: &TeamName, controller: &ControllerName, room: Resources) {
+    fn book(&mut self, team: &TeamName, controller: &ControllerName, resources: Resources) {
         if let Some(account) = self.ledger.teams.get_mut(team) {
-            account.book(controller, room);
+            account.book(controller, resources);
             let id = share_use_id(team.as_str(), controller.as_str());
             self.uses.insert(id, account.used_by(controller.as_str()));
         }
     }
 
-    /// Takes a change in, if there is space for it.
-    fn take(&mut self, change: &Change, space: CommitCapacity) -> bool {
+    /// Merges a change in, if the transaction can take it; false if not.
+    fn try_merge(&mut self, change: &Change, capacity: CommitCapacity) -> bool {
         let mut merged = self.change.clone();
         merged.merge(change.clone());
         let more_writes = merged.writes() - self.change.writes();
         let more_reads = merged.read_shares.len() + merged.read_uses.len() - self.reads();
-        if more_writes > space.writes || more_writes + more_reads > space.guards {
+        if more_writes > capacity.writes || more_writes + more_reads > capacity.guards {
             return false;
         }
         change.apply(&mut self.ledger);
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -86,7 +86,7 @@
 
 /// Whether a job may need more than has been planned for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReconcileStep {
+enum Step {
     Again,
     Done,
 }
@@ -140,7 +140,7 @@
             if unplaced == 0 || attempt == MAX_RENTAL_SIZE {
                 return;
             }
-            if self.rent_for(&mut demand, unplaced) == ReconcileStep::Done {
+            if self.rent_for(&mut demand, unplaced) == Step::Done {
                 return;
             }
         }
@@ -219,9 +219,9 @@
     }
 
     /// Plans one more machine for the job's tasks that have no place.
-    fn rent_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> ReconcileStep {
+    fn rent_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> Step {
         let Some(wanted) = self.wanted_slots(demand, unplaced) else {
-            return ReconcileStep::Done;
+            return Step::Done;
         };
         let bounds = OfferBounds {
             care: demand.care,
@@ -231,21 +231,21 @@
         let Some((kind, offer)) = self.best_offer(demand.spec, wanted, &bounds) else {
             if demand.care != AcceleratorProtection::Lax {
                 demand.care = AcceleratorProtection::Lax;
-                return ReconcileStep::Again;
+                return Step::Again;
             }
             // What does not wait for room yet is not told so.
             if self.replica.awaited(demand.id).is_empty() {
                 crate::scheduler::note(self.controller, demand.id, WaitReason::Refused, self.now);
             }
-            return ReconcileStep::Done;
+            return Step::Done;
         };
         demand.last_zone = Some(offer.zone.clone());
         self.rent(kind, offer);
         // The rest of an array's tasks follow one another in that room.
         let holds_all = kind.resources().slots(&demand.spec.need) >= wanted;
         match demand.spec.kind == Kind::Array && holds_all {
-            true => ReconcileStep::Done,
-            false => ReconcileStep::Again,
+            true => Step::Done,
+            false => Step::Again,
         }
     }
 
--- a/src/compaction.rs
+++ b/src/compaction.rs
@@ -21,7 +21,7 @@
 use crate::workers::preferred_owner_of;
 
 /// One commit of this loop: conditions and writes, and what it is for.
-type ReconcileStep = (Vec<Guard>, Vec<Write>);
+type Step = (Vec<Guard>, Vec<Write>);
 
 /// Writes records anew that are to be shorter, a commit at a time, as the budget
 /// allows.
@@ -72,10 +72,7 @@
 
 /// Zone shards come by turns with the rounds: until they are few a gang may have its
 /// places in more of them than a commit writes. The rest comes last.
-fn step(
-    controller: &Controller,
-    left: &HashMap<String, Instant>,
-) -> Option<(RequestClass, ReconcileStep)> {
+fn step(controller: &Controller, left: &HashMap<String, Instant>) -> Option<(RequestClass, Step)> {
     let replica = controller.replica.borrow();
     let tended = |id: &str| {
         let shard = id.split_once('/').map_or("", |p| p.1);
@@ -100,8 +97,8 @@
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
     most: usize,
-) -> Option<ReconcileStep> {
-    let mut step = ReconcileStep::default();
+) -> Option<Step> {
+    let mut step = Step::default();
     let ids = replica
         .machine_shards
         .keys()
@@ -127,7 +124,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<ReconcileStep> {
+) -> Option<Step> {
     let (id, entry) = replica.zone_shards.iter().find(|(id, entry)| {
         tended(id)
             && replica.is_compact_zone_shard(id)
@@ -162,7 +159,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<ReconcileStep> {
+) -> Option<Step> {
     let mut homes: BTreeMap<&str, Vec<(u32, &String, &ZoneShard)>> = BTreeMap::new();
     for (id, entry) in &replica.zone_shards {
         let Some((home, number)) = id.rsplit_once('.') else {
@@ -218,7 +215,7 @@
     replica: &Replica,
     left: &HashMap<String, Instant>,
     tended: &dyn Fn(&str) -> bool,
-) -> Option<ReconcileStep> {
+) -> Option<Step> {
     let peers = controller.peers.borrow();
     let alive = peers.alive(controller, Instant::now());
     let is_preferred = |id: &str| {
@@ -275,7 +272,7 @@
 
 /// A job's record as it is to be, if that is within the coming limit: one that
 /// cannot be is left to become shorter as its tasks end.
-fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<ReconcileStep> {
+fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<Step> {
     let write = replica.put_job(id, &replica.jobs.get(id)?.value);
     let Write::Put { value, .. } = &write else {
         return None;
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -217,10 +217,10 @@
             + usize::from(!self.jobs.contains_key(id))
             + usize::from(self.is_new_account(id, &spec.team));
         let max_writes = self.most;
-        let alone = self.space();
-        let beside = CommitCapacity {
-            writes: alone.writes.saturating_sub(new_records),
-            guards: alone.guards.saturating_sub(new_records),
+        let capacity_without_booking = self.space();
+        let capacity_with_booking = CommitCapacity {
+            writes: capacity_without_booking.writes.saturating_sub(new_records),
+            guards: capacity_without_booking.guards.saturating_sub(new_records),
         };
         let Some(accounts) = &mut self.accounts else {
             return 0;
@@ -230,10 +230,10 @@
             controller,
             need: spec.need,
             tasks: places.len(),
-            together: spec.is_gang(),
+            all_or_nothing: spec.is_gang(),
             max_writes,
-            beside,
-            alone,
+            capacity_with_booking,
+            capacity_without_booking,
         })
     }
 
--- a/src/scheduler/victims.rs
+++ b/src/scheduler/victims.rs
@@ -309,7 +309,7 @@
 }
 
 /// What one more stopped task has brought.
-enum ReconcileStep {
+enum Step {
     /// Not enough yet.
     Continue,
     /// All wanted places.
@@ -340,9 +340,9 @@
     fn run(mut self, candidates: Vec<Candidate>) -> Option<Victims> {
         for candidate in &candidates {
             match self.stop_run(candidate) {
-                ReconcileStep::Continue => {}
-                ReconcileStep::GiveUp => break,
-                ReconcileStep::Complete(victims) => {
+                Step::Continue => {}
+                Step::GiveUp => break,
+                Step::Complete(victims) => {
                     return Some(Victims {
                         victims,
                         complete: true,
@@ -357,24 +357,24 @@
     }
 
     /// Stops the tasks of one run: a gang's all at once, others one by one.
-    fn stop_run(&mut self, candidate: &Candidate) -> ReconcileStep {
+    fn stop_run(&mut self, candidate: &Candidate) -> Step {
         let mut left = candidate.run.tasks.len();
         while left > 0 {
             // Borrowed work counts as borrowed only down to the guarantee.
             let (victim, terms) = (candidate.spec, candidate.terms);
             let priority = candidate.order.priority;
             if !self.preemptor.may_stop(victim, priority, terms, &self.plan) {
-                return ReconcileStep::Continue;
+                return Step::Continue;
             }
             let tasks = if victim.is_gang() { left } else { 1 };
             left -= tasks;
             self.stop_tasks(candidate, tasks);
             match self.try_to_fit(candidate.spot) {
-                ReconcileStep::Continue => {}
+                Step::Continue => {}
                 done => return done,
             }
         }
-        ReconcileStep::Continue
+        Step::Continue
     }
 
     /// Counts tasks of a run as stopped.
@@ -396,32 +396,32 @@
     }
 
     /// Tries whether the job fits, now that tasks on this machine are stopped.
-    fn try_to_fit(&mut self, spot: usize) -> ReconcileStep {
+    fn try_to_fit(&mut self, spot: usize) -> Step {
         let Preemptor {
             job, spec, care, ..
         } = self.preemptor;
         // Only a machine that now holds a task can have made it fit.
         if !self.plan.plan_slots[spot].free.fits(&spec.need) {
-            return ReconcileStep::Continue;
+            return Step::Continue;
         }
         self.trials += 1;
         if self.trials > MAX_TRIALS {
-            return ReconcileStep::GiveUp;
+            return Step::GiveUp;
         }
         let (hints, settings) = (self.search.hints, self.search.settings);
         let Ok(places) = fit(job, spec, &self.plan, hints, settings, *care) else {
-            return ReconcileStep::Continue;
+            return Step::Continue;
         };
         if places.len() <= self.most {
-            return ReconcileStep::Continue;
+            return Step::Continue;
         }
         self.most = places.len();
         let victims = self.victims_at(&places);
         if self.most >= self.wanted {
-            return ReconcileStep::Complete(victims);
+            return Step::Complete(victims);
         }
         self.partial = Some(victims);
-        ReconcileStep::Continue
+        Step::Continue
     }
 
     /// The victims on machines that the job will have: the others are not needed.
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -10,8 +10,6 @@
 use super::tasks::{push_tasks, read_tasks, task_width};
 use crate::state::records::{Job, Ranges, Run};
 
-// --- a job -------------------------------------------------------------------
-
 /// Machines whose names have a prefix and a width in common, in one zone; with
 /// width 0 one machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -46,7 +44,7 @@
     40 + patterns.iter().map(one).sum::<usize>()
 }
 
-/// A job's record in the compact encoding; nothing where it has no such.
+/// A job's record in the compact encoding; `None` where it has none.
 pub fn encode_job(job: &Job) -> Option<String> {
     let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
     let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
@@ -56,13 +54,14 @@
     push_number(&mut text, width as u64);
     for run in &job.runs {
         let (prefix, digits, number) = split_name(&run.machine);
-        let same = |k: &NamePattern| k.0 == prefix && k.1 == digits && k.2 == run.zone;
-        let at = table.iter().position(same).unwrap_or_else(|| {
+        let is_same =
+            |known: &NamePattern| known.0 == prefix && known.1 == digits && known.2 == run.zone;
+        let index = table.iter().position(is_same).unwrap_or_else(|| {
             table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
             table.len() - 1
         });
         // Names of as many kinds have no compact encoding.
-        let pattern = *DIGITS.get(at)?;
+        let pattern = *DIGITS.get(index)?;
         text.push(' ');
         text.push(char::from(pattern));
         push_number(&mut text, u64::from(number));
@@ -96,9 +95,9 @@
 }
 
 fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
-    let mut zone_shards = text.split(' ');
-    let width = read_number(zone_shards.next()?)? as usize;
-    let run = |part: &str| {
+    let mut parts = text.split(' ');
+    let width = read_number(parts.next()?)? as usize;
+    let read_run = |part: &str| {
         let pattern = table.get(digit_value(*part.as_bytes().first()?)? as usize)?;
         let (number, rest) = part.get(1..)?.split_once('.')?;
         let mark = rest.find(['!', ':'])?;
@@ -111,13 +110,13 @@
             stop: rest.as_bytes()[mark] == b'!',
         })
     };
-    zone_shards.map(run).collect()
+    parts.map(read_run).collect()
 }
 
-/// A job's runs in either text.
-pub fn runs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Run>, D::Error> {
-    struct Runs;
-    impl<'de> Visitor<'de> for Runs {
+/// Reads a job's runs in either encoding.
+pub fn deserialize_runs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Run>, D::Error> {
+    struct RunsVisitor;
+    impl<'de> Visitor<'de> for RunsVisitor {
         type Value = Vec<Run>;
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
             f.write_str("runs")
@@ -144,5 +143,5 @@
             read_runs(&table, &text).ok_or_else(|| A::Error::custom("not a text of runs"))
         }
     }
-    deserializer.deserialize_any(Runs)
+    deserializer.deserialize_any(RunsVisitor)
 }
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -10,8 +10,6 @@
 use super::names::{join_name, split_name};
 use crate::state::records::{Machine, MachineLifecycle, MachineShard};
 
-// --- a machine shard -----------------------------------------------------------------
-
 /// Machines of a machine shard that have owner, incarnation, lifecycle, type and kind in
 /// common; of each prefix and width a text: number, token, epoch and report.
 #[derive(Debug, Serialize, Deserialize)]
@@ -24,52 +22,76 @@
     Vec<(String, usize, String)>,
 );
 
-/// The most that a machine takes of its machine shard's short record while its figures
-/// are of usual length.
+/// What the machines of one class have in common; the order of the fields is that of
+/// the classes in the text.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct MachineClass<'a> {
+    owner: &'a str,
+    incarnation: u64,
+    lifecycle: MachineLifecycle,
+    kind: &'a str,
+    spot: bool,
+}
+
+impl<'a> From<&'a Machine> for MachineClass<'a> {
+    fn from(machine: &'a Machine) -> Self {
+        MachineClass {
+            owner: &machine.owner,
+            incarnation: machine.incarnation,
+            lifecycle: machine.lifecycle,
+            kind: &machine.kind,
+            spot: machine.spot,
+        }
+    }
+}
+
+/// The most that a machine takes of its machine shard's compact record while its
+/// numbers are of usual length, in bytes.
 pub const MACHINE_ENTRY_BYTES: usize = 22;
 
-/// What a class of machines takes there, beside its names.
-const CLASS: usize = 60;
+/// What a class of machines takes there without its names, in bytes.
+const CLASS_BYTES: usize = 60;
+
+/// What a machine takes more whose name has no number, beside the name, in bytes.
+const FULL_NAME_BYTES: usize = 8;
+
+/// At most two owners and two lifecycles at a time, beside the class itself.
+const CLASSES_PER_TYPE: usize = 3;
 
-/// The most that the machine shard may come to take with its machines' figures grown
-/// and each in another state.
+/// The most bytes that the machine shard may come to take with its machines' numbers
+/// grown and each in another state.
 pub fn machine_shard_bytes(
     machine_shard: &BTreeMap<String, Machine>,
-    longest_holder: usize,
+    max_owner_length: usize,
 ) -> usize {
     let mut kinds: Vec<&str> = machine_shard.values().map(|m| m.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
-    let kinds: usize = kinds.iter().map(|k| k.len() + longest_holder + CLASS).sum();
+    let kinds: usize = kinds
+        .iter()
+        .map(|k| k.len() + max_owner_length + CLASS_BYTES)
+        .sum();
     let names = machine_shard.keys().map(|n| match split_name(n) {
-        (name, 0, _) => name.len() + MACHINE_ENTRY_BYTES + 8,
+        (name, 0, _) => name.len() + MACHINE_ENTRY_BYTES + FULL_NAME_BYTES,
         _ => MACHINE_ENTRY_BYTES,
     });
-    // Two holders and two lives at a time.
-    kinds * 3 + names.sum::<usize>()
+    kinds * CLASSES_PER_TYPE + names.sum::<usize>()
 }
 
-/// What one more machine may add to a machine shard, a type that is new there included.
-pub fn added_machine_bytes(name: &str, kind: &str, longest_holder: usize) -> usize {
+/// The most bytes that one more machine may add to a machine shard, a type that is new there included.
+pub fn added_machine_bytes(name: &str, kind: &str, max_owner_length: usize) -> usize {
     let name = match split_name(name) {
-        (name, 0, _) => name.len() + 8,
+        (name, 0, _) => name.len() + FULL_NAME_BYTES,
         _ => 0,
     };
-    MACHINE_ENTRY_BYTES + name + (kind.len() + longest_holder + CLASS) * 3
+    MACHINE_ENTRY_BYTES + name + (kind.len() + max_owner_length + CLASS_BYTES) * CLASSES_PER_TYPE
 }
 
 /// A machine shard's record in the compact encoding.
 pub fn encode_machine_shard(machine_shard: &MachineShard) -> Option<String> {
-    type RequestClass<'a> = (&'a str, u64, MachineLifecycle, &'a str, bool);
-    let mut classes: BTreeMap<RequestClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
+    let mut classes: BTreeMap<MachineClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
     for (name, m) in &machine_shard.machines {
-        let class = (
-            m.owner.as_str(),
-            m.incarnation,
-            m.lifecycle,
-            &*m.kind,
-            m.spot,
-        );
+        let class = MachineClass::from(m);
         let (prefix, width, number) = split_name(name);
         let texts = classes.entry(class).or_default();
         let text = texts.entry((prefix, width)).or_default();
@@ -84,15 +106,15 @@
     }
     let members: Vec<Members> = classes
         .into_iter()
-        .map(|((owner, incarnation, lifecycle, kind, spot), texts)| {
+        .map(|(class, texts)| {
             let texts = texts.into_iter();
             let texts = texts.map(|((prefix, width), text)| (prefix.to_string(), width, text));
             Members(
-                owner.to_string(),
-                incarnation,
-                lifecycle,
-                kind.to_string(),
-                u8::from(spot),
+                class.owner.to_string(),
+                class.incarnation,
+                class.lifecycle,
+                class.kind.to_string(),
+                u8::from(class.spot),
                 texts.collect(),
             )
         })
@@ -111,12 +133,12 @@
     figures.next().is_none().then_some(member)
 }
 
-/// A machine shard's machines in either text.
-pub fn members<'de, D: Deserializer<'de>>(
+/// Reads a machine shard's machines in either encoding.
+pub fn deserialize_machines<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, Machine>, D::Error> {
-    struct All;
-    impl<'de> Visitor<'de> for All {
+    struct MachinesVisitor;
+    impl<'de> Visitor<'de> for MachinesVisitor {
         type Value = BTreeMap<String, Machine>;
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
             f.write_str("machines")
@@ -153,5 +175,5 @@
             Ok(all)
         }
     }
-    deserializer.deserialize_any(All)
+    deserializer.deserialize_any(MachinesVisitor)
 }
--- a/src/state/encoding/mod.rs
+++ b/src/state/encoding/mod.rs
@@ -15,12 +15,14 @@
 mod tasks;
 mod zone_shard;
 
-pub use job::{encode_job, run_bytes, runs, table_bytes, task_bytes};
+pub use job::{deserialize_runs, encode_job, run_bytes, table_bytes, task_bytes};
 pub use machine_shard::{
-    MACHINE_ENTRY_BYTES, added_machine_bytes, encode_machine_shard, machine_shard_bytes, members,
+    MACHINE_ENTRY_BYTES, added_machine_bytes, deserialize_machines, encode_machine_shard,
+    machine_shard_bytes,
 };
 pub(crate) use names::split_name;
 pub use tasks::decode_ranges;
 pub use zone_shard::{
-    encode_zone_shard, is_compact_zone_shard, slot_bytes_bound, slots, zone_shard_bytes_bound,
+    deserialize_slots, encode_zone_shard, is_compact_zone_shard, slot_bytes_bound,
+    zone_shard_bytes_bound,
 };
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -6,8 +6,6 @@
 /// Stands between the first and the last task of a range.
 pub(super) const RANGE_MARK: u8 = b'-';
 
-// --- tasks -------------------------------------------------------------------
-
 /// The digits that each task of the set takes.
 pub(super) fn task_width(sets: impl Iterator<Item = u32>) -> usize {
     match sets.max().unwrap_or(0) {
@@ -24,7 +22,7 @@
     }
 }
 
-/// However a set falls apart, a task takes its width at most.
+/// Writes a set of tasks. However it falls apart, a task takes its width at most.
 pub(super) fn push_tasks(text: &mut String, set: &Ranges, width: usize) {
     for &(a, b) in &set.0 {
         push_task(text, a, width);
@@ -69,7 +67,8 @@
     (!open).then_some(Ranges(set))
 }
 
-/// Reads a set of tasks that begins like the short form.
+/// Reads a set of tasks in the compact encoding; the outer `None` where the text is in
+/// the plain one.
 pub fn decode_ranges(text: &str) -> Option<Option<Ranges>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -7,9 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::names::{fold_names, join_name, split_name};
-use crate::state::records::{MachineSlot, Ranges, Resources, ZoneShard};
-
-// --- a zone shard ------------------------------------------------------------------
+use crate::state::records::{Amount, MachineSlot, Ranges, Resources, ZoneShard};
 
 /// Machines of one type and kind in a zone shard: ranges of numbers by prefix and
 /// width, names in full, and what unbooked tasks take of some.
@@ -90,12 +88,12 @@
     machines.trim_start().starts_with('[')
 }
 
-/// A zone shard's machines in either text.
-pub fn slots<'de, D: Deserializer<'de>>(
+/// Reads a zone shard's machines in either encoding.
+pub fn deserialize_slots<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
-    struct All;
-    impl<'de> Visitor<'de> for All {
+    struct SlotsVisitor;
+    impl<'de> Visitor<'de> for SlotsVisitor {
         type Value = BTreeMap<String, MachineSlot>;
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
             f.write_str("machines that take work")
@@ -120,9 +118,9 @@
                         spot: spot != 0,
                         free: Resources::default(),
                         unbooked: Resources {
-                            cpus: crate::state::records::Amount(taken.0),
-                            gpus: crate::state::records::Amount(taken.1),
-                            ram: crate::state::records::Amount(taken.2),
+                            cpus: Amount(taken.0),
+                            gpus: Amount(taken.1),
+                            ram: Amount(taken.2),
                         },
                     };
                     all.insert(name, slot);
@@ -131,5 +129,5 @@
             Ok(all)
         }
     }
-    deserializer.deserialize_any(All)
+    deserializer.deserialize_any(SlotsVisitor)
 }
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -4,8 +4,8 @@
 use crate::state::records::{Job, MAX_FAILED_MACHINES, Spec};
 use crate::wire::Kind;
 
-/// What the counters may come to take in a short record.
-const SHORT_COUNTER_BYTES: usize = 130;
+/// What the counters may come to take in a compact record.
+const COMPACT_COUNTER_BYTES: usize = 130;
 
 /// The quotes and the comma of a name in a list.
 const NAME_PUNCTUATION_BYTES: usize = 3;
@@ -15,11 +15,11 @@
     MAX_FAILED_MACHINES * (max_name_length + NAME_PUNCTUATION_BYTES)
 }
 
-/// What a job's short record takes beside its table, runs and tasks: counters as
+/// What a job's compact record takes beside its table, runs and tasks: counters as
 /// they may come to be, its spec, and machines that it may come to have failed on.
 pub fn short_fixed_bytes(job: &Job, max_name_length: usize) -> usize {
     let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |text| text.len());
-    SHORT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
+    COMPACT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
 }
 
 /// The least that a job's record takes while it runs: a gang's tasks all at
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -63,9 +63,9 @@
             let known = next.nodes.entry(name.to_string()).or_default();
             *known = formats.max(*known);
         }
-        let of = |name: &&str| next.nodes.get(*name).copied().unwrap_or(0);
-        let least = configured.iter().map(of).min().unwrap_or(0);
-        next.all = next.all.max(least);
+        let known_to = |name: &&str| next.nodes.get(*name).copied().unwrap_or(0);
+        let known_to_all = configured.iter().map(known_to).min().unwrap_or(0);
+        next.all = next.all.max(known_to_all);
         next
     }
 }
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -67,7 +67,7 @@
         rename = "r",
         default,
         skip_serializing_if = "Vec::is_empty",
-        deserialize_with = "crate::state::encoding::runs"
+        deserialize_with = "crate::state::encoding::deserialize_runs"
     )]
     pub runs: Vec<Run>,
     /// Work has been stopped for it: it goes first, or the room that was
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -45,7 +45,7 @@
     #[serde(
         rename = "m",
         default,
-        deserialize_with = "crate::state::encoding::slots"
+        deserialize_with = "crate::state::encoding::deserialize_slots"
     )]
     pub machines: BTreeMap<String, MachineSlot>,
 }
@@ -84,7 +84,7 @@
     #[serde(
         rename = "m",
         default,
-        deserialize_with = "crate::state::encoding::members"
+        deserialize_with = "crate::state::encoding::deserialize_machines"
     )]
     pub machines: BTreeMap<String, Machine>,
 }
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -1,4 +1,4 @@
-//! Questions to the replica.
+//! Lookups in the replica.
 
 use foldhash::HashMap;
 
@@ -52,8 +52,8 @@
     /// The shortest boot time of all types.
     pub fn min_boot_s(&self) -> f64 {
         let types = &self.types.value.types;
-        let least = types.iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
-        if least.is_finite() { least } else { 0.0 }
+        let shortest = types.iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
+        if shortest.is_finite() { shortest } else { 0.0 }
     }
 
     /// Whether a zone shard stands in the compact encoding: nothing that was decided before
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -76,7 +76,7 @@
 }
 
 /// One step of the handler: an error is the answer, and ends it.
-type ReconcileStep<T = ()> = Result<T, Answer>;
+type Step<T = ()> = Result<T, Answer>;
 
 /// A heartbeat, with what is known of its machine when it comes.
 struct Heartbeat {
@@ -103,7 +103,7 @@
         answer.unwrap_or_else(|answer| answer).into_response()
     }
 
-    async fn answer_heartbeat(&self, report: WorkerStatus) -> ReconcileStep<Answer> {
+    async fn answer_heartbeat(&self, report: WorkerStatus) -> Step<Answer> {
         let received = self.liveness_tick();
         self.check_staleness()?;
         self.redirect_home(&report, received)?;
@@ -123,14 +123,14 @@
     }
 
     /// Safety 4: a controller whose view may be too old renews no lease.
-    fn check_staleness(&self) -> ReconcileStep {
+    fn check_staleness(&self) -> Step {
         match self.may_renew_leases() {
             true => Ok(()),
             false => Err(Answer::unavailable("cut off from the state service")),
         }
     }
 
-    fn redirect_home(&self, report: &WorkerStatus, now: Instant) -> ReconcileStep {
+    fn redirect_home(&self, report: &WorkerStatus, now: Instant) -> Step {
         match self.redirect_to_preferred_owner(report, now) {
             Some(home) => Err(Answer::Redirect(Some(home))),
             None => Ok(()),
@@ -140,7 +140,7 @@
     /// Refuses what the machine's record speaks against: it was returned, the
     /// report is a late copy, no answer reaches the worker, or the replica is older
     /// than the newest claim.
-    fn check_record(&self, heartbeat: &Heartbeat) -> ReconcileStep {
+    fn check_record(&self, heartbeat: &Heartbeat) -> Step {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
@@ -184,7 +184,7 @@
     }
 
     /// Forgets a machine that was held here until another controller claimed it.
-    fn drop_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> ReconcileStep {
+    fn drop_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> Step {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
@@ -205,7 +205,7 @@
     /// Renews the lease of a machine that an earlier run of this process held: its
     /// token still does so while the new claim is being committed. Without orders,
     /// and only where nothing on the machine has to end.
-    fn renew_after_restart(&self, heartbeat: &Heartbeat) -> ReconcileStep {
+    fn renew_after_restart(&self, heartbeat: &Heartbeat) -> Step {
         let machine = heartbeat.machine.as_ref();
         let Some(machine) = machine.filter(|m| self.is_recorded_holder(m)) else {
             return Ok(());
@@ -220,7 +220,7 @@
 
     /// Claims the machine unless it is held already, or sends the worker back to
     /// its owner.
-    async fn hold(&self, heartbeat: &Heartbeat) -> ReconcileStep {
+    async fn hold(&self, heartbeat: &Heartbeat) -> Step {
         let id = heartbeat.id();
         if self.owns(id) {
             return Ok(());
@@ -261,7 +261,7 @@
     }
 
     /// Takes the report over as the machine's newest, unless it is a late copy.
-    fn take_report(&self, heartbeat: &Heartbeat) -> ReconcileStep {
+    fn take_report(&self, heartbeat: &Heartbeat) -> Step {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut unconfirmed = false;
         if let Some(owned_worker) = self.workers.owned_workers.borrow_mut().get_mut(id) {
@@ -296,7 +296,7 @@
     }
 
     /// The answer that renews the lease.
-    fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> ReconcileStep<Answer> {
+    fn answer_with(&self, mut plan: Plan, heartbeat: &Heartbeat) -> Step<Answer> {
         let (id, report) = (heartbeat.id(), &heartbeat.report);
         let mut owned_workers = self.workers.owned_workers.borrow_mut();
         let Some(owned_worker) = owned_workers.get_mut(id) else {
