--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -78,10 +78,10 @@
     ) -> usize {
         let new_records = self.new_records(id, spec, placements);
         let max_writes = self.max_records;
-        let alone = self.remaining_space();
-        let beside = CommitCapacity {
-            writes: alone.writes.saturating_sub(new_records),
-            guards: alone.guards.saturating_sub(new_records),
+        let capacity_without_booking = self.remaining_space();
+        let capacity_with_booking = CommitCapacity {
+            writes: capacity_without_booking.writes.saturating_sub(new_records),
+            guards: capacity_without_booking.guards.saturating_sub(new_records),
         };
         let Some(accounts) = &mut self.accounts else {
             return 0;
@@ -91,10 +91,10 @@
             controller,
             need: spec.need,
             tasks: placements.len(),
-            together: spec.is_gang(),
+            all_or_nothing: spec.is_gang(),
             max_writes,
-            beside,
-            alone,
+            capacity_with_booking,
+            capacity_without_booking,
         })
     }
 
