--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -178,9 +178,14 @@
 /// The rules of a policy, and the variables that rules may use.
 pub fn explain(policy: &Policy) -> String {
     let mut text = String::new();
-    for (rule, expression, is_built_in) in policy.rules() {
-        let origin = if is_built_in { "built in" } else { "set" };
-        text += &format!("{} = {expression}\n", rule.name);
+    for expression in policy.rules() {
+        let rule = expression.rule;
+        let origin = if expression.is_built_in() {
+            "built in"
+        } else {
+            "set"
+        };
+        text += &format!("{} = {}\n", rule.name, expression.text);
         text += &format!("  {} ({origin})\n", rule.meaning);
         text += &rule_values_text(rule);
     }
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -3,11 +3,11 @@
 use super::syntax::SourceRange;
 use super::types::Interval;
 
-/// The longest expression, in bytes.
+/// The maximum length of an expression, in bytes.
 pub(super) const EXPRESSION_LENGTH_LIMIT: usize = 2000;
-/// The deepest nesting of brackets.
+/// The maximum nesting depth of brackets.
 pub(super) const NESTING_LIMIT: usize = 24;
-/// The most sort keys of one rule.
+/// The maximum number of sort keys of one rule.
 pub(super) const SORT_KEYS_LIMIT: usize = 8;
 
 /// Why a policy is refused, with the place in its file.
--- a/src/policy/eval.rs
+++ b/src/policy/eval.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The most arguments of `min` and `max`.
+/// The maximum number of arguments of `min` and `max`.
 const ARGUMENTS_LIMIT: usize = 8;
 
 /// All functions of the language.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings: a small typed expression language.
+//! The operators' policy, in a small typed expression language.
 //!
 //! A policy file holds lines `rule = expression`; `#` begins a comment. An
 //! expression is total: there are no loops, nesting and length are bounded,
@@ -29,6 +29,6 @@
 
 pub use error::PolicyError;
 pub use facts::{JobFacts, MachineFacts};
-pub use rule_set::Policy;
+pub use rule_set::{Policy, RuleExpression};
 pub use rules::{JOB_VARIABLES, MACHINE_VARIABLES, RULES, Rule, Subject, Variable};
 pub use types::Interval;
--- a/src/policy/rule_set.rs
+++ b/src/policy/rule_set.rs
@@ -35,6 +35,22 @@
     }
 }
 
+/// A rule with the expression that a policy has for it.
+#[derive(Clone, Copy)]
+pub struct RuleExpression<'a> {
+    /// The rule.
+    pub rule: &'static Rule,
+    /// The text of the expression.
+    pub text: &'a str,
+}
+
+impl RuleExpression<'_> {
+    /// Whether the expression is the built-in one.
+    pub fn is_built_in(&self) -> bool {
+        self.text == self.rule.default
+    }
+}
+
 impl Default for Policy {
     fn default() -> Self {
         let rules = RULES.iter().map(CompiledRule::built_in).collect();
@@ -64,11 +80,12 @@
         Ok(policy)
     }
 
-    /// Each rule with its expression and whether that is the built-in one.
-    pub fn rules(&self) -> impl Iterator<Item = (&'static Rule, &str, bool)> {
-        RULES.iter().zip(&self.rules).map(|(rule, compiled)| {
-            let text = compiled.text.as_str();
-            (rule, text, text == rule.default)
+    /// The expression of each rule, in the order of [`RULES`].
+    pub fn rules(&self) -> impl Iterator<Item = RuleExpression<'_>> {
+        let rules = RULES.iter().zip(&self.rules);
+        rules.map(|(rule, compiled)| RuleExpression {
+            rule,
+            text: &compiled.text,
         })
     }
 
@@ -115,7 +132,7 @@
             .map(|rule| {
                 rule.expressions
                     .iter()
-                    .map(|e| e.value(variables))
+                    .map(|expression| expression.value(variables))
                     .collect()
             })
             .unwrap_or_default()
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -40,7 +40,7 @@
     };
     assert_eq!(built_in.idle_s(&machine), 45.0);
     assert_eq!(built_in.boot_limit_s(&machine), 180.0);
-    assert!(built_in.rules().all(|(_, _, built_in)| built_in));
+    assert!(built_in.rules().all(|rule| rule.is_built_in()));
 }
 
 #[test]
--- a/tests/rule_checker/answers.rs
+++ b/tests/rule_checker/answers.rs
@@ -1,8 +1,8 @@
 //! Answers to users: forgotten, invented, done too early, gone back.
 
 use crate::history::{
-    Cancel, Case, Elapse, FIRST, Launch, Poll, PollFor, SECOND, Stop, Submit, SubmitTo, beside,
-    long_batch, short_batch, unrelated_start,
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Launch, Poll, PollFor, SECOND, Stop, Submit, SubmitTo,
+    beside, long_batch, short_batch, short_task_started, then, unrelated_start,
 };
 use crate::stand_ins::{Rule, after, job};
 
@@ -87,26 +87,14 @@
         Case {
             name: "a task still runs",
             rule: Rule::NotDone,
-            before: || {
-                vec![
-                    Submit(short_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Elapse(4.0),
-                ]
-            },
+            before: || short_task_started(4.0),
             lawful: || vec![Elapse(2.0), Poll(FIRST, 200, "done")],
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
             name: "one task of two has never run",
             rule: Rule::NotDone,
-            before: || {
-                vec![
-                    Submit(short_batch(2)),
-                    Launch(0, "job-000001/0"),
-                    Elapse(6.0),
-                ]
-            },
+            before: || vec![Submit(short_batch(2)), Launch(0, FIRST_TASK), Elapse(6.0)],
             lawful: || {
                 vec![
                     Launch(1, "job-000001/1"),
@@ -119,15 +107,9 @@
         Case {
             name: "a stopped task has not completed",
             rule: Rule::NotDone,
-            before: || vec![Submit(short_batch(1)), Launch(0, "job-000001/0")],
+            before: || vec![Submit(short_batch(1)), Launch(0, FIRST_TASK)],
             lawful: || vec![Elapse(6.0), Poll(FIRST, 200, "done")],
-            violation: || {
-                vec![
-                    Stop(0, "job-000001/0"),
-                    Elapse(6.0),
-                    Poll(FIRST, 200, "done"),
-                ]
-            },
+            violation: || vec![Stop(0, FIRST_TASK), Elapse(6.0), Poll(FIRST, 200, "done")],
         },
         Case {
             name: "a gang's tasks complete together",
@@ -135,7 +117,7 @@
             before: || {
                 vec![
                     Submit(job(1, "gang", 2, 5.0)),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                     Launch(1, "job-000001/1"),
                     Elapse(4.0),
                 ]
@@ -146,13 +128,7 @@
         Case {
             name: "a cancellation and a submission are told so, too",
             rule: Rule::NotDone,
-            before: || {
-                vec![
-                    Submit(short_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Elapse(4.0),
-                ]
-            },
+            before: || short_task_started(4.0),
             lawful: || vec![Elapse(2.0), Cancel(FIRST, 200, "done")],
             violation: || vec![Cancel(FIRST, 200, "done")],
         },
@@ -160,22 +136,8 @@
 }
 
 pub fn went_back() -> Vec<Case> {
-    let done = || {
-        vec![
-            Submit(short_batch(1)),
-            Launch(0, "job-000001/0"),
-            Elapse(6.0),
-            Poll(FIRST, 200, "done"),
-        ]
-    };
-    let cancelled = || {
-        vec![
-            Submit(short_batch(1)),
-            Launch(0, "job-000001/0"),
-            Elapse(6.0),
-            Cancel(FIRST, 200, "aborted"),
-        ]
-    };
+    let done = || then(short_task_started(6.0), vec![Poll(FIRST, 200, "done")]);
+    let cancelled = || then(short_task_started(6.0), vec![Cancel(FIRST, 200, "aborted")]);
     vec![
         Case {
             name: "done, then running",
--- a/tests/rule_checker/further.rs
+++ b/tests/rule_checker/further.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 
 use crate::history::{
-    Cancel, Case, Elapse, FIRST, Launch, Poll, Record, SECOND, Submit, beside, long_batch,
-    short_batch,
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Launch, Poll, Record, SECOND, Submit, beside,
+    long_batch, short_batch,
 };
 use crate::stand_ins::{Rule, after, job};
 
@@ -17,7 +17,7 @@
                 vec![
                     Submit(short_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                     Elapse(4.0),
                 ]
             },
@@ -43,14 +43,14 @@
             name: "a task of a job that nobody submitted",
             rule: Rule::UnknownJob,
             before: || vec![Submit(long_batch(1))],
-            lawful: || vec![Launch(0, "job-000001/0")],
+            lawful: || vec![Launch(0, FIRST_TASK)],
             violation: || vec![Launch(0, "job-000002/0")],
         },
         Case {
             name: "no task was started",
             rule: Rule::NothingRan,
             before: || vec![Submit(long_batch(1)), Elapse(5.0)],
-            lawful: || vec![Launch(0, "job-000001/0")],
+            lawful: || vec![Launch(0, FIRST_TASK)],
             violation: Vec::new,
         },
         Case {
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -11,6 +11,9 @@
 pub const FIRST: &str = "job-000001";
 pub const SECOND: &str = "job-000002";
 
+/// The first task of the first job.
+pub const FIRST_TASK: &str = "job-000001/0";
+
 /// The machines with even numbers are in zone a, the others in zone b.
 pub const MACHINES: usize = 4;
 
@@ -34,6 +37,7 @@
     Record(&'static str, Value),
     /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
     PollFor(f64, Vec<(&'static str, u16)>),
+    /// Some seconds go by.
     Elapse(f64),
 }
 
@@ -144,6 +148,26 @@
     job(1, "batch", tasks, 5.0)
 }
 
+/// A batch of one short task, which started on machine 0 so many seconds ago.
+pub fn short_task_started(seconds: f64) -> Vec<Step> {
+    vec![
+        Submit(short_batch(1)),
+        Launch(0, FIRST_TASK),
+        Elapse(seconds),
+    ]
+}
+
+/// A batch of one long task, which has just started on machine 0.
+pub fn long_task_started() -> Vec<Step> {
+    vec![Submit(long_batch(1)), Launch(0, FIRST_TASK)]
+}
+
+/// The steps, and further ones after them.
+pub fn then(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
+    steps.extend(further);
+    steps
+}
+
 /// The job with one field altered.
 pub fn with(mut job: Value, field: &str, value: Value) -> Value {
     job[field] = value;
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -14,7 +14,7 @@
 
 use answers::{forgotten, invented, not_done, went_back};
 use further::further_rules;
-use history::{Cancel, Elapse, FIRST, Launch, Submit, check, long_batch, violations_of};
+use history::{Cancel, Elapse, FIRST, Launch, check, long_task_started, then, violations_of};
 use stand_ins::{Rule, in_world};
 use tasks::{quota, ran_cancelled, ran_twice, wrong_place};
 
@@ -87,12 +87,10 @@
 fn what_follows_a_violation_is_still_judged() {
     in_world(|| async {
         let unknown = vec![Launch(0, "job-000002/0"), Elapse(1.0)];
-        let second = vec![
-            Submit(long_batch(1)),
-            Launch(0, "job-000001/0"),
-            Cancel(FIRST, 200, "aborted"),
-            Elapse(32.0),
-        ];
+        let second = then(
+            long_task_started(),
+            vec![Cancel(FIRST, 200, "aborted"), Elapse(32.0)],
+        );
         let reported = violations_of([unknown, second]).await;
         let rules: Vec<&str> = reported
             .iter()
--- a/tests/rule_checker/tasks.rs
+++ b/tests/rule_checker/tasks.rs
@@ -3,7 +3,8 @@
 use serde_json::json;
 
 use crate::history::{
-    Cancel, Case, Elapse, FIRST, Hang, Launch, Lose, Stop, Submit, long_batch, short_batch, with,
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Hang, Launch, Lose, Stop, Submit, long_batch,
+    long_task_started, short_batch, short_task_started, then, with,
 };
 use crate::stand_ins::{Rule, after, job};
 
@@ -12,43 +13,30 @@
         Case {
             name: "a second start elsewhere",
             rule: Rule::RanTwice,
-            before: || vec![Submit(long_batch(1)), Launch(0, "job-000001/0")],
-            lawful: || vec![Stop(0, "job-000001/0"), Launch(1, "job-000001/0")],
-            violation: || vec![Launch(1, "job-000001/0")],
+            before: long_task_started,
+            lawful: || vec![Stop(0, FIRST_TASK), Launch(1, FIRST_TASK)],
+            violation: || vec![Launch(1, FIRST_TASK)],
         },
         Case {
             name: "a start after its machine is gone, or before",
             rule: Rule::RanTwice,
-            before: || vec![Submit(long_batch(1)), Launch(0, "job-000001/0")],
-            lawful: || vec![Lose(0), Launch(2, "job-000001/0")],
-            violation: || vec![Launch(2, "job-000001/0"), Lose(0)],
+            before: long_task_started,
+            lawful: || vec![Lose(0), Launch(2, FIRST_TASK)],
+            violation: || vec![Launch(2, FIRST_TASK), Lose(0)],
         },
         Case {
             name: "a machine that hangs keeps its task until its lease is over",
             rule: Rule::RanTwice,
-            before: || {
-                vec![
-                    Submit(long_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Hang(0, 60.0),
-                    Elapse(5.0),
-                ]
-            },
-            lawful: || vec![Elapse(7.0), Launch(1, "job-000001/0")],
-            violation: || vec![Launch(1, "job-000001/0")],
+            before: || then(long_task_started(), vec![Hang(0, 60.0), Elapse(5.0)]),
+            lawful: || vec![Elapse(7.0), Launch(1, FIRST_TASK)],
+            violation: || vec![Launch(1, FIRST_TASK)],
         },
         Case {
             name: "a task that has ended may start again",
             rule: Rule::RanTwice,
-            before: || {
-                vec![
-                    Submit(short_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Elapse(4.0),
-                ]
-            },
-            lawful: || vec![Elapse(2.0), Launch(1, "job-000001/0")],
-            violation: || vec![Launch(1, "job-000001/0")],
+            before: || short_task_started(4.0),
+            lawful: || vec![Elapse(2.0), Launch(1, FIRST_TASK)],
+            violation: || vec![Launch(1, FIRST_TASK)],
         },
     ]
 }
@@ -62,7 +50,7 @@
             before: || {
                 vec![
                     Submit(long_batch(7)),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                     Launch(0, "job-000001/1"),
                     Launch(1, "job-000001/2"),
                     Launch(1, "job-000001/3"),
@@ -71,13 +59,7 @@
                     Elapse(1.0),
                 ]
             },
-            lawful: || {
-                vec![
-                    Stop(0, "job-000001/0"),
-                    Launch(3, "job-000001/6"),
-                    Elapse(1.0),
-                ]
-            },
+            lawful: || vec![Stop(0, FIRST_TASK), Launch(3, "job-000001/6"), Elapse(1.0)],
             violation: || vec![Launch(3, "job-000001/6"), Elapse(1.0)],
         },
         Case {
@@ -89,7 +71,7 @@
                     Submit(big(1)),
                     Submit(big(2)),
                     Submit(with(big(3), "crew", json!("u"))),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                 ]
             },
             lawful: || vec![Launch(1, "job-000003/0"), Elapse(1.0)],
@@ -114,14 +96,14 @@
                 ]
             },
             lawful: || vec![Launch(0, "job-000002/0")],
-            violation: || vec![Launch(0, "job-000001/0")],
+            violation: || vec![Launch(0, FIRST_TASK)],
         },
         Case {
             name: "a zone that is not allowed",
             rule: Rule::WrongPlace,
             before: || vec![Submit(with(long_batch(1), "yard", json!("b")))],
-            lawful: || vec![Launch(1, "job-000001/0")],
-            violation: || vec![Launch(0, "job-000001/0")],
+            lawful: || vec![Launch(1, FIRST_TASK)],
+            violation: || vec![Launch(0, FIRST_TASK)],
         },
         Case {
             name: "two zones of a job that must be in one",
@@ -129,7 +111,7 @@
             before: || {
                 vec![
                     Submit(with(long_batch(2), "same_place", json!(true))),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                 ]
             },
             lawful: || vec![Launch(2, "job-000001/1")],
@@ -141,7 +123,7 @@
             before: || {
                 vec![
                     Submit(with(long_batch(3), "scatter", json!(true))),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                     Launch(2, "job-000001/1"),
                 ]
             },
@@ -158,30 +140,29 @@
             name: "a task that stays on its machine",
             rule: Rule::RanCancelled,
             before: || {
-                vec![
-                    Submit(long_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Cancel(FIRST, 200, "aborted"),
-                    Elapse(29.0),
-                ]
+                then(
+                    long_task_started(),
+                    vec![Cancel(FIRST, 200, "aborted"), Elapse(29.0)],
+                )
             },
-            lawful: || vec![Stop(0, "job-000001/0"), Elapse(3.0)],
+            lawful: || vec![Stop(0, FIRST_TASK), Elapse(3.0)],
             violation: || vec![Elapse(3.0)],
         },
         Case {
             name: "a second confirmation gives no more time",
             rule: Rule::RanCancelled,
             before: || {
-                vec![
-                    Submit(long_batch(1)),
-                    Launch(0, "job-000001/0"),
-                    Cancel(FIRST, 200, "aborted"),
-                    Elapse(20.0),
-                    Cancel(FIRST, 200, "aborted"),
-                    Elapse(9.0),
-                ]
+                then(
+                    long_task_started(),
+                    vec![
+                        Cancel(FIRST, 200, "aborted"),
+                        Elapse(20.0),
+                        Cancel(FIRST, 200, "aborted"),
+                        Elapse(9.0),
+                    ],
+                )
             },
-            lawful: || vec![Stop(0, "job-000001/0"), Elapse(3.0)],
+            lawful: || vec![Stop(0, FIRST_TASK), Elapse(3.0)],
             violation: || vec![Elapse(3.0)],
         },
         Case {
@@ -194,14 +175,8 @@
                     Elapse(29.0),
                 ]
             },
-            lawful: || vec![Launch(0, "job-000001/0"), Stop(0, "job-000001/0")],
-            violation: || {
-                vec![
-                    Elapse(2.0),
-                    Launch(0, "job-000001/0"),
-                    Stop(0, "job-000001/0"),
-                ]
-            },
+            lawful: || vec![Launch(0, FIRST_TASK), Stop(0, FIRST_TASK)],
+            violation: || vec![Elapse(2.0), Launch(0, FIRST_TASK), Stop(0, FIRST_TASK)],
         },
         Case {
             name: "a task after a cancelled job",
@@ -210,7 +185,7 @@
                 vec![
                     Submit(short_batch(1)),
                     Submit(after(job(2, "daemon", 1, 0.0), &[FIRST])),
-                    Launch(0, "job-000001/0"),
+                    Launch(0, FIRST_TASK),
                     Elapse(6.0),
                     Launch(1, "job-000002/0"),
                     Cancel(FIRST, 200, "aborted"),
