--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -172,7 +172,7 @@
     });
 }
 
-/// A fleet_leader that is back at once finds its own state lease still urgency.
+/// A fleet leader that is back at once finds its own state lease still valid.
 #[test]
 fn a_renter_that_is_back_at_once_rents_on() {
     Scenario::new(15).run(|w| async move {
