--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -10,7 +10,7 @@
 /// A split over controllers; who has nothing is left out.
 pub(crate) type Split = BTreeMap<ControllerName, Resources>;
 
-/// `share/TEAM`: how a team's room is split over the controllers. While it exists the
+/// `share/TEAM`: how a team's quota is split over the controllers. While it exists the
 /// team's bookings count against shares; without it, against the team's own record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
@@ -113,7 +113,7 @@
 /// once, whoever repeats it and however late. It never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MoveRecord {
-    /// The team whose room moves.
+    /// The team whose quota share moves.
     #[serde(rename = "t")]
     pub team: TeamName,
     /// The controller that gives.
@@ -143,7 +143,7 @@
 }
 
 impl MoveRecord {
-    /// How far the move has come; a team whose room is split no longer has nothing
+    /// How far the move has come; a team whose quota is split no longer has nothing
     /// left to move.
     pub fn state(&self, share: Option<&Share>) -> MoveState {
         match share {
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -88,13 +88,13 @@
         }
     }
 
-    /// What the giver lacks beyond its free room.
+    /// What the giver lacks beyond its free capacity.
     fn missing(&self, taken: Resources) -> Resources {
         (self.left - self.free_from - taken).positive()
     }
 
     /// Whether jobs with these bookings may go along: where something is left to move
-    /// they fit into that and the receiver's free room; elsewhere their room goes with
+    /// they fit into that and the receiver's free capacity; elsewhere their room goes with
     /// them.
     fn admits(&self, taken: Resources) -> bool {
         let fits =
@@ -104,7 +104,7 @@
             && fits(self.left.ram, self.free_to.ram, taken.ram)
     }
 
-    /// What leaves the giver's share: all that is left to move if free room and the jobs
+    /// What leaves the giver's share: all that is left to move if free capacity and the jobs
     /// cover it; where nothing is left to move, what the jobs take.
     fn amount(&self, taken: Resources) -> Resources {
         let part = |left: Amount, free: Amount, taken: Amount| match left.0 {
--- a/crates/shares/tests/exploration.rs
+++ b/crates/shares/tests/exploration.rs
@@ -61,7 +61,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Commit {
-    guards: BTreeSet<Key>,
+    preconditions: BTreeSet<Key>,
     writes: BTreeSet<Key>,
     change: Change,
     jobs: Vec<(usize, Progress)>,
@@ -97,13 +97,13 @@
         writes.extend(change.shares.keys().map(|t| Key::Share(known(t.as_str()))));
         writes.extend(change.pool.map(|_| Key::Pool));
         writes.extend(change.reassigned.keys().map(|job| Key::Job(number(job))));
-        let mut guards = writes.clone();
+        let mut preconditions = writes.clone();
         let reads = change.read_shares.iter();
-        guards.extend(reads.map(|t| Key::Share(known(t.as_str()))));
+        preconditions.extend(reads.map(|t| Key::Share(known(t.as_str()))));
         let uses = change.read_uses.iter();
-        guards.extend(uses.map(|(t, c)| Key::Use(known(t.as_str()), known(c.as_str()))));
+        preconditions.extend(uses.map(|(t, c)| Key::Use(known(t.as_str()), known(c.as_str()))));
         Commit {
-            guards,
+            preconditions,
             writes,
             change,
             jobs: Vec::new(),
@@ -112,7 +112,7 @@
     }
 
     fn write(mut self, key: Key) -> Self {
-        self.guards.insert(key);
+        self.preconditions.insert(key);
         self.writes.insert(key);
         self
     }
@@ -242,7 +242,7 @@
         adjust_capacity(&self.ledger, MAX_WRITES).map(|change| {
             // What the machines on record are is read with it.
             let mut commit = Commit::new(change);
-            commit.guards.insert(Key::Pool);
+            commit.preconditions.insert(Key::Pool);
             commit
         })
     }
@@ -291,9 +291,9 @@
         let mut next = self.clone();
         let commit = next.under_way.remove(at);
         // What was written is guarded: a second copy of the commit always fails.
-        assert!(commit.writes.is_subset(&commit.guards));
+        assert!(commit.writes.is_subset(&commit.preconditions));
         next.under_way
-            .retain(|other| other.guards.is_disjoint(&commit.writes));
+            .retain(|other| other.preconditions.is_disjoint(&commit.writes));
         commit.change.apply(&mut next.ledger);
         for (job, progress) in &commit.jobs {
             next.set_job(*job, *progress);
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -18,7 +18,7 @@
     /// Records that may still be written.
     pub writes: usize,
     /// Conditions that may still be added.
-    pub guards: usize,
+    pub preconditions: usize,
 }
 
 /// What is asked of the accounting for one job.
@@ -154,7 +154,7 @@
         merged.merge(change.clone());
         let more_writes = merged.writes() - self.change.writes();
         let more_reads = merged.read_shares.len() + merged.read_uses.len() - self.reads();
-        if more_writes > capacity.writes || more_writes + more_reads > capacity.guards {
+        if more_writes > capacity.writes || more_writes + more_reads > capacity.preconditions {
             return false;
         }
         change.apply(&mut self.ledger);
--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -4,7 +4,7 @@
 
 use shares::{Change, TeamName};
 
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{POOL_KEY, share_key, share_use_id, share_use_key, team_key};
 use crate::state::records::{Resources, Team};
 use crate::state::replica::Replica;
@@ -15,7 +15,7 @@
     replica: &'a Replica,
     guarded: BTreeSet<String>,
     /// The conditions.
-    pub guards: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
@@ -26,14 +26,14 @@
         CommitParts {
             replica,
             guarded: BTreeSet::new(),
-            guards: Vec::new(),
+            preconditions: Vec::new(),
             writes: Vec::new(),
         }
     }
 
-    fn guard(&mut self, key: String, version: u64) {
+    fn precondition(&mut self, key: String, version: u64) {
         if self.guarded.insert(key.clone()) {
-            self.guards.push(guard(key, version));
+            self.preconditions.push(precondition(key, version));
         }
     }
 
@@ -50,7 +50,7 @@
             self.writes.push(Write::Delete { key });
         }
         if let Some(pool) = &change.pool {
-            self.guard(POOL_KEY.to_string(), self.replica.pool_version());
+            self.precondition(POOL_KEY.to_string(), self.replica.pool_version());
             self.writes.push(put(POOL_KEY.to_string(), pool));
         }
         for team in &change.read_shares {
@@ -63,12 +63,12 @@
 
     fn guard_share(&mut self, team: &TeamName) {
         let version = self.replica.share_version(team.as_str());
-        self.guard(share_key(team.as_str()), version);
+        self.precondition(share_key(team.as_str()), version);
     }
 
     fn guard_use(&mut self, id: &str) {
         let version = self.replica.share_use_version(id);
-        self.guard(share_use_key(id), version);
+        self.precondition(share_use_key(id), version);
     }
 
     /// Writes what is booked against a share.
@@ -79,7 +79,7 @@
 
     /// Writes a team's own record, as last recounted.
     pub fn put_team(&mut self, team: &str) {
-        self.guard(team_key(team), self.replica.team_version(team));
+        self.precondition(team_key(team), self.replica.team_version(team));
         let used = self.replica.team_used(team);
         self.writes.push(put(team_key(team), &Team { used }));
     }
@@ -94,14 +94,14 @@
             let mut job = entry.value.clone();
             job.share = Some(controller.clone());
             let write = self.replica.put_job(id.as_str(), &job);
-            self.guard(write.key().to_string(), entry.version);
+            self.precondition(write.key().to_string(), entry.version);
             self.writes.push(write);
         }
     }
 
     /// Removes the pool.
     pub fn remove_pool(&mut self) {
-        self.guard(POOL_KEY.to_string(), self.replica.pool_version());
+        self.precondition(POOL_KEY.to_string(), self.replica.pool_version());
         let key = POOL_KEY.to_string();
         self.writes.push(Write::Delete { key });
     }
--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// What one controller has of a team's room.
+/// What one controller has of a team's quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerShare {
     /// The controller.
@@ -60,7 +60,7 @@
     pub used: Amounts,
 }
 
-/// The split of a team's room.
+/// The split of a team's quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamShares {
     /// The team.
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -12,7 +12,7 @@
 use crate::http::Response;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::move_key;
 use crate::state::records::Resources;
 use crate::state::replica::Replica;
@@ -59,7 +59,7 @@
     Answer(MoveAnswer),
     /// It is to be committed, and then decided again.
     Commit {
-        guards: Vec<Precondition>,
+        preconditions: Vec<Precondition>,
         writes: Vec<Write>,
     },
 }
@@ -79,8 +79,11 @@
         match decide(controller, &request) {
             Err(refusal) => return refusal.into(),
             Ok(MoveDecision::Answer(answer)) => return Response::json(200, &answer),
-            Ok(MoveDecision::Commit { guards, writes }) => {
-                if !commit_move(controller, guards, writes).await {
+            Ok(MoveDecision::Commit {
+                preconditions,
+                writes,
+            }) => {
+                if !commit_move(controller, preconditions, writes).await {
                     break;
                 }
             }
@@ -93,11 +96,11 @@
 /// effect, the replica tells.
 async fn commit_move(
     controller: &Controller,
-    guards: Vec<Precondition>,
+    preconditions: Vec<Precondition>,
     writes: Vec<Write>,
 ) -> bool {
     let committed = controller
-        .commit(RequestClass::Accept, guards, writes)
+        .commit(RequestClass::Accept, preconditions, writes)
         .await;
     match committed {
         Ok(_) => return true,
@@ -107,7 +110,7 @@
     }
     // What has come between is on its way; or the commit was carried out.
     let limit = controller.settings.worker_lease() / 8;
-    controller.barrier(limit).await
+    controller.wait_for_barrier(limit).await
 }
 
 /// Decides on the replica whether a move is known, refused, or to be committed.
@@ -148,10 +151,10 @@
     parts.add_change(&change);
     let key = move_key(&request.id);
     let version = replica.absent_version(&key);
-    parts.guards.push(guard(key.clone(), version));
+    parts.preconditions.push(precondition(key.clone(), version));
     parts.writes.push(put(key, &record));
     Ok(MoveDecision::Commit {
-        guards: parts.guards,
+        preconditions: parts.preconditions,
         writes: parts.writes,
     })
 }
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -13,7 +13,7 @@
 use super::CommitParts;
 use crate::hash::preferred;
 use crate::settings::Settings;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::machine_shard_key;
 use crate::state::records::FORMATS_SHARES;
 use crate::state::replica::{Replica, fallback_controller};
@@ -24,7 +24,7 @@
     /// What it does, for the log.
     pub action: &'static str,
     /// The conditions.
-    pub guards: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
@@ -33,7 +33,7 @@
     fn new(action: &'static str, parts: CommitParts) -> Self {
         ReconcileStep {
             action,
-            guards: parts.guards,
+            preconditions: parts.preconditions,
             writes: parts.writes,
         }
     }
@@ -111,8 +111,8 @@
     let mut parts = CommitParts::new(replica);
     for (id, entry) in uncounted {
         parts
-            .guards
-            .push(guard(machine_shard_key(id), entry.version));
+            .preconditions
+            .push(precondition(machine_shard_key(id), entry.version));
         parts
             .writes
             .push(replica.put_machine_shard(id, &entry.value));
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -59,7 +59,7 @@
     };
     let action = step.action;
     let committed = controller
-        .commit(RequestClass::Lifecycle, step.guards, step.writes)
+        .commit(RequestClass::Lifecycle, step.preconditions, step.writes)
         .await;
     match committed {
         Ok(_) => {
@@ -76,7 +76,7 @@
             // It may have happened: the replica tells after a barrier, and nothing more
             // is decided before.
             let limit = controller.settings.worker_lease() / 4;
-            controller.barrier(limit).await;
+            controller.wait_for_barrier(limit).await;
             Progress::Pause
         }
     }
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -11,7 +11,7 @@
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{accepted_batch_key, job_key};
 use crate::state::records::{AcceptedBatch, Job, Spec};
 use crate::wire::{Precondition, Write};
@@ -58,7 +58,7 @@
 /// the last commit was waited for: a burst costs few writes.
 pub async fn run_acceptance(controller: Rc<Controller>) {
     // The first does not wait; those behind it gather for this long.
-    let batch_interval = controller.request_gap() * 4;
+    let batch_interval = controller.request_interval() * 4;
     loop {
         controller.admissions.wait_for_submission().await;
         while !controller.admissions.is_queue_empty() {
@@ -133,7 +133,7 @@
             // It may have happened. Trying again is harmless: jobs that two
             // such records name are one job.
             controller.admissions.requeue(batch.into_iter());
-            sleep(controller.store.jitter(controller.request_gap() * 4)).await;
+            sleep(controller.store.jitter(controller.request_interval() * 4)).await;
         }
     }
 }
@@ -150,7 +150,7 @@
     let accepted_revision = controller.replica.borrow().revision;
     let mut preconditions: Vec<Precondition> = batch
         .iter()
-        .map(|pending| guard(job_key(&pending.id), 0))
+        .map(|pending| precondition(job_key(&pending.id), 0))
         .collect();
     if let [single] = batch {
         let job = Job::new(single.spec.clone(), accepted_revision);
@@ -165,7 +165,7 @@
         .collect();
     let suffix = controller.rng.borrow_mut().random::<u64>();
     let key = accepted_batch_key(&format!("{}-{suffix:x}", controller.name()));
-    preconditions.push(guard(key.clone(), 0));
+    preconditions.push(precondition(key.clone(), 0));
     let record = AcceptedBatch {
         accepted_revision,
         jobs,
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -12,7 +12,7 @@
 use crate::http::Response;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::job_key;
 use crate::state::records::{Job, is_job_id};
 use crate::state::replica::Entry;
@@ -62,7 +62,10 @@
             None if has_passed_barrier => return no_such_job(),
             None => has_passed_barrier = true,
         }
-        if !controller.barrier_unless_refused(QUERY_TIMEOUT).await {
+        if !controller
+            .wait_for_barrier_unless_refused(QUERY_TIMEOUT)
+            .await
+        {
             return state_unavailable();
         }
     }
@@ -70,7 +73,7 @@
 
 /// Waits before the next try.
 async fn back_off(controller: &Controller) {
-    sleep(controller.store.jitter(controller.request_gap() * 4)).await;
+    sleep(controller.store.jitter(controller.request_interval() * 4)).await;
 }
 
 /// Commits the cancellation of an open job, and returns the response to its user.
@@ -81,7 +84,7 @@
 ) -> Result<Response, StoreError> {
     let mut job = known.value.clone();
     job.cancel();
-    let preconditions = vec![guard(job_key(id), known.version)];
+    let preconditions = vec![precondition(job_key(id), known.version)];
     let writes = vec![controller.replica.borrow().put_job(id, &job)];
     controller
         .commit(RequestClass::Accept, preconditions, writes)
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -81,7 +81,9 @@
     // Safety 1: anything else must not be older than what another controller
     // has told; 404 included. Without the state service that is not to be had,
     // and nobody is kept waiting for it.
-    if !controller.is_state_service_reachable() || !controller.barrier_unless_refused(limit).await {
+    if !controller.is_state_service_reachable()
+        || !controller.wait_for_barrier_unless_refused(limit).await
+    {
         return state_unavailable();
     }
     let replica = controller.replica.borrow();
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -93,7 +93,7 @@
         Err(error @ SubmissionError::Undecidable) => return Err(error.into()),
         Err(SubmissionError::Unsatisfiable(_) | SubmissionError::Malformed(_)) => {}
     }
-    if !controller.barrier_unless_refused(limit).await {
+    if !controller.wait_for_barrier_unless_refused(limit).await {
         return Err(state_unavailable());
     }
     match query_known_job(controller, &submission.id, QUERY_TIMEOUT).await {
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -6,7 +6,7 @@
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{JobStatus, Spec, is_job_id};
 use crate::state::replica::Replica;
-use crate::wire::{Kind, Submission};
+use crate::wire::{JobKind, Submission};
 
 /// The maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
@@ -180,7 +180,7 @@
 fn check_spread(spec: &Spec, zones: usize) -> Result<(), SubmissionError> {
     let zones_at_once = if spec.one_zone { 1 } else { zones };
     let max_per_zone = spec.tasks.div_ceil(2) as usize;
-    let is_spread_gang = spec.kind == Kind::Gang && spec.spread;
+    let is_spread_gang = spec.kind == JobKind::Gang && spec.spread;
     if is_spread_gang && max_per_zone * zones_at_once < spec.tasks as usize {
         return Err(unsatisfiable("scatter: the gang may use too few zones"));
     }
@@ -189,8 +189,8 @@
 
 fn check_team_quota(spec: &Spec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
-        Kind::Array => 1,
-        Kind::Gang | Kind::Service => spec.tasks as usize,
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks as usize,
     };
     match team.allows(&spec.need.times(tasks_at_once)) {
         true => Ok(()),
--- a/src/cloud/cancellations.rs
+++ b/src/cloud/cancellations.rs
@@ -3,7 +3,7 @@
 use super::commit::commit_unless_empty;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::job_key;
 use crate::wire::Commit;
 
@@ -19,7 +19,7 @@
                 let mut job = replica.jobs.get(id)?.value.clone();
                 job.cancel();
                 let version = replica.job_version(id);
-                Some((guard(job_key(id), version), put(job_key(id), &job)))
+                Some((precondition(job_key(id), version), put(job_key(id), &job)))
             })
             .take(controller.settings.txn_ops())
             .unzip();
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -7,11 +7,11 @@
 use crate::scheduler::{self, AcceleratorProtection, MachineShardEdits, PlacementHints, Plan};
 use crate::settings::Settings;
 use crate::state::budget::RequestClass;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::{job_key, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, Resources, TaskOutcome};
 use crate::state::replica::Replica;
-use crate::wire::{Commit, Kind};
+use crate::wire::{Commit, JobKind};
 
 /// Slots for so many of the usual gangs on accelerators stay free.
 const RESERVED_GANGS: usize = 2;
@@ -143,7 +143,7 @@
         let mut services = Vec::new();
         for (job, entry) in self.replica.jobs_on(id) {
             let spec = entry.value.spec.as_ref();
-            let is_service = spec.is_some_and(|spec| spec.kind == Kind::Service);
+            let is_service = spec.is_some_and(|spec| spec.kind == JobKind::Service);
             if !is_service || !entry.value.is_open() {
                 return None;
             }
@@ -204,7 +204,7 @@
     let mut machine_shards = MachineShardEdits::new(replica);
     machine_shards.put(id, machine);
     let (mut preconditions, mut writes) = machine_shards.into_commit();
-    preconditions.push(guard(zone_shard_key(&shard_id), shard.version));
+    preconditions.push(precondition(zone_shard_key(&shard_id), shard.version));
     writes.push(replica.put_zone_shard(&shard_id, &record));
     for job_id in &candidate.services {
         let mut job = replica.jobs[*job_id].value.clone();
@@ -212,7 +212,7 @@
             run.stop = true;
         }
         job.has_preempted = true;
-        preconditions.push(guard(job_key(job_id), replica.job_version(job_id)));
+        preconditions.push(precondition(job_key(job_id), replica.job_version(job_id)));
         writes.push(replica.put_job(job_id, &job));
     }
     Some(Eviction {
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -7,10 +7,10 @@
 use crate::controller::Controller;
 use crate::scheduler::COMMIT_BYTES;
 use crate::state::budget::RequestClass;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::job_key;
 use crate::state::records::{Job, MachineLifecycle, Spec};
-use crate::wire::{Commit, Kind, Write};
+use crate::wire::{Commit, JobKind, Write};
 
 /// Drains the machines that are queued for it, such as those with a preemption
 /// notice: they take no new work, and gangs that can save are told to while there
@@ -57,7 +57,7 @@
         if let Write::Put { value, .. } = &write {
             commit_bytes += value.get().len();
         }
-        preconditions.push(guard(job_key(id), entry.version));
+        preconditions.push(precondition(job_key(id), entry.version));
         writes.push(write);
     }
     Commit {
@@ -71,7 +71,7 @@
     let saves_progress = job
         .spec
         .as_ref()
-        .is_some_and(|spec| spec.checkpoint_s > 0.0 || spec.kind == Kind::Service);
+        .is_some_and(|spec| spec.checkpoint_s > 0.0 || spec.kind == JobKind::Service);
     let mut runs = job.runs.iter().filter(|run| run.machine == machine);
     saves_progress && job.is_open() && runs.any(|run| !run.stop)
 }
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -3,7 +3,7 @@
 use super::commit::commit_unless_empty;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::{accepted_batch_key, rental_key};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
@@ -18,7 +18,7 @@
     /// The guard and the write that drop it.
     fn into_deletion(self) -> (Precondition, Write) {
         let ObsoleteRecord { key, version } = self;
-        (guard(key.clone(), version), Write::Delete { key })
+        (precondition(key.clone(), version), Write::Delete { key })
     }
 }
 
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::AcceleratorProtection;
 use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, Spec};
 use crate::state::replica::{MachineClass, Replica};
-use crate::wire::{Kind, MachineType};
+use crate::wire::{JobKind, MachineType};
 
 /// A fraction of a task below which what is still missing provisions nothing.
 const MIN_SHORTFALL: f64 = 0.5;
@@ -50,7 +50,7 @@
     ) -> Option<usize> {
         let spec = self.spec;
         let mut wanted = unplaced as f64;
-        if spec.kind == Kind::Array {
+        if spec.kind == JobKind::Array {
             // Tasks that run one after another in the window need less
             // capacity at once; what others free in that time serves too.
             let window_s = policy.rent_window_s(&self.facts);
@@ -86,7 +86,7 @@
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
         let spec = job.and_then(|job| job.spec.as_ref());
-        spec.is_some_and(|spec| spec.kind != Kind::Service && spec.estimate_s <= boot_s)
+        spec.is_some_and(|spec| spec.kind != JobKind::Service && spec.estimate_s <= boot_s)
     };
     replica
         .blocked_jobs()
@@ -117,7 +117,7 @@
     for (_, id) in &replica.open_jobs {
         if let Some(job) = replica.jobs.get(id).map(|entry| &entry.value)
             && let Some(spec) = &job.spec
-            && spec.kind == Kind::Array
+            && spec.kind == JobKind::Array
         {
             cpus += spec.need.cpus.units() * job.booked() as f64;
         }
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::scheduler::{COMMIT_BYTES, MachineShardEdits};
 use crate::state::budget::RequestClass;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::{shard_id, zone_shard_key};
 use crate::state::records::{Machine, MachineLifecycle, ZoneShard};
 use crate::state::replica::Replica;
@@ -143,7 +143,7 @@
     fn into_commit(self) -> Commit {
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
         for (id, shard) in self.zone_shards {
-            preconditions.push(guard(
+            preconditions.push(precondition(
                 zone_shard_key(&id),
                 self.replica.zone_shard_version(&id),
             ));
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -10,7 +10,7 @@
 use super::client::CloudError;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::TYPES_KEY;
 use crate::state::records::Types;
 use crate::wire::MachineTypes;
@@ -59,7 +59,7 @@
         return;
     }
     let version = known.version.max(unreadable);
-    let preconditions = vec![guard(TYPES_KEY.to_string(), version)];
+    let preconditions = vec![precondition(TYPES_KEY.to_string(), version)];
     let writes = vec![put(TYPES_KEY.to_string(), &types)];
     if let Err(error) = controller
         .commit(RequestClass::Lease, preconditions, writes)
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::AcceleratorProtection;
 use crate::state::records::Spec;
 use crate::state::replica::Replica;
-use crate::wire::{Kind, MachineType};
+use crate::wire::{JobKind, MachineType};
 
 /// What restricts the choice of an offer, besides the job's own constraints.
 pub(super) struct OfferConstraints<'a> {
@@ -97,7 +97,7 @@
         {
             return false;
         }
-        let avoids_accelerators = (spec.kind == Kind::Array
+        let avoids_accelerators = (spec.kind == JobKind::Array
             || constraints.protection == AcceleratorProtection::Strict)
             && spec.need.gpus.0 == 0
             && machine_type.gpus > 0.0;
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -10,7 +10,7 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::budget::RequestClass;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::rental_key;
 use crate::state::records::ProvisioningRequest;
 use crate::state::replica::{Entry, Replica};
@@ -77,7 +77,7 @@
     let delivery = apply_response(controller, &mut request, &response);
     record_capacity(controller, &request, delivery);
     let key = rental_key(id);
-    let preconditions = vec![guard(key.clone(), version)];
+    let preconditions = vec![precondition(key.clone(), version)];
     let write = match request.machines.is_empty() {
         true => Write::Delete { key },
         false => put(key, &request),
--- a/src/cloud/record_drops.rs
+++ b/src/cloud/record_drops.rs
@@ -7,7 +7,7 @@
 use super::provisioning::{RecordedRequest, find_request_of};
 use crate::scheduler::MachineShardEdits;
 use crate::settings::Settings;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{POOL_KEY, rental_key, shard_id};
 use crate::state::records::{ProvisioningRequest, Resources};
 use crate::state::replica::Replica;
@@ -90,7 +90,7 @@
         for (id, request) in self.requests {
             let key = rental_key(id);
             let version = replica.provisioning_requests[id].version;
-            preconditions.push(guard(key.clone(), version));
+            preconditions.push(precondition(key.clone(), version));
             writes.push(match request.machines.is_empty() {
                 true => Write::Delete { key },
                 false => put(key, &request),
@@ -107,7 +107,7 @@
         let ledger = replica.ledger(settings);
         match release_machines(&ledger, self.released) {
             Ok(pool) => {
-                preconditions.push(guard(POOL_KEY.to_string(), replica.pool_version()));
+                preconditions.push(precondition(POOL_KEY.to_string(), replica.pool_version()));
                 writes.extend(pool.map(|pool| put(POOL_KEY.to_string(), &pool)));
                 Commit {
                     preconditions,
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -10,7 +10,7 @@
 use super::scale_out_planner::plan_scale_out;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{FLEET_KEY, rental_key};
 use crate::state::records::ProvisioningRequest;
 
@@ -60,13 +60,13 @@
             "scale-out requested"
         );
         // Safety 5: the intent comes before the call, under a unique name.
-        preconditions.push(guard(rental_key(&id), 0));
+        preconditions.push(precondition(rental_key(&id), 0));
         writes.push(put(rental_key(&id), request));
     }
     // Who was paused, and is the fleet leader no more, finds out by this.
     match controller.replica.borrow().fleet.as_ref() {
         Some(fleet_leader) => {
-            preconditions.push(guard(FLEET_KEY.to_string(), fleet_leader.version))
+            preconditions.push(precondition(FLEET_KEY.to_string(), fleet_leader.version))
         }
         None => return,
     }
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -19,7 +19,7 @@
 };
 use crate::state::records::{ProvisioningRequest, Spec};
 use crate::state::replica::Replica;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// What to provision: capacity for the jobs, in queue order, whose tasks fit
 /// neither what is free nor what is on its way, and for the next gang on
@@ -212,7 +212,7 @@
         demand.last_zone = Some(chosen.offer.zone.clone());
         // The rest of an array's tasks follow one another in that capacity.
         let slots = chosen.machine_type.resources().slots(&demand.spec.need);
-        let is_enough = demand.spec.kind == Kind::Array && slots >= wanted_slots;
+        let is_enough = demand.spec.kind == JobKind::Array && slots >= wanted_slots;
         self.provision(chosen);
         match is_enough {
             true => DemandProgress::Settled,
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -10,7 +10,7 @@
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
@@ -99,7 +99,9 @@
     if writes.is_empty() {
         return Ok(());
     }
-    let takes_fleet_key = preconditions.iter().any(|guard| guard.key == FLEET_KEY);
+    let takes_fleet_key = preconditions
+        .iter()
+        .any(|precondition| precondition.key == FLEET_KEY);
     match controller
         .commit(RequestClass::Lease, preconditions, writes)
         .await
@@ -198,13 +200,13 @@
         {
             let version = known.version.max(replica.absent_version(FORMATS_KEY));
             self.preconditions
-                .push(guard(FORMATS_KEY.to_string(), version));
+                .push(precondition(FORMATS_KEY.to_string(), version));
             self.writes.push(put(FORMATS_KEY.to_string(), &next));
         }
     }
 
     fn put_own_record(&mut self, key: String, version: u64) {
-        self.preconditions.push(guard(key.clone(), version));
+        self.preconditions.push(precondition(key.clone(), version));
         self.writes.push(Write::Put {
             key,
             value: to_raw_json(&self.own_record),
--- a/src/compaction/oversized.rs
+++ b/src/compaction/oversized.rs
@@ -2,7 +2,7 @@
 
 use super::DeferredKeys;
 use crate::scheduler::MachineShardEdits;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::{PREFIX, job_key, machine_shard_key, zone_shard_key};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Write};
@@ -102,7 +102,7 @@
         RecordKind::ZoneShard => {
             let write = replica.put_zone_shard(id, &replica.zone_shards.get(id)?.value);
             Some(Commit {
-                preconditions: vec![guard(zone_shard_key(id), version)],
+                preconditions: vec![precondition(zone_shard_key(id), version)],
                 writes: vec![write],
             })
         }
@@ -129,7 +129,7 @@
     };
     let fits = value.get().len() <= replica.compact_limit.unwrap_or(usize::MAX);
     fits.then(|| Commit {
-        preconditions: vec![guard(job_key(id), version)],
+        preconditions: vec![precondition(job_key(id), version)],
         writes: vec![write],
     })
 }
--- a/src/compaction/zone_shards.rs
+++ b/src/compaction/zone_shards.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::DeferredKeys;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::zone_shard_key;
 use crate::state::records::ZoneShard;
 use crate::state::replica::Replica;
@@ -32,7 +32,7 @@
         }
         let shard = replica.zone_shards.get(id).map(|e| e.value.clone());
         writes.push(replica.put_zone_shard(id, &shard.unwrap_or_default()));
-        preconditions.push(guard(key, replica.zone_shard_version(id)));
+        preconditions.push(precondition(key, replica.zone_shard_version(id)));
     }
     (!writes.is_empty()).then_some(Commit {
         preconditions,
@@ -80,7 +80,7 @@
 /// The commit that writes two zone shards, both under guard.
 fn write_both(replica: &Replica, shards: [(&str, &ZoneShard); 2]) -> Commit {
     let preconditions =
-        shards.map(|(id, _)| guard(zone_shard_key(id), replica.zone_shard_version(id)));
+        shards.map(|(id, _)| precondition(zone_shard_key(id), replica.zone_shard_version(id)));
     let writes = shards.map(|(id, shard)| replica.put_zone_shard(id, shard));
     Commit {
         preconditions: preconditions.into(),
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -48,7 +48,7 @@
     /// Waits until the replica holds everything that was committed before this
     /// call; false if it takes longer than `limit`. Many callers share one read of
     /// the revision.
-    pub async fn barrier(&self, limit: Duration) -> bool {
+    pub async fn wait_for_barrier(&self, limit: Duration) -> bool {
         let barriers = &self.state_sync.barriers;
         let awaited = barriers.next_number();
         barriers.requested.notify_one();
@@ -61,13 +61,13 @@
 
     /// The same for a user's request, which is not kept waiting once the state
     /// service has refused to serve the barrier.
-    pub async fn barrier_unless_refused(&self, limit: Duration) -> bool {
+    pub async fn wait_for_barrier_unless_refused(&self, limit: Duration) -> bool {
         let barriers = &self.state_sync.barriers;
         let awaited = barriers.next_number();
         let mut refused = barriers.refused.subscribe();
         tokio::select! {
             biased;
-            is_complete = self.barrier(limit) => is_complete,
+            is_complete = self.wait_for_barrier(limit) => is_complete,
             _ = refused.wait_for(|number| *number >= awaited) => false,
         }
     }
@@ -76,7 +76,7 @@
     /// wait for one.
     pub async fn run_barriers(self: Rc<Self>) {
         let idle = self.settings.barrier_pause();
-        let min_interval = self.request_gap() * BARRIER_GAP_REQUESTS;
+        let min_interval = self.request_interval() * BARRIER_GAP_REQUESTS;
         let barriers = &self.state_sync.barriers;
         loop {
             // A controller that has just started has workers whose leases run
@@ -100,7 +100,7 @@
         if self.replica.borrow().revision < revision {
             self.expedite_watch();
         }
-        if self.replica.borrow().loaded && self.wait_revision(revision, limit).await {
+        if self.replica.borrow().loaded && self.wait_for_revision(revision, limit).await {
             self.set_last_barrier(sent);
             let barriers = &self.state_sync.barriers;
             barriers.completed.send_replace(number);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -80,7 +80,7 @@
     pub placement: PlacementState,
     /// What the other controllers have told of themselves.
     pub peers: RefCell<PeerTable>,
-    /// What is known of the rented machines, owned here or not.
+    /// What is known of the provisioned machines, owned here or not.
     pub fleet: RefCell<FleetState>,
     /// Randomness for spreading load; nothing secret.
     pub rng: RefCell<SmallRng>,
@@ -120,7 +120,7 @@
 
     /// The interval at which this controller may send requests to the state service
     /// without going beyond its part of the limits.
-    pub fn request_gap(&self) -> Duration {
+    pub fn request_interval(&self) -> Duration {
         let rps = self.settings.rps(self.store.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
@@ -130,21 +130,21 @@
     pub async fn commit(
         &self,
         class: RequestClass,
-        guards: Vec<Precondition>,
+        preconditions: Vec<Precondition>,
         writes: Vec<Write>,
     ) -> Result<u64, StoreError> {
         let commit = Commit {
-            preconditions: guards,
+            preconditions: preconditions,
             writes,
         };
         let revision = self.store.commit(class, &commit).await?;
         self.replica.borrow_mut().overlay(&commit.writes, revision);
-        self.announce();
+        self.notify_replica_changed();
         Ok(revision)
     }
 
     /// Wakes the loops that depend on the replica, as it has changed.
-    pub fn announce(&self) {
+    pub fn notify_replica_changed(&self) {
         let revision = self.replica.borrow().revision;
         self.state_sync.advance_to(revision);
         self.placement.wake();
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -28,7 +28,7 @@
 
 impl Controller {
     /// Waits until the replica has reached a revision; false if it takes longer.
-    pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
+    pub async fn wait_for_revision(&self, revision: u64, limit: Duration) -> bool {
         let mut applied = self.state_sync.applied_revision.subscribe();
         matches!(
             timeout(limit, applied.wait_for(|applied| *applied >= revision)).await,
@@ -44,7 +44,7 @@
 
     /// Keeps the replica: a full read, then one watch after another.
     pub async fn run_watch(self: Rc<Self>) {
-        let min_interval = self.request_gap() * 2;
+        let min_interval = self.request_interval() * 2;
         // A watch brings every change since, however often a record was
         // written: after a long silence that is many times the state itself,
         // and more than the memory holds.
@@ -116,7 +116,7 @@
             replica.advance(answer.events, answer.revision);
         }
         drop(replica);
-        self.announce();
+        self.notify_replica_changed();
         Ok(())
     }
 
@@ -136,7 +136,7 @@
                 let mut replica = self.replica.borrow_mut();
                 replica.advance(answer.events, answer.revision);
                 drop(replica);
-                self.announce();
+                self.notify_replica_changed();
                 WatchEnd::Advanced
             }
             Err(error @ (StoreError::TooOld | StoreError::TooLarge)) => {
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -14,7 +14,7 @@
 use crate::settings::TeamQuota;
 use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
 use crate::state::replica::Replica;
-use crate::wire::{JobStage, Kind};
+use crate::wire::{JobKind, JobStage};
 
 /// The maximum number of jobs on a page of the report, and of runs of one job.
 const PAGE_SIZE: usize = 100;
@@ -130,7 +130,7 @@
                 .map(|age| age.as_secs_f64()),
             unfinished: unfinished.len(),
             late: count(|entry| entry.is_late),
-            services_short: count(|entry| entry.spec.kind == Kind::Service),
+            services_short: count(|entry| entry.spec.kind == JobKind::Service),
             machines: self.machine_counts(),
             refused_by_cloud: self.refused_offers(),
             jobs,
@@ -146,7 +146,7 @@
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
-            if spec.kind == Kind::Service && job.waiting() == 0 {
+            if spec.kind == JobKind::Service && job.waiting() == 0 {
                 return None;
             }
             Some(Unfinished {
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -8,7 +8,7 @@
 pub enum Subject {
     /// A job that waits for machines.
     Job,
-    /// A rented machine.
+    /// A provisioned machine.
     Machine,
 }
 
--- a/src/scheduler/assignment.rs
+++ b/src/scheduler/assignment.rs
@@ -7,7 +7,7 @@
 use super::candidates::{MachineCandidates, Score};
 use super::plan::Plan;
 use crate::state::replica::PlanSlot;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// The machines that tasks of a job are assigned to.
 #[derive(Default)]
@@ -91,7 +91,7 @@
     /// looked at, but for replicas, of which it gets one at a time.
     fn assign_to_machine(&mut self, zone: usize, candidate: Candidate) {
         let spec = self.machines.spec;
-        let is_service = spec.kind == Kind::Service;
+        let is_service = spec.kind == JobKind::Service;
         let mut slot = self.plan.plan_slots[candidate.slot_index];
         for _ in 0..candidate.assigned {
             slot.free -= spec.need;
@@ -152,7 +152,7 @@
             heaps: candidates.into_iter().map(BinaryHeap::from).collect(),
             caps: caps.to_vec(),
             assigned: vec![0; caps.len()],
-            spread: machines.spec.kind == Kind::Service,
+            spread: machines.spec.kind == JobKind::Service,
         }
     }
 
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -17,7 +17,7 @@
 use super::wait_states::WaitReason;
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// How many records of a transaction are not zone shards: the job and its team.
 const RECORDS_BESIDE_ZONE_SHARDS: usize = 2;
@@ -132,11 +132,11 @@
     /// home in it, unless it has some hundreds of machines for each, so a required
     /// gang that fits its zone does where two are at home there at most. A
     /// preferred one that only more zone shards would hold waits as if there were no
-    /// capacity, so that machines are rented for it. A service takes two zone shards if they
+    /// capacity, so that machines are provisioned for it. A service takes two zone shards if they
     /// hold all that waits of it; else it is admitted by zone shards, replica by replica.
     fn find_excluding(&self, excluded: &[String]) -> Result<SlotIndices, WaitReason> {
         let found = self.find_in_shards(None, excluded)?;
-        if self.spec.kind == Kind::Array || !self.hints.replica.uses_compact_encoding() {
+        if self.spec.kind == JobKind::Array || !self.hints.replica.uses_compact_encoding() {
             return Ok(found);
         }
         let txn_ops = self.settings.txn_ops();
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -4,7 +4,7 @@
 use super::plan::UNASSIGNED;
 use crate::state::records::{Amount, Spec};
 use crate::state::replica::{MachineClass, PlanSlot, Replica};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use crate::workers;
 
 /// The number of figures that a score has.
@@ -75,7 +75,7 @@
     /// theirs, and what fails at once is the first to have capacity again.
     excluded: Vec<u32>,
     /// The only zone shards whose machines it may take, if not all may be; what is not
-    /// rented yet may come into any.
+    /// provisioned yet may come into any.
     only_shards: Option<[u32; 2]>,
 }
 
@@ -144,7 +144,7 @@
             // Independent tasks come and go: they never take resources that the
             // accelerators' work needs, and they do not keep a machine rented
             // whose accelerators are idle.
-            (Kind::Array, _) => {
+            (JobKind::Array, _) => {
                 slot.free.gpus < class.gpus && self.accelerator_slots_lost(slot) == 0
             }
             // What stays for long goes elsewhere if it can.
@@ -185,16 +185,16 @@
         let no_image = i64::from(!replica.has_image(slot.machine, self.image));
         let shard_cost = self.shard_costs.get(slot.shard as usize);
         let shard_cost = shard_cost.copied().unwrap_or(i64::MAX);
-        // A service stays for long and would keep a costly machine rented.
-        let is_service = spec.kind == Kind::Service;
+        // A service stays for long and would keep a costly machine provisioned.
+        let is_service = spec.kind == JobKind::Service;
         let keeps_rented = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
         let on_demand = class.on_demand_penalty;
         let (third, fourth, fifth) = match spec.kind {
-            Kind::Service => (no_image, on_demand, shard_cost),
+            JobKind::Service => (no_image, on_demand, shard_cost),
             // Their terminations come often: where they are this controller's own,
             // nobody else writes the records.
-            Kind::Array => (on_demand, shard_cost, no_image),
-            Kind::Gang => (on_demand, no_image, shard_cost),
+            JobKind::Array => (on_demand, shard_cost, no_image),
+            JobKind::Gang => (on_demand, no_image, shard_cost),
         };
         Score([
             self.accelerator_slots_lost(slot),
--- a/src/scheduler/hints.rs
+++ b/src/scheduler/hints.rs
@@ -35,7 +35,7 @@
 /// them from work that needs them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceleratorProtection {
-    /// Not at all, and no service keeps their machines rented.
+    /// Not at all, and no service keeps their machines provisioned.
     Strict,
     /// Only what work on the accelerators cannot use.
     Mild,
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -7,7 +7,7 @@
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Amount, Job, Resources, Spec};
 use crate::state::replica::Replica;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 
 /// Whether an objective names the job's class.
 pub(super) fn has_slo(spec: &Spec, settings: &Settings) -> bool {
@@ -18,7 +18,7 @@
 /// Whether a job only fills what stands idle: low work without a deadline or an
 /// objective, which saves when it is stopped.
 pub fn is_opportunistic(spec: &Spec, settings: &Settings) -> bool {
-    spec.kind == Kind::Array
+    spec.kind == JobKind::Array
         && spec.priority == Priority::Low
         && spec.deadline_s.is_none()
         && spec.checkpoint_s > 0.0
@@ -78,9 +78,9 @@
         waiting: job.waiting() as f64,
         estimate_s: spec.estimate_s,
         kind: match spec.kind {
-            Kind::Array => 0.0,
-            Kind::Gang => 1.0,
-            Kind::Service => 2.0,
+            JobKind::Array => 0.0,
+            JobKind::Gang => 1.0,
+            JobKind::Service => 2.0,
         },
         has_deadline: urgency.time_left_s.is_some(),
         boot_s: replica.min_boot_s(),
@@ -124,7 +124,7 @@
         false => spec.need.cpus,
     };
     match spec.kind {
-        Kind::Service => 0.0,
+        JobKind::Service => 0.0,
         _ => job.waiting() as f64 * spec.estimate_s * amount.units(),
     }
 }
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -1,7 +1,7 @@
 //! How large a machine shard's record and the commit that adds machines to it may
 //! become.
 
-use super::transaction::GUARDS_PER_WRITE;
+use super::transaction::PRECONDITIONS_PER_WRITE;
 use crate::settings::Settings;
 use crate::state::encoding;
 use crate::state::records::{MachineShard, machine_entry_bytes, slot_entry_bytes};
@@ -11,8 +11,8 @@
 /// of a home's are guarded, and the limits in force are the present ones.
 pub(super) fn max_guards(settings: &Settings, grouped: bool) -> usize {
     match grouped {
-        true => settings.txn_ops() * (GUARDS_PER_WRITE - 1),
-        false => settings.deployment.state.txn_ops * GUARDS_PER_WRITE,
+        true => settings.txn_ops() * (PRECONDITIONS_PER_WRITE - 1),
+        false => settings.deployment.state.txn_ops * PRECONDITIONS_PER_WRITE,
     }
 }
 
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -5,9 +5,9 @@
 
 use super::machine_shard_limits::{ShardRecordSizes, max_guards, max_shard_bytes};
 use super::shard_allocation::{ShardCandidates, max_group, numbered_id, uses_groups};
-use super::transaction::{COMMIT_BYTES, GUARDS_PER_WRITE};
+use super::transaction::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 use crate::settings::Settings;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::encoding;
 use crate::state::keys::{machine_shard_key, shard_id};
 use crate::state::records::{Machine, MachineShard, machine_entry_bytes};
@@ -48,7 +48,7 @@
 
     /// Whether a commit of `ops` writes, with its guards, can hold no more.
     pub fn is_full(&self, ops: usize) -> bool {
-        let guards = self.edited.len() + self.guarded.len();
+        let preconditions = self.edited.len() + self.guarded.len();
         // The next may bring a whole machine shard with it.
         let sizes = self
             .replica
@@ -56,14 +56,16 @@
             .values()
             .map(|shard| shard.value.machines.len());
         let largest = sizes.max().unwrap_or(0).max(1);
-        let bytes = self.bytes() + (largest + guards) * self.machine_bytes();
+        let bytes = self.bytes() + (largest + preconditions) * self.machine_bytes();
         // One that is to be split is written as two.
         let split = self
             .edited
             .iter()
             .filter(|(id, shard)| self.must_split(id, shard));
         let writes = self.edited.len() + split.count();
-        bytes > COMMIT_BYTES || writes >= ops || guards >= ops * (GUARDS_PER_WRITE - 1)
+        bytes > COMMIT_BYTES
+            || writes >= ops
+            || preconditions >= ops * (PRECONDITIONS_PER_WRITE - 1)
     }
 
     /// About how long it is as a request, in bytes.
@@ -241,10 +243,10 @@
     pub fn into_commit(mut self) -> (Vec<Precondition>, Vec<Write>) {
         self.split_oversized();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
-        let guards = all
+        let preconditions = all
             .into_iter()
             .map(|id| {
-                guard(
+                precondition(
                     machine_shard_key(id),
                     self.replica.machine_shard_version(id),
                 )
@@ -256,7 +258,7 @@
             .iter()
             .map(|(id, machine_shard)| self.replica.put_machine_shard(id, machine_shard))
             .collect();
-        (guards, writes)
+        (preconditions, writes)
     }
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -62,5 +62,5 @@
 pub use round_state::retry_delay;
 pub use rounds::run_placement;
 pub use shard_allocation::ShardCandidates;
-pub use transaction::{COMMIT_BYTES, GUARDS_PER_WRITE, ReleaseOutcome, Transaction, book};
+pub use transaction::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE, ReleaseOutcome, Transaction, book};
 pub use wait_states::{WaitReason, WaitState};
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -9,7 +9,7 @@
 use crate::state::records::{Amount, Resources};
 use crate::state::replica::{PlanSlot, Replica};
 
-/// Stands for a machine that has no name yet, as it is not rented yet.
+/// Stands for a machine that has no name yet, as it is not provisioned yet.
 pub(super) const UNASSIGNED: u32 = u32::MAX;
 
 /// Free capacity as a round plans with it: what the replica's bookings leave, less
@@ -53,7 +53,7 @@
         (index != UNASSIGNED).then_some(index as usize)
     }
 
-    /// Adds a machine of this class that is not rented yet.
+    /// Adds a machine of this class that is not provisioned yet.
     pub fn add_unassigned(&mut self, class: u32, free: Resources) {
         self.plan_slots.push(PlanSlot {
             machine: UNASSIGNED,
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -11,7 +11,7 @@
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Job, Run, Spec};
 use crate::state::replica::Replica;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 
 /// The number of classes that a controller puts jobs into, so that controllers
 /// that preempt at once begin with different candidates.
@@ -50,7 +50,7 @@
     job.within_guarantee
         && running.borrows
         && running.spec.team != job.spec.team
-        && running.spec.kind != Kind::Service
+        && running.spec.kind != JobKind::Service
 }
 
 /// Whether work uses resources beyond its team's guarantee. What would stay
@@ -156,8 +156,8 @@
         // Independent tasks that preempt independent tasks lose more than they
         // gain: such work ends soon and frees its resources by itself. They preempt
         // lower priorities only.
-        let within_guarantee =
-            spec.kind != Kind::Array && within_guarantee(quota, &used, spec, tasks_together(spec));
+        let within_guarantee = spec.kind != JobKind::Array
+            && within_guarantee(quota, &used, spec, tasks_together(spec));
         Some(Preemptor {
             waiting,
             protection,
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -33,7 +33,7 @@
     pub(super) jobs: usize,
     /// The terminations that it records.
     pub(super) terminations: Vec<AttemptKey>,
-    pub(super) guards: Vec<Precondition>,
+    pub(super) preconditions: Vec<Precondition>,
     pub(super) writes: Vec<Write>,
 }
 
@@ -201,11 +201,11 @@
         if self.transaction.is_empty() {
             return None;
         }
-        let (guards, writes) = self.transaction.into_commit();
+        let (preconditions, writes) = self.transaction.into_commit();
         Some(Batch {
             jobs: admitted,
             terminations,
-            guards,
+            preconditions,
             writes,
         })
     }
--- a/src/scheduler/round/booking.rs
+++ b/src/scheduler/round/booking.rs
@@ -2,7 +2,7 @@
 
 use super::{JobPlacement, Round};
 use crate::scheduler::wait_states::WaitReason;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 impl Round<'_> {
     /// Books the placements, and returns how many jobs got any of theirs. Each has
@@ -21,7 +21,7 @@
             if booked < tasks.len() {
                 // The rest go into the next commit, every other time before
                 // terminations.
-                self.state.gangs_deferred |= terminations_first && spec.kind != Kind::Array;
+                self.state.gangs_deferred |= terminations_first && spec.kind != JobKind::Array;
                 self.record_wait_reason(id, WaitReason::Queue);
             }
             if booked > 0 {
@@ -34,7 +34,7 @@
 
     /// Whether the job is an array that is not a part of a pipeline.
     fn is_plain_array(&self, placement: &JobPlacement) -> bool {
-        placement.spec.kind == Kind::Array
+        placement.spec.kind == JobKind::Array
             && placement.spec.dependencies.is_empty()
             && !self.replica.has_dependents(placement.id)
     }
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -18,7 +18,7 @@
 use crate::settings::Settings;
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// How many preemption searches one round makes while it places jobs, and as
 /// many again while it preempts: each goes through all running work, and
@@ -144,12 +144,12 @@
         let WaitingJob { job, spec, .. } = waiting;
         let request = context.request(waiting, context.plan, AcceleratorProtection::Strict);
         let strict = request.find_placements();
-        if strict.is_ok() || spec.kind == Kind::Array || spec.need.gpus.0 > 0 {
+        if strict.is_ok() || spec.kind == JobKind::Array || spec.need.gpus.0 > 0 {
             return strict;
         }
-        if spec.kind == Kind::Service && !job.retry.is_empty() {
+        if spec.kind == JobKind::Service && !job.retry.is_empty() {
             // A replica that is down is replaced at once where it takes nothing
-            // from others, even if that keeps a costly machine rented.
+            // from others, even if that keeps a costly machine provisioned.
             let mild = request.with_protection(AcceleratorProtection::Mild);
             let mild = mild.find_placements();
             if mild.is_ok() {
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -9,7 +9,7 @@
 use crate::settings::Settings;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use crate::workers::AttemptKey;
 
 /// How many records a commit writes while commits of the usual size are refused.
@@ -133,7 +133,10 @@
         {
             return Some(reason);
         }
-        let is_service = job.spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+        let is_service = job
+            .spec
+            .as_ref()
+            .is_some_and(|s| s.kind == JobKind::Service);
         let proven = is_service && self.unchanged_for(id, now) > settings.worker_lease();
         (job.is_suspected_faulty() && job.booked() > 0 && !proven).then_some(reason)
     }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -21,7 +21,7 @@
 pub async fn run_placement(controller: Rc<Controller>) {
     let mut state = RoundState::default();
     let idle_interval = controller.settings.heartbeat_interval() / 3;
-    let shortest_pause = controller.request_gap();
+    let shortest_pause = controller.request_interval();
     let mut last_release: Option<Instant> = None;
     loop {
         tokio::select! {
@@ -92,7 +92,7 @@
 async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> NextStep {
     let terminations = batch.terminations;
     match controller
-        .commit(RequestClass::Round, batch.guards, batch.writes)
+        .commit(RequestClass::Round, batch.preconditions, batch.writes)
         .await
     {
         Ok(revision) => {
@@ -108,7 +108,7 @@
         Err(StoreError::TooLong(_)) => state.small_commits = true,
         Err(StoreError::Limits(key)) => {
             shrink_after_refusal(controller, state, &key);
-            sleep(controller.store.jitter(controller.request_gap() * 4)).await;
+            sleep(controller.store.jitter(controller.request_interval() * 4)).await;
         }
         Err(StoreError::Conflict(keys)) => {
             tracing::debug!(?keys, "round conflicted");
@@ -118,7 +118,7 @@
             // The commit may have happened: the replica tells after a barrier.
             tracing::debug!(%error, "round commit not answered");
             if !controller
-                .barrier(controller.settings.worker_lease() / 4)
+                .wait_for_barrier(controller.settings.worker_lease() / 4)
                 .await
             {
                 return NextStep::Pause;
@@ -143,7 +143,7 @@
     let before = controller.replica.borrow().revision;
     controller.expedite_watch();
     controller
-        .wait_revision(before + 1, controller.request_gap() * 8)
+        .wait_for_revision(before + 1, controller.request_interval() * 8)
         .await;
-    sleep(controller.store.jitter(controller.request_gap() / 2)).await;
+    sleep(controller.store.jitter(controller.request_interval() / 2)).await;
 }
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -21,10 +21,10 @@
 use crate::state::keys::shard_id;
 use crate::state::replica::Replica;
 
-use super::transaction::GUARDS_PER_WRITE;
+use super::transaction::PRECONDITIONS_PER_WRITE;
 
-/// Machines of one rental have successive numbers in their names. So many of them in
-/// a row select the same group, so that a rental is recorded in few writes; one call
+/// Machines of one scale-out have successive numbers in their names. So many of them in
+/// a row select the same group, so that a scale-out is recorded in few writes; one call
 /// to the cloud rents 50 at most.
 const NUMBERS_PER_BLOCK: u32 = 64;
 
@@ -82,7 +82,7 @@
 /// The most shards that a new machine is chosen among: an eighth of the guards
 /// that a commit may have, so that machines of several groups fit into one.
 pub(super) fn max_group(settings: &Settings) -> usize {
-    settings.txn_ops() * GUARDS_PER_WRITE / 8
+    settings.txn_ops() * PRECONDITIONS_PER_WRITE / 8
 }
 
 /// Whether the shards of this home may be used in groups.
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -5,7 +5,7 @@
 use super::transaction::{ReleaseOutcome, Transaction};
 use crate::controller::Controller;
 use crate::state::replica::Replica;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use crate::workers::{AttemptKey, TerminationEvidence};
 
 /// Records the pending terminations in the transaction and gives their resources back
@@ -39,7 +39,7 @@
 fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
     let job = replica.jobs.get(&key.job);
     let spec = job.and_then(|e| e.value.spec.as_ref());
-    spec.is_some_and(|s| s.kind == Kind::Array) && !replica.has_dependents(&key.job)
+    spec.is_some_and(|s| s.kind == JobKind::Array) && !replica.has_dependents(&key.job)
 }
 
 /// Records terminations in a transaction.
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::accounting::{BookingAccounts, CommitParts};
-use crate::state::commit::{guard, put};
+use crate::state::commit::{precondition, put};
 use crate::state::keys::{job_key, machine_shard_key, team_key, zone_shard_key};
 use crate::state::records::{Job, Resources, Team, ZoneShard};
 use crate::state::replica::Replica;
@@ -27,7 +27,7 @@
 
 pub use booking::book;
 pub use release::ReleaseOutcome;
-pub use size::{COMMIT_BYTES, GUARDS_PER_WRITE};
+pub use size::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 
 /// A transaction in the making, on one revision of the replica.
 pub struct Transaction<'a> {
@@ -144,27 +144,30 @@
             accounts.into_commit(&mut parts);
         }
         let CommitParts {
-            mut guards,
+            mut preconditions,
             mut writes,
             ..
         } = parts;
         for (id, job) in &self.jobs {
-            guards.push(guard(job_key(id), self.replica.job_version(id)));
+            preconditions.push(precondition(job_key(id), self.replica.job_version(id)));
             writes.push(self.replica.put_job(id, job));
         }
         for (name, used) in self.teams {
-            guards.push(guard(team_key(&name), self.replica.team_version(&name)));
+            preconditions.push(precondition(
+                team_key(&name),
+                self.replica.team_version(&name),
+            ));
             writes.push(put(team_key(&name), &Team { used }));
         }
         for (id, shard) in &self.zone_shards {
             let version = self.replica.zone_shard_version(id);
-            guards.push(guard(zone_shard_key(id), version));
+            preconditions.push(precondition(zone_shard_key(id), version));
             writes.push(self.replica.put_zone_shard(id, shard));
         }
         for id in &self.guarded_machine_shards {
             let version = self.replica.machine_shard_version(id);
-            guards.push(guard(machine_shard_key(id), version));
+            preconditions.push(precondition(machine_shard_key(id), version));
         }
-        (guards, writes)
+        (preconditions, writes)
     }
 }
--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -81,7 +81,9 @@
         let capacity_without_booking = self.remaining_space();
         let capacity_with_booking = CommitCapacity {
             writes: capacity_without_booking.writes.saturating_sub(new_records),
-            guards: capacity_without_booking.guards.saturating_sub(new_records),
+            preconditions: capacity_without_booking
+                .preconditions
+                .saturating_sub(new_records),
         };
         let Some(accounts) = &mut self.accounts else {
             return 0;
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -6,7 +6,7 @@
 use super::size::TouchedRecords;
 use crate::scheduler::plan::TaskPlacement;
 use crate::state::records::{Job, Spec};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 impl Transaction<'_> {
     /// Books a job's waiting tasks, and returns how many; none when the commit
@@ -123,7 +123,7 @@
 pub fn book(job: &mut Job, spec: &Spec, placements: &[&TaskPlacement]) {
     job.has_preempted = false;
     // More replicas follow what has failed only once others run well.
-    if spec.kind == Kind::Service && job.is_suspected_faulty() && job.booked() > 0 {
+    if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked() > 0 {
         job.record_success();
     }
     let retry_attempt = job.attempt.max(1) + 1;
--- a/src/scheduler/transaction/size.rs
+++ b/src/scheduler/transaction/size.rs
@@ -9,7 +9,7 @@
 
 /// How many conditions a commit may have for each write that it may have, by the
 /// protocol.
-pub const GUARDS_PER_WRITE: usize = 4;
+pub const PRECONDITIONS_PER_WRITE: usize = 4;
 
 /// What a commit may hold in all, by the protocol, less a zone shard for what the
 /// estimates below leave out, in bytes.
@@ -112,17 +112,18 @@
 
     /// How many more records the commit can write and guard.
     pub(super) fn remaining_space(&self) -> CommitCapacity {
-        let guards = self.len() + self.guarded_records();
+        let preconditions = self.len() + self.guarded_records();
         CommitCapacity {
             writes: self.max_records.saturating_sub(self.len()),
-            guards: (self.max_records * GUARDS_PER_WRITE).saturating_sub(guards),
+            preconditions: (self.max_records * PRECONDITIONS_PER_WRITE)
+                .saturating_sub(preconditions),
         }
     }
 
     /// Whether the machine shard is guarded, or can still be. The conditions of the
     /// records that may be written are left free.
     pub(super) fn can_guard(&self, machine_shard: &str) -> bool {
-        let max_guards = self.max_records * (GUARDS_PER_WRITE - 1);
+        let max_guards = self.max_records * (PRECONDITIONS_PER_WRITE - 1);
         self.guarded_records() < max_guards || self.guarded_machine_shards.contains(machine_shard)
     }
 
--- a/src/scheduler/waiting_job.rs
+++ b/src/scheduler/waiting_job.rs
@@ -1,7 +1,7 @@
 //! A job with waiting tasks, as the searches of a round take it.
 
 use crate::state::records::{Job, Spec};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// A job with waiting tasks.
 #[derive(Clone, Copy)]
@@ -17,7 +17,7 @@
     /// together; of independent tasks, one after another will do.
     pub(super) fn placements_wanted(&self) -> usize {
         match self.spec.kind {
-            Kind::Array => 1,
+            JobKind::Array => 1,
             _ => self.job.waiting(),
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -130,7 +130,7 @@
 pub struct Deployment {
     /// The number of controllers.
     pub count: usize,
-    /// The zones in which machines can be rented.
+    /// The zones in which machines can be provisioned.
     pub zones: Vec<String>,
     /// The teams that submit jobs.
     pub teams: Vec<TeamQuota>,
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -24,7 +24,7 @@
     Round,
     /// Machines that start, drain, are returned or are gone.
     Lifecycle,
-    /// What can wait: publishing free room, moving services, removing records.
+    /// What can wait: publishing free capacity, moving services, removing records.
     Publication,
 }
 
--- a/src/state/commit.rs
+++ b/src/state/commit.rs
@@ -5,7 +5,7 @@
 use crate::wire::{Precondition, Write, to_raw_json};
 
 /// A condition of a commit: the record's version is still this one.
-pub fn guard(key: String, version: u64) -> Precondition {
+pub fn precondition(key: String, version: u64) -> Precondition {
     Precondition { key, version }
 }
 
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -21,7 +21,7 @@
 );
 
 /// A zone shard's record in the compact encoding: what is free is not written, as planning
-/// takes the type's room less what is booked and what unbooked tasks take.
+/// takes the type's capacity less what is booked and what unbooked tasks take.
 pub fn encode_zone_shard(shard: &ZoneShard) -> Option<String> {
     let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
     for (name, slot) in &shard.machines {
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -53,12 +53,12 @@
     format!("{PREFIX}new/{id}")
 }
 
-/// The key of a rental.
+/// The key of a provisioning request.
 pub fn rental_key(id: &str) -> String {
     format!("{PREFIX}hire/{id}")
 }
 
-/// The key of the split of a team's room.
+/// The key of the split of a team's quota.
 pub fn share_key(team: &str) -> String {
     format!("{PREFIX}share/{team}")
 }
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -2,7 +2,7 @@
 
 use crate::state::encoding;
 use crate::state::records::{Job, MAX_FAILED_MACHINES, Spec};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 
 /// What the counters may come to take in a compact record.
 const COMPACT_COUNTER_BYTES: usize = 130;
@@ -29,7 +29,7 @@
     const LONG_ATTEMPT: u64 = 1000;
     let job = Job::new(spec.clone(), u64::from(u32::MAX));
     let tasks = match spec.kind {
-        Kind::Gang => spec.tasks as usize,
+        JobKind::Gang => spec.tasks as usize,
         _ => 1,
     };
     let task_bytes = encoding::run_bytes(LONG_ATTEMPT) + encoding::task_bytes(spec.tasks);
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -96,7 +96,7 @@
     /// The machines that it failed on since then, the latest last.
     #[serde(rename = "em", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<String>,
-    /// The controller whose share its bookings count against, if its team's room is
+    /// The controller whose share its bookings count against, if its team's quota is
     /// split. Only written once every controller reads it.
     #[serde(rename = "sh", default, skip_serializing_if = "Option::is_none")]
     pub share: Option<ControllerName>,
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -28,7 +28,7 @@
     #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
     /// When the record was last written. What has ended since is free, too:
-    /// planning takes the type's room less the bookings that stand by then.
+    /// planning takes the type's capacity less the bookings that stand by then.
     #[serde(rename = "f", default)]
     pub free: Resources,
     /// What tasks take there that nobody has booked, as its owner reported.
@@ -36,7 +36,7 @@
     pub unbooked: Resources,
 }
 
-/// `zone/Z/PART`: free room per machine that takes work. One record a zone
+/// `zone/Z/PART`: free capacity per machine that takes work. One record a zone
 /// would outgrow `value_kb` at some hundred machines, and be written by all
 /// controllers at once; a machine stays in its zone shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     machine.len() + kind.len() + 130
 }
 
-/// How far a rented machine has come.
+/// How far a provisioned machine has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineLifecycle {
     /// Rented, not yet heard from.
@@ -76,7 +76,7 @@
     Gone,
 }
 
-/// `machine/Z/PART`: the machines of one zone shard, so that a takeover, a rental or
+/// `machine/Z/PART`: the machines of one zone shard, so that a takeover, a scale-out or
 /// a return of dozens costs a few writes. Each has a token of its own.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineShard {
@@ -186,7 +186,7 @@
     }
 }
 
-/// `hire/ID`: a rental that is or may be under way, or whose machines are.
+/// `hire/ID`: a provisioning request that is or may be under way, or whose machines are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRequest {
     /// The machine type.
@@ -195,14 +195,14 @@
     /// The zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether spot machines are rented.
+    /// Whether spot machines are provisioned.
     #[serde(rename = "l", default)]
     pub spot: bool,
     /// How many machines were requested.
     #[serde(rename = "n")]
     pub count: u32,
     /// What the cloud has answered; empty until then. One write records all
-    /// machines of a rental: they boot until their workers are claimed.
+    /// machines of a provisioning request: they boot until their workers are claimed.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub machines: Vec<String>,
 }
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -5,7 +5,7 @@
 use resources::{Amount, Resources};
 use serde::{Deserialize, Serialize};
 
-use crate::wire::{Kind, Priority, Submission};
+use crate::wire::{JobKind, Priority, Submission};
 
 /// The part of a submission that placing needs, kept with the job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     pub team: String,
     /// How the tasks belong together.
     #[serde(rename = "k")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// What it may preempt and be preempted by.
     #[serde(rename = "p")]
     pub priority: Priority,
@@ -130,7 +130,7 @@
 
     /// Whether all tasks have to run at the same time.
     pub fn is_gang(&self) -> bool {
-        self.kind == Kind::Gang
+        self.kind == JobKind::Gang
     }
 
     /// About how long its names are together.
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -49,7 +49,7 @@
         !self.shares.is_empty()
     }
 
-    /// The split of a team's room, if its bookings count against shares.
+    /// The split of a team's quota, if its bookings count against shares.
     pub fn share(&self, team: &str) -> Option<&Share> {
         self.shares.get(team).map(|entry| &entry.value)
     }
@@ -72,7 +72,7 @@
         of_team.map(|record| record.generation).max().unwrap_or(0)
     }
 
-    /// The version of the split of a team's room, 0 if there is none.
+    /// The version of the split of a team's quota, 0 if there is none.
     pub fn share_version(&self, team: &str) -> u64 {
         let absent = || self.absent_version(&share_key(team));
         self.shares.get(team).map_or_else(absent, |e| e.version)
@@ -120,13 +120,13 @@
         let shards = self.machine_shards.iter();
         for (_, shard) in shards.filter(|(id, _)| self.is_counted_shard(id)) {
             for machine in shard.value.machines.values() {
-                let room = self.resources_of(&machine.kind);
-                sums.on_record += room;
+                let capacity = self.resources_of(&machine.kind);
+                sums.on_record += capacity;
                 if matches!(
                     machine.lifecycle,
                     MachineLifecycle::Booting | MachineLifecycle::Active
                 ) {
-                    sums.staying += room;
+                    sums.staying += capacity;
                 }
             }
         }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -4,7 +4,7 @@
 
 /// How the tasks of a job belong together; PROTOCOL's `cut`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion; PROTOCOL's `batch`.
     #[serde(rename = "batch")]
     Array,
@@ -47,7 +47,7 @@
     pub team: String,
     /// How the tasks belong together; PROTOCOL's `cut`.
     #[serde(rename = "cut")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// What it may preempt and be preempted by; PROTOCOL's `urgency`.
     #[serde(rename = "urgency")]
     pub priority: Priority,
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -9,9 +9,9 @@
 use super::publication::PublicationTimes;
 use super::zone_shards::{Conditions, ShardChooser, ShardEdit, ShardLengths};
 use crate::controller::Controller;
-use crate::scheduler::{COMMIT_BYTES, GUARDS_PER_WRITE};
+use crate::scheduler::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 use crate::settings::Settings;
-use crate::state::commit::guard;
+use crate::state::commit::precondition;
 use crate::state::keys::zone_shard_key;
 use crate::state::records::{
     Machine, MachineLifecycle, MachineSlot, Resources, ZoneShard, split_task,
@@ -29,7 +29,7 @@
     /// Machines join or leave.
     pub changes_members: bool,
     /// All that has to be as it is.
-    pub guards: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
 }
 
 /// Zone shards whose records differ from what this controller knows of
@@ -108,7 +108,7 @@
             suspects,
             now,
             max_shards,
-            max_guards: max_shards * (GUARDS_PER_WRITE - 1),
+            max_guards: max_shards * (PRECONDITIONS_PER_WRITE - 1),
             conditions: Conditions::new(),
             condition_keys: BTreeMap::new(),
             edits: BTreeMap::new(),
@@ -254,7 +254,7 @@
     fn into_changes(mut self) -> Vec<ZoneShardChange> {
         let edits = std::mem::take(&mut self.edits);
         let changes = edits.into_iter().map(|(id, edit)| ZoneShardChange {
-            guards: self.guards(&id),
+            preconditions: self.preconditions(&id),
             id,
             shard: edit.record,
             changes_members: edit.changes_members,
@@ -263,16 +263,16 @@
     }
 
     /// What must be as it is for the change of a zone shard to hold.
-    fn guards(&self, shard: &str) -> Vec<Precondition> {
-        let mut guards = vec![guard(
+    fn preconditions(&self, shard: &str) -> Vec<Precondition> {
+        let mut preconditions = vec![precondition(
             zone_shard_key(shard),
             self.replica.zone_shard_version(shard),
         )];
         let keys = self.condition_keys.get(shard).into_iter().flatten();
-        guards.extend(keys.map(|key| {
+        preconditions.extend(keys.map(|key| {
             let version = self.conditions.get(key).copied().unwrap_or(0);
-            guard(key.clone(), version)
+            precondition(key.clone(), version)
         }));
-        guards
+        preconditions
     }
 }
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -24,7 +24,7 @@
     /// Machines whose claims are decided once the commit is answered.
     pub decided: Vec<String>,
     pub granted: Vec<GrantedClaim>,
-    pub guards: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
@@ -135,7 +135,7 @@
     }
 
     fn into_batch(mut self) -> ClaimBatch {
-        (self.batch.guards, self.batch.writes) = self.machine_shards.into_commit();
+        (self.batch.preconditions, self.batch.writes) = self.machine_shards.into_commit();
         self.batch
     }
 }
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -23,7 +23,7 @@
     loop {
         controller.workers.claims.requested().await;
         // Workers turn up together after a restart: let them gather.
-        sleep(controller.request_gap() * 2).await;
+        sleep(controller.request_interval() * 2).await;
         while !controller.workers.claims.is_empty() {
             // They stand in few records, however many they are.
             controller
@@ -44,7 +44,7 @@
     if error.is_refusal() {
         controller.workers.claims.refuse_all();
     }
-    sleep(controller.store.jitter(controller.request_gap() * 2)).await;
+    sleep(controller.store.jitter(controller.request_interval() * 2)).await;
     if !controller.may_renew_leases() {
         controller.workers.claims.clear();
     }
@@ -71,7 +71,7 @@
     drop_stale_claims(controller);
     let batch = plan_claims(controller);
     if !batch.writes.is_empty() {
-        let revision = commit_claims(controller, batch.guards, batch.writes).await?;
+        let revision = commit_claims(controller, batch.preconditions, batch.writes).await?;
         renew_termination_evidence(controller, &batch.granted);
         let now = Instant::now();
         for claim in batch.granted {
@@ -108,16 +108,18 @@
 
 async fn commit_claims(
     controller: &Controller,
-    guards: Vec<Precondition>,
+    preconditions: Vec<Precondition>,
     writes: Vec<Write>,
 ) -> Result<u64, StoreError> {
-    let result = controller.commit(RequestClass::Claim, guards, writes).await;
+    let result = controller
+        .commit(RequestClass::Claim, preconditions, writes)
+        .await;
     if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
         // An unanswered claim may have been carried out: then the replica shows a
         // fencing token that is ours by name but not held, and the next try raises it
         // once more.
         controller
-            .barrier(controller.settings.worker_lease() / 8)
+            .wait_for_barrier(controller.settings.worker_lease() / 8)
             .await;
     }
     result
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -33,7 +33,7 @@
         if changes.is_empty() {
             continue;
         }
-        // A machine that is in no record is rented for nothing, and work that
+        // A machine that is in no record is paid for nothing, and work that
         // is sent to a silent one waits for its lease: neither stands behind
         // the rounds, which would have the whole budget while work waits.
         let mut class = RequestClass::Publication;
@@ -54,7 +54,7 @@
 /// a write a zone shard.
 async fn wait_for_changes(controller: &Controller, last_join: Option<Instant>) {
     let heartbeat_interval = controller.settings.heartbeat_interval();
-    let min_pause = controller.request_gap() * 4;
+    let min_pause = controller.request_interval() * 4;
     let join_interval = heartbeat_interval / 4;
     let woken = controller.workers.publication_woken();
     let _ = timeout(heartbeat_interval / 3, woken).await;
@@ -105,11 +105,11 @@
 
 /// The guards of all changes, each key once.
 fn guards_of(changes: &[ZoneShardChange]) -> Vec<Precondition> {
-    let guards = changes.iter().flat_map(|c| c.guards.iter().cloned());
-    let mut guards: Vec<Precondition> = guards.collect();
-    guards.sort_by(|a, b| a.key.cmp(&b.key));
-    guards.dedup_by(|a, b| a.key == b.key);
-    guards
+    let preconditions = changes.iter().flat_map(|c| c.preconditions.iter().cloned());
+    let mut preconditions: Vec<Precondition> = preconditions.collect();
+    preconditions.sort_by(|a, b| a.key.cmp(&b.key));
+    preconditions.dedup_by(|a, b| a.key == b.key);
+    preconditions
 }
 
 fn drop_conflicting(
@@ -118,7 +118,7 @@
     published: &mut PublicationTimes,
 ) {
     changes.retain(|change| {
-        let conflicts = change.guards.iter().any(|g| keys.contains(&g.key));
+        let conflicts = change.preconditions.iter().any(|g| keys.contains(&g.key));
         if conflicts {
             published.remove(&change.id);
         }
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -97,7 +97,7 @@
     /// time, and none while claims wait: after a restart of many controllers, all
     /// workers send their heartbeats to the first that is up.
     fn may_change_owner(&self, now: Instant) -> bool {
-        let gap = self.request_gap() / 4;
+        let gap = self.request_interval() / 4;
         let last = self.fleet.borrow().last_sent_home;
         let is_recent = last.is_some_and(|at| now.saturating_duration_since(at) < gap);
         self.workers.claims.is_empty() && !is_recent
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -126,7 +126,7 @@
         let spec = Spec {
             class: class.into(),
             deadline_s,
-            ..spec(Kind::Array, 1, 1.0)
+            ..spec(JobKind::Array, 1, 1.0)
         };
         let urgency = EffectiveUrgency {
             priority: Priority::Low,
@@ -142,7 +142,7 @@
 #[test]
 fn preemption_goes_by_the_effective_priority() {
     use Priority::*;
-    let low = spec(Kind::Array, 1, 1.0);
+    let low = spec(JobKind::Array, 1, 1.0);
     let low = Spec {
         priority: Low,
         ..low
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -24,7 +24,7 @@
 /// Rule `not_done`: a job is done when every task is, and a gang at its first.
 #[test]
 fn jobs_come_to_their_end() {
-    let mut array = Job::new(spec(Kind::Array, 2, 1.0), 1);
+    let mut array = Job::new(spec(JobKind::Array, 2, 1.0), 1);
     for _ in 0..2 {
         let t = array.take_unstarted_task().expect("waiting");
         array.book("m", "a", 1, t);
@@ -48,7 +48,7 @@
         (JobStatus::Done, true)
     );
 
-    let mut gang = Job::new(spec(Kind::Gang, 2, 1.0), 1);
+    let mut gang = Job::new(spec(JobKind::Gang, 2, 1.0), 1);
     gang.book("m", "a", 1, 0);
     gang.book("n", "a", 1, 1);
     let mut broken = gang.clone();
@@ -67,7 +67,7 @@
     let set = settings();
     let mut set_wide = set.clone();
     set_wide.deployment.teams[0].cpus_max = 1e6;
-    let s = spec(Kind::Array, 100_000, 0.001);
+    let s = spec(JobKind::Array, 100_000, 0.001);
     let names: Vec<String> = (0..40).map(|n| format!("host-{n:06}")).collect();
     let rooms: Vec<(&str, &str, f64)> = names.iter().map(|m| ("a", m.as_str(), 0.05)).collect();
     let replica = view_with(&rooms);
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -247,13 +247,13 @@
 #[test]
 fn arrivals_stand_for_their_jobs() {
     let mut replica = view_with_types();
-    let mut cancelled = Job::new(spec(Kind::Array, 1, 1.0), 1);
+    let mut cancelled = Job::new(spec(JobKind::Array, 1, 1.0), 1);
     cancelled.cancel();
     let new = |ids: &[&str]| AcceptedBatch {
         accepted_revision: 1,
         jobs: ids
             .iter()
-            .map(|id| (id.to_string(), spec(Kind::Array, 2, 1.0)))
+            .map(|id| (id.to_string(), spec(JobKind::Array, 2, 1.0)))
             .collect(),
     };
     let key = shelfhoist::state::keys::accepted_batch_key;
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -44,7 +44,7 @@
         one_zone: true,
         ..s
     };
-    let gang = spec(Kind::Gang, 3, 2.0);
+    let gang = spec(JobKind::Gang, 3, 2.0);
     assert_eq!(
         fit(&required(gang.clone()), &split),
         Err(WaitReason::NoZone)
@@ -60,28 +60,28 @@
     // Preferred, too, stays in one zone where it can.
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
     assert_eq!(
-        fit(&spec(Kind::Gang, 5, 2.0), &split),
+        fit(&spec(JobKind::Gang, 5, 2.0), &split),
         Err(WaitReason::NoRoom)
     );
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
-        fit(&spec(Kind::Array, 8, 2.0), &split),
+        fit(&spec(JobKind::Array, 8, 2.0), &split),
         Ok(vec![("a".into(), 2), ("b".into(), 2)])
     );
     let spread = Spec {
         spread: true,
-        ..spec(Kind::Service, 3, 2.0)
+        ..spec(JobKind::Service, 3, 2.0)
     };
     let one = view_with(&[("a", "m1", 8.0)]);
     assert_eq!(fit(&spread, &one), Ok(vec![("a".into(), 2)]));
     // 16 CPUs are the team's limit, whatever the free capacity.
     let wide = view_with(&[("a", "m1", 40.0)]);
     assert_eq!(
-        fit(&spec(Kind::Array, 20, 2.0), &wide),
+        fit(&spec(JobKind::Array, 20, 2.0), &wide),
         Ok(vec![("a".into(), 8)])
     );
     assert_eq!(
-        fit(&spec(Kind::Gang, 9, 2.0), &wide),
+        fit(&spec(JobKind::Gang, 9, 2.0), &wide),
         Err(WaitReason::TeamLimit)
     );
 }
@@ -96,7 +96,7 @@
     let plan = Plan::from_replica(&replica);
     let s = Spec {
         one_zone: true,
-        ..spec(Kind::Array, 3, 2.0)
+        ..spec(JobKind::Array, 3, 2.0)
     };
     let mut job = Job::new(s.clone(), 1);
     let task = job.take_unstarted_task().expect("one");
@@ -105,7 +105,7 @@
         scheduler::find_placements(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax)
             .expect("fits");
     assert!(placements.iter().all(|p| &*p.zone == "b"), "{placements:?}");
-    let gang = spec(Kind::Gang, 2, 2.0);
+    let gang = spec(JobKind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
@@ -121,7 +121,7 @@
     json["deployment"]["objectives"] =
         json!([{"kind": "finished", "class": "aimed", "within_s": 9.0}]);
     let settings = Settings::parse(&json.to_string()).expect("settings");
-    let mut work = spec(Kind::Array, 4, 1.0);
+    let mut work = spec(JobKind::Array, 4, 1.0);
     work.priority = Priority::Low;
     type Case = (&'static str, fn(&mut Spec), bool);
     let cases: [Case; 6] = [
@@ -130,7 +130,7 @@
         ("due", |s| s.deadline_s = Some(9.0), false),
         ("aimed at", |s| s.class = "aimed".into(), false),
         ("normal", |s| s.priority = Priority::Normal, false),
-        ("a service", |s| s.kind = Kind::Service, false),
+        ("a service", |s| s.kind = JobKind::Service, false),
     ];
     for (name, edit, filler) in cases {
         let mut spec = work.clone();
@@ -149,7 +149,7 @@
 #[test]
 fn what_a_commit_cannot_hold_is_booked_by_several() {
     let set = settings();
-    for (kind, want) in [(Kind::Array, 4), (Kind::Gang, 0)] {
+    for (kind, want) in [(JobKind::Array, 4), (JobKind::Gang, 0)] {
         let mut replica = view_with(&[]);
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
@@ -197,7 +197,7 @@
     let with = |team: &str, priority| Spec {
         team: team.into(),
         priority,
-        ..spec(Kind::Array, 1, 1.0)
+        ..spec(JobKind::Array, 1, 1.0)
     };
     use Priority::*;
     // (job, within guarantee, running work, it borrows) -> may be preempted
@@ -211,7 +211,7 @@
         (("t", Low), false, ("u", High), true, false),
     ];
     let service = Spec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         ..with("u", Production)
     };
     assert!(
@@ -264,8 +264,8 @@
 fn nothing_waits_beyond_the_bound() {
     let set = settings();
     let mut replica = view_with(&[("a", "m1", 8.0)]);
-    let small = Job::new(spec(Kind::Gang, 1, 1.0), 5);
-    let large = Job::new(spec(Kind::Gang, 8, 2.0), 6);
+    let small = Job::new(spec(JobKind::Gang, 1, 1.0), 5);
+    let large = Job::new(spec(JobKind::Gang, 8, 2.0), 6);
     let mut stopped = large.clone();
     stopped.attempt = 1;
     let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
@@ -305,7 +305,7 @@
     ]);
     let gang = Spec {
         one_zone: true,
-        ..spec(Kind::Gang, 3, 4.0)
+        ..spec(JobKind::Gang, 3, 4.0)
     };
     let mut plan = Plan::from_replica(&replica);
     scheduler::reserve_capacity(&gang, &mut plan, &hints(&replica));
@@ -341,7 +341,7 @@
             ..Machine::new("grande-occhio", "a")
         };
         machine_shards.put(&name, machine);
-        let (guards, writes) = machine_shards.into_commit();
+        let (preconditions, writes) = machine_shards.into_commit();
         version += 1;
         for w in &writes {
             let Write::Put { key, value, .. } = w else {
@@ -352,7 +352,10 @@
                 "{}",
                 value.get().len()
             );
-            assert!(guards.iter().any(|g| g.key == *key), "{key} is not guarded");
+            assert!(
+                preconditions.iter().any(|g| g.key == *key),
+                "{key} is not guarded"
+            );
         }
         // Every part of the home is a condition, and the next that is not yet.
         let home = set.preferred_owner(&name, "a");
@@ -361,8 +364,8 @@
             .keys()
             .filter(|k| k.starts_with(&format!("a/{home}.")));
         assert!(
-            guards.len() > zone_shards.count().saturating_sub(1),
-            "{guards:?}"
+            preconditions.len() > zone_shards.count().saturating_sub(1),
+            "{preconditions:?}"
         );
         replica.overlay(&writes, version);
     }
@@ -394,9 +397,9 @@
             machine_shards.put(name, machine.clone());
             false
         });
-        let (guards, writes) = machine_shards.into_commit();
+        let (preconditions, writes) = machine_shards.into_commit();
         let body = serde_json::to_vec(&Commit {
-            preconditions: guards,
+            preconditions: preconditions,
             writes,
         })
         .expect("commit");
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -67,7 +67,7 @@
     replica
 }
 
-pub fn spec(kind: Kind, tasks: u32, cpus: f64) -> Spec {
+pub fn spec(kind: JobKind, tasks: u32, cpus: f64) -> Spec {
     let mut s = submission();
     s["cut"] = serde_json::to_value(kind).expect("kind");
     s["boards"] = json!(tasks);
@@ -114,7 +114,7 @@
 }
 
 /// A machine `m` under our token 5 with one booking of job-1/0, attempt 1.
-pub fn held(kind: Kind, edit: impl FnOnce(&mut Job)) -> Replica {
+pub fn held(kind: JobKind, edit: impl FnOnce(&mut Job)) -> Replica {
     let mut replica = view_with_types();
     let mut job = Job::new(spec(kind, 1, 1.0), 1);
     job.take_unstarted_task();
@@ -166,7 +166,7 @@
         estimate_s,
         deadline_s,
         dependencies: dependencies.iter().map(|id| id.to_string()).collect(),
-        ..spec(Kind::Array, 2, 1.0)
+        ..spec(JobKind::Array, 2, 1.0)
     };
     Job::new(spec, 7)
 }
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -124,12 +124,12 @@
     }
 
     /// Carries a commit out if its conditions hold.
-    fn commit(&mut self, (guards, writes): (Vec<Precondition>, Vec<Write>)) -> bool {
-        let holds = |guard: &Precondition| {
-            let id = guard.key.trim_start_matches("sh/machine/");
-            self.replica.machine_shard_version(id) == guard.version
+    fn commit(&mut self, (preconditions, writes): (Vec<Precondition>, Vec<Write>)) -> bool {
+        let holds = |precondition: &Precondition| {
+            let id = precondition.key.trim_start_matches("sh/machine/");
+            self.replica.machine_shard_version(id) == precondition.version
         };
-        let held = guards.iter().all(holds);
+        let held = preconditions.iter().all(holds);
         if held {
             self.version += 1;
             self.replica.overlay(&writes, self.version);
@@ -222,10 +222,10 @@
     replica.overlay(&[write], 2);
     let left = Default::default();
     let Commit {
-        preconditions: guards,
+        preconditions,
         writes,
     } = compaction::split_long(&replica, &left, &|_| true).expect("a split");
-    assert_eq!((guards.len(), writes.len()), (2, 2));
+    assert_eq!((preconditions.len(), writes.len()), (2, 2));
     replica.overlay(&writes, 3);
     assert_eq!(replica.plan_slots().count(), 700);
     assert!(compaction::split_long(&replica, &left, &|_| true).is_none());
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -68,7 +68,7 @@
         ),
     ];
     for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
-        let mut job = Job::new(spec(Kind::Array, 9, 1.0), 1);
+        let mut job = Job::new(spec(JobKind::Array, 9, 1.0), 1);
         for (machine, attempt, outcome) in ends {
             let task = job.take_unstarted_task().expect("waiting");
             job.book(machine, "a", *attempt, task);
@@ -102,11 +102,18 @@
             .launched_attempts
             .insert(TaskAttempt::new("job-1/0", 1));
     };
-    let cases: &[(&str, Kind, u64, &serde_json::Value, Edit, &str)] = &[
-        ("absent: launch", Kind::Array, 5, &none, unchanged, "launch"),
+    let cases: &[(&str, JobKind, u64, &serde_json::Value, Edit, &str)] = &[
+        (
+            "absent: launch",
+            JobKind::Array,
+            5,
+            &none,
+            unchanged,
+            "launch",
+        ),
         (
             "absent array task: launch again",
-            Kind::Array,
+            JobKind::Array,
             5,
             &none,
             launched,
@@ -114,16 +121,23 @@
         ),
         (
             "absent gang task that was there: gone",
-            Kind::Gang,
+            JobKind::Gang,
             5,
             &none,
             launched,
             "end lost",
         ),
-        ("running: nothing", Kind::Array, 5, &running, unchanged, ""),
+        (
+            "running: nothing",
+            JobKind::Array,
+            5,
+            &running,
+            unchanged,
+            "",
+        ),
         (
             "done: recorded first, not forgotten",
-            Kind::Array,
+            JobKind::Array,
             5,
             &done,
             unchanged,
@@ -131,7 +145,7 @@
         ),
         (
             "an older token proves nothing",
-            Kind::Gang,
+            JobKind::Gang,
             4,
             &none,
             launched,
@@ -139,7 +153,7 @@
         ),
         (
             "a call under way: no verdict",
-            Kind::Gang,
+            JobKind::Gang,
             5,
             &none,
             |worker| {
@@ -152,7 +166,7 @@
         ),
         (
             "an unanswered launch may land late",
-            Kind::Gang,
+            JobKind::Gang,
             5,
             &none,
             |worker| {
@@ -165,7 +179,7 @@
         ),
         (
             "nor is an end released meanwhile",
-            Kind::Array,
+            JobKind::Array,
             5,
             &done,
             |worker| worker.has_unanswered_launch = true,
@@ -173,7 +187,7 @@
         ),
         (
             "a launch in a beat answer is on its way",
-            Kind::Array,
+            JobKind::Array,
             5,
             &none,
             |worker| {
@@ -183,7 +197,7 @@
         ),
         (
             "the view has not reached the claim",
-            Kind::Array,
+            JobKind::Array,
             5,
             &none,
             |worker| worker.claim_revision = 11,
@@ -230,7 +244,7 @@
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
     owned_worker.accept_status(report(7, 5, done), true);
-    let recorded = held(Kind::Array, |j| {
+    let recorded = held(JobKind::Array, |j| {
         j.release("m", 1, 0, TaskOutcome::Done);
     });
     let plan = |owned_worker: &OwnedWorker| {
@@ -310,7 +324,7 @@
         ),
     ];
     for (name, fencing_token, lifecycle, incarnation, want) in cases {
-        let mut replica = held(Kind::Array, |_| {});
+        let mut replica = held(JobKind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
         machine.lifecycle = *lifecycle;
         let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
@@ -333,8 +347,10 @@
         let got = transaction.release(&key, evidence, "n0", *incarnation);
         assert_eq!(&got, want, "{name}");
         // The commit depends on the machine's record, too.
-        let guards = transaction.into_commit().0;
-        let on_machine_shard = guards.iter().any(|g| g.key == machine_shard_key("a/n0.0"));
+        let preconditions = transaction.into_commit().0;
+        let on_machine_shard = preconditions
+            .iter()
+            .any(|g| g.key == machine_shard_key("a/n0.0"));
         assert_eq!(
             on_machine_shard,
             *want == ReleaseOutcome::Recorded,
@@ -388,8 +404,8 @@
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let other = json!([{"board":"job-9/0","try":1,"stage":"running"}]);
     let ended = json!([{"board":"job-9/0","try":1,"stage":"ended","cause":"done"}]);
-    let open = held(Kind::Service, |_| {});
-    let over = held(Kind::Service, Job::cancel);
+    let open = held(JobKind::Service, |_| {});
+    let over = held(JobKind::Service, Job::cancel);
     for (replica, tasks, must_stop) in [
         (&open, &running, false),
         (&over, &running, true),
@@ -417,9 +433,9 @@
         {"board":"job-1/3","try":2,"stage":"ended","cause":"stopped"},
         {"board":"job-9/0","try":1,"stage":"running"},
     ]);
-    let open = held(Kind::Service, |_| {});
-    let done = held(Kind::Gang, |j| j.status = JobStatus::Done);
-    let over = held(Kind::Service, Job::cancel);
+    let open = held(JobKind::Service, |_| {});
+    let done = held(JobKind::Gang, |j| j.status = JobStatus::Done);
+    let over = held(JobKind::Service, Job::cancel);
     for fencing_token in [0, 5, 9] {
         let report = report(3, fencing_token, tasks.clone());
         for replica in [&open, &done] {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -17,7 +17,7 @@
     Team, Types, ZoneShard,
 };
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
+use shelfhoist::wire::{Event, JobKind, MachineType, Priority, Write};
 use shelfhoist::workers::preferred_owner_of;
 
 // --- values ---------------------------------------------------------------------
@@ -39,7 +39,7 @@
     Spec {
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1800,
         need: room(2000, 500, 1800),
@@ -59,7 +59,7 @@
 }
 
 /// What may be left out is.
-fn bare_spec(kind: Kind, priority: Priority) -> Spec {
+fn bare_spec(kind: JobKind, priority: Priority) -> Spec {
     Spec {
         kind,
         priority,
@@ -86,7 +86,7 @@
 }
 
 fn waiting_job() -> Job {
-    Job::new(bare_spec(Kind::Gang, Priority::High), 9)
+    Job::new(bare_spec(JobKind::Gang, Priority::High), 9)
 }
 
 fn dependent_job() -> Job {
@@ -119,7 +119,7 @@
         runs: vec![run("host-000231", 1, &[(0, 3)], true)],
         attempt: 1,
         next_task: 4,
-        ..Job::new(bare_spec(Kind::Service, Priority::Production), 77)
+        ..Job::new(bare_spec(JobKind::Service, Priority::Production), 77)
     }
 }
 
@@ -138,7 +138,10 @@
         accepted_revision: 7,
         jobs: BTreeMap::from([
             ("job-000001".into(), full_spec()),
-            ("job-000002".into(), bare_spec(Kind::Array, Priority::Low)),
+            (
+                "job-000002".into(),
+                bare_spec(JobKind::Array, Priority::Low),
+            ),
         ]),
     }
 }
@@ -353,7 +356,7 @@
     let job = Job {
         spec: None,
         tasks: 0,
-        ..Job::new(bare_spec(Kind::Gang, Priority::High), 0)
+        ..Job::new(bare_spec(JobKind::Gang, Priority::High), 0)
     };
     reads(&job, "{}");
     reads(&job, r#"{"s":null,"field of a later version":[1]}"#);
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -9,7 +9,7 @@
 use super::setup::{LIMIT, name, places, read, spec};
 use shelfhoist::scheduler::{TaskPlacement, book, min_record_bytes, tasks_within_record_limit};
 use shelfhoist::state::encoding;
-use shelfhoist::wire::Kind;
+use shelfhoist::wire::JobKind;
 
 use shelfhoist::state::records::*;
 
@@ -18,7 +18,7 @@
     let mut rng = SmallRng::seed_from_u64(7);
     for tasks in [1, 5, 64, 4096, 4097, 100_000, 262_145, u32::MAX] {
         for machines in [0, 1, 3, 40] {
-            let mut job = Job::new(spec(Kind::Array, tasks), u64::MAX);
+            let mut job = Job::new(spec(JobKind::Array, tasks), u64::MAX);
             job.attempt = rng.random();
             job.next_task = rng.random_range(0..=tasks);
             job.has_preempted = rng.random();
@@ -44,7 +44,7 @@
         }
     }
     // As many kinds of names as no table holds: the longer text stands.
-    let mut job = Job::new(spec(Kind::Array, 100), 1);
+    let mut job = Job::new(spec(JobKind::Array, 100), 1);
     for n in 0..70 {
         job.book(&format!("{n}-of-another-name"), "a", 1, n);
     }
@@ -73,7 +73,7 @@
             let n = n * rng.random_range(1..3);
             let kind = ["small", "\"big\" one"][rng.random_range(0..2)];
             let unbooked = match n % 9 {
-                4 => spec(Kind::Array, 1).need,
+                4 => spec(JobKind::Array, 1).need,
                 _ => Resources::default(),
             };
             let slot = MachineSlot {
@@ -182,14 +182,14 @@
 /// service of the page have room to spare.
 #[test]
 fn a_short_record_holds_as_much() {
-    let array = Job::new(spec(Kind::Array, 1800), 1 << 40);
+    let array = Job::new(spec(JobKind::Array, 1800), 1 << 40);
     let before = tasks_within_record_limit(&array, &places(40, 12), 8192, false);
     let slots = tasks_within_record_limit(&array, &places(40, 12), LIMIT, true);
     assert!(slots * 10 >= before.min(450) * 9, "{slots} of {before}");
     for (kind, tasks, most) in [
-        (Kind::Gang, 8, 8),
-        (Kind::Service, 16, 16),
-        (Kind::Array, 1800, 400),
+        (JobKind::Gang, 8, 8),
+        (JobKind::Service, 16, 16),
+        (JobKind::Array, 1800, 400),
     ] {
         let job = Job::new(spec(kind, tasks), 1 << 40);
         let places = places(most.min(40), most.div_ceil(40));
@@ -208,7 +208,7 @@
 fn a_full_short_record_stays_within_the_limit() {
     for (tasks, seed) in [(1800, 1), (4096, 2), (100_000, 3)] {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let s = spec(Kind::Array, tasks);
+        let s = spec(JobKind::Array, tasks);
         let mut job = Job::new(s.clone(), 1 << 40);
         job.attempt = 1;
         let mut widest = 0;
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -10,7 +10,7 @@
 use shelfhoist::scheduler::TaskPlacement;
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Kind, Priority};
+use shelfhoist::wire::{Event, JobKind, Priority};
 
 use shelfhoist::state::records::*;
 
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn spec(kind: Kind, tasks: u32) -> Spec {
+pub fn spec(kind: JobKind, tasks: u32) -> Spec {
     Spec {
         class: "reprice-array".into(),
         team: "squadra-piazzale-07".into(),
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -12,7 +12,7 @@
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Commit, Event, Kind, Write};
+use shelfhoist::wire::{Commit, Event, JobKind, Write};
 
 use shelfhoist::state::records::*;
 
@@ -51,10 +51,14 @@
         replica.overlay(&writes, version);
         let mut machine_shards = MachineShardEdits::new(&replica);
         machine_shards.edit(&id);
-        let (guards, mut writes) = machine_shards.into_commit();
+        let (preconditions, mut writes) = machine_shards.into_commit();
         assert_eq!(writes.len(), 2, "{id}");
         for w in &writes {
-            assert!(guards.iter().any(|g| g.key == w.key()), "{}", w.key());
+            assert!(
+                preconditions.iter().any(|g| g.key == w.key()),
+                "{}",
+                w.key()
+            );
         }
         if version % 2 == 0 {
             writes.reverse();
@@ -102,15 +106,18 @@
     }
     let mut steps = 0;
     while let Some(Commit {
-        preconditions: guards,
+        preconditions,
         mut writes,
     }) = compaction::merge(&replica, &HashMap::new(), &tended)
     {
-        assert_eq!((guards.len(), writes.len()), (2, 2));
+        assert_eq!((preconditions.len(), writes.len()), (2, 2));
         for w in &writes {
             let id = w.key().trim_start_matches("sh/zone/");
-            let guard = guards.iter().find(|g| g.key == w.key()).expect("a guard");
-            assert_eq!(guard.version, replica.zone_shard_version(id));
+            let precondition = preconditions
+                .iter()
+                .find(|g| g.key == w.key())
+                .expect("a guard");
+            assert_eq!(precondition.version, replica.zone_shard_version(id));
             let Write::Put { value, .. } = w else {
                 panic!("{w:?}")
             };
@@ -169,11 +176,15 @@
         }
         events.push(Event::put(zone_shard_key(id), &shard, 2));
     }
-    let mut gang = spec(Kind::Gang, 8);
+    let mut gang = spec(JobKind::Gang, 8);
     gang.team = "t".into();
     gang.types = None;
     gang.need.cpus = Amount(8000);
-    for (kind, tasks) in [(Kind::Gang, 8), (Kind::Gang, 9), (Kind::Service, 9)] {
+    for (kind, tasks) in [
+        (JobKind::Gang, 8),
+        (JobKind::Gang, 9),
+        (JobKind::Service, 9),
+    ] {
         let spec = Spec {
             kind,
             tasks,
@@ -196,7 +207,7 @@
         );
         let Ok(places) = found else {
             // It fits the rooms of three zone shards only: machines are rented for it.
-            assert_eq!((kind, tasks), (Kind::Gang, 9), "{found:?}");
+            assert_eq!((kind, tasks), (JobKind::Gang, 9), "{found:?}");
             assert_eq!(found, Err(WaitReason::NoRoom));
             continue;
         };
@@ -206,7 +217,7 @@
         let booked = transaction.book("job-1", &spec, &places);
         assert!(transaction.into_commit().1.len() <= set.txn_ops());
         match kind {
-            Kind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
+            JobKind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
             // Replica by replica: the rest go into the next commit.
             _ => assert!(
                 zone_shards.len() > 2 && (5..9).contains(&booked),
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -9,7 +9,7 @@
 use shelfhoist::state::record_trim::{TrimContext, trim_job};
 use shelfhoist::state::records::{Amount, Job, JobStatus, Ranges, Resources, Run, Spec};
 use shelfhoist::state::replica::Replica;
-use shelfhoist::wire::{Event, Kind, MachineType, Priority, Write};
+use shelfhoist::wire::{Event, JobKind, MachineType, Priority, Write};
 
 const LIMIT: usize = 2048;
 
@@ -31,7 +31,7 @@
 }
 
 /// A specification of about 2 KiB, as older versions accept at 8 KiB a record.
-fn long_spec(kind: Kind) -> Spec {
+fn long_spec(kind: JobKind) -> Spec {
     let mut types: Vec<String> = (0..60)
         .map(|n| format!("retired-machine-type-{n}"))
         .collect();
@@ -62,7 +62,7 @@
     }
 }
 
-fn running(kind: Kind) -> Job {
+fn running(kind: JobKind) -> Job {
     let run = |n: u32| Run {
         machine: format!("host-{n:06}"),
         zone: "a".into(),
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_record_that_fits_is_left_as_it_is() {
-    let job = running(Kind::Array);
+    let job = running(JobKind::Array);
     assert_eq!(trimmed(&job, &[], length(&job)), None);
     assert_eq!(trimmed(&job, &[], usize::MAX), None);
 }
@@ -107,7 +107,7 @@
 /// Of a cancelled or done job with runs that end, what those need is kept.
 #[test]
 fn a_closed_job_keeps_what_its_last_runs_need() {
-    for kind in [Kind::Array, Kind::Gang, Kind::Service] {
+    for kind in [JobKind::Array, JobKind::Gang, JobKind::Service] {
         for status in [JobStatus::Cancelled, JobStatus::Done] {
             let job = Job {
                 status,
@@ -147,7 +147,7 @@
 /// those before it were not enough.
 #[test]
 fn an_open_job_is_trimmed_step_by_step() {
-    let mut job = running(Kind::Array);
+    let mut job = running(JobKind::Array);
     if let Some(spec) = &mut job.spec {
         spec.dependencies = vec!["job-000001".into(), "job-000002".into()];
     }
@@ -199,7 +199,7 @@
         let named = named.filter(|(n, _)| subset >> n & 1 == 1);
         let named: Vec<String> = named.map(|(_, name)| name.to_string()).collect();
         for zone in [None, Some("a"), Some("b"), Some("c")] {
-            let mut job = running(Kind::Gang);
+            let mut job = running(JobKind::Gang);
             if let Some(spec) = &mut job.spec {
                 spec.types = Some(named.clone());
                 spec.zone = zone.map(str::to_string);
@@ -225,7 +225,7 @@
             assert!(spec(&short).types.is_some());
         }
     }
-    let mut any = running(Kind::Array);
+    let mut any = running(JobKind::Array);
     if let Some(spec) = &mut any.spec {
         spec.types = None;
     }
@@ -235,7 +235,7 @@
         slo_classes: &BTreeSet::new(),
         is_done: &|_| false,
     };
-    let job = running(Kind::Array);
+    let job = running(JobKind::Array);
     let short = trim_job(&job, &unknown, |_| false).expect("trimmed");
     assert_eq!(spec(&short).types, spec(&job).types);
 }
@@ -245,7 +245,7 @@
 #[test]
 fn long_names_stay_apart() {
     let image = |name: String| {
-        let mut job = running(Kind::Array);
+        let mut job = running(JobKind::Array);
         if let Some(spec) = &mut job.spec {
             spec.image = name;
         }
@@ -283,7 +283,7 @@
 /// read the compact encoding, and knows those that leave no room for their tasks.
 #[test]
 fn records_are_trimmed_as_they_are_written() {
-    let job = running(Kind::Array);
+    let job = running(JobKind::Array);
     assert_eq!(written(&replica(0), &job), job);
     let mut replica = replica(2);
     let short = written(&replica, &job);
@@ -295,7 +295,7 @@
     assert!(spec(&written(&replica, &cancelled)).class.is_empty());
 
     // It fits as it waits, but none of its tasks would.
-    let mut waiting = Job::new(long_spec(Kind::Array), 7);
+    let mut waiting = Job::new(long_spec(JobKind::Array), 7);
     if let Some(spec) = &mut waiting.spec {
         spec.class = "c".into();
         spec.zone = None;
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -77,10 +77,10 @@
     json!({"guards": [], "writes": (0..count).map(write).collect::<Vec<_>>()})
 }
 
-fn guards(count: usize) -> Value {
-    let guard = |n: usize| json!({"key": format!("absent/{n}"), "stamp": 0});
+fn preconditions(count: usize) -> Value {
+    let precondition = |n: usize| json!({"key": format!("absent/{n}"), "stamp": 0});
     let writes = [json!({"set": "c/1", "value": 1})];
-    json!({"guards": (0..count).map(guard).collect::<Vec<_>>(), "writes": writes})
+    json!({"guards": (0..count).map(precondition).collect::<Vec<_>>(), "writes": writes})
 }
 
 fn set_key(key: &str) -> Value {
@@ -93,7 +93,7 @@
     let cases: [(&str, Value, Value); 5] = [
         ("value", sets(1, &value_of(8192)), sets(1, &value_of(8193))),
         ("writes", sets(12, &json!(1)), sets(13, &json!(1))),
-        ("guards", guards(48), guards(49)),
+        ("guards", preconditions(48), preconditions(49)),
         (
             "key",
             set_key(&longest_key),
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -120,11 +120,11 @@
     /// The keys whose revision is not the one that the transaction expects.
     fn failed_guards(&self, body: &Value) -> Vec<String> {
         let pairs = self.pairs.borrow();
-        let guards = body["guards"].as_array().into_iter().flatten();
-        let failed = guards.filter_map(|guard| {
-            let key = guard["key"].as_str()?;
+        let preconditions = body["guards"].as_array().into_iter().flatten();
+        let failed = preconditions.filter_map(|precondition| {
+            let key = precondition["key"].as_str()?;
             let now = pairs.get(key).map_or(0, |pair| pair.1);
-            (guard["stamp"].as_u64() != Some(now)).then(|| key.to_string())
+            (precondition["stamp"].as_u64() != Some(now)).then(|| key.to_string())
         });
         failed.collect()
     }
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -68,12 +68,12 @@
     pub(super) fn exceeds(&self, body: &Value) -> Option<String> {
         let limits = self.limits.get();
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
-        let (writes, guards) = (list("writes"), list("guards"));
-        if writes.len() > limits.txn_ops || guards.len() > limits.txn_ops * 4 {
+        let (writes, preconditions) = (list("writes"), list("guards"));
+        if writes.len() > limits.txn_ops || preconditions.len() > limits.txn_ops * 4 {
             return Some(format!(
                 "txn_ops: {} writes, {} guards, first {}",
                 writes.len(),
-                guards.len(),
+                preconditions.len(),
                 writes
                     .first()
                     .map_or("", |w| w["set"].as_str().unwrap_or(""))
@@ -85,7 +85,7 @@
         }
         let keys = writes.iter().map(written_key);
         if let Some(key) = keys
-            .chain(guards.iter().filter_map(|g| g["key"].as_str()))
+            .chain(preconditions.iter().filter_map(|g| g["key"].as_str()))
             .find(|k| !is_key(k))
         {
             return Some(format!("not a key: {key:?}"));
