--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -134,7 +134,7 @@
         writes: Vec<Write>,
     ) -> Result<u64, StoreError> {
         let commit = Commit {
-            preconditions: preconditions,
+            preconditions,
             writes,
         };
         let revision = self.store.commit(class, &commit).await?;
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -399,7 +399,7 @@
         });
         let (preconditions, writes) = machine_shards.into_commit();
         let body = serde_json::to_vec(&Commit {
-            preconditions: preconditions,
+            preconditions,
             writes,
         })
         .expect("commit");
