--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -23,7 +23,7 @@
 
 fn order(action: CommandAction) -> WorkerCommand {
     WorkerCommand {
-        action: action,
+        action,
         task: "job-1/0".to_string(),
         attempt: 1,
         grace_s: None,
