--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -17,14 +17,6 @@
 /// What one controller remembers of the fleet and of the cloud.
 #[derive(Default)]
 pub struct FleetState {
-    /// When a machine was last sent to its home, and whether it was soon back.
-    pub sent_home: HashMap<String, (Instant, bool)>,
-    /// Since when a worker is kept here that waits to be claimed.
-    pub claim_wait_since: HashMap<String, Instant>,
-    /// When a machine was last sent back to its owner.
-    pub sent_back: HashMap<String, Instant>,
-    /// When any was sent home that another controller holds.
-    pub last_sent_home: Option<Instant>,
     /// The boots in progress, and the durations and failures of recent ones.
     pub(super) boots: BootTracker,
     /// Offers that the cloud has refused.
@@ -175,9 +167,6 @@
     pub(super) fn retain_machines(&mut self, known: &HashSet<&str>) {
         self.not_up_since
             .retain(|id, _| known.contains(id.as_str()));
-        self.sent_home.retain(|id, _| known.contains(id.as_str()));
-        self.claim_wait_since
-            .retain(|id, _| known.contains(id.as_str()));
         self.idle_since.retain(|id, _| known.contains(id.as_str()));
     }
 
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::precondition;
-use crate::state::keys::{accepted_batch_key, rental_key};
+use crate::state::keys::{accepted_batch_key, provisioning_request_key};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
 
@@ -49,7 +49,7 @@
         !machines.is_empty() && machines.iter().all(|id| replica.machines.contains_key(id))
     });
     let requests = requests.map(|(id, entry)| ObsoleteRecord {
-        key: rental_key(id),
+        key: provisioning_request_key(id),
         version: entry.version,
     });
     let batches = replica.accepted_batches.iter().filter(|(_, entry)| {
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -11,7 +11,7 @@
 use crate::http::Response;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{precondition, put};
-use crate::state::keys::rental_key;
+use crate::state::keys::provisioning_request_key;
 use crate::state::records::ProvisioningRequest;
 use crate::state::replica::{Entry, Replica};
 use crate::wire::{CreateMachinesRequest, MachineIds, Write};
@@ -76,7 +76,7 @@
     };
     let delivery = apply_response(controller, &mut request, &response);
     record_capacity(controller, &request, delivery);
-    let key = rental_key(id);
+    let key = provisioning_request_key(id);
     let preconditions = vec![precondition(key.clone(), version)];
     let write = match request.machines.is_empty() {
         true => Write::Delete { key },
--- a/src/cloud/record_drops.rs
+++ b/src/cloud/record_drops.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::MachineShardEdits;
 use crate::settings::Settings;
 use crate::state::commit::{precondition, put};
-use crate::state::keys::{POOL_KEY, rental_key, shard_id};
+use crate::state::keys::{POOL_KEY, provisioning_request_key, shard_id};
 use crate::state::records::{ProvisioningRequest, Resources};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Write};
@@ -88,7 +88,7 @@
         let replica = self.replica;
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
         for (id, request) in self.requests {
-            let key = rental_key(id);
+            let key = provisioning_request_key(id);
             let version = replica.provisioning_requests[id].version;
             preconditions.push(precondition(key.clone(), version));
             writes.push(match request.machines.is_empty() {
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -11,7 +11,7 @@
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::commit::{precondition, put};
-use crate::state::keys::{FLEET_KEY, rental_key};
+use crate::state::keys::{FLEET_KEY, provisioning_request_key};
 use crate::state::records::ProvisioningRequest;
 
 /// Provisions what is missing, apart from the rest: work waits for it.
@@ -60,8 +60,8 @@
             "scale-out requested"
         );
         // Safety 5: the intent comes before the call, under a unique name.
-        preconditions.push(precondition(rental_key(&id), 0));
-        writes.push(put(rental_key(&id), request));
+        preconditions.push(precondition(provisioning_request_key(&id), 0));
+        writes.push(put(provisioning_request_key(&id), request));
     }
     // Who was paused, and is the fleet leader no more, finds out by this.
     match controller.replica.borrow().fleet.as_ref() {
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -11,7 +11,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::state::commit::{precondition, put};
-use crate::state::keys::{FLEET_KEY, FORMATS_KEY, node_key};
+use crate::state::keys::{FLEET_KEY, FORMATS_KEY, controller_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write, to_raw_json};
@@ -146,18 +146,18 @@
             preconditions: Vec::new(),
             writes: Vec::new(),
         };
-        edits.add_node_key();
+        edits.add_controller_key();
         edits.add_fleet_key();
         edits.add_formats_key();
         edits
     }
 
     /// The key that says that this controller is up.
-    fn add_node_key(&mut self) {
+    fn add_controller_key(&mut self) {
         match self.replica.controllers.get(self.controller.name()) {
             Some(entry) if entry.value == self.own_record => {}
             other => {
-                let key = node_key(self.controller.name());
+                let key = controller_key(self.controller.name());
                 let absent = self.replica.absent_version(&key);
                 self.put_own_record(key, other.map_or(absent, |entry| entry.version));
             }
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -52,7 +52,7 @@
         &mut fleet,
         now,
     ));
-    forget_unknown_machines(&replica, &mut fleet);
+    forget_unknown_machines(controller, &replica, &mut fleet);
     removals
 }
 
@@ -193,8 +193,9 @@
 }
 
 /// Drops what is remembered of machines that are neither recorded nor provisioned.
-fn forget_unknown_machines(replica: &Replica, fleet: &mut FleetState) {
+fn forget_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
     let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
     known.extend(booting_machines(replica).map(|machine| machine.id));
     fleet.retain_machines(&known);
+    controller.workers.retain_redirects(&known);
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -45,7 +45,7 @@
     }
 
     /// Heals a partition: connecting and open streams go on.
-    pub fn mend(&self, from: SocketAddrV4, to: SocketAddrV4) {
+    pub fn repair(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.cut.borrow_mut().remove(&Route { from, to });
     }
 
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -9,7 +9,7 @@
 /// The most guards of a commit that adds machines. Each of its records may be
 /// split besides, which adds one more. Before shards are used in groups, all
 /// of a home's are guarded, and the limits in force are the present ones.
-pub(super) fn max_guards(settings: &Settings, grouped: bool) -> usize {
+pub(super) fn max_preconditions(settings: &Settings, grouped: bool) -> usize {
     match grouped {
         true => settings.txn_ops() * (PRECONDITIONS_PER_WRITE - 1),
         false => settings.deployment.state.txn_ops * PRECONDITIONS_PER_WRITE,
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::machine_shard_limits::{ShardRecordSizes, max_guards, max_shard_bytes};
+use super::machine_shard_limits::{ShardRecordSizes, max_preconditions, max_shard_bytes};
 use super::shard_allocation::{ShardCandidates, max_group, numbered_id, uses_groups};
 use super::transaction::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 use crate::settings::Settings;
@@ -185,7 +185,7 @@
             .chain([candidates.next()])
             .map(|number| numbered_id(zone, home, number))
             .collect();
-        if self.guard_count_with(&guarded) > max_guards(settings, grouped) {
+        if self.precondition_count_with(&guarded) > max_preconditions(settings, grouped) {
             return None;
         }
         self.guarded.extend(guarded);
@@ -229,7 +229,7 @@
     }
 
     /// How many machine shards must be as they are if these must be, too.
-    fn guard_count_with(&self, more: &BTreeSet<String>) -> usize {
+    fn precondition_count_with(&self, more: &BTreeSet<String>) -> usize {
         let edited: BTreeSet<&String> = self.edited.keys().collect();
         let guarded = self.guarded.iter().chain(more);
         edited
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
 struct QueueSortKey {
     /// It fails wherever it runs: all others go first.
-    doubtful: bool,
+    suspected_faulty: bool,
     /// No capacity has been cleared for it. Jobs that work was preempted for go
     /// first whatever the policy says, or it would serve another job.
     without_cleared_capacity: bool,
@@ -60,7 +60,7 @@
             let facts = job_facts(job, spec, plan, settings, replica, age, &urgency);
             let is_starving = is_starving(job, spec, settings, age);
             let sort_key = QueueSortKey {
-                doubtful: job.is_suspected_faulty(),
+                suspected_faulty: job.is_suspected_faulty(),
                 without_cleared_capacity: !job.has_preempted,
                 not_starving: !is_starving,
                 keys: match is_starving {
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -39,7 +39,10 @@
 /// The placements that a job gets in this round: of one that fails wherever it runs, a
 /// part. One task shows whether it still fails; of a gang it takes all, and a service
 /// whose first replica has run for a while is in order.
-fn limited_if_doubtful(waiting: WaitingJob, mut tasks: Vec<TaskPlacement>) -> Vec<TaskPlacement> {
+fn limited_if_suspected_faulty(
+    waiting: WaitingJob,
+    mut tasks: Vec<TaskPlacement>,
+) -> Vec<TaskPlacement> {
     let WaitingJob { job, spec, .. } = waiting;
     if job.is_suspected_faulty() && !spec.is_gang() && job.booked() == 0 {
         tasks.truncate(1);
@@ -89,7 +92,7 @@
         };
         let decision = match self.search.find_placements(&context, waiting) {
             Ok(tasks) => {
-                let tasks = limited_if_doubtful(waiting, tasks);
+                let tasks = limited_if_suspected_faulty(waiting, tasks);
                 JobDecision::Place(spec, tasks)
             }
             Err(reason) => JobDecision::Wait(self.wait(id, job, spec, reason, own)),
--- a/src/scheduler/transaction/size.rs
+++ b/src/scheduler/transaction/size.rs
@@ -123,8 +123,9 @@
     /// Whether the machine shard is guarded, or can still be. The conditions of the
     /// records that may be written are left free.
     pub(super) fn can_guard(&self, machine_shard: &str) -> bool {
-        let max_guards = self.max_records * (PRECONDITIONS_PER_WRITE - 1);
-        self.guarded_records() < max_guards || self.guarded_machine_shards.contains(machine_shard)
+        let max_preconditions = self.max_records * (PRECONDITIONS_PER_WRITE - 1);
+        self.guarded_records() < max_preconditions
+            || self.guarded_machine_shards.contains(machine_shard)
     }
 
     /// How many records are guarded that are not written.
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -45,7 +45,7 @@
     /// The port of an address is 0.
     #[error("needs a port")]
     NoPort,
-    /// The mesh and the HTTP server cannot share an address.
+    /// The gossip and the HTTP listener cannot share an address.
     #[error("is the same as serve_on")]
     SameAsServeOn,
     /// The deployment's count is not that of the controllers listed.
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -133,7 +133,7 @@
 
     /// Connections that users, probes and workers may hold together. What is
     /// left beside them and those for commands is for the state service, the
-    /// cloud and the mesh.
+    /// cloud and gossip.
     pub fn served_connections(&self) -> usize {
         self.deployment.machine_limits.sockets * SERVED_SOCKET_SHARES / SOCKET_SHARES
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -54,7 +54,7 @@
     /// The zone in which it runs; the file's `location`.
     #[serde(rename = "location")]
     pub zone: String,
-    /// The address at which it accepts mesh connections.
+    /// The address at which it accepts gossip connections.
     pub addr: SocketAddrV4,
 }
 
@@ -186,7 +186,7 @@
     pub zone: String,
     /// The address at which it serves users, workers and operators.
     pub serve_on: SocketAddrV4,
-    /// The address at which it accepts mesh connections.
+    /// The address at which it accepts gossip connections.
     #[serde(rename = "mesh_addr")]
     pub gossip_addr: SocketAddrV4,
     /// The other controllers.
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -44,7 +44,7 @@
 }
 
 /// The key that exists while a controller's state lease stands.
-pub fn node_key(name: &str) -> String {
+pub fn controller_key(name: &str) -> String {
     format!("{PREFIX}node/{name}")
 }
 
@@ -54,7 +54,7 @@
 }
 
 /// The key of a provisioning request.
-pub fn rental_key(id: &str) -> String {
+pub fn provisioning_request_key(id: &str) -> String {
     format!("{PREFIX}hire/{id}")
 }
 
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -44,7 +44,7 @@
 pub struct Formats {
     /// The newest format that each controller can read, by their names.
     #[serde(rename = "n", default)]
-    pub nodes: BTreeMap<String, u32>,
+    pub controllers: BTreeMap<String, u32>,
     /// The newest format that every controller can read.
     #[serde(rename = "a", default)]
     pub all: u32,
@@ -60,10 +60,10 @@
     ) -> Formats {
         let mut next = self.clone();
         for (name, formats) in seen.filter(|(_, f)| *f > 0) {
-            let known = next.nodes.entry(name.to_string()).or_default();
+            let known = next.controllers.entry(name.to_string()).or_default();
             *known = formats.max(*known);
         }
-        let known_to = |name: &&str| next.nodes.get(*name).copied().unwrap_or(0);
+        let known_to = |name: &&str| next.controllers.get(*name).copied().unwrap_or(0);
         let known_to_all = configured.iter().map(known_to).min().unwrap_or(0);
         next.all = next.all.max(known_to_all);
         next
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -96,7 +96,7 @@
         if !self.shares.contains_key(team) {
             return 0;
         }
-        let names = self.formats.value.nodes.keys().map(String::len);
+        let names = self.formats.value.controllers.keys().map(String::len);
         PUNCTUATION + names.max().unwrap_or(0)
     }
 
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -78,7 +78,7 @@
     suspects: HashSet<String>,
     now: Instant,
     max_shards: usize,
-    max_guards: usize,
+    max_preconditions: usize,
     /// What the slots that are put somewhere depend on.
     conditions: Conditions,
     /// The keys of these conditions, by zone shard.
@@ -108,7 +108,7 @@
             suspects,
             now,
             max_shards,
-            max_guards: max_shards * (PRECONDITIONS_PER_WRITE - 1),
+            max_preconditions: max_shards * (PRECONDITIONS_PER_WRITE - 1),
             conditions: Conditions::new(),
             condition_keys: BTreeMap::new(),
             edits: BTreeMap::new(),
@@ -212,7 +212,7 @@
         let choice = chooser.choose(id, machine)?;
         let added = choice.conditions.keys();
         let added = added.filter(|key| !self.conditions.contains_key(*key));
-        if self.conditions.len() + added.count() > self.max_guards {
+        if self.conditions.len() + added.count() > self.max_preconditions {
             return None;
         }
         for (key, version) in choice.conditions {
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -197,12 +197,8 @@
     /// lease, and only where claims can be committed at all.
     fn may_wait_for_claim(&self, id: &str, now: Instant) -> bool {
         let lease = self.settings.worker_lease();
-        let mut fleet = self.fleet.borrow_mut();
-        let since = fleet.claim_wait_since.entry(id.to_string()).or_insert(now);
-        if now.saturating_duration_since(*since) > lease {
-            *since = now;
-        }
-        now.saturating_duration_since(*since) < lease / 2 && self.is_state_service_reachable()
+        let mut redirects = self.workers.redirects_mut();
+        redirects.may_wait_for_claim(id, lease, now) && self.is_state_service_reachable()
     }
 
     /// Accepts the status as the machine's newest, unless it is a late copy.
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -18,6 +18,7 @@
 mod owned_worker;
 mod publication;
 mod reconcile;
+mod redirect_history;
 mod redirects;
 mod required_stops;
 mod termination;
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -7,14 +7,11 @@
 
 use tokio::time::Instant;
 
+use super::redirect_history::RedirectHistory;
 use crate::controller::Controller;
 use crate::state::records::Machine;
 use crate::wire::WorkerStatus;
 
-/// For so many leases a worker that did not reach its preferred owner is not
-/// redirected there again.
-const LEASES_BEFORE_ANOTHER_REDIRECT: u32 = 3;
-
 /// The controller whose name a shard bears.
 pub fn preferred_owner_of(shard: &str) -> &str {
     shard
@@ -41,22 +38,17 @@
         if preferred_owner == self.name() {
             return None;
         }
-        if self.has_failed_to_reach_preferred_owner(&status.machine, now) {
+        let lease = self.settings.worker_lease();
+        let mut redirects = self.workers.redirects_mut();
+        if redirects.has_failed_to_reach_preferred_owner(&status.machine, lease, now) {
             return None;
         }
         // A machine that nobody owns yet costs no more there than here.
         let is_owned = machine.is_some_and(|m| !m.owner.is_empty());
-        if is_owned && !self.may_change_owner(now) {
+        if is_owned && !self.may_change_owner(&redirects, now) {
             return None;
         }
-        let mut fleet = self.fleet.borrow_mut();
-        if is_owned {
-            fleet.last_sent_home = Some(now);
-        }
-        let has_returned = false;
-        fleet
-            .sent_home
-            .insert(status.machine.clone(), (now, has_returned));
+        redirects.record_to_preferred_owner(&status.machine, is_owned, now);
         Some(preferred_owner)
     }
 
@@ -79,28 +71,12 @@
         }
     }
 
-    /// Whether the worker has been redirected to its preferred owner before and is to
-    /// stay here. One that is back soon has not reached it, and is left alone for a
-    /// while; one that comes back later has lost it since.
-    fn has_failed_to_reach_preferred_owner(&self, machine: &str, now: Instant) -> bool {
-        let lease = self.settings.worker_lease();
-        let mut fleet = self.fleet.borrow_mut();
-        let Some((sent_at, has_returned)) = fleet.sent_home.get_mut(machine) else {
-            return false;
-        };
-        let age = now.saturating_duration_since(*sent_at);
-        *has_returned |= age < lease;
-        *has_returned && age < lease * LEASES_BEFORE_ANOTHER_REDIRECT
-    }
-
     /// Workers of owned machines are redirected to their preferred owners a few at a
     /// time, and none while claims wait: after a restart of many controllers, all
     /// workers send their heartbeats to the first that is up.
-    fn may_change_owner(&self, now: Instant) -> bool {
-        let gap = self.request_interval() / 4;
-        let last = self.fleet.borrow().last_sent_home;
-        let is_recent = last.is_some_and(|at| now.saturating_duration_since(at) < gap);
-        self.workers.claims.is_empty() && !is_recent
+    fn may_change_owner(&self, redirects: &RedirectHistory, now: Instant) -> bool {
+        let interval = self.request_interval() / 4;
+        self.workers.claims.is_empty() && !redirects.has_redirected_owned_within(interval, now)
     }
 
     /// Which of these controllers a machine without a shard should belong to: one of
@@ -139,14 +115,11 @@
         if !self.is_owner_reachable(owner, machine, now) {
             return None;
         }
-        let mut fleet = self.fleet.borrow_mut();
         let lease = self.settings.worker_lease();
-        let last = fleet.sent_back.get(id);
-        if last.is_some_and(|at| now.saturating_duration_since(*at) < lease) {
-            return None;
-        }
-        fleet.sent_back.insert(id.to_string(), now);
-        Some(owner.to_string())
+        let mut redirects = self.workers.redirects_mut();
+        redirects
+            .try_redirect_to_owner(id, lease, now)
+            .then(|| owner.to_string())
     }
 
     /// Whether the run of the controller that owns a machine is up and receives
@@ -156,7 +129,7 @@
         let is_same_run = replica
             .controllers
             .get(owner)
-            .is_some_and(|node| node.value.incarnation == machine.incarnation);
+            .is_some_and(|record| record.value.incarnation == machine.incarnation);
         let peers = self.peers.borrow();
         is_same_run
             && peers.alive(self, now).contains(&owner)
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -2,7 +2,7 @@
 //! that are under way, and terminations that are yet to be recorded.
 
 use std::cell::{Ref, RefCell, RefMut};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
 use tokio::sync::Notify;
@@ -10,6 +10,7 @@
 use tokio::time::Instant;
 
 use super::claim_queue::ClaimQueue;
+use super::redirect_history::RedirectHistory;
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 use crate::controller::Controller;
 
@@ -22,6 +23,8 @@
     pending_terminations: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
     /// Claims that wait to be committed.
     pub(super) claims: ClaimQueue,
+    /// The latest redirects of workers to other controllers.
+    redirects: RefCell<RedirectHistory>,
     /// Wakes the direct commands: bookings or statuses of machines have changed.
     commands_notify: Notify,
     /// Wakes the recording of terminations.
@@ -47,6 +50,15 @@
         }
     }
 
+    pub(super) fn redirects_mut(&self) -> RefMut<'_, RedirectHistory> {
+        self.redirects.borrow_mut()
+    }
+
+    /// Drops what is remembered of the redirects of all machines but the known ones.
+    pub fn retain_redirects(&self, known: &HashSet<&str>) {
+        self.redirects.borrow_mut().retain_machines(known);
+    }
+
     /// The terminations that wait to be recorded.
     pub fn pending_terminations(&self) -> Ref<'_, BTreeMap<AttemptKey, TerminationEvidence>> {
         self.pending_terminations.borrow()
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -251,7 +251,7 @@
 
 fn formats() -> Formats {
     Formats {
-        nodes: BTreeMap::from([("bay-1".into(), 2), ("bay-2".into(), 2)]),
+        controllers: BTreeMap::from([("bay-1".into(), 2), ("bay-2".into(), 2)]),
         all: 2,
     }
 }
@@ -444,9 +444,9 @@
         (keys::shard_id("a", "bay-1.0"), "a/bay-1.0"),
         (keys::zone_shard_key("a/bay-1.0"), "sh/zone/a/bay-1.0"),
         (keys::machine_shard_key("a/bay-1.0"), "sh/machine/a/bay-1.0"),
-        (keys::node_key("bay-1"), "sh/node/bay-1"),
+        (keys::controller_key("bay-1"), "sh/node/bay-1"),
         (keys::accepted_batch_key("bay-1-7"), "sh/new/bay-1-7"),
-        (keys::rental_key("r-17"), "sh/hire/r-17"),
+        (keys::provisioning_request_key("r-17"), "sh/hire/r-17"),
         (keys::PREFIX.into(), "sh/"),
         (keys::BARRIER_KEY.into(), "sh-barrier"),
         (keys::FLEET_KEY.into(), "sh/fleet"),
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -26,7 +26,7 @@
             for (from, to) in [(i, j), (j, i)] {
                 match cut {
                     true => self.fabric.cut(controller(from), addr(&mesh(to))),
-                    false => self.fabric.mend(controller(from), addr(&mesh(to))),
+                    false => self.fabric.repair(controller(from), addr(&mesh(to))),
                 }
             }
         }
@@ -44,7 +44,7 @@
             for (from, to) in [(here, there), (there, here)] {
                 match cut {
                     true => self.fabric.cut(from, to),
-                    false => self.fabric.mend(from, to),
+                    false => self.fabric.repair(from, to),
                 }
             }
         }
@@ -57,7 +57,7 @@
             for (from, to) in [(w.port, controller(i)), (controller(i), w.port)] {
                 match cut {
                     true => self.fabric.cut(from, to),
-                    false => self.fabric.mend(from, to),
+                    false => self.fabric.repair(from, to),
                 }
             }
         }
@@ -70,7 +70,7 @@
             for (from, to) in [(a, b), (b, a)] {
                 match cut {
                     true => self.fabric.cut(from, to),
-                    false => self.fabric.mend(from, to),
+                    false => self.fabric.repair(from, to),
                 }
             }
         };
