--- a/src/scheduler/assignment.rs
+++ b/src/scheduler/assignment.rs
@@ -1,5 +1,5 @@
-//! The assignment of a job's tasks to machines: the best candidate first, under a cap
-//! on the tasks in each zone.
+//! Assignment of a job's tasks to machines: the best candidate first, within a cap on the
+//! number of tasks in each zone.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,30 +9,30 @@
 use crate::state::replica::PlanSlot;
 use crate::wire::JobKind;
 
-/// The machines that tasks of a job are assigned to.
+/// Machines that a job's tasks are assigned to.
 #[derive(Default)]
 pub(super) struct Assignment {
-    /// One entry a task: the index of its machine in the plan.
+    /// Indices of the machines in the plan, one entry per task.
     pub(super) slot_indices: Vec<usize>,
-    /// The sum of the machines' scores.
+    /// Sum of the machines' scores, one per task.
     pub(super) score: Score,
 }
 
-/// A machine with capacity for a task. The order is that of the choice: the least
-/// first.
+/// Machine with capacity for a task. The smallest candidate is chosen first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// How many tasks on accelerators lose their place.
+    /// Number of accelerator tasks that would no longer fit on the machine.
     accelerator_slots_lost: i64,
-    /// How many tasks of the job the machine has been assigned already.
+    /// Number of the job's tasks that the machine has been assigned already.
     assigned: i64,
     score: Score,
-    /// The index of the machine in the plan.
+    /// Index of the machine in the plan.
     slot_index: usize,
 }
 
 impl Candidate {
-    /// The machine as a candidate after it was assigned that many tasks.
+    /// Creates the candidate for a machine that has been assigned `assigned` of the job's
+    /// tasks.
     fn new(
         machines: &MachineCandidates,
         slot: &PlanSlot,
@@ -49,11 +49,11 @@
     }
 }
 
-/// Assigns tasks one by one in the zones with a cap, best machines first; at most
-/// `limit`.
+/// Assigns at most `limit` tasks to machines, best machine first, within the task cap of
+/// each zone.
 ///
-/// Replicas go to different zones and machines while there are some; other
-/// tasks fill the best machine first.
+/// Replicas of a service are spread over zones and machines as far as possible; other
+/// tasks fill the best machine before the next one.
 pub(super) fn assign(
     machines: &MachineCandidates,
     plan: &Plan,
@@ -76,19 +76,19 @@
     assigner.assignment
 }
 
-/// An assignment in the making.
+/// State of an assignment that is being built.
 struct Assigner<'a> {
     machines: &'a MachineCandidates<'a>,
     plan: &'a Plan,
-    /// The most tasks that are assigned.
+    /// Maximum number of tasks to assign.
     limit: usize,
     zones: ZoneCandidates,
     assignment: Assignment,
 }
 
 impl Assigner<'_> {
-    /// Assigns tasks to a machine. Its capacity is used up before the next machine is
-    /// looked at, but for replicas, of which it gets one at a time.
+    /// Assigns tasks to a machine: one replica of a service, or as many tasks of other
+    /// jobs as the machine has capacity for.
     fn assign_to_machine(&mut self, zone: usize, candidate: Candidate) {
         let spec = self.machines.spec;
         let is_service = spec.kind == JobKind::Service;
@@ -101,10 +101,10 @@
             self.assignment.slot_indices.push(candidate.slot_index);
             slot.free -= spec.need;
             self.zones.count_assigned(zone);
-            let more = self.assignment.slot_indices.len() < self.limit
+            let has_capacity = self.assignment.slot_indices.len() < self.limit
                 && self.zones.caps[zone] > 0
                 && self.machines.accepts_task(&slot);
-            if is_service || !more {
+            if is_service || !has_capacity {
                 break;
             }
         }
@@ -116,25 +116,25 @@
     }
 }
 
-/// What makes one zone's best candidate better than another's: the least first.
+/// Sort key of the zones by their best candidates; the smallest is chosen first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneOrder {
     accelerator_slots_lost: i64,
-    /// How many tasks the zone has been assigned, if they are to be spread.
+    /// Number of tasks assigned in the zone, or 0 if the tasks are not spread over zones.
     assigned_in_zone: i64,
     assigned_to_machine: i64,
     score: Score,
     zone: usize,
 }
 
-/// The candidates by zone: a heap for each, the best machine on top.
+/// Candidates of each zone, in one heap per zone with the best machine on top.
 struct ZoneCandidates {
     heaps: Vec<BinaryHeap<Reverse<Candidate>>>,
-    /// How many more tasks each zone may take.
+    /// Number of further tasks that each zone may get.
     caps: Vec<usize>,
-    /// How many tasks each zone has been assigned.
+    /// Number of tasks that each zone has been assigned.
     assigned: Vec<i64>,
-    /// Zones that were assigned fewer tasks come first.
+    /// True if zones that were assigned fewer tasks are preferred.
     spread: bool,
 }
 
@@ -156,15 +156,15 @@
         }
     }
 
-    /// Takes the best candidate of all zones, and returns it with its zone.
+    /// Removes the best candidate of all zones and returns it with its zone.
     fn pop_best(&mut self) -> Option<(usize, Candidate)> {
         let zones = (0..self.heaps.len()).filter(|zone| self.caps[*zone] > 0);
-        let best = zones.filter_map(|zone| self.order(zone)).min()?;
+        let best = zones.filter_map(|zone| self.zone_order(zone)).min()?;
         let Reverse(candidate) = self.heaps[best.zone].pop()?;
         Some((best.zone, candidate))
     }
 
-    fn order(&self, zone: usize) -> Option<ZoneOrder> {
+    fn zone_order(&self, zone: usize) -> Option<ZoneOrder> {
         let Reverse(candidate) = self.heaps[zone].peek()?;
         Some(ZoneOrder {
             accelerator_slots_lost: candidate.accelerator_slots_lost,
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -1,9 +1,10 @@
-//! Bin packing: whether a job's tasks fit, and onto which machines. Pure decisions on
-//! a plan of free resources.
+//! Bin packing: finds machines for a job's tasks in a plan of free resources. The
+//! functions only read the plan and have no side effects.
 //!
-//! KEP-2724, "Computing the assignment": a required gang is admitted only when
-//! all its tasks fit one topology domain, here a zone, else it waits; a
-//! preferred one relaxes upward and is finally admitted spread.
+//! The admission of gangs follows KEP-2724, "Computing the assignment": a gang that
+//! requires one topology domain (here a zone) is admitted only if all its tasks fit into
+//! one, and waits otherwise. A gang that merely prefers one domain is spread over several
+//! if none has capacity for all its tasks.
 
 use std::cmp::Reverse;
 
@@ -19,11 +20,12 @@
 use crate::state::records::{Job, Spec};
 use crate::wire::JobKind;
 
-/// How many records of a transaction are not zone shards: the job and its team.
+/// Number of records in a booking commit that are not zone shards: the record of the job
+/// and that of its team.
 const RECORDS_BESIDE_ZONE_SHARDS: usize = 2;
 
-/// Finds placements for a job's waiting tasks: all of a gang's or none, as many
-/// as there are for independent tasks.
+/// Finds placements for a job's waiting tasks. Returns placements for all tasks of a gang
+/// or an error; for other jobs, returns placements for as many tasks as fit.
 pub fn find_placements(
     job: &Job,
     spec: &Spec,
@@ -43,7 +45,7 @@
     request.find_placements()
 }
 
-/// A job that placements are searched for, and what the search goes by.
+/// Search for placements of a job: the job, the plan and the settings of the search.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest<'a> {
     pub(super) job: &'a Job,
@@ -54,37 +56,39 @@
     pub(super) protection: AcceleratorProtection,
 }
 
-/// One entry a task: the index of its machine in the plan.
+/// Indices of machines in the plan, one entry per task.
 type SlotIndices = Vec<usize>;
 
 impl PlacementRequest<'_> {
-    /// The same request with other protection of accelerators.
+    /// Returns the same request with a different accelerator protection.
     pub(super) fn with_protection(self, protection: AcceleratorProtection) -> Self {
         PlacementRequest { protection, ..self }
     }
 
-    /// Finds placements for the job's waiting tasks, as many as its record can hold.
+    /// Finds placements for the job's waiting tasks, at most as many as the job's record
+    /// has space for.
     pub(super) fn find_placements(&self) -> Result<Vec<TaskPlacement>, WaitReason> {
         let slot_indices = self.find_slots()?;
         let mut placements: Vec<TaskPlacement> = slot_indices
             .into_iter()
             .map(|slot_index| self.placement_at(slot_index))
             .collect();
-        let bookable = self.tasks_within_record(&placements);
-        if bookable == 0 || (self.spec.is_gang() && bookable < placements.len()) {
+        let recordable = self.tasks_within_record(&placements);
+        if recordable == 0 || (self.spec.is_gang() && recordable < placements.len()) {
             return Err(WaitReason::RecordFull);
         }
-        placements.truncate(bookable);
+        placements.truncate(recordable);
         Ok(placements)
     }
 
-    /// How many of the job's tasks fit; cheaper than where.
+    /// Returns the number of the job's tasks that fit. Cheaper than
+    /// [`Self::find_placements`], as it does not build the placements.
     pub(super) fn count_placements(&self) -> usize {
         self.find_slots()
             .map_or(0, |slot_indices| slot_indices.len())
     }
 
-    /// The placement of a task on the machine with this index in the plan.
+    /// Returns the placement of a task on the machine with this index in the plan.
     fn placement_at(&self, slot_index: usize) -> TaskPlacement {
         let replica = self.hints.replica;
         let slot = &self.plan.plan_slots[slot_index];
@@ -96,7 +100,7 @@
         }
     }
 
-    /// How many of the placements the job's record can hold.
+    /// Returns the number of placements that the job's record has space for.
     fn tasks_within_record(&self, placements: &[TaskPlacement]) -> usize {
         let replica = self.hints.replica;
         let share_bytes = replica.share_name_bytes(&self.spec.team);
@@ -108,8 +112,9 @@
         tasks_within_record_limit(self.job, placements, limit_bytes, compact)
     }
 
-    /// The machines that a job has failed on come last: for one that fails on all
-    /// of them, when there is no other; for the rest, once it has waited for one.
+    /// Finds a machine for each task. Machines that the job has failed on are used only if
+    /// no other machine has capacity, and only for a job that is suspected faulty or that
+    /// has waited long enough for another machine.
     fn find_slots(&self) -> Result<SlotIndices, WaitReason> {
         let job = self.job;
         let found = self.find_excluding(&job.failed_on);
@@ -124,16 +129,18 @@
         }
     }
 
-    /// Slots that are not on these machines, in as many zone shards as one commit
-    /// writes beside the job and its team.
+    /// Finds machines outside `excluded`, in at most as many zone shards as one commit can
+    /// write in addition to the job's and the team's records.
     ///
-    /// What is guaranteed once compact encodings are written: a gang that fits into two
-    /// zone shards is admitted whole. A zone has one zone shard for each controller that is at
-    /// home in it, unless it has some hundreds of machines for each, so a required
-    /// gang that fits its zone does where two are at home there at most. A
-    /// preferred one that only more zone shards would hold waits as if there were no
-    /// capacity, so that machines are provisioned for it. A service takes two zone shards if they
-    /// hold all that waits of it; else it is admitted by zone shards, replica by replica.
+    /// The following is guaranteed once compact encodings are written: a gang that fits
+    /// into two zone shards is admitted whole. A zone has one zone shard for each
+    /// controller that is the preferred owner of machines there, and further ones only if
+    /// it has some hundreds of machines per controller. A gang that requires one zone and
+    /// fits into it is therefore always admitted in a zone with at most two such
+    /// controllers. A gang that merely prefers one zone and would need more than two zone
+    /// shards waits as if there were no capacity, so that machines are provisioned for it.
+    /// A service gets two zone shards if they have capacity for all its waiting tasks;
+    /// otherwise its replicas are booked in several commits.
     fn find_excluding(&self, excluded: &[String]) -> Result<SlotIndices, WaitReason> {
         let found = self.find_in_shards(None, excluded)?;
         if self.spec.kind == JobKind::Array || !self.hints.replica.uses_compact_encoding() {
@@ -159,7 +166,7 @@
         }
     }
 
-    /// How many of the tasks each zone shard gets.
+    /// Returns the number of tasks that each zone shard gets.
     fn tasks_by_shard(&self, slot_indices: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
         let slots = slot_indices
@@ -172,7 +179,8 @@
         tasks
     }
 
-    /// All zone shards of the plan; those that hold most of the tasks come first.
+    /// Returns all zone shards of the plan, sorted by the number of tasks that they get,
+    /// largest first.
     fn shards_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
         let mut zone_shards: Vec<u32> =
             self.plan.plan_slots.iter().map(|slot| slot.shard).collect();
@@ -183,8 +191,9 @@
         zone_shards
     }
 
-    /// Slots in these zone shards, or in all: in one zone if the job wants that and a
-    /// zone has capacity, else spread over the zones.
+    /// Finds machines in these zone shards, or in all zone shards. Gangs and one-zone jobs
+    /// get machines in a single zone if one has capacity; other jobs, and gangs that
+    /// merely prefer one zone, are spread over the zones.
     fn find_in_shards(
         &self,
         zone_shards: Option<[u32; 2]>,
@@ -195,8 +204,8 @@
         let limit = self.task_limit()?;
         let zone_caps = self.zone_caps();
         let candidates = MachineCandidates::new(spec, self.hints, self.protection)
-            .without(excluded)
-            .within(zone_shards);
+            .excluding(excluded)
+            .restricted_to(zone_shards);
         if spec.is_gang() || spec.one_zone {
             let best = best_zone(&candidates, self.plan, &zone_caps, limit);
             if let Some(slot_indices) = best
@@ -214,7 +223,7 @@
         self.spread_over_zones(&candidates, &zone_caps, limit)
     }
 
-    /// Slots in all zones, as far as their caps allow.
+    /// Finds machines in all zones, within the task cap of each zone.
     fn spread_over_zones(
         &self,
         candidates: &MachineCandidates,
@@ -233,7 +242,7 @@
         })
     }
 
-    /// How many tasks wait that the team's limit lets run.
+    /// Returns the number of waiting tasks that the team's limit allows to run.
     fn task_limit(&self) -> Result<usize, WaitReason> {
         let spec = self.spec;
         let waiting = self.job.waiting();
@@ -251,28 +260,28 @@
         Ok(limit)
     }
 
-    /// How many more tasks each zone may take. Tasks that are still elsewhere bind
-    /// a job of one zone to theirs.
+    /// Returns the number of further tasks that each zone may get. A one-zone job with
+    /// tasks that still run gets no tasks in other zones.
     fn zone_caps(&self) -> Vec<usize> {
         let spec = self.spec;
-        let running = self.job.tasks_per_zone();
+        let tasks_by_zone = self.job.tasks_per_zone();
         let zones = &self.hints.replica.zone_names;
         (0..zones.len() as u32)
             .map(|zone| {
                 let name = zones.name(zone);
-                if spec.one_zone && running.keys().any(|other| *other != &*name) {
+                if spec.one_zone && tasks_by_zone.keys().any(|other| *other != &*name) {
                     return 0;
                 }
-                let here = running.get(&*name).copied().unwrap_or(0);
-                spec.zone_cap().saturating_sub(here)
+                let running_in_zone = tasks_by_zone.get(&*name).copied().unwrap_or(0);
+                spec.zone_cap().saturating_sub(running_in_zone)
             })
             .collect()
     }
 }
 
-/// The slots in the one zone that takes most of the tasks; of those that take as
-/// many, in the zone with the best score (KEP-2724: one domain that takes them
-/// all, and the best such one).
+/// Returns machines in the zone that has capacity for the most tasks; among equal zones,
+/// in the one with the best score (KEP-2724 likewise selects the best of the domains that
+/// have capacity for all tasks).
 fn best_zone(
     candidates: &MachineCandidates,
     plan: &Plan,
@@ -282,9 +291,9 @@
     let best = (0..zone_caps.len())
         .filter(|zone| zone_caps[*zone] > 0)
         .map(|zone| {
-            let mut only = vec![0; zone_caps.len()];
-            only[zone] = zone_caps[zone];
-            assign(candidates, plan, &only, limit)
+            let mut caps = vec![0; zone_caps.len()];
+            caps[zone] = zone_caps[zone];
+            assign(candidates, plan, &caps, limit)
         })
         .filter(|assignment| !assignment.slot_indices.is_empty())
         .min_by_key(|assignment| (Reverse(assignment.slot_indices.len()), assignment.score));
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,4 +1,4 @@
-//! Which machines a job may take, and how each of them scores.
+//! Eligibility of machines for a job's tasks, and their scores.
 
 use super::hints::{AcceleratorProtection, PlacementHints};
 use super::plan::UNASSIGNED;
@@ -7,75 +7,82 @@
 use crate::wire::JobKind;
 use crate::workers;
 
-/// The number of figures that a score has.
-const SCORE_FIGURES: usize = 8;
+/// Number of components of a score.
+const SCORE_COMPONENTS: usize = 8;
 
-/// How good a machine is for a task: lower is better, and the first differing figure
-/// decides.
+/// Score of a machine for a task. Lower is better; scores are compared by their first
+/// differing component.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Score([i64; SCORE_FIGURES]);
+pub(super) struct Score([i64; SCORE_COMPONENTS]);
 
 impl Score {
-    /// Adds another score, figure by figure.
+    /// Adds another score component by component.
     pub(super) fn add(&mut self, other: &Score) {
-        for (sum, figure) in self.0.iter_mut().zip(other.0) {
-            *sum = sum.saturating_add(figure);
+        for (sum, component) in self.0.iter_mut().zip(other.0) {
+            *sum = sum.saturating_add(component);
         }
     }
 
-    /// How many tasks on accelerators lose their place; the first figure.
+    /// Returns the first component: the number of accelerator tasks that would no longer
+    /// fit on the machine.
     pub(super) fn accelerator_slots_lost(&self) -> i64 {
         self.0[0]
     }
 }
 
-/// What a class of machines means to a job, worked out once for all of them.
+/// Eligibility and properties of a machine class for a job, computed once for all machines
+/// of the class.
 #[derive(Clone, Copy)]
 pub(super) struct ClassEligibility {
-    /// The job may run there, capacity apart.
+    /// True if the job may run on machines of the class, regardless of their free
+    /// resources.
     pub(super) allowed: bool,
+    /// Number of accelerators of a machine of the class.
     gpus: Amount,
-    /// The accelerators' usual work may run there, and this job needs none.
-    contended: bool,
-    /// 1 if a cheaper kind would do, else 0.
+    /// True if the class has accelerators that this job does not need, and the most recent
+    /// job that needs accelerators may run there (or no such job is known).
+    has_contended_gpus: bool,
+    /// 1 if the job accepts spot machines and the class is on demand, else 0.
     on_demand_penalty: i64,
-    /// The index of the class's zone.
+    /// Index of the zone of the class.
     pub(super) zone: usize,
 }
 
 impl ClassEligibility {
     fn new(spec: &Spec, replica: &Replica, class: &MachineClass) -> Self {
         let gpus = replica.class_type(class).map_or(0.0, |t| t.gpus);
-        let usual_work_allowed = replica
+        let gpu_work_allowed = replica
             .gpu_spec
             .as_ref()
             .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
         ClassEligibility {
             allowed: spec.allows(&class.kind, &class.zone, class.spot),
             gpus: Amount::rounded_down(gpus),
-            contended: gpus > 0.0 && spec.need.gpus.0 == 0 && usual_work_allowed,
+            has_contended_gpus: gpus > 0.0 && spec.need.gpus.0 == 0 && gpu_work_allowed,
             on_demand_penalty: i64::from(spec.spot && !class.spot),
             zone: class.zone_number,
         }
     }
 }
 
-/// The machines that a job's tasks may go to.
+/// Filter and scoring of the machines for a job's tasks.
 pub(super) struct MachineCandidates<'a> {
     pub(super) spec: &'a Spec,
     hints: &'a PlacementHints<'a>,
     protection: AcceleratorProtection,
-    /// By class number.
+    /// Eligibility of each machine class, by class number.
     classes: Vec<ClassEligibility>,
-    /// By zone shard number: how much the zone shard adds to the commit. Machines that
-    /// are as good are taken from few zone shards, as each is a record to write.
+    /// Cost of writing each zone shard in the commit, by zone shard number. Equally good
+    /// machines are chosen from few zone shards, as each zone shard is a record to write.
     shard_costs: Vec<i64>,
+    /// Number of the job's image, if the replica has seen it on a machine.
     image: Option<u32>,
-    /// Machines that the job has just failed on, by number: the fault may be
-    /// theirs, and what fails at once is the first to have capacity again.
+    /// Numbers of machines that the job has recently failed on. They are excluded because
+    /// the machine may be at fault, and because a machine on which tasks fail immediately
+    /// is always the first one with free capacity again.
     excluded: Vec<u32>,
-    /// The only zone shards whose machines it may take, if not all may be; what is not
-    /// provisioned yet may come into any.
+    /// Zone shards that the search is restricted to; `None` allows all. Machines that are
+    /// not provisioned yet are allowed in any case, as their zone shard is not known.
     only_shards: Option<[u32; 2]>,
 }
 
@@ -102,25 +109,25 @@
         }
     }
 
-    /// Leaves these machines out.
-    pub(super) fn without(mut self, machines: &[String]) -> Self {
+    /// Excludes these machines.
+    pub(super) fn excluding(mut self, machines: &[String]) -> Self {
         let names = &self.hints.replica.machine_names;
         self.excluded = machines.iter().filter_map(|m| names.find(m)).collect();
         self
     }
 
-    /// Keeps to these zone shards, if there are any.
-    pub(super) fn within(mut self, zone_shards: Option<[u32; 2]>) -> Self {
+    /// Restricts the candidates to machines in these zone shards; `None` allows all.
+    pub(super) fn restricted_to(mut self, zone_shards: Option<[u32; 2]>) -> Self {
         self.only_shards = zone_shards;
         self
     }
 
-    /// What the machine's class means to the job.
+    /// Returns the eligibility of the machine's class.
     pub(super) fn class(&self, slot: &PlanSlot) -> &ClassEligibility {
         &self.classes[slot.class as usize]
     }
 
-    /// Whether a task of the job may go onto the machine.
+    /// Returns whether a task of the job can be placed on the machine.
     pub(super) fn accepts_task(&self, slot: &PlanSlot) -> bool {
         let class = self.class(slot);
         if !class.allowed || !slot.free.fits(&self.spec.need) {
@@ -135,90 +142,96 @@
         {
             return false;
         }
-        !class.contended || self.may_use_accelerator_machine(slot, class)
+        !class.has_contended_gpus || self.may_use_accelerator_machine(slot, class)
     }
 
-    /// Whether a task without accelerators may go onto a machine that has them.
+    /// Returns whether a task that needs no accelerators can be placed on a machine that
+    /// has them.
     fn may_use_accelerator_machine(&self, slot: &PlanSlot, class: &ClassEligibility) -> bool {
         match (self.spec.kind, self.protection) {
-            // Independent tasks come and go: they never take resources that the
-            // accelerators' work needs, and they do not keep a machine rented
-            // whose accelerators are idle.
+            // Array tasks start and end often. They never take resources that accelerator
+            // work needs, and they only use a machine on which accelerators are in use, so
+            // that they do not keep a machine provisioned whose accelerators are idle.
             (JobKind::Array, _) => {
                 slot.free.gpus < class.gpus && self.accelerator_slots_lost(slot) == 0
             }
-            // What stays for long goes elsewhere if it can.
+            // Gangs and services run for long, so strict protection keeps them on other
+            // machines.
             (_, AcceleratorProtection::Strict) => false,
             (_, AcceleratorProtection::Mild) => self.accelerator_slots_lost(slot) == 0,
             (_, AcceleratorProtection::Lax) => true,
         }
     }
 
-    /// How many tasks of the accelerators' usual shape lose their place on
-    /// this machine if the job's task takes it. Work without accelerators is
-    /// kept off them only as far as it takes resources that they need.
+    /// Returns the number of tasks of the most recent job that needs accelerators that
+    /// would no longer fit on this machine if it got one of this job's tasks. Work without
+    /// accelerators is kept off such machines only to the extent that it takes resources
+    /// that accelerator work needs.
     fn accelerator_slots_lost(&self, slot: &PlanSlot) -> i64 {
-        if !self.class(slot).contended {
+        if !self.class(slot).has_contended_gpus {
             return 0;
         }
         match &self.hints.replica.gpu_spec {
-            Some(usual) => {
+            Some(gpu_spec) => {
                 let after = slot.free - self.spec.need;
-                slot.free.slots(&usual.need) as i64 - after.slots(&usual.need) as i64
+                slot.free.slots(&gpu_spec.need) as i64 - after.slots(&gpu_spec.need) as i64
             }
             None => 1,
         }
     }
 
-    /// Accelerators are kept for those that need them; then a service looks
-    /// for its image first, as it should run at once; then the cheaper
-    /// machine, and the tightest fit, so that others stay whole.
+    /// Returns the score of a machine for one of the job's tasks. Machines are preferred,
+    /// in this order, if they take nothing from work that needs accelerators, if they
+    /// already have the image (for a service, which should start without delay), if they
+    /// are cheaper, and if the task leaves the least free capacity, so that other machines
+    /// stay empty.
     pub(super) fn score(&self, slot: &PlanSlot) -> Score {
         let replica = self.hints.replica;
         let class = self.class(slot);
         let spec = self.spec;
         let needs_gpus = spec.need.gpus.0 > 0;
-        let usual_slots = match &replica.gpu_spec {
-            Some(usual) if class.gpus.0 > 0 && !needs_gpus => slot.free.slots(&usual.need),
+        let gpu_task_slots = match &replica.gpu_spec {
+            Some(gpu_spec) if class.gpus.0 > 0 && !needs_gpus => slot.free.slots(&gpu_spec.need),
             _ => 0,
         };
         let no_image = i64::from(!replica.has_image(slot.machine, self.image));
         let shard_cost = self.shard_costs.get(slot.shard as usize);
         let shard_cost = shard_cost.copied().unwrap_or(i64::MAX);
-        // A service stays for long and would keep a costly machine provisioned.
+        // A service runs for long and would keep an expensive accelerator machine
+        // provisioned.
         let is_service = spec.kind == JobKind::Service;
-        let keeps_rented = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
+        let keeps_provisioned = i64::from(is_service && class.gpus.0 > 0 && !needs_gpus);
         let on_demand = class.on_demand_penalty;
         let (third, fourth, fifth) = match spec.kind {
             JobKind::Service => (no_image, on_demand, shard_cost),
-            // Their terminations come often: where they are this controller's own,
-            // nobody else writes the records.
+            // Array tasks terminate often. If their machines are in this controller's own
+            // zone shards, no other controller writes the same records.
             JobKind::Array => (on_demand, shard_cost, no_image),
             JobKind::Gang => (on_demand, no_image, shard_cost),
         };
         Score([
             self.accelerator_slots_lost(slot),
-            keeps_rented,
+            keeps_provisioned,
             third,
             fourth,
             fifth,
-            usual_slots as i64,
-            // Of two machines that accelerators' work could use, the one with more
-            // accelerators.
+            gpu_task_slots as i64,
+            // Work that needs accelerators prefers machines with fewer of them; other work
+            // prefers machines with more.
             if needs_gpus { 1 } else { -1 } * class.gpus.0,
             slot.free.cpus.0,
         ])
     }
 }
 
-/// What a zone shard adds to the commit: nothing if it is written anyway, little if the
-/// planning controller is at home there.
+/// Returns the cost of a zone shard in the commit: 0 if the commit writes it anyway, 1 if
+/// the controller that places the job is its preferred owner, and at least 2 otherwise.
 fn shard_cost(hints: &PlacementHints, shard: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
-    let own = workers::preferred_owner_of(local_name) == hints.home_controller;
+    let is_own = workers::preferred_owner_of(local_name) == hints.placing_controller;
     let touched = hints.touched_shards.contains(&*name);
-    match (touched, own) {
+    match (touched, is_own) {
         (true, _) => 0,
         (_, true) => 1,
         _ => 2 + i64::from(shard),
--- a/src/scheduler/hints.rs
+++ b/src/scheduler/hints.rs
@@ -1,44 +1,49 @@
-//! What guides the choice among machines with capacity, and how accelerators are
-//! protected from work that does not need them.
+//! Hints for the choice among machines with capacity, and the levels of protection of
+//! accelerator machines from work that does not need accelerators.
 
 use std::collections::BTreeSet;
 
 use crate::state::replica::Replica;
 
-/// Hints for choosing among machines with capacity; none of them is needed.
+/// Hints for the choice among machines with capacity. Placement is correct without them.
 pub struct PlacementHints<'a> {
-    /// The replica that is planned on.
+    /// Replica that the plan is based on.
     pub replica: &'a Replica,
-    /// The controller that plans: between machines that are as good, those of
-    /// its own zone shards, where its commits meet no others.
-    pub home_controller: &'a str,
-    /// Zone shards that the commit in the making writes anyway come before those.
+    /// Name of the controller that places the job. Among equally good machines, those in
+    /// the zone shards that this controller prefers to own are chosen, as its commits
+    /// rarely conflict with others there.
+    pub placing_controller: &'a str,
+    /// Ids of the zone shards that the commit writes anyway. Their machines are preferred,
+    /// even to those in the controller's own zone shards.
     pub touched_shards: BTreeSet<String>,
-    /// Machines that the job has failed on may be tried again: it has waited
-    /// long enough for another.
+    /// True if machines that the job has failed on may be used again, as the job has
+    /// waited long enough for another.
     pub retry_failed_machines: bool,
 }
 
 impl<'a> PlacementHints<'a> {
-    /// The hints of a controller whose commit touches no zone shards yet.
-    pub fn new(replica: &'a Replica, home_controller: &'a str) -> Self {
+    /// Creates the hints of a controller whose commit does not write any zone shards yet.
+    pub fn new(replica: &'a Replica, placing_controller: &'a str) -> Self {
         PlacementHints {
             replica,
-            home_controller,
+            placing_controller,
             touched_shards: BTreeSet::new(),
             retry_failed_machines: false,
         }
     }
 }
 
-/// How far work without accelerators may take resources of machines that have
-/// them from work that needs them.
+/// Degree to which machines with accelerators are protected from work that does not need
+/// accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceleratorProtection {
-    /// Not at all, and no service keeps their machines provisioned.
+    /// Full protection: work without accelerators takes no resources that accelerator work
+    /// needs, and services do not keep accelerator machines provisioned.
     Strict,
-    /// Only what work on the accelerators cannot use.
+    /// Partial protection: work without accelerators may use resources that accelerator
+    /// work cannot use.
     Mild,
-    /// If there is no other machine.
+    /// No protection: work without accelerators may use accelerator machines, but scores
+    /// other machines better.
     Lax,
 }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,7 +1,8 @@
-//! What the policy may know of a job: its lateness, its size and its team's share.
+//! Job attributes that the policy's rules can use: lateness, size, and the team's usage of
+//! its guarantee.
 
 use super::plan::Plan;
-use super::waiting_job::tasks_together;
+use super::waiting_job::coscheduled_tasks;
 use crate::dependencies::EffectiveUrgency;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamQuota};
@@ -9,14 +10,15 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Priority};
 
-/// Whether an objective names the job's class.
+/// Returns whether an objective is configured for the job's class.
 pub(super) fn has_slo(spec: &Spec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
 }
 
-/// Whether a job only fills what stands idle: low work without a deadline or an
-/// objective, which saves when it is stopped.
+/// Returns whether a job only uses otherwise idle capacity: an array of low priority that
+/// has neither a deadline nor an objective, and that saves its progress when it is
+/// stopped.
 pub fn is_opportunistic(spec: &Spec, settings: &Settings) -> bool {
     spec.kind == JobKind::Array
         && spec.priority == Priority::Low
@@ -25,11 +27,11 @@
         && !has_slo(spec, settings)
 }
 
-/// Whether a job, started now, is too late for every objective of its class and
-/// for the deadline of its dependents. A job without any is never late.
-/// Deadlines count from the submission, all else from when it could first start
-/// (`age`, in seconds).
-pub fn is_late(spec: &Spec, settings: &Settings, age: f64, urgency: &EffectiveUrgency) -> bool {
+/// Returns whether a job, started now, would miss every objective of its class and the
+/// deadline of its dependents. A job without objectives and deadlines is never late.
+/// Deadlines count from the submission; other objectives count from the time when the job
+/// could first start, which was `age_s` seconds ago.
+pub fn is_late(spec: &Spec, settings: &Settings, age_s: f64, urgency: &EffectiveUrgency) -> bool {
     let in_time = urgency
         .time_left_s
         .is_some_and(|left| left >= spec.estimate_s);
@@ -43,8 +45,8 @@
         }
         let kind = objective.kind.as_str();
         let possible = match (kind, objective.within_s, spec.deadline_s) {
-            ("wait", Some(within), _) => age <= within,
-            ("finished", Some(within), _) => age <= within - spec.estimate_s,
+            ("wait", Some(within), _) => age_s <= within,
+            ("finished", Some(within), _) => age_s <= within - spec.estimate_s,
             ("deadline", _, Some(_)) => in_time,
             _ => continue,
         };
@@ -56,24 +58,24 @@
     has_objective
 }
 
-/// What the policy may know of a job.
+/// Returns the attributes of a job that the policy's rules can use.
 pub fn job_facts(
     job: &Job,
     spec: &Spec,
     plan: &Plan,
     settings: &Settings,
     replica: &Replica,
-    age: f64,
+    age_s: f64,
     urgency: &EffectiveUrgency,
 ) -> JobFacts {
-    let team = team_standing(spec, &plan.team_used(&spec.team), settings.team(&spec.team));
+    let team = guarantee_usage(spec, &plan.team_used(&spec.team), settings.team(&spec.team));
     JobFacts {
         borrows: team.borrows,
         priority: f64::from(urgency.priority as u8),
         share: team.share,
-        late: is_late(spec, settings, age, urgency),
+        late: is_late(spec, settings, age_s, urgency),
         work: work(job, spec),
-        age_s: age,
+        age_s,
         tasks: f64::from(spec.tasks),
         waiting: job.waiting() as f64,
         estimate_s: spec.estimate_s,
@@ -88,27 +90,27 @@
     }
 }
 
-/// How a job's team stands to its guarantee.
-struct TeamStanding {
-    /// The job would go beyond the guarantee.
+/// Usage of a team's guarantee, as seen by one of the team's jobs.
+struct GuaranteeUsage {
+    /// True if the team would exceed its guarantee with this job.
     borrows: bool,
-    /// What the team uses, as a share of its guarantee.
+    /// Resources that the team uses, as a fraction of its guarantee.
     share: f64,
 }
 
-/// How a job's team stands to its guarantee in what the job mainly needs. A team
-/// without a guarantee counts as if it had one unit.
-fn team_standing(spec: &Spec, used: &Resources, quota: Option<&TeamQuota>) -> TeamStanding {
+/// Returns the team's usage of its guarantee, in accelerators if the job needs them, else
+/// in CPUs. A guarantee below one unit counts as one unit.
+fn guarantee_usage(spec: &Spec, used: &Resources, quota: Option<&TeamQuota>) -> GuaranteeUsage {
     let Some(quota) = quota else {
-        return TeamStanding {
+        return GuaranteeUsage {
             borrows: true,
             share: f64::MAX,
         };
     };
     let guarantee = quota.guarantee();
     let share = |used: Amount, guarantee: Amount| used.units() / guarantee.units().max(1.0);
-    TeamStanding {
-        borrows: !within_guarantee(quota, used, spec, tasks_together(spec)),
+    GuaranteeUsage {
+        borrows: !within_guarantee(quota, used, spec, coscheduled_tasks(spec)),
         share: match spec.need.gpus.0 > 0 {
             true => share(used.gpus, guarantee.gpus),
             false => share(used.cpus, guarantee.cpus),
@@ -116,8 +118,8 @@
     }
 }
 
-/// The work that waits of a job, in seconds of the unit that it mainly needs. A
-/// service has no end.
+/// Returns the waiting work of a job, in accelerator seconds if the job needs
+/// accelerators, else in CPU seconds. Returns 0 for a service, as it has no end.
 fn work(job: &Job, spec: &Spec) -> f64 {
     let amount = match spec.need.gpus.0 > 0 {
         true => spec.need.gpus,
@@ -129,15 +131,16 @@
     }
 }
 
-/// Whether `tasks` more of this job stay within the team's guarantee.
+/// Returns whether the team stays within its guarantee with `tasks` more tasks of this
+/// job.
 pub(super) fn within_guarantee(
     quota: &TeamQuota,
     used: &Resources,
     spec: &Spec,
     tasks: usize,
 ) -> bool {
-    let with = *used + spec.need.times(tasks);
+    let used_after = *used + spec.need.times(tasks);
     let guarantee = quota.guarantee();
-    let gpus_count = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
-    with.cpus <= guarantee.cpus && (!gpus_count || with.gpus <= guarantee.gpus)
+    let gpus_limited = spec.need.gpus.0 != 0 && guarantee.gpus.0 != 0;
+    used_after.cpus <= guarantee.cpus && (!gpus_limited || used_after.gpus <= guarantee.gpus)
 }
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -1,5 +1,5 @@
-//! Which controller places a job: each job has a preferred one, so that
-//! controllers seldom decide on the same job at once.
+//! Assignment of jobs to controllers: each job has a preferred controller that places it,
+//! so that two controllers rarely decide on the same job at the same time.
 
 use std::time::Duration;
 
@@ -12,9 +12,10 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// The controller that places a job first. With teams enough to go round it is
-/// the same for all of a team: its record is then written by one, and jobs
-/// that are placed together share that write.
+/// Returns the preferred controller of a job, which places it first. If there are at least
+/// twice as many teams as controllers, all jobs of a team have the same preferred
+/// controller: only one controller then writes the team's record, and jobs that are placed
+/// in one commit share that write.
 pub(super) fn preferred_placer<'a>(
     settings: &Settings,
     job: &str,
@@ -30,9 +31,9 @@
     preferred(key, alive)
 }
 
-/// Jobs that this controller places now: its own, and those that their
-/// preferred controller has left waiting. Brings the state of all open jobs up to
-/// date, and records which of them wait after a failure.
+/// Returns the ids of the jobs that this controller places now: its own jobs, and jobs
+/// that their preferred controller has left waiting. Updates the round state of all open
+/// jobs, and records the wait reason of jobs that wait after a failure.
 pub(super) fn jobs_to_place(
     controller: &Controller,
     state: &mut RoundState,
@@ -46,7 +47,7 @@
     let alive: Vec<&str> = peers.alive(controller, now);
     state.retain_open_jobs(replica);
     controller.placement.retain_open_jobs(replica);
-    let mut own = Vec::new();
+    let mut to_place = Vec::new();
     for (_, id) in &replica.open_jobs {
         let Some(entry) = replica.jobs.get(id) else {
             continue;
@@ -58,25 +59,25 @@
             continue;
         }
         state.update_backoff(id, job.errors, heartbeat_interval, now);
-        if let Some(reason) = state.failure_wait(settings, id, job, now) {
+        if let Some(reason) = state.failure_wait_reason(settings, id, job, now) {
             controller.placement.record_wait_reason(id, reason, now);
             continue;
         }
-        if is_own(controller, id, job, &alive) || has_waited(state, id, takeover_delay, now) {
-            own.push(id.clone());
+        if is_own(controller, id, job, &alive) || is_unchanged_for(state, id, takeover_delay, now) {
+            to_place.push(id.clone());
         }
     }
-    own
+    to_place
 }
 
-/// Whether this controller is the job's preferred one.
+/// Returns whether this controller is the preferred controller of the job.
 fn is_own(controller: &Controller, id: &str, job: &Job, alive: &[&str]) -> bool {
     let team = job.spec.as_ref().map_or("", |spec| &spec.team);
     let preferred = preferred_placer(&controller.settings, id, team, alive.iter().copied());
     preferred == Some(controller.name())
 }
 
-/// Whether the job's record has been left as it is for longer than `delay`.
-fn has_waited(state: &RoundState, id: &str, delay: Duration, now: Instant) -> bool {
+/// Returns whether the job's record has not changed for longer than `delay`.
+fn is_unchanged_for(state: &RoundState, id: &str, delay: Duration, now: Instant) -> bool {
     state.unchanged_for(id, now) > delay
 }
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -1,5 +1,5 @@
-//! Free resources as a placement round plans with them: a copy in which the round
-//! reserves placements and releases freed resources.
+//! Plan of free resources: the copy of the replica's free resources in which a placement
+//! round reserves placements and releases freed resources.
 
 use std::rc::Rc;
 
@@ -9,23 +9,26 @@
 use crate::state::records::{Amount, Resources};
 use crate::state::replica::{PlanSlot, Replica};
 
-/// Stands for a machine that has no name yet, as it is not provisioned yet.
+/// Machine and zone shard number of a machine that is not provisioned yet, and index of a
+/// machine that is not in the plan.
 pub(super) const UNASSIGNED: u32 = u32::MAX;
 
-/// Free capacity as a round plans with it: what the replica's bookings leave, less
-/// what the round has given out already. Copied often, so it holds no text.
+/// Free resources that a round plans with: those that the bookings in the replica leave,
+/// less those that the round has already reserved. Plans are cloned often, so the plan
+/// slots contain numbers instead of names.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// The machines that take work, with what is free on them.
+    /// Machines that accept tasks, with their free resources.
     pub plan_slots: Vec<PlanSlot>,
-    /// The index of a machine in `plan_slots`, by the machine's number.
+    /// Index of each machine in `plan_slots`, by machine number; `UNASSIGNED` if the
+    /// machine accepts no tasks.
     slot_index_by_machine: Vec<u32>,
-    /// What each team uses.
+    /// Resources in use by each team.
     pub team_usage: HashMap<String, Resources>,
 }
 
 impl Plan {
-    /// The plan that a round on this replica starts from.
+    /// Creates the plan that a round on this replica starts from.
     pub fn from_replica(replica: &Replica) -> Self {
         let mut plan = Plan {
             plan_slots: replica
@@ -41,12 +44,13 @@
         plan
     }
 
-    /// What a team uses.
+    /// Returns the resources that a team uses.
     pub fn team_used(&self, team: &str) -> Resources {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// The index of a machine among the plan slots, if it takes work.
+    /// Returns the index of a machine in `plan_slots`, or `None` if the machine accepts no
+    /// tasks.
     pub fn slot_index_of(&self, replica: &Replica, machine: &str) -> Option<usize> {
         let number = replica.machine_names.find(machine)?;
         let index = *self.slot_index_by_machine.get(number as usize)?;
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Gives back resources that are, or will be, free again.
+    /// Adds resources of a machine that are, or will be, free again to its free resources,
+    /// and subtracts them from the team's usage.
     pub fn release(&mut self, replica: &Replica, machine: &str, team: &str, freed: Resources) {
         match self.slot_index_of(replica, machine) {
             Some(slot_index) => self.release_at(slot_index, team, freed),
@@ -82,7 +87,8 @@
         }
     }
 
-    /// The same where the machine's index among the plan slots is known.
+    /// Releases resources like [`Self::release`], on the machine with this index in
+    /// `plan_slots`.
     pub fn release_at(&mut self, slot_index: usize, team: &str, freed: Resources) {
         self.plan_slots[slot_index].free += freed;
         self.release_team_usage(team, freed);
@@ -95,20 +101,20 @@
     }
 }
 
-/// The machine that one task is placed on.
+/// Machine that one task is placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskPlacement {
-    /// The index of the machine in the plan.
+    /// Index of the machine in the plan.
     pub slot_index: usize,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: Rc<str>,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: Rc<str>,
-    /// The zone shard whose record has the machine.
+    /// Id of the zone shard whose record contains the machine.
     pub shard: Rc<str>,
 }
 
-/// How many more tasks the team's quota lets run.
+/// Returns the number of further tasks that the team's quota allows to run.
 pub fn tasks_within_quota(quota: &TeamQuota, used: &Resources, need: &Resources) -> usize {
     let (max_cpus, max_gpus) = quota.limit();
     let tasks = |limit: Option<Amount>, used: i64, need: i64| match limit {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: running work is stopped for jobs that no machine has capacity for.
+//! Preemption: stops running tasks to free capacity for jobs that fit on no machine.
 
 use std::collections::BTreeMap;
 
@@ -17,38 +17,41 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// What a round hands to its preemptions.
+/// Inputs that a round passes to its preemptions.
 pub(super) struct PreemptionContext<'a, 'r> {
     pub(super) controller: &'a Controller,
     pub(super) replica: &'r Replica,
     pub(super) state: &'a mut RoundState,
     pub(super) transaction: &'a mut Transaction<'r>,
     pub(super) search: &'a mut RoundSearch,
-    /// The plan that the round ends with.
+    /// Plan as it is after the round has placed its jobs.
     pub(super) plan: &'a Plan,
     pub(super) now: Instant,
 }
 
-/// The preemptions of one round.
+/// Preemptions of one round.
 pub(super) struct Preemption<'a, 'r> {
     context: PreemptionContext<'a, 'r>,
     hints: PlacementHints<'a>,
-    /// The plan as it will be: resources that are being cleared count as free,
-    /// once for each job that they will serve.
+    /// Plan in which the resources of stopping tasks already count as free. Placements
+    /// that the resources will serve are reserved in it, so that no two jobs count on the
+    /// same resources.
     expected_plan: Plan,
-    /// Jobs with preempted tasks, as this round has left them so far.
+    /// Jobs with tasks that this round has preempted so far, in their changed state, by
+    /// job id.
     changed: BTreeMap<String, Job>,
 }
 
-/// Work that is to be preempted for a job, and the protection of accelerators under
-/// which the job fits then.
+/// Running work to preempt for a job, and the accelerator protection under which the job
+/// fits after the preemption.
 struct Selection {
     candidates: Vec<PreemptionCandidate>,
     protection: AcceleratorProtection,
 }
 
 impl<'a, 'r: 'a> Preemption<'a, 'r> {
-    /// Prepares the preemptions of a round.
+    /// Creates the preemptions of a round from a plan in which stopping tasks count as
+    /// gone.
     pub(super) fn new(context: PreemptionContext<'a, 'r>) -> Self {
         let replica = context.replica;
         let expected_plan = context.search.expected_plan(replica, context.plan).clone();
@@ -60,7 +63,8 @@
         }
     }
 
-    /// Preempts work for the blocked jobs, as much as one transaction holds.
+    /// Preempts running work for the blocked jobs, until the transaction is full or the
+    /// round has used up its preemption searches.
     pub(super) fn run(&mut self, blocked: &[String]) {
         let replica = self.context.replica;
         for id in blocked {
@@ -94,18 +98,20 @@
         }
     }
 
-    /// How many placements the job lacks, unless none, or preemption for it was tried
-    /// lately. The placements that it will have are reserved in the plan.
+    /// Returns the number of placements that the job still lacks. Returns `None` if it
+    /// lacks none, or if a preemption for it was attempted recently. Reserves the
+    /// placements that were found in the expected plan.
     fn missing_placements(&mut self, waiting: WaitingJob) -> Option<usize> {
         let wanted = waiting.placements_wanted();
         let found = self.reserve_placements(waiting, AcceleratorProtection::Strict);
         let state = &self.context.state;
-        let tried = state.preempted_for.contains_key(waiting.id)
+        let recently_attempted = state.preempted_for.contains_key(waiting.id)
             || state.without_candidates.contains_key(waiting.id);
-        (found < wanted && !tried).then(|| wanted - found)
+        (found < wanted && !recently_attempted).then(|| wanted - found)
     }
 
-    /// Reserves the job's placements in the plan, and returns how many there are.
+    /// Finds the job's placements in the expected plan, reserves them, and returns their
+    /// number.
     fn reserve_placements(
         &mut self,
         waiting: WaitingJob,
@@ -127,8 +133,8 @@
         placements.map_or(0, |placements| placements.len())
     }
 
-    /// Work that is to be preempted for a job: if there is any, such that the job fits
-    /// under strict protection of accelerators.
+    /// Returns the running work to preempt for a job. Tries strict accelerator protection
+    /// first, and lax protection only if no preemption helps under strict protection.
     fn select(&mut self, waiting: WaitingJob, missing: usize) -> Option<Selection> {
         let PreemptionContext {
             controller,
@@ -158,7 +164,8 @@
             })
     }
 
-    /// Whether the transaction can take the records of all jobs that this changes.
+    /// Returns whether the transaction has capacity for the records of all jobs that this
+    /// preemption changes.
     fn has_capacity_to_preempt(&self, for_job: &str, selection: &Selection) -> bool {
         let candidates = selection.candidates.iter();
         let touched = candidates.map(|candidate| candidate.job.as_str());
@@ -166,7 +173,8 @@
         transaction.has_capacity_for_jobs(touched.chain([for_job]))
     }
 
-    /// Stops a candidate's tasks and gives their resources back to the plan.
+    /// Stops a candidate's tasks and adds their resources to the free resources of the
+    /// expected plan.
     fn preempt(&mut self, candidate: &PreemptionCandidate, for_job: &str) {
         tracing::info!(
             job = candidate.job,
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -1,4 +1,5 @@
-//! Running work that may be preempted, and the order in which it is.
+//! Selection of the running work that may be preempted, and the order in which it is
+//! preempted.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,84 +8,86 @@
 use super::hints::{AcceleratorProtection, PlacementHints};
 use super::job_facts::within_guarantee;
 use super::plan::Plan;
-use super::waiting_job::{WaitingJob, tasks_together};
+use super::waiting_job::{WaitingJob, coscheduled_tasks};
 use crate::settings::{Settings, TeamQuota};
 use crate::state::records::{Job, Run, Spec};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Priority};
 
-/// The number of classes that a controller puts jobs into, so that controllers
-/// that preempt at once begin with different candidates.
+/// Number of order classes. Each controller hashes jobs into these classes differently, so
+/// that controllers that preempt at the same time start with different candidates.
 const ORDER_CLASSES: u64 = 4;
 
-/// A job that others may be preempted for.
+/// Job that running work may be preempted for.
 #[derive(Debug, Clone, Copy)]
 pub struct PreemptingJob<'a> {
-    /// What the job asks for.
+    /// Spec of the job that needs capacity.
     pub spec: &'a Spec,
-    /// Its effective priority: that of the replica, which counts in its dependents.
+    /// Effective priority of the job, as computed by the replica, which takes the
+    /// priorities of dependent jobs into account.
     pub priority: Priority,
-    /// It stays within its team's guarantee.
+    /// True if the job's team stays within its guarantee with this job.
     pub within_guarantee: bool,
 }
 
-/// Running work that may have to give way.
+/// Running work that is considered for preemption.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningWork<'a> {
-    /// The spec of the job that runs.
+    /// Spec of the running job.
     pub spec: &'a Spec,
-    /// Its effective priority.
+    /// Effective priority of the running job.
     pub priority: Priority,
-    /// It uses resources beyond its team's guarantee.
+    /// True if the running job uses resources beyond its team's guarantee.
     pub borrows: bool,
 }
 
-/// Whether PROTOCOL lets running work be preempted for a job.
+/// Returns whether PROTOCOL allows running work to be preempted for a job.
 #[must_use]
 pub fn may_preempt(job: PreemptingJob, running: RunningWork) -> bool {
     if running.priority < job.priority {
         return true;
     }
-    // Borrowed work of another team goes back for a guarantee, but for
-    // services: what people use now is not ended for what is to begin.
+    // A job within its team's guarantee may preempt borrowing work of other teams.
+    // Services are exempt: a service that is in use is not stopped for work that has not
+    // begun.
     job.within_guarantee
         && running.borrows
         && running.spec.team != job.spec.team
         && running.spec.kind != JobKind::Service
 }
 
-/// Whether work uses resources beyond its team's guarantee. What would stay
-/// within the guarantee, were it stopped, is not borrowed: its team would have it
-/// back, and preempt other work for it.
+/// Returns whether work uses resources beyond its team's guarantee. Work that the team
+/// could start again within its guarantee after a stop does not count as borrowed: the
+/// team would claim the resources back and preempt other work for it.
 fn is_borrowed(spec: &Spec, quota: Option<&TeamQuota>, plan: &Plan) -> bool {
-    let resources = || spec.need.times(tasks_together(spec));
+    let resources = || spec.need.times(coscheduled_tasks(spec));
     quota.is_some_and(|quota| quota.can_lend(&plan.team_used(&spec.team), &resources()))
 }
 
-/// One of a few classes that a controller puts a job into.
+/// Returns the order class of a job, which depends on the controller.
 fn order_class(controller: &str, job: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (controller, job).hash(&mut hasher);
     hasher.finish() % ORDER_CLASSES
 }
 
-/// Where a run stands that may be preempted.
+/// Position of a run that may be preempted.
 struct RunLocation {
-    /// Its index among the job's runs.
+    /// Index of the run among the job's runs.
     run: usize,
-    /// The index of its machine in the plan.
+    /// Index of the run's machine in the plan.
     slot_index: usize,
 }
 
-/// An open job that runs, as preemption searches look at it: where each of its
-/// runs stands in the plan is worked out once a round, by number.
+/// Open job with running tasks. The positions of its runs in the plan are computed once
+/// per round and reused by all preemption searches.
 pub(super) struct RunningJob {
     job: String,
     order_class: u64,
     runs: Vec<RunLocation>,
 }
 
-/// All open jobs that run.
+/// Returns all open jobs with running tasks.
 pub(super) fn running_jobs(controller: &str, replica: &Replica, plan: &Plan) -> Vec<RunningJob> {
     let open = replica.open_jobs.iter().filter_map(|(_, id)| {
         let job = &replica.jobs.get(id)?.value;
@@ -99,7 +102,8 @@
         .collect()
 }
 
-/// The job's runs that may be preempted, and where they stand in the plan.
+/// Returns the positions of the job's runs that may be preempted. Runs that are being
+/// stopped already are left out.
 fn preemptible_runs(job: &Job, replica: &Replica, plan: &Plan) -> Vec<RunLocation> {
     let runs = job.runs.iter().enumerate().filter(|(_, run)| !run.stop);
     runs.filter_map(|(index, run)| {
@@ -112,8 +116,9 @@
     .collect()
 }
 
-/// The order in which candidates are preempted, the first ones first: the lowest
-/// priority; where the job's image is; and the youngest job.
+/// Sort key of preemption candidates; the lowest key is preempted first. Lower priorities
+/// come first, then machines that already have the preempting job's image, then the order
+/// class, and then the job that was accepted last.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionOrder {
     priority: Priority,
@@ -122,10 +127,10 @@
     accepted_revision: Reverse<u64>,
 }
 
-/// A run that may be preempted.
+/// Run that may be preempted.
 pub(super) struct PreemptibleRun<'a> {
     order: PreemptionOrder,
-    /// The index of its machine in the plan.
+    /// Index of the run's machine in the plan.
     pub(super) slot_index: usize,
     pub(super) job: &'a String,
     pub(super) run: &'a Run,
@@ -133,7 +138,7 @@
     quota: Option<&'a TeamQuota>,
 }
 
-/// The job that capacity is searched for.
+/// Job that a preemption search frees capacity for.
 pub(super) struct Preemptor<'a> {
     pub(super) waiting: WaitingJob<'a>,
     pub(super) protection: AcceleratorProtection,
@@ -142,7 +147,8 @@
 }
 
 impl<'a> Preemptor<'a> {
-    /// The job as a preemptor on this plan; `None` if its team is not known.
+    /// Returns the job as a preemptor on this plan, or `None` if the settings do not have
+    /// its team.
     pub(super) fn new(
         waiting: WaitingJob<'a>,
         protection: AcceleratorProtection,
@@ -153,11 +159,11 @@
         let spec = waiting.spec;
         let quota = settings.team(&spec.team)?;
         let used = plan.team_used(&spec.team);
-        // Independent tasks that preempt independent tasks lose more than they
-        // gain: such work ends soon and frees its resources by itself. They preempt
-        // lower priorities only.
+        // Array tasks do not preempt borrowing work for their team's guarantee, only work
+        // of lower priority: array tasks that run end soon and free their resources
+        // anyway, so preempting them would lose more work than it gains.
         let within_guarantee = spec.kind != JobKind::Array
-            && within_guarantee(quota, &used, spec, tasks_together(spec));
+            && within_guarantee(quota, &used, spec, coscheduled_tasks(spec));
         Some(Preemptor {
             waiting,
             protection,
@@ -166,8 +172,8 @@
         })
     }
 
-    /// Whether it may still preempt this run, given what the run's team uses in the
-    /// plan.
+    /// Returns whether the job may still preempt this run, given the resources that the
+    /// run's team uses in the plan.
     pub(super) fn may_preempt_run(&self, run: &PreemptibleRun, plan: &Plan) -> bool {
         self.may_preempt(run.spec, run.order.priority, run.quota, plan)
     }
@@ -192,27 +198,29 @@
         may_preempt(job, running)
     }
 
-    /// Whether it would take accelerators from work on them, without needing any.
-    /// Such work is the last to go.
+    /// Returns whether the job, which needs no accelerators, would preempt work that uses
+    /// accelerators. Strict protection does not allow this; such work is preempted only
+    /// under lax protection.
     fn takes_protected_accelerators(&self, spec: &Spec) -> bool {
         let takes_accelerators = self.waiting.spec.need.gpus.0 == 0 && spec.need.gpus.0 > 0;
         self.protection == AcceleratorProtection::Strict && takes_accelerators
     }
 }
 
-/// The running work that a search chooses from.
+/// Running work that a preemption search selects candidates from.
 pub(super) struct RunningWorkload<'a> {
     pub(super) settings: &'a Settings,
     pub(super) hints: &'a PlacementHints<'a>,
     pub(super) running: &'a [RunningJob],
-    /// Jobs as this round has left them so far.
+    /// Jobs that this round has changed so far, in their changed state, by job id.
     pub(super) changed: &'a BTreeMap<String, Job>,
-    /// The plan, with resources that are being cleared counted as free.
+    /// Plan in which the resources of stopping tasks already count as free.
     pub(super) expected_plan: &'a Plan,
 }
 
 impl<'a> RunningWorkload<'a> {
-    /// The runs that may be preempted, the first to be preempted first.
+    /// Returns the runs that may be preempted for the job, in the order in which they are
+    /// preempted.
     pub(super) fn preemptible_runs(&self, preemptor: &Preemptor) -> Vec<PreemptibleRun<'a>> {
         let replica = self.hints.replica;
         let spec = preemptor.waiting.spec;
@@ -223,15 +231,16 @@
             .map(|class| spec.allows(&class.kind, &class.zone, class.spot))
             .collect();
         let mut runs = Vec::new();
-        let others = self.running.iter();
-        for running in others.filter(|running| running.job != preemptor.waiting.id) {
+        let other_jobs = self.running.iter();
+        for running in other_jobs.filter(|running| running.job != preemptor.waiting.id) {
             self.add_runs_of(running, preemptor, &allowed, image, &mut runs);
         }
         runs.sort_by_key(|run| run.order);
         runs
     }
 
-    /// Adds a job's runs that may be preempted on machines of allowed classes.
+    /// Adds those of a job's runs to `runs` that may be preempted and are on machines of
+    /// allowed classes.
     fn add_runs_of(
         &self,
         running: &'a RunningJob,
@@ -242,8 +251,8 @@
     ) {
         let replica = self.hints.replica;
         let changed = self.changed.get(&running.job);
-        let known = replica.jobs.get(&running.job).map(|e| &e.value);
-        let Some(job) = changed.or(known) else { return };
+        let saved = replica.jobs.get(&running.job).map(|e| &e.value);
+        let Some(job) = changed.or(saved) else { return };
         let Some(spec) = &job.spec else { return };
         let quota = self.settings.team(&spec.team);
         let priority = replica.effective_priority(&running.job, spec);
--- a/src/scheduler/preemption_search.rs
+++ b/src/scheduler/preemption_search.rs
@@ -1,4 +1,4 @@
-//! The search for the least running work whose preemption frees capacity for a job.
+//! Search for the least running work whose preemption frees capacity for a job.
 
 use std::collections::BTreeSet;
 
@@ -8,30 +8,33 @@
 use super::preemption_candidates::{PreemptibleRun, Preemptor, RunningWorkload};
 use super::waiting_job::WaitingJob;
 
-/// How often one search tries whether the job fits now.
-const MAX_TRIALS: usize = 200;
+/// Maximum number of times that one search checks whether the job fits. Each check is a
+/// placement search.
+const MAX_FIT_CHECKS: usize = 200;
 
-/// Work that may be preempted for another job.
+/// Tasks of one job on one machine that are selected for preemption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PreemptionCandidate {
-    /// The job whose tasks stop.
+    /// Id of the job whose tasks are stopped.
     pub(super) job: String,
-    /// The machine that they run on.
+    /// Name of the machine that the tasks run on.
     pub(super) machine: String,
-    /// How many tasks of the job stop there.
+    /// Number of the job's tasks to stop on the machine.
     pub(super) tasks: usize,
 }
 
-/// The work that a search has found.
+/// Result of a preemption search.
 pub(super) struct PreemptionSet {
     pub(super) candidates: Vec<PreemptionCandidate>,
-    /// It frees capacity for all tasks that were asked for, not only for some.
+    /// True if the candidates free capacity for all wanted tasks, false if only for some
+    /// of them.
     pub(super) complete: bool,
 }
 
-/// The least work whose preemption frees capacity for `wanted` of the job's tasks: one
-/// task after another, of the lowest priority and the youngest job first,
-/// until they fit; or for some of them, which the answer tells.
+/// Returns the least running work whose preemption frees capacity for `wanted` of the
+/// job's tasks. Preempts one run after another in the preemption order (lowest priority
+/// and youngest job first) until all tasks fit. If they never all fit, returns the work
+/// that frees capacity for the most of them, marked as incomplete.
 pub(super) fn find_preemption(
     workload: &RunningWorkload,
     waiting: WaitingJob,
@@ -42,39 +45,41 @@
     let plan = workload.expected_plan;
     let preemptor = Preemptor::new(waiting, protection, settings, replica, plan)?;
     let runs = workload.preemptible_runs(&preemptor);
-    Trial::new(workload, &preemptor, wanted).run(&runs)
+    PreemptionSimulation::new(workload, &preemptor, wanted).run(&runs)
 }
 
-/// Runs are preempted in a copy of the plan, one after another, until the job fits.
-struct Trial<'a> {
+/// Simulation that preempts runs in a copy of the plan, one after another, until the job
+/// fits.
+struct PreemptionSimulation<'a> {
     workload: &'a RunningWorkload<'a>,
     preemptor: &'a Preemptor<'a>,
-    /// How many placements would be enough.
+    /// Number of placements at which the simulation is complete.
     wanted: usize,
-    /// The plan without what has been preempted so far.
+    /// Copy of the plan in which the runs preempted so far are released.
     plan: Plan,
     preempted: Vec<PreemptionCandidate>,
-    /// The most placements found so far.
+    /// Largest number of placements found so far.
     max_placements: usize,
-    /// The candidates that free capacity for these, unless they were free at first.
+    /// Candidates that allow `max_placements` placements, or `None` while no preemption
+    /// has raised that number.
     partial: Option<Vec<PreemptionCandidate>>,
-    /// How often it was tried whether the job fits.
-    trials: usize,
+    /// Number of times that the fit of the job was checked.
+    fit_checks: usize,
 }
 
-/// What one more preempted task has brought.
-enum TrialStep {
-    /// Not enough yet.
+/// Result of a step of the simulation.
+enum SimulationStep {
+    /// Too few placements: more work has to be preempted.
     Continue,
-    /// All wanted placements.
+    /// All wanted placements, with the candidates that allow them.
     Complete(Vec<PreemptionCandidate>),
-    /// The search has taken long enough.
+    /// End of the search, as it has reached [`MAX_FIT_CHECKS`].
     GiveUp,
 }
 
-impl<'a> Trial<'a> {
+impl<'a> PreemptionSimulation<'a> {
     fn new(workload: &'a RunningWorkload<'a>, preemptor: &'a Preemptor<'a>, wanted: usize) -> Self {
-        let mut trial = Trial {
+        let mut simulation = PreemptionSimulation {
             workload,
             preemptor,
             wanted,
@@ -82,13 +87,13 @@
             preempted: Vec::new(),
             max_placements: 0,
             partial: None,
-            trials: 0,
+            fit_checks: 0,
         };
-        trial.max_placements = trial.request().count_placements();
-        trial
+        simulation.max_placements = simulation.request().count_placements();
+        simulation
     }
 
-    /// The search for placements on the plan as it stands now.
+    /// Returns the placement request of the job on the plan in its current state.
     fn request(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             job: self.preemptor.waiting.job,
@@ -103,9 +108,9 @@
     fn run(mut self, runs: &[PreemptibleRun]) -> Option<PreemptionSet> {
         for run in runs {
             match self.preempt_run(run) {
-                TrialStep::Continue => {}
-                TrialStep::GiveUp => break,
-                TrialStep::Complete(candidates) => {
+                SimulationStep::Continue => {}
+                SimulationStep::GiveUp => break,
+                SimulationStep::Complete(candidates) => {
                     return Some(PreemptionSet {
                         candidates,
                         complete: true,
@@ -119,26 +124,28 @@
         })
     }
 
-    /// Preempts the tasks of one run: a gang's all at once, others one by one.
-    fn preempt_run(&mut self, run: &PreemptibleRun) -> TrialStep {
-        let mut left = run.run.tasks.len();
-        while left > 0 {
-            // Borrowed work counts as borrowed only down to the guarantee.
+    /// Preempts the tasks of one run: all tasks of a gang together, tasks of other jobs
+    /// one by one.
+    fn preempt_run(&mut self, run: &PreemptibleRun) -> SimulationStep {
+        let mut remaining = run.run.tasks.len();
+        while remaining > 0 {
+            // Each preempted task reduces the usage of its team. Once the team is within
+            // its guarantee, its remaining tasks no longer count as borrowed.
             if !self.preemptor.may_preempt_run(run, &self.plan) {
-                return TrialStep::Continue;
+                return SimulationStep::Continue;
             }
-            let tasks = if run.spec.is_gang() { left } else { 1 };
-            left -= tasks;
+            let tasks = if run.spec.is_gang() { remaining } else { 1 };
+            remaining -= tasks;
             self.preempt_tasks(run, tasks);
-            match self.try_to_fit(run.slot_index) {
-                TrialStep::Continue => {}
-                done => return done,
+            match self.check_fit(run.slot_index) {
+                SimulationStep::Continue => {}
+                finished => return finished,
             }
         }
-        TrialStep::Continue
+        SimulationStep::Continue
     }
 
-    /// Counts tasks of a run as preempted.
+    /// Releases tasks of a run in the plan and records them as preempted.
     fn preempt_tasks(&mut self, run: &PreemptibleRun, tasks: usize) {
         let spec = run.spec;
         let machine = &run.run.machine;
@@ -156,33 +163,34 @@
         }
     }
 
-    /// Tries whether the job fits, now that tasks on this machine are preempted.
-    fn try_to_fit(&mut self, slot_index: usize) -> TrialStep {
+    /// Checks whether the job fits after tasks on this machine were preempted.
+    fn check_fit(&mut self, slot_index: usize) -> SimulationStep {
         let need = &self.preemptor.waiting.spec.need;
-        // Only a machine that now holds a task can have made it fit.
+        // The preemption can only help if this machine now has capacity for a task.
         if !self.plan.plan_slots[slot_index].free.fits(need) {
-            return TrialStep::Continue;
+            return SimulationStep::Continue;
         }
-        self.trials += 1;
-        if self.trials > MAX_TRIALS {
-            return TrialStep::GiveUp;
+        self.fit_checks += 1;
+        if self.fit_checks > MAX_FIT_CHECKS {
+            return SimulationStep::GiveUp;
         }
         let Ok(placements) = self.request().find_placements() else {
-            return TrialStep::Continue;
+            return SimulationStep::Continue;
         };
         if placements.len() <= self.max_placements {
-            return TrialStep::Continue;
+            return SimulationStep::Continue;
         }
         self.max_placements = placements.len();
         let candidates = self.candidates_at(&placements);
         if self.max_placements >= self.wanted {
-            return TrialStep::Complete(candidates);
+            return SimulationStep::Complete(candidates);
         }
         self.partial = Some(candidates);
-        TrialStep::Continue
+        SimulationStep::Continue
     }
 
-    /// The preempted work on machines that the job will have: the rest is not needed.
+    /// Returns the preempted work on machines where the job gets placements. The other
+    /// preempted work is not needed.
     fn candidates_at(&self, placements: &[TaskPlacement]) -> Vec<PreemptionCandidate> {
         let used: BTreeSet<&str> = placements.iter().map(|p| &*p.machine).collect();
         let needed = self
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,5 +1,6 @@
-//! The order in which waiting jobs are placed: by the policy, but for jobs that
-//! have waited too long and those that fail on every machine.
+//! Order in which waiting jobs are placed. The policy determines it, except for jobs that
+//! have waited too long, jobs that work was preempted for, and jobs that are suspected
+//! faulty.
 
 use std::cmp::Ordering;
 
@@ -12,36 +13,42 @@
 use crate::state::records::{Job, Spec};
 use crate::state::replica::Replica;
 
-/// Whether a job has waited so long (`age`, in seconds) that it goes first: a bound on
-/// waiting that no order by size, team or lateness can push back. Only for what has
-/// never begun: the rest of an array follows in the usual order, and what was
-/// preempted for a guarantee must not push back in before it.
-pub(super) fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age: f64) -> bool {
-    age > settings.starvation_threshold_s()
+/// Returns whether a job has waited so long that it is placed before all others. `age_s`
+/// is the time since the job was first seen, in seconds. This bounds the wait of every
+/// job, whatever the policy's order by size, team or lateness is.
+///
+/// Only jobs of which no task has ever been started can be starving: the remaining tasks
+/// of an array follow in the policy's order, and a job that was preempted for a team's
+/// guarantee must not be placed again before the job that preempted it.
+pub(super) fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age_s: f64) -> bool {
+    age_s > settings.starvation_threshold_s()
         && job.attempt == 0
         && job.waiting() == spec.tasks as usize
 }
 
-/// What the queue is sorted by, the first differing field first: lower goes first.
+/// Sort key of the queue. Fields are compared in order, and lower keys come first.
 #[derive(Debug, Clone, PartialEq, PartialOrd)]
 struct QueueSortKey {
-    /// It fails wherever it runs: all others go first.
+    /// True if the job is suspected faulty, as it has failed on several machines. Such
+    /// jobs are placed after all others.
     suspected_faulty: bool,
-    /// No capacity has been cleared for it. Jobs that work was preempted for go
-    /// first whatever the policy says, or it would serve another job.
+    /// False if work was preempted for the job. Such jobs come first whatever the policy's
+    /// order is; otherwise the cleared capacity would be used by other jobs.
     without_cleared_capacity: bool,
-    /// It has not waited beyond the bound; those that have go first, by age.
+    /// False if the job has waited longer than the starvation threshold. Such jobs come
+    /// first, in the order of their acceptance.
     not_starving: bool,
-    /// The policy's keys.
+    /// Sort keys that the policy computed.
     keys: Vec<f64>,
-    /// The revision that the job was accepted at.
+    /// Revision at which the job was accepted.
     accepted_revision: u64,
 }
 
-/// How long each open job has been known here; a hint for the queue's order.
+/// Times at which this controller first saw each open job. They only influence the order
+/// of the queue.
 pub type FirstSeenTimes = HashMap<String, Instant>;
 
-/// All jobs with waiting tasks, the first to be placed first.
+/// Returns the ids of all jobs with waiting tasks, in the order in which they are placed.
 pub fn queue<'a>(
     replica: &'a Replica,
     plan: &Plan,
@@ -76,10 +83,11 @@
     queue.into_iter().map(|(_, id)| id).collect()
 }
 
-/// How many seconds a job has been known here.
+/// Returns the time since this controller first saw a job, in seconds, or 0 if it has not
+/// seen the job.
 pub(super) fn age_s(first_seen: &FirstSeenTimes, id: &str, now: Instant) -> f64 {
-    let known = first_seen.get(id);
-    known.map_or(0.0, |since| {
+    let first_seen = first_seen.get(id);
+    first_seen.map_or(0.0, |since| {
         now.saturating_duration_since(*since).as_secs_f64()
     })
 }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -1,10 +1,10 @@
-//! One placement round: a transaction of terminations, bookings and preemptions,
-//! decided on one revision of the replica.
+//! One placement round: decides on terminations, bookings and preemptions on one
+//! revision of the replica, and builds the transaction that records them.
 //!
-//! | module | task |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `queue_pass` | placements for the jobs of the queue, in its order |
-//! | `booking` | the placements as bookings of the transaction |
+//! | `queue_pass` | finds placements for the jobs of the queue, in its order |
+//! | `booking` | adds the placements to the transaction as bookings |
 
 mod booking;
 mod queue_pass;
@@ -27,34 +27,36 @@
 use crate::wire::{Precondition, Write};
 use crate::workers::AttemptKey;
 
-/// What one round has decided, as the transaction that records it.
+/// Decisions of one round, as the transaction that records them.
 pub(super) struct Batch {
-    /// How many jobs it admits.
+    /// Number of jobs that get bookings.
     pub(super) jobs: usize,
-    /// The terminations that it records.
+    /// Terminations that the transaction records.
     pub(super) terminations: Vec<AttemptKey>,
     pub(super) preconditions: Vec<Precondition>,
     pub(super) writes: Vec<Write>,
 }
 
-/// Puts together one transaction: the terminations that are known, then as many jobs
-/// as it can hold, in queue order. `None` when there is nothing to write.
-pub(super) fn decide(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
+/// Builds the transaction of one round: the pending terminations, and bookings for as many
+/// jobs as it has space for, in queue order. If no job gets a booking, running work is
+/// preempted instead. Returns `None` if there is nothing to write.
+pub(super) fn decide_round(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
     let now = Instant::now();
     let replica = controller.replica.borrow();
-    let own = jobs_to_place(controller, state, &replica, now);
-    if own.is_empty()
+    let own_jobs = jobs_to_place(controller, state, &replica, now);
+    if own_jobs.is_empty()
         && !is_queue_due(controller, state, now)
         && controller.workers.pending_terminations().is_empty()
     {
         return None;
     }
-    state.queue_examined = Some(now);
+    state.queue_examined_at = Some(now);
     state.expire_exclusions(now);
-    let alive = controllers_alive(controller, now);
-    let mut round = Round::new(controller, &replica, state, &own, &alive, now);
-    // Terminations go first, as they free resources; but where gangs or services had
-    // their placements and did not fit into the last commit, they go before them.
+    let alive = alive_controllers(controller, now);
+    let mut round = Round::new(controller, &replica, state, &own_jobs, &alive, now);
+    // Terminations are usually added to the transaction before bookings, as they free
+    // resources. If gangs or services did not fit into the last commit although they had
+    // placements, bookings are added first.
     let terminations_first = !round.state.gangs_deferred;
     let mut terminations = Vec::new();
     if terminations_first {
@@ -72,26 +74,28 @@
     round.into_batch(admitted, terminations)
 }
 
-/// Without work of its own, a controller still goes through the queue now and
-/// then to record why jobs wait: any controller may be asked.
+/// Returns whether the queue has not been examined for a heartbeat interval. A controller
+/// without jobs of its own still examines the queue at that interval to record why jobs
+/// wait, as users may ask any controller for the reason.
 fn is_queue_due(controller: &Controller, state: &RoundState, now: Instant) -> bool {
-    state.queue_examined.is_none_or(|at| {
+    state.queue_examined_at.is_none_or(|at| {
         now.saturating_duration_since(at) > controller.settings.heartbeat_interval()
     })
 }
 
-/// The names of the controllers that are up.
-fn controllers_alive(controller: &Controller, now: Instant) -> Vec<String> {
+/// Returns the names of the controllers that are alive.
+fn alive_controllers(controller: &Controller, now: Instant) -> Vec<String> {
     let peers = controller.peers.borrow();
     let alive = peers.alive(controller, now);
     alive.into_iter().map(str::to_string).collect()
 }
 
-/// The free resources that a round starts from.
+/// Returns the plan that a round starts from.
 fn starting_plan(controller: &Controller, replica: &Replica) -> Plan {
     let mut plan = Plan::from_replica(replica);
-    // A machine that receives no commands may stand in its zone shard's record for a
-    // while: what is placed there ends at once, and would be placed there again.
+    // The zone shard's record can still contain a machine that receives no commands. Tasks
+    // placed there would end immediately and be placed there again, so the machine is
+    // planned without free resources.
     let owned_workers = controller.workers.owned();
     for (machine, worker) in owned_workers.iter() {
         if worker.unreachable_since.is_none() {
@@ -104,30 +108,30 @@
     plan
 }
 
-/// The placements found for a job that this controller books.
+/// Placements found for a job that this controller books.
 struct JobPlacement<'a> {
     id: &'a str,
     spec: Spec,
     tasks: Vec<TaskPlacement>,
 }
 
-/// One round in the making.
+/// State of a round in progress.
 struct Round<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     state: &'a mut RoundState,
     now: Instant,
-    /// The jobs that this controller places.
-    own: BTreeSet<&'a str>,
-    /// The controllers that are up.
+    /// Ids of the jobs that this controller places.
+    own_jobs: BTreeSet<&'a str>,
+    /// Names of the controllers that are alive.
     alive: &'a [String],
     plan: Plan,
     transaction: Transaction<'a>,
     search: RoundSearch,
-    /// Zone shards that the transaction writes anyway.
+    /// Ids of the zone shards that the transaction writes anyway.
     touched_shards: BTreeSet<String>,
     placements: Vec<JobPlacement<'a>>,
-    /// Own jobs that other work may be preempted for.
+    /// Ids of own jobs that running work may be preempted for.
     blocked: Vec<String>,
 }
 
@@ -136,7 +140,7 @@
         controller: &'a Controller,
         replica: &'a Replica,
         state: &'a mut RoundState,
-        own: &'a [String],
+        own_jobs: &'a [String],
         alive: &'a [String],
         now: Instant,
     ) -> Self {
@@ -146,7 +150,7 @@
             replica,
             state,
             now,
-            own: own.iter().map(String::as_str).collect(),
+            own_jobs: own_jobs.iter().map(String::as_str).collect(),
             alive,
             plan: starting_plan(controller, replica),
             transaction: Transaction::new(replica, max_records)
@@ -158,10 +162,11 @@
         }
     }
 
-    /// How many records the transaction may have while terminations of arrays are
-    /// added: some are left for what is to be placed.
+    /// Returns the maximum number of records in the transaction while terminations of
+    /// arrays are added. If this controller has jobs to place, 3/8 of the records are left
+    /// for them.
     fn max_records_for_arrays(&self) -> usize {
-        match self.own.is_empty() {
+        match self.own_jobs.is_empty() {
             true => self.transaction.max_records,
             false => self.transaction.max_records * 5 / 8,
         }
--- a/src/scheduler/round/booking.rs
+++ b/src/scheduler/round/booking.rs
@@ -1,15 +1,18 @@
-//! The placements of a round as bookings of its transaction.
+//! Bookings of the placements that a round has found.
 
 use super::{JobPlacement, Round};
 use crate::scheduler::wait_states::WaitReason;
 use crate::wire::JobKind;
 
 impl Round<'_> {
-    /// Books the placements, and returns how many jobs got any of theirs. Each has
-    /// its resources by the queue's order; but into the transaction go first
-    /// those whose tasks stay or start together: arrays come back with every
-    /// termination, and would fill one after another while whole machines stand empty.
-    /// Those of a pipeline are few, and the rest of it follows.
+    /// Books the placements in the transaction, and returns the number of jobs with
+    /// bookings.
+    ///
+    /// Resources were reserved in queue order, but the transaction is filled in a
+    /// different order: gangs, services and arrays in pipelines first, all other arrays
+    /// last. Otherwise the arrays, which return to the queue with every termination, would
+    /// fill one transaction after another while whole machines stay empty. Arrays in
+    /// pipelines come early as they are few and other jobs of the pipeline depend on them.
     pub(super) fn book_placements(&mut self, terminations_first: bool) -> usize {
         let mut placements = std::mem::take(&mut self.placements);
         placements.sort_by_key(|placement| self.is_plain_array(placement));
@@ -19,8 +22,8 @@
             let JobPlacement { id, spec, tasks } = placement;
             let booked = self.transaction.book(id, spec, tasks);
             if booked < tasks.len() {
-                // The rest go into the next commit, every other time before
-                // terminations.
+                // The remaining placements are booked by the next commits. Every second
+                // commit then adds bookings before terminations.
                 self.state.gangs_deferred |= terminations_first && spec.kind != JobKind::Array;
                 self.record_wait_reason(id, WaitReason::Queue);
             }
@@ -32,14 +35,14 @@
         admitted
     }
 
-    /// Whether the job is an array that is not a part of a pipeline.
+    /// Returns whether the job is an array that is not part of a pipeline.
     fn is_plain_array(&self, placement: &JobPlacement) -> bool {
         placement.spec.kind == JobKind::Array
             && placement.spec.dependencies.is_empty()
             && !self.replica.has_dependents(placement.id)
     }
 
-    /// Logs a booking, and records why the rest of the job waits.
+    /// Logs a booking, and records why the remaining tasks of the job wait.
     fn report_booking(&mut self, placement: &JobPlacement, booked: usize) {
         let JobPlacement { id, spec, tasks } = placement;
         let class = self.plan.plan_slots[tasks[0].slot_index].class;
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -1,4 +1,4 @@
-//! The pass of a round through the queue: each job gets its placements or waits.
+//! Pass of a round through the queue, in which each job either gets placements or waits.
 
 use super::{JobPlacement, Round};
 use crate::scheduler::hints::PlacementHints;
@@ -10,25 +10,26 @@
 use crate::scheduler::waiting_job::WaitingJob;
 use crate::state::records::{Job, Spec};
 
-/// What a round decides about one job of the queue.
+/// Decision of a round on one job of the queue.
 enum JobDecision {
-    /// The job's tasks get these placements.
+    /// Placements for the job's tasks.
     Place(Spec, Vec<TaskPlacement>),
-    /// The job waits.
-    Wait(Wait),
+    /// WaitDecision of the job until a later round.
+    Wait(WaitDecision),
 }
 
-/// How a job waits for the rest of the round.
-struct Wait {
+/// Details of a job's wait.
+struct WaitDecision {
     spec: Spec,
     reason: WaitReason,
-    /// It has waited beyond the bound: capacity is reserved for it.
+    /// True if the job has waited longer than the starvation threshold, so that capacity
+    /// is reserved for it.
     starving: bool,
-    /// Other work may be preempted for it.
+    /// True if running work may be preempted for the job.
     blocked: bool,
 }
 
-/// Whether the job waits because no machine has capacity for it.
+/// Returns whether the job waits because no machine has capacity for it.
 fn lacks_capacity(reason: WaitReason) -> bool {
     matches!(
         reason,
@@ -36,9 +37,10 @@
     )
 }
 
-/// The placements that a job gets in this round: of one that fails wherever it runs, a
-/// part. One task shows whether it still fails; of a gang it takes all, and a service
-/// whose first replica has run for a while is in order.
+/// Returns the placements that a job gets in this round. A job that is suspected faulty
+/// and has no running task only gets one, which shows whether its tasks still fail. A
+/// suspected gang gets all its placements, as its tasks only run together. A suspected
+/// service gets all of them once one replica is running.
 fn limited_if_suspected_faulty(
     waiting: WaitingJob,
     mut tasks: Vec<TaskPlacement>,
@@ -51,9 +53,9 @@
 }
 
 impl<'a> Round<'a> {
-    /// Finds placements for the jobs that wait, in queue order. All of them are in one
-    /// queue, whoever places them: a job that another controller places first
-    /// keeps its resources in this plan, too.
+    /// Finds placements for the waiting jobs, in queue order. The queue contains the jobs
+    /// of all controllers: a job that another controller places has its resources reserved
+    /// in this plan too.
     pub(super) fn place_queue(&mut self) {
         self.touched_shards = self.transaction.zone_shards();
         let settings = &self.controller.settings;
@@ -62,18 +64,18 @@
             queue(self.replica, &self.plan, settings, &first_seen, self.now)
         };
         for id in queue {
-            let own = self.own.contains(id);
-            match self.decide_job(id, own) {
-                Some(JobDecision::Place(spec, tasks)) => self.reserve(id, spec, tasks, own),
-                Some(JobDecision::Wait(wait)) => self.leave_waiting(id, &wait),
+            let is_own = self.own_jobs.contains(id);
+            match self.decide_job(id, is_own) {
+                Some(JobDecision::Place(spec, tasks)) => self.reserve(id, spec, tasks, is_own),
+                Some(JobDecision::Wait(wait)) => self.record_wait(id, &wait),
                 None => {}
             }
         }
     }
 
-    /// Decides whether a job is placed or waits; `None` if it is not considered
-    /// in this round.
-    fn decide_job(&mut self, id: &str, own: bool) -> Option<JobDecision> {
+    /// Decides whether a job is placed or waits. Returns `None` if the job is not
+    /// considered in this round.
+    fn decide_job(&mut self, id: &str, is_own: bool) -> Option<JobDecision> {
         let job = self.transaction.job(id).filter(|job| job.waiting() > 0)?;
         if self.waits_after_failure(id, job) {
             return None;
@@ -82,7 +84,7 @@
         let context = SearchContext {
             controller: self.controller.name(),
             settings: &self.controller.settings,
-            hints: &self.hints(id, &spec, own),
+            hints: &self.hints(id, &spec, is_own),
             plan: &self.plan,
         };
         let waiting = WaitingJob {
@@ -95,16 +97,23 @@
                 let tasks = limited_if_suspected_faulty(waiting, tasks);
                 JobDecision::Place(spec, tasks)
             }
-            Err(reason) => JobDecision::Wait(self.wait(id, job, spec, reason, own)),
+            Err(reason) => JobDecision::Wait(self.wait_decision(id, job, spec, reason, is_own)),
         };
         Some(decision)
     }
 
-    /// How a job waits that no placements were found for.
-    fn wait(&self, id: &str, job: &Job, spec: Spec, reason: WaitReason, own: bool) -> Wait {
-        // It preempts nobody and has nothing reserved for it.
+    /// Returns the details of the wait of a job without placements.
+    fn wait_decision(
+        &self,
+        id: &str,
+        job: &Job,
+        spec: Spec,
+        reason: WaitReason,
+        is_own: bool,
+    ) -> WaitDecision {
+        // A job that is suspected faulty preempts no other work and gets no reservation.
         if job.is_suspected_faulty() {
-            return Wait {
+            return WaitDecision {
                 spec,
                 reason: WaitReason::Fails,
                 starving: false,
@@ -112,35 +121,36 @@
             };
         }
         let lacks_capacity = lacks_capacity(reason);
-        Wait {
+        WaitDecision {
             starving: lacks_capacity && self.is_starving(id, job, &spec),
-            blocked: own && lacks_capacity,
+            blocked: is_own && lacks_capacity,
             spec,
             reason,
         }
     }
 
-    /// Whether the job is in its retry back-off. One that failed in this very
-    /// transaction waits for the next.
+    /// Returns whether the job waits after a failure. A job whose failure is recorded in
+    /// this same transaction waits until the next round.
     fn waits_after_failure(&self, id: &str, job: &Job) -> bool {
         let errors_before = self.replica.jobs.get(id).map_or(0, |e| e.value.errors);
         let settings = &self.controller.settings;
-        let failure_wait = || self.state.failure_wait(settings, id, job, self.now);
-        job.errors > errors_before || failure_wait().is_some()
+        let failure_wait_reason = || self.state.failure_wait_reason(settings, id, job, self.now);
+        job.errors > errors_before || failure_wait_reason().is_some()
     }
 
-    /// The hints for a job: those of the controller that places it.
-    fn hints(&self, id: &str, spec: &Spec, own: bool) -> PlacementHints<'a> {
+    /// Returns the placement hints for a job, from the point of view of the controller
+    /// that places it.
+    fn hints(&self, id: &str, spec: &Spec, is_own: bool) -> PlacementHints<'a> {
         let settings = &self.controller.settings;
-        let home_controller = match own {
+        let placing_controller = match is_own {
             true => self.controller.name(),
             false => {
                 let alive = self.alive.iter().map(String::as_str);
                 preferred_placer(settings, id, &spec.team, alive).unwrap_or("")
             }
         };
-        let mut hints = PlacementHints::new(self.replica, home_controller);
-        if own {
+        let mut hints = PlacementHints::new(self.replica, placing_controller);
+        if is_own {
             hints.touched_shards = self.touched_shards.clone();
         }
         let unchanged_for = self.state.unchanged_for(id, self.now);
@@ -153,20 +163,22 @@
         is_starving(job, spec, &self.controller.settings, age)
     }
 
-    /// Reserves a job's placements in the plan; those of an own job are booked later.
-    fn reserve(&mut self, id: &'a str, spec: Spec, tasks: Vec<TaskPlacement>, own: bool) {
+    /// Reserves a job's placements in the plan. Placements of own jobs are booked later in
+    /// the round.
+    fn reserve(&mut self, id: &'a str, spec: Spec, tasks: Vec<TaskPlacement>, is_own: bool) {
         for placement in &tasks {
             self.plan.reserve(placement, &spec.team, spec.need);
         }
-        if own {
+        if is_own {
             let zone_shards = tasks.iter().map(|placement| placement.shard.to_string());
             self.touched_shards.extend(zone_shards);
             self.placements.push(JobPlacement { id, spec, tasks });
         }
     }
 
-    /// Records why a job waits, and what is done about it.
-    fn leave_waiting(&mut self, id: &str, wait: &Wait) {
+    /// Records why a job waits, reserves capacity for it if it is starving, and adds it to
+    /// the blocked jobs if running work may be preempted for it.
+    fn record_wait(&mut self, id: &str, wait: &WaitDecision) {
         let placement = &self.controller.placement;
         placement.record_wait_reason(id, wait.reason, self.now);
         if wait.starving {
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -1,5 +1,5 @@
-//! The searches of one round: what one of them has found out is not searched
-//! again for the next job.
+//! Placement and preemption searches of one round, with the results that later searches of
+//! the round reuse.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -20,36 +20,37 @@
 use crate::state::replica::Replica;
 use crate::wire::JobKind;
 
-/// How many preemption searches one round makes while it places jobs, and as
-/// many again while it preempts: each goes through all running work, and
-/// heartbeats and submissions wait meanwhile.
+/// Maximum number of preemption searches that a round makes while it places jobs; it may
+/// make as many again while it preempts. The number is small as each search examines all
+/// running work, and heartbeats and submissions are not processed meanwhile.
 pub(super) const MAX_PREEMPTION_SEARCHES: usize = 4;
 
-/// Jobs of one shape that no machine has capacity for.
+/// Failed placement search for jobs of one shape.
 struct FailedSearch {
-    /// The fewest tasks that did not fit.
+    /// Smallest number of tasks that did not fit.
     tasks: usize,
+    /// Reason for which the tasks did not fit.
     reason: WaitReason,
 }
 
-/// What one round has found out already.
+/// Search results that are reused within one round.
 #[derive(Default)]
 pub(super) struct RoundSearch {
-    /// Shapes of jobs that do not fit, by their hash.
+    /// Failed searches, by the hash of the jobs' shape.
     failed: HashMap<u64, FailedSearch>,
-    /// The plan with resources that are being cleared, once it was asked for.
+    /// Plan in which the resources of stopping tasks count as free; computed on first use.
     expected_plan: Option<Plan>,
-    /// All that runs, once a preemption was searched for.
+    /// Open jobs with running tasks; computed by the first preemption search.
     running: Option<Rc<Vec<RunningJob>>>,
-    /// How many preemption searches were made.
+    /// Number of preemption searches made so far.
     pub(super) preemption_searches: usize,
-    /// A gang that has waited too long has capacity reserved.
+    /// True if capacity has been reserved for a starving gang.
     reserved: bool,
 }
 
-/// What a search for a job's placements goes by.
+/// Inputs of a search for a job's placements.
 pub(super) struct SearchContext<'a> {
-    /// The name of the controller that searches.
+    /// Name of the controller that searches.
     pub(super) controller: &'a str,
     pub(super) settings: &'a Settings,
     pub(super) hints: &'a PlacementHints<'a>,
@@ -57,8 +58,8 @@
 }
 
 impl SearchContext<'_> {
-    /// The search for a job's placements on this plan, which may differ from the
-    /// context's.
+    /// Returns the placement request of a job on this plan, which may differ from the
+    /// context's plan.
     fn request<'b>(
         &'b self,
         waiting: WaitingJob<'b>,
@@ -76,8 +77,9 @@
     }
 }
 
-/// A hash of what decides where a job fits, but for its team and its tasks
-/// elsewhere. `None` when those matter.
+/// Returns a hash of the attributes that determine where a job fits, except its team and
+/// the location of its running tasks. Returns `None` if the location of its running tasks
+/// matters.
 fn shape_hash(job: &Job, spec: &Spec) -> Option<u64> {
     if !spec.is_gang() && (spec.one_zone || spec.spread) {
         return None;
@@ -89,7 +91,7 @@
 }
 
 impl RoundSearch {
-    /// All jobs that run, worked out once a round.
+    /// Returns all open jobs with running tasks, computed once per round.
     pub(super) fn running(
         &mut self,
         controller: &str,
@@ -102,14 +104,14 @@
         running.clone()
     }
 
-    /// The plan with the resources that are being cleared counted as free.
+    /// Returns the plan in which the resources of stopping tasks count as free.
     pub(super) fn expected_plan(&mut self, replica: &Replica, plan: &Plan) -> &Plan {
         self.expected_plan
             .get_or_insert_with(|| with_stopping_tasks(replica, plan))
     }
 
-    /// Finds placements for a job, unless none were found in this round for a job of
-    /// its shape.
+    /// Finds placements for a job. Fails without a search if the round has already found
+    /// no placements for a job of the same shape with as many tasks or fewer.
     pub(super) fn find_placements(
         &mut self,
         context: &SearchContext,
@@ -133,9 +135,9 @@
         found
     }
 
-    /// Finds placements for a job. A service or gang that would take resources away
-    /// from work that needs accelerators rather preempts lower work elsewhere, if
-    /// it may.
+    /// Finds placements for a job. A service or gang that would take resources away from
+    /// accelerator work waits for a preemption of lower-priority work elsewhere, if such a
+    /// preemption is possible.
     fn search(
         &mut self,
         context: &SearchContext,
@@ -148,8 +150,8 @@
             return strict;
         }
         if spec.kind == JobKind::Service && !job.retry.is_empty() {
-            // A replica that is down is replaced at once where it takes nothing
-            // from others, even if that keeps a costly machine provisioned.
+            // A failed replica is replaced immediately on a machine where it takes nothing
+            // from other work, even if that keeps an expensive machine provisioned.
             let mild = request.with_protection(AcceleratorProtection::Mild);
             let mild = mild.find_placements();
             if mild.is_ok() {
@@ -163,8 +165,8 @@
         lax.find_placements()
     }
 
-    /// Whether capacity for the job under strict protection is being cleared, or can be
-    /// by a preemption.
+    /// Returns whether the job will fit under strict protection once stopping tasks have
+    /// ended, or after a preemption.
     fn will_fit_strictly(&mut self, context: &SearchContext, waiting: WaitingJob) -> bool {
         let replica = context.hints.replica;
         let expected_plan = self.expected_plan(replica, context.plan).clone();
@@ -190,8 +192,9 @@
         found.is_some_and(|preemption| preemption.complete)
     }
 
-    /// Keeps the resources that the first starving gang waits for from what comes
-    /// behind it: in the zone that has the most of them.
+    /// Reserves the resources that the first starving gang waits for, so that jobs behind
+    /// it in the queue do not use them. The reservation is in the zone with the most of
+    /// these resources.
     pub(super) fn reserve_for_first_gang(
         &mut self,
         replica: &Replica,
@@ -202,12 +205,12 @@
             return;
         }
         self.reserved = true;
-        // Which controller places the gang is of no account here.
+        // The reservation does not depend on which controller places the gang.
         reserve_capacity(spec, plan, &PlacementHints::new(replica, ""));
     }
 }
 
-/// The plan with the resources of tasks that are being stopped counted as free.
+/// Returns a copy of the plan in which the resources of stopping tasks count as free.
 fn with_stopping_tasks(replica: &Replica, plan: &Plan) -> Plan {
     let mut expected_plan = plan.clone();
     for (_, id) in &replica.open_jobs {
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -1,4 +1,4 @@
-//! What a controller remembers from one placement round to the next.
+//! State that a controller carries over from one placement round to the next.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::wire::JobKind;
 use crate::workers::AttemptKey;
 
-/// How many records a commit writes while commits of the usual size are refused.
+/// Maximum number of records in a commit after a larger commit was refused.
 const SMALL_COMMIT_RECORDS: usize = 4;
 
-/// The retry delay doubles with each failure up to this power of two.
+/// Largest exponent of the retry delay, which doubles with each failure.
 const MAX_RETRY_DELAY_EXPONENT: u32 = 5;
 
-/// How long a preemption is given to show its effect before the same job may
-/// preempt again, as a multiple of a gang's wait for its peers.
-const PREEMPTION_PATIENCE: u32 = 2;
+/// Time for which a preemption may take to free its resources before another preemption is
+/// made for the same job, as a multiple of the time that a gang waits for its peers.
+const PREEMPTION_TIMEOUT_GANG_WAITS: u32 = 2;
 
-/// How long a job that failed so often waits before it is tried again.
+/// Returns the delay before a job with this number of errors is retried.
 pub fn retry_delay(errors: u32, base: Duration) -> Duration {
     match errors {
         0 => Duration::ZERO,
@@ -30,92 +30,98 @@
     }
 }
 
-/// The version in which this controller knows a job, and since when.
+/// Version of a job's record that this controller last observed, and the time at which it
+/// first observed that version.
 struct ObservedVersion {
     version: u64,
     since: Instant,
 }
 
-/// The end of the wait after a job's latest failure.
+/// Retry back-off after a job's latest failure.
 struct RetryBackoff {
     errors: u32,
     until: Instant,
 }
 
-/// The state that placement rounds carry forward. None of it has to survive a
-/// restart of the controller.
+/// State that placement rounds carry over. None of it has to survive a restart of the
+/// controller.
 #[derive(Default)]
 pub(super) struct RoundState {
     observed: HashMap<String, ObservedVersion>,
     backoffs: HashMap<String, RetryBackoff>,
-    /// Jobs that preemptions were made for, and when: their effect is yet to show.
+    /// Times of the latest preemption for each job, by job id. The resources of these
+    /// preemptions may not be free yet.
     pub(super) preempted_for: HashMap<String, Instant>,
-    /// Jobs that nothing was found to preempt for, and when: each search goes through
-    /// all running work, and little changes from one round to the next.
+    /// Times at which a preemption search for a job found no candidates, by job id. The
+    /// search is not repeated in every round, as it examines all running work, which
+    /// changes little between rounds.
     pub(super) without_candidates: HashMap<String, Instant>,
-    /// When a round last went through the whole queue.
-    pub(super) queue_examined: Option<Instant>,
-    /// The first termination of an array's task that did not fit into the last commit.
+    /// Time at which a round last examined the whole queue.
+    pub(super) queue_examined_at: Option<Instant>,
+    /// First termination of an array task that did not fit into the last commit.
     pub(super) next_termination: Option<AttemptKey>,
-    /// How many records the last commit wrote.
+    /// Number of records that the last commit wrote.
     pub(super) records_written: usize,
-    /// The last commit was too long: the next one writes few records.
+    /// True if the last commit was refused as too large, so that the next one writes few
+    /// records.
     pub(super) small_commits: bool,
-    /// Gangs or services had their placements, but did not fit into the last commit.
+    /// True if gangs or services had placements that did not fit into the last commit.
     pub(super) gangs_deferred: bool,
-    /// Jobs whose record the state service refused for its size: excluded until
-    /// then, so that the others go on.
+    /// Jobs whose record the state service refused as too large, with the time until which
+    /// they are excluded from commits, so that the other jobs can be committed.
     excluded: HashMap<String, Instant>,
 }
 
 impl RoundState {
-    /// How long a job's record has been as it is.
+    /// Returns the time since this controller first observed the current version of a
+    /// job's record.
     pub(super) fn unchanged_for(&self, id: &str, now: Instant) -> Duration {
         let observed = self.observed.get(id);
-        observed.map_or(Duration::ZERO, |known| {
-            now.saturating_duration_since(known.since)
+        observed.map_or(Duration::ZERO, |observed| {
+            now.saturating_duration_since(observed.since)
         })
     }
 
-    /// Drops what is remembered of jobs that are no longer open.
+    /// Removes the state of jobs that are no longer open.
     pub(super) fn retain_open_jobs(&mut self, replica: &Replica) {
         self.observed
             .retain(|id, _| replica.jobs.get(id).is_some_and(|e| e.value.is_open()));
         self.backoffs.retain(|id, _| self.observed.contains_key(id));
     }
 
-    /// Records the version of a job's record.
+    /// Records the current version of a job's record.
     pub(super) fn observe(&mut self, id: &str, version: u64, now: Instant) {
-        let known = self
+        let observed = self
             .observed
             .entry(id.to_string())
             .or_insert(ObservedVersion {
                 version,
                 since: now,
             });
-        if known.version != version {
-            *known = ObservedVersion {
+        if observed.version != version {
+            *observed = ObservedVersion {
                 version,
                 since: now,
             };
         }
     }
 
-    /// Starts the retry back-off of a job whose count of errors has changed. A lower
-    /// count means that it has succeeded and failed again since.
+    /// Starts the retry back-off of a job whose error count has changed. A lower count
+    /// means that the job has succeeded and failed again since the last round.
     pub(super) fn update_backoff(&mut self, id: &str, errors: u32, base: Duration, now: Instant) {
-        let known = self.backoffs.get(id);
-        if known.is_none_or(|known| known.errors != errors) {
+        let backoff = self.backoffs.get(id);
+        if backoff.is_none_or(|backoff| backoff.errors != errors) {
             let until = now + retry_delay(errors, base);
             self.backoffs
                 .insert(id.to_string(), RetryBackoff { errors, until });
         }
     }
 
-    /// Why a job that has failed waits, if it does: until its back-off is over;
-    /// and one that fails on every machine until what is tried has ended, or,
-    /// of a service, has run for a lease.
-    pub(super) fn failure_wait(
+    /// Returns the wait reason of a job that must wait after a failure. Any job waits
+    /// until its back-off is over. A job that is suspected faulty also waits until the
+    /// tasks that are being retried have ended; a suspected service waits only until they
+    /// have run for the duration of a worker lease.
+    pub(super) fn failure_wait_reason(
         &self,
         settings: &Settings,
         id: &str,
@@ -137,11 +143,11 @@
             .spec
             .as_ref()
             .is_some_and(|s| s.kind == JobKind::Service);
-        let proven = is_service && self.unchanged_for(id, now) > settings.worker_lease();
-        (job.is_suspected_faulty() && job.booked() > 0 && !proven).then_some(reason)
+        let has_run_for_lease = is_service && self.unchanged_for(id, now) > settings.worker_lease();
+        (job.is_suspected_faulty() && job.booked() > 0 && !has_run_for_lease).then_some(reason)
     }
 
-    /// How many records the next commit may write.
+    /// Returns the maximum number of records in the next commit.
     pub(super) fn max_records(&self, txn_ops: usize) -> usize {
         match self.small_commits {
             true => txn_ops.min(SMALL_COMMIT_RECORDS),
@@ -149,29 +155,30 @@
         }
     }
 
-    /// Drops preemptions and vain searches of so long ago that the same job may
-    /// try again.
+    /// Removes the times of preemptions, and of preemption searches without candidates,
+    /// after which a new attempt for the same job is allowed.
     pub(super) fn expire_preemption_attempts(&mut self, settings: &Settings, now: Instant) {
         let gang_wait = Duration::from_secs_f64(settings.deployment.workers.gang_peer_s);
-        let patience = gang_wait * PREEMPTION_PATIENCE;
-        let search_pause = settings.heartbeat_interval() / 2;
+        let preemption_timeout = gang_wait * PREEMPTION_TIMEOUT_GANG_WAITS;
+        let search_interval = settings.heartbeat_interval() / 2;
         let age = |at: &Instant| now.saturating_duration_since(*at);
-        self.preempted_for.retain(|_, at| age(at) < patience);
+        self.preempted_for
+            .retain(|_, at| age(at) < preemption_timeout);
         self.without_candidates
-            .retain(|_, at| age(at) < search_pause);
+            .retain(|_, at| age(at) < search_interval);
     }
 
-    /// Leaves a job out of all commits until then.
+    /// Excludes a job from all commits until this time.
     pub(super) fn exclude(&mut self, id: &str, until: Instant) {
         self.excluded.insert(id.to_string(), until);
     }
 
-    /// Whether a job is left out of commits.
+    /// Returns whether a job is excluded from commits.
     pub(super) fn is_excluded(&self, id: &str) -> bool {
         self.excluded.contains_key(id)
     }
 
-    /// Takes the jobs back in whose exclusion is over.
+    /// Ends the exclusion of jobs whose exclusion time is over.
     pub(super) fn expire_exclusions(&mut self, now: Instant) {
         self.excluded.retain(|_, until| *until > now);
     }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -1,14 +1,14 @@
-//! The placement loop: rounds of decisions, each written as one transaction.
+//! Placement loop: runs placement rounds, each of which is written as one transaction.
 //!
-//! A round takes whatever has accumulated since the last one, so that its
-//! transaction grows with the load and not the number of transactions.
+//! A round handles all changes that have accumulated since the last round. Higher load
+//! thus makes the transactions larger, but does not increase their number.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-use super::round::{Batch, decide};
+use super::round::{Batch, decide_round};
 use super::round_state::RoundState;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
@@ -16,62 +16,62 @@
 use crate::state::keys::job_key;
 use crate::workers;
 
-/// Runs placement rounds for ever: terminations are recorded and waiting jobs are
-/// placed, in one transaction a round.
+/// Runs placement rounds until the process ends. Each round records terminations and
+/// places waiting jobs, in one transaction.
 pub async fn run_placement(controller: Rc<Controller>) {
     let mut state = RoundState::default();
     let idle_interval = controller.settings.heartbeat_interval() / 3;
-    let shortest_pause = controller.request_interval();
-    let mut last_release: Option<Instant> = None;
+    let min_pause = controller.request_interval();
+    let mut last_release_at: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = controller.placement.woken() => {}
+            () = controller.placement.notified() => {}
             () = controller.workers.terminations_queued() => {}
             () = sleep(idle_interval) => {}
         }
-        // A controller that is cut off by itself learns nothing from silence:
-        // its workers have moved to others.
+        // A controller that cannot reach the state service must not conclude anything from
+        // the silence of its workers: they may have moved to other controllers.
         if !controller.replica.borrow().loaded || !controller.is_state_service_reachable() {
             continue;
         }
-        // Both go through all machines, and are about leases and returns: a
-        // few times a heartbeat interval is soon enough.
-        if last_release.is_none_or(|at| at.elapsed() > idle_interval / 2) {
-            last_release = Some(Instant::now());
+        // Both functions examine all machines. Lease expiries and removed machines do not
+        // have to be noticed sooner than a few times per heartbeat interval.
+        if last_release_at.is_none_or(|at| at.elapsed() > idle_interval / 2) {
+            last_release_at = Some(Instant::now());
             workers::release_expired_leases(&controller);
             workers::release_gone_machines(&controller);
         }
-        let begun = Instant::now();
+        let started_at = Instant::now();
         run_rounds(&controller, &mut state).await;
-        // Processor time is scarce: a round that found nothing is not repeated
-        // at once.
-        sleep(shortest_pause.max(begun.elapsed() / 2)).await;
+        // Limits the CPU time of rounds: a round that found nothing to do is not repeated
+        // immediately.
+        sleep(min_pause.max(started_at.elapsed() / 2)).await;
     }
 }
 
-/// Decides and commits until there is nothing left to write; each transaction
-/// waits for the answer to the one before.
+/// Runs rounds until there is nothing left to write. Each round waits for the response to
+/// the previous transaction.
 async fn run_rounds(controller: &Rc<Controller>, state: &mut RoundState) {
-    // Terminations within this span go into one transaction: heartbeats come so often
-    // that nobody notices.
-    let shortest_gap = controller.settings.heartbeat_interval() / 100;
+    // Terminations within this interval are collected into one transaction. It is a small
+    // fraction of the heartbeat interval, so the delay is not noticeable.
+    let min_gap = controller.settings.heartbeat_interval() / 100;
     let mut gap = Duration::ZERO;
     loop {
-        // However much the write budget allows, rounds leave the processor to
-        // heartbeats, probes and submissions for as long as they took it
-        // themselves.
+        // Regardless of the write budget, the loop sleeps for as long as the last decision
+        // took, so that heartbeats, probes and submissions get CPU time.
         sleep(gap).await;
-        // The budget comes first, so that decisions are not stale when sent.
+        // Waits for the budget before deciding, so that the decisions are not stale when
+        // they are sent.
         let wanted = (state.records_written / 2).max(1);
         controller
             .store
             .wait_for_budget(RequestClass::Round, wanted)
             .await;
-        let deciding = Instant::now();
-        let Some(batch) = decide(controller, state) else {
+        let decision_started_at = Instant::now();
+        let Some(batch) = decide_round(controller, state) else {
             return;
         };
-        gap = deciding.elapsed().max(shortest_gap);
+        gap = decision_started_at.elapsed().max(min_gap);
         state.records_written = batch.writes.len();
         if commit(controller, state, batch).await == NextStep::Pause {
             return;
@@ -79,16 +79,16 @@
     }
 }
 
-/// What follows a commit.
+/// Action that follows a commit.
 #[derive(PartialEq, Eq)]
 enum NextStep {
-    /// Decide again on what the replica shows now.
+    /// Another decision, on the current state of the replica.
     DecideAgain,
-    /// Stop until the next wake-up, as the state service cannot be reached.
+    /// End of the rounds until the next wake-up, as the state service cannot be reached.
     Pause,
 }
 
-/// Sends one round's transaction and deals with its answer.
+/// Commits one round's transaction and handles the response.
 async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> NextStep {
     let terminations = batch.terminations;
     match controller
@@ -115,7 +115,8 @@
             await_newer_replica(controller).await;
         }
         Err(error) => {
-            // The commit may have happened: the replica tells after a barrier.
+            // The commit may have been applied. After a barrier, the replica shows whether
+            // it was.
             tracing::debug!(%error, "round commit not answered");
             if !controller
                 .wait_for_barrier(controller.settings.worker_lease() / 4)
@@ -128,8 +129,9 @@
     NextStep::DecideAgain
 }
 
-/// The same transaction would be refused again: the next has fewer records, and
-/// if that was no help either, it leaves out the job whose record is too long.
+/// Reduces the next commit after the state service has refused a record as too large, as
+/// the same transaction would be refused again. The next commit writes fewer records. If a
+/// small commit has been refused too, the job whose record is too large is excluded.
 fn shrink_after_refusal(controller: &Controller, state: &mut RoundState, refused_key: &str) {
     let job = refused_key.strip_prefix(&job_key(""));
     if let Some(job) = job.filter(|_| state.small_commits) {
@@ -138,7 +140,7 @@
     state.small_commits = true;
 }
 
-/// What has changed under the commit is on its way: waits until the replica has it.
+/// Waits until the replica has received the change that conflicted with the commit.
 async fn await_newer_replica(controller: &Rc<Controller>) {
     let before = controller.replica.borrow().revision;
     controller.expedite_watch();
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -1,41 +1,42 @@
-//! Why a job waits, as the last placement decision about it found.
+//! Reasons why jobs wait, as found by the last placement decision about each.
 
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Why a job has to wait, as the decision found it.
+/// Reason why a job waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// No zone has capacity for the whole gang, or no machine for a task.
+    /// Lack of a zone with capacity for the whole gang, or of a machine with capacity for
+    /// a task.
     NoRoom,
-    /// No single zone holds a gang that must stay in one.
+    /// Lack of a single zone with capacity for a gang that requires one zone.
     NoZone,
-    /// The team is at its limit.
+    /// Team at its limit.
     TeamLimit,
-    /// Tasks of an earlier attempt are not surely gone yet.
+    /// Tasks of an earlier attempt that are not proven to have ended.
     OldAttempt,
-    /// It failed before and is tried again later.
+    /// Retry back-off after a failure.
     BackOff,
-    /// It fails wherever it runs: a part of it is tried now and then.
+    /// Failures on several machines. Only a part of the job is retried, at intervals.
     Fails,
-    /// Its tasks may not all be in the zones that have capacity.
+    /// Cap on the job's tasks per zone: the zones with capacity have reached it.
     Spread,
-    /// More tasks would not fit into the job's record.
+    /// Lack of space for more tasks in the job's record.
     RecordFull,
-    /// Other work goes first in this round.
+    /// Jobs earlier in the queue that filled the round's commit.
     Queue,
-    /// The cloud has refused every machine that would hold it.
+    /// Refusal by the cloud of every machine type that the job could run on.
     Refused,
 }
 
-/// A job's reason to wait, as the last round that looked at it found.
+/// Wait reason of a job, as found by the last round that examined it.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct WaitState {
-    /// Why it waits.
+    /// Reason why the job waits.
     #[serde(rename = "why")]
     pub reason: WaitReason,
-    /// Since when it has waited for that reason.
+    /// Time since which the job has waited for this reason.
     #[serde(skip)]
     pub since: Instant,
 }
--- a/src/scheduler/waiting_job.rs
+++ b/src/scheduler/waiting_job.rs
@@ -1,20 +1,21 @@
-//! A job with waiting tasks, as the searches of a round take it.
+//! Waiting jobs, as the placement and preemption searches of a round use them.
 
 use crate::state::records::{Job, Spec};
 use crate::wire::JobKind;
 
-/// A job with waiting tasks.
+/// Job with waiting tasks.
 #[derive(Clone, Copy)]
 pub(super) struct WaitingJob<'a> {
     pub(super) id: &'a str,
     pub(super) job: &'a Job,
-    /// The job's spec, which an open job has.
+    /// Spec of the job. Every open job has one.
     pub(super) spec: &'a Spec,
 }
 
 impl WaitingJob<'_> {
-    /// How many placements the job needs at once: a service all, as its replicas serve
-    /// together; of independent tasks, one after another will do.
+    /// Returns the number of placements that the job needs at the same time: 1 for an
+    /// array, whose tasks can run one after another, and all waiting tasks for gangs and
+    /// for services, whose replicas serve together.
     pub(super) fn placements_wanted(&self) -> usize {
         match self.spec.kind {
             JobKind::Array => 1,
@@ -23,8 +24,8 @@
     }
 }
 
-/// How many tasks of a job start or stop together.
-pub(super) fn tasks_together(spec: &Spec) -> usize {
+/// Returns the number of tasks of a job that start and stop together.
+pub(super) fn coscheduled_tasks(spec: &Spec) -> usize {
     match spec.is_gang() {
         true => spec.tasks as usize,
         false => 1,
