--- a/src/scheduler/capacity_reservation.rs
+++ b/src/scheduler/capacity_reservation.rs
@@ -1,4 +1,5 @@
-//! Capacity that is reserved for a gang which has waited too long.
+//! Reservation of capacity for a gang that has waited longer than the starvation
+//! threshold.
 
 use super::candidates::MachineCandidates;
 use super::hints::{AcceleratorProtection, PlacementHints};
@@ -6,26 +7,31 @@
 use crate::state::records::Spec;
 use crate::state::replica::PlanSlot;
 
-/// Keeps the resources that a gang waits for, in the zone that has the most of
-/// them, from what comes behind it in the queue. Machines that hold none of its
-/// tasks yet are left to others: a reservation would not free them any sooner.
+/// Reserves resources for a waiting gang, in the zone with the most of them, so that jobs
+/// behind it in the queue do not use them. Machines without capacity for any of its tasks
+/// are not reserved: a reservation would not free them any sooner.
 pub fn reserve_capacity(spec: &Spec, plan: &mut Plan, hints: &PlacementHints) {
     let candidates = MachineCandidates::new(spec, hints, AcceleratorProtection::Strict);
     let zones = hints.replica.zone_names.len();
     let Some(best) = zone_with_most_slots(&candidates, plan, zones) else {
         return;
     };
-    let mut left = spec.tasks as usize;
+    let mut unreserved_tasks = spec.tasks as usize;
     for slot in &mut plan.plan_slots {
         let class = candidates.class(slot);
-        while left > 0 && class.allowed && class.zone == best && slot.free.fits(&spec.need) {
+        while unreserved_tasks > 0
+            && class.allowed
+            && class.zone == best
+            && slot.free.fits(&spec.need)
+        {
             slot.free -= spec.need;
-            left -= 1;
+            unreserved_tasks -= 1;
         }
     }
 }
 
-/// The zone whose machines have capacity for most of the tasks, if any has for one.
+/// Returns the zone whose machines have capacity for the most tasks, or `None` if no zone
+/// has capacity for a task.
 fn zone_with_most_slots(
     candidates: &MachineCandidates,
     plan: &Plan,
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -1,14 +1,14 @@
-//! How large a machine shard's record and the commit that adds machines to it may
-//! become.
+//! Size limits of a machine shard's record and of the commit that adds machines to it.
 
 use super::transaction::PRECONDITIONS_PER_WRITE;
 use crate::settings::Settings;
 use crate::state::encoding;
 use crate::state::records::{MachineShard, machine_entry_bytes, slot_entry_bytes};
 
-/// The most guards of a commit that adds machines. Each of its records may be
-/// split besides, which adds one more. Before shards are used in groups, all
-/// of a home's are guarded, and the limits in force are the present ones.
+/// Returns the maximum number of machine shards that a commit which adds machines may
+/// guard. The limit leaves one precondition per write free, as each written shard may be
+/// split, which adds a precondition. Before shards are used in groups, all shards of an
+/// owner are guarded, and the limits that are currently in force apply.
 pub(super) fn max_preconditions(settings: &Settings, grouped: bool) -> usize {
     match grouped {
         true => settings.txn_ops() * (PRECONDITIONS_PER_WRITE - 1),
@@ -16,9 +16,10 @@
     }
 }
 
-/// How long the records of a home's shard of this number may become, in bytes. While
-/// all shards of a home are guarded for a new machine, those behind the first few are as long
-/// as records may be until the compact encoding is in force.
+/// Returns the maximum size of a machine shard's record, in bytes, by the shard's number
+/// among the shards of its preferred owner. While all shards of an owner are guarded when
+/// a machine is added, shards after the first few may be as large as any record until the
+/// compact encoding is in use.
 pub(super) fn max_shard_bytes(settings: &Settings, compact: bool, number: usize) -> usize {
     let limit = match compact || number < settings.txn_ops() {
         true => settings.value_limit_bytes(),
@@ -27,17 +28,18 @@
     limit * 9 / 10
 }
 
-/// Estimates of what machines take in the records of their shards, in bytes.
+/// Size estimates of machines in the records of their shards.
 pub(super) struct ShardRecordSizes {
-    /// The records are written as compact encodings.
+    /// True if the records are written in the compact encoding.
     pub(super) compact: bool,
-    /// The length of the longest name of a controller.
+    /// Length of the longest controller name, in bytes.
     pub(super) max_name_length: usize,
 }
 
 impl ShardRecordSizes {
-    /// What a machine of this name and kind takes. In the compact encoding the machines'
-    /// slots stand in few zone shards by themselves, so that the machine shard alone counts.
+    /// Returns the estimated size of a machine of this name and kind, in bytes. In the
+    /// compact encoding the machines' slots are recorded in few separate zone shards, so
+    /// only the machine shard counts.
     pub(super) fn machine_bytes(&self, name: &str, kind: &str) -> usize {
         match self.compact {
             true => encoding::added_machine_bytes(name, kind, self.max_name_length),
@@ -49,7 +51,7 @@
         }
     }
 
-    /// What all machines of a machine shard take.
+    /// Returns the estimated size of all machines of a machine shard, in bytes.
     pub(super) fn shard_bytes(&self, shard: &MachineShard) -> usize {
         if self.compact {
             return encoding::machine_shard_bytes(&shard.machines, self.max_name_length);
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -1,10 +1,10 @@
-//! Machine shards as one transaction will leave them. A machine shard's record says
-//! which controller holds each of its machines.
+//! Changes of machine shards in one transaction. A machine shard's record states which
+//! controller owns each of its machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::machine_shard_limits::{ShardRecordSizes, max_preconditions, max_shard_bytes};
-use super::shard_allocation::{ShardCandidates, max_group, numbered_id, uses_groups};
+use super::shard_allocation::{ShardCandidates, max_group_size, numbered_shard_id, uses_groups};
 use super::transaction::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 use crate::settings::Settings;
 use crate::state::commit::precondition;
@@ -14,20 +14,21 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// About what a machine takes in a machine shard's record, in bytes.
+/// Estimated size of a machine in a machine shard's record, in bytes.
 const MACHINE_BYTES: usize = 125;
 
-/// Machine shards as one transaction will leave them.
+/// Changes of machine shards in one transaction.
 pub struct MachineShardEdits<'a> {
     replica: &'a Replica,
-    /// The machine shards that are changed, by id.
+    /// Changed machine shards, by id.
     edited: BTreeMap<String, MachineShard>,
-    /// The ids of shards that must be as they are, too.
+    /// Ids of machine shards that the commit guards (with a precondition on their version)
+    /// in addition to the changed ones.
     guarded: BTreeSet<String>,
 }
 
 impl<'a> MachineShardEdits<'a> {
-    /// No machine shard is changed yet.
+    /// Creates a set of edits without changes.
     pub fn new(replica: &'a Replica) -> Self {
         MachineShardEdits {
             replica,
@@ -36,20 +37,21 @@
         }
     }
 
-    /// How many machine shards are changed.
+    /// Returns the number of changed machine shards.
     pub fn len(&self) -> usize {
         self.edited.len()
     }
 
-    /// Whether no machine shard is changed.
+    /// Returns whether no machine shard is changed.
     pub fn is_empty(&self) -> bool {
         self.edited.is_empty()
     }
 
-    /// Whether a commit of `ops` writes, with its guards, can hold no more.
+    /// Returns whether a commit of at most `ops` writes, with its guards, has no capacity
+    /// for another change.
     pub fn is_full(&self, ops: usize) -> bool {
         let preconditions = self.edited.len() + self.guarded.len();
-        // The next may bring a whole machine shard with it.
+        // The next change may add a whole machine shard to the commit.
         let sizes = self
             .replica
             .machine_shards
@@ -57,7 +59,7 @@
             .map(|shard| shard.value.machines.len());
         let largest = sizes.max().unwrap_or(0).max(1);
         let bytes = self.bytes() + (largest + preconditions) * self.machine_bytes();
-        // One that is to be split is written as two.
+        // A machine shard that must be split is written as two records.
         let split = self
             .edited
             .iter()
@@ -68,13 +70,14 @@
             || preconditions >= ops * (PRECONDITIONS_PER_WRITE - 1)
     }
 
-    /// About how long it is as a request, in bytes.
+    /// Returns the estimated size of the changes as a request, in bytes.
     pub fn bytes(&self) -> usize {
         let machines: usize = self.edited.values().map(|s| s.machines.len()).sum();
         machines * self.machine_bytes()
     }
 
-    /// About what a machine takes in the text that its machine shard will have.
+    /// Returns the estimated size of a machine in the encoding that its machine shard will
+    /// have, in bytes.
     fn machine_bytes(&self) -> usize {
         match self.replica.uses_compact_encoding() {
             true => encoding::MACHINE_ENTRY_BYTES,
@@ -82,9 +85,10 @@
         }
     }
 
-    /// Whether a machine shard is too long for a record even in the compact encoding. One
-    /// whose zone shard could still be changed by what was decided before these were
-    /// written stays whole: its machines' slots must not be looked for elsewhere.
+    /// Returns whether a machine shard must be split, as it is too large for a record even
+    /// in the compact encoding. A machine shard is not split as long as its zone shard
+    /// could still be changed by a commit that was decided before compact encodings were
+    /// written: such a commit expects the slots of all its machines in that zone shard.
     fn must_split(&self, id: &str, machine_shard: &MachineShard) -> bool {
         let Some(limit) = self
             .replica
@@ -93,7 +97,8 @@
         else {
             return false;
         };
-        // The upper bound is quickly told.
+        // The upper bound is cheap to compute, so it is checked before the shard is
+        // encoded.
         let upper_bound = |(name, machine): (&String, &Machine)| {
             name.len() * 2 + machine_entry_bytes("", &machine.kind, machine.owner.len())
         };
@@ -108,9 +113,9 @@
             && encoding::encode_machine_shard(machine_shard).is_some_and(|text| text.len() > limit)
     }
 
-    /// Takes the last machines out of machine shards that are too long, into new ones
-    /// of the same home. Both are in the commit, under guard: no machine is lost
-    /// or doubled.
+    /// Moves the second half of the machines of each oversized machine shard into a new
+    /// shard of the same owner and zone. Both shards are written and guarded by the same
+    /// commit, so no machine is lost or duplicated.
     fn split_oversized(&mut self) {
         let oversized = self
             .edited
@@ -118,35 +123,35 @@
             .filter(|(id, shard)| self.must_split(id, shard));
         let oversized: Vec<String> = oversized.map(|(id, _)| id.clone()).collect();
         for id in oversized {
-            let Some((home, _)) = id.rsplit_once('.') else {
+            let Some((prefix, _)) = id.rsplit_once('.') else {
                 continue;
             };
-            let Some(free) = self.free_id(home) else {
+            let Some(new_id) = self.unused_id(prefix) else {
                 continue;
             };
             if let Some(machine_shard) = self.edited.get_mut(&id) {
-                let half = second_half(machine_shard, &free);
-                self.edited.insert(free, half);
+                let half = second_half(machine_shard, &new_id);
+                self.edited.insert(new_id, half);
             }
         }
     }
 
-    /// The first id of a home's machine shards that is not taken.
-    fn free_id(&self, home: &str) -> Option<String> {
+    /// Returns the first unused machine shard id with this prefix (`zone/owner`).
+    fn unused_id(&self, prefix: &str) -> Option<String> {
         let taken = |id: &String| {
             self.replica.machine_shards.contains_key(id) || self.edited.contains_key(id)
         };
         (0..)
-            .map(|number| format!("{home}.{number}"))
+            .map(|number| format!("{prefix}.{number}"))
             .find(|id| !taken(id))
     }
 
-    /// Whether a machine shard is changed.
+    /// Returns whether a machine shard is changed.
     pub fn contains(&self, id: &str) -> bool {
         self.edited.contains_key(id)
     }
 
-    /// A machine shard's machines, to be changed.
+    /// Returns a machine shard's machines for changes, and marks the shard to be written.
     pub fn edit(&mut self, id: &str) -> &mut BTreeMap<String, Machine> {
         let replica = self.replica;
         let machine_shard = self.edited.entry(id.to_string()).or_insert_with(|| {
@@ -162,10 +167,11 @@
         self.edit(&id).insert(name.to_string(), machine);
     }
 
-    /// The shard that a machine without a record belongs to from now on: the first
-    /// of its candidates with capacity for its records, or a new one. The home follows
-    /// from the settings alone. `None` if the commit cannot hold the guards
-    /// that this depends on.
+    /// Returns the name of the shard that a machine without a record is put into: the
+    /// first of its candidates whose record has space for it, or a new shard. The shards
+    /// are those of the machine's preferred owner in the zone, which is determined by the
+    /// settings alone. Returns `None` if the commit has no capacity for the guards on
+    /// which the choice depends.
     pub fn allocate_shard(
         &mut self,
         settings: &Settings,
@@ -173,17 +179,17 @@
         kind: &str,
         zone: &str,
     ) -> Option<String> {
-        let home = settings.preferred_owner(name, zone);
-        let shards = self.shard_count(zone, home);
-        let grouped = uses_groups(self.replica, &shard_id(zone, home));
+        let owner = settings.preferred_owner(name, zone);
+        let shards = self.shard_count(zone, owner);
+        let grouped = uses_groups(self.replica, &shard_id(zone, owner));
         let candidates = match grouped {
-            true => ShardCandidates::select(name, shards, max_group(settings)),
+            true => ShardCandidates::select(name, shards, max_group_size(settings)),
             false => ShardCandidates::all(shards),
         };
         let guarded: BTreeSet<String> = candidates
             .numbers()
-            .chain([candidates.next()])
-            .map(|number| numbered_id(zone, home, number))
+            .chain([candidates.next_number()])
+            .map(|number| numbered_shard_id(zone, owner, number))
             .collect();
         if self.precondition_count_with(&guarded) > max_preconditions(settings, grouped) {
             return None;
@@ -196,14 +202,14 @@
         let added_bytes = sizes.machine_bytes(name, kind);
         let with_capacity = candidates.numbers().find(|number| {
             let max_bytes = max_shard_bytes(settings, sizes.compact, *number);
-            let id = numbered_id(zone, home, *number);
+            let id = numbered_shard_id(zone, owner, *number);
             self.has_capacity_for(&id, added_bytes, max_bytes, &sizes)
         });
-        let number = with_capacity.unwrap_or(candidates.next());
-        Some(format!("{home}.{number}"))
+        let number = with_capacity.unwrap_or(candidates.next_number());
+        Some(format!("{owner}.{number}"))
     }
 
-    /// Whether the shard's record can grow by so many bytes.
+    /// Returns whether the shard's record can grow by this number of bytes.
     fn has_capacity_for(
         &self,
         id: &str,
@@ -212,23 +218,28 @@
         sizes: &ShardRecordSizes,
     ) -> bool {
         let used_bytes = self.shard(id).map_or(0, |shard| sizes.shard_bytes(shard));
-        // One that alone is too long for a record still has a shard.
+        // A machine that is too large even for an empty record is put into an empty shard.
         used_bytes == 0 || used_bytes + added_bytes <= max_bytes
     }
 
-    /// How many machine shards a home has, those that this commit creates included.
-    fn shard_count(&self, zone: &str, home: &str) -> usize {
-        let exists = |number: &usize| self.shard(&numbered_id(zone, home, *number)).is_some();
+    /// Returns the number of machine shards of an owner in a zone, including those that
+    /// this commit creates.
+    fn shard_count(&self, zone: &str, owner: &str) -> usize {
+        let exists = |number: &usize| {
+            self.shard(&numbered_shard_id(zone, owner, *number))
+                .is_some()
+        };
         (0..).take_while(exists).count()
     }
 
-    /// A machine shard as this commit leaves it.
+    /// Returns a machine shard as it is after this commit.
     fn shard(&self, id: &str) -> Option<&MachineShard> {
         let known = || self.replica.machine_shards.get(id).map(|e| &e.value);
         self.edited.get(id).or_else(known)
     }
 
-    /// How many machine shards must be as they are if these must be, too.
+    /// Returns the number of machine shards that the commit guards if it also guards
+    /// these.
     fn precondition_count_with(&self, more: &BTreeSet<String>) -> usize {
         let edited: BTreeSet<&String> = self.edited.keys().collect();
         let guarded = self.guarded.iter().chain(more);
@@ -239,7 +250,8 @@
             .len()
     }
 
-    /// Guards every machine shard that it depends on, and writes those that it changes.
+    /// Returns the preconditions and writes of the commit. The commit guards every machine
+    /// shard that it changes or depends on.
     pub fn into_commit(mut self) -> (Vec<Precondition>, Vec<Write>) {
         self.split_oversized();
         let all: BTreeSet<&String> = self.edited.keys().chain(&self.guarded).collect();
@@ -252,7 +264,7 @@
                 )
             })
             .collect();
-        // An empty machine shard stays: shards are numbered without gaps.
+        // An empty machine shard is kept, as shards are numbered without gaps.
         let writes = self
             .edited
             .iter()
@@ -262,7 +274,8 @@
     }
 }
 
-/// Takes the second half of a machine shard's machines out of it, for a machine shard of this id.
+/// Removes the second half of a machine shard's machines, and returns it as a machine
+/// shard with this id.
 fn second_half(machine_shard: &mut MachineShard, id: &str) -> MachineShard {
     let (zone, shard) = id.split_once('/').unwrap_or((id, ""));
     let names: Vec<String> = machine_shard.machines.keys().cloned().collect();
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,25 +1,25 @@
-//! The scheduler: which jobs are placed, in which order and on which machines,
-//! and the transactions that record it.
+//! Scheduler: decides which jobs are placed, in which order and on which machines, and
+//! records the decisions in transactions.
 //!
-//! | module | task |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `rounds` | the loop that decides and commits |
-//! | `round`, `round_state` | one placement round, and what is remembered between rounds |
-//! | `placement_state`, `wait_states` | what other loops may know of waiting jobs, and why they wait |
-//! | `ownership` | which controller places a job |
-//! | `queue`, `job_facts` | the order of the queue, and what the policy knows of a job |
-//! | `plan` | free resources as a round plans with them |
-//! | `bin_packing`, `assignment` | whether a job fits, and onto which machines |
-//! | `candidates`, `hints` | which machines a job may take, and how they score |
-//! | `capacity_reservation` | capacity kept for a gang that has waited too long |
-//! | `round_search` | results that searches of one round share |
-//! | `preemption` | running work that is stopped for jobs that no machine has capacity for |
-//! | `preemption_candidates`, `preemption_search` | what may be preempted, and the least of it that is enough |
-//! | `terminations` | the recording of terminated tasks |
-//! | `record_size` | how many bookings a job's record holds |
-//! | `transaction` | records of jobs, teams and zone shards as a transaction leaves them |
-//! | `machine_shards`, `machine_shard_limits` | machine shards as a transaction leaves them, and how large they may become |
-//! | `shard_allocation` | the machine shard that a new machine is put into |
+//! | `rounds` | runs the loop that decides and commits |
+//! | `round`, `round_state` | one placement round, and the state carried over between rounds |
+//! | `placement_state`, `wait_states` | state of waiting jobs that other tasks can read, and wait reasons |
+//! | `ownership` | selects the controller that places a job |
+//! | `queue`, `job_facts` | order of the queue, and the job attributes that the policy uses |
+//! | `plan` | free resources that a round plans with |
+//! | `bin_packing`, `assignment` | find machines for a job's tasks |
+//! | `candidates`, `hints` | eligibility of machines for a job, and their scores |
+//! | `capacity_reservation` | reserves capacity for a gang that has waited too long |
+//! | `round_search` | shares search results within a round |
+//! | `preemption` | stops running tasks for jobs that fit on no machine |
+//! | `preemption_candidates`, `preemption_search` | work that may be preempted, and the search for the least of it |
+//! | `terminations` | records terminated tasks |
+//! | `record_size` | number of bookings that fit into a job's record |
+//! | `transaction` | changes of the records of jobs, teams and zone shards in a transaction |
+//! | `machine_shards`, `machine_shard_limits` | changes of machine shards in a transaction, and their size limits |
+//! | `shard_allocation` | selects the machine shard for a new machine |
 
 mod assignment;
 mod bin_packing;
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -1,4 +1,4 @@
-//! How many bookings fit into the size limit of a job record, in either encoding.
+//! Number of bookings that fit into the size limit of a job's record, in either encoding.
 
 use std::collections::HashSet;
 
@@ -7,16 +7,17 @@
 use crate::state::record_bound::{failed_on_bytes, short_fixed_bytes};
 use crate::state::records::{Job, Run, Spec};
 
-/// What the keys, the counters, and the mark of a run that was split for a stop
-/// take in a record.
+/// Size of the keys, the counters, and the mark of a run that was split for a stop, in
+/// bytes.
 const FIXED_BYTES: usize = 240;
 
-/// What a run takes in a record, beside its names and numbers.
+/// Size of a run in a record without its names and numbers, in bytes.
 const RUN_BYTES: usize = 72;
 
-/// How many of `placements` the job's record can hold: every booked or retried
-/// task may come to stand alone, every machine and attempt takes a run. Fresh
-/// tasks share one attempt, see [`super::book`].
+/// Returns the number of `placements` that the job's record has space for. The estimate
+/// assumes that no two booked or retried tasks can be written as a range, and that every
+/// machine and attempt needs a run of its own. Tasks that were never started share one
+/// attempt, see [`super::book`].
 pub fn tasks_within_record_limit(
     job: &Job,
     placements: &[TaskPlacement],
@@ -26,7 +27,8 @@
     if compact {
         return tasks_within_compact_limit(job, placements, value_limit_bytes);
     }
-    // A number and its comma; of two that touch, the dash between.
+    // A task takes its number and a comma. In a range of successive tasks, a dash takes
+    // the place of the comma.
     let task_bytes = digits(u64::from(job.tasks)) + 1;
     let mut size = FIXED_BYTES + spec_bytes(job, value_limit_bytes);
     size += failed_on_bytes(longest_machine_name(job, placements));
@@ -39,7 +41,8 @@
         size += task_bytes;
         if machines.insert(placement.slot_index) {
             size += run_bytes(&placement.machine, &placement.zone, job.attempt + 2);
-            // Retried and fresh tasks may meet on one machine.
+            // Retried tasks and tasks that were never started may be placed on the same
+            // machine.
             if !job.retry.is_empty() {
                 size += run_bytes(&placement.machine, &placement.zone, 1);
             }
@@ -59,26 +62,28 @@
     machine.len() + zone.len() + digits(attempt) + RUN_BYTES
 }
 
-/// What the job's spec takes, without the jobs that it depends on: they are left
-/// out with its first booking. One that cannot be written fills the record.
+/// Returns the size of the job's spec in bytes, without the job's dependencies, which are
+/// removed from the record by the first booking. A spec that cannot be encoded counts as
+/// the whole record.
 fn spec_bytes(job: &Job, value_limit_bytes: usize) -> usize {
     let all = serde_json::to_vec(&job.spec).map_or(value_limit_bytes, |text| text.len());
     let dependencies = job.spec.as_ref().map_or(0, Spec::dependencies_bytes);
     all - dependencies.min(all)
 }
 
-/// The length of the longest name among the machines that the job may come to
-/// have failed on.
+/// Returns the length of the longest name among the machines that may become recorded as
+/// machines that the job has failed on, in bytes.
 fn longest_machine_name(job: &Job, placements: &[TaskPlacement]) -> usize {
     let running = job.runs.iter().map(|run| run.machine.len());
-    let coming = placements.iter().map(|placement| placement.machine.len());
+    let planned = placements.iter().map(|placement| placement.machine.len());
     let failed = job.failed_on.iter().map(String::len);
-    running.chain(coming).chain(failed).max().unwrap_or(0)
+    running.chain(planned).chain(failed).max().unwrap_or(0)
 }
 
-/// The same for the compact encoding: exact in what the runs and tasks can come to
-/// take, with the mark of a stop. A run that is split for a stop makes two; who
-/// stops has it stop as a whole where that would not fit.
+/// Returns the number of placements that the job's compact record has space for. The
+/// result takes exact account of the largest size that the runs and tasks can reach,
+/// including the mark of a stop. A stop may split a run into two; if the second run does
+/// not fit into the record, the code that stops the tasks stops the whole run instead.
 fn tasks_within_compact_limit(
     job: &Job,
     placements: &[TaskPlacement],
@@ -87,16 +92,16 @@
     let task_bytes = encoding::task_bytes(job.tasks);
     let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
     let mut new_runs = NewRuns::new(job);
-    let mut size = compact_bytes_now(job, placements, task_bytes);
+    let mut size = current_compact_bytes(job, placements, task_bytes);
     for (index, placement) in placements.iter().enumerate() {
         let retried = is_gang || index < job.retry.len();
-        // A retried task is counted among those that wait already.
+        // A retried task is already counted in the current size of the record.
         if is_gang || !retried {
             size += task_bytes;
         }
         size += match retried {
             true => new_runs.retried_task_bytes(placement),
-            false => new_runs.fresh_task_bytes(placement),
+            false => new_runs.unstarted_task_bytes(placement),
         };
         if size > value_limit_bytes {
             return index;
@@ -105,28 +110,33 @@
     placements.len()
 }
 
-/// What the compact record takes before the placements are booked, with the table of
-/// their machines.
-fn compact_bytes_now(job: &Job, placements: &[TaskPlacement], task_bytes: usize) -> usize {
+/// Returns the size of the compact record before the placements are booked, but with the
+/// table of their machines, in bytes.
+fn current_compact_bytes(job: &Job, placements: &[TaskPlacement], task_bytes: usize) -> usize {
     let running = job.runs.iter().map(|run| (&*run.machine, &*run.zone));
-    let coming = placements
+    let planned = placements
         .iter()
         .map(|placement| (&*placement.machine, &*placement.zone));
     let run_bytes = |run: &Run| encoding::run_bytes(run.attempt);
     short_fixed_bytes(job, longest_machine_name(job, placements))
-        + encoding::table_bytes(running.chain(coming))
+        + encoding::table_bytes(running.chain(planned))
         + (job.booked() + job.retry.len()) * task_bytes
         + job.runs.iter().map(run_bytes).sum::<usize>()
 }
 
-/// The runs that bookings add to a compact record. Retried tasks take a new attempt,
-/// fresh ones share the first: a run of it that is there already takes them in.
+/// Runs that bookings add to a compact record. Retried tasks get a new attempt. Tasks that
+/// were never started share the first attempt, and join an existing run of that attempt on
+/// their machine.
 struct NewRuns<'a> {
+    /// Upper bound of the attempt number that retried tasks get.
     retry_attempt: u64,
-    /// Machines with a run of the first attempt.
-    running: HashSet<&'a str>,
+    /// Names of the machines with a run of the first attempt.
+    first_attempt_machines: HashSet<&'a str>,
+    /// Machines with a new run of retried tasks, by their index in the plan.
     retried: HashSet<usize>,
-    fresh: HashSet<usize>,
+    /// Machines with a new run of tasks that were never started, by their index in the
+    /// plan.
+    unstarted: HashSet<usize>,
 }
 
 impl<'a> NewRuns<'a> {
@@ -134,13 +144,14 @@
         let first_attempt = job.runs.iter().filter(|run| run.attempt == 1 && !run.stop);
         NewRuns {
             retry_attempt: job.attempt + 2,
-            running: first_attempt.map(|run| &*run.machine).collect(),
+            first_attempt_machines: first_attempt.map(|run| &*run.machine).collect(),
             retried: HashSet::new(),
-            fresh: HashSet::new(),
+            unstarted: HashSet::new(),
         }
     }
 
-    /// What the run of a retried task adds at this placement.
+    /// Returns the number of bytes that the run of a retried task adds at this placement,
+    /// which is 0 if the run exists already.
     fn retried_task_bytes(&mut self, placement: &TaskPlacement) -> usize {
         match self.retried.insert(placement.slot_index) {
             true => encoding::run_bytes(self.retry_attempt),
@@ -148,10 +159,11 @@
         }
     }
 
-    /// What the run of a task adds at this placement that has never run.
-    fn fresh_task_bytes(&mut self, placement: &TaskPlacement) -> usize {
-        let new =
-            !self.running.contains(&*placement.machine) && self.fresh.insert(placement.slot_index);
+    /// Returns the number of bytes that the run of a task that was never started adds at
+    /// this placement, which is 0 if the run exists already.
+    fn unstarted_task_bytes(&mut self, placement: &TaskPlacement) -> usize {
+        let new = !self.first_attempt_machines.contains(&*placement.machine)
+            && self.unstarted.insert(placement.slot_index);
         if new { encoding::run_bytes(1) } else { 0 }
     }
 }
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -1,17 +1,21 @@
-//! Which machine shards of its home a machine without a record may be put into.
+//! Selection of the machine shards that a machine without a record may be put into.
 //!
-//! Two controllers that take up a new machine at once must not put it into two
-//! shards. So a commit that adds a machine guards every shard that the machine could
-//! have been put into, and the absence of the next shard of its home. While a home
-//! has few shards these are all of them. A home with more, of which the guards
-//! of one commit could not hold all, has its shards in groups: a machine belongs to
-//! the group that its name and the number of shards select.
+//! The machine shards of a zone that have the same preferred owner are numbered:
+//! `owner.0`, `owner.1` and so on. They are called the owner's shards below. A new machine
+//! is put into one of its owner's shards.
 //!
-//! Why this is enough: two commits that see the same number of shards select the same
-//! group, so each guards what the other writes. If they see different numbers, a
-//! shard was created in between. The commit that saw fewer guards the absence of that
-//! shard, so it comes before the shard or fails; the commit that saw more follows
-//! from a replica with that shard, and so with the machine.
+//! Two controllers that add the same new machine concurrently must not put it into two
+//! shards. A commit that adds a machine therefore guards every shard that the machine
+//! could have been put into, and the absence of the owner's next shard. While an owner has
+//! few shards, these are all of them. If it has more shards than one commit could guard,
+//! the shards are divided into groups, and the machine's name and the number of shards
+//! select the group that the machine belongs to.
+//!
+//! Two commits that see the same number of shards select the same group, so each of them
+//! guards what the other writes. If they see different numbers, a shard was created in
+//! between. The commit that saw fewer shards guards the absence of the new shard, so it
+//! either precedes the creation of that shard or fails. The commit that saw more shards
+//! was decided on a replica that contains the new shard and, with it, the machine.
 //!
 //! Shards are never removed, and are numbered without gaps.
 
@@ -23,27 +27,27 @@
 
 use super::transaction::PRECONDITIONS_PER_WRITE;
 
-/// Machines of one scale-out have successive numbers in their names. So many of them in
-/// a row select the same group, so that a scale-out is recorded in few writes; one call
-/// to the cloud rents 50 at most.
+/// Number of successive machine numbers that select the same group. Machines of one
+/// scale-out have successive numbers in their names, so a scale-out is recorded in few
+/// writes; one request to the cloud adds at most 50 machines.
 const NUMBERS_PER_BLOCK: u32 = 64;
 
-/// The machine shards of a home that a new machine may be put into.
+/// Machine shards of an owner that a new machine may be put into.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardCandidates {
-    /// The first shard of the group.
+    /// Number of the group's first shard.
     first: usize,
-    /// The distance between successive shards of the group.
+    /// Distance between the numbers of successive shards of the group.
     step: usize,
-    /// The number of shards that the home has.
+    /// Number of shards that the owner has in the zone.
     shards: usize,
 }
 
 impl ShardCandidates {
-    /// Selects the group of a machine among a home's shards, with at most
-    /// `max_group` shards a group.
-    pub fn select(machine: &str, shards: usize, max_group: usize) -> Self {
-        let groups = shards.div_ceil(max_group.max(1)).next_power_of_two();
+    /// Selects a machine's group among the owner's shards. A group has at most
+    /// `max_group_size` shards.
+    pub fn select(machine: &str, shards: usize, max_group_size: usize) -> Self {
+        let groups = shards.div_ceil(max_group_size.max(1)).next_power_of_two();
         let selected = block_hash(machine) % groups as u64;
         ShardCandidates {
             first: selected as usize,
@@ -52,7 +56,7 @@
         }
     }
 
-    /// All shards of the home.
+    /// Selects all shards of the owner.
     pub fn all(shards: usize) -> Self {
         ShardCandidates {
             first: 0,
@@ -61,53 +65,55 @@
         }
     }
 
-    /// The numbers of the shards, in order.
+    /// Returns the numbers of the selected shards, in ascending order.
     pub fn numbers(&self) -> impl Iterator<Item = usize> + use<> {
         (self.first..self.shards).step_by(self.step)
     }
 
-    /// The number of the shard that is created if none of the others has capacity.
-    pub fn next(&self) -> usize {
+    /// Returns the number of the shard that is created if none of the selected shards has
+    /// capacity.
+    pub fn next_number(&self) -> usize {
         self.shards
     }
 }
 
-/// A hash that is the same for machines whose numbers are in one block.
+/// Returns a hash that is the same for machines whose numbers are in the same block.
 fn block_hash(machine: &str) -> u64 {
     let (prefix, _, number) = split_name(machine);
     let block = number / NUMBERS_PER_BLOCK;
     fnv1a(prefix.bytes().chain(block.to_le_bytes()))
 }
 
-/// The most shards that a new machine is chosen among: an eighth of the guards
-/// that a commit may have, so that machines of several groups fit into one.
-pub(super) fn max_group(settings: &Settings) -> usize {
+/// Returns the maximum number of shards in a group: an eighth of the guards that a commit
+/// may have, so that machines of several groups fit into one commit.
+pub(super) fn max_group_size(settings: &Settings) -> usize {
     settings.txn_ops() * PRECONDITIONS_PER_WRITE / 8
 }
 
-/// Whether the shards of this home may be used in groups.
+/// Returns whether the shards with this id prefix (`zone/owner`) may be used in groups.
 ///
-/// All controllers have to know the groups: an older program guards all shards, and
-/// relies on others doing so. What such a program, or this one before it knew, has
-/// sent may still be carried out. That commit guards all shards of the home, so it
-/// cannot succeed any more once one of them was written after `formats`.
-pub(super) fn uses_groups(replica: &Replica, home: &str) -> bool {
+/// All controllers must support groups: an older program guards all shards of an owner and
+/// relies on other controllers to do the same. Commits of such a program, and commits that
+/// this program sent before all controllers supported groups, may still be applied. Such a
+/// commit guards all shards of the owner, so it can no longer succeed once one of them was
+/// written after the `formats` record that enabled groups.
+pub(super) fn uses_groups(replica: &Replica, prefix: &str) -> bool {
     let Some(known_since) = replica.grouped_shards_since() else {
         return false;
     };
-    let versions = shards_of(replica, home).map(|id| replica.machine_shard_version(&id));
+    let versions = numbered_shard_ids(replica, prefix).map(|id| replica.machine_shard_version(&id));
     versions.max().is_some_and(|newest| newest > known_since)
 }
 
-/// The ids of the machine shards of a home, given as `zone/home`, that the replica
-/// has.
-fn shards_of(replica: &Replica, home: &str) -> impl Iterator<Item = String> {
+/// Returns the ids of the machine shards in the replica with this id prefix
+/// (`zone/owner`).
+fn numbered_shard_ids(replica: &Replica, prefix: &str) -> impl Iterator<Item = String> {
     (0..)
-        .map(move |number| format!("{home}.{number}"))
+        .map(move |number| format!("{prefix}.{number}"))
         .take_while(|id| replica.machine_shards.contains_key(id))
 }
 
-/// The id of a home's shard of this number.
-pub(super) fn numbered_id(zone: &str, home: &str, number: usize) -> String {
-    shard_id(zone, &format!("{home}.{number}"))
+/// Returns the id of an owner's shard with this number.
+pub(super) fn numbered_shard_id(zone: &str, owner: &str, number: usize) -> String {
+    shard_id(zone, &format!("{owner}.{number}"))
 }
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -1,4 +1,4 @@
-//! Terminations of tasks: those that are proven go into a round's transaction.
+//! Recording of proven task terminations in a round's transaction.
 
 use super::plan::Plan;
 use super::round_state::RoundState;
@@ -8,12 +8,12 @@
 use crate::wire::JobKind;
 use crate::workers::{AttemptKey, TerminationEvidence};
 
-/// Records the pending terminations in the transaction and gives their resources back
-/// to the plan; returns which of them it has taken.
+/// Records the pending terminations in the transaction and releases their resources in the
+/// plan. Returns the terminations that were recorded.
 ///
-/// Gangs and services come first, whose resources many wait for, and jobs with
-/// dependents. The terminations of other arrays come last, up to a limit of their
-/// own, and begin where the last round stopped, so that none waits for ever.
+/// Terminations of gangs, services and jobs with dependents are recorded first, as many
+/// jobs wait for their resources. Terminations of other arrays are recorded last, up to a
+/// limit of their own, and start where the last round stopped, so that none waits forever.
 pub(super) fn record_terminations(
     controller: &Controller,
     replica: &Replica,
@@ -35,27 +35,27 @@
     recorder.recorded
 }
 
-/// Whether the termination is of an array without dependents.
+/// Returns whether the termination belongs to an array without dependents.
 fn is_plain_array(replica: &Replica, key: &AttemptKey) -> bool {
     let job = replica.jobs.get(&key.job);
     let spec = job.and_then(|e| e.value.spec.as_ref());
     spec.is_some_and(|s| s.kind == JobKind::Array) && !replica.has_dependents(&key.job)
 }
 
-/// Records terminations in a transaction.
+/// Recorder of terminations in a transaction.
 struct TerminationRecorder<'a, 'r> {
     controller: &'a Controller,
     replica: &'a Replica,
     transaction: &'a mut Transaction<'r>,
     plan: &'a mut Plan,
-    /// The terminations that the transaction has taken.
+    /// Terminations that were added to the transaction.
     recorded: Vec<AttemptKey>,
-    /// Those that nothing is booked for any more, or whose evidence no longer holds.
+    /// Terminations without a booking, or whose evidence is no longer valid.
     stale: Vec<AttemptKey>,
 }
 
 impl TerminationRecorder<'_, '_> {
-    /// Records the pending terminations, as many as the transaction can take.
+    /// Records as many of the pending terminations as the transaction has capacity for.
     fn record_pending(&mut self, state: &mut RoundState, max_records_for_arrays: usize) {
         let pending = self.controller.workers.pending_terminations();
         let first = state.next_termination.take();
@@ -81,7 +81,7 @@
         self.transaction.max_records = max_records;
     }
 
-    /// Records one termination, if the transaction can take it.
+    /// Records one termination if the transaction has capacity for it.
     fn record(&mut self, key: &AttemptKey, evidence: TerminationEvidence) -> ReleaseOutcome {
         let (name, incarnation) = (self.controller.name(), self.controller.incarnation);
         let outcome = self.transaction.release(key, evidence, name, incarnation);
@@ -96,7 +96,7 @@
         outcome
     }
 
-    /// Gives the task's resources back to the plan.
+    /// Releases the task's resources in the plan.
     fn release_in_plan(&mut self, key: &AttemptKey) {
         let job = self.replica.jobs.get(&key.job);
         if let Some(spec) = job.and_then(|e| e.value.spec.as_ref()) {
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -1,15 +1,16 @@
-//! A transaction in the making: records as they will be, each written once.
+//! Transactions of placement rounds: the changed records, each written once.
 //!
 //! Terminations, bookings and preemptions go into the same transaction, so that a
-//! round writes every job, team and zone shard at most once however many of its tasks
-//! have changed. The writes to the state service grow with rounds, not with tasks.
+//! round writes every job, team and zone shard at most once, however many tasks have
+//! changed. The number of writes to the state service thus grows with the number of
+//! rounds and not with the number of tasks.
 //!
-//! | module | task |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `accounts` | the record that a job's bookings count against |
-//! | `booking` | bookings of waiting tasks |
-//! | `release` | bookings whose task has surely ended |
-//! | `size` | how much more one commit can hold |
+//! | `accounts` | selects the record that a job's bookings count against |
+//! | `booking` | books waiting tasks |
+//! | `release` | releases bookings of tasks that are proven to have ended |
+//! | `size` | estimates the remaining capacity of the commit |
 
 mod accounts;
 mod booking;
@@ -29,29 +30,30 @@
 pub use release::ReleaseOutcome;
 pub use size::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 
-/// A transaction in the making, on one revision of the replica.
+/// Transaction that is being built on one revision of the replica.
 pub struct Transaction<'a> {
     replica: &'a Replica,
-    /// The most records that one commit may write.
+    /// Maximum number of records that the commit may write.
     pub(super) max_records: usize,
-    /// The jobs that it writes, by id.
+    /// Jobs that the transaction writes, by id.
     jobs: BTreeMap<String, Job>,
-    /// What the teams use whose records it writes.
+    /// Resources in use by the teams whose records the transaction writes, by team name.
     teams: BTreeMap<String, Resources>,
-    /// The zone shards that it writes, by id.
+    /// Zone shards that the transaction writes, by id.
     zone_shards: BTreeMap<String, ZoneShard>,
-    /// What the terminations of this transaction free, by machine.
+    /// Resources that the terminations of this transaction release, by machine name.
     released_by_machine: BTreeMap<String, Resources>,
-    /// The same by team.
+    /// Resources that the terminations of this transaction release, by team name.
     released_by_team: BTreeMap<String, Resources>,
-    /// Machine shards that must be as they are, but are not written.
+    /// Ids of machine shards that the commit guards (with a precondition on their version)
+    /// but does not write.
     guarded_machine_shards: BTreeSet<String>,
-    /// What the bookings of teams count against whose quota is split into shares.
+    /// Accounts of teams whose quota is split into shares.
     accounts: Option<BookingAccounts>,
 }
 
 impl<'a> Transaction<'a> {
-    /// An empty transaction that may write `max_records` records.
+    /// Creates an empty transaction that may write `max_records` records.
     pub fn new(replica: &'a Replica, max_records: usize) -> Self {
         Transaction {
             replica,
@@ -66,44 +68,44 @@
         }
     }
 
-    /// The transaction counts bookings against shares where a team's quota is split;
-    /// without this it books nothing for such a team.
+    /// Counts bookings against these accounts where a team's quota is split into shares.
+    /// Without accounts, the transaction books nothing for such teams.
     #[must_use]
     pub fn with_accounts(mut self, accounts: Option<BookingAccounts>) -> Self {
         self.accounts = accounts;
         self
     }
 
-    /// How many records it writes.
+    /// Returns the number of records that the transaction writes.
     pub fn len(&self) -> usize {
         let accounts = self.accounts.as_ref().map_or(0, BookingAccounts::writes);
         self.jobs.len() + self.teams.len() + self.zone_shards.len() + accounts
     }
 
-    /// Whether it writes nothing.
+    /// Returns whether the transaction writes no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The ids of the zone shards that it writes.
+    /// Returns the ids of the zone shards that the transaction writes.
     pub fn zone_shards(&self) -> BTreeSet<String> {
         self.zone_shards.keys().cloned().collect()
     }
 
-    /// A job as this transaction leaves it.
+    /// Returns a job as it is after this transaction.
     pub fn job(&self, id: &str) -> Option<&Job> {
         let known = || self.replica.jobs.get(id).map(|e| &e.value);
         self.jobs.get(id).or_else(known)
     }
 
-    /// Changes a job's record alone.
+    /// Changes a job's record without changing any other record.
     pub fn edit_job_record(&mut self, id: &str, edit: impl FnOnce(&mut Job)) {
         if let Some(job) = self.edit_job(id) {
             edit(job);
         }
     }
 
-    /// The job's record in this transaction, which writes it from now on.
+    /// Returns a job's record for changes, and marks it to be written.
     fn edit_job(&mut self, id: &str) -> Option<&mut Job> {
         if !self.jobs.contains_key(id) {
             let job = self.replica.jobs.get(id)?.value.clone();
@@ -112,15 +114,18 @@
         self.jobs.get_mut(id)
     }
 
-    /// The same of a team's record, recounted from the replica and the terminations
-    /// of this transaction.
+    /// Returns a team's resources in use for changes, and marks the team's record to be
+    /// written. The usage is recomputed from the replica and the terminations of this
+    /// transaction.
     fn edit_team(&mut self, team: &str) -> &mut Resources {
         let released = self.released_by_team.get(team).copied().unwrap_or_default();
         let used = self.replica.team_used(team) - released;
         self.teams.entry(team.to_string()).or_insert(used)
     }
 
-    /// The same of a zone shard's record.
+    /// Returns a zone shard's record for changes, and marks it to be written. The free
+    /// resources of its machines are recomputed from the replica and the terminations of
+    /// this transaction.
     fn edit_zone_shard(&mut self, id: &str) -> &mut ZoneShard {
         let (replica, released) = (self.replica, &self.released_by_machine);
         self.zone_shards.entry(id.to_string()).or_insert_with(|| {
@@ -137,7 +142,8 @@
         })
     }
 
-    /// Guards and writes every record that the transaction has touched.
+    /// Returns the preconditions and writes of the commit. The commit guards every record
+    /// that the transaction writes or depends on.
     pub fn into_commit(self) -> (Vec<Precondition>, Vec<Write>) {
         let mut parts = CommitParts::new(self.replica);
         if let Some(accounts) = self.accounts {
--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -1,5 +1,5 @@
-//! The record that a job's bookings count against: its team's own, or a controller's
-//! share where the team's quota is split.
+//! Selection of the record that a job's bookings count against: the record of its team or,
+//! where the team's quota is split, a controller's share.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +10,17 @@
 use crate::scheduler::plan::TaskPlacement;
 use crate::state::records::{Job, Spec};
 
-/// Which record a booking counts against.
+/// Record that a booking counts against.
 enum Account {
-    /// The team's own.
+    /// Record of the team itself.
     Team,
-    /// A controller's share of the team's quota.
+    /// Share of this controller in the team's quota.
     Share(ControllerName),
 }
 
 impl Transaction<'_> {
-    /// Which record a job's bookings count against; `None` if none may be made, as that
-    /// cannot be told.
+    /// Returns the record that a job's bookings count against. Returns `None` if it cannot
+    /// be determined, so that nothing may be booked.
     fn account_of(&self, team: &str, job: &Job) -> Option<Account> {
         if self.replica.is_share_unreadable(team) {
             return None;
@@ -32,7 +32,8 @@
         Some(Account::Share(accounts.share_of(team, job)))
     }
 
-    /// Whether the record that the job's bookings count against is not written yet.
+    /// Returns whether the record that the job's bookings count against is not written by
+    /// the transaction yet.
     pub(super) fn is_new_account(&self, job: &str, team: &str) -> bool {
         let account = self.job(job).and_then(|job| self.account_of(team, job));
         match (account, &self.accounts) {
@@ -43,9 +44,9 @@
         }
     }
 
-    /// The controller whose share a job names once it is booked; `None` where its name
-    /// stays as it is.
-    pub(super) fn share_to_name(&self, id: &str, spec: &Spec) -> Option<ControllerName> {
+    /// Returns the controller whose share must be recorded in the job when it is booked,
+    /// or `None` if the share recorded in the job does not change.
+    pub(super) fn share_to_record(&self, id: &str, spec: &Spec) -> Option<ControllerName> {
         let job = self.job(id)?;
         match self.account_of(&spec.team, job)? {
             Account::Share(controller) => Some(controller),
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Charges the job's account for as many of the placements as it admits, and
-    /// returns how many these are.
+    /// Charges the job's account for as many of the placements as the account permits, and
+    /// returns their number.
     pub(super) fn admit(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
         let job = self.job(id);
         match job.and_then(|job| self.account_of(&spec.team, job)) {
@@ -100,7 +101,8 @@
         })
     }
 
-    /// How many records a booking of these placements adds to the transaction.
+    /// Returns the number of records that a booking of these placements adds to the
+    /// transaction.
     fn new_records(&self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
         let shards: BTreeSet<&str> = placements.iter().map(|p| &*p.shard).collect();
         let new_shards = shards
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -1,4 +1,4 @@
-//! Bookings of waiting tasks: as many placements as one commit can record.
+//! Bookings of waiting tasks, for as many placements as one commit can record.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,16 @@
 use crate::wire::JobKind;
 
 impl Transaction<'_> {
-    /// Books a job's waiting tasks, and returns how many; none when the commit
-    /// is full.
+    /// Books a job's waiting tasks, and returns the number of booked tasks, which is 0 if
+    /// the commit is full.
     pub fn book(&mut self, id: &str, spec: &Spec, placements: &[TaskPlacement]) -> usize {
         let placements = self.bookable(id, spec, placements);
         if placements.is_empty() {
             return 0;
         }
-        // Safety 7: no task starts before all dependencies of its job are done. That
-        // is final, so this replica, which the commit is decided on, can only be
-        // late in knowing it; what is launched follows from bookings alone.
+        // Safety 7: no task starts before all dependencies of its job are done. A
+        // dependency that is done stays done, so a stale replica, on which the commit is
+        // decided, can only delay the booking. Tasks are launched only if they are booked.
         if !self.replica.dependencies_done(spec) {
             return 0;
         }
@@ -33,9 +33,9 @@
         placements.len()
     }
 
-    /// Books the placements in the job's record; false if there is no such job.
+    /// Books the placements in the job's record. Returns false if there is no such job.
     fn book_in_job(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> bool {
-        let share = self.share_to_name(id, spec);
+        let share = self.share_to_record(id, spec);
         let Some(job) = self.edit_job(id) else {
             return false;
         };
@@ -49,7 +49,8 @@
         true
     }
 
-    /// Takes the task's resources from what the zone shard's record has as free.
+    /// Subtracts the task's resources from the machine's free resources in the zone
+    /// shard's record.
     fn book_in_zone_shard(&mut self, placement: &TaskPlacement, spec: &Spec) {
         let shard = self.edit_zone_shard(&placement.shard);
         if let Some(slot) = shard.machines.get_mut(&*placement.machine) {
@@ -57,9 +58,10 @@
         }
     }
 
-    /// The placements that this commit can hold: all of a gang's or none, of
-    /// other jobs as many as fit. An array may have its placements in more
-    /// zone shards than any commit writes: the rest follow, or it would wait for ever.
+    /// Returns the placements that this commit has capacity for: all or none for a gang,
+    /// as many as fit for other jobs. An array can have placements in more zone shards
+    /// than any single commit can write; the remaining placements are booked by later
+    /// commits, as the array would otherwise wait forever.
     fn bookable<'p>(
         &self,
         id: &str,
@@ -83,7 +85,8 @@
         self.bookable_one_by_one(id, spec, placements)
     }
 
-    /// The placements that the commit can hold if they are added one after another.
+    /// Returns the placements that the commit has capacity for if they are added one after
+    /// another.
     fn bookable_one_by_one<'p>(
         &self,
         id: &str,
@@ -117,12 +120,14 @@
     }
 }
 
-/// Books the placements for the job's next waiting tasks. A gang's attempt is new.
-/// Tasks that were never started share the first attempt, so that those on one
-/// machine share one run in the job's record; those that were get a new one.
+/// Books the placements for the job's next waiting tasks. A gang gets a new attempt with
+/// each booking. Tasks that were never started share the first attempt, so that those on
+/// the same machine share one run in the job's record. Tasks that were started before get
+/// a new attempt.
 pub fn book(job: &mut Job, spec: &Spec, placements: &[&TaskPlacement]) {
     job.has_preempted = false;
-    // More replicas follow what has failed only once others run well.
+    // A suspected service gets further replicas only after a booked replica has run well,
+    // so this booking counts as a success.
     if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked() > 0 {
         job.record_success();
     }
--- a/src/scheduler/transaction/release.rs
+++ b/src/scheduler/transaction/release.rs
@@ -1,4 +1,4 @@
-//! Releases of bookings whose task has surely ended.
+//! Releases of bookings whose tasks are proven to have ended.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 use crate::state::records::{MachineLifecycle, Spec};
 use crate::workers::{AttemptKey, TerminationEvidence};
 
-/// What became of a termination that was to be recorded.
+/// Result of the attempt to record a termination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// It is in the transaction.
+    /// Termination that was added to the transaction.
     Recorded,
-    /// The commit is full: it goes into the next.
+    /// Termination that did not fit into the commit and is left for the next one.
     TransactionFull,
-    /// Nothing is booked any more, or what proved it no longer holds.
+    /// Termination without a booking, or whose evidence is no longer valid.
     Stale,
 }
 
 impl Transaction<'_> {
-    /// Releases a booking whose task is surely gone. `controller` and `incarnation`
-    /// are those of the process that has the evidence.
+    /// Releases a booking whose task is proven to have ended. `controller` and
+    /// `incarnation` identify the process that has the evidence.
     #[must_use]
     pub fn release(
         &mut self,
@@ -37,8 +37,9 @@
         if !self.can_release(key, &machine_shard) {
             return ReleaseOutcome::TransactionFull;
         }
-        // Neither the team's record nor the zone shard's is written: what has ended is
-        // known to all from the job's, and the next booking there counts it.
+        // The records of the team and of the zone shard are not written. Every controller
+        // sees from the job's record that the task has ended, and the next booking that
+        // writes these records takes the released resources into account.
         self.release_from_share(&key.job, &spec);
         if let Some(job) = self.edit_job(&key.job) {
             job.release(&key.machine, key.attempt, key.task, evidence.outcome);
@@ -50,11 +51,13 @@
         ReleaseOutcome::Recorded
     }
 
-    /// The machine shard whose record the evidence depends on, if it still holds.
+    /// Returns the machine shard whose record the evidence depends on, or `None` if the
+    /// evidence is no longer valid.
     ///
-    /// Safety 3: what proved the termination holds only while the machine is still ours
-    /// by the claim that it was proven under, or once it is gone for good; the guard
-    /// on its machine shard's record makes the commit depend on it.
+    /// Safety 3: the evidence is valid only while the machine is still owned by the claim
+    /// under which the termination was proven, or once the machine is gone for good. The
+    /// commit guards the record of the machine shard, and so fails if the claim has
+    /// changed.
     fn evidence_shard(
         &self,
         key: &AttemptKey,
@@ -70,14 +73,15 @@
         proven.then(|| shard_id(&machine.zone, &machine.shard))
     }
 
-    /// The spec of the job that the task belongs to, if the task is still booked.
+    /// Returns the spec of the task's job if the task is still booked.
     fn booked_spec(&self, key: &AttemptKey) -> Option<Spec> {
         let job = self.job(&key.job)?;
         job.find(&key.machine, key.attempt, key.task)?;
         job.spec.clone()
     }
 
-    /// Whether the commit can hold the job's record and the guard on the machine shard.
+    /// Returns whether the commit has capacity for the job's record and the guard on the
+    /// machine shard.
     fn can_release(&self, key: &AttemptKey, machine_shard: &str) -> bool {
         let job_alone = TouchedRecords {
             job: &key.job,
@@ -88,7 +92,7 @@
         self.can_guard(machine_shard) && self.has_capacity_for(&job_alone)
     }
 
-    /// Gives a task's resources back to the share that its booking counts against.
+    /// Returns a task's resources to the share that its booking counts against.
     fn release_from_share(&mut self, id: &str, spec: &Spec) {
         let share = match (&self.accounts, self.job(id)) {
             (Some(accounts), Some(job)) => accounts.booked_share(&spec.team, job),
--- a/src/scheduler/transaction/size.rs
+++ b/src/scheduler/transaction/size.rs
@@ -1,5 +1,4 @@
-//! How much more one commit can hold, by the number and the estimated length of its
-//! records.
+//! Remaining capacity of a commit, by the number and the estimated size of its records.
 
 use std::collections::BTreeSet;
 
@@ -7,49 +6,50 @@
 use crate::accounting::{BookingAccounts, CommitCapacity};
 use crate::state::records::Job;
 
-/// How many conditions a commit may have for each write that it may have, by the
-/// protocol.
+/// Maximum number of preconditions of a commit for each write that it may have, as defined
+/// by the protocol.
 pub const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// What a commit may hold in all, by the protocol, less a zone shard for what the
-/// estimates below leave out, in bytes.
+/// Maximum estimated size of a commit, in bytes: the protocol's limit less a margin of the
+/// size of a zone shard for everything that the estimates below leave out.
 pub const COMMIT_BYTES: usize = crate::http::BODY_LIMIT * 9 / 10;
 
-/// About what a machine takes in a zone shard's record, and a guard in a commit.
+/// Estimated size of a machine in a zone shard's record, and of a guard in a commit, in
+/// bytes.
 const SLOT_BYTES: usize = 110;
 
-/// About what a machine takes in a zone shard's compact encoding.
+/// Estimated size of a machine in a zone shard's compact encoding, in bytes.
 const COMPACT_SLOT_BYTES: usize = 10;
 
-/// About what a job's spec takes in its record.
+/// Estimated size of a job's spec in its record, in bytes.
 const SPEC_BYTES: usize = 500;
 
-/// About what one of a job's runs takes in its record.
+/// Estimated size of a run in its job's record, in bytes.
 const RUN_BYTES: usize = 100;
 
-/// About what one of a job's tasks takes in its record.
+/// Estimated size of a task in its job's record, in bytes.
 const TASK_BYTES: usize = 8;
 
-/// About what a job takes in its record.
+/// Returns the estimated size of a job's record, in bytes.
 fn job_bytes(job: &Job) -> usize {
     let tasks = job.booked() + job.retry.len();
     SPEC_BYTES + job.runs.len() * RUN_BYTES + tasks * TASK_BYTES
 }
 
-/// The records that a change of one job touches.
+/// Records that a change of one job writes.
 pub(super) struct TouchedRecords<'a> {
-    /// The job's id.
+    /// Id of the job.
     pub(super) job: &'a str,
-    /// The team whose account is charged, if the change books anything.
+    /// Team whose account is charged, or `None` if the change books nothing.
     pub(super) team: Option<&'a str>,
-    /// The ids of the zone shards with the machines that are booked.
+    /// Ids of the zone shards of the booked machines.
     pub(super) zone_shards: &'a BTreeSet<&'a str>,
-    /// How many machines are booked.
+    /// Number of booked machines.
     pub(super) machines: usize,
 }
 
 impl Transaction<'_> {
-    /// About how long the transaction is as a request, in bytes.
+    /// Returns the estimated size of the transaction as a request, in bytes.
     fn estimated_bytes(&self) -> usize {
         let jobs: usize = self.jobs.values().map(job_bytes).sum();
         let slots: usize = self.zone_shards.values().map(|s| s.machines.len()).sum();
@@ -57,7 +57,8 @@
         jobs + slots * self.slot_bytes() + records * SLOT_BYTES
     }
 
-    /// About what a machine takes in the text that its zone shard will have.
+    /// Returns the estimated size of a machine in the encoding that its zone shard will
+    /// have, in bytes.
     fn slot_bytes(&self) -> usize {
         if self.replica.uses_compact_encoding() {
             COMPACT_SLOT_BYTES
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Whether the transaction can take a change of these records.
+    /// Returns whether the transaction has capacity for a change of these records.
     pub(super) fn has_capacity_for(&self, touched: &TouchedRecords) -> bool {
         let new_job = !self.jobs.contains_key(touched.job);
         let new_job_bytes = match new_job {
@@ -86,8 +87,8 @@
         self.len() + new_records <= self.max_records
     }
 
-    /// How many of these zone shards are not written yet, and how many machines they
-    /// have together.
+    /// Returns the number of these zone shards that are not written yet, and the number of
+    /// their machines.
     fn new_zone_shards(&self, zone_shards: &BTreeSet<&str>) -> (usize, usize) {
         let new = zone_shards
             .iter()
@@ -101,7 +102,8 @@
         })
     }
 
-    /// Whether the transaction has capacity for the records of these jobs alone.
+    /// Returns whether the transaction has capacity for the records of these jobs, without
+    /// any other records.
     pub fn has_capacity_for_jobs<'b>(&self, ids: impl Iterator<Item = &'b str>) -> bool {
         let new: BTreeSet<&str> = ids.filter(|id| !self.jobs.contains_key(*id)).collect();
         let known_jobs = new.iter().filter_map(|id| self.job(id));
@@ -110,7 +112,7 @@
             && self.estimated_bytes() + added_bytes <= COMMIT_BYTES
     }
 
-    /// How many more records the commit can write and guard.
+    /// Returns the number of further records that the commit can write and guard.
     pub(super) fn remaining_space(&self) -> CommitCapacity {
         let preconditions = self.len() + self.guarded_records();
         CommitCapacity {
@@ -120,15 +122,15 @@
         }
     }
 
-    /// Whether the machine shard is guarded, or can still be. The conditions of the
-    /// records that may be written are left free.
+    /// Returns whether the machine shard is guarded already or can still be. One
+    /// precondition per permitted write is kept free for the records that are written.
     pub(super) fn can_guard(&self, machine_shard: &str) -> bool {
         let max_preconditions = self.max_records * (PRECONDITIONS_PER_WRITE - 1);
         self.guarded_records() < max_preconditions
             || self.guarded_machine_shards.contains(machine_shard)
     }
 
-    /// How many records are guarded that are not written.
+    /// Returns the number of records that are guarded but not written.
     fn guarded_records(&self) -> usize {
         let reads = self.accounts.as_ref().map_or(0, BookingAccounts::reads);
         self.guarded_machine_shards.len() + reads
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -27,7 +27,7 @@
             prop_assert_eq!(&ShardCandidates::select(&machine, shards, most), &first);
         }
         prop_assert!(first.numbers().count() <= most);
-        prop_assert_eq!(first.next(), shards);
+        prop_assert_eq!(first.next_number(), shards);
         let groups: BTreeSet<Vec<usize>> = (0..20_000)
             .map(|n| ShardCandidates::select(&format!("host-{n:06}"), shards, most))
             .map(|candidates| candidates.numbers().collect())
