--- a/src/scheduler/hints.rs
+++ b/src/scheduler/hints.rs
@@ -43,7 +43,7 @@
     /// Partial protection: work without accelerators may use resources that accelerator
     /// work cannot use.
     Mild,
-    /// No protection: work without accelerators may use accelerator machines, but scores
-    /// other machines better.
+    /// No protection: work without accelerators may use accelerator machines, but prefers
+    /// other machines.
     Lax,
 }
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -8,7 +8,8 @@
 /// Returns the maximum number of machine shards that a commit which adds machines may
 /// guard. The limit leaves one precondition per write free, as each written shard may be
 /// split, which adds a precondition. Before shards are used in groups, all shards of an
-/// owner are guarded, and the limits that are currently in force apply.
+/// owner are guarded, and the current limit of the state service applies instead of the
+/// lower one of the current and the announced limit.
 pub(super) fn max_preconditions(settings: &Settings, grouped: bool) -> usize {
     match grouped {
         true => settings.txn_ops() * (PRECONDITIONS_PER_WRITE - 1),
@@ -18,8 +19,8 @@
 
 /// Returns the maximum size of a machine shard's record, in bytes, by the shard's number
 /// among the shards of its preferred owner. While all shards of an owner are guarded when
-/// a machine is added, shards after the first few may be as large as any record until the
-/// compact encoding is in use.
+/// a machine is added, shards after the first few may grow to the current value limit
+/// until the compact encoding is in use.
 pub(super) fn max_shard_bytes(settings: &Settings, compact: bool, number: usize) -> usize {
     let limit = match compact || number < settings.txn_ops() {
         true => settings.value_limit_bytes(),
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -50,8 +50,8 @@
 }
 
 impl<'a, 'r: 'a> Preemption<'a, 'r> {
-    /// Creates the preemptions of a round from a plan in which stopping tasks count as
-    /// gone.
+    /// Creates the preemptions of a round, with a plan in which the resources of stopping
+    /// tasks count as free.
     pub(super) fn new(context: PreemptionContext<'a, 'r>) -> Self {
         let replica = context.replica;
         let expected_plan = context.search.expected_plan(replica, context.plan).clone();
@@ -99,8 +99,8 @@
     }
 
     /// Returns the number of placements that the job still lacks. Returns `None` if it
-    /// lacks none, or if a preemption for it was attempted recently. Reserves the
-    /// placements that were found in the expected plan.
+    /// lacks none, or if a preemption for it was attempted recently. The placements that
+    /// the job gets without a preemption are reserved in the expected plan.
     fn missing_placements(&mut self, waiting: WaitingJob) -> Option<usize> {
         let wanted = waiting.placements_wanted();
         let found = self.reserve_placements(waiting, AcceleratorProtection::Strict);
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -74,7 +74,7 @@
 /// Position of a run that may be preempted.
 struct RunLocation {
     /// Index of the run among the job's runs.
-    run: usize,
+    run_index: usize,
     /// Index of the run's machine in the plan.
     slot_index: usize,
 }
@@ -109,7 +109,7 @@
     runs.filter_map(|(index, run)| {
         let slot_index = plan.slot_index_of(replica, &run.machine)?;
         Some(RunLocation {
-            run: index,
+            run_index: index,
             slot_index,
         })
     })
@@ -198,9 +198,9 @@
         may_preempt(job, running)
     }
 
-    /// Returns whether the job, which needs no accelerators, would preempt work that uses
-    /// accelerators. Strict protection does not allow this; such work is preempted only
-    /// under lax protection.
+    /// Returns whether strict protection forbids the job from preempting work with this
+    /// spec, as that work uses accelerators and the job needs none. Such work is preempted
+    /// only under lax protection.
     fn takes_protected_accelerators(&self, spec: &Spec) -> bool {
         let takes_accelerators = self.waiting.spec.need.gpus.0 == 0 && spec.need.gpus.0 > 0;
         self.protection == AcceleratorProtection::Strict && takes_accelerators
@@ -276,7 +276,7 @@
                 },
                 slot_index: location.slot_index,
                 job: &running.job,
-                run: &job.runs[location.run],
+                run: &job.runs[location.run_index],
                 spec,
                 quota,
             });
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -28,9 +28,9 @@
 use crate::workers::AttemptKey;
 
 /// Decisions of one round, as the transaction that records them.
-pub(super) struct Batch {
+pub(super) struct RoundCommit {
     /// Number of jobs that get bookings.
-    pub(super) jobs: usize,
+    pub(super) admitted_jobs: usize,
     /// Terminations that the transaction records.
     pub(super) terminations: Vec<AttemptKey>,
     pub(super) preconditions: Vec<Precondition>,
@@ -40,7 +40,7 @@
 /// Builds the transaction of one round: the pending terminations, and bookings for as many
 /// jobs as it has space for, in queue order. If no job gets a booking, running work is
 /// preempted instead. Returns `None` if there is nothing to write.
-pub(super) fn decide_round(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
+pub(super) fn decide_round(controller: &Controller, state: &mut RoundState) -> Option<RoundCommit> {
     let now = Instant::now();
     let replica = controller.replica.borrow();
     let own_jobs = jobs_to_place(controller, state, &replica, now);
@@ -71,7 +71,7 @@
     if admitted == 0 {
         round.preempt();
     }
-    round.into_batch(admitted, terminations)
+    round.into_round_commit(admitted, terminations)
 }
 
 /// Returns whether the queue has not been examined for a heartbeat interval. A controller
@@ -202,13 +202,17 @@
         preemption.run(&self.blocked);
     }
 
-    fn into_batch(self, admitted: usize, terminations: Vec<AttemptKey>) -> Option<Batch> {
+    fn into_round_commit(
+        self,
+        admitted: usize,
+        terminations: Vec<AttemptKey>,
+    ) -> Option<RoundCommit> {
         if self.transaction.is_empty() {
             return None;
         }
         let (preconditions, writes) = self.transaction.into_commit();
-        Some(Batch {
-            jobs: admitted,
+        Some(RoundCommit {
+            admitted_jobs: admitted,
             terminations,
             preconditions,
             writes,
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -14,7 +14,7 @@
 enum JobDecision {
     /// Placements for the job's tasks.
     Place(Spec, Vec<TaskPlacement>),
-    /// WaitDecision of the job until a later round.
+    /// Wait of the job until a later round.
     Wait(WaitDecision),
 }
 
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -18,8 +18,8 @@
 /// Largest exponent of the retry delay, which doubles with each failure.
 const MAX_RETRY_DELAY_EXPONENT: u32 = 5;
 
-/// Time for which a preemption may take to free its resources before another preemption is
-/// made for the same job, as a multiple of the time that a gang waits for its peers.
+/// Time that a preemption has to free its resources before another preemption may be made
+/// for the same job, as a multiple of the time that a gang waits for its peers.
 const PREEMPTION_TIMEOUT_GANG_WAITS: u32 = 2;
 
 /// Returns the delay before a job with this number of errors is retried.
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::round::{Batch, decide_round};
+use super::round::{RoundCommit, decide_round};
 use super::round_state::RoundState;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
@@ -68,12 +68,12 @@
             .wait_for_budget(RequestClass::Round, wanted)
             .await;
         let decision_started_at = Instant::now();
-        let Some(batch) = decide_round(controller, state) else {
+        let Some(round_commit) = decide_round(controller, state) else {
             return;
         };
         gap = decision_started_at.elapsed().max(min_gap);
-        state.records_written = batch.writes.len();
-        if commit(controller, state, batch).await == NextStep::Pause {
+        state.records_written = round_commit.writes.len();
+        if commit(controller, state, round_commit).await == NextStep::Pause {
             return;
         }
     }
@@ -89,17 +89,25 @@
 }
 
 /// Commits one round's transaction and handles the response.
-async fn commit(controller: &Rc<Controller>, state: &mut RoundState, batch: Batch) -> NextStep {
-    let terminations = batch.terminations;
+async fn commit(
+    controller: &Rc<Controller>,
+    state: &mut RoundState,
+    round_commit: RoundCommit,
+) -> NextStep {
+    let terminations = round_commit.terminations;
     match controller
-        .commit(RequestClass::Round, batch.preconditions, batch.writes)
+        .commit(
+            RequestClass::Round,
+            round_commit.preconditions,
+            round_commit.writes,
+        )
         .await
     {
         Ok(revision) => {
             state.small_commits = false;
             tracing::debug!(
                 revision,
-                jobs = batch.jobs,
+                jobs = round_commit.admitted_jobs,
                 terminations = terminations.len(),
                 "round committed"
             );
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -24,7 +24,7 @@
     Spread,
     /// Lack of space for more tasks in the job's record.
     RecordFull,
-    /// Jobs earlier in the queue that filled the round's commit.
+    /// Other work that took precedence in the round and filled its commit.
     Queue,
     /// Refusal by the cloud of every machine type that the job could run on.
     Refused,
