--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -1,5 +1,5 @@
-//! Which zone shards' records differ from what this controller knows of the machines
-//! that it owns, and how one commit brings them up to date.
+//! Finds the zone shard records that differ from the state of the machines that this
+//! controller owns, and plans one commit that brings them up to date.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -7,7 +7,7 @@
 
 use super::OwnedWorker;
 use super::publication::PublicationTimes;
-use super::zone_shards::{Conditions, ShardChooser, ShardEdit, ShardLengths};
+use super::zone_shards::{PreconditionVersions, ShardChooser, ShardEdit, ShardLengths};
 use crate::controller::Controller;
 use crate::scheduler::{COMMIT_BYTES, PRECONDITIONS_PER_WRITE};
 use crate::settings::Settings;
@@ -19,21 +19,22 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, TaskStage, TaskStatus, WorkerStatus};
 
-/// The share of a lease after which a silent machine takes no new work.
+/// Time since the last heartbeat after which a machine takes no new work, in worker
+/// leases.
 const SILENCE_LIMIT_LEASES: f64 = 0.6;
 
-/// A zone shard's record as it should be.
+/// A zone shard's new record, to be committed.
 pub(super) struct ZoneShardChange {
     pub id: String,
     pub shard: ZoneShard,
-    /// Machines join or leave.
+    /// Flag that machines are added to or removed from the record.
     pub changes_members: bool,
-    /// All that has to be as it is.
+    /// Preconditions of the write.
     pub preconditions: Vec<Precondition>,
 }
 
-/// Zone shards whose records differ from what this controller knows of
-/// the machines that it owns; as many as one commit takes.
+/// Returns the changes of zone shards whose records differ from the state of the
+/// machines that this controller owns, limited to what fits into one commit.
 pub(super) fn plan_capacity_changes(
     controller: &Controller,
     recent: &PublicationTimes,
@@ -52,37 +53,38 @@
         {
             continue;
         }
-        match planner.listing(id, owned_worker, machine) {
-            Listing::Unknown => {}
-            Listing::TakesNone => planner.plan(id, machine, None, recent),
-            Listing::Takes(slot) => planner.plan(id, machine, Some(slot), recent),
+        match planner.desired_slot(id, owned_worker, machine) {
+            DesiredSlot::Unknown => {}
+            DesiredSlot::Absent => planner.plan(id, machine, None, recent),
+            DesiredSlot::Present(slot) => planner.plan(id, machine, Some(slot), recent),
         }
     }
     planner.into_changes()
 }
 
-/// What a zone shard's record should say of a machine.
-enum Listing {
-    /// Not known yet: the record stays as it is.
+/// The entry that a machine should have in its zone shard's record.
+enum DesiredSlot {
+    /// An entry that is not known yet; the record is left unchanged.
     Unknown,
-    /// It takes no new work.
-    TakesNone,
-    Takes(MachineSlot),
+    /// No entry: the machine takes no new work.
+    Absent,
+    /// The entry of a machine that takes new work.
+    Present(MachineSlot),
 }
 
-/// Plans one commit of changed zone shards.
+/// A planner of one commit of zone shard changes.
 struct CapacityPlanner<'a> {
     settings: &'a Settings,
     replica: &'a Replica,
-    /// Machines that are suspected of failing tasks.
+    /// Quarantined machines: those that are suspected of making tasks fail.
     suspects: HashSet<String>,
     now: Instant,
     max_shards: usize,
     max_preconditions: usize,
-    /// What the slots that are put somewhere depend on.
-    conditions: Conditions,
-    /// The keys of these conditions, by zone shard.
-    condition_keys: BTreeMap<String, BTreeSet<String>>,
+    /// Versions of all records on which the choice of a zone shard for a new slot depends.
+    slot_preconditions: PreconditionVersions,
+    /// Keys of these records, by the zone shard that was chosen.
+    slot_precondition_keys: BTreeMap<String, BTreeSet<String>>,
     edits: BTreeMap<String, ShardEdit>,
     lengths: ShardLengths,
 }
@@ -94,7 +96,8 @@
         suspects: HashSet<String>,
         now: Instant,
     ) -> Self {
-        // Records that stand in the longer text may be as long as ever.
+        // Records that are not stored in the compact encoding may still be as long as the
+        // present limit allows.
         let max_record_bytes = match replica.uses_compact_encoding() {
             true => settings.value_limit_bytes(),
             false => settings.current_value_limit_bytes(),
@@ -109,26 +112,26 @@
             now,
             max_shards,
             max_preconditions: max_shards * (PRECONDITIONS_PER_WRITE - 1),
-            conditions: Conditions::new(),
-            condition_keys: BTreeMap::new(),
+            slot_preconditions: PreconditionVersions::new(),
+            slot_precondition_keys: BTreeMap::new(),
             edits: BTreeMap::new(),
             lengths: ShardLengths::default(),
         }
     }
 
-    fn listing(&self, id: &str, owned_worker: &OwnedWorker, machine: &Machine) -> Listing {
+    fn desired_slot(&self, id: &str, owned_worker: &OwnedWorker, machine: &Machine) -> DesiredSlot {
         if machine.lifecycle != MachineLifecycle::Active
             || self.is_silent_or_suspect(id, owned_worker)
             || owned_worker.unreachable_since.is_some()
         {
-            return Listing::TakesNone;
+            return DesiredSlot::Absent;
         }
         let kind = self.replica.machine_type(&machine.kind);
         let (Some(status), Some(kind)) = (&owned_worker.status, kind) else {
-            return Listing::Unknown;
+            return DesiredSlot::Unknown;
         };
         let unbooked = self.unbooked_resources(id, status);
-        Listing::Takes(MachineSlot {
+        DesiredSlot::Present(MachineSlot {
             kind: machine.kind.clone(),
             spot: machine.spot,
             free: kind.resources() - self.replica.booked_on(id) - unbooked,
@@ -136,8 +139,8 @@
         })
     }
 
-    /// What has sent no heartbeat for most of a lease takes no new work until it sends
-    /// one again; nor does a machine that is suspected of failing tasks.
+    /// Returns whether a machine takes no new work because its worker has sent no heartbeat
+    /// for most of a lease, or because the machine is suspected of making tasks fail.
     fn is_silent_or_suspect(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
         let since = |at: Instant| self.now.saturating_duration_since(at);
         let has_not_answered = owned_worker.status.is_none()
@@ -147,7 +150,8 @@
         has_not_answered || is_silent || self.suspects.contains(id)
     }
 
-    /// What is taken by tasks that nobody has booked here, until they are gone.
+    /// Returns the resources of running tasks that have no booking on the machine. They
+    /// are not free until these tasks have ended.
     fn unbooked_resources(&self, id: &str, status: &WorkerStatus) -> Resources {
         let mut unbooked = Resources::default();
         let needs = |task: &TaskStatus| {
@@ -166,8 +170,8 @@
         unbooked
     }
 
-    /// Puts the machine's slot into its zone shard's record, or takes it out, where the
-    /// record differs and the commit has capacity for it.
+    /// Adds, updates or removes the machine's slot in its zone shard's record if the record
+    /// differs and the commit has capacity for the change.
     fn plan(
         &mut self,
         id: &str,
@@ -176,7 +180,8 @@
         recent: &PublicationTimes,
     ) {
         let known = self.replica.slot(id);
-        // Free capacity alone is no reason to write: bookings are known to all.
+        // A change of free capacity alone needs no write: every controller derives it from
+        // the bookings.
         let is_current = match (known, &slot) {
             (Some(known), Some(slot)) => known.unbooked == slot.unbooked,
             (None, None) => true,
@@ -188,7 +193,7 @@
         let Some(shard) = self.zone_shard_of(id, machine) else {
             return;
         };
-        // A machine that joins does not wait for the interval.
+        // A machine that is added does not wait for the publication interval.
         let joins = known.is_none();
         let is_full = self.edits.len() == self.max_shards && !self.edits.contains_key(&shard);
         if is_full || (recent.contains_key(&shard) && !joins) {
@@ -198,7 +203,8 @@
         self.edit(shard, id, slot, changes_members);
     }
 
-    /// The zone shard that the machine stands in, or is put into.
+    /// Returns the zone shard that lists the machine, or else the one chosen for it; `None`
+    /// if this commit cannot take the preconditions of the choice.
     fn zone_shard_of(&mut self, id: &str, machine: &Machine) -> Option<String> {
         if let Some(shard) = self.replica.zone_shard_of(id) {
             return Some(shard.to_string());
@@ -207,17 +213,17 @@
             replica: self.replica,
             edits: &self.edits,
             lengths: &self.lengths,
-            first_candidates: self.settings.txn_ops(),
+            shared_candidates: self.settings.txn_ops(),
         };
         let choice = chooser.choose(id, machine)?;
-        let added = choice.conditions.keys();
-        let added = added.filter(|key| !self.conditions.contains_key(*key));
-        if self.conditions.len() + added.count() > self.max_preconditions {
+        let added = choice.preconditions.keys();
+        let added = added.filter(|key| !self.slot_preconditions.contains_key(*key));
+        if self.slot_preconditions.len() + added.count() > self.max_preconditions {
             return None;
         }
-        for (key, version) in choice.conditions {
-            self.conditions.insert(key.clone(), version);
-            let keys = self.condition_keys.entry(choice.shard.clone());
+        for (key, version) in choice.preconditions {
+            self.slot_preconditions.insert(key.clone(), version);
+            let keys = self.slot_precondition_keys.entry(choice.shard.clone());
             keys.or_default().insert(key);
         }
         Some(choice.shard)
@@ -225,7 +231,7 @@
 
     fn edit(&mut self, shard: String, id: &str, slot: Option<MachineSlot>, changes_members: bool) {
         let replica = self.replica;
-        self.lengths.forget(&shard);
+        self.lengths.invalidate(&shard);
         let edit = self
             .edits
             .entry(shard)
@@ -244,8 +250,8 @@
         };
         let unbooked = !slot.unbooked.is_empty();
         edit.record.machines.insert(id.to_string(), slot);
-        // What nobody has booked is told only where the record has capacity for it: a
-        // machine that is not listed takes no work meanwhile.
+        // Unbooked resources make the slot longer. If the record has no capacity for them,
+        // the machine is not listed, and takes no work, until the unbooked tasks are gone.
         if unbooked && !replica.fits_zone_shard(&edit.record) {
             edit.record.machines.remove(id);
         }
@@ -262,15 +268,15 @@
         changes.collect()
     }
 
-    /// What must be as it is for the change of a zone shard to hold.
+    /// Returns the preconditions of a zone shard's change.
     fn preconditions(&self, shard: &str) -> Vec<Precondition> {
         let mut preconditions = vec![precondition(
             zone_shard_key(shard),
             self.replica.zone_shard_version(shard),
         )];
-        let keys = self.condition_keys.get(shard).into_iter().flatten();
+        let keys = self.slot_precondition_keys.get(shard).into_iter().flatten();
         preconditions.extend(keys.map(|key| {
-            let version = self.conditions.get(key).copied().unwrap_or(0);
+            let version = self.slot_preconditions.get(key).copied().unwrap_or(0);
             precondition(key.clone(), version)
         }));
         preconditions
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -1,4 +1,4 @@
-//! Which claims one commit takes, and what it writes for them.
+//! Selects the claims for one commit, and plans its preconditions and writes.
 
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
@@ -10,31 +10,31 @@
 
 use super::claim_queue::Claim;
 
-/// A claim as its commit records it.
+/// A claim that is part of the planned commit.
 pub(super) struct GrantedClaim {
     pub machine: String,
     pub fencing_token: u64,
-    /// The newest heartbeat of the worker by the machine's record.
+    /// Id of the worker's newest heartbeat, as written to the machine's record.
     pub newest_heartbeat: HeartbeatId,
 }
 
-/// What one commit claims.
+/// The claims of one commit, with its preconditions and writes.
 #[derive(Default)]
 pub(super) struct ClaimBatch {
-    /// Machines whose claims are decided once the commit is answered.
+    /// Machines whose claims are resolved, granted or not, once the commit has succeeded.
     pub decided: Vec<String>,
     pub granted: Vec<GrantedClaim>,
     pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
-/// Chooses claims for one commit, the urgent ones first.
+/// Selects claims for one commit, urgent ones first.
 pub(super) fn plan_claims(controller: &Controller) -> ClaimBatch {
     let replica = controller.replica.borrow();
     let fleet = controller.fleet.borrow();
     let claims = controller.workers.claims.claims();
-    let mut in_order: Vec<(&String, &Claim)> = claims.iter().collect();
-    in_order.sort_by_key(|(_, claim)| claim.commit_order());
+    let mut ordered_claims: Vec<(&String, &Claim)> = claims.iter().collect();
+    ordered_claims.sort_by_key(|(_, claim)| claim.commit_order());
     let mut planner = ClaimPlanner {
         settings: &controller.settings,
         controller: controller.name(),
@@ -44,21 +44,21 @@
         is_full: false,
         batch: ClaimBatch::default(),
     };
-    for (id, _) in in_order {
+    for (id, _) in ordered_claims {
         planner.add(id, fleet.claim_report(id));
     }
     planner.into_batch()
 }
 
-/// Plans one commit of claims.
+/// A planner of one commit of claims.
 struct ClaimPlanner<'a> {
     settings: &'a Settings,
-    /// The name of the controller that claims.
+    /// Name of this controller.
     controller: &'a str,
     incarnation: u64,
     replica: &'a Replica,
     machine_shards: MachineShardEdits<'a>,
-    /// The commit takes no further machine shard.
+    /// Flag that the commit has no capacity for a further machine shard.
     is_full: bool,
     batch: ClaimBatch,
 }
@@ -79,8 +79,9 @@
             None => self.new_machine(id, status),
         };
         let Some(machine) = machine else {
-            // It waits for the next commit, or, where it alone has too many
-            // conditions, for the worker's next heartbeat.
+            // The claim waits for the next commit. If it has too many preconditions even
+            // for a commit of its own, it is dropped, and the worker's next heartbeat
+            // requests it again.
             if self.batch.granted.is_empty() {
                 self.batch.decided.push(id.to_string());
             }
@@ -92,19 +93,20 @@
         }
     }
 
-    /// Whether the commit takes a claim of this machine besides.
+    /// Returns whether the commit has capacity for a claim of this machine.
     fn fits(&mut self, known: Option<&Machine>) -> bool {
-        // Once full it stays full, and there may be thousands of claims.
+        // A full commit stays full; the result is cached because there may be thousands of
+        // claims.
         self.is_full = self.is_full || self.machine_shards.is_full(self.settings.txn_ops());
         if !self.is_full {
             return true;
         }
-        // A machine of a machine shard that is in the commit already adds nothing to it.
+        // A claim in a machine shard that the commit already writes adds no further write.
         known.is_some_and(|m| self.machine_shards.contains(&shard_id(&m.zone, &m.shard)))
     }
 
-    /// The record of a machine that has none yet; `None` if this commit has no capacity
-    /// for the conditions of a new machine.
+    /// Returns a record for a machine that has none yet; `None` if this commit has no
+    /// capacity for the preconditions of a new machine.
     fn new_machine(&mut self, id: &str, status: &WorkerStatus) -> Option<Machine> {
         let (kind, zone) = (&status.machine_type, &status.zone);
         let shard = self
@@ -117,7 +119,7 @@
         })
     }
 
-    /// Writes this controller as the owner into the machine's record.
+    /// Adds the machine's record, with this controller as its owner, to the commit.
     fn grant(&mut self, id: &str, mut machine: Machine, status: &WorkerStatus) {
         if machine.lifecycle == MachineLifecycle::Booting {
             machine.lifecycle = MachineLifecycle::Active;
--- a/src/workers/claim_queue.rs
+++ b/src/workers/claim_queue.rs
@@ -1,4 +1,4 @@
-//! Claims that heartbeats have asked for and that wait to be committed.
+//! The queue of claims that heartbeats have requested and that wait to be committed.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::cmp::Reverse;
@@ -7,42 +7,45 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// What has become of a claim.
+/// The state of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimProgress {
-    /// Its commit is yet to be answered.
+    /// A claim whose commit has not succeeded yet.
     Pending,
-    /// It is decided; the replica shows whether the machine is owned.
+    /// A claim that is resolved; the replica shows whether the machine is owned.
     Decided,
-    /// The state service serves this controller nothing at present. The claim is
-    /// tried again, but no heartbeat is kept waiting for it.
+    /// A claim whose commit the state service refused. The commit is tried again, but no
+    /// heartbeat waits for it.
     Refused,
 }
 
-/// Which claims are committed first.
+/// The priority of a claim's commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ClaimPriority {
-    /// The worker's lease is renewed meanwhile, or nothing runs there.
+    /// Priority where the worker's lease is renewed in the meantime, or no task runs on
+    /// the machine.
     Normal,
-    /// The worker waits for the answer, or has to be told to stop something.
+    /// Priority where the worker waits for the answer to its heartbeat, or has to be
+    /// commanded to stop a task.
     Urgent,
 }
 
-/// A claim that a heartbeat has asked for.
+/// A claim that a heartbeat has requested.
 #[derive(Debug)]
 pub(super) struct Claim {
     progress: watch::Sender<ClaimProgress>,
-    /// When it was last asked for: a worker that has gone on to another
-    /// controller meanwhile is not to be drawn back.
+    /// Time of the last request. A claim that is no longer requested is dropped if another
+    /// controller owns the machine, so that this controller does not take back a worker
+    /// that has moved on to another one.
     pub requested_at: Instant,
-    /// The machine's fencing token in the replica when it was asked for.
+    /// Fencing token of the machine in the replica at the time of the last request.
     pub known_fencing_token: u64,
     priority: ClaimPriority,
 }
 
 impl Claim {
-    /// Claims are committed in the order of this key: urgent ones first, and of these
-    /// the ones that heartbeats wait for.
+    /// Returns the key by which claims are ordered for commits: urgent ones first, and
+    /// within each priority those first that a heartbeat waits for.
     pub(super) fn commit_order(&self) -> (Reverse<ClaimPriority>, bool) {
         (Reverse(self.priority), self.progress.is_closed())
     }
@@ -51,11 +54,11 @@
 /// The claims that wait to be committed.
 #[derive(Debug, Default)]
 pub(super) struct ClaimQueue {
-    /// By machine.
+    /// Claims by machine.
     claims: RefCell<BTreeMap<String, Claim>>,
-    /// How many heartbeats wait for their claims, each with its connection.
+    /// Number of heartbeats that wait for their claims, each of which holds a connection.
     waiting_heartbeats: Cell<usize>,
-    /// Wakes the commits of claims.
+    /// Notification of the commit loop that a claim was requested.
     notify: Notify,
 }
 
@@ -68,7 +71,8 @@
         self.claims.borrow().is_empty()
     }
 
-    /// Adds a claim, or renews the one that waits already.
+    /// Adds a claim, or updates the machine's queued one, and returns a receiver of its
+    /// state.
     pub(super) fn request(
         &self,
         machine: &str,
@@ -92,33 +96,33 @@
         progress
     }
 
-    /// Counts a heartbeat that waits for its claim while the value lives; `None` if
-    /// `max` of them wait already.
+    /// Counts a heartbeat as waiting for its claim until the returned guard is dropped;
+    /// returns `None` if `max` heartbeats are waiting already.
     pub(super) fn begin_wait(&self, max: usize) -> Option<WaitingHeartbeat<'_>> {
         let count = &self.waiting_heartbeats;
         (count.get() < max).then(|| WaitingHeartbeat::new(count))
     }
 
-    /// Waits until a claim has been asked for.
+    /// Waits until a claim has been requested.
     pub(super) async fn requested(&self) {
         self.notify.notified().await;
     }
 
-    /// Takes a claim off the queue and tells those who wait that it is decided.
+    /// Removes a claim from the queue and notifies the heartbeats that wait for it.
     pub(super) fn resolve(&self, machine: &str) {
         if let Some(claim) = self.claims.borrow_mut().remove(machine) {
             claim.progress.send_replace(ClaimProgress::Decided);
         }
     }
 
-    /// Ends the wait of all heartbeats whose claims cannot be committed for now.
+    /// Marks all claims as refused, which ends the wait of their heartbeats.
     pub(super) fn refuse_all(&self) {
         for claim in self.claims.borrow().values() {
             claim.progress.send_replace(ClaimProgress::Refused);
         }
     }
 
-    /// Drops the claims that a condition does not hold for.
+    /// Drops all claims for which `keeps` returns false.
     pub(super) fn retain(&self, mut keeps: impl FnMut(&str, &Claim) -> bool) {
         let mut claims = self.claims.borrow_mut();
         claims.retain(|machine, claim| keeps(machine, claim));
@@ -130,7 +134,7 @@
     }
 }
 
-/// Counts a heartbeat that waits for its claim, for as long as it does.
+/// A guard that counts one heartbeat as waiting for its claim until it is dropped.
 pub(super) struct WaitingHeartbeat<'a>(&'a Cell<usize>);
 
 impl<'a> WaitingHeartbeat<'a> {
--- a/src/workers/claim_request.rs
+++ b/src/workers/claim_request.rs
@@ -1,4 +1,5 @@
-//! Heartbeats ask for claims of their machines, and wait for them within bounds.
+//! Requests claims on behalf of heartbeats, and limits how long and how many heartbeats
+//! wait for them.
 
 use std::time::Duration;
 
@@ -9,17 +10,18 @@
 use crate::controller::Controller;
 use crate::wire::WorkerStatus;
 
-/// How long a heartbeat waits for its claim: a worker drops an answer that takes
-/// 4 s, so one that cannot be claimed soon is refused while that still helps it.
-const CLAIM_WAIT: Duration = Duration::from_millis(3200);
+/// Maximum time that a heartbeat waits for its claim. A worker drops an answer that takes
+/// 4 s, so a heartbeat whose claim is not committed in time is refused early enough for the
+/// refusal to reach the worker.
+const CLAIM_WAIT_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// With more workers than connections, one connection in so many may be held by a
-/// heartbeat that waits for its claim.
+/// Number of connections per heartbeat that may wait for its claim, where there are more
+/// workers than connections.
 const CONNECTIONS_PER_AWAITED_CLAIM: usize = 16;
 
 impl Controller {
-    /// Asks for a claim of the machine that the status is of; the receiver tells what
-    /// becomes of it.
+    /// Requests a claim of the machine that sent the status, and returns a receiver of the
+    /// claim's state.
     pub(super) fn request_claim(
         &self,
         status: &WorkerStatus,
@@ -37,21 +39,22 @@
             .request(machine, known_fencing_token, priority, Instant::now())
     }
 
-    /// Claims the machine and waits for the commit; true if it is owned then. What
-    /// the state service refuses is not waited for.
+    /// Claims the machine and waits for the commit; returns whether the machine is owned
+    /// then. The wait ends early if the state service refuses the commit.
     pub(super) async fn claim(&self, status: &WorkerStatus) -> bool {
         let mut progress = self.request_claim(status, ClaimPriority::Urgent);
         let max_waiting = self.max_waiting_heartbeats();
         if let Some(_waiting) = self.workers.claims.begin_wait(max_waiting) {
-            let answered = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
-            let _ = timeout(CLAIM_WAIT, answered).await;
+            let resolved = progress.wait_for(|progress| *progress != ClaimProgress::Pending);
+            let _ = timeout(CLAIM_WAIT_TIMEOUT, resolved).await;
         }
         self.owns(&status.machine)
     }
 
-    /// How many heartbeats may wait for their claims, each with its connection.
-    /// Where there may be more workers than connections, those that wait must not
-    /// shut the others out: most are told to stay, and send another heartbeat.
+    /// Returns the maximum number of heartbeats that may wait for their claims, each of
+    /// which holds a connection. If there may be more workers than connections, waiting
+    /// heartbeats must not use up the connections of the others: most are answered without
+    /// a wait, and their workers send another heartbeat.
     fn max_waiting_heartbeats(&self) -> usize {
         let connections = self.settings.served_connections();
         let machines = self.replica.borrow().machines.len();
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: how this controller becomes the owner of machines.
+//! Commits claims, by which this controller becomes the owner of machines.
 //!
-//! A claim writes this controller as the owner into the machine's record, under a
-//! fencing token one above the highest known. Heartbeats ask for claims
-//! (`claim_request`, `claim_queue`); several are committed at a time (`claim_plan`).
+//! A claim writes this controller as the owner into the machine's record, with a
+//! fencing token one above the highest known. Heartbeats request claims
+//! (`claim_request`, `claim_queue`); one commit contains several claims (`claim_plan`).
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,14 +18,16 @@
 use crate::state::records::HeartbeatId;
 use crate::wire::{Precondition, Write};
 
-/// Commits the claims that heartbeats have asked for, several at a time.
+/// Runs the loop that commits the claims that heartbeats have requested, several in each
+/// commit.
 pub async fn run_claims(controller: Rc<Controller>) {
     loop {
         controller.workers.claims.requested().await;
-        // Workers turn up together after a restart: let them gather.
+        // After a restart many workers send heartbeats within a short time: the delay lets
+        // one commit contain many of their claims.
         sleep(controller.request_interval() * 2).await;
         while !controller.workers.claims.is_empty() {
-            // They stand in few records, however many they are.
+            // The budget is for one write: even many claims are in few records.
             controller
                 .store
                 .wait_for_budget(RequestClass::Claim, 1)
@@ -37,7 +39,7 @@
     }
 }
 
-/// Prepares the queue for the next try, and waits until it is due.
+/// Updates the queue after a failed commit, and waits for the retry delay.
 async fn handle_failed_commit(controller: &Controller, error: &StoreError) {
     tracing::debug!(%error, "claim commit failed");
     drop_claims_beyond_limits(controller, error);
@@ -50,9 +52,9 @@
     }
 }
 
-/// Drops the claims in a machine shard that is too long to be written. The same commit
-/// would be refused again: they are asked for anew with the next heartbeats of their
-/// workers, and the rest go on.
+/// Drops the claims in a machine shard whose record exceeds the limits of the state
+/// service. The same commit would be refused again: the next heartbeats of these workers
+/// request their claims again, and the other claims are committed without them.
 fn drop_claims_beyond_limits(controller: &Controller, error: &StoreError) {
     let StoreError::Limits(key) = error else {
         return;
@@ -66,7 +68,7 @@
     claims.retain(|id, _| !is_in_machine_shard(id));
 }
 
-/// Commits as many of the claims as one commit takes, and answers them.
+/// Commits as many claims as fit into one commit, and resolves them.
 async fn commit_batch(controller: &Controller) -> Result<(), StoreError> {
     drop_stale_claims(controller);
     let batch = plan_claims(controller);
@@ -80,26 +82,27 @@
     }
     for id in &batch.decided {
         controller.workers.claims.resolve(id);
-        // The worker learns the fencing token now, and its status under it is what
-        // launches wait for.
+        // A direct call tells the worker its fencing token without delay: no task is
+        // launched until the worker has sent a status with that token.
         controller.call_worker(id);
     }
     Ok(())
 }
 
-/// Drops claims of machines that another controller owns and whose workers have
-/// gone on meanwhile.
+/// Drops claims of machines that another controller owns, if their workers no longer
+/// request them.
 fn drop_stale_claims(controller: &Controller) {
     let replica = controller.replica.borrow();
     let now = Instant::now();
-    // A worker sends another heartbeat, or has gone on, within this time.
+    // Within this time a worker sends another heartbeat here, unless it has moved on to
+    // another controller.
     let fresh_for = controller.settings.heartbeat_interval() * 2;
     controller.workers.claims.retain(|id, claim| {
         let known = replica.machines.get(id).map(|entry| &entry.value);
         let owned_by_other =
             known.is_some_and(|m| !m.owner.is_empty() && m.owner != controller.name());
-        // If another was quicker and the worker is here all the same, its next
-        // heartbeat asks again.
+        // If another controller has claimed the machine first, but the worker still sends
+        // its heartbeats here, the next one requests the claim again.
         let is_superseded = known.is_some_and(|m| m.fencing_token > claim.known_fencing_token);
         let is_fresh = now.saturating_duration_since(claim.requested_at) < fresh_for;
         !owned_by_other || (!is_superseded && is_fresh)
@@ -115,9 +118,10 @@
         .commit(RequestClass::Claim, preconditions, writes)
         .await;
     if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
-        // An unanswered claim may have been carried out: then the replica shows a
-        // fencing token that is ours by name but not held, and the next try raises it
-        // once more.
+        // An unanswered commit may have been applied. The barrier brings the replica up to
+        // date: it then shows this controller as the owner under a fencing token that this
+        // controller has not recorded as its own, and the next attempt increments the token
+        // again.
         controller
             .wait_for_barrier(controller.settings.worker_lease() / 8)
             .await;
@@ -125,15 +129,16 @@
     result
 }
 
-/// The fencing tokens of a machine before and after a claim.
+/// The fencing tokens of a machine before and after a claim by its present owner.
 struct RenewedToken {
     before: u64,
     after: u64,
 }
 
-/// Terminations that wait to be recorded stay proven when this controller, owner
-/// throughout, has only claimed a newer fencing token: the commit of the claim shows
-/// that nobody else owned the machine in between, and nothing was launched since.
+/// Updates the evidence of pending terminations to the new fencing token if this controller
+/// has owned the machine throughout and has only incremented its token. The terminations
+/// remain proven: the commit of the claim shows that no other controller owned the machine in
+/// between, and no task was launched since.
 fn renew_termination_evidence(controller: &Controller, granted: &[GrantedClaim]) {
     let owned_workers = controller.workers.owned();
     let mut renewed: HashMap<&str, RenewedToken> = HashMap::new();
@@ -159,7 +164,7 @@
     }
 }
 
-/// Owns the machine from the commit of its claim on.
+/// Records that this controller owns the machine since the commit of its claim.
 fn acquire_worker(controller: &Controller, claim: GrantedClaim, revision: u64, now: Instant) {
     let GrantedClaim {
         machine,
@@ -177,7 +182,8 @@
     if let Some(earlier) = owned_workers.get(&machine) {
         owned_worker.inherit_from(earlier);
     }
-    // The heartbeat that asked for the claim is yet to be accepted.
+    // The heartbeat that requested the claim has not been accepted yet, so the newest
+    // accepted one is the one before it.
     let before = HeartbeatId {
         sequence: newest_heartbeat.sequence.saturating_sub(1),
         ..newest_heartbeat
--- a/src/workers/command_call.rs
+++ b/src/workers/command_call.rs
@@ -1,4 +1,4 @@
-//! One direct call to a worker, `POST /orders`, and what its answer tells.
+//! Sends one direct call to a worker, `POST /orders`, and processes its answer.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 /// A direct call that is ready to be sent.
 pub(super) struct CommandCall {
     pub machine: String,
-    /// Where the worker takes calls, as it has told.
+    /// Address at which the worker accepts calls, as reported by the worker.
     pub addr: String,
     pub body: WorkerCommands,
     pub deadlines: Deadlines,
@@ -26,17 +26,18 @@
     }
 }
 
-/// Whether an answer shows that the machine is still ours.
+/// The ownership of the machine as shown by an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ownership {
+    /// No loss of ownership is known.
     Kept,
-    /// The worker has seen a higher fencing token.
+    /// A loss of ownership: the worker has seen a higher fencing token.
     Superseded,
 }
 
-/// Sends a worker its commands, and takes in the status that it answers with.
+/// Sends commands to a worker, and records the status in its answer.
 pub(super) async fn send(controller: Rc<Controller>, call: CommandCall) {
-    let result = exchange(&controller, &call).await;
+    let result = post_commands(&controller, &call).await;
     let now = Instant::now();
     let id = call.machine.as_str();
     let mut owned_workers = controller.workers.owned_mut();
@@ -67,7 +68,7 @@
     controller.call_worker(id);
 }
 
-/// Records what may have become of commands that were not answered.
+/// Records the possible outcomes of commands that were not sent or not answered.
 fn handle_call_error(
     controller: &Controller,
     owned_worker: &mut OwnedWorker,
@@ -76,14 +77,15 @@
 ) {
     let machine = call.machine.as_str();
     if matches!(error, CallError::NotSent(_)) {
-        // Surely not there: heartbeat answers carry the commands meanwhile.
+        // The worker certainly did not receive the commands: they are planned again, and
+        // heartbeat answers carry them in the meantime.
         tracing::debug!(machine, %error, "commands not sent");
         owned_worker.withdraw_commands(&call.body.commands);
         return;
     }
     tracing::debug!(machine, %error, "commands not answered");
     // Safety 3: an unanswered launch may be executed late. Only a higher
-    // fencing token that the worker has shown rules that out.
+    // fencing token in a status of the worker rules that out.
     owned_worker.has_unanswered_launch |= call.launches();
     if !owned_worker.has_unanswered_launch {
         return;
@@ -94,7 +96,7 @@
     }
 }
 
-async fn exchange(controller: &Controller, call: &CommandCall) -> Result<Response, CallError> {
+async fn post_commands(controller: &Controller, call: &CommandCall) -> Result<Response, CallError> {
     let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
         return Err(CallError::NotSent("bad address".into()));
     };
@@ -104,7 +106,8 @@
         .await
 }
 
-/// Accepts the status that a worker has answered a call with.
+/// Records the status in a worker's answer to a call, and returns whether the machine is
+/// still owned.
 fn accept_answer(
     controller: &Controller,
     owned_worker: &mut OwnedWorker,
@@ -133,8 +136,8 @@
     if let Some(known) = controller.fleet.borrow_mut().claim_report_mut(machine) {
         known.epoch = status.epoch;
     }
-    let is_first = owned_worker.status.is_none();
-    if owned_worker.accept_status(status, false) && is_first {
+    let is_first_status = owned_worker.status.is_none();
+    if owned_worker.accept_status(status, false) && is_first_status {
         controller.workers.wake_publication();
     }
     Ownership::Kept
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,6 +1,5 @@
-//! Direct commands to workers: which workers are called, and when. They carry commands
-//! as soon as bookings or statuses have changed, where the answer to the next heartbeat
-//! would be late.
+//! Decides which workers are called directly, and when. A direct call carries commands as
+//! soon as bookings or statuses have changed, without a wait for the next heartbeat.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,18 +14,19 @@
 use crate::http::Deadlines;
 use crate::wire::{WorkerCommand, WorkerCommands};
 
-/// How long a worker waits for the answers to its own heartbeats; longer calls to it
-/// are given up as well.
-const WORKER_PATIENCE: Duration = Duration::from_secs(4);
+/// Timeout of a direct call: the time that a worker waits for the answer to its own
+/// heartbeat.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Controller {
-    /// The wait after which a command that has shown no effect is repeated.
+    /// Returns the time after which a command without visible effect is repeated.
     fn command_retry_interval(&self) -> Duration {
         self.settings.heartbeat_interval() * 2
     }
 
-    /// What a machine's worker is to be told by the present replica; empty if the
-    /// machine is not owned. Terminations that follow are queued at once.
+    /// Returns the plan for a machine's worker according to the present replica, with the
+    /// terminations moved from the plan to the queue. The plan is empty if the machine is not
+    /// owned.
     pub(super) fn reconcile_worker(&self, id: &str) -> WorkerPlan {
         let mut plan = self.plan_of(id);
         let terminations: Vec<Termination> = std::mem::take(&mut plan.terminations);
@@ -49,8 +49,8 @@
         )
     }
 
-    /// Takes out launches that would follow from too old a replica, and asks for the
-    /// read barrier after which they are planned again.
+    /// Removes the launches from a plan if the replica is too old for them, and requests
+    /// the read barrier after which they are planned again.
     pub(super) fn defer_stale_launches(&self, id: &str, plan: &mut WorkerPlan) {
         let limit = self.settings.launch_limit();
         if plan.defer_launches(self.replica_staleness(), limit) {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Has a machine's commands worked out anew.
+    /// Schedules the reconciliation of a machine's worker, which calls the worker if it
+    /// has commands.
     pub(super) fn call_worker(&self, id: &str) {
         let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
@@ -66,8 +67,8 @@
     }
 }
 
-/// Sends commands directly, whenever bookings or statuses have changed: to the
-/// machines that these concern, and now and then to all.
+/// Runs the loop that calls workers directly: those of machines whose bookings or statuses
+/// have changed, and in regular sweeps those of all owned machines.
 pub async fn run_commands(controller: Rc<Controller>) {
     let sweep_interval = controller.settings.heartbeat_interval() / 2;
     let mut last_sweep = Instant::now();
@@ -79,7 +80,8 @@
         if is_sweep {
             last_sweep = now;
         }
-        // A controller with an old replica gives no new commands by itself.
+        // Without the state service the replica is outdated, and no direct commands follow
+        // from it.
         if !controller.is_state_service_reachable() {
             continue;
         }
@@ -95,7 +97,7 @@
     }
 }
 
-/// The call that a machine's worker is to get now, if any.
+/// Returns the call that is due to a machine's worker now, if any.
 fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<CommandCall> {
     if !controller.workers.owned().contains_key(id) {
         return None;
@@ -111,9 +113,9 @@
         return None;
     }
     controller.defer_stale_launches(id, &mut plan);
-    // The first call tells the worker the fencing token, with or without commands.
-    let is_first = owned_worker.status.is_none();
-    if plan.commands.is_empty() && !is_first {
+    // The first call tells the worker the fencing token, and is made even without commands.
+    let is_first_call = owned_worker.status.is_none();
+    if plan.commands.is_empty() && !is_first_call {
         return None;
     }
     let (addr, epoch) = endpoint(controller, id, owned_worker)?;
@@ -145,7 +147,7 @@
     }
 }
 
-/// Where the worker takes calls, and the epoch that it is in.
+/// Returns the address at which the worker accepts calls, and its present epoch.
 fn endpoint(
     controller: &Controller,
     id: &str,
@@ -158,8 +160,9 @@
     Some((known.addr.clone(), epoch))
 }
 
-/// Forgets a machine that another controller has claimed, once the replica has
-/// reached our own claim.
+/// Removes a machine that another controller has claimed from the owned ones. Until the
+/// replica has reached this controller's own claim, it does not show that the machine is
+/// lost.
 fn release_if_lost(controller: &Controller, id: &str) {
     let mut owned_workers = controller.workers.owned_mut();
     let revision = controller.replica.borrow().revision;
@@ -172,9 +175,10 @@
     }
 }
 
-/// Whether a worker may be called now. A call to a machine that is gone, hung or
-/// cut off takes a connection until it times out: hundreds of them would leave none
-/// for the rest. What sends heartbeats again has its commands by the answer.
+/// Returns whether a worker may be called now. A call to a machine that is gone, hung or
+/// partitioned holds a connection until it times out, and hundreds of such calls would leave
+/// no connections for the others. A worker that sends heartbeats again receives its commands
+/// in the answers.
 fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
     let silence_limit = controller.settings.heartbeat_interval() * 2;
     !owned_worker.in_flight
@@ -183,15 +187,16 @@
         && !owned_worker.is_silent(silence_limit, now)
 }
 
-/// By when a call must be sent and answered. If this process stands still before
-/// it is sent, it is sent no more, as work may have been cancelled or moved since;
-/// a launch not once the last barrier that it was planned with is too old for it.
+/// Returns the deadlines by which a call must be sent and answered. If this process is
+/// paused past the send deadline, the call is not sent, as work may have been cancelled or
+/// moved since. A call with launches must also be sent before the last read barrier, on which
+/// they are based, is too old for launches.
 fn deadlines(controller: &Controller, launches: bool, decided_at: Instant) -> Deadlines {
-    let answer = decided_at + WORKER_PATIENCE.min(controller.settings.worker_lease() / 4);
+    let answer_deadline = decided_at + CALL_TIMEOUT.min(controller.settings.worker_lease() / 4);
     let last_barrier = controller.state_sync.last_barrier().filter(|_| launches);
     let latest_launch = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
-        send: latest_launch.map_or(answer, |latest| latest.min(answer)),
-        answer,
+        send: latest_launch.map_or(answer_deadline, |latest| latest.min(answer_deadline)),
+        answer: answer_deadline,
     }
 }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,8 +1,8 @@
-//! `POST /agent/beat`: a worker's heartbeat.
+//! Handles `POST /agent/beat`, the heartbeat of a worker.
 //!
-//! The answer renews the worker's lease and carries its commands, so it is given only
-//! by the owner of the machine, only while the replica is recent (Safety 4), and only
-//! with the stops that the status calls for.
+//! The answer renews the worker's lease and carries its commands. Therefore only the owner
+//! of the machine gives it, only while its replica is recent (Safety 4), and only with the
+//! stops that the status requires.
 
 use tokio::time::Instant;
 
@@ -15,18 +15,19 @@
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::wire::WorkerStatus;
 
-/// A worker drops answers with a lower fencing token than it has shown, so this one
-/// keeps it at this controller without renewing its lease.
+/// The fencing token below all others, also that of a machine that was never claimed. A worker
+/// does not renew its lease on an answer with a lower token than its own, so an answer with
+/// this token keeps the worker at this controller without renewing its lease.
 const NO_TOKEN: u64 = 0;
 
-/// How long a worker is to wait before its next heartbeat for a returned machine, in
-/// seconds.
-const RETURNED_RETRY_S: u32 = 30;
+/// Delay before the next heartbeat of a worker whose machine was returned, in seconds.
+const RETURNED_RETRY_AFTER_S: u32 = 30;
 
-/// One step of the handler: an error is the answer, and ends it.
-type Step<T = ()> = Result<T, HeartbeatAnswer>;
+/// The result of one step of the handler. An error is the answer to the heartbeat, and no
+/// further step is run.
+type StepResult<T = ()> = Result<T, HeartbeatAnswer>;
 
-/// A heartbeat, with what is known of its machine when it comes.
+/// A heartbeat, with the machine's record at the time of its receipt.
 struct Heartbeat {
     status: WorkerStatus,
     machine: Option<Machine>,
@@ -38,20 +39,20 @@
         &self.status.machine
     }
 
-    /// The fencing token that the machine was last claimed under; zero before the first.
+    /// Returns the fencing token of the machine's last claim; zero before the first claim.
     fn recorded_token(&self) -> u64 {
         self.machine.as_ref().map_or(NO_TOKEN, |m| m.fencing_token)
     }
 }
 
 impl Controller {
-    /// `POST /agent/beat`.
+    /// Handles `POST /agent/beat`.
     pub async fn heartbeat(&self, status: WorkerStatus) -> Response {
         let answer = self.answer_heartbeat(status).await;
         answer.unwrap_or_else(|answer| answer).into()
     }
 
-    async fn answer_heartbeat(&self, status: WorkerStatus) -> Step<HeartbeatAnswer> {
+    async fn answer_heartbeat(&self, status: WorkerStatus) -> StepResult<HeartbeatAnswer> {
         let received_at = self.liveness_tick();
         self.check_staleness()?;
         self.check_preferred_owner(&status, received_at)?;
@@ -70,8 +71,9 @@
         self.renew_lease(plan, &heartbeat)
     }
 
-    /// Safety 4: a controller whose replica may be too old renews no lease.
-    fn check_staleness(&self) -> Step {
+    /// Refuses the heartbeat if the replica may be too old: such a controller must not renew
+    /// leases (Safety 4).
+    fn check_staleness(&self) -> StepResult {
         match self.may_renew_leases() {
             true => Ok(()),
             false => Err(HeartbeatAnswer::unavailable(
@@ -80,17 +82,17 @@
         }
     }
 
-    fn check_preferred_owner(&self, status: &WorkerStatus, now: Instant) -> Step {
+    fn check_preferred_owner(&self, status: &WorkerStatus, now: Instant) -> StepResult {
         match self.redirect_to_preferred_owner(status, now) {
             Some(preferred_owner) => Err(HeartbeatAnswer::Redirect(Some(preferred_owner))),
             None => Ok(()),
         }
     }
 
-    /// Refuses what the machine's record speaks against: it was returned, the
-    /// heartbeat is a late copy, no answer reaches the worker, or the replica is older
-    /// than the newest claim.
-    fn check_record(&self, heartbeat: &Heartbeat) -> Step {
+    /// Refuses the heartbeat if the machine was returned, if the heartbeat is a late copy,
+    /// or if answers do not reach the worker, and redirects the worker if the replica is
+    /// older than the machine's newest claim.
+    fn check_record(&self, heartbeat: &Heartbeat) -> StepResult {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
@@ -103,7 +105,7 @@
         if was_returned && !is_owned {
             return Err(HeartbeatAnswer::Unavailable {
                 reason: "machine was returned",
-                retry_after_s: RETURNED_RETRY_S,
+                retry_after_s: RETURNED_RETRY_AFTER_S,
             });
         }
         if !is_owned && status.heartbeat_id() <= machine.claim_heartbeat {
@@ -115,23 +117,25 @@
             return Err(HeartbeatAnswer::unavailable("it does not hear"));
         }
         if status.fencing_token > machine.fencing_token {
-            // Another controller has claimed it since; the replica will tell which.
+            // Another controller has claimed the machine; the replica does not show yet which
+            // one.
             self.workers.owned_mut().remove(heartbeat.machine_id());
             return Err(HeartbeatAnswer::Redirect(None));
         }
         Ok(())
     }
 
-    /// Whether this controller, in this run or an earlier one, is recorded as the
-    /// owner of the machine.
+    /// Returns whether the machine's record names this controller, in this run or an earlier
+    /// one, as the owner.
     fn is_recorded_owner(&self, machine: &Machine) -> bool {
         machine.owner == self.name()
             && machine.fencing_token > NO_TOKEN
             && machine.lifecycle != MachineLifecycle::Booting
     }
 
-    /// Forgets a machine that was owned here until another controller claimed it.
-    fn release_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> Step {
+    /// Removes a machine from the owned ones if another controller has claimed it, and
+    /// redirects its worker to that controller.
+    fn release_if_claimed_elsewhere(&self, heartbeat: &Heartbeat) -> StepResult {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
         };
@@ -147,10 +151,11 @@
         }
     }
 
-    /// Renews the lease of a machine that an earlier run of this process owned: its
-    /// fencing token still does so while the new claim is being committed. Without
-    /// commands, and only where nothing on the machine has to end.
-    fn renew_after_restart(&self, heartbeat: &Heartbeat) -> Step {
+    /// Renews the lease of a machine that an earlier run of this controller owned. The
+    /// fencing token of that run remains valid while the new claim is being committed. The
+    /// answer carries no commands, so it is given only if no task on the machine has to be
+    /// stopped.
+    fn renew_after_restart(&self, heartbeat: &Heartbeat) -> StepResult {
         let machine = heartbeat.machine.as_ref();
         let Some(machine) = machine.filter(|m| self.is_recorded_owner(m)) else {
             return Ok(());
@@ -163,9 +168,9 @@
         Err(HeartbeatAnswer::without_commands(machine.fencing_token))
     }
 
-    /// Claims the machine unless it is owned already, or sends the worker back to
-    /// its owner.
-    async fn ensure_owned(&self, heartbeat: &Heartbeat) -> Step {
+    /// Claims the machine unless this controller owns it already, or redirects the worker
+    /// to the present owner.
+    async fn ensure_owned(&self, heartbeat: &Heartbeat) -> StepResult {
         let id = heartbeat.machine_id();
         if self.owns(id) {
             return Ok(());
@@ -176,8 +181,8 @@
         }
         let status = &heartbeat.status;
         if status.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
-            // Nobody has ever owned it, so nobody can wait for its lease to run
-            // out: the worker stays here until the machine is claimed.
+            // No controller has ever owned the machine, so none can wait for its lease to
+            // expire: the worker stays here until the machine is claimed.
             self.request_claim(status, ClaimPriority::Normal);
             return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
@@ -185,38 +190,38 @@
             return Ok(());
         }
         if status.fencing_token > NO_TOKEN && self.may_wait_for_claim(id, Instant::now()) {
-            // Its lease is not renewed, but it stays, and its claim is on its
-            // way. A worker that goes on tries all controllers that are cut off,
-            // and is back when its lease is over.
+            // The lease is not renewed, but the worker stays here while its claim is being
+            // committed. If it moved on, it would also try all controllers that are cut
+            // off from the state service, and return only after its lease has expired.
             return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
         Err(HeartbeatAnswer::unavailable("not claimed yet"))
     }
 
-    /// Whether a worker whose claim takes long should stay here: for half a
-    /// lease, and only where claims can be committed at all.
+    /// Returns whether a worker whose claim is not committed yet should stay here: for up
+    /// to half a lease, and only while the state service is reachable to commit claims.
     fn may_wait_for_claim(&self, id: &str, now: Instant) -> bool {
         let lease = self.settings.worker_lease();
         let mut redirects = self.workers.redirects_mut();
         redirects.may_wait_for_claim(id, lease, now) && self.is_state_service_reachable()
     }
 
-    /// Accepts the status as the machine's newest, unless it is a late copy.
-    fn accept_heartbeat(&self, heartbeat: &Heartbeat) -> Step {
+    /// Records the heartbeat and its status, or refuses the heartbeat if it is a late copy.
+    fn accept_heartbeat(&self, heartbeat: &Heartbeat) -> StepResult {
         let (id, status) = (heartbeat.machine_id(), &heartbeat.status);
-        let mut is_unconfirmed = false;
+        let mut is_reachability_unconfirmed = false;
         if let Some(owned_worker) = self.workers.owned_mut().get_mut(id) {
             let lease = self.settings.worker_lease();
             if !owned_worker.record_heartbeat(status, lease, heartbeat.received_at) {
                 return Err(HeartbeatAnswer::unavailable("a newer report has come"));
             }
-            let is_first = owned_worker.status.is_none();
-            is_unconfirmed = owned_worker.unconfirmed;
-            if owned_worker.accept_status(status.clone(), true) && is_first {
+            let is_first_status = owned_worker.status.is_none();
+            is_reachability_unconfirmed = owned_worker.reachability_unconfirmed;
+            if owned_worker.accept_status(status.clone(), true) && is_first_status {
                 self.workers.wake_publication();
             }
         }
-        if is_unconfirmed {
+        if is_reachability_unconfirmed {
             self.request_claim(status, ClaimPriority::Normal);
         }
         if status.preemption_notice_s.is_some() {
@@ -226,22 +231,26 @@
         Ok(())
     }
 
-    /// The answer that renews the lease.
-    fn renew_lease(&self, mut plan: WorkerPlan, heartbeat: &Heartbeat) -> Step<HeartbeatAnswer> {
+    /// Returns the answer that renews the lease and carries the commands of the plan.
+    fn renew_lease(
+        &self,
+        mut plan: WorkerPlan,
+        heartbeat: &Heartbeat,
+    ) -> StepResult<HeartbeatAnswer> {
         let (id, status) = (heartbeat.machine_id(), &heartbeat.status);
         let mut owned_workers = self.workers.owned_mut();
         let Some(owned_worker) = owned_workers.get_mut(id) else {
             return Err(HeartbeatAnswer::unavailable("lost while answering"));
         };
         if owned_worker.in_flight {
-            // What a direct call carries just now is not repeated here: the order
-            // in which the two arrive would not be known.
+            // While a direct call with commands is in flight, the answer carries none: the
+            // two might arrive in either order.
             plan.commands.clear();
         }
         self.defer_stale_launches(id, &mut plan);
-        // The bound may have passed while the claim was awaited.
+        // The replica may have become too old during the wait for the claim.
         self.check_staleness()?;
-        // Safety 4: the answer renews the lease, so it ends what is cancelled.
+        // Safety 4: an answer that renews the lease must also stop all cancelled tasks.
         for stop in stops_of_cancelled_tasks(status, &self.replica.borrow()) {
             if !plan.commands.contains(&stop) {
                 plan.commands.push(stop);
--- a/src/workers/heartbeat_answer.rs
+++ b/src/workers/heartbeat_answer.rs
@@ -1,23 +1,24 @@
-//! How a heartbeat is answered.
+//! The answers to heartbeats, and their HTTP responses.
 
 use crate::http::Response;
 use crate::wire::{HeartbeatResponse, Redirect, WorkerCommand};
 
-/// How long a worker is to wait before it sends another heartbeat, in seconds.
-const RETRY_S: u32 = 1;
+/// Delay before the next heartbeat of a worker that is refused, in seconds.
+const RETRY_AFTER_S: u32 = 1;
 
-/// How a heartbeat is answered.
+/// The answer to a heartbeat.
 #[derive(Debug)]
 pub(super) enum HeartbeatAnswer {
-    /// The worker executes the commands, and its lease is renewed if the fencing token
-    /// is not below the one that it has shown.
+    /// Commands that the worker executes. Its lease is renewed if the fencing token is not
+    /// lower than the highest one that the worker has seen.
     Commands {
         fencing_token: u64,
         commands: Vec<WorkerCommand>,
     },
-    /// The worker is to send its heartbeats to this controller, or else to any other.
+    /// A redirect of the worker's heartbeats to the named controller, or to any other if
+    /// none is named.
     Redirect(Option<String>),
-    /// The worker is to try the next controller.
+    /// A refusal, after which the worker tries the next controller.
     Unavailable {
         reason: &'static str,
         retry_after_s: u32,
@@ -35,7 +36,7 @@
     pub(super) fn unavailable(reason: &'static str) -> Self {
         HeartbeatAnswer::Unavailable {
             reason,
-            retry_after_s: RETRY_S,
+            retry_after_s: RETRY_AFTER_S,
         }
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,10 +1,10 @@
-//! The workers whose machines this controller owns: claims, heartbeats, commands
+//! Manages the workers whose machines this controller owns: claims, heartbeats, commands
 //! and the terminations of tasks.
 //!
-//! The wanted state of a machine is its bookings in the replica, the actual state its
-//! newest status. [`reconcile()`] works out the difference, and nothing else
-//! decides what a worker is told. What it decides reaches the worker in the answer
-//! to a heartbeat (`heartbeat`) or in a direct call (`commands`).
+//! The desired state of a machine is its bookings in the replica; the actual state is its
+//! newest status. [`reconcile()`] computes the difference, and no other function decides on
+//! the commands of a worker, apart from [`stops_of_cancelled_tasks()`]. Commands reach the
+//! worker in the answer to a heartbeat (`heartbeat`) or in a direct call (`commands`).
 
 mod capacity_plan;
 mod claim_plan;
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -1,8 +1,8 @@
-//! What a controller knows of each worker whose machine it owns.
+//! The state that a controller keeps of each worker whose machine it owns.
 //!
 //! A machine is owned from the commit of a claim until another controller claims
-//! it. The state here lives in memory only: it counts from the claim on, and what
-//! a status proves holds for the fencing token under which the status was made.
+//! it. The state is kept in memory only and starts with the claim. A status is evidence
+//! only for the fencing token that it carries.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use crate::state::records::HeartbeatId;
 use crate::wire::{CommandAction, WorkerCommand, WorkerStatus};
 
-/// A worker counts as reachable again once it has kept one epoch for this many
-/// leases: one whole lease, and a margin.
+/// Time for which a worker must keep one epoch to count as reachable again, in leases: one
+/// whole lease and a margin.
 const REACHABLE_AGAIN_LEASES: f64 = 1.25;
 
-/// One attempt of a task, as the messages of its worker name it.
+/// One attempt of a task, identified as in the messages of its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct TaskAttempt {
-    /// The task, such as `job-000412/3`.
+    /// Id of the task, such as `job-000412/3`.
     pub task: String,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
 impl TaskAttempt {
-    /// The attempt of this number at a task.
+    /// Creates the identifier of a task's attempt.
     pub fn new(task: impl Into<String>, attempt: u64) -> Self {
         TaskAttempt {
             task: task.into(),
@@ -43,77 +43,78 @@
     }
 }
 
-/// A stop that a worker was told.
+/// A stop command that was sent to a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopCommand {
-    /// When it was sent.
+    /// Time at which the command was sent.
     pub sent_at: Instant,
-    /// The grace period that it gave, in seconds.
+    /// Grace period of the stop, in seconds.
     pub grace_s: f64,
 }
 
-/// The epoch that a worker is in.
+/// The present epoch of a worker, which ends when its lease expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerEpoch {
-    /// The worker's number of the epoch.
+    /// Number of the epoch, assigned by the worker.
     pub number: u64,
-    /// When this controller first saw it.
+    /// Time at which this controller first saw the epoch.
     pub first_seen_at: Instant,
 }
 
-/// What this controller knows of a worker that it owns, from the claim of its
-/// fencing token on.
+/// The state that this controller keeps of a worker that it owns, since the claim with the
+/// present fencing token.
 #[derive(Debug)]
 pub struct OwnedWorker {
-    /// The fencing token under which this controller claimed the machine.
+    /// Fencing token with which this controller claimed the machine.
     pub fencing_token: u64,
-    /// The revision of that claim: the replica must have reached it, or bookings
-    /// that an earlier owner acted on may be missing from it.
+    /// Revision of that claim. Until the replica has reached it, bookings that an earlier
+    /// owner acted on may be missing from the replica.
     pub claim_revision: u64,
-    /// The newest status that was made under our fencing token.
+    /// Newest status that carries this fencing token.
     pub status: Option<WorkerStatus>,
-    /// When the worker last sent anything, a heartbeat or an answer.
+    /// Time of the worker's last message, a heartbeat or an answer to a direct call.
     pub last_message_at: Instant,
-    /// When the last heartbeat came. A worker that answers direct commands but
-    /// opens no connection of its own sends messages, and its lease runs out all
-    /// the same.
+    /// Time of the last heartbeat. The lease of a worker that answers direct calls but
+    /// cannot open connections itself expires although its messages arrive.
     pub last_heartbeat_at: Instant,
-    /// When this controller claimed it.
+    /// Time of the claim.
     pub claimed_at: Instant,
-    /// When a heartbeat was last answered with 200; at first, the time of the claim.
+    /// Time of the last answer with status 200 to a heartbeat; initially the time of the
+    /// claim.
     pub last_answered_at: Instant,
-    /// A direct call is under way.
+    /// Flag that a direct call is in flight.
     pub in_flight: bool,
-    /// A direct call with launches got no answer: they may be executed late, as
-    /// long as the worker has not seen a higher fencing token.
+    /// Flag that a direct call with launches was not answered: the launches may be executed
+    /// late, as long as the worker has not seen a higher fencing token.
     pub has_unanswered_launch: bool,
-    /// The newest heartbeat whose answer carried launches; until a newer heartbeat
-    /// has come it is not known whether the worker has executed them.
+    /// Newest heartbeat whose answer carried launches. Until a newer heartbeat arrives, it
+    /// is unknown whether the worker has executed them.
     pub launches_offered_on: Option<HeartbeatId>,
-    /// The attempts whose launch was commanded under this fencing token.
+    /// Attempts whose launch was commanded with this fencing token.
     pub launched_attempts: HashSet<TaskAttempt>,
-    /// The last stop that was commanded of each attempt.
+    /// Last stop command of each attempt.
     pub stop_commands: HashMap<TaskAttempt, StopCommand>,
-    /// Jobs whose tasks failed here since the last one that was done.
+    /// Jobs whose tasks have failed on the machine since a task last succeeded there.
     pub failed_jobs: BTreeSet<String>,
-    /// The earliest time of the next direct call.
+    /// Earliest time of the next direct call.
     pub next_call_at: Instant,
-    /// The newest heartbeat, whatever its fencing token. A worker has one in flight
-    /// at most: an older one is a late copy, and nobody waits for its answer.
+    /// Newest heartbeat, with any fencing token. A worker has at most one heartbeat in
+    /// flight, so an older one is a late copy, whose answer the worker does not wait for.
     pub newest_heartbeat: HeartbeatId,
-    /// The worker's epoch, once it has sent anything.
+    /// Present epoch of the worker; `None` until its first message.
     pub epoch: Option<WorkerEpoch>,
-    /// Since when its messages have arrived while answers and commands have not.
+    /// Time since which the worker's messages have arrived here, but no answers or commands
+    /// have reached the worker; `None` while it counts as reachable.
     pub unreachable_since: Option<Instant>,
-    /// It was silent for a whole lease: that it sends heartbeats again does not tell
-    /// whether answers reach it. Its status counts once it has answered a direct
-    /// call or shown a newer fencing token.
-    pub unconfirmed: bool,
+    /// Flag that the worker's lease has expired, and that it is unknown since then whether
+    /// answers reach the worker: new heartbeats alone do not show that. Its statuses are
+    /// accepted again once it has answered a direct call or shown a newer fencing token.
+    pub reachability_unconfirmed: bool,
 }
 
 impl OwnedWorker {
-    /// The worker of a machine that was claimed under a fencing token by the commit of
-    /// a revision.
+    /// Creates the state of a worker whose machine was claimed with a fencing token by the
+    /// commit of the given revision.
     pub fn new(fencing_token: u64, claim_revision: u64, now: Instant) -> Self {
         OwnedWorker {
             fencing_token,
@@ -133,11 +134,11 @@
             newest_heartbeat: HeartbeatId::default(),
             epoch: None,
             unreachable_since: None,
-            unconfirmed: false,
+            reachability_unconfirmed: false,
         }
     }
 
-    /// Takes over what does not depend on the fencing token from the claim before this.
+    /// Copies the state that does not depend on the fencing token from the previous claim.
     pub fn inherit_from(&mut self, earlier: &OwnedWorker) {
         self.failed_jobs.clone_from(&earlier.failed_jobs);
         self.newest_heartbeat = earlier.newest_heartbeat;
@@ -146,10 +147,9 @@
         self.unreachable_since = earlier.unreachable_since;
     }
 
-    /// Takes a pause of this process out of every span of silence; the proof by
-    /// silence only comes later by it. The time of the last answer stays: that a
-    /// lease ran out in the pause does not show that answers fail to reach the
-    /// worker.
+    /// Excludes a pause of this process from all times of silence, which only delays the
+    /// proof that a lease has expired. The time of the last answer is not changed: a lease
+    /// that expired during the pause does not show that answers fail to reach the worker.
     pub fn exclude_pause(&mut self, pause: Duration, now: Instant) {
         for at in [
             &mut self.last_message_at,
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Records that a heartbeat has come; false for a late copy, which proves
-    /// nothing: neither that the machine is alive, nor what runs there.
+    /// Records a heartbeat; returns false for a late copy, which is not recorded because it
+    /// proves neither that the machine is alive nor which tasks run on it.
     #[must_use]
     pub fn record_heartbeat(
         &mut self,
@@ -185,36 +185,37 @@
         true
     }
 
-    /// Records what a status, of a heartbeat or of an answer to a direct call, says of
-    /// the worker's epoch, and whether our answers reach the worker.
+    /// Records the worker's epoch, and whether answers reach the worker, from the status in
+    /// a heartbeat or in an answer to a direct call.
     pub fn observe_status(&mut self, status: &WorkerStatus, lease: Duration, now: Instant) {
         self.last_message_at = now;
-        // A worker that receives our answers keeps its epoch, and shows our
-        // token within a lease.
+        // A worker that receives the answers of this controller keeps its epoch, and its
+        // statuses carry the fencing token of this controller within a lease.
         let ignores_token = status.fencing_token < self.fencing_token
             && now.saturating_duration_since(self.claimed_at) > lease;
         match self.epoch {
             Some(known) if known.number < status.epoch => self.begin_epoch(status, lease, now),
             Some(known) => {
-                let span = now.saturating_duration_since(known.first_seen_at);
-                if !ignores_token && span > lease.mul_f64(REACHABLE_AGAIN_LEASES) {
+                let epoch_age = now.saturating_duration_since(known.first_seen_at);
+                if !ignores_token && epoch_age > lease.mul_f64(REACHABLE_AGAIN_LEASES) {
                     self.unreachable_since = None;
                 }
             }
             None => self.set_epoch(status, now),
         }
-        // A worker that cannot reach us has no lease, however well our commands
-        // reach it: what is started there ends with each epoch.
+        // The lease of a worker that cannot reach this controller expires, even if commands
+        // reach the worker: the tasks launched there end with each epoch.
         let sends_no_heartbeats = now.saturating_duration_since(self.last_heartbeat_at) > lease;
         if ignores_token || sends_no_heartbeats {
             self.mark_unreachable(now);
         }
     }
 
-    /// A newer epoch: the worker's lease has run out since the last status.
+    /// Records the begin of a newer epoch: the worker's lease has expired since the last
+    /// status.
     fn begin_epoch(&mut self, status: &WorkerStatus, lease: Duration, now: Instant) {
-        // Whatever was commanded in the earlier epoch is gone, and late
-        // commands for it are refused.
+        // The worker has ended the tasks of the earlier epoch, and refuses late commands
+        // for that epoch.
         self.has_unanswered_launch = false;
         self.launches_offered_on = None;
         let was_answered = now.saturating_duration_since(self.last_answered_at) < lease;
@@ -235,48 +236,52 @@
         self.unreachable_since.get_or_insert(now);
     }
 
-    /// Accepts a status as the newest if it is newer than what is known and was made
-    /// under our fencing token; true if it was accepted. Safety 3: an older status
-    /// proves nothing about what has been launched since.
+    /// Accepts a status as the newest if it is newer than the known one and carries the
+    /// fencing token of this controller; returns whether it was accepted. Safety 3: an older
+    /// status proves nothing about tasks that have been launched since.
     pub fn accept_status(&mut self, status: WorkerStatus, is_heartbeat: bool) -> bool {
         if status.fencing_token != self.fencing_token {
             return false;
         }
-        if is_heartbeat && self.unconfirmed {
+        if is_heartbeat && self.reachability_unconfirmed {
             return false;
         }
-        self.unconfirmed = false;
+        self.reachability_unconfirmed = false;
         let id = status.heartbeat_id();
         if let Some(newest) = &self.status
             && id <= newest.heartbeat_id()
         {
             return false;
         }
-        // A heartbeat newer than the one whose answer carried launches was made
-        // after that answer was executed or dropped.
-        if is_heartbeat && self.launches_offered_on.is_some_and(|offer| id > offer) {
+        // The worker sends a heartbeat newer than the one whose answer carried launches only
+        // after it has executed or dropped that answer.
+        if is_heartbeat
+            && self
+                .launches_offered_on
+                .is_some_and(|offered_on| id > offered_on)
+        {
             self.launches_offered_on = None;
         }
-        self.forget_stops_of_absent(&status);
+        self.drop_stops_of_absent_attempts(&status);
         self.status = Some(status);
         true
     }
 
-    /// Forgets the stops of attempts that the worker no longer reports.
-    fn forget_stops_of_absent(&mut self, status: &WorkerStatus) {
+    /// Drops the stop commands of attempts that the worker no longer reports.
+    fn drop_stops_of_absent_attempts(&mut self, status: &WorkerStatus) {
         let tasks = status.tasks.iter();
         let present: HashSet<(&str, u64)> = tasks.map(|t| (t.task.as_str(), t.attempt)).collect();
         self.stop_commands
             .retain(|key, _| present.contains(&(key.task.as_str(), key.attempt)));
     }
 
-    /// True when the newest status is newer than every launch, so that a task
-    /// that it lacks is not on the machine.
+    /// Returns whether the newest status is newer than every launch, so that a task missing
+    /// from it is not on the machine.
     pub(super) fn are_launches_settled(&self) -> bool {
         !self.in_flight && !self.has_unanswered_launch && self.launches_offered_on.is_none()
     }
 
-    /// Records what the worker is about to be told.
+    /// Records commands that are about to be sent to the worker.
     pub(super) fn record_commands(&mut self, commands: &[WorkerCommand], now: Instant) {
         for command in commands {
             let attempt = TaskAttempt::from(command);
@@ -294,7 +299,7 @@
         }
     }
 
-    /// Takes back what was recorded of commands that were surely not sent.
+    /// Removes the records of commands that were certainly not sent.
     pub(super) fn withdraw_commands(&mut self, commands: &[WorkerCommand]) {
         for command in commands {
             let attempt = TaskAttempt::from(command);
@@ -307,27 +312,27 @@
         }
     }
 
-    /// Safety 3, last case: this controller has owned the machine throughout, the
-    /// worker has shown its fencing token, and this controller has not renewed the
-    /// lease for its whole length. No launch may be under way: a hanging machine would
-    /// execute it.
-    pub fn lease_is_over(&self, lease: Duration, margin: Duration, now: Instant) -> bool {
-        let span = lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT) + margin;
+    /// Returns whether the worker's lease has certainly expired (Safety 3, last case): this
+    /// controller has owned the machine throughout, the worker has shown its fencing token,
+    /// and this controller has not renewed the lease for its whole duration. No launch may be
+    /// in flight: a machine that hangs could execute it later.
+    pub fn has_lease_expired(&self, lease: Duration, margin: Duration, now: Instant) -> bool {
+        let expiry = lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT) + margin;
         self.status.is_some()
             && self.are_launches_settled()
-            && now.saturating_duration_since(self.last_answered_at) > span
-            && now.saturating_duration_since(self.last_message_at) > span
+            && now.saturating_duration_since(self.last_answered_at) > expiry
+            && now.saturating_duration_since(self.last_message_at) > expiry
     }
 
-    /// Records that the worker's lease is over, and with it all that ran there: its
-    /// next status counts as a new beginning.
+    /// Records that the worker's lease has expired, and that all its tasks have ended with
+    /// it: the state starts anew with the next accepted status.
     pub(super) fn expire_lease(&mut self) {
         self.status = None;
-        self.unconfirmed = true;
+        self.reachability_unconfirmed = true;
         self.launched_attempts.clear();
     }
 
-    /// Whether nothing has come from the worker for longer than a span.
+    /// Returns whether the worker has sent no message for longer than the limit.
     pub fn is_silent(&self, limit: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.last_message_at) > limit
     }
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -1,5 +1,5 @@
-//! Publishes which machines take work, and what capacity they have: the zone shards,
-//! where these differ from what this controller knows of the machines that it owns.
+//! Publishes which owned machines take work, and their capacity, in the zone shards whose
+//! records differ from the state that this controller keeps of these machines.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,13 +13,15 @@
 use crate::state::client::StoreError;
 use crate::wire::{Precondition, Write};
 
-/// A zone shard's record is published at most once in this time, unless machines join.
+/// Minimum time between two publications of a zone shard's record, unless a machine is
+/// added to it.
 const PUBLICATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When each zone shard's record was last published here.
+/// Times at which this controller last published each zone shard's record.
 pub(super) type PublicationTimes = HashMap<String, Instant>;
 
-/// Publishes the capacity of owned machines where the zone shards' records differ.
+/// Runs the loop that publishes the capacity of owned machines where the zone shards'
+/// records differ.
 pub async fn run_publication(controller: Rc<Controller>) {
     let mut published = PublicationTimes::new();
     let mut last_join: Option<Instant> = None;
@@ -33,9 +35,10 @@
         if changes.is_empty() {
             continue;
         }
-        // A machine that is in no record is paid for nothing, and work that
-        // is sent to a silent one waits for its lease: neither stands behind
-        // the rounds, which would have the whole budget while work waits.
+        // A machine in no record costs money without taking work, and a task placed on a
+        // silent machine waits until its lease has expired. Changes of members therefore
+        // have a class that scheduling rounds do not delay: rounds would use the whole budget
+        // while work waits.
         let mut class = RequestClass::Publication;
         if changes.iter().any(|c| c.changes_members) {
             class = RequestClass::Claim;
@@ -49,20 +52,20 @@
     }
 }
 
-/// Waits until capacity has changed. Machines that can take work from now on gather
-/// for a moment, and while many of them boot for a little longer: each time costs
-/// a write a zone shard.
+/// Waits until capacity has changed, and then for a short delay, which is longer while many
+/// machines boot: each publication costs one write for each zone shard, so new machines are
+/// published together.
 async fn wait_for_changes(controller: &Controller, last_join: Option<Instant>) {
     let heartbeat_interval = controller.settings.heartbeat_interval();
-    let min_pause = controller.request_interval() * 4;
+    let min_delay = controller.request_interval() * 4;
     let join_interval = heartbeat_interval / 4;
     let woken = controller.workers.publication_woken();
     let _ = timeout(heartbeat_interval / 3, woken).await;
     let since_join = last_join.map_or(join_interval, |at| at.elapsed());
-    sleep(min_pause.max(join_interval.saturating_sub(since_join))).await;
+    sleep(min_delay.max(join_interval.saturating_sub(since_join))).await;
 }
 
-/// Commits the changes; where others were quicker, those that do not conflict.
+/// Commits the changes; after a conflict, commits the changes that do not conflict.
 async fn publish(
     controller: &Controller,
     class: RequestClass,
@@ -71,17 +74,20 @@
 ) {
     while !changes.is_empty() {
         let writes = writes_of(controller, &changes);
-        match controller.commit(class, guards_of(&changes), writes).await {
+        match controller
+            .commit(class, preconditions_of(&changes), writes)
+            .await
+        {
             Ok(_) => return,
             Err(StoreError::Conflict(keys)) => {
-                // A booking was quicker there; the others go on.
+                // A booking has changed these zone shards; the other changes are retried.
                 tracing::debug!(?keys, "capacity publication conflict");
                 let count = changes.len();
                 drop_conflicting(&mut changes, &keys, published);
                 controller.expedite_watch();
                 controller.workers.wake_publication();
-                // Where slots were put by what other zone shards of the commit hold,
-                // all of it is chosen anew.
+                // The choice of a zone shard depends on the other zone shards of the commit
+                // once compact encodings are in use: then all changes are planned again.
                 let depends_on_others = controller.replica.borrow().uses_compact_encoding();
                 if changes.len() == count || depends_on_others {
                     return;
@@ -103,8 +109,8 @@
     writes.collect()
 }
 
-/// The guards of all changes, each key once.
-fn guards_of(changes: &[ZoneShardChange]) -> Vec<Precondition> {
+/// Returns the preconditions of all changes, each key once.
+fn preconditions_of(changes: &[ZoneShardChange]) -> Vec<Precondition> {
     let preconditions = changes.iter().flat_map(|c| c.preconditions.iter().cloned());
     let mut preconditions: Vec<Precondition> = preconditions.collect();
     preconditions.sort_by(|a, b| a.key.cmp(&b.key));
@@ -118,7 +124,7 @@
     published: &mut PublicationTimes,
 ) {
     changes.retain(|change| {
-        let conflicts = change.preconditions.iter().any(|g| keys.contains(&g.key));
+        let conflicts = change.preconditions.iter().any(|p| keys.contains(&p.key));
         if conflicts {
             published.remove(&change.id);
         }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,5 +1,5 @@
-//! What a worker is to be told: the difference between the bookings of its machine
-//! and its newest status. Nothing is sent or recorded here.
+//! Plans the commands and terminations of a worker from the difference between the bookings
+//! of its machine and its newest status. No command is sent and no state changed here.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -13,23 +13,25 @@
 use crate::state::replica::{Entry, Replica};
 use crate::wire::{CommandAction, ExitReason, TaskStage, TaskStatus};
 
-/// The grace period of a stop is this many times as long as the job says that it takes
-/// to save a checkpoint, and `SAVE_MARGIN_S` longer.
-const SAVE_FACTOR: f64 = 1.5;
+/// Ratio of a stop's grace period, before the margin, to the time that the job declares for
+/// saving a checkpoint.
+const SAVE_GRACE_FACTOR: f64 = 1.5;
 
-/// What a grace period adds for the way of the command, in seconds.
-const SAVE_MARGIN_S: f64 = 1.0;
+/// Margin of a grace period for the transfer of the command, in seconds.
+const SAVE_GRACE_MARGIN_S: f64 = 1.0;
 
-/// The grace period of a stop, in seconds: enough to save a checkpoint, none for a job
-/// that is over.
+/// Returns the grace period of a stop, in seconds: long enough to save a checkpoint, and zero
+/// if the job has ended or saves no checkpoints.
 pub fn stop_grace_s(job: &Job, spec: Option<&Spec>) -> f64 {
     match spec {
-        Some(s) if job.is_open() && s.checkpoint_s > 0.0 => s.save_s * SAVE_FACTOR + SAVE_MARGIN_S,
+        Some(s) if job.is_open() && s.checkpoint_s > 0.0 => {
+            s.save_s * SAVE_GRACE_FACTOR + SAVE_GRACE_MARGIN_S
+        }
         _ => 0.0,
     }
 }
 
-/// The outcome of an attempt that a worker reports as ended.
+/// Returns the outcome of an attempt that a worker reports as ended.
 fn outcome_of(reason: Option<ExitReason>) -> TaskOutcome {
     match reason {
         Some(ExitReason::Done) => TaskOutcome::Done,
@@ -38,9 +40,9 @@
     }
 }
 
-/// Works out the difference between the bookings of a machine and its newest
-/// status. Stops that have shown no effect are commanded again after `retry_after`.
-/// Pure: nothing is sent or recorded here.
+/// Plans the commands and terminations that follow from the difference between the bookings
+/// of a machine and its newest status. Stops without visible effect are commanded again after
+/// `retry_after`. The function has no side effects.
 pub fn reconcile(
     id: &str,
     owned_worker: &OwnedWorker,
@@ -53,8 +55,8 @@
     let (Some(status), Some(machine)) = (&owned_worker.status, replica.machines.get(id)) else {
         return plan;
     };
-    // Safety 2: act on bookings only once the replica has reached our claim, and
-    // only while the claim is still ours as far as the replica tells.
+    // Safety 2: act on bookings only once the replica has reached this controller's claim,
+    // and only while that claim is the machine's newest one in the replica.
     if replica.revision < owned_worker.claim_revision
         || machine.value.fencing_token != owned_worker.fencing_token
     {
@@ -80,15 +82,15 @@
             reconciler.plan_reported(job, number, task, &mut plan);
         }
     }
-    // Safety 3: only a status newer than every launch proves that a task that it
-    // lacks is not there.
+    // Safety 3: only a status newer than every launch proves that a task missing from it is
+    // not on the machine.
     if owned_worker.are_launches_settled() {
         reconciler.plan_missing(&reported, &mut plan);
     }
     plan
 }
 
-/// A task that the worker's newest status shows.
+/// A task in the worker's newest status.
 #[derive(PartialEq, Eq, Hash)]
 struct ReportedTask<'a> {
     job: &'a str,
@@ -96,7 +98,7 @@
     attempt: u64,
 }
 
-/// What the plan of one machine depends on.
+/// The inputs of one machine's plan.
 struct Reconciler<'a> {
     machine: &'a str,
     lifecycle: MachineLifecycle,
@@ -104,7 +106,7 @@
     replica: &'a Replica,
     /// Terminations that wait to be recorded.
     pending_terminations: &'a BTreeMap<AttemptKey, TerminationEvidence>,
-    /// The wait after which a stop that has shown no effect is repeated.
+    /// Time after which a stop without visible effect is repeated.
     retry_after: Duration,
     now: Instant,
 }
@@ -129,8 +131,8 @@
         let has_ended = task.stage == TaskStage::Ended;
         match booking {
             Some(_) if has_ended => {
-                // Safety 3: with a launch that may be executed late neither the
-                // booking is released nor the attempt forgotten.
+                // Safety 3: while a launch may still be executed late, the booking is not
+                // released and the worker is not commanded to forget the attempt.
                 if !self.owned_worker.has_unanswered_launch {
                     plan.terminations.push(Termination {
                         key: self.attempt_key(job, number, task.attempt),
@@ -140,17 +142,17 @@
             }
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if has_ended => {
-                // The termination is on record, or was never ours to record.
+                // The termination is recorded, or this controller never had to record it.
                 if self.owned_worker.are_launches_settled() {
-                    plan.command(CommandAction::Forget, &task.task, task.attempt, None);
+                    plan.push_command(CommandAction::Forget, &task.task, task.attempt, None);
                 }
             }
             None => self.stop_unbooked(task, plan),
         }
     }
 
-    /// Stops a booked task whose job is over, whose run is to end, or whose
-    /// machine is to be returned.
+    /// Plans the stop of a booked task if its job has ended, its run is to be stopped, or
+    /// its machine is being returned.
     fn stop_booked(&self, job: &Job, run: &Run, task: &TaskStatus, plan: &mut WorkerPlan) {
         let is_returning = matches!(
             self.lifecycle,
@@ -166,32 +168,32 @@
             Some(stop) => stop.grace_s > grace_s || (!is_saving && self.is_overdue(stop)),
         };
         if is_due {
-            plan.command(CommandAction::Stop, &task.task, task.attempt, Some(grace_s));
+            plan.push_command(CommandAction::Stop, &task.task, task.attempt, Some(grace_s));
         }
     }
 
-    /// Stops a task that nobody has booked here, at once.
+    /// Plans the stop, without a grace period, of a task that has no booking on the machine.
     fn stop_unbooked(&self, task: &TaskStatus, plan: &mut WorkerPlan) {
         if self
             .last_stop(task)
             .is_none_or(|stop| self.is_overdue(stop))
         {
-            plan.command(CommandAction::Stop, &task.task, task.attempt, Some(0.0));
+            plan.push_command(CommandAction::Stop, &task.task, task.attempt, Some(0.0));
         }
     }
 
-    /// The last stop of the task that was commanded.
+    /// Returns the last stop that was commanded for the task.
     fn last_stop(&self, task: &TaskStatus) -> Option<&StopCommand> {
         let attempt = TaskAttempt::new(task.task.clone(), task.attempt);
         self.owned_worker.stop_commands.get(&attempt)
     }
 
-    /// Whether a stop should have shown its effect by now.
+    /// Returns whether a stop should have had a visible effect by now.
     fn is_overdue(&self, stop: &StopCommand) -> bool {
         self.now.saturating_duration_since(stop.sent_at) > self.retry_after
     }
 
-    /// Plans for the bookings of which the status shows no task.
+    /// Plans for the booked tasks that are missing from the status.
     fn plan_missing(&self, reported: &HashSet<ReportedTask>, plan: &mut WorkerPlan) {
         for (job, entry) in self.replica.jobs_on(self.machine) {
             let runs = entry.value.runs.iter();
@@ -210,7 +212,8 @@
         }
     }
 
-    /// A task that is booked and not there is lost, or has yet to be launched.
+    /// Plans for a booked task that is not on the machine: it is lost, or has not been
+    /// launched yet.
     fn plan_missing_task(
         &self,
         job_id: &str,
@@ -236,13 +239,13 @@
                 outcome: TaskOutcome::Lost,
             });
         } else if entry.version <= self.replica.revision {
-            plan.command(CommandAction::Start, &attempt.task, attempt.attempt, None);
+            plan.push_command(CommandAction::Start, &attempt.task, attempt.attempt, None);
         }
     }
 
-    /// Whether a missing task is not to be launched again under this attempt. A gang's
-    /// member that was there and is gone has broken the attempt; an independent task is
-    /// simply launched again, but not where no command arrives.
+    /// Returns whether a missing task must not be launched again in this attempt. If a gang's
+    /// task has disappeared after its launch, the gang's attempt has failed; an independent
+    /// task is launched again, unless commands do not reach the worker.
     fn is_lost(&self, job: &Job, run: &Run, attempt: &TaskAttempt) -> bool {
         let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
         let was_launched = self.owned_worker.launched_attempts.contains(attempt);
--- a/src/workers/redirect_history.rs
+++ b/src/workers/redirect_history.rs
@@ -1,46 +1,48 @@
-//! What a controller remembers of redirects, so that no worker is sent to and fro.
+//! Records the redirects of workers, so that controllers do not redirect a worker back and
+//! forth.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// For so many leases a worker that did not reach its preferred owner is not
-/// redirected there again.
-const LEASES_BEFORE_ANOTHER_REDIRECT: u32 = 3;
+/// Time for which a worker that did not reach its preferred owner is not redirected there
+/// again, in leases.
+const REDIRECT_RETRY_LEASES: u32 = 3;
 
 /// A worker's last redirect to its preferred owner.
 #[derive(Debug)]
 struct PreferredOwnerRedirect {
     sent_at: Instant,
-    /// It was back within a lease: it has not reached its preferred owner.
+    /// Flag that the worker came back within a lease, and so has not reached its preferred
+    /// owner.
     has_returned: bool,
 }
 
-/// The redirects of workers, and how long workers have waited for their claims.
+/// The redirects of workers, and the times since which workers wait for their claims.
 #[derive(Debug, Default)]
 pub(super) struct RedirectHistory {
-    /// The last redirect of each machine's worker to its preferred owner.
+    /// Last redirect of each machine's worker to its preferred owner.
     to_preferred_owner: HashMap<String, PreferredOwnerRedirect>,
-    /// When each machine's worker was last redirected to its recorded owner.
+    /// Time of the last redirect of each machine's worker to its recorded owner.
     to_owner: HashMap<String, Instant>,
-    /// When a worker was last redirected that some controller owns.
-    last_owned: Option<Instant>,
-    /// Since when a worker is kept here that waits to be claimed.
+    /// Time of the last redirect to a preferred owner of a worker that some controller owned.
+    last_owned_redirect: Option<Instant>,
+    /// Time since which each machine's worker has stayed here and waited for its claim.
     claim_wait_since: HashMap<String, Instant>,
 }
 
 impl RedirectHistory {
-    /// Records that a machine's worker is redirected to its preferred owner;
-    /// `is_owned` if some controller owns it already.
-    pub(super) fn record_to_preferred_owner(
+    /// Records a redirect of a machine's worker to its preferred owner; `is_owned` says that
+    /// some controller owns the machine already.
+    pub(super) fn record_redirect_to_preferred_owner(
         &mut self,
         machine: &str,
         is_owned: bool,
         now: Instant,
     ) {
         if is_owned {
-            self.last_owned = Some(now);
+            self.last_owned_redirect = Some(now);
         }
         let redirect = PreferredOwnerRedirect {
             sent_at: now,
@@ -50,9 +52,10 @@
             .insert(machine.to_string(), redirect);
     }
 
-    /// Whether the worker has been redirected to its preferred owner before and is to
-    /// stay here. One that is back within a lease has not reached it, and is left alone
-    /// for a while; one that comes back later has lost it since.
+    /// Returns whether the worker has failed to reach its preferred owner after a redirect, and
+    /// so stays here. A worker that returns within a lease has not reached its preferred
+    /// owner, and is not redirected again for some leases. A worker that returns later did
+    /// reach it and has lost it since, so it may be redirected again.
     pub(super) fn has_failed_to_reach_preferred_owner(
         &mut self,
         machine: &str,
@@ -64,17 +67,18 @@
         };
         let age = now.saturating_duration_since(redirect.sent_at);
         redirect.has_returned |= age < lease;
-        redirect.has_returned && age < lease * LEASES_BEFORE_ANOTHER_REDIRECT
+        redirect.has_returned && age < lease * REDIRECT_RETRY_LEASES
     }
 
-    /// Whether a worker that some controller owns was redirected within the interval.
+    /// Returns whether a worker that some controller owned was redirected to its preferred
+    /// owner within the interval.
     pub(super) fn has_redirected_owned_within(&self, interval: Duration, now: Instant) -> bool {
-        self.last_owned
+        self.last_owned_redirect
             .is_some_and(|at| now.saturating_duration_since(at) < interval)
     }
 
     /// Records a redirect of the worker to its recorded owner, unless there was one
-    /// within a lease; true if it is recorded.
+    /// within a lease; returns whether it was recorded.
     pub(super) fn try_redirect_to_owner(
         &mut self,
         machine: &str,
@@ -89,8 +93,8 @@
         true
     }
 
-    /// Whether a worker whose claim takes long has waited less than half a lease; after
-    /// a whole one the wait begins anew.
+    /// Returns whether a worker has waited less than half a lease for its claim. After a
+    /// whole lease the wait is measured anew.
     pub(super) fn may_wait_for_claim(
         &mut self,
         machine: &str,
@@ -107,7 +111,8 @@
         now.saturating_duration_since(*since) < lease / 2
     }
 
-    /// Drops what is remembered of all machines but the known ones.
+    /// Drops the redirects to preferred owners and the waits of all machines but the known
+    /// ones.
     pub(super) fn retain_machines(&mut self, known: &HashSet<&str>) {
         self.to_preferred_owner
             .retain(|machine, _| known.contains(machine.as_str()));
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -1,9 +1,11 @@
-//! Which controller a worker should send its heartbeats to.
+//! Redirects workers to the controllers that should receive their heartbeats.
 //!
-//! A machine has a preferred owner, the controller whose name its shard bears: commits
-//! on its work conflict with no others there. A worker is redirected to its preferred
-//! owner when that is up and receives heartbeats, and to the owner of its machine when
-//! it has lost that for a moment. Each is done seldom, as the worker may not reach it.
+//! The preferred owner of a machine is the controller named in the machine's shard: commits
+//! for the machine's work conflict with no others if that controller makes them. A worker is
+//! redirected to its preferred owner if that controller is up and receives heartbeats, and
+//! to the present owner of its machine if the worker has lost contact with the owner for a
+//! short time. Both kinds of redirect are limited, as the worker may be unable to reach the
+//! other controller.
 
 use tokio::time::Instant;
 
@@ -12,7 +14,7 @@
 use crate::state::records::Machine;
 use crate::wire::WorkerStatus;
 
-/// The controller whose name a shard bears.
+/// Returns the name of the controller that a shard's name contains.
 pub fn preferred_owner_of(shard: &str) -> &str {
     shard
         .rsplit_once('.')
@@ -20,13 +22,13 @@
 }
 
 impl Controller {
-    /// The other controller that owns a machine, as far as its record tells.
+    /// Returns the owner in a machine's record if it is another controller.
     pub(super) fn recorded_other_owner(&self, machine: &Machine) -> Option<String> {
         (machine.owner != self.name()).then(|| machine.owner.clone())
     }
 
-    /// The preferred owner that the worker is to be redirected to now: another
-    /// controller than this, which is up and receives heartbeats.
+    /// Returns the preferred owner that the worker should be redirected to now, and records
+    /// the redirect. It is another controller that is up and receives heartbeats.
     pub(super) fn redirect_to_preferred_owner(
         &self,
         status: &WorkerStatus,
@@ -43,17 +45,19 @@
         if redirects.has_failed_to_reach_preferred_owner(&status.machine, lease, now) {
             return None;
         }
-        // A machine that nobody owns yet costs no more there than here.
+        // The redirect of a machine without an owner needs no limit: its claim costs the
+        // same at either controller.
         let is_owned = machine.is_some_and(|m| !m.owner.is_empty());
         if is_owned && !self.may_change_owner(&redirects, now) {
             return None;
         }
-        redirects.record_to_preferred_owner(&status.machine, is_owned, now);
+        redirects.record_redirect_to_preferred_owner(&status.machine, is_owned, now);
         Some(preferred_owner)
     }
 
-    /// The controller of the machine's shard, or one in its zone, as heartbeats that
-    /// cross no zone survive when zones are cut off from one another.
+    /// Returns the controller named in the machine's shard, if it is up and receives
+    /// heartbeats; otherwise one that does, in the machine's zone if possible, as heartbeats
+    /// within a zone still arrive when zones are partitioned from one another.
     fn reachable_preferred_owner(
         &self,
         status: &WorkerStatus,
@@ -67,21 +71,27 @@
         let preferred_owner = machine.map_or("", |m| preferred_owner_of(&m.shard));
         match alive.contains(&preferred_owner) {
             true => Some(preferred_owner.to_string()),
-            false => self.nearest(&status.machine, &status.zone, &alive),
+            false => self.select_preferred_owner(&status.machine, &status.zone, &alive),
         }
     }
 
-    /// Workers of owned machines are redirected to their preferred owners a few at a
-    /// time, and none while claims wait: after a restart of many controllers, all
-    /// workers send their heartbeats to the first that is up.
+    /// Returns whether a worker of an owned machine may be redirected to its preferred owner
+    /// now. These redirects are limited in rate, and none is made while claims are queued:
+    /// after a restart of many controllers, all workers send their heartbeats to the first one
+    /// that is up.
     fn may_change_owner(&self, redirects: &RedirectHistory, now: Instant) -> bool {
         let interval = self.request_interval() / 4;
         self.workers.claims.is_empty() && !redirects.has_redirected_owned_within(interval, now)
     }
 
-    /// Which of these controllers a machine without a shard should belong to: one of
-    /// its zone, if there is any.
-    pub fn nearest(&self, machine: &str, zone: &str, alive: &[&str]) -> Option<String> {
+    /// Selects the preferred owner of a machine from the given controllers by hash: one in the
+    /// machine's zone, if there is any.
+    pub fn select_preferred_owner(
+        &self,
+        machine: &str,
+        zone: &str,
+        alive: &[&str],
+    ) -> Option<String> {
         let zone_of = |name: &str| {
             let others = &self.settings.others;
             let peer = others.iter().find(|p| p.name == name);
@@ -96,11 +106,12 @@
         crate::hash::preferred(machine, candidates.iter().copied()).map(str::to_string)
     }
 
-    /// The controller that owns a machine, if it is up and receives heartbeats: a
-    /// worker that has lost it for a moment goes back once, which costs no claim.
-    /// Not from its preferred owner, where it was redirected to: the two would send it
-    /// to and fro. Nor to a controller that receives no heartbeats: another try there
-    /// takes what is left of the lease.
+    /// Returns the other controller that owns a machine, if it is up and receives
+    /// heartbeats, and records the redirect to it. A worker that has lost contact with its
+    /// owner for a short time returns to it once, which costs no claim. The preferred
+    /// owner does not redirect the worker to the present one, as the two would redirect it
+    /// back and forth. Nor is it redirected to a controller that receives no heartbeats, as
+    /// another attempt there would use up the rest of the lease.
     pub(super) fn redirect_to_owner(
         &self,
         id: &str,
@@ -122,8 +133,8 @@
             .then(|| owner.to_string())
     }
 
-    /// Whether the run of the controller that owns a machine is up and receives
-    /// heartbeats.
+    /// Returns whether the controller that owns a machine is up, in the run that claimed the
+    /// machine, and receives heartbeats.
     fn is_owner_reachable(&self, owner: &str, machine: &Machine, now: Instant) -> bool {
         let replica = self.replica.borrow();
         let is_same_run = replica
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,5 +1,5 @@
-//! Terminations of tasks: what proves that an attempt is over, and the queue of those
-//! that are to be recorded.
+//! Collects the terminations of task attempts, with their evidence, in a queue until they
+//! are recorded.
 
 use std::time::Duration;
 
@@ -11,41 +11,41 @@
 
 use super::OwnedWorker;
 
-/// A task's attempt on a machine whose booking is to be released.
+/// The key of a task's attempt on a machine, whose booking is to be released.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// The id of the job.
+    /// Id of the job.
     pub job: String,
-    /// The machine on which the task was booked.
+    /// Machine on which the task was booked.
     pub machine: String,
-    /// The attempt under which it was launched.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The number of the task within the job.
+    /// Number of the task within the job.
     pub task: u32,
 }
 
-/// An attempt that is over.
+/// An attempt that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Termination {
-    /// The attempt.
+    /// Key of the attempt.
     pub key: AttemptKey,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: TaskOutcome,
 }
 
-/// How an attempt ended, and the fencing token under which that was proven. A
-/// controller that loses a machine and claims it again may have let another launch
-/// the same attempt there meanwhile: what was proven before the new claim is void.
+/// The outcome of an attempt, and the fencing token under which it was proven. If a
+/// controller loses a machine and claims it again, another controller may have launched the
+/// same attempt there in between: evidence from before the new claim is void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminationEvidence {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: TaskOutcome,
-    /// The fencing token of the claim under which that was proven.
+    /// Fencing token of the claim under which the outcome was proven.
     pub fencing_token: u64,
 }
 
 impl Controller {
-    /// Queues terminations for the next commit that records some.
+    /// Queues terminations for the next commit that records terminations.
     pub(super) fn queue_terminations(&self, terminations: Vec<Termination>) {
         if terminations.is_empty() {
             return;
@@ -60,7 +60,8 @@
         let mut owned_workers = self.workers.owned_mut();
         let mut pending = self.workers.pending_terminations_mut();
         let owned_worker = owned_workers.get_mut(&key.machine);
-        // Of a machine that is not owned only the cloud's word proves a termination.
+        // If the machine is not owned here, the evidence is the cloud's confirmation that
+        // the machine is gone, which needs no fencing token.
         let fencing_token = owned_worker.as_ref().map_or(0, |w| w.fencing_token);
         let known = pending.get(&key);
         if known.is_some_and(|evidence| evidence.fencing_token >= fencing_token) {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Records which jobs have failed on a machine since the last task that was done there.
+/// Updates the jobs that have failed on a machine since a task last succeeded there.
 fn record_failure(owned_worker: &mut OwnedWorker, job: &str, outcome: TaskOutcome) {
     match outcome {
         TaskOutcome::Failed => _ = owned_worker.failed_jobs.insert(job.to_string()),
@@ -95,7 +96,8 @@
     }
 }
 
-/// Releases the bookings on machines whose worker's lease is surely over.
+/// Queues terminations for all bookings on machines whose worker's lease has certainly
+/// expired.
 pub fn release_expired_leases(controller: &Controller) {
     let now = controller.liveness_tick();
     let lease = controller.settings.worker_lease();
@@ -104,7 +106,8 @@
     controller.queue_terminations(lost);
 }
 
-/// Expires the leases that are over, and returns what is lost by that.
+/// Marks the leases that have expired, and returns the terminations of the attempts lost
+/// with them.
 fn expire_leases(
     controller: &Controller,
     lease: Duration,
@@ -119,7 +122,7 @@
             m.value.fencing_token == owned_worker.fencing_token
                 && m.value.incarnation == controller.incarnation
         });
-        if !is_owned || !owned_worker.lease_is_over(lease, margin, now) {
+        if !is_owned || !owned_worker.has_lease_expired(lease, margin, now) {
             continue;
         }
         tracing::info!(machine = id, "worker lease expired");
@@ -129,7 +132,7 @@
     lost
 }
 
-/// Releases the bookings on machines that the cloud has confirmed as gone.
+/// Queues terminations for all bookings on machines that the cloud has confirmed as gone.
 pub fn release_gone_machines(controller: &Controller) {
     let lost: Vec<Termination> = {
         let replica = controller.replica.borrow();
@@ -141,7 +144,7 @@
     controller.queue_terminations(lost);
 }
 
-/// Every attempt that is booked on a machine, as lost.
+/// Returns terminations with the outcome "lost" for all attempts booked on a machine.
 fn lost_bookings(replica: &Replica, machine: &str) -> Vec<Termination> {
     let mut lost = Vec::new();
     for (job, entry) in replica.jobs_on(machine) {
--- a/src/workers/worker_plan.rs
+++ b/src/workers/worker_plan.rs
@@ -1,33 +1,33 @@
-//! The result of reconciling one worker.
+//! The plan that results from the reconciliation of one worker.
 
 use std::time::Duration;
 
 use super::termination::Termination;
 use crate::wire::{CommandAction, WorkerCommand};
 
-/// What a worker is to be told, and which bookings are to be released.
+/// The commands to send to a worker, and the terminations to record.
 #[derive(Debug, Default, PartialEq)]
 pub struct WorkerPlan {
-    /// Commands for the worker, to be executed in this order.
+    /// Commands for the worker, in the order of execution.
     pub commands: Vec<WorkerCommand>,
-    /// Attempts that have ended, with their outcome.
+    /// Terminations of attempts that have ended.
     pub terminations: Vec<Termination>,
 }
 
-/// Whether any of the commands starts a task.
+/// Returns whether any of the commands launches a task.
 pub(super) fn includes_launch(commands: &[WorkerCommand]) -> bool {
     commands.iter().any(|c| c.action == CommandAction::Start)
 }
 
 impl WorkerPlan {
-    /// Whether any of the commands starts a task.
+    /// Returns whether any of the commands launches a task.
     pub fn launches(&self) -> bool {
         includes_launch(&self.commands)
     }
 
-    /// Takes the launches out unless the replica is recent enough for them: what an
-    /// older replica shows as booked may have been cancelled at another controller since.
-    /// True if any were taken out; they are planned again after a read barrier.
+    /// Removes the launches unless the replica is recent enough for them: a booking in an
+    /// older replica may have been cancelled through another controller since. Returns whether
+    /// any launch was removed; these are planned again after a read barrier.
     #[must_use]
     pub fn defer_launches(&mut self, replica_staleness: Option<Duration>, limit: Duration) -> bool {
         let is_recent = replica_staleness.is_some_and(|age| age < limit);
@@ -39,7 +39,7 @@
     }
 
     /// Adds a command for an attempt of a task.
-    pub(super) fn command(
+    pub(super) fn push_command(
         &mut self,
         action: CommandAction,
         task: &str,
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -1,5 +1,5 @@
-//! The state that a controller keeps of workers: those that it owns, the claims
-//! that are under way, and terminations that are yet to be recorded.
+//! Holds the state that a controller keeps of workers: the workers that it owns, the claims
+//! that wait to be committed, and the terminations that wait to be recorded.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -14,27 +14,27 @@
 use super::{AttemptKey, OwnedWorker, TerminationEvidence};
 use crate::controller::Controller;
 
-/// The workers that this controller owns, and what waits to be committed for them.
+/// The workers that this controller owns, with their pending claims and terminations.
 #[derive(Debug, Default)]
 pub struct WorkerTable {
-    /// The workers of the machines that this controller owns, by machine.
+    /// Workers of the machines that this controller owns, by machine.
     owned: RefCell<HashMap<String, OwnedWorker>>,
     /// Terminations of tasks that wait to be recorded.
     pending_terminations: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
     /// Claims that wait to be committed.
     pub(super) claims: ClaimQueue,
-    /// The latest redirects of workers to other controllers.
+    /// Latest redirects of workers to other controllers.
     redirects: RefCell<RedirectHistory>,
-    /// Wakes the direct commands: bookings or statuses of machines have changed.
+    /// Notification of the command loop that bookings or statuses of machines have changed.
     commands_notify: Notify,
-    /// Wakes the recording of terminations.
+    /// Notification of the recording of terminations that some have been queued.
     terminations_notify: Notify,
-    /// Wakes the publication of capacity: a machine can take work from now on.
+    /// Notification of the capacity publication loop that capacity has changed.
     publication_notify: Notify,
 }
 
 impl WorkerTable {
-    /// The workers that this controller owns, by machine.
+    /// Returns the workers that this controller owns, by machine.
     pub fn owned(&self) -> Ref<'_, HashMap<String, OwnedWorker>> {
         self.owned.borrow()
     }
@@ -43,7 +43,7 @@
         self.owned.borrow_mut()
     }
 
-    /// Takes a pause of this process out of every worker's span of silence.
+    /// Excludes a pause of this process from the time of silence of every worker.
     pub fn exclude_pause(&self, pause: Duration, now: Instant) {
         for owned_worker in self.owned.borrow_mut().values_mut() {
             owned_worker.exclude_pause(pause, now);
@@ -54,12 +54,12 @@
         self.redirects.borrow_mut()
     }
 
-    /// Drops what is remembered of the redirects of all machines but the known ones.
+    /// Drops the recorded redirects of all machines but the known ones.
     pub fn retain_redirects(&self, known: &HashSet<&str>) {
         self.redirects.borrow_mut().retain_machines(known);
     }
 
-    /// The terminations that wait to be recorded.
+    /// Returns the terminations that wait to be recorded.
     pub fn pending_terminations(&self) -> Ref<'_, BTreeMap<AttemptKey, TerminationEvidence>> {
         self.pending_terminations.borrow()
     }
@@ -70,7 +70,7 @@
         self.pending_terminations.borrow_mut()
     }
 
-    /// Drops terminations that have been recorded, or whose evidence is void.
+    /// Removes terminations that have been recorded, or whose evidence is void.
     pub fn remove_terminations(&self, keys: &[AttemptKey]) {
         let mut pending = self.pending_terminations.borrow_mut();
         for key in keys {
@@ -87,7 +87,7 @@
         self.terminations_notify.notify_one();
     }
 
-    /// Has the loop of direct commands look for what has changed.
+    /// Wakes the command loop to process the machines that have changed.
     pub fn wake_commands(&self) {
         self.commands_notify.notify_one();
     }
@@ -106,8 +106,7 @@
 }
 
 impl Controller {
-    /// Whether this run of the controller owns the machine, as far as its replica
-    /// tells.
+    /// Returns whether this run of the controller owns the machine according to its replica.
     pub fn owns(&self, machine: &str) -> bool {
         let replica = self.replica.borrow();
         let owned_workers = self.workers.owned();
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -1,4 +1,4 @@
-//! The zone shard that a machine's slot is put into.
+//! Chooses the zone shard whose record lists a machine's slot.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -9,33 +9,33 @@
 use crate::state::records::{Machine, ZoneShard};
 use crate::state::replica::Replica;
 
-/// A zone shard's record as a commit will leave it.
+/// A zone shard's record with the changes that the planned commit makes.
 #[derive(Default)]
 pub(super) struct ShardEdit {
     pub record: ZoneShard,
-    /// Machines join or leave it.
+    /// Flag that machines are added to or removed from the record.
     pub changes_members: bool,
 }
 
-/// The records that a choice depends on, with their versions.
-pub(super) type Conditions = BTreeMap<String, u64>;
+/// Versions of the records on which the choice of a zone shard depends, by key.
+pub(super) type PreconditionVersions = BTreeMap<String, u64>;
 
-/// The zone shard that a machine's slot is put into, with all that must be as the replica
-/// has it.
+/// The zone shard chosen for a machine's slot, with the versions that the records behind
+/// the choice must still have when it is committed.
 pub(super) struct ShardChoice {
     pub shard: String,
-    pub conditions: Conditions,
+    pub preconditions: PreconditionVersions,
 }
 
-/// What zone shards' records may come to take, in bytes, as a commit in the making
-/// leaves them. A preferred owner may have thousands of machines: each length is worked
-/// out once for each change.
+/// Cached upper bounds of the encoded lengths of zone shard records, in bytes, with the
+/// changes that the planned commit makes. A preferred owner may have thousands of machines,
+/// so a record's bound is computed only once between two changes of the record.
 #[derive(Default)]
 pub(super) struct ShardLengths(RefCell<HashMap<String, usize>>);
 
 impl ShardLengths {
-    /// The record is about to change.
-    pub(super) fn forget(&mut self, shard: &str) {
+    /// Drops the cached length of a record that is about to change.
+    pub(super) fn invalidate(&mut self, shard: &str) {
         self.0.get_mut().remove(shard);
     }
 
@@ -49,64 +49,74 @@
     }
 }
 
-/// What the choice of a zone shard follows from.
+/// The inputs of the choice of a zone shard.
 pub(super) struct ShardChooser<'a> {
     pub replica: &'a Replica,
     pub edits: &'a BTreeMap<String, ShardEdit>,
     pub lengths: &'a ShardLengths,
-    /// Every machine's candidates begin with so many zone shards of its preferred owner.
-    pub first_candidates: usize,
+    /// Number of zone shards of a preferred owner that are the first candidates of each of
+    /// its machines.
+    pub shared_candidates: usize,
 }
 
 impl ShardChooser<'_> {
-    /// Chooses the zone shard for the slot of a machine that stands in none, so that
-    /// the slot comes to stand in no other:
+    /// Chooses the zone shard for the slot of a machine that is in none yet, such that no
+    /// concurrent or delayed commit can list the machine in a second one:
     ///
-    /// - Before compact encodings, the zone shard of its machine shard, as ever. So it
-    ///   is while that zone shard does not stand in the compact encoding: a commit that
-    ///   an earlier version decided may still arrive, and knows no condition but the
-    ///   zone shard's.
-    /// - Then the first of its candidates with capacity. The machine shard is a condition:
-    ///   only its owner puts a machine anywhere, and a claim changes the machine
-    ///   shard. So are all candidates up to that one, and the machine shard's own zone
-    ///   shard: a commit of ours without an answer, which may be carried out later, had
-    ///   chosen by them. None of these may be newer than what the replica has wholly:
-    ///   a choice made elsewhere since would be missing from it.
+    /// - Before compact encodings are in use, and as long as the zone shard of the machine's
+    ///   own machine shard is not stored in the compact encoding, it is that zone shard.
+    ///   A commit that was decided by an earlier version may still arrive, and its only
+    ///   precondition is the version of that zone shard.
+    /// - After that, it is the machine's first candidate with capacity. The choice has three
+    ///   kinds of preconditions. The first is the machine shard: only the machine's owner
+    ///   adds it to a zone shard, and each claim changes the machine shard. The second is all
+    ///   candidates up to the chosen one, and the third is the zone shard of the machine's own
+    ///   machine shard: an unanswered commit of this controller, which may be applied later,
+    ///   made its choice by these records. None of the records may be newer than the
+    ///   revision that the replica has reached: a choice that another controller made
+    ///   since then would be missing from the replica.
     pub(super) fn choose(&self, id: &str, machine: &Machine) -> Option<ShardChoice> {
-        let own = shard_id(&machine.zone, &machine.shard);
-        if !self.replica.uses_compact_encoding() || !self.replica.is_compact_zone_shard(&own) {
+        let own_shard = shard_id(&machine.zone, &machine.shard);
+        if !self.replica.uses_compact_encoding() || !self.replica.is_compact_zone_shard(&own_shard)
+        {
             return Some(ShardChoice {
-                shard: own,
-                conditions: Conditions::new(),
+                shard: own_shard,
+                preconditions: PreconditionVersions::new(),
             });
         }
-        let mut conditions = Conditions::from([
+        let mut preconditions = PreconditionVersions::from([
             (
-                machine_shard_key(&own),
-                self.replica.machine_shard_version(&own),
+                machine_shard_key(&own_shard),
+                self.replica.machine_shard_version(&own_shard),
+            ),
+            (
+                zone_shard_key(&own_shard),
+                self.replica.zone_shard_version(&own_shard),
             ),
-            (zone_shard_key(&own), self.replica.zone_shard_version(&own)),
         ]);
-        let mut shard = own;
-        for number in candidate_numbers(&machine.shard, self.first_candidates) {
-            let next = shard_id(
+        let mut shard = own_shard;
+        for number in candidate_numbers(&machine.shard, self.shared_candidates) {
+            let candidate = shard_id(
                 &machine.zone,
                 &format!("{}.{number}", preferred_owner_of(&machine.shard)),
             );
-            let version = self.replica.zone_shard_version(&next);
-            conditions.insert(zone_shard_key(&next), version);
-            if self.has_capacity(&next, id, machine) {
-                shard = next;
+            let version = self.replica.zone_shard_version(&candidate);
+            preconditions.insert(zone_shard_key(&candidate), version);
+            if self.has_capacity(&candidate, id, machine) {
+                shard = candidate;
                 break;
             }
         }
-        let is_known_wholly = conditions.values().all(|v| *v <= self.replica.revision);
-        is_known_wholly.then_some(ShardChoice { shard, conditions })
+        let is_replicated = preconditions.values().all(|v| *v <= self.replica.revision);
+        is_replicated.then_some(ShardChoice {
+            shard,
+            preconditions,
+        })
     }
 
-    /// Whether the zone shard, as edited so far, is empty or takes the slot besides.
-    /// What follows must depend on the record and the machine's names alone: not on
-    /// what unbooked tasks take there just now.
+    /// Returns whether the zone shard, as edited so far, is empty or has capacity for the
+    /// machine's slot. The result must depend only on the record and on the names of the
+    /// machine and its type, not on the present resources of unbooked tasks.
     fn has_capacity(&self, shard: &str, id: &str, machine: &Machine) -> bool {
         let edited = self.edits.get(shard).map(|edit| &edit.record);
         let known = || self.replica.zone_shards.get(shard).map(|e| &e.value);
@@ -123,20 +133,20 @@
     }
 }
 
-/// The numbers of the zone shards that a machine may be put into, in an order that
-/// follows from its machine shard and the settings alone. The first ones are the same
-/// for all machines of a preferred owner, so that few zone shards hold them all. One whose
-/// machines fill these has more than the conditions of one commit could tell of: then
-/// come those from the machine shard's own on, in steps that double, so that the empty
-/// ones at the end are soon reached.
-fn candidate_numbers(machine_shard: &str, first: usize) -> impl Iterator<Item = usize> {
+/// Returns the numbers of the zone shards that may list a machine, in an order that is
+/// determined by its machine shard and the settings alone. The first `shared_count` numbers
+/// are the same for all machines of a preferred owner, so that few zone shards hold all of
+/// them. If these are full, there are more zone shards than one commit can name in its
+/// preconditions: the candidates continue with the machine shard's own number, at
+/// distances from it that double, so that the empty ones at the end are reached soon.
+fn candidate_numbers(machine_shard: &str, shared_count: usize) -> impl Iterator<Item = usize> {
     let number = machine_shard
         .rsplit_once('.')
-        .and_then(|p| p.1.parse().ok());
-    let own: usize = number.unwrap_or(0);
+        .and_then(|parts| parts.1.parse().ok());
+    let own_number: usize = number.unwrap_or(0);
     let steps = (0..usize::BITS).map(|exponent| 1usize << exponent);
     let from_own = std::iter::once(0)
         .chain(steps)
-        .map(move |step| own.saturating_add(step));
-    (0..first).chain(from_own.filter(move |number| *number >= first))
+        .map(move |step| own_number.saturating_add(step));
+    (0..shared_count).chain(from_own.filter(move |number| *number >= shared_count))
 }
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -367,24 +367,24 @@
     let mut owned_worker = OwnedWorker::new(5, 9, start);
     let late = start + Duration::from_secs(12);
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "the token was never shown"
     );
     owned_worker.accept_status(report(7, 5, json!([])), true);
-    assert!(owned_worker.lease_is_over(lease, margin, late));
+    assert!(owned_worker.has_lease_expired(lease, margin, late));
     assert!(
-        !owned_worker.lease_is_over(lease, margin, start + Duration::from_secs(11)),
+        !owned_worker.has_lease_expired(lease, margin, start + Duration::from_secs(11)),
         "margin"
     );
     owned_worker.has_unanswered_launch = true;
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "a launch may land late"
     );
     owned_worker.has_unanswered_launch = false;
     owned_worker.last_answered_at = start + Duration::from_secs(5);
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "renewed since"
     );
 }
