--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -1,9 +1,10 @@
-//! Compaction: once compact encodings may be written, what stands in longer ones comes
-//! below the limits that are to fall, in the background. The zone shards that this
-//! controller looks after take the compact encoding and are merged (`zone_shards`), and
-//! records that are too long are written anew, the oldest first (`oversized`). Nothing
-//! waits for this: whoever writes such a record meanwhile writes the compact encoding
-//! by itself.
+//! Compaction: rewrites records in the compact encodings in the background, once these may
+//! be written, so that all records fit into the lower limits that are to come into force.
+//!
+//! The zone shards that this controller is responsible for are written in the compact
+//! encoding, split and merged (`zone_shards`), and records that are too long are rewritten,
+//! the oldest first (`oversized`). No other work waits for compaction: any other write of such
+//! a record uses the compact encoding as well.
 
 mod oversized;
 mod zone_shards;
@@ -22,20 +23,19 @@
 use crate::wire::Commit;
 use crate::workers::preferred_owner_of;
 
-/// How many keys a commit of this loop writes, for the budget to be ready.
+/// Number of keys that a compaction commit waits to have in the write budget.
 const WRITES_PER_STEP: usize = 2;
 
-/// Keys of records that could not be written as they were, and until when they wait.
+/// Keys of records whose write was refused, with the times until which they are skipped.
 pub type DeferredKeys = HashMap<String, Instant>;
 
-/// One commit of this loop.
+/// One commit of the compaction loop, with its request class.
 struct CompactionStep {
     class: RequestClass,
     commit: Commit,
 }
 
-/// Writes records anew that are to be shorter, a commit at a time, as the budget
-/// allows.
+/// Runs the loop that compacts records, one commit at a time, as the write budget allows.
 pub async fn run_compaction(controller: Rc<Controller>) {
     let tick = controller.settings.heartbeat_interval() / 4;
     let mut deferred = DeferredKeys::new();
@@ -59,14 +59,16 @@
             .store
             .wait_for_budget(step.class, WRITES_PER_STEP)
             .await;
-        // Decided on what is known once the budget is there.
+        // The step is chosen again, as records may have changed during the wait for the
+        // budget.
         if let Some(step) = next_step(&controller, &deferred) {
             commit_step(&controller, step, &mut deferred, now).await;
         }
     }
 }
 
-/// Commits a step; what is refused waits for a lease.
+/// Commits a step. After an error other than a conflict, its keys are deferred for the
+/// duration of a lease.
 async fn commit_step(
     controller: &Controller,
     step: CompactionStep,
@@ -89,15 +91,18 @@
     }
 }
 
-/// Whether this controller looks after the shards of a preferred owner: its own; the
-/// fleet leader after those whose controller is not up.
+/// Returns whether this controller is responsible for the shards of a preferred owner. Each
+/// controller is responsible for its own shards, and the fleet leader also for the shards of
+/// controllers that are not up.
 fn is_responsible_for(controller: &Controller, replica: &Replica, preferred_owner: &str) -> bool {
     preferred_owner == controller.name()
         || (controller.is_fleet_leader() && !replica.controllers.contains_key(preferred_owner))
 }
 
-/// Zone shards come by turns with the rounds: until they are few a gang may have its
-/// places in more of them than a commit writes. The rest comes last.
+/// Returns the next compaction step, if any. Zone shards come first, in a request class that
+/// takes turns with scheduling rounds in the use of the write budget: until zone shards are
+/// few, the machines of a gang may be listed in more of them than one commit can write.
+/// Oversized records come last, in a class with a lower priority.
 fn next_step(controller: &Controller, deferred: &DeferredKeys) -> Option<CompactionStep> {
     let replica = controller.replica.borrow();
     let is_responsible = |id: &str| {
@@ -105,10 +110,10 @@
         is_responsible_for(controller, &replica, preferred_owner_of(shard))
     };
     let max_writes = controller.settings.txn_ops();
-    let of_zone_shards = zone_shards::compact(&replica, deferred, &is_responsible, max_writes)
+    let zone_shard_commit = zone_shards::compact(&replica, deferred, &is_responsible, max_writes)
         .or_else(|| split_long(&replica, deferred, &is_responsible))
         .or_else(|| merge(&replica, deferred, &is_responsible));
-    if let Some(commit) = of_zone_shards {
+    if let Some(commit) = zone_shard_commit {
         return Some(CompactionStep {
             class: RequestClass::Claim,
             commit,
--- a/src/compaction/oversized.rs
+++ b/src/compaction/oversized.rs
@@ -1,4 +1,4 @@
-//! Records that are longer than any may be later are written anew, the oldest first.
+//! Rewrites records that are longer than the coming limit allows, the oldest first.
 
 use super::DeferredKeys;
 use crate::scheduler::MachineShardEdits;
@@ -7,8 +7,8 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Write};
 
-/// What an oversized record holds. The order is part of the order in which records of
-/// the same version are written.
+/// The kind of an oversized record. Records of the same version are rewritten in the order
+/// of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKind {
     Job,
@@ -16,7 +16,7 @@
     ZoneShard,
 }
 
-/// A record that is to be written anew; the order is that of the writing.
+/// A record to be rewritten. Records are rewritten in the order of this type.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OversizedRecord<'a> {
     version: u64,
@@ -24,8 +24,8 @@
     id: &'a str,
 }
 
-/// Writes the oldest record anew that is longer than any may be later, or that of an
-/// open job which leaves no capacity for its tasks.
+/// Returns the commit that rewrites the oldest record that is longer than the coming limit, or
+/// that belongs to an open job and leaves no capacity for the job's tasks.
 pub(super) fn rewrite(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -42,10 +42,10 @@
     records.sort_unstable();
     records
         .into_iter()
-        .find_map(|record| rewritten(replica, &record))
+        .find_map(|record| rewrite_commit(replica, &record))
 }
 
-/// The record of a key, if it is for this controller to write.
+/// Returns the record of a key, if this controller is the one to rewrite it.
 fn oversized_record<'a>(
     replica: &Replica,
     key: &'a str,
@@ -65,14 +65,15 @@
     (version > 0).then_some(OversizedRecord { version, kind, id })
 }
 
-/// Open jobs whose records leave no capacity for their tasks, and can be shortened.
-/// Those that are too long as they stand are among the oversized records already.
+/// Returns the open jobs whose records leave no capacity for their tasks and can be
+/// shortened. Jobs whose records already exceed the coming limit are left out, as they are
+/// among the oversized records.
 fn trimmable_jobs<'a>(
     replica: &'a Replica,
     deferred: &DeferredKeys,
     is_preferred: &dyn Fn(&str) -> bool,
 ) -> Vec<OversizedRecord<'a>> {
-    let mut found = Vec::new();
+    let mut trimmable = Vec::new();
     for id in &replica.long_jobs {
         let key = job_key(id);
         if deferred.contains_key(&key)
@@ -83,22 +84,23 @@
         }
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         if job.is_some_and(|job| replica.trimmed_job(job).is_some()) {
-            found.push(OversizedRecord {
-                // Version 0: it stands among the arrivals until this is written.
+            trimmable.push(OversizedRecord {
+                // The version is 0 while the job has no record of its own: until this commit
+                // it is stored in its batch of accepted jobs.
                 version: replica.job_version(id),
                 kind: RecordKind::Job,
                 id,
             });
         }
     }
-    found
+    trimmable
 }
 
-/// The commit that writes a record anew, if that makes it short enough.
-fn rewritten(replica: &Replica, record: &OversizedRecord) -> Option<Commit> {
+/// Returns the commit that rewrites a record, if that makes the record short enough.
+fn rewrite_commit(replica: &Replica, record: &OversizedRecord) -> Option<Commit> {
     let OversizedRecord { version, kind, id } = *record;
     match kind {
-        RecordKind::Job => rewritten_job(replica, id, version),
+        RecordKind::Job => rewrite_job_commit(replica, id, version),
         RecordKind::ZoneShard => {
             let write = replica.put_zone_shard(id, &replica.zone_shards.get(id)?.value);
             Some(Commit {
@@ -107,11 +109,12 @@
             })
         }
         RecordKind::MachineShard => {
-            // One that is too long in the compact encoding, too, is split by this.
+            // The edit also splits a machine shard that is too long even in the compact
+            // encoding.
             let mut machine_shards = MachineShardEdits::new(replica);
             machine_shards.edit(id);
             let (preconditions, writes) = machine_shards.into_commit();
-            debug_assert!(preconditions.iter().any(|g| g.key == machine_shard_key(id)));
+            debug_assert!(preconditions.iter().any(|p| p.key == machine_shard_key(id)));
             Some(Commit {
                 preconditions,
                 writes,
@@ -120,9 +123,9 @@
     }
 }
 
-/// A job's record as it is to be, if that is within the coming limit: one that
-/// cannot be is left to become shorter as its tasks end.
-fn rewritten_job(replica: &Replica, id: &str, version: u64) -> Option<Commit> {
+/// Returns the commit that rewrites a job's record, if the new record is within the coming
+/// limit. A record that remains too long is left to become shorter as the job's tasks end.
+fn rewrite_job_commit(replica: &Replica, id: &str, version: u64) -> Option<Commit> {
     let write = replica.put_job(id, &replica.jobs.get(id)?.value);
     let Write::Put { value, .. } = &write else {
         return None;
--- a/src/compaction/zone_shards.rs
+++ b/src/compaction/zone_shards.rs
@@ -1,5 +1,5 @@
-//! Zone shards: they take the compact encoding, are split where they may outgrow their
-//! records, and are merged until they are few.
+//! Compacts zone shards: writes them in the compact encoding, splits those that may outgrow
+//! their records, and merges them until they are few.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition};
 
-/// Zone shards that do not stand in the compact encoding yet, one for each machine
-/// shard, there or not: from then on a commit that was decided before cannot change
-/// them.
+/// Returns a commit that writes zone shards in the compact encoding which are not stored in it
+/// yet. Each machine shard's own zone shard is included, even if it has no record: after this
+/// write, a commit that was decided earlier can no longer change it.
 pub(super) fn compact(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -26,7 +26,7 @@
         .chain(replica.zone_shards.keys());
     for id in ids.filter(|id| is_responsible(id) && !replica.is_compact_zone_shard(id)) {
         let key = zone_shard_key(id);
-        let is_included = preconditions.iter().any(|g| g.key == key);
+        let is_included = preconditions.iter().any(|p| p.key == key);
         if writes.len() == max_writes || deferred.contains_key(&key) || is_included {
             continue;
         }
@@ -40,10 +40,10 @@
     })
 }
 
-/// Moves half of the machines of a zone shard that may outgrow its record into one
-/// of the same preferred owner that is empty: its text becomes longer as machines leave
-/// it, and one that is too long could not be written. Both are written under guard, as
-/// with a merge.
+/// Returns a commit that moves half of the machines of a zone shard that may outgrow its
+/// record to an empty zone shard of the same preferred owner. The encoded record can grow
+/// even when machines are removed from it, and a record that is too long could not be
+/// written. The versions of both records are preconditions, as in a merge.
 pub fn split_long(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -65,7 +65,7 @@
     Some(write_both(replica, [(id, &first), (&empty, &second)]))
 }
 
-/// The first zone shard of a preferred owner in a zone that lists no machine.
+/// Returns the first zone shard of a preferred owner in a zone that lists no machines.
 fn first_empty(replica: &Replica, deferred: &DeferredKeys, zone_and_owner: &str) -> Option<String> {
     let is_empty = |id: &String| {
         let shard = replica.zone_shards.get(id);
@@ -77,7 +77,7 @@
         .find(is_empty)
 }
 
-/// The commit that writes two zone shards, both under guard.
+/// Returns the commit that writes two zone shards, with both versions as preconditions.
 fn write_both(replica: &Replica, shards: [(&str, &ZoneShard); 2]) -> Commit {
     let preconditions =
         shards.map(|(id, _)| precondition(zone_shard_key(id), replica.zone_shard_version(id)));
@@ -88,16 +88,17 @@
     }
 }
 
-/// A zone shard that may be merged with others of its preferred owner.
+/// A zone shard that may be merged with others of the same preferred owner and zone.
 struct MergeCandidate<'a> {
-    /// The number that its name ends with.
+    /// Number at the end of the zone shard's name.
     number: u32,
     id: &'a String,
     shard: &'a ZoneShard,
 }
 
-/// Empties a zone shard of a preferred owner into the first that takes all of it. Both
-/// are written under guard, so each machine stands in one of them throughout.
+/// Returns a commit that moves all machines of a zone shard to the first zone shard of the
+/// same preferred owner with capacity for all of them. The versions of both records are
+/// preconditions, so each machine is listed in exactly one of them at any time.
 pub fn merge(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -130,13 +131,13 @@
     })
 }
 
-/// Empties the last zone shard that another takes wholly: the last is the one that was
-/// needed least.
+/// Returns a commit that empties the last zone shard whose machines all fit into an earlier
+/// one: zone shards are filled in order, so the last ones are needed least.
 fn merge_last(replica: &Replica, candidates: &[MergeCandidate]) -> Option<Commit> {
-    let last_first = candidates.iter().enumerate().rev();
-    let mut with_machines = last_first.filter(|(_, last)| !last.shard.machines.is_empty());
-    with_machines.find_map(|(at, from)| {
-        candidates[..at].iter().find_map(|to| {
+    let reversed = candidates.iter().enumerate().rev();
+    let mut nonempty = reversed.filter(|(_, last)| !last.shard.machines.is_empty());
+    nonempty.find_map(|(index, from)| {
+        candidates[..index].iter().find_map(|to| {
             let merged = merged(to.shard, from.shard);
             let emptied = ZoneShard::default();
             replica
@@ -146,10 +147,13 @@
     })
 }
 
-/// One zone shard with the machines of another besides.
+/// Returns a zone shard with the machines of both given ones.
 fn merged(shard: &ZoneShard, other: &ZoneShard) -> ZoneShard {
     let mut merged = shard.clone();
-    let more = other.machines.iter().map(|(id, s)| (id.clone(), s.clone()));
-    merged.machines.extend(more);
+    let added = other
+        .machines
+        .iter()
+        .map(|(id, slot)| (id.clone(), slot.clone()));
+    merged.machines.extend(added);
     merged
 }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,46 +1,48 @@
-//! The message that controllers send one another, and its frames: the length of the
-//! message in four bytes, the highest first, and the message itself.
+//! Defines the message that controllers send to one another, and its framing: the length of
+//! the message in four bytes, big-endian, followed by the message.
 
 use bincode::{Decode, Encode};
 
-/// The longest message that is read, in bytes.
+/// Maximum length of a received message, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// Answers each frame.
+/// The byte that acknowledges a frame.
 pub(super) const ACK: u8 = 1;
 
-/// What one controller tells of itself, sent some times in a lease. The order
-/// of the fields is the message's.
+/// The status of a controller, which it sends to each peer several times in a worker lease.
+/// Fields are encoded in the order of their declaration.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct PeerStatus {
-    /// The controller's name.
+    /// Name of the controller.
     pub controller: String,
-    /// The run of its process.
+    /// Incarnation of the controller: the number of this run of its process.
     pub incarnation: u64,
-    /// How old its last barrier is, in milliseconds; `None` before its first barrier.
+    /// Time since the controller's last read barrier, in milliseconds; `None` before the
+    /// first one.
     pub staleness_ms: Option<u64>,
-    /// How many machines it owns.
+    /// Number of machines that the controller owns.
     pub machines: u32,
-    /// How many of them have sent it nothing for two heartbeat intervals.
+    /// Number of owned machines whose workers have sent no message for two heartbeat
+    /// intervals.
     pub silent: u32,
-    /// What it would write to the state service, in keys a second.
+    /// Demand for writes to the state service, in keys per second.
     pub writes: f64,
-    /// Offers that the cloud has refused it of late.
+    /// Offers that the cloud has recently refused to the controller.
     pub refused: Vec<String>,
 }
 
-/// Why a message cannot be put into a frame, or read from one.
+/// The error of encoding or decoding a message.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The message has no encoding.
-    #[error("message not encoded: {0}")]
+    /// A failure to encode the message.
+    #[error("cannot encode the gossip message: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// The bytes are no message.
-    #[error("message not decoded: {0}")]
+    /// A failure to decode the bytes as a message.
+    #[error("cannot decode the gossip message: {0}")]
     Decode(#[from] bincode::error::DecodeError),
 }
 
-/// A frame: the length of what follows, and the message itself.
+/// Returns the frame of a message: its length, followed by the message.
 pub fn encode(status: &PeerStatus) -> Result<Vec<u8>, FrameError> {
     let body = bincode::encode_to_vec(status, bincode::config::standard())?;
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
@@ -48,7 +50,7 @@
     Ok(frame)
 }
 
-/// The message of a frame, without its length.
+/// Decodes the message of a frame from the bytes that follow the length.
 pub fn decode(body: &[u8]) -> Result<PeerStatus, FrameError> {
     let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
     let (status, _) = bincode::decode_from_slice(body, config)?;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! What controllers tell one another: hints only. Nothing that a safety rule
-//! rests on is decided by what comes over the gossip connections.
+//! Exchanges status messages between controllers. They are hints only: no decision that a
+//! safety rule depends on is based on gossip.
 
 mod message;
 mod peer_table;
@@ -17,13 +17,13 @@
 
 use crate::settings::Settings;
 
-/// So many frames are sent to each peer in a worker's lease, or more.
-const FRAMES_PER_LEASE: u32 = 20;
+/// Minimum number of frames that are sent to each peer during a worker lease.
+const MIN_FRAMES_PER_LEASE: u32 = 20;
 
-/// The longest time between two frames to one peer.
+/// Maximum time between two frames to one peer.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time between two frames to one peer.
+/// Returns the time between two frames to one peer.
 fn gossip_interval(settings: &Settings) -> Duration {
-    (settings.worker_lease() / FRAMES_PER_LEASE).min(MAX_INTERVAL)
+    (settings.worker_lease() / MIN_FRAMES_PER_LEASE).min(MAX_INTERVAL)
 }
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -1,4 +1,4 @@
-//! What the other controllers have last told of themselves.
+//! Keeps the newest status of each other controller, and answers queries about them.
 
 use std::collections::HashMap;
 
@@ -8,29 +8,28 @@
 use super::message::PeerStatus;
 use crate::controller::Controller;
 
-/// The most that is believed of what a controller would write, in keys a second.
-const MAX_WRITES_PER_S: f64 = 1e6;
+/// Upper bound on the write demand that is accepted from a peer, in keys per second.
+const MAX_WRITE_DEMAND: f64 = 1e6;
 
-/// A controller that has sent nothing for so many intervals counts as not
-/// heard of.
+/// Age from which a peer's status is ignored, in gossip intervals.
 const FRESH_INTERVALS: u32 = 4;
 
-/// What another controller has last told of itself.
+/// The newest status of another controller.
 #[derive(Debug)]
 struct PeerState {
-    /// When it told so.
+    /// Time at which the status was received.
     received_at: Instant,
     status: PeerStatus,
 }
 
-/// What the other controllers have told, by name.
+/// The newest statuses of the other controllers, by name.
 #[derive(Debug, Default)]
 pub struct PeerTable(HashMap<String, PeerState>);
 
 impl PeerTable {
-    /// Records what a controller tells.
+    /// Records the status of a controller.
     pub fn record(&mut self, mut status: PeerStatus, now: Instant) {
-        status.writes = status.writes.clamp(0.0, MAX_WRITES_PER_S);
+        status.writes = status.writes.clamp(0.0, MAX_WRITE_DEMAND);
         let state = PeerState {
             received_at: now,
             status,
@@ -38,7 +37,7 @@
         self.0.insert(state.status.controller.clone(), state);
     }
 
-    /// Those that were heard of late.
+    /// Returns the peers whose statuses are recent.
     fn fresh(
         &self,
         controller: &Controller,
@@ -51,8 +50,8 @@
             .map(|(name, peer)| (name.as_str(), &peer.status))
     }
 
-    /// This controller and those that were heard of late and are served by the state
-    /// service.
+    /// Returns the names of this controller and of the peers whose statuses are recent and
+    /// show that the state service answers them.
     pub fn alive<'a>(&'a self, controller: &'a Controller, now: Instant) -> Vec<&'a str> {
         let max_staleness_ms = (controller.settings.worker_lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
@@ -64,16 +63,17 @@
         names
     }
 
-    /// Whether a peer receives heartbeats of the machines that it owns, as far as it
-    /// has told: one or a quarter may be lost or on their way. One that is cut off from
-    /// workers alone still talks to us and to the state service.
+    /// Returns whether a peer receives heartbeats from the machines that it owns, according to
+    /// its status. One silent machine, or up to a quarter of them, is tolerated, as single
+    /// heartbeats may be lost or in flight. The check is needed because a controller that is
+    /// cut off only from its workers still reaches its peers and the state service.
     pub fn receives_heartbeats(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(controller, now);
         fresh.any(|(name, status)| name == peer && status.silent <= (status.machines / 4).max(1))
     }
 
-    /// What the other controllers would write, in keys a second, in the order of the
-    /// settings; nothing for those that have not been heard of late.
+    /// Returns the write demands of the other controllers, in keys per second, in the order
+    /// of the settings; `None` for those without a recent status.
     pub fn write_demands(&self, controller: &Controller, now: Instant) -> Vec<Option<f64>> {
         let fresh: HashMap<&str, f64> = self
             .fresh(controller, now)
@@ -85,14 +85,14 @@
             .collect()
     }
 
-    /// What the cloud has refused the others.
+    /// Returns the offers that the cloud has recently refused to the other controllers.
     pub fn refused(&self, controller: &Controller, now: Instant) -> Vec<String> {
         self.fresh(controller, now)
             .flat_map(|(_, peer)| peer.refused.iter().cloned())
             .collect()
     }
 
-    /// Whether some other controller is served by the state service.
+    /// Returns whether the state service answers at least one other controller.
     pub fn state_serves_another(&self, controller: &Controller, now: Instant) -> bool {
         self.alive(controller, now).len() > 1
     }
--- a/src/gossip/receiver.rs
+++ b/src/gossip/receiver.rs
@@ -1,4 +1,4 @@
-//! Receives what the other controllers tell of themselves.
+//! Receives the status messages of the other controllers.
 
 use std::io;
 use std::rc::Rc;
@@ -12,29 +12,30 @@
 use crate::controller::Controller;
 use crate::net::{Listener, Stream};
 
-/// How long to wait when no connection can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A connection that brings no frame for so many intervals is closed.
+/// Time without a frame after which a connection is closed, in gossip intervals.
 const MAX_SILENT_INTERVALS: u32 = 10;
 
-/// Accepts the other controllers' connections.
+/// Runs the loop that accepts the connections of the other controllers.
 pub async fn run_receiver(controller: Rc<Controller>, mut listener: Listener) {
     loop {
         match listener.accept().await {
             Ok(stream) => {
                 tokio::task::spawn_local(receive_frames(controller.clone(), stream));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Records one peer's frames until it sends none or a bad one.
+/// Receives frames from one connection and records their messages, until a frame is invalid
+/// or late.
 async fn receive_frames(controller: Rc<Controller>, mut stream: Stream) {
-    let patience = gossip_interval(&controller.settings) * MAX_SILENT_INTERVALS;
+    let frame_timeout = gossip_interval(&controller.settings) * MAX_SILENT_INTERVALS;
     loop {
-        let Ok(Ok(body)) = timeout(patience, read_frame(&mut stream)).await else {
+        let Ok(Ok(body)) = timeout(frame_timeout, read_frame(&mut stream)).await else {
             return;
         };
         match decode(&body) {
@@ -44,14 +45,14 @@
             }
             _ => return,
         }
-        let acknowledged = timeout(patience, stream.write_all(&[ACK])).await;
+        let acknowledged = timeout(frame_timeout, stream.write_all(&[ACK])).await;
         if !matches!(acknowledged, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-/// Whether the settings name the controller that a message is of.
+/// Returns whether the settings name the controller that sent a message.
 fn is_known(controller: &Controller, status: &PeerStatus) -> bool {
     let mut others = controller.settings.others.iter();
     others.any(|peer| peer.name == status.controller)
--- a/src/gossip/sender.rs
+++ b/src/gossip/sender.rs
@@ -1,4 +1,4 @@
-//! Tells the other controllers of this one.
+//! Sends the status of this controller to the other controllers.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -11,15 +11,15 @@
 use crate::controller::Controller;
 use crate::net::Stream;
 
-/// Tells the other controllers of this one.
+/// Starts a task for each other controller that sends it the status of this controller.
 pub async fn run_sender(controller: Rc<Controller>) {
     for peer in controller.settings.others.clone() {
         tokio::task::spawn_local(send_to_peer(controller.clone(), peer.addr));
     }
 }
 
-/// Sends one peer a frame in each interval, and connects anew whenever it has not
-/// acknowledged one.
+/// Sends a frame to one peer in each interval, and reconnects if a frame was not
+/// acknowledged.
 async fn send_to_peer(controller: Rc<Controller>, addr: SocketAddrV4) {
     let interval = gossip_interval(&controller.settings);
     let mut stream: Option<Stream> = None;
@@ -29,19 +29,21 @@
             let dial = controller.net.dial(addr);
             stream = timeout(interval, dial).await.ok().and_then(Result::ok);
         }
-        let Some(open) = &mut stream else { continue };
+        let Some(conn) = &mut stream else {
+            continue;
+        };
         let frame = match encode(&own_status(&controller)) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::debug!(%error, "gossip not sent");
+                tracing::debug!(%error, "gossip message not encoded");
                 continue;
             }
         };
-        // Each frame is acknowledged: a connection to a process that ended
-        // without a word takes writes for a long time.
+        // Frames are acknowledged because writes to a connection succeed for a long time
+        // after the peer has ended without closing it.
         let exchange = async {
-            open.write_all(&frame).await?;
-            open.read_u8().await
+            conn.write_all(&frame).await?;
+            conn.read_u8().await
         };
         match timeout(interval * 2, exchange).await {
             Ok(Ok(ACK)) => {}
@@ -50,7 +52,7 @@
     }
 }
 
-/// What this controller tells of itself now.
+/// Returns the present status of this controller.
 fn own_status(controller: &Controller) -> PeerStatus {
     let now = controller.liveness_tick();
     let silence_limit = controller.settings.heartbeat_interval() * 2;
--- a/src/gossip/write_budget.rs
+++ b/src/gossip/write_budget.rs
@@ -1,5 +1,5 @@
-//! Divides the state service's limits among the controllers, by what each has told
-//! that it would write.
+//! Divides the request and write limits of the state service among the controllers; writes
+//! are divided by each controller's demand.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::state::budget::{BUDGET_SHARE, write_rate_allocation};
 
-/// Divides the state service's writes by what each controller would write.
+/// Runs the loop that updates this controller's rates of requests and writes.
 pub async fn run_write_budget(controller: Rc<Controller>) {
     loop {
         sleep(gossip_interval(&controller.settings)).await;
@@ -17,10 +17,11 @@
     }
 }
 
-/// Sets this controller's rates of requests and of writes.
+/// Sets this controller's rates of requests and of writes from the limits of the state service
+/// and the demands of all controllers.
 fn update_budget(controller: &Controller) {
-    // The lower rate comes into force without notice: it is kept to once
-    // refusals show it, and the present one is tried again later.
+    // The lower limits come into force without notice. They are applied once refusals by
+    // the state service show that, and the present limits are tried again later.
     let is_rate_reduced = controller.store.is_rate_reduced()
         && controller.replica.borrow().all_read_compact_encodings();
     let writes_per_s = controller.settings.write_rps(is_rate_reduced) * BUDGET_SHARE;
@@ -32,15 +33,16 @@
     controller.store.set_write_rate(share);
 }
 
-/// What the other controllers would write, in keys a second, as far as it is known.
+/// Returns the write demands of the other controllers, in keys per second; `None` where the
+/// demand is unknown.
 fn peer_demands(controller: &Controller) -> Vec<Option<f64>> {
     let mut demands = controller
         .peers
         .borrow()
         .write_demands(controller, Instant::now());
-    // A controller that is not heard and has no state lease either writes
-    // nothing: it is cut off, or has ended, and its share is needed most just
-    // then. Only when there was time for all to write their keys.
+    // A controller without a recent status whose state lease has expired, too, writes nothing:
+    // it is cut off or has ended, and the others need its share most at that time. The
+    // rule applies only after all controllers have had time to write their records.
     if controller.started.elapsed() <= controller.settings.worker_lease()
         || !controller.is_state_service_reachable()
     {
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub(super) struct ClaimBatch {
     /// Machines whose claims are resolved, granted or not, once the commit has succeeded.
-    pub decided: Vec<String>,
+    pub resolved: Vec<String>,
     pub granted: Vec<GrantedClaim>,
     pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
@@ -67,7 +67,7 @@
     /// Adds a claim, unless the commit is full.
     fn add(&mut self, id: &str, status: Option<&WorkerStatus>) {
         let Some(status) = status else {
-            self.batch.decided.push(id.to_string());
+            self.batch.resolved.push(id.to_string());
             return;
         };
         let known = self.replica.machines.get(id).map(|entry| &entry.value);
@@ -83,11 +83,11 @@
             // for a commit of its own, it is dropped, and the worker's next heartbeat
             // requests it again.
             if self.batch.granted.is_empty() {
-                self.batch.decided.push(id.to_string());
+                self.batch.resolved.push(id.to_string());
             }
             return;
         };
-        self.batch.decided.push(id.to_string());
+        self.batch.resolved.push(id.to_string());
         if machine.lifecycle != MachineLifecycle::Gone {
             self.grant(id, machine, status);
         }
--- a/src/workers/claim_queue.rs
+++ b/src/workers/claim_queue.rs
@@ -13,9 +13,9 @@
     /// A claim whose commit has not succeeded yet.
     Pending,
     /// A claim that is resolved; the replica shows whether the machine is owned.
-    Decided,
-    /// A claim whose commit the state service refused. The commit is tried again, but no
-    /// heartbeat waits for it.
+    Resolved,
+    /// A claim whose commit failed because the state service serves no requests of this
+    /// controller at present. The commit is tried again, but no heartbeat waits for it.
     Refused,
 }
 
@@ -111,7 +111,7 @@
     /// Removes a claim from the queue and notifies the heartbeats that wait for it.
     pub(super) fn resolve(&self, machine: &str) {
         if let Some(claim) = self.claims.borrow_mut().remove(machine) {
-            claim.progress.send_replace(ClaimProgress::Decided);
+            claim.progress.send_replace(ClaimProgress::Resolved);
         }
     }
 
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -80,7 +80,7 @@
             acquire_worker(controller, claim, revision, now);
         }
     }
-    for id in &batch.decided {
+    for id in &batch.resolved {
         controller.workers.claims.resolve(id);
         // A direct call tells the worker its fencing token without delay: no task is
         // launched until the worker has sent a status with that token.
