--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -12,7 +12,7 @@
     let state_serves_another = controller
         .peers
         .borrow()
-        .state_serves_another(controller, Instant::now());
+        .is_state_service_reachable_by_peer(controller, Instant::now());
     let is_loaded =
         controller.replica.borrow().loaded && controller.state_sync.last_barrier().is_some();
     if is_loaded && (controller.is_state_service_reachable() || !state_serves_another) {
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -21,14 +21,14 @@
     /// first one.
     pub staleness_ms: Option<u64>,
     /// Number of machines that the controller owns.
-    pub machines: u32,
+    pub owned_machines: u32,
     /// Number of owned machines whose workers have sent no message for two heartbeat
     /// intervals.
-    pub silent: u32,
+    pub silent_machines: u32,
     /// Demand for writes to the state service, in keys per second.
-    pub writes: f64,
+    pub write_demand: f64,
     /// Offers that the cloud has recently refused to the controller.
-    pub refused: Vec<String>,
+    pub refused_offers: Vec<String>,
 }
 
 /// The error of encoding or decoding a message.
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -29,7 +29,7 @@
 impl PeerTable {
     /// Records the status of a controller.
     pub fn record(&mut self, mut status: PeerStatus, now: Instant) {
-        status.writes = status.writes.clamp(0.0, MAX_WRITE_DEMAND);
+        status.write_demand = status.write_demand.clamp(0.0, MAX_WRITE_DEMAND);
         let state = PeerState {
             received_at: now,
             status,
@@ -69,7 +69,9 @@
     /// cut off only from its workers still reaches its peers and the state service.
     pub fn receives_heartbeats(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(controller, now);
-        fresh.any(|(name, status)| name == peer && status.silent <= (status.machines / 4).max(1))
+        fresh.any(|(name, status)| {
+            name == peer && status.silent_machines <= (status.owned_machines / 4).max(1)
+        })
     }
 
     /// Returns the write demands of the other controllers, in keys per second, in the order
@@ -77,7 +79,7 @@
     pub fn write_demands(&self, controller: &Controller, now: Instant) -> Vec<Option<f64>> {
         let fresh: HashMap<&str, f64> = self
             .fresh(controller, now)
-            .map(|(name, peer)| (name, peer.writes))
+            .map(|(name, peer)| (name, peer.write_demand))
             .collect();
         let others = controller.settings.others.iter();
         others
@@ -86,14 +88,18 @@
     }
 
     /// Returns the offers that the cloud has recently refused to the other controllers.
-    pub fn refused(&self, controller: &Controller, now: Instant) -> Vec<String> {
+    pub fn refused_offers(&self, controller: &Controller, now: Instant) -> Vec<String> {
         self.fresh(controller, now)
-            .flat_map(|(_, peer)| peer.refused.iter().cloned())
+            .flat_map(|(_, peer)| peer.refused_offers.iter().cloned())
             .collect()
     }
 
     /// Returns whether the state service answers at least one other controller.
-    pub fn state_serves_another(&self, controller: &Controller, now: Instant) -> bool {
+    pub fn is_state_service_reachable_by_peer(
+        &self,
+        controller: &Controller,
+        now: Instant,
+    ) -> bool {
         self.alive(controller, now).len() > 1
     }
 }
--- a/src/gossip/sender.rs
+++ b/src/gossip/sender.rs
@@ -29,9 +29,7 @@
             let dial = controller.net.dial(addr);
             stream = timeout(interval, dial).await.ok().and_then(Result::ok);
         }
-        let Some(conn) = &mut stream else {
-            continue;
-        };
+        let Some(conn) = &mut stream else { continue };
         let frame = match encode(&own_status(&controller)) {
             Ok(frame) => frame,
             Err(error) => {
@@ -66,9 +64,9 @@
         staleness_ms: controller
             .replica_staleness()
             .map(|age| age.as_millis() as u64),
-        machines: owned_workers.len() as u32,
-        silent: silent.count() as u32,
-        writes: controller.store.demand(),
-        refused: controller.fleet.borrow().refused_offers(now),
+        owned_machines: owned_workers.len() as u32,
+        silent_machines: silent.count() as u32,
+        write_demand: controller.store.demand(),
+        refused_offers: controller.fleet.borrow().refused_offers(now),
     }
 }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -194,7 +194,7 @@
     fn refused_offers(&self) -> Vec<String> {
         let mut refused = self.controller.fleet.borrow().refused_offers(self.now);
         let peers = self.controller.peers.borrow();
-        refused.extend(peers.refused(self.controller, self.now));
+        refused.extend(peers.refused_offers(self.controller, self.now));
         refused.sort();
         refused.dedup();
         refused
--- a/src/workers/command_call.rs
+++ b/src/workers/command_call.rs
@@ -98,7 +98,9 @@
 
 async fn post_commands(controller: &Controller, call: &CommandCall) -> Result<Response, CallError> {
     let (Ok(addr), Ok(body)) = (call.addr.parse(), serde_json::to_vec(&call.body)) else {
-        return Err(CallError::NotSent("bad address".into()));
+        return Err(CallError::NotSent(
+            "invalid worker address or commands".into(),
+        ));
     };
     let workers = &controller.worker_client;
     workers
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -261,10 +261,10 @@
         controller: "bay-1".into(),
         incarnation: 4_000_000_000,
         staleness_ms: Some(1250),
-        machines: 300,
-        silent: 7,
-        writes: 12.5,
-        refused: names(&["g8/a/spot", "g16/b"]),
+        owned_machines: 300,
+        silent_machines: 7,
+        write_demand: 12.5,
+        refused_offers: names(&["g8/a/spot", "g16/b"]),
     }
 }
 
@@ -465,7 +465,7 @@
 fn mesh_frames_are_sent_byte_for_byte() {
     let before_its_first_barrier = PeerStatus {
         staleness_ms: None,
-        refused: Vec::new(),
+        refused_offers: Vec::new(),
         ..gossip()
     };
     for (gossip, frame) in [(gossip(), FRAME), (before_its_first_barrier, EARLY_FRAME)] {
