--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -37,14 +37,14 @@
 
 /// Runs the loop that compacts records, one commit at a time, as the write budget allows.
 pub async fn run_compaction(controller: Rc<Controller>) {
-    let tick = controller.settings.heartbeat_interval() / 4;
+    let step_interval = controller.settings.heartbeat_interval() / 4;
     let mut deferred = DeferredKeys::new();
     loop {
         if !controller.replica.borrow().uses_compact_encoding() {
-            sleep(tick).await;
+            sleep(step_interval).await;
             continue;
         }
-        sleep(controller.store.jitter(tick)).await;
+        sleep(controller.store.jitter(step_interval)).await;
         if !controller.replica.borrow().uses_compact_encoding()
             || !controller.is_state_service_reachable()
         {
--- a/src/compaction/zone_shards.rs
+++ b/src/compaction/zone_shards.rs
@@ -136,13 +136,13 @@
 fn merge_last(replica: &Replica, candidates: &[MergeCandidate]) -> Option<Commit> {
     let reversed = candidates.iter().enumerate().rev();
     let mut nonempty = reversed.filter(|(_, last)| !last.shard.machines.is_empty());
-    nonempty.find_map(|(index, from)| {
-        candidates[..index].iter().find_map(|to| {
-            let merged = merged(to.shard, from.shard);
+    nonempty.find_map(|(index, source)| {
+        candidates[..index].iter().find_map(|target| {
+            let merged = merged(target.shard, source.shard);
             let emptied = ZoneShard::default();
             replica
                 .fits_zone_shard(&merged)
-                .then(|| write_both(replica, [(from.id, &emptied), (to.id, &merged)]))
+                .then(|| write_both(replica, [(source.id, &emptied), (target.id, &merged)]))
         })
     })
 }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -38,8 +38,8 @@
         // few times a heartbeat interval is soon enough.
         if last_release.is_none_or(|at| at.elapsed() > idle_interval / 2) {
             last_release = Some(Instant::now());
-            workers::release_expired_leases(&controller);
-            workers::release_gone_machines(&controller);
+            workers::queue_terminations_of_expired_leases(&controller);
+            workers::queue_terminations_of_gone_machines(&controller);
         }
         let begun = Instant::now();
         run_rounds(&controller, &mut state).await;
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -27,7 +27,7 @@
 pub(super) struct ZoneShardChange {
     pub id: String,
     pub shard: ZoneShard,
-    /// Flag that machines are added to or removed from the record.
+    /// Flag set if machines are added to or removed from the record.
     pub changes_members: bool,
     /// Preconditions of the write.
     pub preconditions: Vec<Precondition>,
@@ -37,13 +37,13 @@
 /// machines that this controller owns, limited to what fits into one commit.
 pub(super) fn plan_capacity_changes(
     controller: &Controller,
-    recent: &PublicationTimes,
+    recently_published: &PublicationTimes,
 ) -> Vec<ZoneShardChange> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned();
-    let suspects = crate::cloud::quarantined_machines(controller, &replica, &owned_workers);
-    let mut planner = CapacityPlanner::new(&controller.settings, &replica, suspects, now);
+    let quarantined = crate::cloud::quarantined_machines(controller, &replica, &owned_workers);
+    let mut planner = CapacityPlanner::new(&controller.settings, &replica, quarantined, now);
     for (id, owned_worker) in owned_workers.iter() {
         let Some(machine) = replica.machines.get(id).map(|e| &e.value) else {
             continue;
@@ -55,8 +55,8 @@
         }
         match planner.desired_slot(id, owned_worker, machine) {
             DesiredSlot::Unknown => {}
-            DesiredSlot::Absent => planner.plan(id, machine, None, recent),
-            DesiredSlot::Present(slot) => planner.plan(id, machine, Some(slot), recent),
+            DesiredSlot::Absent => planner.plan(id, machine, None, recently_published),
+            DesiredSlot::Present(slot) => planner.plan(id, machine, Some(slot), recently_published),
         }
     }
     planner.into_changes()
@@ -77,7 +77,7 @@
     settings: &'a Settings,
     replica: &'a Replica,
     /// Quarantined machines: those that are suspected of making tasks fail.
-    suspects: HashSet<String>,
+    quarantined: HashSet<String>,
     now: Instant,
     max_shards: usize,
     max_preconditions: usize,
@@ -93,7 +93,7 @@
     fn new(
         settings: &'a Settings,
         replica: &'a Replica,
-        suspects: HashSet<String>,
+        quarantined: HashSet<String>,
         now: Instant,
     ) -> Self {
         // Records that are not stored in the compact encoding may still be as long as the
@@ -108,7 +108,7 @@
         CapacityPlanner {
             settings,
             replica,
-            suspects,
+            quarantined,
             now,
             max_shards,
             max_preconditions: max_shards * (PRECONDITIONS_PER_WRITE - 1),
@@ -121,40 +121,40 @@
 
     fn desired_slot(&self, id: &str, owned_worker: &OwnedWorker, machine: &Machine) -> DesiredSlot {
         if machine.lifecycle != MachineLifecycle::Active
-            || self.is_silent_or_suspect(id, owned_worker)
+            || self.is_silent_or_quarantined(id, owned_worker)
             || owned_worker.unreachable_since.is_some()
         {
             return DesiredSlot::Absent;
         }
-        let kind = self.replica.machine_type(&machine.kind);
-        let (Some(status), Some(kind)) = (&owned_worker.status, kind) else {
+        let machine_type = self.replica.machine_type(&machine.kind);
+        let (Some(status), Some(machine_type)) = (&owned_worker.status, machine_type) else {
             return DesiredSlot::Unknown;
         };
         let unbooked = self.unbooked_resources(id, status);
         DesiredSlot::Present(MachineSlot {
             kind: machine.kind.clone(),
             spot: machine.spot,
-            free: kind.resources() - self.replica.booked_on(id) - unbooked,
+            free: machine_type.resources() - self.replica.booked_on(id) - unbooked,
             unbooked,
         })
     }
 
     /// Returns whether a machine takes no new work because its worker has sent no heartbeat
     /// for most of a lease, or because the machine is suspected of making tasks fail.
-    fn is_silent_or_suspect(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
+    fn is_silent_or_quarantined(&self, id: &str, owned_worker: &OwnedWorker) -> bool {
         let since = |at: Instant| self.now.saturating_duration_since(at);
         let has_not_answered = owned_worker.status.is_none()
             && since(owned_worker.claimed_at) > self.settings.heartbeat_interval() * 2;
         let silence_limit = self.settings.worker_lease().mul_f64(SILENCE_LIMIT_LEASES);
         let is_silent = since(owned_worker.last_heartbeat_at) > silence_limit;
-        has_not_answered || is_silent || self.suspects.contains(id)
+        has_not_answered || is_silent || self.quarantined.contains(id)
     }
 
     /// Returns the resources of running tasks that have no booking on the machine. They
     /// are not free until these tasks have ended.
     fn unbooked_resources(&self, id: &str, status: &WorkerStatus) -> Resources {
         let mut unbooked = Resources::default();
-        let needs = |task: &TaskStatus| {
+        let unbooked_need = |task: &TaskStatus| {
             let (job, number) = split_task(&task.task)?;
             let job = &self.replica.jobs.get(job)?.value;
             let is_booked = job.find(id, task.attempt, number).is_some();
@@ -164,7 +164,7 @@
                 .filter(|_| !is_booked && !has_ended)
                 .map(|spec| spec.need)
         };
-        for need in status.tasks.iter().filter_map(needs) {
+        for need in status.tasks.iter().filter_map(unbooked_need) {
             unbooked += need;
         }
         unbooked
@@ -177,13 +177,13 @@
         id: &str,
         machine: &Machine,
         slot: Option<MachineSlot>,
-        recent: &PublicationTimes,
+        recently_published: &PublicationTimes,
     ) {
-        let known = self.replica.slot(id);
+        let known_slot = self.replica.slot(id);
         // A change of free capacity alone needs no write: every controller derives it from
         // the bookings.
-        let is_current = match (known, &slot) {
-            (Some(known), Some(slot)) => known.unbooked == slot.unbooked,
+        let is_current = match (known_slot, &slot) {
+            (Some(known_slot), Some(slot)) => known_slot.unbooked == slot.unbooked,
             (None, None) => true,
             _ => false,
         };
@@ -194,12 +194,12 @@
             return;
         };
         // A machine that is added does not wait for the publication interval.
-        let joins = known.is_none();
+        let is_added = known_slot.is_none();
         let is_full = self.edits.len() == self.max_shards && !self.edits.contains_key(&shard);
-        if is_full || (recent.contains_key(&shard) && !joins) {
+        if is_full || (recently_published.contains_key(&shard) && !is_added) {
             return;
         }
-        let changes_members = known.is_some() != slot.is_some();
+        let changes_members = known_slot.is_some() != slot.is_some();
         self.edit(shard, id, slot, changes_members);
     }
 
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -58,7 +58,7 @@
     incarnation: u64,
     replica: &'a Replica,
     machine_shards: MachineShardEdits<'a>,
-    /// Flag that the commit has no capacity for a further machine shard.
+    /// Flag set if the commit has no capacity for a further machine shard.
     is_full: bool,
     batch: ClaimBatch,
 }
@@ -108,14 +108,14 @@
     /// Returns a record for a machine that has none yet; `None` if this commit has no
     /// capacity for the preconditions of a new machine.
     fn new_machine(&mut self, id: &str, status: &WorkerStatus) -> Option<Machine> {
-        let (kind, zone) = (&status.machine_type, &status.zone);
+        let (machine_type, zone) = (&status.machine_type, &status.zone);
         let shard = self
             .machine_shards
-            .allocate_shard(self.settings, id, kind, zone)?;
+            .allocate_shard(self.settings, id, machine_type, zone)?;
         Some(Machine {
             shard,
             spot: status.spot,
-            ..Machine::new(kind, zone)
+            ..Machine::new(machine_type, zone)
         })
     }
 
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -28,13 +28,13 @@
     /// terminations moved from the plan to the queue. The plan is empty if the machine is not
     /// owned.
     pub(super) fn reconcile_worker(&self, id: &str) -> WorkerPlan {
-        let mut plan = self.plan_of(id);
+        let mut plan = self.plan_worker(id);
         let terminations: Vec<Termination> = std::mem::take(&mut plan.terminations);
         self.queue_terminations(terminations);
         plan
     }
 
-    fn plan_of(&self, id: &str) -> WorkerPlan {
+    fn plan_worker(&self, id: &str) -> WorkerPlan {
         let owned_workers = self.workers.owned();
         let Some(owned_worker) = owned_workers.get(id) else {
             return WorkerPlan::default();
@@ -191,12 +191,15 @@
 /// paused past the send deadline, the call is not sent, as work may have been cancelled or
 /// moved since. A call with launches must also be sent before the last read barrier, on which
 /// they are based, is too old for launches.
-fn deadlines(controller: &Controller, launches: bool, decided_at: Instant) -> Deadlines {
-    let answer_deadline = decided_at + CALL_TIMEOUT.min(controller.settings.worker_lease() / 4);
-    let last_barrier = controller.state_sync.last_barrier().filter(|_| launches);
-    let latest_launch = last_barrier.map(|sent| sent + controller.settings.launch_limit());
+fn deadlines(controller: &Controller, includes_launch: bool, planned_at: Instant) -> Deadlines {
+    let answer_deadline = planned_at + CALL_TIMEOUT.min(controller.settings.worker_lease() / 4);
+    let last_barrier = controller
+        .state_sync
+        .last_barrier()
+        .filter(|_| includes_launch);
+    let launch_deadline = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
-        send: latest_launch.map_or(answer_deadline, |latest| latest.min(answer_deadline)),
+        send: launch_deadline.map_or(answer_deadline, |launch| launch.min(answer_deadline)),
         answer: answer_deadline,
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -34,7 +34,8 @@
 pub use redirects::preferred_owner_of;
 pub use required_stops::{must_stop, stops_of_cancelled_tasks};
 pub use termination::{
-    AttemptKey, Termination, TerminationEvidence, release_expired_leases, release_gone_machines,
+    AttemptKey, Termination, TerminationEvidence, queue_terminations_of_expired_leases,
+    queue_terminations_of_gone_machines,
 };
 pub use worker_plan::WorkerPlan;
 pub use worker_table::WorkerTable;
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -82,9 +82,9 @@
     /// Time of the last answer with status 200 to a heartbeat; initially the time of the
     /// claim.
     pub last_answered_at: Instant,
-    /// Flag that a direct call is in flight.
+    /// Flag set while a direct call is in flight.
     pub in_flight: bool,
-    /// Flag that a direct call with launches was not answered: the launches may be executed
+    /// Flag set if a direct call with launches was not answered: the launches may be executed
     /// late, as long as the worker has not seen a higher fencing token.
     pub has_unanswered_launch: bool,
     /// Newest heartbeat whose answer carried launches. Until a newer heartbeat arrives, it
@@ -106,8 +106,8 @@
     /// Time since which the worker's messages have arrived here, but no answers or commands
     /// have reached the worker; `None` while it counts as reachable.
     pub unreachable_since: Option<Instant>,
-    /// Flag that the worker's lease has expired, and that it is unknown since then whether
-    /// answers reach the worker: new heartbeats alone do not show that. Its statuses are
+    /// Flag set if the worker's lease has expired and it is unknown since then whether answers
+    /// reach the worker: new heartbeats alone do not show that. The worker's statuses are
     /// accepted again once it has answered a direct call or shown a newer fencing token.
     pub reachability_unconfirmed: bool,
 }
@@ -270,9 +270,9 @@
     /// Drops the stop commands of attempts that the worker no longer reports.
     fn drop_stops_of_absent_attempts(&mut self, status: &WorkerStatus) {
         let tasks = status.tasks.iter();
-        let present: HashSet<(&str, u64)> = tasks.map(|t| (t.task.as_str(), t.attempt)).collect();
+        let reported: HashSet<(&str, u64)> = tasks.map(|t| (t.task.as_str(), t.attempt)).collect();
         self.stop_commands
-            .retain(|key, _| present.contains(&(key.task.as_str(), key.attempt)));
+            .retain(|key, _| reported.contains(&(key.task.as_str(), key.attempt)));
     }
 
     /// Returns whether the newest status is newer than every launch, so that a task missing
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -73,7 +73,7 @@
     published: &mut PublicationTimes,
 ) {
     while !changes.is_empty() {
-        let writes = writes_of(controller, &changes);
+        let writes = zone_shard_writes(controller, &changes);
         match controller
             .commit(class, preconditions_of(&changes), writes)
             .await
@@ -101,7 +101,7 @@
     }
 }
 
-fn writes_of(controller: &Controller, changes: &[ZoneShardChange]) -> Vec<Write> {
+fn zone_shard_writes(controller: &Controller, changes: &[ZoneShardChange]) -> Vec<Write> {
     let replica = controller.replica.borrow();
     let writes = changes
         .iter()
--- a/src/workers/redirect_history.rs
+++ b/src/workers/redirect_history.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct PreferredOwnerRedirect {
     sent_at: Instant,
-    /// Flag that the worker came back within a lease, and so has not reached its preferred
+    /// Flag set if the worker came back within a lease, and so has not reached its preferred
     /// owner.
     has_returned: bool,
 }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -98,7 +98,7 @@
 
 /// Queues terminations for all bookings on machines whose worker's lease has certainly
 /// expired.
-pub fn release_expired_leases(controller: &Controller) {
+pub fn queue_terminations_of_expired_leases(controller: &Controller) {
     let now = controller.liveness_tick();
     let lease = controller.settings.worker_lease();
     let margin = controller.settings.margin();
@@ -133,7 +133,7 @@
 }
 
 /// Queues terminations for all bookings on machines that the cloud has confirmed as gone.
-pub fn release_gone_machines(controller: &Controller) {
+pub fn queue_terminations_of_gone_machines(controller: &Controller) {
     let lost: Vec<Termination> = {
         let replica = controller.replica.borrow();
         let machines = replica.machines.iter();
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct ShardEdit {
     pub record: ZoneShard,
-    /// Flag that machines are added to or removed from the record.
+    /// Flag set if machines are added to or removed from the record.
     pub changes_members: bool,
 }
 
