--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes of machines' lifecycles: active, draining, returning, gone.
+//! Changes the lifecycle states of machines: active, draining, returning, gone.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -12,7 +12,7 @@
 use crate::state::replica::Replica;
 use crate::wire::Commit;
 
-/// A machine's next lifecycle state.
+/// A change of a machine to its next lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LifecycleChange {
     pub(super) machine: String,
@@ -20,6 +20,7 @@
 }
 
 impl LifecycleChange {
+    /// Returns the change of a machine to a lifecycle state.
     pub(super) fn new(machine: &str, lifecycle: MachineLifecycle) -> Self {
         LifecycleChange {
             machine: machine.to_string(),
@@ -28,7 +29,7 @@
     }
 }
 
-/// Writes one machine's new lifecycle state; whether it is written.
+/// Writes one machine's new lifecycle state, and returns whether it was written.
 pub(super) async fn set_lifecycle(
     controller: &Controller,
     id: &str,
@@ -38,9 +39,10 @@
     changed.contains(id)
 }
 
-/// Writes machines' new lifecycle states, taking them out of their zone shards'
-/// records unless they stay active; as many as one commit holds, and tells which. Guarded by
-/// the zone shards, too, so that no booking slips in between.
+/// Writes new lifecycle states of machines, as many as fit in one commit, and returns the
+/// machines that were changed. Machines that do not become active are removed from their
+/// zone shards' records. The commit is also guarded by the zone shards' versions, so that
+/// it fails if a booking on one of these machines is committed first.
 pub(super) async fn set_lifecycles(
     controller: &Controller,
     changes: &[LifecycleChange],
@@ -61,20 +63,22 @@
     changed
 }
 
-/// A zone shard's record that a commit guards, and writes if a machine leaves it.
+/// A zone shard's record whose version guards a commit. The commit writes the record if
+/// a machine was removed from it.
 struct EditedShard {
     record: ZoneShard,
+    /// Set if a machine was removed from the record.
     changed: bool,
 }
 
-/// The commit that changes machines' states, in the making.
+/// The builder of a commit that changes the lifecycle states of machines.
 struct LifecycleCommit<'a> {
     replica: &'a Replica,
-    /// The limit on the writes of one commit.
+    /// The maximum number of writes in one commit.
     max_writes: usize,
     machine_shards: MachineShardEdits<'a>,
     zone_shards: BTreeMap<String, EditedShard>,
-    /// The machines whose states it changes.
+    /// The machines whose states the commit changes.
     changed: HashSet<String>,
 }
 
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Adds a change if it is one and the commit has space for it.
+    /// Adds a change if the machine may make it and the commit has space for it.
     fn add(&mut self, change: &LifecycleChange) {
         let id = &change.machine;
         let Some(entry) = self.replica.machines.get(id) else {
@@ -110,10 +114,10 @@
         }
     }
 
-    /// Whether the records of a machine shard and of a zone shard fit into the commit.
+    /// Returns whether the records of a machine shard and a zone shard fit into the commit.
     fn has_space(&self, machine_shard: &str, shard: &str) -> bool {
-        // A machine shard and perhaps its zone shard, which is about as long: half of the
-        // writes are for machine shards, the other half is for zone shards.
+        // A change writes a machine shard and often also a zone shard of about the same
+        // size, so half of the writes are for machine shards and half for zone shards.
         let for_machine_shards = self.max_writes / 2;
         let for_shards = self.max_writes - for_machine_shards;
         let machine_shards_full = self.machine_shards.is_full(for_machine_shards)
@@ -123,9 +127,9 @@
             && (self.machine_shards.contains(machine_shard) || !machine_shards_full)
     }
 
-    /// Takes a machine out of its zone shard's record. The zone shard is guarded even if
-    /// the machine is not in its record: its owner could be putting it there
-    /// just now.
+    /// Removes a machine from its zone shard's record. The zone shard guards the commit
+    /// even if the machine is not in its record, because the shard's owner may be adding
+    /// the machine at the same time.
     fn leave_shard(&mut self, id: &str, shard: String) {
         let Some(entry) = self.replica.zone_shards.get(&shard) else {
             return;
@@ -140,6 +144,7 @@
         edited.changed |= edited.record.machines.remove(id).is_some();
     }
 
+    /// Returns the commit.
     fn into_commit(self) -> Commit {
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
         for (id, shard) in self.zone_shards {
@@ -158,8 +163,8 @@
     }
 }
 
-/// Whether a machine may change to this lifecycle state. Safety 5: returning is
-/// never undone.
+/// Returns whether a machine may change to this lifecycle state. Safety 5: a machine that
+/// is being returned never goes back into service.
 fn is_allowed(machine: &Machine, lifecycle: MachineLifecycle) -> bool {
     match machine.lifecycle {
         MachineLifecycle::Gone => false,
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -1,4 +1,4 @@
-//! The calls to the cloud for recorded provisioning requests, and their answers.
+//! Calls the cloud for recorded provisioning requests and records its answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,22 +16,23 @@
 use crate::state::replica::{Entry, Replica};
 use crate::wire::{CreateMachinesRequest, MachineIds, Write};
 
-/// Whether the cloud has delivered all machines that were asked for.
+/// The extent to which the cloud has delivered a request's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
+    /// All requested machines were delivered.
     Complete,
     /// Fewer were delivered, or none: the cloud has no capacity for more.
     Short,
 }
 
-/// A provisioning request as it is recorded.
+/// A provisioning request in the replica, with its name.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RecordedRequest<'a> {
     pub(super) id: &'a String,
     pub(super) entry: &'a Entry<ProvisioningRequest>,
 }
 
-/// The provisioning request that still has this machine among those that boot.
+/// Returns the provisioning request that still lists the machine, if there is one.
 pub(super) fn find_request_of<'a>(
     replica: &'a Replica,
     machine: &str,
@@ -43,8 +44,9 @@
         .find(|request| request.entry.value.machines.iter().any(|id| id == machine))
 }
 
-/// Calls the cloud for every recorded request until it has answered: repeating
-/// a request by its name provisions nothing twice.
+/// Calls the cloud for every recorded request that it has not answered and that has
+/// no call in progress. Repeating a request is safe: its name is the idempotency key,
+/// so the cloud never provisions its machines twice.
 pub(super) fn call_for_unanswered_requests(controller: &Rc<Controller>) {
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
@@ -61,7 +63,7 @@
     }
 }
 
-/// Calls the cloud for one recorded request, and records the answer.
+/// Calls the cloud for one recorded request and records the answer.
 async fn complete_request(controller: &Controller, id: &str, recorded: Entry<ProvisioningRequest>) {
     let Entry {
         version,
@@ -86,13 +88,13 @@
         .commit(RequestClass::Lease, preconditions, vec![write])
         .await
     {
-        // The next pass asks the cloud again and gets the same names.
+        // The next pass repeats the call, and the cloud returns the same machine IDs.
         tracing::debug!(request = id, %error, "scale-out answer not recorded");
     }
 }
 
-/// Asks the cloud for a request's machines, if its record still stands as it was
-/// when the call's turn has come.
+/// Calls the cloud for a request's machines, unless the request's record has changed
+/// by the time the rate limit allows the call.
 async fn create_machines(
     controller: &Controller,
     id: &str,
@@ -116,7 +118,7 @@
         .await
 }
 
-/// Takes the machines that the cloud has delivered into the request.
+/// Adds the machines that the cloud has delivered to the request.
 fn apply_response(
     controller: &Controller,
     request: &mut ProvisioningRequest,
@@ -130,7 +132,8 @@
             delivery = Delivery::Complete;
         }
         let replica = controller.replica.borrow();
-        // The workers of some may have been quicker than the answer.
+        // A machine whose worker has reported before this answer arrived already has
+        // a record of its own.
         request.machines = delivered.machines;
         request
             .machines
@@ -150,7 +153,8 @@
     delivery
 }
 
-/// Records whether the cloud had capacity for the request's offer.
+/// Records a refusal of the request's offer if the cloud was short of capacity, and
+/// clears earlier refusals if it was not.
 fn record_capacity(controller: &Controller, request: &ProvisioningRequest, delivery: Delivery) {
     let offer = MachineOffer::from(request);
     let refusals = &mut controller.fleet.borrow_mut().refusals;
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,5 +1,5 @@
-//! Removal of machines from service: decided, decided again once the budget of
-//! writes is there, and then written.
+//! Removes machines from service. Each decision is repeated once the write budget allows
+//! the commit, and only then written.
 
 use std::fmt;
 
@@ -9,24 +9,24 @@
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 
-/// Why a machine leaves service.
+/// The reason for which a machine is removed from service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RemovalReason {
-    /// Its worker's reports arrive here, but no answer and no command does there.
+    /// The worker's reports arrive, but the worker receives no answers and no commands.
     Unreachable,
-    /// Nothing has come from its worker for too long.
+    /// No message from the machine's worker has arrived for too long.
     Silent,
-    /// Jobs that failed there have succeeded elsewhere.
+    /// Jobs that failed on the machine have succeeded on others.
     Faulty,
-    /// No controller that is up holds it.
+    /// The controller that owns the machine is not up.
     Orphaned,
-    /// It was draining, and its work has ended.
+    /// The machine was draining and its work has ended.
     Drained,
-    /// It costs more than the work that it runs is worth.
+    /// The machine runs only opportunistic work, and costs more than such work is worth.
     OpportunisticOnly,
-    /// Nothing has run there for long enough.
+    /// The machine has run no work for longer than the idle limit.
     Idle,
-    /// It has not reported within the limit for boots.
+    /// The machine's worker has not reported within the boot limit.
     BootTimeout,
 }
 
@@ -45,22 +45,23 @@
     }
 }
 
-/// A machine that is to leave service.
+/// A decision to remove a machine from service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MachineRemoval {
     pub(super) machine: String,
-    /// Its next lifecycle state: draining or returning.
+    /// The machine's next lifecycle state: draining or returning.
     pub(super) lifecycle: MachineLifecycle,
     pub(super) reason: RemovalReason,
 }
 
 impl MachineRemoval {
-    /// The machine takes no new work, and is decommissioned once its work has ended.
+    /// Returns a removal by draining: the machine takes no new work, and is
+    /// decommissioned once its work has ended.
     pub(super) fn drain(machine: &str, reason: RemovalReason) -> Self {
         MachineRemoval::new(machine, MachineLifecycle::Draining, reason)
     }
 
-    /// The machine is given back to the cloud.
+    /// Returns a removal by decommissioning: the machine is returned to the cloud.
     pub(super) fn decommission(machine: &str, reason: RemovalReason) -> Self {
         MachineRemoval::new(machine, MachineLifecycle::Returning, reason)
     }
@@ -74,9 +75,9 @@
     }
 }
 
-/// Decides which machines leave, and carries it out. What is found is decided
-/// again once the budget is there: it may have waited, or this process may have
-/// been paused, and a silent worker may have reported meanwhile.
+/// Removes the machines from service that `decide` returns. `decide` is called again once
+/// the write budget allows the commit: waiting for the budget or a pause of this process
+/// may have taken long, and a silent worker may have reported in the meantime.
 pub(super) async fn remove_machines(
     controller: &Controller,
     decide: fn(&Controller) -> Vec<MachineRemoval>,
@@ -109,7 +110,7 @@
     record_machines(controller, &not_up).await;
 }
 
-/// Writes the next lifecycle states of machines that have a record.
+/// Writes the next lifecycle states of machines that have a record, and logs each change.
 async fn change_lifecycles(controller: &Controller, removals: &[MachineRemoval]) {
     let changes: Vec<LifecycleChange> = removals
         .iter()
@@ -122,7 +123,7 @@
                 machine = removal.machine,
                 lifecycle = ?removal.lifecycle,
                 reason = %removal.reason,
-                "machine leaves service"
+                "machine removed from service"
             );
         }
     }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale-in: machines are given back to the cloud, and their records dropped.
+//! Scale-in: returns machines to the cloud and deletes the records of those that are
+//! gone.
 
 use tokio::time::Instant;
 
@@ -12,10 +13,11 @@
 use crate::state::replica::Replica;
 use crate::wire::MachineIds;
 
-/// The most machines that one call gives back.
+/// The maximum number of machines that one call returns to the cloud.
 const MAX_MACHINES_PER_CALL: usize = 100;
 
-/// Gives back the machines that leave, and drops the records of those that are gone.
+/// Returns the machines in the `Returning` state to the cloud and deletes the records of
+/// those in the `Gone` state that have no bookings.
 pub(super) async fn scale_in(controller: &Controller) {
     let (returning, gone) = {
         let replica = controller.replica.borrow();
@@ -39,6 +41,7 @@
     drop_records(controller, &gone).await;
 }
 
+/// Returns the IDs of the machines in a lifecycle state.
 fn machines_in(replica: &Replica, lifecycle: MachineLifecycle) -> impl Iterator<Item = &String> {
     replica
         .machines
@@ -47,7 +50,7 @@
         .map(|(id, _)| id)
 }
 
-/// Gives machines back to the cloud.
+/// Returns machines to the cloud.
 async fn decommission(controller: &Controller, machines: &[String]) -> Result<(), CloudError> {
     let body = serde_json::to_vec(&MachineIds {
         machines: machines.to_vec(),
@@ -61,10 +64,11 @@
     }
 }
 
-/// Records that machines are gone.
+/// Records that the cloud has taken machines back.
 async fn record_decommissioned(controller: &Controller, decommissioned: Vec<String>) {
     let now = Instant::now();
-    // Nothing is booked on most: their records go at once.
+    // Most machines have no bookings, so their records are deleted immediately. The
+    // others are marked gone until their bookings are released.
     let (booked, empty): (Vec<String>, Vec<String>) = {
         let replica = controller.replica.borrow();
         let is_booked = |id: &String| replica.bookings.contains_key(id);
@@ -82,10 +86,10 @@
     }
 }
 
-/// Drops the records of machines that the cloud has taken back.
+/// Deletes the records of machines that the cloud has taken back.
 async fn drop_records(controller: &Controller, ids: &[String]) {
     let commit = plan_record_drops(&controller.settings, &controller.replica.borrow(), ids);
     if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
-        tracing::debug!(%error, "records of gone machines not dropped");
+        tracing::debug!(%error, "records of gone machines not deleted");
     }
 }
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -1,5 +1,5 @@
-//! The scale-out loop: plans the capacity that is missing, and records the
-//! requests for it before the cloud is called.
+//! The scale-out loop: plans the missing capacity and records the provisioning
+//! requests for it before it calls the cloud.
 
 use std::rc::Rc;
 
@@ -14,7 +14,8 @@
 use crate::state::keys::{FLEET_KEY, provisioning_request_key};
 use crate::state::records::ProvisioningRequest;
 
-/// Provisions what is missing, apart from the rest: work waits for it.
+/// Runs the scale-out loop. It is separate from the loop that maintains the fleet,
+/// so that jobs that wait for capacity are not delayed by maintenance.
 pub async fn run_scale_out(controller: Rc<Controller>) {
     let tick = controller
         .settings
@@ -32,10 +33,12 @@
     }
 }
 
-/// One pass: calls for what is recorded, and records what is missing besides.
+/// Runs one pass: calls the cloud for recorded requests that it has not answered,
+/// then plans and records requests for the capacity that is still missing.
 async fn scale_out(controller: &Rc<Controller>) {
     call_for_unanswered_requests(controller);
-    // What an answer that is awaited refuses is not asked for again.
+    // A pending answer may be a refusal: planning before it arrives could request
+    // the same offer again.
     if controller.fleet.borrow().cloud_calls.is_any_in_progress() {
         return;
     }
@@ -45,7 +48,7 @@
     }
 }
 
-/// Records the requests, and calls the cloud for them.
+/// Records the requests and calls the cloud for them.
 async fn commit_requests(controller: &Rc<Controller>, requests: &[ProvisioningRequest]) {
     let mut preconditions = Vec::new();
     let mut writes = Vec::new();
@@ -59,11 +62,13 @@
             count = request.count,
             "scale-out requested"
         );
-        // Safety 5: the intent comes before the call, under a unique name.
+        // Safety 5: the request is recorded under a unique name before the cloud is
+        // called.
         preconditions.push(precondition(provisioning_request_key(&id), 0));
         writes.push(put(provisioning_request_key(&id), request));
     }
-    // Who was paused, and is the fleet leader no more, finds out by this.
+    // This precondition makes the commit fail if this process was paused and is no
+    // longer the fleet leader.
     match controller.replica.borrow().fleet.as_ref() {
         Some(fleet_leader) => {
             preconditions.push(precondition(FLEET_KEY.to_string(), fleet_leader.version))
@@ -82,7 +87,7 @@
     }
 }
 
-/// A name that no other request has had.
+/// Returns a request name that has never been used.
 fn new_request_id(controller: &Controller) -> String {
     let number = controller.rng.borrow_mut().random::<u64>();
     format!("{}-{number:x}", controller.name())
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -1,5 +1,5 @@
-//! The scale-out plan: capacity for the work that fits neither what is free nor
-//! what is on its way.
+//! Plans scale-out: the machines to request for tasks that fit neither in the free
+//! capacity nor in the capacity that is already booting or requested.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -21,9 +21,9 @@
 use crate::state::replica::Replica;
 use crate::wire::JobKind;
 
-/// What to provision: capacity for the jobs, in queue order, whose tasks fit
-/// neither what is free nor what is on its way, and for the next gang on
-/// accelerators.
+/// Returns the provisioning requests to record: capacity for the jobs, in queue
+/// order, whose tasks fit neither in the free nor in the incoming capacity, and
+/// headroom for the next gang on accelerators.
 pub(super) fn plan_scale_out(controller: &Controller) -> Vec<ProvisioningRequest> {
     register_offers(controller);
     let replica = controller.replica.borrow();
@@ -31,7 +31,8 @@
         return Vec::new();
     }
     let now = Instant::now();
-    // The requests are committed together, beside the fleet leader's own key.
+    // All requests are committed in one transaction, which is also guarded by the
+    // fleet leader's key.
     let max_requests = controller.settings.txn_ops().saturating_sub(2).max(1);
     let first_seen = controller.placement.first_seen();
     let mut planner = ScaleOutPlanner::new(controller, &replica, &first_seen, now);
@@ -54,26 +55,30 @@
     planner.planned.into_records(max_requests)
 }
 
-/// Plans capacity for one job after another, each with what is left by those
-/// before it.
+/// A planner that provisions for one job after another. Each job is placed in the
+/// capacity that the jobs before it have left free.
 struct ScaleOutPlanner<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     first_seen: &'a FirstSeenTimes,
     hints: PlacementHints<'a>,
     now: Instant,
-    /// What is free, what is on its way, and what is planned to be provisioned.
+    /// The free capacity, the incoming capacity, and the capacity of the machines
+    /// planned so far.
     plan: Plan,
-    /// CPUs of independent tasks that run: what they free soon is not yet counted
-    /// on by any job.
+    /// CPUs of running array tasks that will soon become free and that no planned
+    /// job counts on yet.
     turnover_cpus: f64,
+    /// The provisioning requests planned so far.
     planned: PlannedProvisioning,
 }
 
-/// Whether a job may need more than has been planned for it.
+/// The state of the planning for one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DemandProgress {
+    /// The job may need another machine.
     NeedsMore,
+    /// No more machines are planned for the job in this pass.
     Settled,
 }
 
@@ -98,8 +103,8 @@
         }
     }
 
-    /// What the jobs that are about to start await ends before they begin: its
-    /// capacity is theirs.
+    /// Releases the capacity of the dependencies of `starting` in the plan: the
+    /// dependencies end before the jobs start, so the jobs can use it.
     fn release_awaited(&mut self, starting: &[DependentJob]) {
         let awaited: BTreeSet<&String> = starting.iter().flat_map(|job| job.awaited).collect();
         for id in awaited {
@@ -115,8 +120,9 @@
         }
     }
 
-    /// Plans what one job needs: by turns, plans a machine and fills it, as what
-    /// is provisioned for one task serves others.
+    /// Plans machines for one job. Each iteration plans one machine and then places
+    /// as many tasks as fit, because a machine provisioned for one task can run
+    /// others too.
     fn plan_job(&mut self, id: &'a str) {
         let Some(mut demand) = self.demand_of(id) else {
             return;
@@ -133,7 +139,8 @@
         }
     }
 
-    /// The job with what the policy says of it; none if it provisions nothing.
+    /// Returns the job with the policy's values for it, or `None` if no capacity is
+    /// provisioned for the job.
     fn demand_of(&self, id: &'a str) -> Option<JobDemand<'a>> {
         let job = self.replica.jobs.get(id).map(|entry| &entry.value)?;
         let spec = job.spec.as_ref()?;
@@ -160,7 +167,7 @@
         })
     }
 
-    /// Places the job's tasks in the planned capacity, as many as fit.
+    /// Places as many of the job's tasks as fit in the planned capacity.
     fn place_tasks(&mut self, demand: &mut JobDemand) {
         let settings = &self.controller.settings;
         let spec = demand.spec;
@@ -179,13 +186,15 @@
                 let places: Vec<_> = places.iter().collect();
                 scheduler::book(&mut demand.planned, spec, &places);
             }
-            // More capacity there does not help: it has its share already.
+            // More capacity in that zone does not help: the job already has its
+            // maximum share of tasks there.
             Err(_) if spec.spread => demand.excluded_zones.extend(demand.last_zone.take()),
             Err(_) => {}
         }
     }
 
-    /// How many tasks have no place yet, of those that the team's limit allows.
+    /// Returns the number of tasks that have no placement yet, capped at the number
+    /// that the team's limit still allows.
     fn unplaced_tasks(&self, demand: &JobDemand) -> usize {
         let spec = demand.spec;
         let waiting = demand.planned.waiting();
@@ -198,7 +207,7 @@
         }
     }
 
-    /// Plans one more machine for the job's tasks that have no place.
+    /// Plans one more machine for the job's `unplaced` tasks.
     fn provision_for(&mut self, demand: &mut JobDemand, unplaced: usize) -> DemandProgress {
         let policy = &self.controller.settings.policy;
         let Some(wanted_slots) = demand.wanted_slots(unplaced, policy, &mut self.turnover_cpus)
@@ -210,7 +219,7 @@
             return self.relax_or_give_up(demand);
         };
         demand.last_zone = Some(chosen.offer.zone.clone());
-        // The rest of an array's tasks follow one another in that capacity.
+        // An array's remaining tasks run one after another on that machine.
         let slots = chosen.machine_type.resources().slots(&demand.spec.need);
         let is_enough = demand.spec.kind == JobKind::Array && slots >= wanted_slots;
         self.provision(chosen);
@@ -220,14 +229,15 @@
         }
     }
 
-    /// No offer serves the job: allows it machines with accelerators, or else
-    /// records why it waits.
+    /// Handles a job that no offer can serve: allows it to use machines with
+    /// accelerators or, if it already may, records why it waits.
     fn relax_or_give_up(&self, demand: &mut JobDemand) -> DemandProgress {
         if demand.protection != AcceleratorProtection::Lax {
             demand.protection = AcceleratorProtection::Lax;
             return DemandProgress::NeedsMore;
         }
-        // What does not wait for capacity yet is not told so.
+        // A job with pending dependencies does not wait for capacity yet, so
+        // "refused" would be the wrong wait reason for it.
         if self.replica.pending_dependencies(demand.id).is_empty() {
             let placement = &self.controller.placement;
             placement.record_wait_reason(demand.id, WaitReason::Refused, self.now);
@@ -235,7 +245,8 @@
         DemandProgress::Settled
     }
 
-    /// Plans machines until enough slots are ready for the next gang.
+    /// Plans machines until the plan has enough free slots for the next gang on
+    /// accelerators.
     fn plan_headroom(&mut self, max_requests: usize) {
         let Some(gpu) = &self.replica.gpu_spec else {
             return;
@@ -258,6 +269,7 @@
         }
     }
 
+    /// Returns the cheapest offer that can serve the job's tasks.
     fn best_offer(
         &self,
         spec: &Spec,
@@ -274,7 +286,7 @@
         search.best(spec, wanted_slots, constraints)
     }
 
-    /// Plans one more machine of an offer, with its capacity.
+    /// Plans one more machine of an offer and adds its capacity to the plan.
     fn provision(&mut self, chosen: ChosenOffer) {
         let ChosenOffer {
             machine_type,
@@ -292,7 +304,8 @@
     }
 }
 
-/// Every offer is known as a class of machines before the plan counts on it.
+/// Registers every offer as a machine class in the replica, because the plan can
+/// only hold machines of registered classes.
 fn register_offers(controller: &Controller) {
     let mut replica = controller.replica.borrow_mut();
     for machine_type in replica.types.value.types.clone() {
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -1,6 +1,6 @@
-//! The state lease of this controller and the keys that are tied to it: the one
-//! that says that it is up, and the one that says which controller is the fleet
-//! leader.
+//! Maintains this controller's state lease and the keys attached to it: the
+//! controller's own key, which shows that the controller is up, and the fleet key,
+//! which names the fleet leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,8 +16,9 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write, to_raw_json};
 
-/// Keeps the state lease by a loop of its own: the cloud's answers and the
-/// budget may hold up the rest for longer than it lasts.
+/// Runs the loop that maintains the state lease. The loop is separate because slow
+/// answers of the cloud and the write budget can delay the other loops for longer than
+/// the lease's time to live.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
     let tick = controller.settings.worker_lease() / 16;
     let retry = tick / 16;
@@ -35,24 +36,25 @@
     }
 }
 
-/// What one pass has done.
+/// The result of one pass of the lease maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseProgress {
-    /// A lease that is new: the keys are to be tied to it at once.
+    /// A new lease was acquired. The next pass runs immediately and attaches the keys
+    /// to it.
     NewLease,
-    /// All that could be done now is done.
+    /// The lease and the keys need nothing more in this pass.
     Maintained,
 }
 
-/// Whether the state lease still stands.
+/// The validity of the state lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseStatus {
     Valid,
     Expired,
 }
 
-/// Keeps this controller's state lease, the key that says it is up, and, when
-/// nobody has it, the key that says who is the fleet leader.
+/// Acquires or extends this controller's state lease and writes the keys attached to
+/// it: the controller's own key and, if there is no fleet leader, the fleet key.
 async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StoreError> {
     let ttl = controller.settings.worker_lease() / 2;
     let held = controller.fleet.borrow().state_lease();
@@ -67,7 +69,7 @@
     Ok(LeaseProgress::Maintained)
 }
 
-/// Extends the lease when a quarter of its time has passed.
+/// Extends the lease when a quarter of its time to live has passed.
 async fn extend_if_due(
     controller: &Controller,
     lease: u64,
@@ -90,7 +92,7 @@
     }
 }
 
-/// Writes the keys that do not say yet what they should.
+/// Writes the keys whose stored value is missing or outdated.
 async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
     let Commit {
         preconditions,
@@ -120,19 +122,21 @@
     }
 }
 
-/// The commit that ties to the lease what is not tied to it, and that adds the
-/// formats which other controllers have been seen to know.
+/// A commit that attaches missing or outdated keys to the lease and adds the formats
+/// that all controllers are now known to support.
 struct KeyEdits<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     lease: u64,
-    /// What this controller's keys are to say.
+    /// The value of this controller's own key and, if it is the fleet leader, of the
+    /// fleet key.
     own_record: ControllerRecord,
     preconditions: Vec<Precondition>,
     writes: Vec<Write>,
 }
 
 impl<'a> KeyEdits<'a> {
+    /// Returns the edits for all keys that are missing or outdated in the replica.
     fn missing(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
         let mut edits = KeyEdits {
             controller,
@@ -152,7 +156,7 @@
         edits
     }
 
-    /// The key that says that this controller is up.
+    /// Adds this controller's own key, which shows that the controller is up.
     fn add_controller_key(&mut self) {
         match self.replica.controllers.get(self.controller.name()) {
             Some(entry) if entry.value == self.own_record => {}
@@ -164,16 +168,17 @@
         }
     }
 
-    /// The key that says which controller is the fleet leader.
+    /// Adds the fleet key if there is no fleet leader or if an earlier run of this
+    /// controller holds the key.
     fn add_fleet_key(&mut self) {
         match &self.replica.fleet {
             None => {
                 let absent = self.replica.absent_version(FLEET_KEY);
                 self.put_own_record(FLEET_KEY.to_string(), absent);
             }
-            // An earlier run of this process was the fleet leader, and its state
-            // lease still stands: it is surely over, and nobody else may take
-            // over till then.
+            // An earlier run of this controller was the fleet leader, and its state
+            // lease has not expired yet. That run has certainly ended, and no other
+            // controller may take over before the lease expires.
             Some(entry)
                 if entry.value.controller == self.own_record.controller
                     && entry.value != self.own_record =>
@@ -184,8 +189,8 @@
         }
     }
 
-    /// The formats that all controllers know. The key stands with no lease: what
-    /// it says is for good.
+    /// Adds the formats that all controllers support. The key is not attached to a
+    /// lease: a format, once listed, stays listed permanently.
     fn add_formats_key(&mut self) {
         let (controller, replica) = (self.controller, self.replica);
         let known = &replica.formats;
@@ -205,6 +210,7 @@
         }
     }
 
+    /// Adds a guarded write of this controller's record, attached to the lease.
     fn put_own_record(&mut self, key: String, version: u64) {
         self.preconditions.push(precondition(key.clone(), version));
         self.writes.push(Write::Put {
@@ -214,6 +220,7 @@
         });
     }
 
+    /// Returns the commit.
     fn into_commit(self) -> Commit {
         Commit {
             preconditions: self.preconditions,
