--- a/src/cloud/backoff.rs
+++ b/src/cloud/backoff.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-/// An offer that is not asked for until a time, and how often in a row it has
-/// failed or been refused.
+/// The backoff of an offer: the time until which it is not requested, and the number of
+/// consecutive failures or refusals.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Backoff {
     until: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// No failure yet: nothing is held off.
+    /// Returns the backoff of an offer without failures, which is not active.
     pub(super) fn none(now: Instant) -> Self {
         Backoff {
             until: now,
@@ -21,14 +21,14 @@
         }
     }
 
-    /// Whether the offer is still held off.
+    /// Returns whether the offer must not be requested yet.
     #[must_use]
     pub(super) fn is_active(&self, now: Instant) -> bool {
         self.until > now
     }
 
-    /// Holds off after one more failure: `pause` is doubled with each failure in
-    /// a row, at most `max_doublings` times.
+    /// Extends the backoff after one more failure. `pause` is doubled for each earlier
+    /// consecutive failure, at most `max_doublings` times.
     pub(super) fn extend(&mut self, pause: Duration, max_doublings: u32, now: Instant) {
         self.until = now + pause * 2u32.pow(self.failures.min(max_doublings));
         self.failures += 1;
--- a/src/cloud/boot_tracking.rs
+++ b/src/cloud/boot_tracking.rs
@@ -1,4 +1,5 @@
-//! How long machines take to boot, and which offers fail to deliver any.
+//! Tracks the boots in progress, the boot durations of recent machines, and the offers
+//! whose machines do not come up.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -11,17 +12,17 @@
 use crate::controller::shifted_past_pause;
 use crate::wire::MachineType;
 
-/// PROTOCOL: a boot usually takes at most so many times what the cloud says.
+/// The maximum ratio of a usual boot's duration to the duration that the cloud states
+/// (PROTOCOL).
 const USUAL_BOOT_RATIO: f64 = 1.5;
 
-/// The weight of the latest boot in the moving average is one over this.
+/// The reciprocal of the latest boot's weight in the moving average.
 const AVERAGING_WINDOW: f64 = 4.0;
 
-/// The pause after a failure doubles with each one in a row, so many times at
-/// most.
+/// The maximum number of times that the pause after consecutive failures is doubled.
 const MAX_FAILURE_DOUBLINGS: u32 = 3;
 
-/// A machine type in a zone: boots take different times in each.
+/// A machine type in a zone, the key of the boot durations: they differ by both.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct BootLocation {
     machine_type: String,
@@ -41,6 +42,7 @@
 #[derive(Debug, Clone)]
 struct Boot {
     started_at: Instant,
+    /// The offer of which the machine was provisioned.
     offer: MachineOffer,
 }
 
@@ -51,16 +53,17 @@
     mean_s: HashMap<BootLocation, f64>,
     /// Boots in progress, by machine.
     in_progress: HashMap<String, Boot>,
-    /// When a machine of an offer last came up.
+    /// The time at which a machine of an offer last came up.
     last_completed: HashMap<MachineOffer, Instant>,
     /// Machines whose boot is overdue.
     overdue: HashSet<String>,
-    /// Offers of which no machine comes up.
+    /// The backoffs of offers whose machines do not come up.
     failed: HashMap<MachineOffer, Backoff>,
 }
 
 impl BootTracker {
-    /// Records which machines boot now and which of the others have come up.
+    /// Updates the boots in progress to the machines in `booting`. Machines that are no
+    /// longer among them and that are up have completed their boots.
     pub(super) fn observe<'a>(
         &mut self,
         booting: impl Iterator<Item = BootingMachine<'a>>,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// A machine has come up.
+    /// Records a completed boot: updates the mean duration and ends the offer's backoff.
     fn record_completed(&mut self, boot: Boot, now: Instant) {
         let Boot { started_at, offer } = boot;
         let duration_s = now.saturating_duration_since(started_at).as_secs_f64();
@@ -106,9 +109,11 @@
         self.last_completed.insert(offer, now);
     }
 
-    /// After how many seconds the boot of a machine of this type is overdue: what
-    /// is usual by the cloud's word, more where boots have been seen to take
-    /// longer; never so much that one waits for it to the end of `limit_s`.
+    /// Returns the boot duration, in seconds, after which a machine of this type is
+    /// overdue. It is the usual maximum by the duration that the cloud states, or by the
+    /// mean of the observed boots if that is longer. The observed mean raises it to at most
+    /// half of the boot limit `limit_s`, so that a replacement is not delayed until the
+    /// limit has passed.
     pub(super) fn overdue_after_s(
         &self,
         machine_type: &MachineType,
@@ -124,21 +129,22 @@
             .max(usual.min(limit_s))
     }
 
-    /// Records that a machine's boot is overdue; whether that is new.
+    /// Records that a machine's boot is overdue, and returns whether it was not before.
     #[must_use]
     pub(super) fn mark_overdue(&mut self, id: &str) -> bool {
         self.overdue.insert(id.to_string())
     }
 
-    /// Whether the boot of a machine is overdue.
+    /// Returns whether the boot of a machine is overdue.
     #[must_use]
     pub(super) fn is_overdue(&self, id: &str) -> bool {
         self.overdue.contains(id)
     }
 
-    /// The boot of a machine is overdue, or is given up. Where no other of its
-    /// offer has come up since it was provisioned, the next is tried later, and
-    /// later each time; a few of many may fail at any time.
+    /// Records that the boot of a machine is overdue or has timed out. If no other machine
+    /// of its offer has come up since the boot started, the offer is backed off
+    /// exponentially. Otherwise nothing is recorded, because a few of many boots may fail at
+    /// any time.
     pub(super) fn record_failure(&mut self, id: &str, pause: Duration, now: Instant) {
         let Some(boot) = self.in_progress.get(id) else {
             return;
@@ -149,20 +155,20 @@
         }
         let backoff = self.failed.entry(boot.offer.clone());
         let backoff = backoff.or_insert(Backoff::none(now));
-        // Those of one request count once.
+        // The machines of one request fail at about the same time and count as one failure.
         if !backoff.is_active(now) {
             backoff.extend(pause, MAX_FAILURE_DOUBLINGS, now);
         }
     }
 
-    /// Whether an offer is not asked for now, as its machines do not come up.
+    /// Returns whether an offer is backed off because its machines do not come up.
     #[must_use]
     pub(super) fn is_backed_off(&self, offer: &MachineOffer, now: Instant) -> bool {
         let backoff = self.failed.get(offer);
         backoff.is_some_and(|backoff| backoff.is_active(now))
     }
 
-    /// Excludes a gap in which this process did not run from the boots' durations.
+    /// Excludes a gap in which this process did not run from the durations of the boots.
     pub(super) fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         for boot in self.in_progress.values_mut() {
             boot.started_at = shifted_past_pause(boot.started_at, gap, now);
--- a/src/cloud/booting_machines.rs
+++ b/src/cloud/booting_machines.rs
@@ -1,9 +1,9 @@
-//! The machines that boot, as the records show them.
+//! Lists the booting machines that the replica shows.
 
 use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
 
-/// A machine that was provisioned and whose worker has not reported yet.
+/// A provisioned machine whose worker has not sent a heartbeat yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BootingMachine<'a> {
     pub(super) id: &'a str,
@@ -12,8 +12,8 @@
     pub(super) spot: bool,
 }
 
-/// Machines that boot: those of provisioning requests that have no record of
-/// their own yet, and those that were found in the cloud's inventory.
+/// Returns the booting machines: those of answered provisioning requests that have no
+/// record of their own yet, and those that were adopted from the cloud's inventory.
 pub(super) fn booting_machines(replica: &Replica) -> impl Iterator<Item = BootingMachine<'_>> {
     let requested = replica.provisioning_requests.values().flat_map(|entry| {
         let request = &entry.value;
--- a/src/cloud/cancellations.rs
+++ b/src/cloud/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations that follow from those of other jobs, recorded job by job.
+//! Records cancellations that follow from the cancellation of a dependency.
 
 use super::commit::commit_unless_empty;
 use crate::controller::Controller;
@@ -7,9 +7,10 @@
 use crate::state::keys::job_key;
 use crate::wire::Commit;
 
-/// Writes onto jobs' own records that they are cancelled with what they await:
-/// some at a time, in any order. All controllers know it without, and what it
-/// follows from stays: final records are never dropped.
+/// Writes the cancellation of a dependency to the records of the jobs that depend on it, as
+/// many as fit in one commit, in any order. Nothing depends on when this happens: every
+/// controller derives these cancellations from the dependencies' records, and the records
+/// of finished jobs are never deleted.
 pub(super) async fn record_dependent_cancellations(controller: &Controller) {
     let commit = {
         let replica = controller.replica.borrow();
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,4 +1,5 @@
-//! Calls to the cloud: the rate limit, its pauses, and who may call.
+//! Calls to the cloud. Only the fleet leader calls, within the cloud's rate limit and
+//! outside of the pauses that follow an overload response.
 
 use std::time::Duration;
 
@@ -7,31 +8,32 @@
 use crate::controller::Controller;
 use crate::http::{CallError, Response};
 
-/// How long the cloud is not called after it has refused a call as too many.
+/// The pause of all calls after the cloud has responded that it is overloaded.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// Why a call to the cloud was not made, or has no answer that can be used.
+/// The reason for which a call to the cloud was not made or has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloudError {
-    /// Not called: the cloud has refused calls a moment ago.
+    /// The call was not made: calls are paused because the cloud was overloaded.
     #[error("calls to the cloud are paused")]
     Paused,
-    /// Not called: what the call was for had changed when its turn came.
-    #[error("the call is no longer wanted")]
+    /// The call was not made: the record that it was for changed while the call waited for
+    /// the rate limit.
+    #[error("the call is no longer needed")]
     NoLongerWanted,
-    /// Not called: this controller is not the fleet leader.
+    /// The call was not made: this controller is not the fleet leader.
     #[error("not the fleet leader")]
     NotFleetLeader,
-    /// Not called: an answer could not be recorded.
+    /// The call was not made: its response could not be recorded.
     #[error("the state service is unreachable")]
     StateServiceUnreachable,
-    /// The cloud takes no calls now.
+    /// The cloud is overloaded and does not process calls now.
     #[error("the cloud is overloaded: status {0}")]
     Overloaded(u16),
-    /// The cloud has refused the call.
-    #[error("the cloud refuses the call: status {0}")]
+    /// The cloud refused the call.
+    #[error("the cloud refused the call: status {0}")]
     Refused(u16),
-    /// No answer, or a malformed one.
+    /// The call failed, or its response was malformed.
     #[error(transparent)]
     Call(#[from] CallError),
     /// The request could not be encoded.
@@ -40,8 +42,8 @@
 }
 
 impl Controller {
-    /// Whether this controller is the fleet leader: the record says so, and its
-    /// state lease stands as far as is known.
+    /// Returns whether this controller is the fleet leader: the replica's fleet key names
+    /// this run of the controller, and its state lease is not known to have expired.
     pub fn is_fleet_leader(&self) -> bool {
         let replica = self.replica.borrow();
         let fleet_leader = replica.fleet.as_ref();
@@ -59,9 +61,9 @@
         self.call_cloud_if(method, path, body, || true).await
     }
 
-    /// The same if it is still wanted when its turn has come, and this controller
-    /// is still the fleet leader: the rate limit, or a pause of this process, may
-    /// hold it up.
+    /// Calls the cloud, if `is_wanted` returns true and this controller is still the fleet
+    /// leader once the rate limit allows the call: both may change while the call waits for
+    /// the rate limit or this process is paused.
     pub(super) async fn call_cloud_if(
         &self,
         method: &str,
@@ -95,8 +97,9 @@
         Ok(response)
     }
 
-    /// Waits until the cloud's rate limit allows one more call. The fleet leader
-    /// alone calls; provisioning requests call at once, inside the limit.
+    /// Waits until the cloud's rate limit allows one more call. The limit is not shared with
+    /// other controllers, because only the fleet leader calls. Provisioning requests call
+    /// concurrently, within the same limit.
     async fn wait_for_cloud_rate_limit(&self) {
         let max_rps = self.settings.deployment.cloud.rps;
         loop {
@@ -113,12 +116,13 @@
     }
 }
 
-/// Whether the cloud takes no calls now; an answer that it has no capacity is
-/// one like any other.
+/// Returns whether the response shows that the cloud is overloaded. A response that the
+/// cloud has no capacity for a request is not an overload.
 fn is_overloaded(response: &Response) -> bool {
     response.status == 429 || (response.status >= 500 && !is_no_capacity(response))
 }
 
+/// Returns whether the response states that the cloud has no capacity.
 fn is_no_capacity(response: &Response) -> bool {
     String::from_utf8_lossy(&response.body).contains("no capacity")
 }
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -1,5 +1,5 @@
-//! When the cloud may be called: its rate limit, its pauses, and the calls in
-//! progress.
+//! Tracks the calls to the cloud: its rate limit, the pauses after an overload, and the
+//! provisioning calls in progress.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,35 +8,35 @@
 
 use crate::state::budget::TokenBucket;
 
-/// The part of the cloud's rate limit that is used.
+/// The fraction of the cloud's rate limit that is used.
 const RATE_LIMIT_SHARE: f64 = 0.9;
 
-/// The calls of one controller to the cloud.
+/// The state of one controller's calls to the cloud.
 #[derive(Default)]
 pub(super) struct CloudCalls {
-    /// The cloud is not called until then.
+    /// The time until which the cloud is not called.
     paused_until: Option<Instant>,
-    /// The limit on calls; absent until the first one.
+    /// The rate limit of calls, absent until the first call.
     limit: Option<TokenBucket>,
-    /// Provisioning requests whose call is in progress.
+    /// The provisioning requests whose call is in progress.
     in_progress: HashSet<String>,
 }
 
 impl CloudCalls {
-    /// Whether the cloud is not called now, as it has refused calls.
+    /// Returns whether calls are paused because the cloud was overloaded.
     #[must_use]
     pub(super) fn is_paused(&self) -> bool {
         self.paused_until
             .is_some_and(|until| until > Instant::now())
     }
 
-    /// Does not call the cloud for a while.
+    /// Pauses all calls to the cloud for a time.
     pub(super) fn pause(&mut self, pause: Duration) {
         self.paused_until = Some(Instant::now() + pause);
     }
 
-    /// Takes one call out of the cloud's limit of `max_rps` calls a second, or
-    /// says how long to wait for it.
+    /// Takes one call from the cloud's rate limit of `max_rps` calls per second, or returns
+    /// the time to wait before the next attempt.
     pub(super) fn take(&mut self, max_rps: f64, now: Instant) -> Result<(), Duration> {
         let limit = self
             .limit
@@ -44,18 +44,19 @@
         limit.take_one(now)
     }
 
-    /// Begins the call for a provisioning request; false if one is in progress.
+    /// Records that the call for a provisioning request begins, and returns false if one is
+    /// already in progress.
     #[must_use]
     pub(super) fn begin(&mut self, request: &str) -> bool {
         self.in_progress.insert(request.to_string())
     }
 
-    /// The call for a provisioning request has ended.
+    /// Records that the call for a provisioning request has ended.
     pub(super) fn end(&mut self, request: &str) {
         self.in_progress.remove(request);
     }
 
-    /// Whether the call for any provisioning request is in progress.
+    /// Returns whether the call for any provisioning request is in progress.
     #[must_use]
     pub(super) fn is_any_in_progress(&self) -> bool {
         !self.in_progress.is_empty()
--- a/src/cloud/commit.rs
+++ b/src/cloud/commit.rs
@@ -1,11 +1,11 @@
-//! Commits of this module's loops, which are often empty.
+//! Sends the commits of this module's loops, many of which are empty.
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 use crate::wire::Commit;
 
-/// Sends a commit, unless there is nothing to write.
+/// Sends a commit, unless it has no writes.
 pub(super) async fn commit_unless_empty(
     controller: &Controller,
     class: RequestClass,
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: services move off machines whose accelerators nobody needs,
-//! so that these can be decommissioned.
+//! Consolidation: moves services off machines with unused accelerators, so that these
+//! machines can be decommissioned.
 
 use super::headroom::{free_accelerator_slots, open_accelerator_jobs};
 use super::pricing::machine_price;
@@ -13,14 +13,16 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, JobKind};
 
-/// Slots for so many of the usual gangs on accelerators stay free.
+/// The number of gangs, of the shape of the latest job that needs accelerators, for which
+/// slots stay free.
 const RESERVED_GANGS: usize = 2;
 
-/// Writes of the commit beside the jobs' records: the machine's machine shard and zone shard.
+/// The number of writes of an eviction besides the jobs' records: the machine's machine
+/// shard and its zone shard.
 const MACHINE_WRITES: usize = 2;
 
-/// Drains a machine whose accelerators nobody needs, when the services that keep
-/// it provisioned fit elsewhere: they move, and it is decommissioned.
+/// Drains one machine with unused accelerators if the services that keep it provisioned fit
+/// on other machines. The services move, and the machine is decommissioned.
 pub(super) async fn consolidate(controller: &Controller) {
     let interval = controller.settings.worker_lease();
     if !controller
@@ -55,18 +57,21 @@
 /// The eviction of a machine's services.
 struct Eviction {
     machine: String,
+    /// The number of services that are evicted.
     services: usize,
     commit: Commit,
 }
 
-/// A machine whose services could move.
+/// A machine whose services fit on other machines.
 struct Candidate<'a> {
     id: &'a String,
     services: Vec<&'a str>,
-    /// Its price divided by the number of services that have to move.
+    /// The machine's price divided by the number of services that have to move.
     savings_per_service: f64,
 }
 
+/// Returns the eviction with the highest savings per service, or `None` if no machine can
+/// be consolidated or a job that needs accelerators is waiting.
 fn find_eviction(controller: &Controller) -> Option<Eviction> {
     let replica = controller.replica.borrow();
     let gpu = replica.gpu_spec.as_ref()?;
@@ -84,17 +89,18 @@
     plan_eviction(&replica, &candidate)
 }
 
-/// A search for the machine whose consolidation saves most.
+/// A search for the machine whose consolidation saves the most per service.
 struct ConsolidationSearch<'a> {
     replica: &'a Replica,
     settings: &'a Settings,
     plan: Plan,
     hints: PlacementHints<'a>,
-    /// Slots that stay free for work on accelerators.
+    /// The number of slots that must stay free for jobs that need accelerators.
     reserved_slots: usize,
 }
 
 impl<'a> ConsolidationSearch<'a> {
+    /// Returns the candidate with the highest savings per service.
     fn best(&self) -> Option<Candidate<'a>> {
         let mut best: Option<Candidate> = None;
         for (id, entry) in &self.replica.machines {
@@ -111,8 +117,8 @@
         best
     }
 
-    /// The machine if it has accelerators, runs services alone, and these fit
-    /// elsewhere.
+    /// Returns the machine as a candidate if it has accelerators, runs only services, and
+    /// all of them fit on other machines.
     fn candidate(&self, id: &'a String, machine: &Machine) -> Option<Candidate<'a>> {
         let machine_type = self.replica.machine_type(&machine.kind)?;
         if machine.lifecycle != MachineLifecycle::Active || machine_type.gpus <= 0.0 {
@@ -137,8 +143,8 @@
         })
     }
 
-    /// The services on a machine, if it runs nothing else and they fit one
-    /// commit.
+    /// Returns the services on a machine, or `None` if it runs other jobs too or if the
+    /// eviction of its services does not fit in one commit.
     fn services_on(&self, id: &str) -> Option<Vec<&'a str>> {
         let mut services = Vec::new();
         for (job, entry) in self.replica.jobs_on(id) {
@@ -153,15 +159,15 @@
         (!services.is_empty() && fits_commit).then_some(services)
     }
 
-    /// Whether a service's replicas on a machine fit into the plan, which then
-    /// holds them.
+    /// Places a service's replicas that run on the machine elsewhere in the plan, and
+    /// returns whether all of them fit.
     fn fits_elsewhere(&self, job: &str, machine: &str, plan: &mut Plan) -> bool {
         let recorded = &self.replica.jobs[job].value;
         let mut moved = recorded.clone();
         let Some(spec) = moved.spec.clone() else {
             return false;
         };
-        // What it would be after the stop: those tasks wait.
+        // The job as it would be after the stop: the displaced tasks wait.
         let mut displaced_tasks = 0;
         for run in recorded.runs.iter().filter(|run| run.machine == machine) {
             for task in run.tasks.iter() {
@@ -191,8 +197,8 @@
     }
 }
 
-/// The commit that drains the machine, takes it out of its zone shard's record,
-/// and stops its services there.
+/// Returns the commit that drains the machine, removes it from its zone shard's record, and
+/// stops its services.
 fn plan_eviction(replica: &Replica, candidate: &Candidate) -> Option<Eviction> {
     let id = candidate.id;
     let mut machine = replica.machines.get(id)?.value.clone();
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -1,6 +1,6 @@
-//! Draining of machines that the cloud preempts or that are not worth their price:
-//! no new work goes there, and what runs there saves its progress while there is
-//! time.
+//! Drains machines that the cloud preempts or that cost more than their work is worth: no
+//! new tasks are placed on them, and tasks that run on them are stopped while there is time
+//! to save their progress.
 
 use super::commit::commit_unless_empty;
 use super::lifecycle::set_lifecycle;
@@ -12,9 +12,9 @@
 use crate::state::records::{Job, MachineLifecycle, Spec};
 use crate::wire::{Commit, JobKind, Write};
 
-/// Drains the machines that are queued for it, such as those with a preemption
-/// notice: they take no new work, and gangs that can save are told to while there
-/// is time.
+/// Drains the machines that are queued for draining, such as those with a preemption
+/// notice. The machines take no new work, and jobs that lose no progress when they are
+/// stopped are stopped while there is time.
 pub(super) async fn drain_machines(controller: &Controller) {
     let ids = controller.fleet.borrow_mut().take_pending_drains();
     for id in ids {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether a machine takes work and is owned by this controller.
+/// Returns whether a machine is active and owned by this controller.
 fn is_active_and_owned(controller: &Controller, id: &str) -> bool {
     let replica = controller.replica.borrow();
     let machine = replica.machines.get(id).map(|entry| &entry.value);
@@ -40,8 +40,8 @@
         && controller.owns(id)
 }
 
-/// The commit that stops the work on a machine that can save its progress; as
-/// much of it as one commit holds.
+/// Returns the commit that stops the jobs on a machine that lose no progress when they are
+/// stopped, as many as fit in one commit.
 fn drain_commit(controller: &Controller, machine: &str) -> Commit {
     let replica = controller.replica.borrow();
     let max_writes = controller.settings.txn_ops();
@@ -66,7 +66,8 @@
     }
 }
 
-/// Whether a job loses nothing by a stop, and has not been told yet.
+/// Returns whether a job is open, loses no progress when it is stopped (it saves
+/// checkpoints or is a service), and has tasks on the machine without a stop flag.
 fn should_stop(job: &Job, machine: &str) -> bool {
     let saves_progress = job
         .spec
@@ -76,7 +77,8 @@
     saves_progress && job.is_open() && runs.any(|run| !run.stop)
 }
 
-/// The job with its tasks on the machine told to stop; all of a gang's.
+/// Returns the job with the stop flag set for its tasks on the machine, or for all of its
+/// tasks if it is a gang.
 fn stopped(job: &Job, machine: &str) -> Job {
     let mut job = job.clone();
     let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
--- a/src/cloud/failure_attribution.rs
+++ b/src/cloud/failure_attribution.rs
@@ -1,4 +1,5 @@
-//! Whose fault a job's failures are: the job's or the machine's.
+//! Attributes the failures of jobs to the job or to the machine, and selects the machines
+//! to quarantine.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,34 +8,35 @@
 use crate::state::replica::Replica;
 use crate::workers::{AttemptKey, OwnedWorker};
 
-/// At most one of so many machines held is quarantined at once.
+/// The reciprocal of the maximum fraction of owned machines that are quarantined at the
+/// same time.
 const QUARANTINE_FRACTION: usize = 4;
 
-/// What the failures on a machine say of it.
+/// The health of a machine, judged by the failures of jobs on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineHealth {
-    /// Nothing, or the jobs fail on others as well.
+    /// No failure is attributed to the machine, and at most one is unattributed.
     Healthy,
-    /// Several jobs failed there, and nobody knows yet whose fault it is.
+    /// Several jobs failed on the machine, and their failures are not attributed yet.
     Suspect,
-    /// A job that failed there has succeeded elsewhere since.
+    /// A job that failed on the machine has since succeeded on another.
     Faulty,
 }
 
-/// What the failure of one job on a machine says.
+/// The cause to which the failure of a job on a machine is attributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// The job fails on other machines, too, or is cancelled.
+    /// The job: it also fails on other machines, or it is cancelled.
     Job,
-    /// The job has succeeded elsewhere since.
+    /// The machine: the job has since succeeded on another.
     Machine,
-    /// The job has not been tried again yet.
+    /// Not known yet: the job has not been retried.
     Unknown,
 }
 
-/// Attributes a job's failure on a machine, by the job's record, which holds that
-/// failure: to the machine, if the job has succeeded since; to the job, if it
-/// fails on others, too, or is cancelled.
+/// Attributes a job's failure on a machine. The job's record must already contain that
+/// failure. The failure is attributed to the machine if the job has succeeded since, and to
+/// the job if it also fails on other machines or is cancelled.
 #[must_use]
 pub fn attribute_failure(job: &Job, machine: &str) -> FailureAttribution {
     match job.status {
@@ -48,8 +50,9 @@
     }
 }
 
-/// Judges a machine by jobs that succeed elsewhere; a job with a mistake fails
-/// on all machines alike, and would have one after another decommissioned.
+/// Returns the health of a machine. A machine is faulty only if a job that failed on it has
+/// succeeded elsewhere: a faulty job fails on every machine and would otherwise cause one
+/// machine after another to be decommissioned.
 pub(super) fn machine_health(
     controller: &Controller,
     replica: &Replica,
@@ -77,8 +80,8 @@
     }
 }
 
-/// Whether the termination of a job's task on a machine is still to be recorded:
-/// the job's record does not hold that failure yet.
+/// Returns whether the termination of a job's task on a machine is still to be recorded, so
+/// that the job's record may not contain that failure yet.
 fn has_unrecorded_termination(controller: &Controller, job: &str, machine: &str) -> bool {
     let first = AttemptKey {
         job: job.to_string(),
@@ -91,9 +94,10 @@
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
 
-/// Machines that take no new work until it is known whose fault the failures
-/// there are: a quarter of those held at most, or many jobs with a mistake
-/// would leave no capacity to tell.
+/// Returns the machines that take no new work until the failures on them are attributed.
+/// They are at most a quarter of the owned machines, or one machine if there are fewer than
+/// four: with more, many faulty jobs could leave no capacity for the retries by which
+/// failures are attributed.
 pub fn quarantined_machines(
     controller: &Controller,
     replica: &Replica,
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -1,5 +1,5 @@
-//! What the loops of this module remember between their passes. Nothing of it
-//! is needed for correctness: a controller that starts has none of it.
+//! The in-memory state that the loops of this module keep between their passes. None of it
+//! is needed for correctness: a controller starts without it.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -14,39 +14,41 @@
 use crate::controller::shifted_past_pause;
 use crate::wire::WorkerStatus;
 
-/// What one controller remembers of the fleet and of the cloud.
+/// The in-memory state of one controller about the fleet and the cloud.
 #[derive(Default)]
 pub struct FleetState {
     /// The boots in progress, and the durations and failures of recent ones.
     pub(super) boots: BootTracker,
-    /// Offers that the cloud has refused.
+    /// The offers that the cloud has refused.
     pub(super) refusals: OfferRefusals,
-    /// The calls to the cloud.
+    /// The state of the calls to the cloud.
     pub(super) cloud_calls: CloudCalls,
-    /// The pace of reading the cloud's inventory.
+    /// The timer for reading the cloud's inventory.
     pub(super) inventory_timer: IntervalTimer,
-    /// The pace of the log's summaries of the fleet.
+    /// The timer for logging a summary of the fleet.
     pub(super) summary_timer: IntervalTimer,
-    /// The pace of emptying machines of their services.
+    /// The timer for consolidating machines.
     pub(super) consolidation_timer: IntervalTimer,
-    /// The pace of reading the machine types.
+    /// The timer for reading the machine types.
     pub(super) machine_types_timer: IntervalTimer,
-    /// The last report of a worker that asked to be claimed, without tasks:
-    /// its address and its machine type.
+    /// The last status, without tasks, of each worker that requested a claim, by machine.
+    /// It has the worker's address and its machine type.
     claim_reports: HashMap<String, WorkerStatus>,
-    /// Machines that are to be drained and are not yet.
+    /// The machines that are queued for draining.
     pending_drains: HashSet<String>,
-    /// Since when machines have had no work that justifies their price.
+    /// The time since which each machine has had no work that justifies its price.
     idle_since: HashMap<String, Instant>,
-    /// Since when machines boot, or have an owner that is not up.
+    /// The time since which each machine has had no owner that is up. A booting machine has
+    /// no owner yet.
     not_up_since: HashMap<String, Instant>,
-    /// Machines whose live reports show a token below the recorded one.
+    /// The machines whose new heartbeats show a fencing token below the recorded one.
     stale_tokens: StaleTokens,
-    /// Since when the cloud lists machines that have no record.
+    /// The time since which the cloud has listed each machine that has no record.
     unrecorded_since: HashMap<String, Instant>,
-    /// Machines confirmed gone: a late inventory may still name them.
+    /// The time at which the cloud confirmed that a machine is gone. An outdated inventory
+    /// may still list the machine after that.
     gone_since: HashMap<String, Instant>,
-    /// The state lease of this controller, if one is held as far as is known.
+    /// The state lease of this controller, unless it is known to have expired.
     state_lease: Option<HeldLease>,
 }
 
@@ -57,30 +59,31 @@
     extended_at: Instant,
 }
 
-/// The reports of workers that are or were to be claimed.
+/// The workers that have requested a claim.
 impl FleetState {
-    /// Keeps the report of a worker that asks to be claimed, without its tasks.
+    /// Records the status of a worker that requests a claim, without its tasks.
     pub fn record_claim_report(&mut self, report: &WorkerStatus) {
         let mut kept = report.clone();
         kept.tasks = Vec::new();
         self.claim_reports.insert(report.machine.clone(), kept);
     }
 
-    /// The last report of a worker that asked to be claimed, without tasks.
+    /// Returns the last status, without tasks, of a worker that requested a claim.
     #[must_use]
     pub fn claim_report(&self, id: &str) -> Option<&WorkerStatus> {
         self.claim_reports.get(id)
     }
 
-    /// The same, to be brought up to date.
+    /// Returns that status, to be updated.
     pub fn claim_report_mut(&mut self, id: &str) -> Option<&mut WorkerStatus> {
         self.claim_reports.get_mut(id)
     }
 
-    /// Whether a worker has reported for longer than its lease without taking
-    /// up the token under which its machine is held, by whomever: its reports
-    /// arrive, but no answer and no command does. It tries one controller after
-    /// another, and is not claimed again and again: it is decommissioned.
+    /// Records a heartbeat, and returns whether the worker is unreachable: for longer than
+    /// its lease, its heartbeats have shown a fencing token below the recorded one, whichever
+    /// controller owns the machine. Its heartbeats arrive, but answers and commands do not
+    /// reach it. Such a worker tries one controller after another. Instead of being claimed
+    /// repeatedly, its machine is decommissioned.
     pub fn check_unreachable(
         &mut self,
         report: &WorkerStatus,
@@ -91,46 +94,48 @@
         self.stale_tokens.observe(report, fencing_token, lease, now)
     }
 
-    /// Machines that were found unreachable just now.
+    /// Returns the machines whose latest heartbeats show that they are unreachable.
     pub(super) fn unreachable(&self, lease: Duration, now: Instant) -> Vec<String> {
         self.stale_tokens.unreachable(lease, now)
     }
 }
 
-/// The machines: idle, not up, to be drained, without a record, gone.
+/// The machines that are queued for draining, idle, without an owner, without a record, or
+/// gone.
 impl FleetState {
-    /// Has a machine drained by the next pass.
+    /// Queues a machine to be drained in the next pass.
     pub fn queue_drain(&mut self, id: &str) {
         self.pending_drains.insert(id.to_string());
     }
 
-    /// Takes the machines that are to be drained.
+    /// Takes the machines that are queued for draining.
     pub(super) fn take_pending_drains(&mut self) -> Vec<String> {
         self.pending_drains.drain().collect()
     }
 
-    /// Since when a machine is idle: from now on if it was not.
+    /// Returns the time since which a machine has been idle, which starts now if it was not.
     pub(super) fn idle_since(&mut self, id: &str, now: Instant) -> Instant {
         *self.idle_since.entry(id.to_string()).or_insert(now)
     }
 
-    /// A machine has work that justifies its price.
+    /// Records that a machine has work that justifies its price.
     pub(super) fn clear_idle(&mut self, id: &str) {
         self.idle_since.remove(id);
     }
 
-    /// Since when a machine boots or its owner is not up: from now on if it was
-    /// not known to be so.
+    /// Returns the time since which a machine has had no owner that is up, which starts now
+    /// if it had one.
     pub(super) fn not_up_since(&mut self, id: &str, now: Instant) -> Instant {
         *self.not_up_since.entry(id.to_string()).or_insert(now)
     }
 
-    /// A machine's owner is up.
+    /// Records that a machine's owner is up.
     pub(super) fn clear_not_up(&mut self, id: &str) {
         self.not_up_since.remove(id);
     }
 
-    /// Whether a listed machine has had no record for longer than `limit`.
+    /// Returns whether a listed machine has had no record for longer than `limit`. The time
+    /// starts now if the machine was not known to be without a record.
     pub(super) fn is_long_unrecorded(&mut self, id: &str, limit: Duration) -> bool {
         let first = self
             .unrecorded_since
@@ -139,12 +144,12 @@
         first.elapsed() > limit
     }
 
-    /// Drops the machines without a record that have one now.
+    /// Stops tracking, as machines without a record, those that have a record now.
     pub(super) fn forget_recorded(&mut self, is_recorded: impl Fn(&str) -> bool) {
         self.unrecorded_since.retain(|id, _| !is_recorded(id));
     }
 
-    /// The cloud has confirmed that it has taken a machine back.
+    /// Records that the cloud has confirmed that a machine is gone.
     pub(super) fn confirm_gone(&mut self, id: String, now: Instant) {
         self.claim_reports.remove(&id);
         self.idle_since.remove(&id);
@@ -152,25 +157,26 @@
         self.gone_since.insert(id, now);
     }
 
-    /// Whether a machine is confirmed gone, and may still be listed.
+    /// Returns whether a machine is confirmed gone but may still be listed.
     #[must_use]
     pub(super) fn is_confirmed_gone(&self, id: &str) -> bool {
         self.gone_since.contains_key(id)
     }
 
-    /// Drops the machines that are gone for so long that no list names them.
+    /// Removes the machines that have been gone for at least `age`, after which no inventory
+    /// lists them.
     pub(super) fn forget_gone(&mut self, age: Duration) {
         self.gone_since.retain(|_, since| since.elapsed() < age);
     }
 
-    /// Drops what is remembered of all machines but the known ones.
+    /// Removes the idle and ownerless times of all machines except the known ones.
     pub(super) fn retain_machines(&mut self, known: &HashSet<&str>) {
         self.not_up_since
             .retain(|id, _| known.contains(id.as_str()));
         self.idle_since.retain(|id, _| known.contains(id.as_str()));
     }
 
-    /// Excludes a gap in which this process did not run from every span.
+    /// Excludes a gap in which this process did not run from all tracked durations.
     pub fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         let spans = [
             &mut self.idle_since,
@@ -187,20 +193,20 @@
 
 /// The state lease of this controller.
 impl FleetState {
-    /// The state lease, if one is held as far as is known.
+    /// Returns the ID of the state lease, unless it is known to have expired.
     #[must_use]
     pub(super) fn state_lease(&self) -> Option<u64> {
         self.state_lease.map(|lease| lease.id)
     }
 
-    /// Whether the state lease was extended longer than `interval` ago.
+    /// Returns whether the state lease was last extended longer than `interval` ago.
     #[must_use]
     pub(super) fn is_extension_due(&self, interval: Duration) -> bool {
         self.state_lease
             .is_none_or(|lease| lease.extended_at.elapsed() > interval)
     }
 
-    /// The state lease was granted or extended just now.
+    /// Records that the state lease was granted or extended now.
     pub(super) fn record_state_lease(&mut self, id: u64) {
         self.state_lease = Some(HeldLease {
             id,
@@ -208,15 +214,16 @@
         });
     }
 
-    /// The state lease has expired.
+    /// Records that the state lease has expired.
     pub(super) fn clear_state_lease(&mut self) {
         self.state_lease = None;
     }
 }
 
-/// What reports say of this state.
+/// The part of the state that is shown in reports.
 impl FleetState {
-    /// Offers that the cloud has refused of late, in alphabetical order.
+    /// Returns the offers that are backed off after a refusal by the cloud, in alphabetical
+    /// order.
     pub fn refused_offers(&self, now: Instant) -> Vec<String> {
         self.refusals.held_off(now)
     }
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -1,4 +1,4 @@
-//! Garbage collection: records that are not needed any more are dropped.
+//! Garbage collection: deletes records that are no longer needed.
 
 use super::commit::commit_unless_empty;
 use crate::controller::Controller;
@@ -8,21 +8,21 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
 
-/// The key of a record that is not needed any more, and the version that was seen.
+/// The key and the version of a record that is no longer needed.
 struct ObsoleteRecord {
     key: String,
     version: u64,
 }
 
 impl ObsoleteRecord {
-    /// The guard and the write that drop it.
+    /// Returns the precondition and the write that delete the record.
     fn into_deletion(self) -> (Precondition, Write) {
         let ObsoleteRecord { key, version } = self;
         (precondition(key.clone(), version), Write::Delete { key })
     }
 }
 
-/// Drops obsolete records, as many as one commit holds.
+/// Deletes obsolete records, as many as fit in one commit.
 pub(super) async fn collect_obsolete_records(controller: &Controller) {
     let commit = {
         let replica = controller.replica.borrow();
@@ -36,13 +36,14 @@
         }
     };
     if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
-        tracing::debug!(%error, "obsolete records not dropped");
+        tracing::debug!(%error, "obsolete records not deleted");
     }
 }
 
-/// Provisioning requests whose machines all have a record of their own, accepted
-/// batches whose jobs all have. Those records never go while this one stands
-/// (`record_drops`) or at all, so what the replica shows holds.
+/// Returns the provisioning requests whose machines all have records of their own, and the
+/// accepted batches whose jobs all have. A machine's record is only deleted together with the
+/// machine's entry in the request (`record_drops`), and a job's record is never deleted. So a
+/// record that the replica shows as obsolete cannot become needed again.
 fn obsolete_records(replica: &Replica) -> impl Iterator<Item = ObsoleteRecord> {
     let requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
         let machines = &entry.value.machines;
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,4 +1,5 @@
-//! Headroom: slots kept ready for the next gang on accelerators.
+//! Headroom: slots that are kept free for the next gang that needs accelerators. A slot is
+//! the capacity for one task of the latest such job (`Replica::gpu_spec`).
 
 use crate::dependencies::EffectiveUrgency;
 use crate::scheduler::{self, Plan};
@@ -6,7 +7,8 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Open jobs that need accelerators, but for those that fail wherever they run.
+/// Returns the open jobs that need accelerators, except those that are suspected to be
+/// faulty.
 pub(super) fn open_accelerator_jobs(replica: &Replica) -> impl Iterator<Item = &Job> {
     replica.open_jobs.iter().filter_map(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
@@ -17,8 +19,8 @@
     })
 }
 
-/// How many slots of the accelerators' usual shape there should be beyond those
-/// in use: none when no such job is open.
+/// Returns the number of slots to keep free, as the policy sets it. It is 0 if no job that
+/// needs accelerators is open.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
@@ -33,7 +35,7 @@
     (gangs * f64::from(gpu.tasks)).round() as usize
 }
 
-/// Free slots of the accelerators' usual shape, in one zone or in all.
+/// Returns the number of free slots in the plan, in one zone or, for `None`, in all zones.
 pub(super) fn free_accelerator_slots(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
     let Some(gpu) = &replica.gpu_spec else {
         return 0;
--- a/src/cloud/incoming_capacity.rs
+++ b/src/cloud/incoming_capacity.rs
@@ -1,5 +1,4 @@
-//! Capacity that a plan counts on before it is there: machines that boot, and
-//! those that were requested.
+//! Adds incoming capacity to a plan: booting machines and requested ones.
 
 use super::boot_tracking::BootTracker;
 use super::booting_machines::booting_machines;
@@ -20,9 +19,9 @@
     }
 }
 
-/// Adds the capacity that is on its way: booting machines and recorded requests.
-/// Not those whose boot is overdue: another is provisioned in their stead, and
-/// they are used if they come all the same.
+/// Adds the incoming capacity to the plan: booting machines and unanswered provisioning
+/// requests. Machines whose boot is overdue are left out, so that replacements are
+/// provisioned for them. They are still used if they come up later.
 pub(super) fn add_incoming_capacity(plan: &mut Plan, replica: &Replica, boots: &BootTracker) {
     let mut add = |machine_type: &str, zone: &str, spot: bool| {
         if let Some(machine_type) = replica.machine_type(machine_type) {
--- a/src/cloud/interval_timer.rs
+++ b/src/cloud/interval_timer.rs
@@ -1,28 +1,29 @@
-//! When something that is done at intervals was last done.
+//! A timer for tasks that run at intervals.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The time of the last run of something that is done at intervals.
+/// A timer that records the last run of a periodic task.
 #[derive(Debug, Default)]
 pub(super) struct IntervalTimer {
+    /// The time of the last run; `None` if the task is due.
     last: Option<Instant>,
 }
 
 impl IntervalTimer {
-    /// Whether it has not run yet, or longer ago than `interval`.
+    /// Returns whether the task has not run yet or last ran longer than `interval` ago.
     #[must_use]
     pub(super) fn is_due(&self, interval: Duration) -> bool {
         self.last.is_none_or(|last| last.elapsed() > interval)
     }
 
-    /// Starts the next interval now.
+    /// Records that the task has run now.
     pub(super) fn restart(&mut self) {
         self.last = Some(Instant::now());
     }
 
-    /// Makes the next run due at once.
+    /// Makes the task due immediately.
     pub(super) fn reset(&mut self) {
         self.last = None;
     }
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -1,5 +1,5 @@
-//! The cloud's inventory of machines, reconciled with the records: adopts those
-//! that nobody knows, gives up those that have failed.
+//! Reconciles the cloud's inventory of machines with the records: adopts machines that have
+//! no record and decommissions machines that have failed.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,23 +13,26 @@
 use crate::state::replica::Replica;
 use crate::wire::{ListedMachine, ListedMachineStage, MachineList};
 
-/// How many times the inventory's lag a machine that is gone may still be listed.
+/// The time for which a gone machine may still be listed, as a multiple of the inventory's
+/// lag.
 const GONE_LAGS: u32 = 6;
 
-/// A listed machine without a record is recorded here after so many leases:
-/// one that runs reports sooner, and is claimed with a record of its own.
+/// The time after which a listed machine without a record is adopted, in worker leases. A
+/// machine with a running worker sends a heartbeat sooner and gets its record when it is
+/// claimed.
 const UNRECORDED_LEASES: u32 = 2;
 
-/// What the cloud's inventory shows that the records do not.
+/// The differences between the cloud's inventory and the records.
 #[derive(Debug, Default)]
 struct InventoryDifferences {
-    /// Recorded machines that the cloud lists as failed.
+    /// The recorded machines that the cloud lists as failed.
     failed: Vec<String>,
-    /// Machines to be recorded.
+    /// The machines without a record that are to be recorded.
     new: Vec<NewMachine>,
 }
 
-/// Reads the cloud's inventory when it is due, and carries out what it shows.
+/// Reads the cloud's inventory when it is due, records the machines that have no record, and
+/// decommissions those that have failed.
 pub(super) async fn reconcile_inventory(controller: &Controller) {
     let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
     if !controller.fleet.borrow().inventory_timer.is_due(lag) {
@@ -60,7 +63,7 @@
     set_lifecycles(controller, &returning).await;
 }
 
-/// All pages of the cloud's inventory.
+/// Reads all pages of the cloud's inventory.
 async fn read_inventory(controller: &Controller) -> Result<Vec<ListedMachine>, CloudError> {
     let mut all = Vec::new();
     let mut after = String::new();
@@ -79,7 +82,7 @@
     }
 }
 
-/// Compares the inventory with the records and with what is known to be on its way.
+/// Compares the inventory with the machine records and with the provisioning requests.
 fn compare(
     replica: &Replica,
     fleet: &mut FleetState,
@@ -99,7 +102,7 @@
                 differences.failed.push(machine.id.clone());
             }
         } else if fleet.is_confirmed_gone(&machine.id) {
-            // A late inventory.
+            // The inventory is outdated: the cloud has confirmed that this machine is gone.
         } else if provisioned.contains(machine.id.as_str()) {
             if has_failed {
                 differences
@@ -107,7 +110,7 @@
                     .extend(provisioned_but_not_up(replica, &machine.id));
             }
         } else if has_unanswered_requests {
-            // The answer to a request that is in progress will name it.
+            // The machine may belong to an unanswered request, whose answer will name it.
         } else if fleet.is_long_unrecorded(&machine.id, lease * UNRECORDED_LEASES) {
             differences.new.push(NewMachine::adopted(machine));
         }
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -1,4 +1,4 @@
-//! The jobs for which capacity is planned, and what they need.
+//! Determines the jobs for which capacity is planned and the capacity that they need.
 
 use std::collections::HashSet;
 
@@ -9,7 +9,7 @@
 use crate::state::replica::{MachineClass, Replica};
 use crate::wire::{JobKind, MachineType};
 
-/// A fraction of a task below which what is still missing provisions nothing.
+/// The smallest shortfall, in tasks, for which capacity is provisioned.
 const MIN_SHORTFALL: f64 = 0.5;
 
 /// A job for which capacity is planned.
@@ -17,21 +17,21 @@
     pub(super) id: &'a str,
     pub(super) spec: &'a Spec,
     pub(super) facts: JobFacts,
-    /// The highest price of a slot, as a multiple of the cheapest one.
+    /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
-    /// The job as it would be with the places planned so far, so that its
-    /// zones' shares are kept.
+    /// The job as it would be with the placements planned so far, so that the limits on its
+    /// tasks per zone are kept.
     pub(super) planned: Job,
-    /// Zones where more capacity would not help.
+    /// The zones in which more capacity would not help the job.
     pub(super) excluded_zones: HashSet<String>,
     /// The zone of the machine that was planned last.
     pub(super) last_zone: Option<String>,
-    /// How strictly machines with accelerators are kept for work that needs them.
+    /// The protection of machines with accelerators for jobs that need them.
     pub(super) protection: AcceleratorProtection,
 }
 
 impl JobDemand<'_> {
-    /// What restricts the choice of an offer for the job.
+    /// Returns the constraints on the choice of an offer for the job.
     pub(super) fn offer_constraints(&self) -> OfferConstraints<'_> {
         OfferConstraints {
             protection: self.protection,
@@ -40,8 +40,9 @@
         }
     }
 
-    /// How many slots the job needs more for its `unplaced` tasks; none if what
-    /// others free is enough, which is then taken from `turnover_cpus`.
+    /// Returns the number of slots to provision for the job's `unplaced` tasks, or `None` if
+    /// no more are needed. For an array, the CPUs that other arrays' tasks will free count as
+    /// capacity, and the CPUs that are counted here are subtracted from `turnover_cpus`.
     pub(super) fn wanted_slots(
         &self,
         unplaced: usize,
@@ -51,8 +52,9 @@
         let spec = self.spec;
         let mut wanted = unplaced as f64;
         if spec.kind == JobKind::Array {
-            // Tasks that run one after another in the window need less
-            // capacity at once; what others free in that time serves too.
+            // Tasks can run one after another within the window, so the array needs
+            // fewer slots than tasks. CPUs that other tasks free within the window reduce
+            // the need further.
             let window_s = policy.rent_window_s(&self.facts);
             let cpus = spec.need.cpus.units().max(0.001);
             wanted = wanted * spec.estimate_s.max(1.0) / window_s;
@@ -60,8 +62,8 @@
             let covered = wanted.min(*turnover_cpus * turnover / cpus);
             *turnover_cpus -= covered * cpus / turnover.max(0.01);
             wanted -= covered;
-            // So little follows in the capacity of what runs; but what has no
-            // place at all, and none to follow, would wait for ever.
+            // Such a small remainder runs when the job's own or other tasks end. But a job
+            // that has no running tasks and counts on no others would wait forever.
             if wanted < MIN_SHORTFALL && (self.planned.booked() > 0 || covered > 0.0) {
                 return None;
             }
@@ -70,16 +72,18 @@
     }
 }
 
-/// A job that waits for others, and those.
+/// A job with pending dependencies.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DependentJob<'a> {
     pub(super) id: &'a str,
+    /// The jobs that have to end before this one starts.
     pub(super) awaited: &'a [String],
 }
 
-/// Jobs that wait for others which are about to end, and what those are: all
-/// of their tasks run, and by their owners' estimates are over before a machine
-/// that is provisioned now is up. For others that wait nothing is provisioned yet.
+/// Returns the jobs whose pending dependencies are all about to end: all tasks of these
+/// dependencies run, and their estimated run times are at most the shortest boot time of a
+/// machine, so they end before a machine that is provisioned now is up. No capacity is
+/// provisioned yet for other jobs with pending dependencies.
 pub(super) fn jobs_about_to_start(replica: &Replica) -> Vec<DependentJob<'_>> {
     let boot_s = replica.min_boot_s();
     let ends_soon = |id: &String| {
@@ -95,9 +99,11 @@
         .collect()
 }
 
-/// A job that fails wherever it runs provisions nothing: it is tried on what others
-/// have. Where nothing is there that could hold it, it may a few times more, or
-/// three faulty machines in a row would be the end of a job in order.
+/// Returns whether capacity may be provisioned for a job that is suspected to be faulty.
+/// Normally none is: the job is retried on machines that other jobs keep provisioned. But if
+/// no machine in the plan can hold the job, machines are provisioned for it up to twice the
+/// usual number of failures. Otherwise three faulty machines in a row would stop a correct
+/// job permanently.
 pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &Spec) -> bool {
     let holds = |class: &MachineClass| {
         let capacity = replica.class_type(class).map(MachineType::resources);
@@ -111,7 +117,7 @@
         && !plan_slots.any(|slot| holds(&replica.classes[slot.class as usize]))
 }
 
-/// CPUs of all independent tasks that run.
+/// Returns the number of CPUs that are booked by tasks of arrays.
 pub(super) fn running_array_cpus(replica: &Replica) -> f64 {
     let mut cpus = 0.0;
     for (_, id) in &replica.open_jobs {
--- a/src/cloud/machine_offer.rs
+++ b/src/cloud/machine_offer.rs
@@ -1,12 +1,12 @@
-//! What the cloud offers: a machine type in a zone, as a spot machine or at the
-//! regular price.
+//! The unit of provisioning in the cloud: a machine type in a zone, as a spot machine or at
+//! the regular price.
 
 use std::fmt;
 
 use crate::state::records::ProvisioningRequest;
 
-/// A machine type in a zone, as a spot machine or at the regular price. Capacity,
-/// refusals and failing boots are counted for each offer by itself.
+/// A machine type in a zone, as a spot machine or at the regular price. Planned machines,
+/// refusals and failed boots are counted separately for each offer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MachineOffer {
     pub(super) machine_type: String,
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -1,6 +1,6 @@
-//! The machine types that the cloud offers. The fleet leader reads them and keeps
-//! them in the state, where every controller, a newly started one too, finds
-//! them.
+//! Maintains the list of machine types that the cloud offers. The fleet leader reads them from
+//! the cloud and records them in the state, from which every controller reads them, also
+//! after a restart.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::state::records::Types;
 use crate::wire::MachineTypes;
 
-/// The types are read again after so many times the inventory's lag.
+/// The interval between reads of the machine types, as a multiple of the inventory's lag.
 const REFRESH_LAGS: u32 = 3;
 
-/// Keeps the machine types in the state as the cloud tells them.
+/// Runs the loop that keeps the recorded machine types equal to those of the cloud.
 pub async fn run_type_refresh(controller: Rc<Controller>) {
     let tick = controller.settings.heartbeat_interval() / 3;
     loop {
-        // Until the types are known nobody can accept anything.
+        // No controller can accept jobs until the machine types are known.
         let known = !controller.replica.borrow().types.value.types.is_empty();
         sleep(if known { tick } else { tick / 16 }).await;
         if controller.is_fleet_leader() && is_refresh_due(&controller) {
@@ -31,19 +31,21 @@
     }
 }
 
+/// Returns whether the machine types are due to be read again.
 fn is_refresh_due(controller: &Controller) -> bool {
     let lag = Duration::from_secs_f64(controller.settings.deployment.cloud.list_lag_s);
     let fleet = controller.fleet.borrow();
     fleet.machine_types_timer.is_due(lag * REFRESH_LAGS)
 }
 
+/// Reads the machine types from the cloud.
 async fn read_machine_types(controller: &Controller) -> Result<Types, CloudError> {
     let response = controller.call_cloud("GET", "/flavors", None).await?;
     let MachineTypes { types } = response.parse::<MachineTypes>()?;
     Ok(Types { types })
 }
 
-/// Reads the machine types, and records them if they have changed.
+/// Reads the machine types from the cloud and records them if they have changed.
 async fn refresh(controller: &Controller) {
     let types = match read_machine_types(controller).await {
         Ok(types) => types,
--- a/src/cloud/maintenance.rs
+++ b/src/cloud/maintenance.rs
@@ -1,4 +1,4 @@
-//! The loop that maintains the fleet; scale-out has one of its own (`scale_out`).
+//! The loop that maintains the fleet. Scale-out runs in a loop of its own (`scale_out`).
 
 use std::rc::Rc;
 
@@ -16,8 +16,8 @@
 use super::unneeded_machines::unneeded_machines;
 use crate::controller::Controller;
 
-/// Removes the machines that this controller holds and that fail; the fleet
-/// leader also maintains the fleet as a whole.
+/// Runs the loop that drains and removes unhealthy machines owned by this controller. On the
+/// fleet leader, the loop also maintains the fleet as a whole.
 pub async fn run_fleet(controller: Rc<Controller>) {
     loop {
         let tick = controller
@@ -40,7 +40,7 @@
     }
 }
 
-/// One pass of the fleet leader over the fleet.
+/// Runs one pass of the fleet leader over the fleet.
 async fn maintain_fleet(controller: &Rc<Controller>) {
     log_fleet_summary(controller);
     scale_in(controller).await;
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet of machines that the cloud provisions: scale-out, scale-in, and the
-//! health of what is provisioned.
+//! The fleet of machines that are provisioned from the cloud: scale-out, scale-in, and the
+//! health of the machines.
 //!
-//! One controller at a time is the fleet leader, and provisions and decommissions
-//! machines: the one whose name stands under `fleet`, tied to a state lease. That
-//! alone makes nothing safe, and need not: every request is committed before the
-//! call under a name that is never used again, and whatever turns up unexpectedly
-//! is used or decommissioned.
+//! One controller at a time, the fleet leader, provisions and decommissions machines. It is
+//! the controller that the `fleet` key names, which is attached to its state lease. Safety
+//! does not depend on there being a single fleet leader: every provisioning request is
+//! committed before the cloud is called, under a name that is never used again, and
+//! machines that appear unexpectedly are used or decommissioned.
 
 mod backoff;
 mod boot_tracking;
--- a/src/cloud/new_machines.rs
+++ b/src/cloud/new_machines.rs
@@ -1,5 +1,4 @@
-//! Machines that have no record yet: they are recorded to be used, or to be
-//! decommissioned.
+//! Records machines that have no record yet, either to be used or to be decommissioned.
 
 use super::provisioning::find_request_of;
 use crate::controller::Controller;
@@ -9,7 +8,7 @@
 use crate::state::replica::Replica;
 use crate::wire::ListedMachine;
 
-/// A machine that has no record yet.
+/// A machine that has no record yet, with the record to be written.
 #[derive(Debug, Clone)]
 pub(super) struct NewMachine {
     pub(super) id: String,
@@ -17,7 +16,8 @@
 }
 
 impl NewMachine {
-    /// A listed machine that nobody knows.
+    /// Returns a machine that the cloud lists and that has neither a record nor a
+    /// provisioning request.
     pub(super) fn adopted(listed: &ListedMachine) -> Self {
         NewMachine {
             id: listed.id.clone(),
@@ -29,7 +29,8 @@
     }
 }
 
-/// A provisioned machine without a record, to be decommissioned.
+/// Returns a provisioned machine that has not come up, to be recorded as returning. Returns
+/// `None` if no provisioning request lists the machine.
 pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
     let request = &find_request_of(replica, id)?.entry.value;
     let machine = Machine {
@@ -43,8 +44,7 @@
     })
 }
 
-/// Records machines that have no record: provisioned ones that have not come up,
-/// which are decommissioned, and listed ones that nobody knows.
+/// Records the machines that still have no record, as many as fit in one commit.
 pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
     let max_writes = controller.settings.txn_ops();
     let mut recorded = Vec::new();
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -1,4 +1,4 @@
-//! The search for the offer that serves a job's tasks at the lowest price.
+//! Searches for the offer that can run a job's tasks at the lowest price.
 
 use std::collections::HashSet;
 
@@ -13,17 +13,17 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, MachineType};
 
-/// What restricts the choice of an offer, besides the job's own constraints.
+/// The constraints on the choice of an offer, in addition to the job's own constraints.
 pub(super) struct OfferConstraints<'a> {
-    /// How strictly machines with accelerators are kept for work that needs them.
+    /// The protection of machines with accelerators for jobs that need them.
     pub(super) protection: AcceleratorProtection,
-    /// The highest price of a slot, as a multiple of the cheapest one.
+    /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
-    /// Zones where more capacity would not help.
+    /// The zones in which more capacity would not help the job.
     pub(super) excluded_zones: &'a HashSet<String>,
 }
 
-/// A search for the best offer: what it may choose from.
+/// The inputs of a search for the best offer.
 pub(super) struct OfferSearch<'a, 'plan> {
     pub(super) replica: &'a Replica,
     pub(super) fleet: &'plan FleetState,
@@ -35,19 +35,20 @@
 pub(super) struct ChosenOffer<'a> {
     pub(super) machine_type: &'a MachineType,
     pub(super) offer: MachineOffer,
+    /// The machine's price divided by the number of wanted tasks that it can run.
     price_per_task: f64,
 }
 
 impl<'a> OfferSearch<'a, '_> {
-    /// The offer that is cheapest for each task that it would hold of those
-    /// wanted.
+    /// Returns the usable and available offer with the lowest price per task, counting at
+    /// most `wanted_slots` tasks per machine.
     pub(super) fn best(
         &self,
         spec: &Spec,
         wanted_slots: usize,
         constraints: &OfferConstraints,
     ) -> Option<ChosenOffer<'a>> {
-        // Work that can wait is not worth any price.
+        // A job that can wait is not provisioned for at any price.
         let max_slot_price = cheapest_slot_price(self.replica, spec) * constraints.max_price_ratio;
         let mut best: Option<ChosenOffer> = None;
         for machine_type in &self.replica.types.value.types {
@@ -84,7 +85,7 @@
         best
     }
 
-    /// Whether the job may run on machines of this offer, within the constraints.
+    /// Returns whether the job may run on machines of this offer within the constraints.
     fn is_usable(
         &self,
         machine_type: &MachineType,
@@ -101,8 +102,8 @@
             || constraints.protection == AcceleratorProtection::Strict)
             && spec.need.gpus.0 == 0
             && machine_type.gpus > 0.0;
-        // There it would stand in the way of work on accelerators, see
-        // `admission`.
+        // The job would take resources that jobs on the machine's accelerators need, and
+        // placement keeps it off such machines for that reason (`scheduler::candidates`).
         let wanted_by_gpu_work = || {
             let gpu = self.replica.gpu_spec.as_ref();
             gpu.is_none_or(|gpu| gpu.allows(&machine_type.name, zone, spot))
@@ -110,7 +111,8 @@
         !(avoids_accelerators && wanted_by_gpu_work())
     }
 
-    /// Whether the cloud can be expected to deliver one more of this offer.
+    /// Returns whether one more machine of this offer can be requested: the offer is not
+    /// backed off after refusals or failed boots, and its planned request is not full.
     fn is_available(&self, offer: &MachineOffer) -> bool {
         !self.fleet.refusals.is_held_off(offer, self.now)
             && !self.fleet.boots.is_backed_off(offer, self.now)
--- a/src/cloud/overdue_boots.rs
+++ b/src/cloud/overdue_boots.rs
@@ -1,4 +1,4 @@
-//! Machines whose boot is overdue, and those whose boot has timed out.
+//! Finds machines whose boot is overdue or has timed out.
 
 use std::time::Duration;
 
@@ -13,7 +13,8 @@
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
-/// Machines that should have come up by now; records those that are overdue.
+/// Updates the boot tracker, records the boots that are overdue, and returns the removals of
+/// the machines whose boot has timed out.
 pub(super) fn timed_out_boots(
     settings: &Settings,
     replica: &Replica,
@@ -34,7 +35,8 @@
     removals
 }
 
-/// Records that a boot is overdue; the machine's removal if it has timed out.
+/// Records a boot that is overdue, and returns the machine's removal if the boot has timed
+/// out.
 fn check_boot(
     settings: &Settings,
     fleet: &mut FleetState,
--- a/src/cloud/planned_provisioning.rs
+++ b/src/cloud/planned_provisioning.rs
@@ -1,29 +1,32 @@
-//! Provisioning requests that are planned and not recorded yet.
+//! Collects provisioning requests that are planned but not recorded yet.
 
 use std::collections::BTreeMap;
 
 use super::machine_offer::MachineOffer;
 use crate::state::records::ProvisioningRequest;
 
-/// The most machines that one request may ask for, by the protocol.
+/// The maximum number of machines in one provisioning request, as the cloud's protocol sets
+/// it.
 pub(super) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// How many machines of each offer are planned. An offer that is asked for more
-/// than once becomes one request.
+/// The number of planned machines of each offer. All planned machines of an offer become one
+/// request.
 #[derive(Debug, Default)]
 pub(super) struct PlannedProvisioning {
     by_offer: BTreeMap<MachineOffer, PlannedRequest>,
 }
 
+/// The planned machines of one offer.
 #[derive(Debug)]
 struct PlannedRequest {
-    /// Its place in the order in which the offers were first asked for.
+    /// The position of the offer in the order in which offers were first planned.
     position: usize,
+    /// The number of machines.
     count: u32,
 }
 
 impl PlannedProvisioning {
-    /// Adds one machine of the offer.
+    /// Adds one machine of an offer.
     pub(super) fn add(&mut self, offer: MachineOffer) {
         let position = self.by_offer.len();
         let request = self
@@ -33,15 +36,15 @@
         request.count += 1;
     }
 
-    /// Whether one request takes no more machines of this offer.
+    /// Returns whether the request for an offer has the maximum number of machines.
     #[must_use]
     pub(super) fn is_full(&self, offer: &MachineOffer) -> bool {
         let request = self.by_offer.get(offer);
         request.is_some_and(|request| request.count >= MAX_MACHINES_PER_REQUEST)
     }
 
-    /// The records of the first `limit` requests, in the order in which their
-    /// offers were first asked for.
+    /// Returns the records of the first `limit` requests, in the order in which their offers
+    /// were first planned.
     pub(super) fn into_records(self, limit: usize) -> Vec<ProvisioningRequest> {
         let mut planned: Vec<(MachineOffer, PlannedRequest)> = self.by_offer.into_iter().collect();
         planned.sort_by_key(|(_, request)| request.position);
--- a/src/cloud/pricing.rs
+++ b/src/cloud/pricing.rs
@@ -1,12 +1,12 @@
-//! Prices of machines, by the price list that the cloud gives.
+//! Prices of machines and slots, from the cloud's price list.
 
 use crate::policy::MachineFacts;
 use crate::state::records::Spec;
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
-/// The lowest price of a slot for a task of this shape on any machine type, by
-/// the list price; infinite if no type can hold one.
+/// Returns the lowest list price of a slot for one of the job's tasks on any machine type that
+/// the job allows, or infinity if no such type can hold a task.
 pub(super) fn cheapest_slot_price(replica: &Replica, spec: &Spec) -> f64 {
     let mut cheapest = f64::INFINITY;
     for machine_type in &replica.types.value.types {
@@ -18,7 +18,7 @@
     cheapest
 }
 
-/// The price of a machine, as a spot machine or at the regular price.
+/// Returns the spot price or the regular price of a machine.
 pub(super) fn machine_price(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.spot_price
@@ -27,7 +27,7 @@
     }
 }
 
-/// The facts of a machine that the policy's rules may use.
+/// Returns the facts about a machine that policy rules can use.
 pub(super) fn machine_facts(machine_type: &MachineType, spot: bool) -> MachineFacts {
     MachineFacts {
         boot_s: machine_type.boot_s,
--- a/src/cloud/record_drops.rs
+++ b/src/cloud/record_drops.rs
@@ -1,4 +1,4 @@
-//! The commit that drops the records of gone machines.
+//! Plans the commit that deletes the records of gone machines.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,9 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Write};
 
-/// The commit that drops the records of gone machines, and their names from the
-/// request that may still list them: they would count as booting again.
+/// Returns the commit that deletes the records of gone machines. The commit also removes the
+/// machines from provisioning requests that still list them: without a record, a listed
+/// machine would count as booting again.
 pub(super) fn plan_record_drops(settings: &Settings, replica: &Replica, gone: &[String]) -> Commit {
     let mut drops = RecordDrops::new(replica, settings.txn_ops());
     for id in gone {
@@ -23,20 +24,21 @@
     drops.into_commit(settings)
 }
 
-/// That commit in the making.
+/// The builder of a commit that deletes the records of gone machines.
 struct RecordDrops<'a> {
     replica: &'a Replica,
     max_writes: usize,
-    /// The capacity of the machines whose records are dropped.
+    /// The total capacity of the machines whose records are deleted, as far as it is counted
+    /// in the pool.
     released: Resources,
     machine_shards: MachineShardEdits<'a>,
-    /// The requests that still list them, without them.
+    /// The updated requests, by name, from which the machines are removed.
     requests: BTreeMap<&'a String, ProvisioningRequest>,
 }
 
 impl<'a> RecordDrops<'a> {
     fn new(replica: &'a Replica, txn_ops: usize) -> Self {
-        // The pool is written with them.
+        // One write is kept for the pool, which is written in the same commit.
         let has_pool = replica.pool.is_some();
         RecordDrops {
             replica,
@@ -47,10 +49,11 @@
         }
     }
 
-    /// Adds a machine, if nothing is booked on it and the commit has space for it.
+    /// Adds the deletion of a machine's record if nothing is booked on the machine and the
+    /// commit has space for it.
     fn add(&mut self, id: &str) {
-        // Nothing was booked meanwhile: its zone shard has lost it, and its machine shard
-        // is guarded.
+        // No booking can be added before the commit: the machine has been removed from its
+        // zone shard, and its machine shard guards the commit.
         let Some(machine) = self.replica.machines.get(id).map(|entry| &entry.value) else {
             return;
         };
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether the records of a machine shard and of a request fit into the commit.
+    /// Returns whether the records of a machine shard and a request fit into the commit.
     fn has_space(&self, machine_shard: &str, request: Option<RecordedRequest>) -> bool {
         let has_machine_shard = self.machine_shards.contains(machine_shard);
         let adds_request = request.is_some_and(|request| !self.requests.contains_key(request.id));
@@ -84,6 +87,7 @@
             && (has_machine_shard || !self.machine_shards.is_full(self.max_writes))
     }
 
+    /// Returns the commit. It is empty while shares use more capacity than would remain.
     fn into_commit(self, settings: &Settings) -> Commit {
         let replica = self.replica;
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
@@ -102,8 +106,9 @@
                 writes,
             };
         }
-        // Capacity falls in the commit that takes machines off the record, or before: while
-        // shares hold more than what remains, the machines stay on record.
+        // The pool's capacity must be reduced no later than in the commit that deletes the
+        // machines' records. While shares hold more than the remaining capacity, the records
+        // are kept.
         let ledger = replica.ledger(settings);
         match release_machines(&ledger, self.released) {
             Ok(pool) => {
@@ -115,7 +120,7 @@
                 }
             }
             Err(shortage) => {
-                tracing::debug!(%shortage, "records of gone machines not dropped");
+                tracing::debug!(%shortage, "records of gone machines not deleted");
                 Commit {
                     preconditions: Vec::new(),
                     writes: Vec::new(),
--- a/src/cloud/stale_tokens.rs
+++ b/src/cloud/stale_tokens.rs
@@ -1,5 +1,5 @@
-//! Workers whose reports arrive while no answer and no command reaches them: they
-//! go on to show a fencing token below the recorded one.
+//! Detects workers whose heartbeats arrive but which receive no answers and no commands:
+//! their heartbeats keep showing a fencing token below the recorded one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,27 +9,30 @@
 use crate::controller::shifted_past_pause;
 use crate::wire::WorkerStatus;
 
-/// A worker that has not taken up its token for longer than this times its
-/// lease cannot be reached.
+/// The time after which a worker that keeps showing a stale token counts as unreachable, in
+/// worker leases.
 const STALE_TOKEN_LEASES: f64 = 1.1;
 
-/// A worker's place in the order of its reports.
+/// The position of a heartbeat in the order of a worker's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportNumber {
     epoch: u64,
     sequence: u64,
 }
 
-/// Reports of one worker that show a token below the recorded one.
+/// A series of heartbeats of one worker that show a token below the recorded one.
 #[derive(Debug, Clone, Copy)]
 struct StaleReports {
+    /// The time of the first heartbeat in the series.
     first: Instant,
+    /// The time of the last heartbeat in the series.
     last: Instant,
+    /// The position of the newest heartbeat.
     newest: ReportNumber,
 }
 
 impl StaleReports {
-    /// The start of a series of such reports.
+    /// Returns a series that starts now and has no heartbeats yet.
     fn starting(now: Instant) -> Self {
         StaleReports {
             first: now,
@@ -41,23 +44,23 @@
         }
     }
 
-    /// Whether they have come for longer than the worker's lease.
+    /// Returns whether the series has lasted for longer than `STALE_TOKEN_LEASES`.
     fn exceed(&self, lease: Duration) -> bool {
         let span = self.last.saturating_duration_since(self.first);
         span > lease.mul_f64(STALE_TOKEN_LEASES)
     }
 }
 
-/// Machines whose live reports show a token below the recorded one.
+/// The machines whose new heartbeats show a token below the recorded one.
 #[derive(Debug, Default)]
 pub(super) struct StaleTokens {
     by_machine: HashMap<String, StaleReports>,
 }
 
 impl StaleTokens {
-    /// Records a report; whether the worker has by now reported for longer than
-    /// its lease without taking up `fencing_token`, under which its machine is
-    /// held.
+    /// Records a heartbeat, and returns whether the worker is unreachable: its heartbeats
+    /// have for longer than its lease shown a token below `fencing_token`, the recorded token
+    /// of its machine.
     pub(super) fn observe(
         &mut self,
         report: &WorkerStatus,
@@ -76,11 +79,12 @@
         };
         let fresh = StaleReports::starting(now);
         let seen = self.by_machine.entry(id.clone()).or_insert(fresh);
-        // A late copy is not a sign of anything.
+        // A late copy of a heartbeat proves nothing about the worker's current state.
         if number <= seen.newest {
             return false;
         }
-        // It may have reported to other controllers meanwhile, and had their answers.
+        // In the gap, the worker may have sent heartbeats to other controllers and received
+        // their answers, so the series starts again.
         if now.saturating_duration_since(seen.last) > lease * 2 {
             *seen = fresh;
         }
@@ -89,7 +93,7 @@
         seen.exceed(lease)
     }
 
-    /// Machines that were found unreachable just now.
+    /// Returns the unreachable machines whose last heartbeat is less than half a lease old.
     pub(super) fn unreachable(&self, lease: Duration, now: Instant) -> Vec<String> {
         let recent = |seen: &StaleReports| now.saturating_duration_since(seen.last) < lease / 2;
         self.by_machine
@@ -99,7 +103,7 @@
             .collect()
     }
 
-    /// Excludes a gap in which this process did not run from the spans.
+    /// Excludes a gap in which this process did not run from the durations of the series.
     pub(super) fn exclude_pause(&mut self, gap: Duration, now: Instant) {
         for seen in self.by_machine.values_mut() {
             seen.first = shifted_past_pause(seen.first, gap, now);
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -1,4 +1,4 @@
-//! The fleet in numbers, for the log and for reports.
+//! Counts of the fleet's machines and tasks, for the log and for reports.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::state::replica::Replica;
 
-/// Machines by lifecycle state, for the report.
+/// Returns the number of machines in each lifecycle state.
 #[must_use]
 pub fn count_machines_by_lifecycle(replica: &Replica) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
@@ -25,7 +25,7 @@
     counts
 }
 
-/// Logs at intervals which machines are provisioned and how full they are.
+/// Logs a summary of the provisioned machines and their load, at most once per worker lease.
 pub(super) fn log_fleet_summary(controller: &Controller) {
     {
         let mut fleet = controller.fleet.borrow_mut();
@@ -51,22 +51,28 @@
     );
 }
 
-/// Machines of one type.
+/// The machines of one type.
 #[derive(Debug, Default)]
 struct MachineTypeSummary {
+    /// The number of machines.
     machines: usize,
+    /// The number of CPUs that are booked on them.
     booked_cpus: f64,
+    /// The number of CPUs that they have.
     cpus: f64,
 }
 
-/// Tasks of one class of jobs.
+/// The tasks of the open jobs of one class.
 #[derive(Debug, Default)]
 struct TaskSummary {
+    /// The number of waiting tasks.
     waiting: usize,
+    /// The number of booked tasks.
     booked: usize,
 }
 
-/// Machines by type; `*` marks spot machines, `?` those that take no work.
+/// Returns the machines by type. A type's name is followed by `*` for spot machines and by
+/// `?` for machines that are not active.
 fn machines_by_type(replica: &Replica) -> BTreeMap<String, MachineTypeSummary> {
     let mut types: BTreeMap<String, MachineTypeSummary> = BTreeMap::new();
     for (id, entry) in &replica.machines {
@@ -84,7 +90,7 @@
     types
 }
 
-/// Tasks of open jobs by the jobs' class.
+/// Returns the tasks of the open jobs by the class of the job.
 fn tasks_by_class(replica: &Replica) -> BTreeMap<&str, TaskSummary> {
     let mut classes: BTreeMap<&str, TaskSummary> = BTreeMap::new();
     for (_, id) in &replica.open_jobs {
@@ -99,7 +105,8 @@
     classes
 }
 
-/// Active machines that stand in no zone shard's record: nobody counts on them yet.
+/// Returns the number of active machines that are in no zone shard's record, so that no
+/// controller places tasks on them yet.
 fn unlisted_machines(replica: &Replica) -> usize {
     let active = replica
         .machines
@@ -108,6 +115,7 @@
     active.filter(|(id, _)| replica.slot(id).is_none()).count()
 }
 
+/// Returns whether a machine is active.
 fn is_active(machine: &Machine) -> bool {
     machine.lifecycle == MachineLifecycle::Active
 }
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -1,8 +1,8 @@
-//! Machines that their owner removes from service: silent, unreachable and faulty
-//! ones.
+//! Finds the machines that their owner removes from service: silent, unreachable and faulty
+//! machines.
 //!
-//! Only the owner knows when a machine's last report arrived: that another
-//! controller has received none is no sign of silence.
+//! Only the owner decides that a machine is silent, because workers send heartbeats to their
+//! owner: another controller that receives none learns nothing from it.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -16,25 +16,29 @@
 use crate::state::replica::Replica;
 use crate::workers::OwnedWorker;
 
-/// How many leases a machine may be silent before it is decommissioned. When its
-/// lease is surely over its work is free to go elsewhere (`release_silent`), and
-/// its reports may arrive again.
+/// The time for which a machine may be silent before it is decommissioned, in worker leases.
+/// It is longer than the lease: the machine's tasks are released as soon as the lease has
+/// certainly expired (`workers::termination::release_expired_leases`), and its heartbeats may
+/// still resume after that.
 const SILENT_LEASES: u32 = 2;
 
-/// The same where most of its zone is silent at once.
+/// The time for which a machine in a partitioned zone may be silent before it is
+/// decommissioned, in worker leases.
 const PARTITIONED_LEASES: u32 = 3;
 
-/// How many report intervals a machine with a preemption notice may be silent.
+/// The time for which a machine with a preemption notice may be silent, in heartbeat
+/// intervals.
 const PREEMPTED_REPORTS: u32 = 3;
 
-/// How many leases a worker's reports may arrive while answers and commands do
-/// not.
+/// The time for which a worker's messages may arrive while answers and commands do not reach
+/// it, in worker leases.
 const UNREACHABLE_LEASES: u32 = 2;
 
-/// The fewest silent machines by which a zone counts as partitioned off.
+/// The minimum number of silent machines in a zone that counts as partitioned.
 const MIN_PARTITIONED_MACHINES: usize = 4;
 
-/// Machines owned by this controller that should leave service, and why.
+/// Returns the removals of the unhealthy machines that this controller owns, and of machines
+/// whose heartbeats to this controller show that they are unreachable.
 pub(super) fn unhealthy_machines(controller: &Controller) -> Vec<MachineRemoval> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
@@ -60,22 +64,26 @@
     removals
 }
 
-/// How many of a zone's machines that this controller owns are silent.
+/// The counts of a zone's machines that this controller owns.
 #[derive(Default)]
 struct ZoneSilence {
+    /// The number of owned machines in the zone.
     machines: usize,
+    /// The number of them that are silent.
     silent: usize,
 }
 
 impl ZoneSilence {
-    /// Whether the zone is taken to be partitioned off.
+    /// Returns whether the zone counts as partitioned: more than half of its machines, and at
+    /// least `MIN_PARTITIONED_MACHINES`, are silent.
     fn is_partitioned(&self) -> bool {
         self.silent >= MIN_PARTITIONED_MACHINES && self.silent * 2 > self.machines
     }
 }
 
-/// Zones of which most machines that this controller owns are silent at once:
-/// they are partitioned off rather than lost, and come back together.
+/// Returns the zones in which most machines that this controller owns are silent at the same
+/// time. These machines are more likely separated by a network partition than lost, and
+/// their heartbeats resume together when it ends.
 fn partitioned_zones(
     controller: &Controller,
     replica: &Replica,
@@ -98,12 +106,12 @@
         .collect()
 }
 
-/// For how long nothing has come from a worker.
+/// Returns the time since the last message of a worker.
 fn silence(owned_worker: &OwnedWorker, now: Instant) -> Duration {
     now.saturating_duration_since(owned_worker.last_message_at)
 }
 
-/// One pass over the machines that this controller owns.
+/// The inputs of one pass over the machines that this controller owns.
 struct OwnedMachineReview<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
@@ -112,7 +120,8 @@
 }
 
 impl OwnedMachineReview<'_> {
-    /// Whether a machine should leave service.
+    /// Returns the removal of a machine, or `None` if the machine stays in service or is not
+    /// owned by this run of the controller.
     fn removal_of(
         &self,
         id: &str,
@@ -142,16 +151,18 @@
         is_faulty.then(|| MachineRemoval::drain(id, RemovalReason::Faulty))
     }
 
-    /// How long a machine may be silent.
+    /// Returns the time for which a machine may be silent before it is decommissioned.
     fn silence_limit(&self, machine: &Machine, owned_worker: &OwnedWorker) -> Duration {
         let lease = self.controller.settings.worker_lease();
         let report = owned_worker.status.as_ref();
         if report.is_some_and(|report| report.preemption_notice_s.is_some()) {
-            // It was to be preempted and is silent: it has been, and the
-            // cloud's answer proves it sooner than the lease does.
+            // A silent machine that had a preemption notice has almost certainly been
+            // preempted. When it is returned, the cloud's answer proves that it is gone
+            // before the lease expires.
             return lease.min(self.controller.settings.heartbeat_interval() * PREEMPTED_REPORTS);
         }
-        // With a launch that may arrive late only the cloud's answer is certain.
+        // A launch that was not answered may still be executed late. Only the cloud's
+        // answer that the machine is gone rules that out.
         if owned_worker.has_unanswered_launch {
             return lease;
         }
@@ -161,8 +172,8 @@
         }
     }
 
-    /// Whether a worker's reports have arrived for too long while answers and
-    /// commands did not.
+    /// Returns whether, for longer than `UNREACHABLE_LEASES`, a worker's messages have
+    /// arrived while answers and commands have not reached it.
     fn is_unreachable(&self, owned_worker: &OwnedWorker) -> bool {
         let limit = self.controller.settings.worker_lease() * UNREACHABLE_LEASES;
         owned_worker
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -1,5 +1,6 @@
-//! Machines that the fleet leader decommissions: without an owner, without work
-//! that is worth their price, drained, or not up in time.
+//! Finds the machines that the fleet leader removes from service: machines without a live
+//! owner, machines without work that is worth their price, drained machines, and machines
+//! whose boot has timed out.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -19,17 +20,18 @@
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
-/// The highest price of a slot, as a multiple of the cheapest one, at which a
+/// The maximum price of a slot, as a multiple of the cheapest slot's price, at which a
 /// machine is kept for opportunistic work alone.
 const MAX_OPPORTUNISTIC_PRICE_RATIO: f64 = 4.0;
 
-/// Machines without a live owner are decommissioned after so many leases. A zone
-/// that is partitioned off has all its machines owned by controllers that are
-/// partitioned off with it: they come back together, and to decommission them
-/// would be to provision a third of the fleet anew.
+/// The time after which a machine without a live owner is decommissioned, in worker leases.
+/// In a partitioned zone, all machines are owned by controllers in the same zone, and both
+/// return together. Decommissioning these machines earlier could mean provisioning a third of
+/// the fleet again.
 const ORPHANED_LEASES: u32 = 3;
 
-/// Machines that the fleet leader removes from service, and why.
+/// Returns the removals of the machines that are not needed, and discards the in-memory state
+/// of machines that no longer exist.
 pub(super) fn unneeded_machines(controller: &Controller) -> Vec<MachineRemoval> {
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
@@ -56,14 +58,15 @@
     removals
 }
 
-/// One pass over the machines that are up.
+/// The state of one pass over the active and draining machines.
 struct FleetReview<'a> {
     settings: &'a Settings,
     replica: &'a Replica,
     now: Instant,
-    /// Slots that stay ready for the next gang on accelerators.
+    /// The number of slots to keep free for the next gang that needs accelerators.
     headroom_slots: usize,
-    /// Free slots for such work, less those on machines removed so far.
+    /// The number of free slots for such a gang, excluding those on machines that this pass
+    /// has decided to remove.
     free_slots: usize,
 }
 
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Whether an active or draining machine should leave service.
+    /// Returns the removal of an active or draining machine, or `None` if the machine stays
+    /// in service.
     fn removal_of(
         &mut self,
         fleet: &mut FleetState,
@@ -111,8 +115,9 @@
         })
     }
 
-    /// A worker whose controller is gone reports to another one soon, and is
-    /// claimed by it; if not, it is gone, too.
+    /// Returns whether a machine has had no live owner for longer than `ORPHANED_LEASES`. A
+    /// worker whose owner is gone soon sends heartbeats to another controller, which claims
+    /// it. A worker that does not is gone too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
         let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
@@ -124,9 +129,10 @@
         self.now.saturating_duration_since(not_up_since) > limit
     }
 
-    /// Whether a machine's work keeps it provisioned. Opportunistic work does not
-    /// keep one that costs more than such work may: it is drained, so that the
-    /// work saves its progress and goes elsewhere.
+    /// Returns whether a machine's work keeps it in service. Opportunistic work does not keep
+    /// an active machine that costs more than such work is worth. A machine that already
+    /// drains stays until its work has ended, and is queued again for draining, so that its
+    /// work saves its progress and moves elsewhere.
     fn is_kept_for_work(
         &self,
         fleet: &mut FleetState,
@@ -150,7 +156,8 @@
         draining
     }
 
-    /// Whether an idle machine is kept for the next gang on accelerators.
+    /// Returns whether an idle machine is kept for the next gang that needs accelerators. If
+    /// not, its slots are subtracted from the free slots.
     fn is_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
         if machine_type.gpus <= 0.0 {
             return false;
@@ -170,8 +177,8 @@
     }
 }
 
-/// Whether all that a machine runs is opportunistic, at a price that such work is
-/// not worth.
+/// Returns whether a machine runs only opportunistic work and costs more than such work is
+/// worth.
 fn runs_only_overpriced_opportunistic_work(
     replica: &Replica,
     settings: &Settings,
@@ -192,7 +199,7 @@
     })
 }
 
-/// Drops what is remembered of machines that are neither recorded nor provisioned.
+/// Discards the in-memory state of machines that are neither recorded nor booting.
 fn forget_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
     let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
     known.extend(booting_machines(replica).map(|machine| machine.id));
