--- a/src/cloud/backoff.rs
+++ b/src/cloud/backoff.rs
@@ -14,7 +14,7 @@
 
 impl Backoff {
     /// Returns the backoff of an offer without failures, which is not active.
-    pub(super) fn none(now: Instant) -> Self {
+    pub(super) fn inactive(now: Instant) -> Self {
         Backoff {
             until: now,
             failures: 0,
--- a/src/cloud/boot_tracking.rs
+++ b/src/cloud/boot_tracking.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub(super) struct BootTracker {
     /// The moving average of boot durations, in seconds.
-    mean_s: HashMap<BootLocation, f64>,
+    mean_duration_s: HashMap<BootLocation, f64>,
     /// Boots in progress, by machine.
     in_progress: HashMap<String, Boot>,
     /// The time at which a machine of an offer last came up.
@@ -58,7 +58,7 @@
     /// Machines whose boot is overdue.
     overdue: HashSet<String>,
     /// The backoffs of offers whose machines do not come up.
-    failed: HashMap<MachineOffer, Backoff>,
+    backoffs: HashMap<MachineOffer, Backoff>,
 }
 
 impl BootTracker {
@@ -101,11 +101,11 @@
     fn record_completed(&mut self, boot: Boot, now: Instant) {
         let Boot { started_at, offer } = boot;
         let duration_s = now.saturating_duration_since(started_at).as_secs_f64();
-        self.mean_s
+        self.mean_duration_s
             .entry(BootLocation::new(&offer.machine_type, &offer.zone))
             .and_modify(|mean| *mean += (duration_s - *mean) / AVERAGING_WINDOW)
             .or_insert(duration_s);
-        self.failed.remove(&offer);
+        self.backoffs.remove(&offer);
         self.last_completed.insert(offer, now);
     }
 
@@ -122,7 +122,7 @@
     ) -> f64 {
         let usual = machine_type.boot_s * USUAL_BOOT_RATIO;
         let location = BootLocation::new(&machine_type.name, zone);
-        let mean = self.mean_s.get(&location).copied().unwrap_or(0.0);
+        let mean = self.mean_duration_s.get(&location).copied().unwrap_or(0.0);
         (mean * USUAL_BOOT_RATIO)
             .max(usual)
             .min(limit_s / 2.0)
@@ -153,8 +153,8 @@
         if last_completed.is_some_and(|completed| *completed > boot.started_at) {
             return;
         }
-        let backoff = self.failed.entry(boot.offer.clone());
-        let backoff = backoff.or_insert(Backoff::none(now));
+        let backoff = self.backoffs.entry(boot.offer.clone());
+        let backoff = backoff.or_insert(Backoff::inactive(now));
         // The machines of one request fail at about the same time and count as one failure.
         if !backoff.is_active(now) {
             backoff.extend(pause, MAX_FAILURE_DOUBLINGS, now);
@@ -164,14 +164,14 @@
     /// Returns whether an offer is backed off because its machines do not come up.
     #[must_use]
     pub(super) fn is_backed_off(&self, offer: &MachineOffer, now: Instant) -> bool {
-        let backoff = self.failed.get(offer);
+        let backoff = self.backoffs.get(offer);
         backoff.is_some_and(|backoff| backoff.is_active(now))
     }
 
-    /// Excludes a gap in which this process did not run from the durations of the boots.
-    pub(super) fn exclude_pause(&mut self, gap: Duration, now: Instant) {
+    /// Excludes a pause of this process from the durations of the boots.
+    pub(super) fn exclude_pause(&mut self, pause: Duration, now: Instant) {
         for boot in self.in_progress.values_mut() {
-            boot.started_at = shifted_past_pause(boot.started_at, gap, now);
+            boot.started_at = shifted_past_pause(boot.started_at, pause, now);
         }
     }
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -20,7 +20,7 @@
     /// The call was not made: the record that it was for changed while the call waited for
     /// the rate limit.
     #[error("the call is no longer needed")]
-    NoLongerWanted,
+    NoLongerNeeded,
     /// The call was not made: this controller is not the fleet leader.
     #[error("not the fleet leader")]
     NotFleetLeader,
@@ -61,7 +61,7 @@
         self.call_cloud_if(method, path, body, || true).await
     }
 
-    /// Calls the cloud, if `is_wanted` returns true and this controller is still the fleet
+    /// Calls the cloud, if `is_needed` returns true and this controller is still the fleet
     /// leader once the rate limit allows the call: both may change while the call waits for
     /// the rate limit or this process is paused.
     pub(super) async fn call_cloud_if(
@@ -69,14 +69,14 @@
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        is_wanted: impl Fn() -> bool,
+        is_needed: impl Fn() -> bool,
     ) -> Result<Response, CloudError> {
         if self.fleet.borrow().cloud_calls.is_paused() {
             return Err(CloudError::Paused);
         }
         self.wait_for_cloud_rate_limit().await;
-        if !is_wanted() {
-            return Err(CloudError::NoLongerWanted);
+        if !is_needed() {
+            return Err(CloudError::NoLongerNeeded);
         }
         if !self.is_fleet_leader() {
             return Err(CloudError::NotFleetLeader);
@@ -84,10 +84,10 @@
         if !self.is_state_service_reachable() {
             return Err(CloudError::StateServiceUnreachable);
         }
-        let limit = self.settings.worker_lease() / 3;
+        let timeout = self.settings.worker_lease() / 3;
         let response = self
             .client
-            .call(self.settings.external.cloud, method, path, body, limit)
+            .call(self.settings.external.cloud, method, path, body, timeout)
             .await?;
         if is_overloaded(&response) {
             let pause = self.store.jitter(OVERLOAD_PAUSE);
@@ -103,12 +103,12 @@
     async fn wait_for_cloud_rate_limit(&self) {
         let max_rps = self.settings.deployment.cloud.rps;
         loop {
-            let taken = self
+            let acquired = self
                 .fleet
                 .borrow_mut()
                 .cloud_calls
-                .take(max_rps, Instant::now());
-            match taken {
+                .try_acquire(max_rps, Instant::now());
+            match acquired {
                 Ok(()) => return,
                 Err(wait) => sleep(wait).await,
             }
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -17,7 +17,7 @@
     /// The time until which the cloud is not called.
     paused_until: Option<Instant>,
     /// The rate limit of calls, absent until the first call.
-    limit: Option<TokenBucket>,
+    rate_limit: Option<TokenBucket>,
     /// The provisioning requests whose call is in progress.
     in_progress: HashSet<String>,
 }
@@ -37,11 +37,11 @@
 
     /// Takes one call from the cloud's rate limit of `max_rps` calls per second, or returns
     /// the time to wait before the next attempt.
-    pub(super) fn take(&mut self, max_rps: f64, now: Instant) -> Result<(), Duration> {
-        let limit = self
-            .limit
+    pub(super) fn try_acquire(&mut self, max_rps: f64, now: Instant) -> Result<(), Duration> {
+        let rate_limit = self
+            .rate_limit
             .get_or_insert_with(|| TokenBucket::new(max_rps * RATE_LIMIT_SHARE, max_rps, now));
-        limit.take_one(now)
+        rate_limit.take_one(now)
     }
 
     /// Records that the call for a provisioning request begins, and returns false if one is
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -74,7 +74,7 @@
 /// be consolidated or a job that needs accelerators is waiting.
 fn find_eviction(controller: &Controller) -> Option<Eviction> {
     let replica = controller.replica.borrow();
-    let gpu = replica.gpu_spec.as_ref()?;
+    let gpu_spec = replica.gpu_spec.as_ref()?;
     if open_accelerator_jobs(&replica).any(|job| job.waiting() > 0) {
         return None;
     }
@@ -83,7 +83,7 @@
         settings: &controller.settings,
         plan: Plan::from_replica(&replica),
         hints: PlacementHints::new(&replica, controller.name()),
-        reserved_slots: RESERVED_GANGS * gpu.tasks as usize,
+        reserved_slots: RESERVED_GANGS * gpu_spec.tasks as usize,
     };
     let candidate = search.best()?;
     plan_eviction(&replica, &candidate)
@@ -125,16 +125,16 @@
             return None;
         }
         let services = self.services_on(id)?;
-        let mut without = self.plan.clone();
-        if let Some(slot) = without.slot_index_of(self.replica, id) {
-            without.plan_slots[slot].free = Resources::default();
+        let mut plan_without_machine = self.plan.clone();
+        if let Some(slot) = plan_without_machine.slot_index_of(self.replica, id) {
+            plan_without_machine.plan_slots[slot].free = Resources::default();
         }
-        if free_accelerator_slots(self.replica, &without, None) < self.reserved_slots {
+        if free_accelerator_slots(self.replica, &plan_without_machine, None) < self.reserved_slots {
             return None;
         }
         let all_fit = services
             .iter()
-            .all(|job| self.fits_elsewhere(job, id, &mut without));
+            .all(|job| self.fits_elsewhere(job, id, &mut plan_without_machine));
         let savings_per_service = machine_price(machine_type, machine.spot) / services.len() as f64;
         all_fit.then_some(Candidate {
             id,
@@ -163,15 +163,15 @@
     /// returns whether all of them fit.
     fn fits_elsewhere(&self, job: &str, machine: &str, plan: &mut Plan) -> bool {
         let recorded = &self.replica.jobs[job].value;
-        let mut moved = recorded.clone();
-        let Some(spec) = moved.spec.clone() else {
+        let mut displaced_job = recorded.clone();
+        let Some(spec) = displaced_job.spec.clone() else {
             return false;
         };
         // The job as it would be after the stop: the displaced tasks wait.
         let mut displaced_tasks = 0;
         for run in recorded.runs.iter().filter(|run| run.machine == machine) {
             for task in run.tasks.iter() {
-                moved.release(machine, run.attempt, task, TaskOutcome::Lost);
+                displaced_job.release(machine, run.attempt, task, TaskOutcome::Lost);
                 displaced_tasks += 1;
             }
         }
@@ -179,7 +179,7 @@
             *used -= spec.need.times(displaced_tasks);
         });
         match scheduler::find_placements(
-            &moved,
+            &displaced_job,
             &spec,
             plan,
             &self.hints,
--- a/src/cloud/failure_attribution.rs
+++ b/src/cloud/failure_attribution.rs
@@ -83,14 +83,14 @@
 /// Returns whether the termination of a job's task on a machine is still to be recorded, so
 /// that the job's record may not contain that failure yet.
 fn has_unrecorded_termination(controller: &Controller, job: &str, machine: &str) -> bool {
-    let first = AttemptKey {
+    let range_start = AttemptKey {
         job: job.to_string(),
         machine: machine.to_string(),
         attempt: 0,
         task: 0,
     };
     let terminations = controller.workers.pending_terminations();
-    let next = terminations.range(first..).next();
+    let next = terminations.range(range_start..).next();
     next.is_some_and(|(key, _)| key.job == job && key.machine == machine)
 }
 
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -40,7 +40,7 @@
     idle_since: HashMap<String, Instant>,
     /// The time since which each machine has had no owner that is up. A booting machine has
     /// no owner yet.
-    not_up_since: HashMap<String, Instant>,
+    ownerless_since: HashMap<String, Instant>,
     /// The machines whose new heartbeats show a fencing token below the recorded one.
     stale_tokens: StaleTokens,
     /// The time since which the cloud has listed each machine that has no record.
@@ -62,10 +62,11 @@
 /// The workers that have requested a claim.
 impl FleetState {
     /// Records the status of a worker that requests a claim, without its tasks.
-    pub fn record_claim_report(&mut self, report: &WorkerStatus) {
-        let mut kept = report.clone();
-        kept.tasks = Vec::new();
-        self.claim_reports.insert(report.machine.clone(), kept);
+    pub fn record_claim_report(&mut self, status: &WorkerStatus) {
+        let mut stored_status = status.clone();
+        stored_status.tasks = Vec::new();
+        self.claim_reports
+            .insert(status.machine.clone(), stored_status);
     }
 
     /// Returns the last status, without tasks, of a worker that requested a claim.
@@ -86,12 +87,12 @@
     /// repeatedly, its machine is decommissioned.
     pub fn check_unreachable(
         &mut self,
-        report: &WorkerStatus,
+        status: &WorkerStatus,
         fencing_token: u64,
         lease: Duration,
         now: Instant,
     ) -> bool {
-        self.stale_tokens.observe(report, fencing_token, lease, now)
+        self.stale_tokens.observe(status, fencing_token, lease, now)
     }
 
     /// Returns the machines whose latest heartbeats show that they are unreachable.
@@ -125,18 +126,18 @@
 
     /// Returns the time since which a machine has had no owner that is up, which starts now
     /// if it had one.
-    pub(super) fn not_up_since(&mut self, id: &str, now: Instant) -> Instant {
-        *self.not_up_since.entry(id.to_string()).or_insert(now)
+    pub(super) fn ownerless_since(&mut self, id: &str, now: Instant) -> Instant {
+        *self.ownerless_since.entry(id.to_string()).or_insert(now)
     }
 
     /// Records that a machine's owner is up.
-    pub(super) fn clear_not_up(&mut self, id: &str) {
-        self.not_up_since.remove(id);
+    pub(super) fn clear_ownerless(&mut self, id: &str) {
+        self.ownerless_since.remove(id);
     }
 
     /// Returns whether a listed machine has had no record for longer than `limit`. The time
     /// starts now if the machine was not known to be without a record.
-    pub(super) fn is_long_unrecorded(&mut self, id: &str, limit: Duration) -> bool {
+    pub(super) fn is_unrecorded_longer_than(&mut self, id: &str, limit: Duration) -> bool {
         let first = self
             .unrecorded_since
             .entry(id.to_string())
@@ -145,7 +146,7 @@
     }
 
     /// Stops tracking, as machines without a record, those that have a record now.
-    pub(super) fn forget_recorded(&mut self, is_recorded: impl Fn(&str) -> bool) {
+    pub(super) fn prune_recorded(&mut self, is_recorded: impl Fn(&str) -> bool) {
         self.unrecorded_since.retain(|id, _| !is_recorded(id));
     }
 
@@ -153,7 +154,7 @@
     pub(super) fn confirm_gone(&mut self, id: String, now: Instant) {
         self.claim_reports.remove(&id);
         self.idle_since.remove(&id);
-        self.not_up_since.remove(&id);
+        self.ownerless_since.remove(&id);
         self.gone_since.insert(id, now);
     }
 
@@ -165,29 +166,29 @@
 
     /// Removes the machines that have been gone for at least `age`, after which no inventory
     /// lists them.
-    pub(super) fn forget_gone(&mut self, age: Duration) {
+    pub(super) fn prune_gone(&mut self, age: Duration) {
         self.gone_since.retain(|_, since| since.elapsed() < age);
     }
 
     /// Removes the idle and ownerless times of all machines except the known ones.
     pub(super) fn retain_machines(&mut self, known: &HashSet<&str>) {
-        self.not_up_since
+        self.ownerless_since
             .retain(|id, _| known.contains(id.as_str()));
         self.idle_since.retain(|id, _| known.contains(id.as_str()));
     }
 
-    /// Excludes a gap in which this process did not run from all tracked durations.
-    pub fn exclude_pause(&mut self, gap: Duration, now: Instant) {
+    /// Excludes a pause of this process from all tracked durations.
+    pub fn exclude_pause(&mut self, pause: Duration, now: Instant) {
         let spans = [
             &mut self.idle_since,
-            &mut self.not_up_since,
+            &mut self.ownerless_since,
             &mut self.unrecorded_since,
         ];
         for since in spans.into_iter().flat_map(|span| span.values_mut()) {
-            *since = shifted_past_pause(*since, gap, now);
+            *since = shifted_past_pause(*since, pause, now);
         }
-        self.boots.exclude_pause(gap, now);
-        self.stale_tokens.exclude_pause(gap, now);
+        self.boots.exclude_pause(pause, now);
+        self.stale_tokens.exclude_pause(pause, now);
     }
 }
 
@@ -225,6 +226,6 @@
     /// Returns the offers that are backed off after a refusal by the cloud, in alphabetical
     /// order.
     pub fn refused_offers(&self, now: Instant) -> Vec<String> {
-        self.refusals.held_off(now)
+        self.refusals.backed_off_offers(now)
     }
 }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -22,35 +22,35 @@
 /// Returns the number of slots to keep free, as the policy sets it. It is 0 if no job that
 /// needs accelerators is open.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
-    let Some(gpu) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.gpu_spec else {
         return 0;
     };
     if open_accelerator_jobs(replica).next().is_none() {
         return 0;
     }
-    let next_gang = Job::new(gpu.clone(), 0);
-    let urgency = EffectiveUrgency::of(gpu);
-    let facts = scheduler::job_facts(&next_gang, gpu, plan, settings, replica, 0.0, &urgency);
+    let next_gang = Job::new(gpu_spec.clone(), 0);
+    let urgency = EffectiveUrgency::of(gpu_spec);
+    let facts = scheduler::job_facts(&next_gang, gpu_spec, plan, settings, replica, 0.0, &urgency);
     let gangs = settings.policy.headroom(&facts);
-    (gangs * f64::from(gpu.tasks)).round() as usize
+    (gangs * f64::from(gpu_spec.tasks)).round() as usize
 }
 
 /// Returns the number of free slots in the plan, in one zone or, for `None`, in all zones.
 pub(super) fn free_accelerator_slots(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
-    let Some(gpu) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.gpu_spec else {
         return 0;
     };
     let allowed: Vec<bool> = replica
         .classes
         .iter()
         .map(|class| {
-            gpu.allows(&class.kind, &class.zone, class.spot)
+            gpu_spec.allows(&class.kind, &class.zone, class.spot)
                 && zone.is_none_or(|zone| zone == &*class.zone)
         })
         .collect();
     plan.plan_slots
         .iter()
         .filter(|slot| allowed[slot.class as usize])
-        .map(|slot| slot.free.slots(&gpu.need))
+        .map(|slot| slot.free.slots(&gpu_spec.need))
         .sum()
 }
--- a/src/cloud/interval_timer.rs
+++ b/src/cloud/interval_timer.rs
@@ -8,23 +8,24 @@
 #[derive(Debug, Default)]
 pub(super) struct IntervalTimer {
     /// The time of the last run; `None` if the task is due.
-    last: Option<Instant>,
+    last_run_at: Option<Instant>,
 }
 
 impl IntervalTimer {
     /// Returns whether the task has not run yet or last ran longer than `interval` ago.
     #[must_use]
     pub(super) fn is_due(&self, interval: Duration) -> bool {
-        self.last.is_none_or(|last| last.elapsed() > interval)
+        self.last_run_at
+            .is_none_or(|last| last.elapsed() > interval)
     }
 
     /// Records that the task has run now.
     pub(super) fn restart(&mut self) {
-        self.last = Some(Instant::now());
+        self.last_run_at = Some(Instant::now());
     }
 
     /// Makes the task due immediately.
     pub(super) fn reset(&mut self) {
-        self.last = None;
+        self.last_run_at = None;
     }
 }
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -7,7 +7,7 @@
 use super::client::CloudError;
 use super::fleet_state::FleetState;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::new_machines::{NewMachine, provisioned_but_not_up, record_machines};
+use super::unrecorded_machines::{UnrecordedMachine, record_machines, unbooted_machine};
 use crate::controller::Controller;
 use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
@@ -28,7 +28,7 @@
     /// The recorded machines that the cloud lists as failed.
     failed: Vec<String>,
     /// The machines without a record that are to be recorded.
-    new: Vec<NewMachine>,
+    unrecorded: Vec<UnrecordedMachine>,
 }
 
 /// Reads the cloud's inventory when it is due, records the machines that have no record, and
@@ -49,12 +49,12 @@
     let differences = {
         let replica = controller.replica.borrow();
         let mut fleet = controller.fleet.borrow_mut();
-        fleet.forget_gone(lag * GONE_LAGS);
-        fleet.forget_recorded(|id| replica.machines.contains_key(id));
+        fleet.prune_gone(lag * GONE_LAGS);
+        fleet.prune_recorded(|id| replica.machines.contains_key(id));
         let lease = controller.settings.worker_lease();
         compare(&replica, &mut fleet, &listed, lease)
     };
-    record_machines(controller, &differences.new).await;
+    record_machines(controller, &differences.unrecorded).await;
     let returning: Vec<LifecycleChange> = differences
         .failed
         .iter()
@@ -106,13 +106,15 @@
         } else if provisioned.contains(machine.id.as_str()) {
             if has_failed {
                 differences
-                    .new
-                    .extend(provisioned_but_not_up(replica, &machine.id));
+                    .unrecorded
+                    .extend(unbooted_machine(replica, &machine.id));
             }
         } else if has_unanswered_requests {
             // The machine may belong to an unanswered request, whose answer will name it.
-        } else if fleet.is_long_unrecorded(&machine.id, lease * UNRECORDED_LEASES) {
-            differences.new.push(NewMachine::adopted(machine));
+        } else if fleet.is_unrecorded_longer_than(&machine.id, lease * UNRECORDED_LEASES) {
+            differences
+                .unrecorded
+                .push(UnrecordedMachine::adopted(machine));
         }
     }
     differences
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -21,7 +21,7 @@
     pub(super) max_price_ratio: f64,
     /// The job as it would be with the placements planned so far, so that the limits on its
     /// tasks per zone are kept.
-    pub(super) planned: Job,
+    pub(super) planned_job: Job,
     /// The zones in which more capacity would not help the job.
     pub(super) excluded_zones: HashSet<String>,
     /// The zone of the machine that was planned last.
@@ -64,7 +64,7 @@
             wanted -= covered;
             // Such a small remainder runs when the job's own or other tasks end. But a job
             // that has no running tasks and counts on no others would wait forever.
-            if wanted < MIN_SHORTFALL && (self.planned.booked() > 0 || covered > 0.0) {
+            if wanted < MIN_SHORTFALL && (self.planned_job.booked() > 0 || covered > 0.0) {
                 return None;
             }
         }
@@ -77,7 +77,7 @@
 pub(super) struct DependentJob<'a> {
     pub(super) id: &'a str,
     /// The jobs that have to end before this one starts.
-    pub(super) awaited: &'a [String],
+    pub(super) dependencies: &'a [String],
 }
 
 /// Returns the jobs whose pending dependencies are all about to end: all tasks of these
@@ -94,18 +94,18 @@
     };
     replica
         .blocked_jobs()
-        .filter(|(_, awaited)| awaited.iter().all(ends_soon))
-        .map(|(id, awaited)| DependentJob { id, awaited })
+        .filter(|(_, dependencies)| dependencies.iter().all(ends_soon))
+        .map(|(id, dependencies)| DependentJob { id, dependencies })
         .collect()
 }
 
 /// Returns whether capacity may be provisioned for a job that is suspected to be faulty.
 /// Normally none is: the job is retried on machines that other jobs keep provisioned. But if
-/// no machine in the plan can hold the job, machines are provisioned for it up to twice the
-/// usual number of failures. Otherwise three faulty machines in a row would stop a correct
-/// job permanently.
+/// the job runs nowhere and no machine in service can hold one of its tasks, machines are
+/// provisioned for it until it has failed more than twice `FAULTY_JOB_THRESHOLD` times.
+/// Otherwise three faulty machines in a row would stop a correct job permanently.
 pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &Spec) -> bool {
-    let holds = |class: &MachineClass| {
+    let can_hold = |class: &MachineClass| {
         let capacity = replica.class_type(class).map(MachineType::resources);
         spec.allows(&class.kind, &class.zone, class.spot)
             && capacity.is_some_and(|capacity| capacity.fits(&spec.need))
@@ -114,7 +114,7 @@
     let mut plan_slots = replica.plan_slots();
     job.booked() == 0
         && job.errors <= max_errors
-        && !plan_slots.any(|slot| holds(&replica.classes[slot.class as usize]))
+        && !plan_slots.any(|slot| can_hold(&replica.classes[slot.class as usize]))
 }
 
 /// Returns the number of CPUs that are booked by tasks of arrays.
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -65,7 +65,7 @@
 
 /// A zone shard's record whose version guards a commit. The commit writes the record if
 /// a machine was removed from it.
-struct EditedShard {
+struct EditedZoneShard {
     record: ZoneShard,
     /// Set if a machine was removed from the record.
     changed: bool,
@@ -77,7 +77,7 @@
     /// The maximum number of writes in one commit.
     max_writes: usize,
     machine_shards: MachineShardEdits<'a>,
-    zone_shards: BTreeMap<String, EditedShard>,
+    zone_shards: BTreeMap<String, EditedZoneShard>,
     /// The machines whose states the commit changes.
     changed: HashSet<String>,
 }
@@ -101,43 +101,46 @@
         };
         let mut machine = entry.value.clone();
         let machine_shard = shard_id(&machine.zone, &machine.shard);
-        let shard = self.replica.zone_shard_of(id);
-        let shard = shard.map_or_else(|| machine_shard.clone(), |shard| shard.to_string());
-        if !is_allowed(&machine, change.lifecycle) || !self.has_space(&machine_shard, &shard) {
+        let zone_shard = self.replica.zone_shard_of(id);
+        let zone_shard = zone_shard.map_or_else(
+            || machine_shard.clone(),
+            |zone_shard| zone_shard.to_string(),
+        );
+        if !is_allowed(&machine, change.lifecycle) || !self.has_space(&machine_shard, &zone_shard) {
             return;
         }
         machine.lifecycle = change.lifecycle;
         self.machine_shards.put(id, machine);
         self.changed.insert(id.clone());
         if change.lifecycle != MachineLifecycle::Active {
-            self.leave_shard(id, shard);
+            self.remove_from_zone_shard(id, zone_shard);
         }
     }
 
     /// Returns whether the records of a machine shard and a zone shard fit into the commit.
-    fn has_space(&self, machine_shard: &str, shard: &str) -> bool {
+    fn has_space(&self, machine_shard: &str, zone_shard: &str) -> bool {
         // A change writes a machine shard and often also a zone shard of about the same
         // size, so half of the writes are for machine shards and half for zone shards.
-        let for_machine_shards = self.max_writes / 2;
-        let for_shards = self.max_writes - for_machine_shards;
-        let machine_shards_full = self.machine_shards.is_full(for_machine_shards)
+        let max_machine_shards = self.max_writes / 2;
+        let max_zone_shards = self.max_writes - max_machine_shards;
+        let machine_shards_full = self.machine_shards.is_full(max_machine_shards)
             || self.machine_shards.bytes() > COMMIT_BYTES / 3;
-        let shards_full = self.zone_shards.len() >= for_shards;
-        (self.zone_shards.contains_key(shard) || !shards_full)
+        let zone_shards_full = self.zone_shards.len() >= max_zone_shards;
+        (self.zone_shards.contains_key(zone_shard) || !zone_shards_full)
             && (self.machine_shards.contains(machine_shard) || !machine_shards_full)
     }
 
     /// Removes a machine from its zone shard's record. The zone shard guards the commit
     /// even if the machine is not in its record, because the shard's owner may be adding
     /// the machine at the same time.
-    fn leave_shard(&mut self, id: &str, shard: String) {
-        let Some(entry) = self.replica.zone_shards.get(&shard) else {
+    fn remove_from_zone_shard(&mut self, id: &str, zone_shard: String) {
+        let Some(entry) = self.replica.zone_shards.get(&zone_shard) else {
             return;
         };
         let edited = self
             .zone_shards
-            .entry(shard)
-            .or_insert_with(|| EditedShard {
+            .entry(zone_shard)
+            .or_insert_with(|| EditedZoneShard {
                 record: entry.value.clone(),
                 changed: false,
             });
@@ -147,13 +150,13 @@
     /// Returns the commit.
     fn into_commit(self) -> Commit {
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
-        for (id, shard) in self.zone_shards {
+        for (id, zone_shard) in self.zone_shards {
             preconditions.push(precondition(
                 zone_shard_key(&id),
                 self.replica.zone_shard_version(&id),
             ));
-            if shard.changed {
-                writes.push(self.replica.put_zone_shard(&id, &shard.record));
+            if zone_shard.changed {
+                writes.push(self.replica.put_zone_shard(&id, &zone_shard.record));
             }
         }
         Commit {
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -19,12 +19,12 @@
 const REFRESH_LAGS: u32 = 3;
 
 /// Runs the loop that keeps the recorded machine types equal to those of the cloud.
-pub async fn run_type_refresh(controller: Rc<Controller>) {
-    let tick = controller.settings.heartbeat_interval() / 3;
+pub async fn run_machine_type_refresh(controller: Rc<Controller>) {
+    let interval = controller.settings.heartbeat_interval() / 3;
     loop {
         // No controller can accept jobs until the machine types are known.
         let known = !controller.replica.borrow().types.value.types.is_empty();
-        sleep(if known { tick } else { tick / 16 }).await;
+        sleep(if known { interval } else { interval / 16 }).await;
         if controller.is_fleet_leader() && is_refresh_due(&controller) {
             refresh(&controller).await;
         }
--- a/src/cloud/maintenance.rs
+++ b/src/cloud/maintenance.rs
@@ -18,14 +18,14 @@
 
 /// Runs the loop that drains and removes unhealthy machines owned by this controller. On the
 /// fleet leader, the loop also maintains the fleet as a whole.
-pub async fn run_fleet(controller: Rc<Controller>) {
+pub async fn run_fleet_maintenance(controller: Rc<Controller>) {
     loop {
-        let tick = controller
+        let interval = controller
             .settings
             .heartbeat_interval()
             .min(controller.settings.worker_lease() / 8)
             / 2;
-        sleep(controller.store.jitter(tick)).await;
+        sleep(controller.store.jitter(interval)).await;
         if !controller.replica.borrow().loaded {
             continue;
         }
--- a/src/cloud/offer_refusals.rs
+++ b/src/cloud/offer_refusals.rs
@@ -21,7 +21,7 @@
     /// Records that the cloud had no capacity for an offer. The pause grows with each
     /// consecutive refusal.
     pub(super) fn record(&mut self, offer: MachineOffer, pause: Duration, now: Instant) {
-        let backoff = self.by_offer.entry(offer).or_insert(Backoff::none(now));
+        let backoff = self.by_offer.entry(offer).or_insert(Backoff::inactive(now));
         backoff.extend(pause, MAX_REFUSAL_DOUBLINGS, now);
     }
 
@@ -32,14 +32,14 @@
 
     /// Returns whether an offer was refused and must not be requested yet.
     #[must_use]
-    pub(super) fn is_held_off(&self, offer: &MachineOffer, now: Instant) -> bool {
+    pub(super) fn is_backed_off(&self, offer: &MachineOffer, now: Instant) -> bool {
         let backoff = self.by_offer.get(offer);
         backoff.is_some_and(|backoff| backoff.is_active(now))
     }
 
     /// Returns the offers that were refused and must not be requested yet, in alphabetical
     /// order.
-    pub(super) fn held_off(&self, now: Instant) -> Vec<String> {
+    pub(super) fn backed_off_offers(&self, now: Instant) -> Vec<String> {
         let mut offers: Vec<String> = self
             .by_offer
             .iter()
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -27,7 +27,7 @@
 pub(super) struct OfferSearch<'a, 'plan> {
     pub(super) replica: &'a Replica,
     pub(super) fleet: &'plan FleetState,
-    pub(super) planned: &'plan PlannedProvisioning,
+    pub(super) planned_requests: &'plan PlannedProvisioning,
     pub(super) now: Instant,
 }
 
@@ -105,8 +105,8 @@
         // The job would take resources that jobs on the machine's accelerators need, and
         // placement keeps it off such machines for that reason (`scheduler::candidates`).
         let wanted_by_gpu_work = || {
-            let gpu = self.replica.gpu_spec.as_ref();
-            gpu.is_none_or(|gpu| gpu.allows(&machine_type.name, zone, spot))
+            let gpu_spec = self.replica.gpu_spec.as_ref();
+            gpu_spec.is_none_or(|gpu_spec| gpu_spec.allows(&machine_type.name, zone, spot))
         };
         !(avoids_accelerators && wanted_by_gpu_work())
     }
@@ -114,8 +114,8 @@
     /// Returns whether one more machine of this offer can be requested: the offer is not
     /// backed off after refusals or failed boots, and its planned request is not full.
     fn is_available(&self, offer: &MachineOffer) -> bool {
-        !self.fleet.refusals.is_held_off(offer, self.now)
+        !self.fleet.refusals.is_backed_off(offer, self.now)
             && !self.fleet.boots.is_backed_off(offer, self.now)
-            && !self.planned.is_full(offer)
+            && !self.planned_requests.is_full(offer)
     }
 }
--- a/src/cloud/overdue_boots.rs
+++ b/src/cloud/overdue_boots.rs
@@ -45,7 +45,7 @@
     now: Instant,
 ) -> Option<MachineRemoval> {
     let BootingMachine { id, zone, spot, .. } = machine;
-    let started_at = fleet.not_up_since(id, now);
+    let started_at = fleet.ownerless_since(id, now);
     let age_s = now.saturating_duration_since(started_at).as_secs_f64();
     let limit_s = settings
         .policy
--- a/src/cloud/planned_provisioning.rs
+++ b/src/cloud/planned_provisioning.rs
@@ -46,9 +46,9 @@
     /// Returns the records of the first `limit` requests, in the order in which their offers
     /// were first planned.
     pub(super) fn into_records(self, limit: usize) -> Vec<ProvisioningRequest> {
-        let mut planned: Vec<(MachineOffer, PlannedRequest)> = self.by_offer.into_iter().collect();
-        planned.sort_by_key(|(_, request)| request.position);
-        planned
+        let mut requests: Vec<(MachineOffer, PlannedRequest)> = self.by_offer.into_iter().collect();
+        requests.sort_by_key(|(_, request)| request.position);
+        requests
             .into_iter()
             .map(|(offer, request)| ProvisioningRequest {
                 kind: offer.machine_type,
--- a/src/cloud/record_drops.rs
+++ b/src/cloud/record_deletions.rs
@@ -16,16 +16,20 @@
 /// Returns the commit that deletes the records of gone machines. The commit also removes the
 /// machines from provisioning requests that still list them: without a record, a listed
 /// machine would count as booting again.
-pub(super) fn plan_record_drops(settings: &Settings, replica: &Replica, gone: &[String]) -> Commit {
-    let mut drops = RecordDrops::new(replica, settings.txn_ops());
+pub(super) fn plan_record_deletions(
+    settings: &Settings,
+    replica: &Replica,
+    gone: &[String],
+) -> Commit {
+    let mut deletions = RecordDeletions::new(replica, settings.txn_ops());
     for id in gone {
-        drops.add(id);
+        deletions.add(id);
     }
-    drops.into_commit(settings)
+    deletions.into_commit(settings)
 }
 
 /// The builder of a commit that deletes the records of gone machines.
-struct RecordDrops<'a> {
+struct RecordDeletions<'a> {
     replica: &'a Replica,
     max_writes: usize,
     /// The total capacity of the machines whose records are deleted, as far as it is counted
@@ -36,11 +40,11 @@
     requests: BTreeMap<&'a String, ProvisioningRequest>,
 }
 
-impl<'a> RecordDrops<'a> {
+impl<'a> RecordDeletions<'a> {
     fn new(replica: &'a Replica, txn_ops: usize) -> Self {
         // One write is kept for the pool, which is written in the same commit.
         let has_pool = replica.pool.is_some();
-        RecordDrops {
+        RecordDeletions {
             replica,
             max_writes: txn_ops - usize::from(has_pool),
             released: Resources::default(),
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::new_machines::{NewMachine, provisioned_but_not_up, record_machines};
+use super::unrecorded_machines::{UnrecordedMachine, record_machines, unbooted_machine};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
@@ -75,14 +75,14 @@
     }
 }
 
-/// Removes the machines from service that `decide` returns. `decide` is called again once
+/// Removes the machines from service that `find_removals` returns. `find_removals` is called again once
 /// the write budget allows the commit: waiting for the budget or a pause of this process
 /// may have taken long, and a silent worker may have reported in the meantime.
 pub(super) async fn remove_machines(
     controller: &Controller,
-    decide: fn(&Controller) -> Vec<MachineRemoval>,
+    find_removals: fn(&Controller) -> Vec<MachineRemoval>,
 ) {
-    if decide(controller).is_empty() {
+    if find_removals(controller).is_empty() {
         return;
     }
     controller
@@ -93,21 +93,21 @@
         return;
     }
     let (recorded, unrecorded): (Vec<MachineRemoval>, Vec<MachineRemoval>) = {
-        let removals = decide(controller);
+        let removals = find_removals(controller);
         let replica = controller.replica.borrow();
         removals
             .into_iter()
             .partition(|removal| replica.machines.contains_key(&removal.machine))
     };
     change_lifecycles(controller, &recorded).await;
-    let not_up: Vec<NewMachine> = {
+    let unbooted: Vec<UnrecordedMachine> = {
         let replica = controller.replica.borrow();
         unrecorded
             .iter()
-            .filter_map(|removal| provisioned_but_not_up(&replica, &removal.machine))
+            .filter_map(|removal| unbooted_machine(&replica, &removal.machine))
             .collect()
     };
-    record_machines(controller, &not_up).await;
+    record_machines(controller, &unbooted).await;
 }
 
 /// Writes the next lifecycle states of machines that have a record, and logs each change.
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -6,7 +6,7 @@
 use super::client::CloudError;
 use super::commit::commit_unless_empty;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::record_drops::plan_record_drops;
+use super::record_deletions::plan_record_deletions;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
@@ -21,11 +21,11 @@
 pub(super) async fn scale_in(controller: &Controller) {
     let (returning, gone) = {
         let replica = controller.replica.borrow();
-        let returning = machines_in(&replica, MachineLifecycle::Returning)
+        let returning = machines_in_state(&replica, MachineLifecycle::Returning)
             .take(MAX_MACHINES_PER_CALL)
             .cloned()
             .collect::<Vec<_>>();
-        let gone = machines_in(&replica, MachineLifecycle::Gone)
+        let gone = machines_in_state(&replica, MachineLifecycle::Gone)
             .filter(|id| !replica.bookings.contains_key(*id))
             .take(controller.settings.txn_ops())
             .cloned()
@@ -38,11 +38,14 @@
             Err(error) => tracing::debug!(%error, "machines not decommissioned"),
         }
     }
-    drop_records(controller, &gone).await;
+    delete_records(controller, &gone).await;
 }
 
 /// Returns the IDs of the machines in a lifecycle state.
-fn machines_in(replica: &Replica, lifecycle: MachineLifecycle) -> impl Iterator<Item = &String> {
+fn machines_in_state(
+    replica: &Replica,
+    lifecycle: MachineLifecycle,
+) -> impl Iterator<Item = &String> {
     replica
         .machines
         .iter()
@@ -79,7 +82,7 @@
         .map(|id| LifecycleChange::new(id, MachineLifecycle::Gone))
         .collect();
     set_lifecycles(controller, &changes).await;
-    drop_records(controller, &empty).await;
+    delete_records(controller, &empty).await;
     let mut fleet = controller.fleet.borrow_mut();
     for id in decommissioned {
         fleet.confirm_gone(id, now);
@@ -87,8 +90,8 @@
 }
 
 /// Deletes the records of machines that the cloud has taken back.
-async fn drop_records(controller: &Controller, ids: &[String]) {
-    let commit = plan_record_drops(&controller.settings, &controller.replica.borrow(), ids);
+async fn delete_records(controller: &Controller, ids: &[String]) {
+    let commit = plan_record_deletions(&controller.settings, &controller.replica.borrow(), ids);
     if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
         tracing::debug!(%error, "records of gone machines not deleted");
     }
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -17,13 +17,13 @@
 /// Runs the scale-out loop. It is separate from the loop that maintains the fleet,
 /// so that jobs that wait for capacity are not delayed by maintenance.
 pub async fn run_scale_out(controller: Rc<Controller>) {
-    let tick = controller
+    let interval = controller
         .settings
         .heartbeat_interval()
         .min(controller.settings.worker_lease() / 8)
         / 2;
     loop {
-        sleep(controller.store.jitter(tick)).await;
+        sleep(controller.store.jitter(interval)).await;
         if controller.replica.borrow().loaded
             && controller.is_fleet_leader()
             && controller.is_state_service_reachable()
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -47,12 +47,12 @@
         planner.plan_job(id);
     }
     let starting = jobs_about_to_start(&replica);
-    planner.release_awaited(&starting);
+    planner.release_dependencies(&starting);
     for job in starting {
         planner.plan_job(job.id);
     }
     planner.plan_headroom(max_requests);
-    planner.planned.into_records(max_requests)
+    planner.planned_requests.into_records(max_requests)
 }
 
 /// A planner that provisions for one job after another. Each job is placed in the
@@ -70,7 +70,7 @@
     /// job counts on yet.
     turnover_cpus: f64,
     /// The provisioning requests planned so far.
-    planned: PlannedProvisioning,
+    planned_requests: PlannedProvisioning,
 }
 
 /// The state of the planning for one job.
@@ -79,7 +79,7 @@
     /// The job may need another machine.
     NeedsMore,
     /// No more machines are planned for the job in this pass.
-    Settled,
+    Finished,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
@@ -99,15 +99,16 @@
             now,
             plan,
             turnover_cpus: running_array_cpus(replica),
-            planned: PlannedProvisioning::default(),
+            planned_requests: PlannedProvisioning::default(),
         }
     }
 
     /// Releases the capacity of the dependencies of `starting` in the plan: the
     /// dependencies end before the jobs start, so the jobs can use it.
-    fn release_awaited(&mut self, starting: &[DependentJob]) {
-        let awaited: BTreeSet<&String> = starting.iter().flat_map(|job| job.awaited).collect();
-        for id in awaited {
+    fn release_dependencies(&mut self, starting: &[DependentJob]) {
+        let dependencies: BTreeSet<&String> =
+            starting.iter().flat_map(|job| job.dependencies).collect();
+        for id in dependencies {
             let Some(job) = self.replica.jobs.get(id).map(|entry| &entry.value) else {
                 continue;
             };
@@ -127,13 +128,13 @@
         let Some(mut demand) = self.demand_of(id) else {
             return;
         };
-        for attempt in 0..=MAX_MACHINES_PER_REQUEST {
+        for machines_planned in 0..=MAX_MACHINES_PER_REQUEST {
             self.place_tasks(&mut demand);
             let unplaced = self.unplaced_tasks(&demand);
-            if unplaced == 0 || attempt == MAX_MACHINES_PER_REQUEST {
+            if unplaced == 0 || machines_planned == MAX_MACHINES_PER_REQUEST {
                 return;
             }
-            if self.provision_for(&mut demand, unplaced) == DemandProgress::Settled {
+            if self.provision_for(&mut demand, unplaced) == DemandProgress::Finished {
                 return;
             }
         }
@@ -160,7 +161,7 @@
             spec,
             max_price_ratio: settings.policy.rent_price_ratio(&facts),
             facts,
-            planned: job.clone(),
+            planned_job: job.clone(),
             excluded_zones: HashSet::new(),
             last_zone: None,
             protection: AcceleratorProtection::Strict,
@@ -172,7 +173,7 @@
         let settings = &self.controller.settings;
         let spec = demand.spec;
         match scheduler::find_placements(
-            &demand.planned,
+            &demand.planned_job,
             spec,
             &self.plan,
             &self.hints,
@@ -184,7 +185,7 @@
                     self.plan.reserve(place, &spec.team, spec.need);
                 }
                 let places: Vec<_> = places.iter().collect();
-                scheduler::book(&mut demand.planned, spec, &places);
+                scheduler::book(&mut demand.planned_job, spec, &places);
             }
             // More capacity in that zone does not help: the job already has its
             // maximum share of tasks there.
@@ -197,11 +198,11 @@
     /// that the team's limit still allows.
     fn unplaced_tasks(&self, demand: &JobDemand) -> usize {
         let spec = demand.spec;
-        let waiting = demand.planned.waiting();
+        let waiting = demand.planned_job.waiting();
         match self.controller.settings.team(&spec.team) {
-            Some(terms) => {
+            Some(team) => {
                 let used = self.plan.team_used(&spec.team);
-                waiting.min(scheduler::tasks_within_quota(terms, &used, &spec.need))
+                waiting.min(scheduler::tasks_within_quota(team, &used, &spec.need))
             }
             None => waiting,
         }
@@ -212,11 +213,11 @@
         let policy = &self.controller.settings.policy;
         let Some(wanted_slots) = demand.wanted_slots(unplaced, policy, &mut self.turnover_cpus)
         else {
-            return DemandProgress::Settled;
+            return DemandProgress::Finished;
         };
         let constraints = demand.offer_constraints();
         let Some(chosen) = self.best_offer(demand.spec, wanted_slots, &constraints) else {
-            return self.relax_or_give_up(demand);
+            return self.relax_protection_or_record_wait(demand);
         };
         demand.last_zone = Some(chosen.offer.zone.clone());
         // An array's remaining tasks run one after another on that machine.
@@ -224,14 +225,14 @@
         let is_enough = demand.spec.kind == JobKind::Array && slots >= wanted_slots;
         self.provision(chosen);
         match is_enough {
-            true => DemandProgress::Settled,
+            true => DemandProgress::Finished,
             false => DemandProgress::NeedsMore,
         }
     }
 
     /// Handles a job that no offer can serve: allows it to use machines with
     /// accelerators or, if it already may, records why it waits.
-    fn relax_or_give_up(&self, demand: &mut JobDemand) -> DemandProgress {
+    fn relax_protection_or_record_wait(&self, demand: &mut JobDemand) -> DemandProgress {
         if demand.protection != AcceleratorProtection::Lax {
             demand.protection = AcceleratorProtection::Lax;
             return DemandProgress::NeedsMore;
@@ -242,13 +243,13 @@
             let placement = &self.controller.placement;
             placement.record_wait_reason(demand.id, WaitReason::Refused, self.now);
         }
-        DemandProgress::Settled
+        DemandProgress::Finished
     }
 
     /// Plans machines until the plan has enough free slots for the next gang on
     /// accelerators.
     fn plan_headroom(&mut self, max_requests: usize) {
-        let Some(gpu) = &self.replica.gpu_spec else {
+        let Some(gpu_spec) = &self.replica.gpu_spec else {
             return;
         };
         let wanted = wanted_headroom_slots(&self.controller.settings, self.replica, &self.plan);
@@ -262,7 +263,7 @@
             if free_accelerator_slots(self.replica, &self.plan, None) >= wanted {
                 return;
             }
-            let Some(chosen) = self.best_offer(gpu, 1, &constraints) else {
+            let Some(chosen) = self.best_offer(gpu_spec, 1, &constraints) else {
                 return;
             };
             self.provision(chosen);
@@ -280,7 +281,7 @@
         let search = OfferSearch {
             replica: self.replica,
             fleet: &fleet,
-            planned: &self.planned,
+            planned_requests: &self.planned_requests,
             now: self.now,
         };
         search.best(spec, wanted_slots, constraints)
@@ -300,7 +301,7 @@
             &offer.zone,
             offer.spot,
         );
-        self.planned.add(offer);
+        self.planned_requests.add(offer);
     }
 }
 
--- a/src/cloud/stale_tokens.rs
+++ b/src/cloud/stale_tokens.rs
@@ -15,29 +15,29 @@
 
 /// The position of a heartbeat in the order of a worker's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct ReportNumber {
+struct HeartbeatNumber {
     epoch: u64,
     sequence: u64,
 }
 
 /// A series of heartbeats of one worker that show a token below the recorded one.
 #[derive(Debug, Clone, Copy)]
-struct StaleReports {
+struct StaleHeartbeats {
     /// The time of the first heartbeat in the series.
-    first: Instant,
+    first_at: Instant,
     /// The time of the last heartbeat in the series.
-    last: Instant,
+    last_at: Instant,
     /// The position of the newest heartbeat.
-    newest: ReportNumber,
+    newest_number: HeartbeatNumber,
 }
 
-impl StaleReports {
+impl StaleHeartbeats {
     /// Returns a series that starts now and has no heartbeats yet.
     fn starting(now: Instant) -> Self {
-        StaleReports {
-            first: now,
-            last: now,
-            newest: ReportNumber {
+        StaleHeartbeats {
+            first_at: now,
+            last_at: now,
+            newest_number: HeartbeatNumber {
                 epoch: 0,
                 sequence: 0,
             },
@@ -45,8 +45,8 @@
     }
 
     /// Returns whether the series has lasted for longer than `STALE_TOKEN_LEASES`.
-    fn exceed(&self, lease: Duration) -> bool {
-        let span = self.last.saturating_duration_since(self.first);
+    fn exceeds_lease(&self, lease: Duration) -> bool {
+        let span = self.last_at.saturating_duration_since(self.first_at);
         span > lease.mul_f64(STALE_TOKEN_LEASES)
     }
 }
@@ -54,7 +54,7 @@
 /// The machines whose new heartbeats show a token below the recorded one.
 #[derive(Debug, Default)]
 pub(super) struct StaleTokens {
-    by_machine: HashMap<String, StaleReports>,
+    by_machine: HashMap<String, StaleHeartbeats>,
 }
 
 impl StaleTokens {
@@ -63,51 +63,52 @@
     /// of its machine.
     pub(super) fn observe(
         &mut self,
-        report: &WorkerStatus,
+        status: &WorkerStatus,
         fencing_token: u64,
         lease: Duration,
         now: Instant,
     ) -> bool {
-        let id = &report.machine;
-        if report.fencing_token >= fencing_token {
+        let id = &status.machine;
+        if status.fencing_token >= fencing_token {
             self.by_machine.remove(id);
             return false;
         }
-        let number = ReportNumber {
-            epoch: report.epoch,
-            sequence: report.sequence,
+        let number = HeartbeatNumber {
+            epoch: status.epoch,
+            sequence: status.sequence,
         };
-        let fresh = StaleReports::starting(now);
-        let seen = self.by_machine.entry(id.clone()).or_insert(fresh);
+        let fresh = StaleHeartbeats::starting(now);
+        let series = self.by_machine.entry(id.clone()).or_insert(fresh);
         // A late copy of a heartbeat proves nothing about the worker's current state.
-        if number <= seen.newest {
+        if number <= series.newest_number {
             return false;
         }
         // In the gap, the worker may have sent heartbeats to other controllers and received
         // their answers, so the series starts again.
-        if now.saturating_duration_since(seen.last) > lease * 2 {
-            *seen = fresh;
+        if now.saturating_duration_since(series.last_at) > lease * 2 {
+            *series = fresh;
         }
-        seen.last = now;
-        seen.newest = number;
-        seen.exceed(lease)
+        series.last_at = now;
+        series.newest_number = number;
+        series.exceeds_lease(lease)
     }
 
     /// Returns the unreachable machines whose last heartbeat is less than half a lease old.
     pub(super) fn unreachable(&self, lease: Duration, now: Instant) -> Vec<String> {
-        let recent = |seen: &StaleReports| now.saturating_duration_since(seen.last) < lease / 2;
+        let is_recent =
+            |series: &StaleHeartbeats| now.saturating_duration_since(series.last_at) < lease / 2;
         self.by_machine
             .iter()
-            .filter(|(_, seen)| seen.exceed(lease) && recent(seen))
+            .filter(|(_, series)| series.exceeds_lease(lease) && is_recent(series))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Excludes a gap in which this process did not run from the durations of the series.
-    pub(super) fn exclude_pause(&mut self, gap: Duration, now: Instant) {
-        for seen in self.by_machine.values_mut() {
-            seen.first = shifted_past_pause(seen.first, gap, now);
-            seen.last = shifted_past_pause(seen.last, gap, now);
+    /// Excludes a pause of this process from the durations of the series.
+    pub(super) fn exclude_pause(&mut self, pause: Duration, now: Instant) {
+        for series in self.by_machine.values_mut() {
+            series.first_at = shifted_past_pause(series.first_at, pause, now);
+            series.last_at = shifted_past_pause(series.last_at, pause, now);
         }
     }
 }
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -20,11 +20,11 @@
 /// answers of the cloud and the write budget can delay the other loops for longer than
 /// the lease's time to live.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
-    let tick = controller.settings.worker_lease() / 16;
-    let retry = tick / 16;
+    let interval = controller.settings.worker_lease() / 16;
+    let retry_interval = interval / 16;
     loop {
         if !controller.replica.borrow().loaded {
-            sleep(retry).await;
+            sleep(retry_interval).await;
             continue;
         }
         match maintain_lease(&controller).await {
@@ -32,7 +32,7 @@
             Ok(LeaseProgress::Maintained) => {}
             Err(error) => tracing::debug!(%error, "state lease not maintained"),
         }
-        sleep(controller.store.jitter(tick)).await;
+        sleep(controller.store.jitter(interval)).await;
     }
 }
 
@@ -57,8 +57,8 @@
 /// it: the controller's own key and, if there is no fleet leader, the fleet key.
 async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StoreError> {
     let ttl = controller.settings.worker_lease() / 2;
-    let held = controller.fleet.borrow().state_lease();
-    let Some(lease) = held else {
+    let current_lease = controller.fleet.borrow().state_lease();
+    let Some(lease) = current_lease else {
         let lease = controller.store.acquire_lease(ttl).await?;
         controller.fleet.borrow_mut().record_state_lease(lease);
         return Ok(LeaseProgress::NewLease);
@@ -97,11 +97,12 @@
     let Commit {
         preconditions,
         writes,
-    } = KeyEdits::missing(controller, &controller.replica.borrow(), lease).into_commit();
+    } = KeyUpdates::for_outdated_keys(controller, &controller.replica.borrow(), lease)
+        .into_commit();
     if writes.is_empty() {
         return Ok(());
     }
-    let takes_fleet_key = preconditions
+    let writes_fleet_key = preconditions
         .iter()
         .any(|precondition| precondition.key == FLEET_KEY);
     match controller
@@ -109,7 +110,7 @@
         .await
     {
         Ok(_) => {
-            if takes_fleet_key {
+            if writes_fleet_key {
                 tracing::info!(controller = controller.name(), "became fleet leader");
             }
             Ok(())
@@ -124,7 +125,7 @@
 
 /// A commit that attaches missing or outdated keys to the lease and adds the formats
 /// that all controllers are now known to support.
-struct KeyEdits<'a> {
+struct KeyUpdates<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     lease: u64,
@@ -135,10 +136,10 @@
     writes: Vec<Write>,
 }
 
-impl<'a> KeyEdits<'a> {
+impl<'a> KeyUpdates<'a> {
     /// Returns the edits for all keys that are missing or outdated in the replica.
-    fn missing(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
-        let mut edits = KeyEdits {
+    fn for_outdated_keys(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
+        let mut updates = KeyUpdates {
             controller,
             replica,
             lease,
@@ -150,10 +151,10 @@
             preconditions: Vec::new(),
             writes: Vec::new(),
         };
-        edits.add_controller_key();
-        edits.add_fleet_key();
-        edits.add_formats_key();
-        edits
+        updates.add_controller_key();
+        updates.add_fleet_key();
+        updates.add_formats_key();
+        updates
     }
 
     /// Adds this controller's own key, which shows that the controller is up.
@@ -193,17 +194,19 @@
     /// lease: a format, once listed, stays listed permanently.
     fn add_formats_key(&mut self) {
         let (controller, replica) = (self.controller, self.replica);
-        let known = &replica.formats;
-        let seen = replica
+        let recorded = &replica.formats;
+        let supported = replica
             .controllers
             .iter()
             .map(|(name, entry)| (name.as_str(), entry.value.formats));
-        let next = known.value.with(seen, &controller.settings.controllers());
+        let next = recorded
+            .value
+            .with(supported, &controller.settings.controllers());
         let unreadable = replica.is_unreadable(FORMATS_KEY);
         if replica.controllers.contains_key(controller.name())
-            && (next != known.value || unreadable)
+            && (next != recorded.value || unreadable)
         {
-            let version = known.version.max(replica.absent_version(FORMATS_KEY));
+            let version = recorded.version.max(replica.absent_version(FORMATS_KEY));
             self.preconditions
                 .push(precondition(FORMATS_KEY.to_string(), version));
             self.writes.push(put(FORMATS_KEY.to_string(), &next));
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -45,7 +45,7 @@
     tracing::debug!(
         machine_types = ?machines_by_type(&replica),
         tasks = ?tasks_by_class(&replica),
-        unlisted = unlisted_machines(&replica),
+        machines_without_zone_shard = count_machines_without_zone_shard(&replica),
         ?free_accelerator_slots,
         "fleet summary"
     );
@@ -107,7 +107,7 @@
 
 /// Returns the number of active machines that are in no zone shard's record, so that no
 /// controller places tasks on them yet.
-fn unlisted_machines(replica: &Replica) -> usize {
+fn count_machines_without_zone_shard(replica: &Replica) -> usize {
     let active = replica
         .machines
         .iter()
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -43,7 +43,7 @@
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned();
-    let review = OwnedMachineReview {
+    let scan = OwnedMachineScan {
         controller,
         replica: &replica,
         now,
@@ -59,7 +59,7 @@
         .collect();
     removals.extend(owned_workers.iter().filter_map(|(id, owned_worker)| {
         let machine = replica.machines.get(id).map(|entry| &entry.value)?;
-        review.removal_of(id, machine, owned_worker)
+        scan.removal_of(id, machine, owned_worker)
     }));
     removals
 }
@@ -96,7 +96,7 @@
         if let Some(entry) = replica.machines.get(id) {
             let zone = zones.entry(&entry.value.zone).or_default();
             zone.machines += 1;
-            zone.silent += usize::from(silence(owned_worker, now) > limit);
+            zone.silent += usize::from(silence_duration(owned_worker, now) > limit);
         }
     }
     zones
@@ -107,19 +107,19 @@
 }
 
 /// Returns the time since the last message of a worker.
-fn silence(owned_worker: &OwnedWorker, now: Instant) -> Duration {
+fn silence_duration(owned_worker: &OwnedWorker, now: Instant) -> Duration {
     now.saturating_duration_since(owned_worker.last_message_at)
 }
 
 /// The inputs of one pass over the machines that this controller owns.
-struct OwnedMachineReview<'a> {
+struct OwnedMachineScan<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     now: Instant,
     partitioned_zones: HashSet<String>,
 }
 
-impl OwnedMachineReview<'_> {
+impl OwnedMachineScan<'_> {
     /// Returns the removal of a machine, or `None` if the machine stays in service or is not
     /// owned by this run of the controller.
     fn removal_of(
@@ -138,7 +138,7 @@
         {
             return None;
         }
-        if silence(owned_worker, self.now) > self.silence_limit(machine, owned_worker) {
+        if silence_duration(owned_worker, self.now) > self.silence_limit(machine, owned_worker) {
             return Some(MachineRemoval::decommission(id, RemovalReason::Silent));
         }
         if self.is_unreachable(owned_worker) {
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -36,7 +36,7 @@
     let now = controller.liveness_tick();
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
-    let mut review = FleetReview::new(&controller.settings, &replica, now);
+    let mut scan = UnneededMachineScan::new(&controller.settings, &replica, now);
     let mut removals = Vec::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
@@ -45,7 +45,7 @@
             MachineLifecycle::Active | MachineLifecycle::Draining
         ) && let Some(machine_type) = replica.machine_type(&machine.kind)
         {
-            removals.extend(review.removal_of(&mut fleet, id, machine, machine_type));
+            removals.extend(scan.removal_of(&mut fleet, id, machine, machine_type));
         }
     }
     removals.extend(timed_out_boots(
@@ -54,12 +54,12 @@
         &mut fleet,
         now,
     ));
-    forget_unknown_machines(controller, &replica, &mut fleet);
+    prune_unknown_machines(controller, &replica, &mut fleet);
     removals
 }
 
 /// The state of one pass over the active and draining machines.
-struct FleetReview<'a> {
+struct UnneededMachineScan<'a> {
     settings: &'a Settings,
     replica: &'a Replica,
     now: Instant,
@@ -70,10 +70,10 @@
     free_slots: usize,
 }
 
-impl<'a> FleetReview<'a> {
+impl<'a> UnneededMachineScan<'a> {
     fn new(settings: &'a Settings, replica: &'a Replica, now: Instant) -> Self {
         let plan = Plan::from_replica(replica);
-        FleetReview {
+        UnneededMachineScan {
             settings,
             replica,
             now,
@@ -106,7 +106,7 @@
         let idle = self.now.saturating_duration_since(idle_since);
         let facts = machine_facts(machine_type, machine.spot);
         let idle_limit = Duration::from_secs_f64(self.settings.policy.idle_s(&facts));
-        if idle <= idle_limit || self.is_headroom(machine, machine_type) {
+        if idle <= idle_limit || self.is_kept_as_headroom(machine, machine_type) {
             return None;
         }
         Some(match booked {
@@ -121,18 +121,19 @@
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
         let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
-            fleet.clear_not_up(id);
+            fleet.clear_ownerless(id);
             return false;
         }
-        let not_up_since = fleet.not_up_since(id, self.now);
+        let ownerless_since = fleet.ownerless_since(id, self.now);
         let limit = self.settings.worker_lease() * ORPHANED_LEASES;
-        self.now.saturating_duration_since(not_up_since) > limit
+        self.now.saturating_duration_since(ownerless_since) > limit
     }
 
     /// Returns whether a machine's work keeps it in service. Opportunistic work does not keep
-    /// an active machine that costs more than such work is worth. A machine that already
-    /// drains stays until its work has ended, and is queued again for draining, so that its
-    /// work saves its progress and moves elsewhere.
+    /// an active machine that costs more than such work is worth: the machine is drained, so
+    /// that the work saves its progress and moves elsewhere. A machine that is already
+    /// draining stays until its work has ended, and is queued again so that work that has not
+    /// been told to stop is stopped.
     fn is_kept_for_work(
         &self,
         fleet: &mut FleetState,
@@ -158,17 +159,17 @@
 
     /// Returns whether an idle machine is kept for the next gang that needs accelerators. If
     /// not, its slots are subtracted from the free slots.
-    fn is_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
+    fn is_kept_as_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
         if machine_type.gpus <= 0.0 {
             return false;
         }
-        let Some(gpu) = &self.replica.gpu_spec else {
+        let Some(gpu_spec) = &self.replica.gpu_spec else {
             return false;
         };
-        if !gpu.allows(&machine.kind, &machine.zone, machine.spot) {
+        if !gpu_spec.allows(&machine.kind, &machine.zone, machine.spot) {
             return false;
         }
-        let slots = machine_type.resources().slots(&gpu.need);
+        let slots = machine_type.resources().slots(&gpu_spec.need);
         if slots > 0 && self.free_slots < self.headroom_slots + slots {
             return true;
         }
@@ -200,7 +201,7 @@
 }
 
 /// Discards the in-memory state of machines that are neither recorded nor booting.
-fn forget_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
+fn prune_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
     let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
     known.extend(booting_machines(replica).map(|machine| machine.id));
     fleet.retain_machines(&known);
--- a/src/cloud/new_machines.rs
+++ b/src/cloud/unrecorded_machines.rs
@@ -10,16 +10,16 @@
 
 /// A machine that has no record yet, with the record to be written.
 #[derive(Debug, Clone)]
-pub(super) struct NewMachine {
+pub(super) struct UnrecordedMachine {
     pub(super) id: String,
     pub(super) machine: Machine,
 }
 
-impl NewMachine {
+impl UnrecordedMachine {
     /// Returns a machine that the cloud lists and that has neither a record nor a
     /// provisioning request.
     pub(super) fn adopted(listed: &ListedMachine) -> Self {
-        NewMachine {
+        UnrecordedMachine {
             id: listed.id.clone(),
             machine: Machine {
                 spot: listed.spot,
@@ -31,27 +31,27 @@
 
 /// Returns a provisioned machine that has not come up, to be recorded as returning. Returns
 /// `None` if no provisioning request lists the machine.
-pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
+pub(super) fn unbooted_machine(replica: &Replica, id: &str) -> Option<UnrecordedMachine> {
     let request = &find_request_of(replica, id)?.entry.value;
     let machine = Machine {
         lifecycle: MachineLifecycle::Returning,
         spot: request.spot,
         ..Machine::new(&request.kind, &request.zone)
     };
-    Some(NewMachine {
+    Some(UnrecordedMachine {
         id: id.to_string(),
         machine,
     })
 }
 
 /// Records the machines that still have no record, as many as fit in one commit.
-pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
+pub(super) async fn record_machines(controller: &Controller, machines: &[UnrecordedMachine]) {
     let max_writes = controller.settings.txn_ops();
     let mut recorded = Vec::new();
     let (preconditions, writes) = {
         let replica = controller.replica.borrow();
         let mut machine_shards = MachineShardEdits::new(&replica);
-        for NewMachine { id, machine } in machines {
+        for UnrecordedMachine { id, machine } in machines {
             if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
                 continue;
             }
