--- a/src/cloud/boot_tracking.rs
+++ b/src/cloud/boot_tracking.rs
@@ -22,7 +22,7 @@
 /// The maximum number of times that the pause after consecutive failures is doubled.
 const MAX_FAILURE_DOUBLINGS: u32 = 3;
 
-/// A machine type in a zone, the key of the boot durations: they differ by both.
+/// A machine type in a zone. Boot durations differ by both.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct BootLocation {
     machine_type: String,
@@ -110,10 +110,10 @@
     }
 
     /// Returns the boot duration, in seconds, after which a machine of this type is
-    /// overdue. It is the usual maximum by the duration that the cloud states, or by the
-    /// mean of the observed boots if that is longer. The observed mean raises it to at most
-    /// half of the boot limit `limit_s`, so that a replacement is not delayed until the
-    /// limit has passed.
+    /// overdue: `USUAL_BOOT_RATIO` times the duration that the cloud states, or times the
+    /// mean of the observed boots if that is longer. The observed mean raises the value to at
+    /// most half of the boot limit `limit_s`, so that a replacement is not delayed until the
+    /// limit has passed. The value never exceeds `limit_s`.
     pub(super) fn overdue_after_s(
         &self,
         machine_type: &MachineType,
@@ -129,7 +129,7 @@
             .max(usual.min(limit_s))
     }
 
-    /// Records that a machine's boot is overdue, and returns whether it was not before.
+    /// Records that a machine's boot is overdue, and returns whether this is new.
     #[must_use]
     pub(super) fn mark_overdue(&mut self, id: &str) -> bool {
         self.overdue.insert(id.to_string())
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,5 +1,5 @@
-//! Calls to the cloud. Only the fleet leader calls, within the cloud's rate limit and
-//! outside of the pauses that follow an overload response.
+//! Sends calls to the cloud. Only the fleet leader calls, and only within the cloud's rate
+//! limit. After a response that shows an overload, all calls are paused.
 
 use std::time::Duration;
 
@@ -14,29 +14,29 @@
 /// The reason for which a call to the cloud was not made or has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloudError {
-    /// The call was not made: calls are paused because the cloud was overloaded.
+    /// A call that was not made because calls are paused after an overload of the cloud.
     #[error("calls to the cloud are paused")]
     Paused,
-    /// The call was not made: the record that it was for changed while the call waited for
-    /// the rate limit.
+    /// A call that was not made because the record that it was for has changed while the call
+    /// waited for the rate limit.
     #[error("the call is no longer needed")]
     NoLongerNeeded,
-    /// The call was not made: this controller is not the fleet leader.
+    /// A call that was not made because this controller is not the fleet leader.
     #[error("not the fleet leader")]
     NotFleetLeader,
-    /// The call was not made: its response could not be recorded.
+    /// A call that was not made because its response could not be recorded.
     #[error("the state service is unreachable")]
     StateServiceUnreachable,
-    /// The cloud is overloaded and does not process calls now.
+    /// A response that shows that the cloud is overloaded, with its status.
     #[error("the cloud is overloaded: status {0}")]
     Overloaded(u16),
-    /// The cloud refused the call.
+    /// A response by which the cloud refused the call, with its status.
     #[error("the cloud refused the call: status {0}")]
     Refused(u16),
-    /// The call failed, or its response was malformed.
+    /// A failed call or a malformed response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The request could not be encoded.
+    /// A request that could not be encoded.
     #[error("request not encoded: {0}")]
     Encoding(#[from] serde_json::Error),
 }
--- a/src/cloud/failure_attribution.rs
+++ b/src/cloud/failure_attribution.rs
@@ -15,22 +15,23 @@
 /// The health of a machine, judged by the failures of jobs on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineHealth {
-    /// No failure is attributed to the machine, and at most one is unattributed.
+    /// A machine to which no failure is attributed and on which at most one failure is not
+    /// attributed yet.
     Healthy,
-    /// Several jobs failed on the machine, and their failures are not attributed yet.
+    /// A machine on which several jobs failed whose failures are not attributed yet.
     Suspect,
-    /// A job that failed on the machine has since succeeded on another.
+    /// A machine on which a job failed that has since succeeded on another.
     Faulty,
 }
 
 /// The cause to which the failure of a job on a machine is attributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// The job: it also fails on other machines, or it is cancelled.
+    /// The job, because it also fails on other machines or is cancelled.
     Job,
-    /// The machine: the job has since succeeded on another.
+    /// The machine, because the job has since succeeded on another.
     Machine,
-    /// Not known yet: the job has not been retried.
+    /// A cause that is not known yet, because the job has not been retried.
     Unknown,
 }
 
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -33,7 +33,7 @@
     pub(super) machine_types_timer: IntervalTimer,
     /// The last status, without tasks, of each worker that requested a claim, by machine.
     /// It has the worker's address and its machine type.
-    claim_reports: HashMap<String, WorkerStatus>,
+    claim_statuses: HashMap<String, WorkerStatus>,
     /// The machines that are queued for draining.
     pending_drains: HashSet<String>,
     /// The time since which each machine has had no work that justifies its price.
@@ -65,26 +65,26 @@
     pub fn record_claim_report(&mut self, status: &WorkerStatus) {
         let mut stored_status = status.clone();
         stored_status.tasks = Vec::new();
-        self.claim_reports
+        self.claim_statuses
             .insert(status.machine.clone(), stored_status);
     }
 
     /// Returns the last status, without tasks, of a worker that requested a claim.
     #[must_use]
     pub fn claim_report(&self, id: &str) -> Option<&WorkerStatus> {
-        self.claim_reports.get(id)
+        self.claim_statuses.get(id)
     }
 
-    /// Returns that status, to be updated.
+    /// Returns the last status of a worker that requested a claim, for updating it.
     pub fn claim_report_mut(&mut self, id: &str) -> Option<&mut WorkerStatus> {
-        self.claim_reports.get_mut(id)
+        self.claim_statuses.get_mut(id)
     }
 
     /// Records a heartbeat, and returns whether the worker is unreachable: for longer than
     /// its lease, its heartbeats have shown a fencing token below the recorded one, whichever
-    /// controller owns the machine. Its heartbeats arrive, but answers and commands do not
-    /// reach it. Such a worker tries one controller after another. Instead of being claimed
-    /// repeatedly, its machine is decommissioned.
+    /// controller owns the machine. So its heartbeats arrive, but answers and commands do not
+    /// reach it. Such a worker tries one controller after another, and each would claim its
+    /// machine again. The machine is decommissioned instead.
     pub fn check_unreachable(
         &mut self,
         status: &WorkerStatus,
@@ -145,14 +145,14 @@
         first.elapsed() > limit
     }
 
-    /// Stops tracking, as machines without a record, those that have a record now.
+    /// Removes the machines that have a record now from the listed machines without one.
     pub(super) fn prune_recorded(&mut self, is_recorded: impl Fn(&str) -> bool) {
         self.unrecorded_since.retain(|id, _| !is_recorded(id));
     }
 
     /// Records that the cloud has confirmed that a machine is gone.
     pub(super) fn confirm_gone(&mut self, id: String, now: Instant) {
-        self.claim_reports.remove(&id);
+        self.claim_statuses.remove(&id);
         self.idle_since.remove(&id);
         self.ownerless_since.remove(&id);
         self.gone_since.insert(id, now);
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -9,7 +9,7 @@
 use crate::state::replica::{MachineClass, Replica};
 use crate::wire::{JobKind, MachineType};
 
-/// The smallest shortfall, in tasks, for which capacity is provisioned.
+/// The smallest shortfall, in slots, for which capacity is provisioned.
 const MIN_SHORTFALL: f64 = 0.5;
 
 /// A job for which capacity is planned.
@@ -41,8 +41,8 @@
     }
 
     /// Returns the number of slots to provision for the job's `unplaced` tasks, or `None` if
-    /// no more are needed. For an array, the CPUs that other arrays' tasks will free count as
-    /// capacity, and the CPUs that are counted here are subtracted from `turnover_cpus`.
+    /// no more are needed. For an array, CPUs that running array tasks will soon free count as
+    /// capacity. They are subtracted from `turnover_cpus`, so that no other job counts on them.
     pub(super) fn wanted_slots(
         &self,
         unplaced: usize,
@@ -53,7 +53,7 @@
         let mut wanted = unplaced as f64;
         if spec.kind == JobKind::Array {
             // Tasks can run one after another within the window, so the array needs
-            // fewer slots than tasks. CPUs that other tasks free within the window reduce
+            // fewer slots than tasks. CPUs that running tasks free within the window reduce
             // the need further.
             let window_s = policy.rent_window_s(&self.facts);
             let cpus = spec.need.cpus.units().max(0.001);
@@ -62,8 +62,8 @@
             let covered = wanted.min(*turnover_cpus * turnover / cpus);
             *turnover_cpus -= covered * cpus / turnover.max(0.01);
             wanted -= covered;
-            // Such a small remainder runs when the job's own or other tasks end. But a job
-            // that has no running tasks and counts on no others would wait forever.
+            // So small a remainder runs when running tasks end. But a job that has no
+            // running tasks and counts on no others' CPUs would wait forever.
             if wanted < MIN_SHORTFALL && (self.planned_job.booked() > 0 || covered > 0.0) {
                 return None;
             }
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -48,7 +48,7 @@
         wanted_slots: usize,
         constraints: &OfferConstraints,
     ) -> Option<ChosenOffer<'a>> {
-        // A job that can wait is not provisioned for at any price.
+        // The policy limits the price per slot for jobs that can wait.
         let max_slot_price = cheapest_slot_price(self.replica, spec) * constraints.max_price_ratio;
         let mut best: Option<ChosenOffer> = None;
         for machine_type in &self.replica.types.value.types {
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -19,9 +19,9 @@
 /// The extent to which the cloud has delivered a request's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
-    /// All requested machines were delivered.
+    /// Delivery of all requested machines.
     Complete,
-    /// Fewer were delivered, or none: the cloud has no capacity for more.
+    /// Delivery of fewer machines or none, because the cloud has no capacity for more.
     Short,
 }
 
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,5 +1,5 @@
-//! Removes machines from service. Each decision is repeated once the write budget allows
-//! the commit, and only then written.
+//! Removes machines from service. Each decision is made again once the write budget allows
+//! the commit, and only then committed.
 
 use std::fmt;
 
@@ -12,29 +12,29 @@
 /// The reason for which a machine is removed from service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RemovalReason {
-    /// The worker's reports arrive, but the worker receives no answers and no commands.
+    /// A machine whose worker's messages arrive, but which receives no answers and no commands.
     Unreachable,
-    /// No message from the machine's worker has arrived for too long.
+    /// A machine from whose worker no message has arrived for too long.
     Silent,
-    /// Jobs that failed on the machine have succeeded on others.
+    /// A machine on which jobs failed that have succeeded on others.
     Faulty,
-    /// The controller that owns the machine is not up.
+    /// A machine whose owner, a controller, is not up.
     Orphaned,
-    /// The machine was draining and its work has ended.
+    /// A draining machine whose work has ended.
     Drained,
-    /// The machine runs only opportunistic work, and costs more than such work is worth.
+    /// A machine that runs only opportunistic work and costs more than such work is worth.
     OpportunisticOnly,
-    /// The machine has run no work for longer than the idle limit.
+    /// A machine that has run no work for longer than the idle limit.
     Idle,
-    /// The machine's worker has not reported within the boot limit.
+    /// A machine whose worker has not sent a heartbeat within the boot limit.
     BootTimeout,
 }
 
 impl fmt::Display for RemovalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RemovalReason::Unreachable => "unreachable: reports, but receives nothing",
-            RemovalReason::Silent => "silent: no reports",
+            RemovalReason::Unreachable => "unreachable: sends heartbeats, but receives nothing",
+            RemovalReason::Silent => "silent: no messages",
             RemovalReason::Faulty => "faulty: jobs that failed there succeeded elsewhere",
             RemovalReason::Orphaned => "orphaned: its owner is not up",
             RemovalReason::Drained => "drained",
@@ -75,9 +75,10 @@
     }
 }
 
-/// Removes the machines from service that `find_removals` returns. `find_removals` is called again once
-/// the write budget allows the commit: waiting for the budget or a pause of this process
-/// may have taken long, and a silent worker may have reported in the meantime.
+/// Removes the machines from service that `find_removals` returns. `find_removals` is called
+/// again once the write budget allows the commit: the wait for the budget or a pause of this
+/// process may have taken long, and a silent worker may have sent a heartbeat in the
+/// meantime.
 pub(super) async fn remove_machines(
     controller: &Controller,
     find_removals: fn(&Controller) -> Vec<MachineRemoval>,
@@ -123,7 +124,7 @@
                 machine = removal.machine,
                 lifecycle = ?removal.lifecycle,
                 reason = %removal.reason,
-                "machine removed from service"
+                "machine leaves service"
             );
         }
     }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -67,11 +67,12 @@
     }
 }
 
-/// Records that the cloud has taken machines back.
+/// Records that the cloud has taken machines back: deletes the records of machines without
+/// bookings and marks the others as gone.
 async fn record_decommissioned(controller: &Controller, decommissioned: Vec<String>) {
     let now = Instant::now();
-    // Most machines have no bookings, so their records are deleted immediately. The
-    // others are marked gone until their bookings are released.
+    // Most machines have no bookings, so their records can be deleted immediately. The
+    // records of the others are deleted once their bookings are released.
     let (booked, empty): (Vec<String>, Vec<String>) = {
         let replica = controller.replica.borrow();
         let is_booked = |id: &String| replica.bookings.contains_key(id);
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -23,7 +23,7 @@
 
 /// Returns the provisioning requests to record: capacity for the jobs, in queue
 /// order, whose tasks fit neither in the free nor in the incoming capacity, and
-/// headroom for the next gang on accelerators.
+/// headroom for the next gang that needs accelerators.
 pub(super) fn plan_scale_out(controller: &Controller) -> Vec<ProvisioningRequest> {
     register_offers(controller);
     let replica = controller.replica.borrow();
@@ -76,9 +76,9 @@
 /// The state of the planning for one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DemandProgress {
-    /// The job may need another machine.
+    /// A job that may need another machine.
     NeedsMore,
-    /// No more machines are planned for the job in this pass.
+    /// A job for which no more machines are planned in this pass.
     Finished,
 }
 
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Handles a job that no offer can serve: allows it to use machines with
-    /// accelerators or, if it already may, records why it waits.
+    /// Allows a job that no offer can serve to use machines with accelerators or, if it
+    /// already may, records that it waits because the cloud refuses its offers.
     fn relax_protection_or_record_wait(&self, demand: &mut JobDemand) -> DemandProgress {
         if demand.protection != AcceleratorProtection::Lax {
             demand.protection = AcceleratorProtection::Lax;
@@ -246,7 +246,7 @@
         DemandProgress::Finished
     }
 
-    /// Plans machines until the plan has enough free slots for the next gang on
+    /// Plans machines until the plan has enough free slots for the next gang that needs
     /// accelerators.
     fn plan_headroom(&mut self, max_requests: usize) {
         let Some(gpu_spec) = &self.replica.gpu_spec else {
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -39,10 +39,10 @@
 /// The result of one pass of the lease maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseProgress {
-    /// A new lease was acquired. The next pass runs immediately and attaches the keys
-    /// to it.
+    /// A newly acquired lease, to which the next pass, without waiting, attaches the
+    /// keys.
     NewLease,
-    /// The lease and the keys need nothing more in this pass.
+    /// A pass that has done all it could; the next one runs after the usual interval.
     Maintained,
 }
 
@@ -123,8 +123,8 @@
     }
 }
 
-/// A commit that attaches missing or outdated keys to the lease and adds the formats
-/// that all controllers are now known to support.
+/// The builder of a commit that writes missing or outdated keys, attached to the lease,
+/// and adds the formats that all controllers are now known to support.
 struct KeyUpdates<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
@@ -137,7 +137,7 @@
 }
 
 impl<'a> KeyUpdates<'a> {
-    /// Returns the edits for all keys that are missing or outdated in the replica.
+    /// Returns the updates of all keys that are missing or outdated in the replica.
     fn for_outdated_keys(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
         let mut updates = KeyUpdates {
             controller,
