--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -1,29 +1,31 @@
-//! Scale-in: machines are given back to the cloud, and their records dropped.
+//! Scale-in: returns machines to the cloud and deletes the records of those that are
+//! gone.
 
 use tokio::time::Instant;
 
 use super::client::CloudError;
 use super::commit::commit_unless_empty;
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::record_drops::plan_record_drops;
+use super::record_deletions::plan_record_deletions;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 use crate::state::replica::Replica;
 use crate::wire::MachineIds;
 
-/// The most machines that one call gives back.
+/// The maximum number of machines that one call returns to the cloud.
 const MAX_MACHINES_PER_CALL: usize = 100;
 
-/// Gives back the machines that leave, and drops the records of those that are gone.
+/// Returns the machines in the `Returning` state to the cloud and deletes the records of
+/// those in the `Gone` state that have no bookings.
 pub(super) async fn scale_in(controller: &Controller) {
     let (returning, gone) = {
         let replica = controller.replica.borrow();
-        let returning = machines_in(&replica, MachineLifecycle::Returning)
+        let returning = machines_in_state(&replica, MachineLifecycle::Returning)
             .take(MAX_MACHINES_PER_CALL)
             .cloned()
             .collect::<Vec<_>>();
-        let gone = machines_in(&replica, MachineLifecycle::Gone)
+        let gone = machines_in_state(&replica, MachineLifecycle::Gone)
             .filter(|id| !replica.bookings.contains_key(*id))
             .take(controller.settings.txn_ops())
             .cloned()
@@ -36,10 +38,14 @@
             Err(error) => tracing::debug!(%error, "machines not decommissioned"),
         }
     }
-    drop_records(controller, &gone).await;
+    delete_records(controller, &gone).await;
 }
 
-fn machines_in(replica: &Replica, lifecycle: MachineLifecycle) -> impl Iterator<Item = &String> {
+/// Returns the IDs of the machines in a lifecycle state.
+fn machines_in_state(
+    replica: &Replica,
+    lifecycle: MachineLifecycle,
+) -> impl Iterator<Item = &String> {
     replica
         .machines
         .iter()
@@ -47,7 +53,7 @@
         .map(|(id, _)| id)
 }
 
-/// Gives machines back to the cloud.
+/// Returns machines to the cloud.
 async fn decommission(controller: &Controller, machines: &[String]) -> Result<(), CloudError> {
     let body = serde_json::to_vec(&MachineIds {
         machines: machines.to_vec(),
@@ -61,10 +67,12 @@
     }
 }
 
-/// Records that machines are gone.
+/// Records that the cloud has taken machines back: deletes the records of machines without
+/// bookings and marks the others as gone.
 async fn record_decommissioned(controller: &Controller, decommissioned: Vec<String>) {
     let now = Instant::now();
-    // Nothing is booked on most: their records go at once.
+    // Most machines have no bookings, so their records can be deleted immediately. The
+    // records of the others are deleted once their bookings are released.
     let (booked, empty): (Vec<String>, Vec<String>) = {
         let replica = controller.replica.borrow();
         let is_booked = |id: &String| replica.bookings.contains_key(id);
@@ -75,17 +83,17 @@
         .map(|id| LifecycleChange::new(id, MachineLifecycle::Gone))
         .collect();
     set_lifecycles(controller, &changes).await;
-    drop_records(controller, &empty).await;
+    delete_records(controller, &empty).await;
     let mut fleet = controller.fleet.borrow_mut();
     for id in decommissioned {
         fleet.confirm_gone(id, now);
     }
 }
 
-/// Drops the records of machines that the cloud has taken back.
-async fn drop_records(controller: &Controller, ids: &[String]) {
-    let commit = plan_record_drops(&controller.settings, &controller.replica.borrow(), ids);
+/// Deletes the records of machines that the cloud has taken back.
+async fn delete_records(controller: &Controller, ids: &[String]) {
+    let commit = plan_record_deletions(&controller.settings, &controller.replica.borrow(), ids);
     if let Err(error) = commit_unless_empty(controller, RequestClass::Publication, commit).await {
-        tracing::debug!(%error, "records of gone machines not dropped");
+        tracing::debug!(%error, "records of gone machines not deleted");
     }
 }
--- a/src/cloud/new_machines.rs
+++ b/src/cloud/unrecorded_machines.rs
@@ -1,5 +1,4 @@
-//! Machines that have no record yet: they are recorded to be used, or to be
-//! decommissioned.
+//! Records machines that have no record yet, either to be used or to be decommissioned.
 
 use super::provisioning::find_request_of;
 use crate::controller::Controller;
@@ -9,17 +8,18 @@
 use crate::state::replica::Replica;
 use crate::wire::ListedMachine;
 
-/// A machine that has no record yet.
+/// A machine that has no record yet, with the record to be written.
 #[derive(Debug, Clone)]
-pub(super) struct NewMachine {
+pub(super) struct UnrecordedMachine {
     pub(super) id: String,
     pub(super) machine: Machine,
 }
 
-impl NewMachine {
-    /// A listed machine that nobody knows.
+impl UnrecordedMachine {
+    /// Returns a machine that the cloud lists and that has neither a record nor a
+    /// provisioning request.
     pub(super) fn adopted(listed: &ListedMachine) -> Self {
-        NewMachine {
+        UnrecordedMachine {
             id: listed.id.clone(),
             machine: Machine {
                 spot: listed.spot,
@@ -29,29 +29,29 @@
     }
 }
 
-/// A provisioned machine without a record, to be decommissioned.
-pub(super) fn provisioned_but_not_up(replica: &Replica, id: &str) -> Option<NewMachine> {
+/// Returns a provisioned machine that has not come up, to be recorded as returning. Returns
+/// `None` if no provisioning request lists the machine.
+pub(super) fn unbooted_machine(replica: &Replica, id: &str) -> Option<UnrecordedMachine> {
     let request = &find_request_of(replica, id)?.entry.value;
     let machine = Machine {
         lifecycle: MachineLifecycle::Returning,
         spot: request.spot,
         ..Machine::new(&request.kind, &request.zone)
     };
-    Some(NewMachine {
+    Some(UnrecordedMachine {
         id: id.to_string(),
         machine,
     })
 }
 
-/// Records machines that have no record: provisioned ones that have not come up,
-/// which are decommissioned, and listed ones that nobody knows.
-pub(super) async fn record_machines(controller: &Controller, machines: &[NewMachine]) {
+/// Records the machines that still have no record, as many as fit in one commit.
+pub(super) async fn record_machines(controller: &Controller, machines: &[UnrecordedMachine]) {
     let max_writes = controller.settings.txn_ops();
     let mut recorded = Vec::new();
     let (preconditions, writes) = {
         let replica = controller.replica.borrow();
         let mut machine_shards = MachineShardEdits::new(&replica);
-        for NewMachine { id, machine } in machines {
+        for UnrecordedMachine { id, machine } in machines {
             if replica.machines.contains_key(id) || machine_shards.is_full(max_writes) {
                 continue;
             }
