--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -17,12 +17,12 @@
 
 impl Amount {
     /// What a task needs: rounded up.
-    pub fn rounded_up(x: f64) -> Self {
-        Amount((x * 1000.0 - 1e-6).ceil().max(0.0) as i64)
+    pub fn rounded_up(units: f64) -> Self {
+        Amount((units * 1000.0 - 1e-6).ceil().max(0.0) as i64)
     }
     /// What a machine or a limit gives: rounded down.
-    pub fn rounded_down(x: f64) -> Self {
-        Amount((x * 1000.0 + 1e-6).floor().max(0.0) as i64)
+    pub fn rounded_down(units: f64) -> Self {
+        Amount((units * 1000.0 + 1e-6).floor().max(0.0) as i64)
     }
     /// The amount in whole units, as people write it.
     pub fn units(self) -> f64 {
@@ -56,16 +56,16 @@
     }
 
     /// The resources of so many equal tasks.
-    pub fn times(&self, n: usize) -> Resources {
-        self.scaled(n as i64)
+    pub fn times(&self, count: usize) -> Resources {
+        self.scaled(count as i64)
     }
 
     /// As `times`, with a sign.
-    pub fn scaled(&self, n: i64) -> Resources {
+    pub fn scaled(&self, factor: i64) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0.saturating_mul(n)),
-            gpus: Amount(self.gpus.0.saturating_mul(n)),
-            ram: Amount(self.ram.0.saturating_mul(n)),
+            cpus: Amount(self.cpus.0.saturating_mul(factor)),
+            gpus: Amount(self.gpus.0.saturating_mul(factor)),
+            ram: Amount(self.ram.0.saturating_mul(factor)),
         }
     }
 
@@ -84,11 +84,11 @@
         self.max(&Resources::default())
     }
 
-    fn combine(&self, other: &Resources, of: impl Fn(i64, i64) -> i64) -> Resources {
+    fn combine(&self, other: &Resources, operation: impl Fn(i64, i64) -> i64) -> Resources {
         Resources {
-            cpus: Amount(of(self.cpus.0, other.cpus.0)),
-            gpus: Amount(of(self.gpus.0, other.gpus.0)),
-            ram: Amount(of(self.ram.0, other.ram.0)),
+            cpus: Amount(operation(self.cpus.0, other.cpus.0)),
+            gpus: Amount(operation(self.gpus.0, other.gpus.0)),
+            ram: Amount(operation(self.ram.0, other.ram.0)),
         }
     }
 
@@ -109,35 +109,35 @@
 
 impl Add for Resources {
     type Output = Resources;
-    fn add(self, o: Resources) -> Resources {
+    fn add(self, other: Resources) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0 + o.cpus.0),
-            gpus: Amount(self.gpus.0 + o.gpus.0),
-            ram: Amount(self.ram.0 + o.ram.0),
+            cpus: Amount(self.cpus.0 + other.cpus.0),
+            gpus: Amount(self.gpus.0 + other.gpus.0),
+            ram: Amount(self.ram.0 + other.ram.0),
         }
     }
 }
 
 impl Sub for Resources {
     type Output = Resources;
-    fn sub(self, o: Resources) -> Resources {
+    fn sub(self, other: Resources) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0 - o.cpus.0),
-            gpus: Amount(self.gpus.0 - o.gpus.0),
-            ram: Amount(self.ram.0 - o.ram.0),
+            cpus: Amount(self.cpus.0 - other.cpus.0),
+            gpus: Amount(self.gpus.0 - other.gpus.0),
+            ram: Amount(self.ram.0 - other.ram.0),
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Resources) {
+        *self = *self + other;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        *self = *self - o;
+    fn sub_assign(&mut self, other: Resources) {
+        *self = *self - other;
     }
 }
 
--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -11,9 +11,9 @@
     /// that were to receive.
     pub(crate) fn rebalance(&mut self) {
         let controllers = self.controllers();
-        for debtor in &controllers {
-            let shortfall = (Resources::default() - self.target_for(debtor.as_str())).positive();
-            self.pass_obligation(&controllers, debtor, shortfall);
+        for source in &controllers {
+            let shortfall = (Resources::default() - self.target_for(source.as_str())).positive();
+            self.pass_obligation(&controllers, source, shortfall);
         }
         self.settle_if_complete();
     }
@@ -22,12 +22,12 @@
     fn pass_obligation(
         &mut self,
         controllers: &[ControllerName],
-        debtor: &ControllerName,
+        source: &ControllerName,
         mut shortfall: Resources,
     ) {
         // Those that are to receive come first, then whoever will have something.
         for receivers_only in [true, false] {
-            for other in controllers.iter().filter(|name| *name != debtor) {
+            for other in controllers.iter().filter(|name| *name != source) {
                 let target = self.target_for(other.as_str()).positive();
                 let bound = match receivers_only {
                     true => self.due_to(other.as_str()).min(&target),
@@ -35,7 +35,7 @@
                 };
                 let part = shortfall.min(&bound);
                 self.add_pending(other, Resources::default() - part);
-                self.add_pending(debtor, part);
+                self.add_pending(source, part);
                 shortfall -= part;
             }
         }
--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -44,14 +44,14 @@
         return Err(Shortage::NoShares(team.clone()));
     }
     draft.read_share(team);
-    pull_from_siblings(&mut draft, team, controller, need);
-    let lacking = lacking(&draft, team, controller, need);
-    if lacking.is_empty() {
+    take_from_other_shares(&mut draft, team, controller, need);
+    let shortfall = shortfall(&draft, team, controller, need);
+    if shortfall.is_empty() {
         return Ok(draft.finish());
     }
     // The split of the team itself and the pool are written anyway.
     let max_others = max_writes.saturating_sub(2);
-    match grow(&mut draft, ledger, team, controller, lacking, max_others) {
+    match grow_share(&mut draft, ledger, team, controller, shortfall, max_others) {
         Ok(()) => Ok(draft.finish()),
         Err(Shortage::Machines) if draft.written_shares_of_others(team) >= max_others.max(1) => {
             Err(Shortage::Partial(Box::new(draft.finish())))
@@ -61,7 +61,7 @@
 }
 
 /// What a share has too little of for a need.
-fn lacking(
+fn shortfall(
     draft: &Draft,
     team: &TeamName,
     controller: &ControllerName,
@@ -70,27 +70,27 @@
     (need - draft.free(team, controller.as_str())).positive()
 }
 
-/// Takes what is lacking out of the free capacity of the team's other shares, the largest
+/// Takes what is shortfall out of the free capacity of the team's other shares, the largest
 /// first.
-fn pull_from_siblings(
+fn take_from_other_shares(
     draft: &mut Draft,
     team: &TeamName,
     controller: &ControllerName,
     need: Resources,
 ) {
-    let siblings = draft.share(team).map(|share| share.controllers());
-    let mut siblings: Vec<ControllerName> = siblings.unwrap_or_default();
-    siblings.retain(|name| name != controller);
-    siblings.sort_by_key(|name| Reverse(draft.free(team, name.as_str()).cpus));
-    for sibling in siblings {
-        let free = draft.free(team, sibling.as_str()).positive();
-        let part = lacking(draft, team, controller, need).min(&free);
+    let others = draft.share(team).map(|share| share.controllers());
+    let mut others: Vec<ControllerName> = others.unwrap_or_default();
+    others.retain(|name| name != controller);
+    others.sort_by_key(|name| Reverse(draft.free(team, name.as_str()).cpus));
+    for other in others {
+        let free = draft.free(team, other.as_str()).positive();
+        let part = shortfall(draft, team, controller, need).min(&free);
         if part.is_empty() {
             continue;
         }
-        draft.read_use(team, &sibling);
+        draft.read_use(team, &other);
         if let Some(share) = draft.edit_share(team) {
-            share.add_granted(&sibling, Resources::default() - part);
+            share.add_granted(&other, Resources::default() - part);
             share.add_granted(controller, part);
             share.rebalance();
         }
@@ -98,12 +98,12 @@
 }
 
 /// Grows a share by what it lacks, from the pool and from other teams' free capacity.
-fn grow(
+fn grow_share(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
     controller: &ControllerName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) -> Result<(), Shortage> {
     let limit = ledger.teams.get(team).map(|account| account.limit);
@@ -111,17 +111,17 @@
     let remaining = limit
         .unwrap_or_default()
         .remaining(total.unwrap_or_default());
-    if !remaining.fits(&lacking) {
+    if !remaining.fits(&shortfall) {
         return Err(Shortage::Limit(team.clone()));
     }
-    let Some(mut pool) = pool_with_free(draft, ledger, team, lacking, max_others) else {
+    let Some(mut pool) = pool_with_free_capacity(draft, ledger, team, shortfall, max_others) else {
         return Err(Shortage::Machines);
     };
-    let more = lacking
+    let more = shortfall
         .scaled(i64::from(ledger.growth))
         .min(&pool.free())
         .min(&remaining);
-    let part = lacking.max(&more);
+    let part = shortfall.max(&more);
     pool.granted += part;
     draft.set_pool(pool);
     if let Some(share) = draft.edit_share(team) {
@@ -130,46 +130,46 @@
     Ok(())
 }
 
-/// The pool with as much free as is lacking: machines that have come since count from now
+/// The pool with as much free as is shortfall: machines that have come since count from now
 /// on, and other teams give free capacity back. `None` if that is not enough.
-pub(crate) fn pool_with_free(
+pub(crate) fn pool_with_free_capacity(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) -> Option<Pool> {
     let mut pool = draft.pool().unwrap_or_default();
     // Those that are about to leave no longer do, but for what is granted already.
     pool.capacity = ledger.staying.max(&pool.granted);
     draft.set_pool(pool);
-    if !pool.free().fits(&lacking) {
-        shrink_others(draft, ledger, team, lacking, max_others);
+    if !pool.free().fits(&shortfall) {
+        reclaim_from_other_teams(draft, ledger, team, shortfall, max_others);
     }
-    draft.pool().filter(|pool| pool.free().fits(&lacking))
+    draft.pool().filter(|pool| pool.free().fits(&shortfall))
 }
 
 /// Gives free capacity of other teams, of so many at most, back to the pool until it has as
-/// much as is lacking.
-fn shrink_others(
+/// much as is shortfall.
+fn reclaim_from_other_teams(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) {
     for other in ledger.teams.keys().filter(|name| *name != team) {
         let Some(pool) = draft.pool() else { return };
-        let missing = (lacking - pool.free()).positive();
+        let missing = (shortfall - pool.free()).positive();
         if missing.is_empty() || draft.written_shares_of_others(team) == max_others {
             return;
         }
-        shrink_team(draft, other, missing);
+        reclaim_from_team(draft, other, missing);
     }
 }
 
 /// Gives as much of a team's free capacity back to the pool as is asked for and there is.
-pub(crate) fn shrink_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
+pub(crate) fn reclaim_from_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
     let controllers = draft.share(team).map(|share| share.controllers());
     let mut missing = wanted;
     for controller in controllers.unwrap_or_default() {
--- a/crates/shares/src/capacity.rs
+++ b/crates/shares/src/capacity.rs
@@ -8,7 +8,7 @@
 
 use resources::Resources;
 
-use crate::booking::shrink_team;
+use crate::booking::reclaim_from_team;
 use crate::change::{Change, Draft};
 use crate::ledger::Ledger;
 use crate::records::Pool;
@@ -30,7 +30,7 @@
         let excess = (granted - ledger.staying).positive();
         // The pool is written, too.
         if !excess.is_empty() && draft.written_shares() + 1 < max_writes {
-            shrink_team(&mut draft, team, excess);
+            reclaim_from_team(&mut draft, team, excess);
         }
     }
     let mut pool = draft.pool().unwrap_or_default();
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -5,7 +5,7 @@
 
 use resources::Resources;
 
-use crate::booking::pool_with_free;
+use crate::booking::pool_with_free_capacity;
 use crate::change::{Change, Draft};
 use crate::ledger::Ledger;
 use crate::names::{ControllerName, TeamName};
@@ -47,7 +47,8 @@
     }
     // The split, the pool and the team's own record are written anyway.
     let max_others = max_writes.saturating_sub(3);
-    let Some(mut pool) = pool_with_free(&mut draft, ledger, team, total, max_others) else {
+    let Some(mut pool) = pool_with_free_capacity(&mut draft, ledger, team, total, max_others)
+    else {
         return Err(match draft.written_shares_of_others(team) {
             0 => OpenError::PoolTooSmall,
             _ => OpenError::Partial(Box::new(draft.finish())),
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -48,12 +48,12 @@
     for from in share.controllers() {
         let owed = share.owed_by(from.as_str());
         for to in share.controllers() {
-            let left = owed.min(&share.due_to(to.as_str()));
-            if from == to || left.is_empty() {
+            let remaining = owed.min(&share.due_to(to.as_str()));
+            if from == to || remaining.is_empty() {
                 continue;
             }
-            let plan = TransferPlan::new(account, &from, &to, left);
-            if let Some(transfer) = plan.with_jobs(team, share, jobs, max_jobs) {
+            let plan = TransferPlan::new(account, &from, &to, remaining);
+            if let Some(transfer) = plan.build_transfer(team, share, jobs, max_jobs) {
                 return Some(transfer);
             }
         }
@@ -66,10 +66,10 @@
     from: &'a ControllerName,
     to: &'a ControllerName,
     /// What is left to move between the two.
-    left: Resources,
+    remaining: Resources,
     /// What the giver has free, and the receiver.
-    free_from: Resources,
-    free_to: Resources,
+    source_free: Resources,
+    destination_free: Resources,
 }
 
 impl<'a> TransferPlan<'a> {
@@ -77,70 +77,80 @@
         account: &TeamAccount,
         from: &'a ControllerName,
         to: &'a ControllerName,
-        left: Resources,
+        remaining: Resources,
     ) -> Self {
         TransferPlan {
             from,
             to,
-            left,
-            free_from: account.free(from.as_str()).positive(),
-            free_to: account.free(to.as_str()).positive(),
+            remaining,
+            source_free: account.free(from.as_str()).positive(),
+            destination_free: account.free(to.as_str()).positive(),
         }
     }
 
     /// What the giver lacks beyond its free capacity.
-    fn missing(&self, taken: Resources) -> Resources {
-        (self.left - self.free_from - taken).positive()
+    fn shortfall(&self, included: Resources) -> Resources {
+        (self.remaining - self.source_free - included).positive()
     }
 
     /// Whether jobs with these bookings may go along: where something is left to move
     /// they fit into that and the receiver's free capacity; elsewhere their room goes with
     /// them.
-    fn admits(&self, taken: Resources) -> bool {
-        let fits =
-            |left: Amount, free: Amount, taken: Amount| left.0 == 0 || taken.0 <= left.0 + free.0;
-        fits(self.left.cpus, self.free_to.cpus, taken.cpus)
-            && fits(self.left.gpus, self.free_to.gpus, taken.gpus)
-            && fits(self.left.ram, self.free_to.ram, taken.ram)
+    fn can_include(&self, included: Resources) -> bool {
+        let fits = |remaining: Amount, free: Amount, included: Amount| {
+            remaining.0 == 0 || included.0 <= remaining.0 + free.0
+        };
+        fits(
+            self.remaining.cpus,
+            self.destination_free.cpus,
+            included.cpus,
+        ) && fits(
+            self.remaining.gpus,
+            self.destination_free.gpus,
+            included.gpus,
+        ) && fits(self.remaining.ram, self.destination_free.ram, included.ram)
     }
 
     /// What leaves the giver's share: all that is left to move if free capacity and the jobs
     /// cover it; where nothing is left to move, what the jobs take.
-    fn amount(&self, taken: Resources) -> Resources {
-        let part = |left: Amount, free: Amount, taken: Amount| match left.0 {
-            0 => taken,
-            left => Amount(left.min(free.0 + taken.0)),
+    fn amount(&self, included: Resources) -> Resources {
+        let part = |remaining: Amount, free: Amount, included: Amount| match remaining.0 {
+            0 => included,
+            remaining => Amount(remaining.min(free.0 + included.0)),
         };
         Resources {
-            cpus: part(self.left.cpus, self.free_from.cpus, taken.cpus),
-            gpus: part(self.left.gpus, self.free_from.gpus, taken.gpus),
-            ram: part(self.left.ram, self.free_from.ram, taken.ram),
+            cpus: part(self.remaining.cpus, self.source_free.cpus, included.cpus),
+            gpus: part(self.remaining.gpus, self.source_free.gpus, included.gpus),
+            ram: part(self.remaining.ram, self.source_free.ram, included.ram),
         }
     }
 
     /// The step with as many jobs as are needed and may go along, the largest first.
-    fn with_jobs(
+    fn build_transfer(
         &self,
         team: &TeamName,
         share: &Share,
         jobs: &[JobBooking],
         max_jobs: usize,
     ) -> Option<Transfer> {
-        let mut taken = Resources::default();
+        let mut included = Resources::default();
         let mut change = Change::default();
         for job in self.candidates(jobs) {
-            let helps = !self.missing(taken).min(&job.booked).is_empty();
-            if change.reassigned.len() == max_jobs || !helps || !self.admits(taken + job.booked) {
+            let helps = !self.shortfall(included).min(&job.booked).is_empty();
+            if change.reassigned.len() == max_jobs
+                || !helps
+                || !self.can_include(included + job.booked)
+            {
                 continue;
             }
-            taken += job.booked;
+            included += job.booked;
             change.reassigned.insert(job.job.clone(), self.to.clone());
         }
-        let amount = self.amount(taken);
-        if amount.min(&self.left).is_empty() {
+        let amount = self.amount(included);
+        if amount.min(&self.remaining).is_empty() {
             return None;
         }
-        let next = self.split_after(share, amount);
+        let next = self.share_after(share, amount);
         change.shares.insert(team.clone(), next);
         // A booking at the giver meets the move as a conflict, on one side or the other.
         change.read_uses.insert((team.clone(), self.from.clone()));
@@ -165,11 +175,11 @@
     }
 
     /// The split once this amount has moved.
-    fn split_after(&self, share: &Share, amount: Resources) -> Share {
+    fn share_after(&self, share: &Share, amount: Resources) -> Share {
         let mut next = share.clone();
         next.add_granted(self.from, Resources::default() - amount);
         next.add_granted(self.to, amount);
-        let completed = amount.min(&self.left);
+        let completed = amount.min(&self.remaining);
         next.add_pending(self.from, completed);
         next.add_pending(self.to, Resources::default() - completed);
         next.rebalance();
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -23,9 +23,9 @@
     let smallest = jobs
         .iter()
         .filter(|job| job.controller == pending.from)
-        .filter(|job| !pending.left.min(&job.booked).is_empty())
+        .filter(|job| !pending.remaining.min(&job.booked).is_empty())
         .min_by_key(|job| (job.booked.cpus, &job.job))?;
-    let needed = excess_over(pending.left, smallest.booked);
+    let needed = excess_over(pending.remaining, smallest.booked);
     let change = reserve(ledger, team, &pending.to, needed, max_writes).ok()?;
     (change.writes() > 0).then_some(change)
 }
@@ -34,7 +34,7 @@
 struct FirstPending {
     from: ControllerName,
     to: ControllerName,
-    left: Resources,
+    remaining: Resources,
 }
 
 impl FirstPending {
@@ -48,7 +48,7 @@
             .iter()
             .find(|name| !owed.min(&share.due_to(name.as_str())).is_empty())?;
         Some(FirstPending {
-            left: owed.min(&share.due_to(to.as_str())),
+            remaining: owed.min(&share.due_to(to.as_str())),
             from: from.clone(),
             to: to.clone(),
         })
@@ -56,14 +56,14 @@
 }
 
 /// What bookings take beyond what is left to move, where something is.
-fn excess_over(left: Resources, booked: Resources) -> Resources {
-    let excess = |left: Amount, booked: Amount| match left.0 {
+fn excess_over(remaining: Resources, booked: Resources) -> Resources {
+    let excess = |remaining: Amount, booked: Amount| match remaining.0 {
         0 => Amount(0),
-        left => Amount((booked.0 - left).max(0)),
+        remaining => Amount((booked.0 - remaining).max(0)),
     };
     Resources {
-        cpus: excess(left.cpus, booked.cpus),
-        gpus: excess(left.gpus, booked.gpus),
-        ram: excess(left.ram, booked.ram),
+        cpus: excess(remaining.cpus, booked.cpus),
+        gpus: excess(remaining.gpus, booked.gpus),
+        ram: excess(remaining.ram, booked.ram),
     }
 }
--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -29,16 +29,16 @@
 }
 
 /// The largest figure of a move.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_AMOUNT: f64 = 1e9;
 
 impl Amounts {
     /// The amounts as the scheduler counts them; `None` if one is negative, too large or
     /// not a number.
     pub fn resources(&self) -> Option<Resources> {
-        let figures = [self.cpus, self.gpus, self.memory_gb];
-        let valid = figures
+        let amounts = [self.cpus, self.gpus, self.memory_gb];
+        let valid = amounts
             .iter()
-            .all(|figure| (0.0..=MAX_FIGURE).contains(figure));
+            .all(|amount| (0.0..=MAX_AMOUNT).contains(amount));
         valid.then(|| Resources {
             cpus: Amount::rounded_down(self.cpus),
             gpus: Amount::rounded_down(self.gpus),
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -46,7 +46,7 @@
     alive: &[&str],
 ) -> Option<ReconcileStep> {
     replica.shares_since()?;
-    let is_mine = |subject: &str| {
+    let is_responsible = |subject: &str| {
         preferred(subject, alive.iter().copied()) == Some(settings.controller_name.as_str())
     };
     let is_enabled = is_enabled(replica, settings);
@@ -54,15 +54,18 @@
         return None;
     }
     let ledger = replica.ledger(settings);
-    let mut teams = ledger.teams.keys().filter(|team| is_mine(team.as_str()));
+    let mut teams = ledger
+        .teams
+        .keys()
+        .filter(|team| is_responsible(team.as_str()));
     if is_enabled {
         teams
             .find_map(|team| team_step(replica, settings, &ledger, team))
-            .or_else(|| pool_step(replica, settings, &ledger, is_mine("pool")))
+            .or_else(|| pool_step(replica, settings, &ledger, is_responsible("pool")))
     } else {
         teams
             .find_map(|team| close_step(replica, &ledger, team))
-            .or_else(|| remove_pool_step(replica, is_mine("pool")))
+            .or_else(|| remove_pool_step(replica, is_responsible("pool")))
     }
 }
 
@@ -80,9 +83,9 @@
     replica: &Replica,
     settings: &Settings,
     ledger: &Ledger,
-    is_mine: bool,
+    is_responsible: bool,
 ) -> Option<ReconcileStep> {
-    if !is_mine {
+    if !is_responsible {
         return None;
     }
     if let Some(step) = count_machine_shards(replica, settings) {
@@ -229,8 +232,8 @@
     Some(ReconcileStep::new("end", parts))
 }
 
-fn remove_pool_step(replica: &Replica, is_mine: bool) -> Option<ReconcileStep> {
-    if !is_mine || replica.has_shares() {
+fn remove_pool_step(replica: &Replica, is_responsible: bool) -> Option<ReconcileStep> {
+    if !is_responsible || replica.has_shares() {
         return None;
     }
     let mut parts = CommitParts::new(replica);
