--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -13,13 +13,13 @@
         let controllers = self.controllers();
         for source in &controllers {
             let shortfall = (Resources::default() - self.target_for(source.as_str())).positive();
-            self.pass_obligation(&controllers, source, shortfall);
+            self.redistribute_shortfall(&controllers, source, shortfall);
         }
         self.settle_if_complete();
     }
 
     /// Passes what a controller cannot give on to the others.
-    fn pass_obligation(
+    fn redistribute_shortfall(
         &mut self,
         controllers: &[ControllerName],
         source: &ControllerName,
@@ -30,7 +30,7 @@
             for other in controllers.iter().filter(|name| *name != source) {
                 let target = self.target_for(other.as_str()).positive();
                 let bound = match receivers_only {
-                    true => self.due_to(other.as_str()).min(&target),
+                    true => self.incoming_to(other.as_str()).min(&target),
                     false => target,
                 };
                 let part = shortfall.min(&bound);
--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -18,10 +18,10 @@
     NoShares(TeamName),
     /// The team would exceed its limit.
     #[error("{0} would exceed its limit")]
-    Limit(TeamName),
+    TeamLimit(TeamName),
     /// All machines on record together have not as much.
     #[error("the machines on record have no room for it")]
-    Machines,
+    MachineCapacity,
     /// One commit cannot take back enough of what other teams have free: this is to be
     /// committed first, and the rest follows.
     #[error("other teams have to give room back first")]
@@ -53,7 +53,9 @@
     let max_others = max_writes.saturating_sub(2);
     match grow_share(&mut draft, ledger, team, controller, shortfall, max_others) {
         Ok(()) => Ok(draft.finish()),
-        Err(Shortage::Machines) if draft.written_shares_of_others(team) >= max_others.max(1) => {
+        Err(Shortage::MachineCapacity)
+            if draft.written_shares_of_others(team) >= max_others.max(1) =>
+        {
             Err(Shortage::Partial(Box::new(draft.finish())))
         }
         Err(shortage) => Err(shortage),
@@ -112,13 +114,13 @@
         .unwrap_or_default()
         .remaining(total.unwrap_or_default());
     if !remaining.fits(&shortfall) {
-        return Err(Shortage::Limit(team.clone()));
+        return Err(Shortage::TeamLimit(team.clone()));
     }
     let Some(mut pool) = pool_with_free_capacity(draft, ledger, team, shortfall, max_others) else {
-        return Err(Shortage::Machines);
+        return Err(Shortage::MachineCapacity);
     };
     let more = shortfall
-        .scaled(i64::from(ledger.growth))
+        .scaled(i64::from(ledger.growth_factor))
         .min(&pool.free())
         .min(&remaining);
     let part = shortfall.max(&more);
@@ -141,7 +143,7 @@
 ) -> Option<Pool> {
     let mut pool = draft.pool().unwrap_or_default();
     // Those that are about to leave no longer do, but for what is granted already.
-    pool.capacity = ledger.staying.max(&pool.granted);
+    pool.capacity = ledger.retained_capacity.max(&pool.granted);
     draft.set_pool(pool);
     if !pool.free().fits(&shortfall) {
         reclaim_from_other_teams(draft, ledger, team, shortfall, max_others);
--- a/crates/shares/src/capacity.rs
+++ b/crates/shares/src/capacity.rs
@@ -27,7 +27,7 @@
     draft.set_pool(before.unwrap_or_default());
     for team in ledger.teams.keys() {
         let granted = draft.pool().unwrap_or_default().granted;
-        let excess = (granted - ledger.staying).positive();
+        let excess = (granted - ledger.retained_capacity).positive();
         // The pool is written, too.
         if !excess.is_empty() && draft.written_shares() + 1 < max_writes {
             reclaim_from_team(&mut draft, team, excess);
@@ -35,7 +35,7 @@
     }
     let mut pool = draft.pool().unwrap_or_default();
     // Bookings on machines that are about to leave still need their capacity.
-    pool.capacity = ledger.staying.max(&pool.granted);
+    pool.capacity = ledger.retained_capacity.max(&pool.granted);
     draft.set_pool(pool);
     let change = draft.finish();
     (before != Some(pool) || !change.shares.is_empty()).then_some(change)
@@ -51,7 +51,7 @@
     let Some(pool) = ledger.pool else {
         return Ok(None);
     };
-    let remaining = ledger.machines - leaving;
+    let remaining = ledger.machine_capacity - leaving;
     let capacity = pool.capacity.min(&remaining);
     match capacity.fits(&pool.granted) {
         true => Ok(Some(Pool { capacity, ..pool })),
--- a/crates/shares/src/change.rs
+++ b/crates/shares/src/change.rs
@@ -5,7 +5,7 @@
 use resources::Resources;
 
 use crate::ledger::Ledger;
-use crate::names::{ControllerName, JobName, TeamName};
+use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::{Pool, Share};
 
 /// What a decision writes, and what must be as it was read when that is committed.
@@ -19,7 +19,7 @@
     /// The pool, if it is written.
     pub pool: Option<Pool>,
     /// Jobs whose bookings count against another controller's share from then on.
-    pub reassigned: BTreeMap<JobName, ControllerName>,
+    pub reassigned: BTreeMap<JobId, ControllerName>,
     /// Splits that are only read.
     pub read_shares: BTreeSet<TeamName>,
     /// Records of use that are only read: nothing may be booked there meanwhile.
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -5,7 +5,7 @@
 use resources::{Amount, Resources};
 
 use crate::names::{ControllerName, TeamName};
-use crate::records::{Pool, Share, Split};
+use crate::records::{Pool, ResourcesByController, Share};
 
 /// The most that a team may use at any time; `None` where there is no limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
     /// The split of its limit, while its bookings count against shares.
     pub share: Option<Share>,
     /// What is booked, by the controller whose share it counts against.
-    pub used: Split,
+    pub used: ResourcesByController,
 }
 
 impl TeamAccount {
@@ -84,12 +84,12 @@
     pub pool: Option<Pool>,
     /// What the machines on record have whose removal would be seen (see
     /// [`crate::release_machines`]).
-    pub machines: Resources,
+    pub machine_capacity: Resources,
     /// What those of them have that are not about to leave.
-    pub staying: Resources,
+    pub retained_capacity: Resources,
     /// A share that grows from the pool takes so many times what it lacks, where the pool
     /// has as much: each growth writes the pool.
-    pub growth: u32,
+    pub growth_factor: u32,
     /// The teams.
     pub teams: BTreeMap<TeamName, TeamAccount>,
 }
@@ -108,13 +108,13 @@
     PoolAboveMachines,
     /// The pool's sum is not that of the shares.
     #[error("the pool's sum of shares is wrong")]
-    WrongSum,
+    GrantedSumMismatch,
     /// More is booked against a share than it has.
     #[error("more is booked than {1} has of {0}")]
     Overbooked(TeamName, ControllerName),
     /// A share is negative, or is to give what it has not.
     #[error("{1} is to give more of {0} than it has")]
-    Negative(TeamName, ControllerName),
+    NegativeShare(TeamName, ControllerName),
     /// What is to be received is not what is to be given.
     #[error("what is left to move of {0} does not add up to nothing")]
     Unbalanced(TeamName),
@@ -141,18 +141,18 @@
                 found.extend(team_violations(team, account, share));
             }
         }
-        if !self.machines.fits(&sum) {
+        if !self.machine_capacity.fits(&sum) {
             found.push(Violation::AboveMachines);
         }
         if let Some(pool) = &self.pool {
-            if !self.machines.fits(&pool.capacity) {
+            if !self.machine_capacity.fits(&pool.capacity) {
                 found.push(Violation::PoolAboveMachines);
             }
             if pool.granted != sum {
-                found.push(Violation::WrongSum);
+                found.push(Violation::GrantedSumMismatch);
             }
         } else if !sum.is_empty() {
-            found.push(Violation::WrongSum);
+            found.push(Violation::GrantedSumMismatch);
         }
         found
     }
@@ -170,7 +170,7 @@
     for controller in share.controllers() {
         let name = controller.as_str();
         if is_negative(share.granted_to(name)) || is_negative(share.target_for(name)) {
-            found.push(Violation::Negative(team.clone(), controller));
+            found.push(Violation::NegativeShare(team.clone(), controller));
         }
     }
     for (controller, used) in &account.used {
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -40,7 +40,7 @@
 pub use ledger::{Ledger, TeamAccount, TeamLimit, Violation};
 pub use lifecycle::{OpenError, close_team, open_team, rebuild_team};
 pub use moves::{BlockedTransfer, MoveError, blocked_transfer, request_move};
-pub use names::{ControllerName, JobName, TeamName};
+pub use names::{ControllerName, JobId, TeamName};
 pub use records::{MoveRecord, MoveState, Pool, Share};
 pub use transfer::{JobBooking, Transfer, next_transfer};
 pub use unblock::reserve_for_smallest_job;
--- a/crates/shares/src/moves.rs
+++ b/crates/shares/src/moves.rs
@@ -61,7 +61,7 @@
     /// The controller that is to give.
     pub controller: ControllerName,
     /// What it is still to give.
-    pub owed: Resources,
+    pub outgoing: Resources,
     /// Its bookings, which are too large to be taken along.
     pub booked: Resources,
 }
@@ -70,9 +70,9 @@
 pub fn blocked_transfer(account: &TeamAccount) -> Option<BlockedTransfer> {
     let share = account.share.as_ref()?;
     let mut controllers = share.controllers().into_iter();
-    let controller = controllers.find(|name| !share.owed_by(name.as_str()).is_empty())?;
+    let controller = controllers.find(|name| !share.outgoing_from(name.as_str()).is_empty())?;
     Some(BlockedTransfer {
-        owed: share.owed_by(controller.as_str()),
+        outgoing: share.outgoing_from(controller.as_str()),
         booked: account.used_by(controller.as_str()),
         controller,
     })
--- a/crates/shares/src/names.rs
+++ b/crates/shares/src/names.rs
@@ -51,5 +51,5 @@
 );
 name_type!(
     /// The id of a job.
-    JobName
+    JobId
 );
--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -8,7 +8,7 @@
 use crate::names::{ControllerName, TeamName};
 
 /// A split over controllers; who has nothing is left out.
-pub(crate) type Split = BTreeMap<ControllerName, Resources>;
+pub(crate) type ResourcesByController = BTreeMap<ControllerName, Resources>;
 
 /// `share/TEAM`: how a team's quota is split over the controllers. While it exists the
 /// team's bookings count against shares; without it, against the team's own record.
@@ -25,11 +25,11 @@
     pub fallback: ControllerName,
     /// What each controller may have booked.
     #[serde(rename = "g")]
-    pub granted: Split,
+    pub granted: ResourcesByController,
     /// What each controller is still to receive, or to give where it is negative. It
     /// adds up to nothing, and with what is granted it is the split that is wanted.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub pending: Split,
+    pub pending: ResourcesByController,
 }
 
 impl Share {
@@ -44,12 +44,12 @@
     }
 
     /// What a controller is still to give.
-    pub(crate) fn owed_by(&self, controller: &str) -> Resources {
+    pub(crate) fn outgoing_from(&self, controller: &str) -> Resources {
         (Resources::default() - self.pending_for(controller)).positive()
     }
 
     /// What a controller is still to receive, nothing where it is to give.
-    pub(crate) fn due_to(&self, controller: &str) -> Resources {
+    pub(crate) fn incoming_to(&self, controller: &str) -> Resources {
         self.pending_for(controller).positive()
     }
 
@@ -82,7 +82,7 @@
 }
 
 /// Adds an amount to a controller's part of a split.
-fn add(split: &mut Split, controller: &ControllerName, amount: Resources) {
+fn add(split: &mut ResourcesByController, controller: &ControllerName, amount: Resources) {
     let part = split.entry(controller.clone()).or_default();
     *part += amount;
     if part.is_empty() {
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -7,14 +7,14 @@
 
 use crate::change::Change;
 use crate::ledger::{Ledger, TeamAccount};
-use crate::names::{ControllerName, JobName, TeamName};
+use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::Share;
 
 /// A job's bookings, which may be taken along as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobBooking {
     /// The job.
-    pub job: JobName,
+    pub job: JobId,
     /// Whose share they count against.
     pub controller: ControllerName,
     /// What they take.
@@ -46,9 +46,9 @@
     let account = ledger.teams.get(team)?;
     let share = account.share.as_ref()?;
     for from in share.controllers() {
-        let owed = share.owed_by(from.as_str());
+        let owed = share.outgoing_from(from.as_str());
         for to in share.controllers() {
-            let remaining = owed.min(&share.due_to(to.as_str()));
+            let remaining = owed.min(&share.incoming_to(to.as_str()));
             if from == to || remaining.is_empty() {
                 continue;
             }
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -19,7 +19,7 @@
     jobs: &[JobBooking],
     max_writes: usize,
 ) -> Option<Change> {
-    let pending = FirstPending::of(ledger.share(team)?)?;
+    let pending = PendingPair::first_in(ledger.share(team)?)?;
     let smallest = jobs
         .iter()
         .filter(|job| job.controller == pending.from)
@@ -31,24 +31,24 @@
 }
 
 /// The first pair of controllers between which something is left to move.
-struct FirstPending {
+struct PendingPair {
     from: ControllerName,
     to: ControllerName,
     remaining: Resources,
 }
 
-impl FirstPending {
-    fn of(share: &Share) -> Option<Self> {
+impl PendingPair {
+    fn first_in(share: &Share) -> Option<Self> {
         let controllers = share.controllers();
         let from = controllers
             .iter()
-            .find(|name| !share.owed_by(name.as_str()).is_empty())?;
-        let owed = share.owed_by(from.as_str());
+            .find(|name| !share.outgoing_from(name.as_str()).is_empty())?;
+        let owed = share.outgoing_from(from.as_str());
         let to = controllers
             .iter()
-            .find(|name| !owed.min(&share.due_to(name.as_str())).is_empty())?;
-        Some(FirstPending {
-            remaining: owed.min(&share.due_to(to.as_str())),
+            .find(|name| !owed.min(&share.incoming_to(name.as_str())).is_empty())?;
+        Some(PendingPair {
+            remaining: owed.min(&share.incoming_to(to.as_str())),
             from: from.clone(),
             to: to.clone(),
         })
--- a/crates/shares/tests/exploration.rs
+++ b/crates/shares/tests/exploration.rs
@@ -10,7 +10,7 @@
 use pathfinding::directed::bfs::bfs_reach;
 use resources::{Amount, Resources};
 use shares::{
-    Change, ControllerName, JobBooking, JobName, Ledger, TeamLimit, TeamName, adjust_capacity,
+    Change, ControllerName, JobBooking, JobId, Ledger, TeamLimit, TeamName, adjust_capacity,
     next_transfer, open_team, release_machines, request_move, reserve, reserve_for_smallest_job,
 };
 
@@ -118,14 +118,14 @@
     }
 }
 
-fn number(job: &JobName) -> usize {
+fn number(job: &JobId) -> usize {
     job.as_str().parse().expect("a number")
 }
 
 impl World {
     fn new() -> Self {
         let mut ledger = Ledger {
-            growth: 2,
+            growth_factor: 2,
             ..Ledger::default()
         };
         for team in ["t", "u"] {
@@ -135,8 +135,8 @@
                 gpus: None,
             };
         }
-        ledger.machines = cpus(MACHINE_CPUS * MACHINES as i64);
-        ledger.staying = ledger.machines;
+        ledger.machine_capacity = cpus(MACHINE_CPUS * MACHINES as i64);
+        ledger.retained_capacity = ledger.machine_capacity;
         adjust_capacity(&ledger, MAX_WRITES)
             .expect("a pool")
             .apply(&mut ledger);
@@ -197,7 +197,7 @@
                 return None;
             };
             (JOBS[job].team == team).then(|| JobBooking {
-                job: JobName::from(job.to_string().as_str()),
+                job: JobId::from(job.to_string().as_str()),
                 controller: ControllerName::from(*by),
                 booked: cpus(JOBS[job].cpus),
             })
@@ -300,8 +300,8 @@
         }
         if let Some(machine) = commit.leaves {
             next.machines[machine] = false;
-            next.ledger.machines -= cpus(MACHINE_CPUS);
-            next.ledger.staying -= cpus(MACHINE_CPUS);
+            next.ledger.machine_capacity -= cpus(MACHINE_CPUS);
+            next.ledger.retained_capacity -= cpus(MACHINE_CPUS);
         }
         next.asked += u8::from(commit.writes.contains(&Key::Move(self.asked)));
         next
--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -7,7 +7,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use resources::{Amount, Resources};
 use shares::{
-    ControllerName, JobBooking, JobName, Ledger, MoveError, MoveRecord, MoveState, Share, Shortage,
+    ControllerName, JobBooking, JobId, Ledger, MoveError, MoveRecord, MoveState, Share, Shortage,
     TeamLimit, TeamName, adjust_capacity, blocked_transfer, close_team, next_transfer, open_team,
     release_machines, request_move, reserve, reserve_for_smallest_job,
 };
@@ -156,7 +156,7 @@
                 account.book(&controller, need);
                 self.named += 1;
                 self.jobs.push(JobBooking {
-                    job: JobName::from(self.named.to_string().as_str()),
+                    job: JobId::from(self.named.to_string().as_str()),
                     controller,
                     booked: need,
                 });
@@ -237,18 +237,18 @@
         if !may_leave {
             return;
         }
-        self.ledger.staying -= amount(MACHINE, 2);
+        self.ledger.retained_capacity -= amount(MACHINE, 2);
         if let Some(change) = adjust_capacity(&self.ledger, MANY_WRITES) {
             change.apply(&mut self.ledger);
         }
         let pool = release_machines(&self.ledger, amount(MACHINE, 2));
         self.ledger.pool = pool.expect("free room to take it from");
-        self.ledger.machines -= amount(MACHINE, 2);
+        self.ledger.machine_capacity -= amount(MACHINE, 2);
     }
 
     fn machine_comes(&mut self) {
-        self.ledger.machines += amount(MACHINE, 2);
-        self.ledger.staying += amount(MACHINE, 2);
+        self.ledger.machine_capacity += amount(MACHINE, 2);
+        self.ledger.retained_capacity += amount(MACHINE, 2);
     }
 
     fn adjust(&mut self) {
@@ -275,9 +275,9 @@
             gpus: None,
         };
         let mut ledger = Ledger {
-            machines: books.room(),
-            staying: books.room(),
-            growth: 4,
+            machine_capacity: books.room(),
+            retained_capacity: books.room(),
+            growth_factor: 4,
             ..Ledger::default()
         };
         for team in TEAMS {
@@ -321,7 +321,7 @@
             }
             Event::MachineComes => accounts.machine_comes(),
             Event::MachineLeaves => {
-                let may_leave = after.room() != accounts.ledger.machines;
+                let may_leave = after.room() != accounts.ledger.machine_capacity;
                 accounts.machine_leaves(may_leave);
             }
             Event::Adjust => accounts.adjust(),
@@ -403,8 +403,8 @@
 #[test]
 fn room_comes_back_from_many_teams_in_several_commits() {
     let mut ledger = Ledger {
-        machines: amount(8, 8),
-        staying: amount(8, 8),
+        machine_capacity: amount(8, 8),
+        retained_capacity: amount(8, 8),
         ..Ledger::default()
     };
     let names: Vec<String> = (0..9).map(|n| format!("team-{n}")).collect();
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -75,15 +75,15 @@
 
     /// The controller whose share a job's bookings count against: as long as some of its
     /// tasks are booked it stays the same, else it is this one.
-    pub fn share_of(&self, team: &str, job: &Job) -> ControllerName {
+    pub fn controller_for_new_bookings(&self, team: &str, job: &Job) -> ControllerName {
         if job.runs.is_empty() {
             return self.own.clone();
         }
-        self.booked_share(team, job)
+        self.controller_of_bookings(team, job)
     }
 
     /// The controller whose share a job's present bookings count against.
-    pub fn booked_share(&self, team: &str, job: &Job) -> ControllerName {
+    pub fn controller_of_bookings(&self, team: &str, job: &Job) -> ControllerName {
         let share = self.ledger.teams.get(team).and_then(|a| a.share.as_ref());
         let fallback = || share.map(|share| share.fallback.clone());
         let name = job.share.clone().or_else(fallback);
@@ -91,7 +91,7 @@
     }
 
     /// Whether this transaction writes the record of what is booked there.
-    pub fn has_use(&self, team: &str, controller: &ControllerName) -> bool {
+    pub fn writes_use_record(&self, team: &str, controller: &ControllerName) -> bool {
         let id = share_use_id(team, controller.as_str());
         self.uses.contains_key(&id)
     }
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -7,7 +7,7 @@
 
 use super::CommitParts;
 use super::messages::{MoveAnswer, MoveRequest};
-use super::operators::{RETRY_AFTER_S, move_answer, move_report, refusal};
+use super::operators::{RETRY_AFTER_S, move_answer, move_report, unavailable_response};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::budget::RequestClass;
@@ -73,7 +73,7 @@
         if !controller.is_state_service_reachable() {
             break;
         }
-        if let Some(refusal) = refusal(controller, &controller.replica.borrow()) {
+        if let Some(refusal) = unavailable_response(controller, &controller.replica.borrow()) {
             return refusal;
         }
         match decide(controller, &request) {
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -25,7 +25,7 @@
 /// The answer to `GET /ops/shares`, of one team if one is named.
 pub fn shares(controller: &Controller, team: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
-    if let Some(refusal) = refusal(controller, &replica) {
+    if let Some(refusal) = unavailable_response(controller, &replica) {
         return refusal;
     }
     let ledger = replica.ledger(&controller.settings);
@@ -49,7 +49,7 @@
 /// The answer to `GET /ops/shares/moves`, of one move if one is named.
 pub fn moves(controller: &Controller, id: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
-    if let Some(refusal) = refusal(controller, &replica) {
+    if let Some(refusal) = unavailable_response(controller, &replica) {
         return refusal;
     }
     match id {
@@ -62,7 +62,7 @@
 }
 
 /// Why nothing can be said of shares here, if so.
-pub(super) fn refusal(controller: &Controller, replica: &Replica) -> Option<Response> {
+pub(super) fn unavailable_response(controller: &Controller, replica: &Replica) -> Option<Response> {
     if !replica.loaded {
         return Some(Response::unavailable(
             "the state is not read yet",
@@ -102,7 +102,7 @@
     Some(format!(
         "{} is still to give {}; it has {} free and {} booked",
         found.controller,
-        amount_text(found.owed),
+        amount_text(found.outgoing),
         amount_text(free),
         amount_text(found.booked)
     ))
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -88,12 +88,12 @@
     if !is_responsible {
         return None;
     }
-    if let Some(step) = count_machine_shards(replica, settings) {
+    if let Some(step) = rewrite_uncounted_shards(replica, settings) {
         return Some(step);
     }
     let must_adjust = ledger
         .pool
-        .is_none_or(|pool| !ledger.staying.fits(&pool.granted));
+        .is_none_or(|pool| !ledger.retained_capacity.fits(&pool.granted));
     let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| must_adjust)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
@@ -102,7 +102,7 @@
 
 /// Writes machine shards anew that were last written before every controller counted the
 /// machines that it takes off the record: from then on what was decided before fails.
-fn count_machine_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
+fn rewrite_uncounted_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
         .filter(|(id, _)| !replica.is_counted_shard(id))
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -27,7 +27,7 @@
         return 0;
     }
     let next_gang = Job::new(gpu.clone(), 0);
-    let urgency = EffectiveUrgency::of(gpu);
+    let urgency = EffectiveUrgency::without_dependents(gpu);
     let facts = scheduler::job_facts(&next_gang, gpu, plan, settings, replica, 0.0, &urgency);
     let gangs = settings.policy.headroom(&facts);
     (gangs * f64::from(gpu.tasks)).round() as usize
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -88,7 +88,7 @@
             let number = barriers.start_next();
             match self.store.revision(BARRIER_KEY).await {
                 Ok(revision) => self.complete_barrier(number, sent, revision).await,
-                Err(error) => self.note_failed_barrier(number, &error),
+                Err(error) => self.record_failed_barrier(number, &error),
             }
             sleep(min_interval.saturating_sub(sent.elapsed())).await;
         }
@@ -110,7 +110,7 @@
         }
     }
 
-    fn note_failed_barrier(&self, number: u64, error: &StoreError) {
+    fn record_failed_barrier(&self, number: u64, error: &StoreError) {
         tracing::debug!(%error, "read barrier failed");
         if error.is_refusal() {
             self.state_sync.barriers.refused.send_replace(number);
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -28,7 +28,7 @@
     }
 
     /// How long the process has not run, as far as it has noticed.
-    fn take_pause(&self, now: Instant) -> Duration {
+    fn take_time_since_last_run(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_ran.replace(now))
     }
 
@@ -47,7 +47,7 @@
     /// machines. Whoever concludes anything from silence begins with this.
     pub fn liveness_tick(&self) -> Instant {
         let now = Instant::now();
-        let pause = self.process_clock.take_pause(now);
+        let pause = self.process_clock.take_time_since_last_run(now);
         if pause > self.settings.worker_lease() / 8 {
             tracing::info!(pause_s = pause.as_secs_f64(), "process paused");
             self.workers.exclude_pause(pause, now);
@@ -57,7 +57,7 @@
     }
 
     /// Notices soon when this process was paused, or falls behind.
-    pub async fn run_liveness(self: Rc<Self>) {
+    pub async fn run_pause_detection(self: Rc<Self>) {
         let tick = self.settings.worker_lease() / 32;
         // One long pause is not load.
         let max_delay = self.settings.heartbeat_interval() / 2;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -21,7 +21,7 @@
         .listen(controller.settings.gossip_addr)
         .await?;
     let tasks = [
-        spawn_local(controller.clone().run_liveness()),
+        spawn_local(controller.clone().run_pause_detection()),
         spawn_local(controller.clone().run_watch()),
         spawn_local(controller.clone().run_barriers()),
         spawn_local(api::serve(controller.clone(), user_listener)),
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -57,7 +57,7 @@
     }
 
     /// Forgets what is demanded of a job, and since when it is known: it is over.
-    fn remove_demand(&mut self, id: &str) {
+    fn remove_job(&mut self, id: &str) {
         self.first_seen.remove(id);
         self.demand.remove(id);
     }
--- a/src/dependencies/demand.rs
+++ b/src/dependencies/demand.rs
@@ -43,7 +43,7 @@
 
 impl EffectiveUrgency {
     /// That of a job without dependents, submitted just now.
-    pub fn of(spec: &Spec) -> Self {
+    pub fn without_dependents(spec: &Spec) -> Self {
         EffectiveUrgency {
             priority: spec.priority,
             time_left_s: spec.deadline_s,
@@ -129,12 +129,14 @@
     /// What the direct dependents of a job demand of it together.
     fn demand_of_dependents(&self, id: &str) -> Option<DependentDemand> {
         let dependents = self.dependency_graph.dependents.get(id)?;
-        let demands = dependents.iter().filter_map(|id| self.demand_passed_on(id));
+        let demands = dependents
+            .iter()
+            .filter_map(|id| self.demand_on_dependencies(id));
         demands.reduce(DependentDemand::merge)
     }
 
     /// What a blocked job demands of its dependencies.
-    fn demand_passed_on(&self, id: &str) -> Option<DependentDemand> {
+    fn demand_on_dependencies(&self, id: &str) -> Option<DependentDemand> {
         let spec = self.jobs.get(id)?.value.spec.as_ref()?;
         let deadline = earliest(self.own_deadline(id, spec), self.demanded_deadline(id));
         // Its own work comes between; tasks of one job run side by side.
--- a/src/dependencies/index.rs
+++ b/src/dependencies/index.rs
@@ -14,11 +14,11 @@
         match job.status {
             JobStatus::Open => self.index_open_job(id),
             JobStatus::Done => {
-                self.dependency_graph.remove_demand(id);
+                self.dependency_graph.remove_job(id);
                 self.unblock_dependents(id);
             }
             JobStatus::Cancelled => {
-                self.dependency_graph.remove_demand(id);
+                self.dependency_graph.remove_job(id);
                 self.cancel_dependents(id);
             }
         }
@@ -48,7 +48,7 @@
         }
         match pending.is_empty() {
             true => self.make_ready(id),
-            false => self.block(id, pending),
+            false => self.add_to_blocked(id, pending),
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The job waits for its pending dependencies.
-    fn block(&mut self, id: &str, pending: Vec<String>) {
+    fn add_to_blocked(&mut self, id: &str, pending: Vec<String>) {
         let graph = &mut self.dependency_graph;
         for dependency in &pending {
             let dependents = graph.dependents.entry(dependency.clone());
@@ -132,7 +132,7 @@
                 continue;
             }
             self.remove_from_blocked(&id);
-            self.dependency_graph.remove_demand(&id);
+            self.dependency_graph.remove_job(&id);
             pending.extend(self.dependency_graph.take_dependents(&id));
         }
     }
--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -29,7 +29,9 @@
             return Some(Account::Team);
         }
         let accounts = self.accounts.as_ref()?;
-        Some(Account::Share(accounts.share_of(team, job)))
+        Some(Account::Share(
+            accounts.controller_for_new_bookings(team, job),
+        ))
     }
 
     /// Whether the record that the job's bookings count against is not written yet.
@@ -37,7 +39,7 @@
         let account = self.job(job).and_then(|job| self.account_of(team, job));
         match (account, &self.accounts) {
             (Some(Account::Share(controller)), Some(accounts)) => {
-                !accounts.has_use(team, &controller)
+                !accounts.writes_use_record(team, &controller)
             }
             _ => !self.teams.contains_key(team),
         }
--- a/src/scheduler/transaction/release.rs
+++ b/src/scheduler/transaction/release.rs
@@ -91,7 +91,7 @@
     /// Gives a task's resources back to the share that its booking counts against.
     fn release_from_share(&mut self, id: &str, spec: &Spec) {
         let share = match (&self.accounts, self.job(id)) {
-            (Some(accounts), Some(job)) => accounts.booked_share(&spec.team, job),
+            (Some(accounts), Some(job)) => accounts.controller_of_bookings(&spec.team, job),
             _ => return,
         };
         if let Some(accounts) = &mut self.accounts {
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -145,9 +145,9 @@
         let teams = settings.deployment.teams.iter();
         Ledger {
             pool: self.pool.as_ref().map(|entry| entry.value),
-            machines: sums.on_record,
-            staying: sums.staying,
-            growth: settings.features.shares.growth,
+            machine_capacity: sums.on_record,
+            retained_capacity: sums.staying,
+            growth_factor: settings.features.shares.growth,
             teams: teams
                 .map(|terms| {
                     let (cpus, gpus) = terms.limit();
