--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -1,8 +1,8 @@
-//! Read barriers: how recent the replica surely is.
+//! Read barriers, which bound the staleness of the replica.
 //!
-//! A barrier reads the store's revision and waits until the replica has reached it.
-//! The replica then holds everything that was committed before the read was sent; the
-//! send time of the last such read bounds the replica's staleness.
+//! A read barrier reads the state service's revision and waits until the replica has
+//! reached it. The replica then contains everything that was committed before the read was
+//! sent, so the send time of the last completed read bounds the replica's staleness.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,27 +15,30 @@
 use crate::state::keys::BARRIER_KEY;
 
 impl Controller {
-    /// How old the last barrier is; `None` before the first barrier.
+    /// Returns the time since the last completed barrier was sent; `None` before the first
+    /// one.
     pub fn replica_staleness(&self) -> Option<Duration> {
         self.state_sync.last_barrier().map(|sent| sent.elapsed())
     }
 
-    /// Safety 4: a controller that may have missed a cancellation for too
-    /// long must not keep workers' leases alive.
+    /// Returns whether this controller may renew its workers' leases. Safety 4: a
+    /// controller that may have missed a cancellation for longer than the staleness limit
+    /// must not extend them.
     pub fn may_renew_leases(&self) -> bool {
         self.replica_staleness()
             .is_some_and(|age| age < self.settings.staleness_limit())
     }
 
-    /// Whether the state service serves this controller, as far as is known.
+    /// Returns whether the state service has served this controller within the last quarter
+    /// of a worker's lease.
     pub fn is_state_service_reachable(&self) -> bool {
         let limit = self.settings.worker_lease() / 4;
         self.replica_staleness().is_some_and(|age| age < limit)
     }
 
-    /// Has a machine's commands planned again after the next read barrier, and asks for
-    /// one. Only the first machine asks: where the state service refuses, barriers
-    /// are tried again in their normal interval.
+    /// Defers the launches on a machine until the next read barrier completes, and requests
+    /// a barrier. Only the first deferred machine sends the request: while the state
+    /// service refuses requests, barriers are retried at their normal interval.
     pub fn request_barrier_for(&self, machine: &str) {
         let barriers = &self.state_sync.barriers;
         let mut deferred = barriers.deferred_launches.borrow_mut();
@@ -45,9 +48,9 @@
         deferred.insert(machine.to_string());
     }
 
-    /// Waits until the replica holds everything that was committed before this
-    /// call; false if it takes longer than `limit`. Many callers share one read of
-    /// the revision.
+    /// Waits until the replica contains everything that was committed before this call.
+    /// Returns false if that takes longer than `limit`. Concurrent callers share one read
+    /// of the revision.
     pub async fn wait_for_barrier(&self, limit: Duration) -> bool {
         let barriers = &self.state_sync.barriers;
         let awaited = barriers.next_number();
@@ -59,8 +62,9 @@
         )
     }
 
-    /// The same for a user's request, which is not kept waiting once the state
-    /// service has refused to serve the barrier.
+    /// Waits like [`Self::wait_for_barrier`], but returns false as soon as the state
+    /// service refuses to serve the barrier, so that a user's request does not wait for the
+    /// whole limit.
     pub async fn wait_for_barrier_unless_refused(&self, limit: Duration) -> bool {
         let barriers = &self.state_sync.barriers;
         let awaited = barriers.next_number();
@@ -72,15 +76,14 @@
         }
     }
 
-    /// Issues read barriers: one in each normal interval, and sooner for those who
-    /// wait for one.
+    /// Issues read barriers: one per idle interval, and earlier when one is requested.
     pub async fn run_barriers(self: Rc<Self>) {
         let idle = self.settings.barrier_pause();
         let min_interval = self.request_interval() * BARRIER_GAP_REQUESTS;
         let barriers = &self.state_sync.barriers;
         loop {
-            // A controller that has just started has workers whose leases run
-            // out: its first barrier does not wait for anyone to ask.
+            // The leases of a newly started controller's workers are already running out,
+            // so the first barrier is sent without waiting for a request.
             if barriers.last_completed.get().is_some() {
                 let _ = timeout(idle, barriers.requested.notified()).await;
             }
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Waits until the replica has reached the revision that a barrier has read.
+    /// Waits until the replica has reached the revision that a barrier read, then records
+    /// the barrier as completed.
     async fn complete_barrier(&self, number: u64, sent: Instant, revision: u64) {
         let limit = self.settings.worker_lease() / 8;
         if self.replica.borrow().revision < revision {
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Takes over a newer read barrier, and has what waited for it planned again.
+    /// Records the send time of a newly completed barrier, and schedules the launches that
+    /// were deferred until it.
     fn set_last_barrier(&self, sent: Instant) {
         let barriers = &self.state_sync.barriers;
         barriers.last_completed.set(Some(sent));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,13 +1,14 @@
-//! One controller: the context that its loops share.
+//! The context that the loops of one controller share.
 //!
 //! | module | task |
 //! | --- | --- |
 //! | `watch` | keeps the replica up to date with the state service |
-//! | `barrier` | read barriers: how recent the replica surely is |
-//! | `state_sync` | the progress of both, and who waits for it |
-//! | `process_clock` | pauses of this process, and how late its timers fire |
+//! | `barrier` | read barriers, which bound the replica's staleness |
+//! | `state_sync` | the progress of the watch and the barriers, and notifications of it |
+//! | `process_clock` | pauses of this process, and the delay of its timers |
 //!
-//! The loops that use the context stand with their subjects; `daemon` starts them.
+//! The loops themselves are defined in the modules of their subsystems; `daemon` starts
+//! them.
 
 mod barrier;
 mod process_clock;
@@ -40,54 +41,58 @@
 use crate::wire::{Commit, Precondition, Write};
 use crate::workers::WorkerTable;
 
-/// How much longer than a request's body a worker's answer to commands may be.
+/// Size limit of a worker's response to commands, as a multiple of the limit of a request
+/// body.
 const WORKER_RESPONSE_BODIES: usize = 4;
 
-/// The state service counts as not answering after this part of a worker's lease,
-/// within the bounds below: answers take milliseconds, now and then hundreds of them.
+/// Timeout of a request to the state service as a fraction of a worker's lease, within the
+/// bounds below. Responses take milliseconds, occasionally hundreds of milliseconds.
 const STATE_TIMEOUT_PER_LEASE: f64 = 1.0 / 8.0;
 const MIN_STATE_TIMEOUT_S: f64 = 0.5;
 const MAX_STATE_TIMEOUT_S: f64 = 2.0;
 
-/// The context that the loops of one controller share; all of them run on one thread.
-/// Each subsystem's state is in a struct of that subsystem's module.
+/// The context that the loops of one controller share. All loops run on one thread. Each
+/// subsystem keeps its state in a struct of its own module.
 pub struct Controller {
-    /// The settings that the controller was started with.
+    /// The settings with which the controller was started.
     pub settings: Settings,
-    /// The network that it listens and calls on.
+    /// The network on which the controller listens and connects.
     pub net: Net,
     /// The client for the state service and the cloud.
     pub client: Rc<Client>,
-    /// The client for direct commands to workers: bounded, as there are many of them.
+    /// The client for direct commands to workers, with a limited number of connections, as
+    /// there are many workers.
     pub worker_client: Client,
-    /// The state service, with this controller's part of its request budget.
+    /// The client of the state service, with this controller's part of the request budget.
     pub store: Store,
-    /// Tells this run of the process from the earlier ones of the same name.
+    /// A random number that distinguishes this run of the process from earlier runs under
+    /// the same controller name.
     pub incarnation: u64,
-    /// When this process was started.
+    /// The start time of this process.
     pub started: Instant,
-    /// Pauses of this process and the delay of its timers.
+    /// Pauses of this process, and the delay of its timers.
     process_clock: ProcessClock,
-    /// The state service's records, as far as they have been read.
+    /// The local copy of the state service's records.
     pub replica: RefCell<Replica>,
-    /// How far the replica is up to date, and who waits for it.
+    /// The progress of the replica, and notifications of it.
     pub state_sync: StateSync,
-    /// Submissions and questions of users.
+    /// Users' submissions and queries in progress.
     pub admissions: Admissions,
-    /// The workers that this controller owns, and its claims to more.
+    /// The workers that this controller owns, and its claims to further ones.
     pub workers: WorkerTable,
-    /// What placement remembers of the jobs that wait.
+    /// The state that placement keeps about waiting jobs.
     pub placement: PlacementState,
-    /// What the other controllers have told of themselves.
+    /// The last reports of the other controllers.
     pub peers: RefCell<PeerTable>,
-    /// What is known of the provisioned machines, owned here or not.
+    /// The state of all provisioned machines, including those that other controllers own.
     pub fleet: RefCell<FleetState>,
-    /// Randomness for spreading load; nothing secret.
+    /// The random number generator for spreading load; not for secrets.
     pub rng: RefCell<SmallRng>,
 }
 
 impl Controller {
-    /// A controller that has not started any loop yet; `seed` is for its random numbers.
+    /// Creates a controller whose loops have not started yet. `seed` initializes its random
+    /// numbers.
     pub fn new(settings: Settings, net: Net, seed: u64) -> Rc<Self> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let now = Instant::now();
@@ -113,20 +118,20 @@
         })
     }
 
-    /// The controller's name.
+    /// Returns the controller's name.
     pub fn name(&self) -> &str {
         &self.settings.controller_name
     }
 
-    /// The interval at which this controller may send requests to the state service
-    /// without going beyond its part of the limits.
+    /// Returns the interval at which this controller may send requests to the state service
+    /// within its part of the rate limit.
     pub fn request_interval(&self) -> Duration {
         let rps = self.settings.rps(self.store.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
-    /// Commits a transaction, and lays it over the replica ahead of the watch. Returns
-    /// the revision of the commit.
+    /// Commits a transaction, and applies its writes to the replica before the watch
+    /// delivers them. Returns the revision of the commit.
     pub async fn commit(
         &self,
         class: RequestClass,
@@ -143,7 +148,7 @@
         Ok(revision)
     }
 
-    /// Wakes the loops that depend on the replica, as it has changed.
+    /// Wakes the loops that depend on the replica after a change of it.
     pub fn notify_replica_changed(&self) {
         let revision = self.replica.borrow().revision;
         self.state_sync.advance_to(revision);
@@ -152,13 +157,13 @@
     }
 }
 
-/// The client for the state service and the cloud.
+/// Creates the client for the state service and the cloud.
 fn new_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
     client.bounded(usize::MAX, settings.max_response_bytes())
 }
 
-/// The client for direct commands to workers.
+/// Creates the client for direct commands to workers.
 fn new_worker_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
     client.bounded(
@@ -167,7 +172,7 @@
     )
 }
 
-/// The client of the state service, with this controller's part of its limits.
+/// Creates the client of the state service, with this controller's part of its rate limits.
 fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> Store {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
@@ -181,7 +186,7 @@
     Store::new(client, settings.external.state, budget, timeout, rng)
 }
 
-/// An empty replica for these settings.
+/// Creates an empty replica for these settings.
 fn new_replica(settings: &Settings) -> Replica {
     let will_compact = settings.limits_will_fall();
     let compact_limit = will_compact.then(|| settings.value_limit_bytes());
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -1,5 +1,5 @@
-//! The process's own clock: pauses in which it did not run, and how late its timers
-//! fire.
+//! Detection of pauses in which this process did not run, and measurement of the delay with
+//! which its timers fire.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use super::Controller;
 
-/// When this process last ran, and how late its timers fire.
+/// The time at which this process last ran, and the delay of its timers.
 #[derive(Debug)]
 pub(super) struct ProcessClock {
-    /// When this process last ran, as far as it has noticed.
+    /// The time at which this process was last seen running.
     last_ran: Cell<Instant>,
-    /// The recent mean of how late its timers fire: it grows where the work exceeds
-    /// the share of the processor.
+    /// The moving average of the delay of the process's timers. It grows when the work
+    /// exceeds the process's share of the processor.
     lag: Cell<Duration>,
 }
 
@@ -27,24 +27,26 @@
         }
     }
 
-    /// How long the process has not run, as far as it has noticed.
+    /// Returns the time since the previous call, in which the process may not have run.
     fn take_time_since_last_run(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_ran.replace(now))
     }
 
-    /// Takes one more delay of a timer into the mean. Timers fire in steps of some
-    /// milliseconds: a mean of a few.
+    /// Adds the delay of one timer to the moving average. Timers fire in steps of a few
+    /// milliseconds, so the average covers only a few delays.
     fn record_delay(&self, delay: Duration) {
         self.lag.set((self.lag.get() * 3 + delay) / 4);
     }
 }
 
 impl Controller {
-    /// The time, once what this process did not see of it has been taken out of
-    /// all spans of silence. A controller that was paused, for whatever cause,
-    /// finds its timers due and its workers' heartbeats unread when it goes on: to
-    /// count that as their silence would end the work of hundreds of healthy
-    /// machines. Whoever concludes anything from silence begins with this.
+    /// Returns the current time, after excluding pauses of this process from all measured
+    /// periods of silence.
+    ///
+    /// A controller that was paused, for whatever reason, finds its timers expired and its
+    /// workers' heartbeats unread when it resumes. If it counted the pause as silence of
+    /// the workers, it would terminate the work of hundreds of healthy machines. Every
+    /// decision that is based on silence must therefore take the time from this method.
     pub fn liveness_tick(&self) -> Instant {
         let now = Instant::now();
         let pause = self.process_clock.take_time_since_last_run(now);
@@ -56,10 +58,10 @@
         now
     }
 
-    /// Notices soon when this process was paused, or falls behind.
+    /// Detects pauses and overload of this process within a short interval.
     pub async fn run_pause_detection(self: Rc<Self>) {
         let tick = self.settings.worker_lease() / 32;
-        // One long pause is not load.
+        // Bounds the effect of one long pause, which is not load.
         let max_delay = self.settings.heartbeat_interval() / 2;
         loop {
             let now = self.liveness_tick();
@@ -71,13 +73,14 @@
         }
     }
 
-    /// The recent mean of how late this process's timers fire.
+    /// Returns the moving average of the delay with which this process's timers fire.
     pub fn lag(&self) -> Duration {
         self.process_clock.lag.get()
     }
 }
 
-/// An earlier moment as it counts after a pause: none of the pause has passed since.
+/// Shifts an earlier time forward by a pause, up to `now` at most, so that the pause does
+/// not count as time that has passed since.
 pub fn shifted_past_pause(at: Instant, pause: Duration, now: Instant) -> Instant {
     at.checked_add(pause)
         .map_or(now, |shifted| shifted.min(now))
--- a/src/controller/state_sync.rs
+++ b/src/controller/state_sync.rs
@@ -1,4 +1,4 @@
-//! How far the replica is up to date with the state service, and who waits for it.
+//! The progress of the replica relative to the state service, and notifications of it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -6,27 +6,27 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// The progress of the replica, of the watch that feeds it, and of the read barriers
-/// that show how recent it is.
+/// The progress of the replica, of the watch that updates it, and of the read barriers that
+/// bound its staleness.
 #[derive(Debug, Default)]
 pub struct StateSync {
     /// The revision that the replica has reached.
     pub(super) applied_revision: watch::Sender<u64>,
     pub(super) barriers: ReadBarriers,
-    /// Ends the present watch, as it may be stuck.
+    /// Ends the current watch, which may be stuck, so that a new one is opened.
     pub(super) reopen_watch: Notify,
-    /// Has the next watch opened without delay, as someone waits for the replica.
+    /// Opens the next watch without delay, for callers that wait for the replica.
     pub(super) expedite_watch: Notify,
 }
 
 impl StateSync {
-    /// The send time of the last read barrier that the replica has reached; `None`
-    /// before the first.
+    /// Returns the send time of the last read barrier that the replica has reached; `None`
+    /// before the first one.
     pub fn last_barrier(&self) -> Option<Instant> {
         self.barriers.last_completed.get()
     }
 
-    /// Tells those who wait that the replica has reached this revision.
+    /// Notifies waiting callers that the replica has reached this revision.
     pub(super) fn advance_to(&self, revision: u64) {
         self.applied_revision.send_if_modified(|applied| {
             let is_newer = *applied < revision;
@@ -36,7 +36,8 @@
     }
 }
 
-/// Read barriers, numbered in the order in which they are started.
+/// The state of the read barriers, which are numbered in the order in which they are
+/// started.
 #[derive(Debug, Default)]
 pub(super) struct ReadBarriers {
     /// Wakes the loop that issues barriers.
@@ -49,19 +50,20 @@
     pub(super) refused: watch::Sender<u64>,
     /// The send time of the last barrier that the replica has reached.
     pub(super) last_completed: Cell<Option<Instant>>,
-    /// Machines with launches that wait for the next barrier.
+    /// Machines whose launches are deferred until the next barrier.
     pub(super) deferred_launches: RefCell<BTreeSet<String>>,
 }
 
 impl ReadBarriers {
-    /// Counts one more barrier as started and returns its number.
+    /// Counts one more barrier as started, and returns its number.
     pub(super) fn start_next(&self) -> u64 {
         let number = self.next_number();
         self.started.set(number);
         number
     }
 
-    /// The number of the next barrier to start, which is surely sent after this call.
+    /// Returns the number of the next barrier to be started, which is certain to be sent
+    /// after this call.
     pub(super) fn next_number(&self) -> u64 {
         self.started.get() + 1
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps the replica up to date with the state service: a full read, then one watch
-//! after another.
+//! The watch that keeps the replica up to date with the state service: a full read, then a
+//! sequence of watch requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,24 +10,25 @@
 use crate::state::client::StoreError;
 use crate::state::keys::PREFIX;
 
-/// The pause before a read that has failed is tried again, with jitter.
+/// Pause before a failed read is retried, before jitter.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How a watch has ended.
+/// The result of one watch request.
 enum WatchEnd {
-    /// The replica has been brought up to the answer.
+    /// The replica was updated with the response.
     Advanced,
-    /// Someone asked for a new watch, as this one may be stuck.
+    /// A new watch was requested, as the current one may be stuck.
     Reopened,
-    /// The service no longer has the changes, or they are too many for one answer:
-    /// the records must be read anew.
+    /// The service no longer has the changes since the replica's revision, or they exceed
+    /// the size of one response. All records must be read again.
     FallenBehind,
-    /// The watch has failed, and may be tried again.
+    /// The watch failed and may be retried.
     Failed,
 }
 
 impl Controller {
-    /// Waits until the replica has reached a revision; false if it takes longer.
+    /// Waits until the replica has reached a revision. Returns false if that takes longer
+    /// than `limit`.
     pub async fn wait_for_revision(&self, revision: u64, limit: Duration) -> bool {
         let mut applied = self.state_sync.applied_revision.subscribe();
         matches!(
@@ -36,18 +37,19 @@
         )
     }
 
-    /// Has the next watch opened without delay: something that others have committed
-    /// is known to be ahead of the replica.
+    /// Opens the next watch without delay. Called when the replica is known to lack a
+    /// commit of another controller.
     pub fn expedite_watch(&self) {
         self.state_sync.expedite_watch.notify_one();
     }
 
-    /// Keeps the replica: a full read, then one watch after another.
+    /// Keeps the replica up to date: reads all records, then issues one watch request after
+    /// another.
     pub async fn run_watch(self: Rc<Self>) {
         let min_interval = self.request_interval() * 2;
-        // A watch brings every change since, however often a record was
-        // written: after a long silence that is many times the state itself,
-        // and more than the memory holds.
+        // A watch delivers every change since the replica's revision, however often a
+        // record was written. After a long silence the changes are many times larger than
+        // the state itself and may exceed the memory, so the state is read again instead.
         let max_silence = self.settings.worker_lease() / 2;
         let mut last_answered = Instant::now();
         let mut fallen_behind = false;
@@ -69,14 +71,14 @@
                 WatchEnd::Failed => {}
                 WatchEnd::Reopened => continue,
             }
-            // Each opened watch counts as a request: while changes come in a
-            // steady stream, they are taken some at a time.
+            // Each watch that is opened counts as a request. While changes arrive
+            // continuously, the pause batches them.
             let pause = min_interval.saturating_sub(opened.elapsed());
             let _ = timeout(pause, self.state_sync.expedite_watch.notified()).await;
         }
     }
 
-    /// Reads all records anew.
+    /// Reads all records again and replaces the contents of the replica.
     async fn load(&self) -> Result<(), StoreError> {
         let mut pairs = Vec::new();
         let mut after = String::new();
@@ -99,9 +101,10 @@
             revision = oldest_revision,
             "state loaded"
         );
-        // Pages read at different revisions may together show a removed key
-        // or half of a commit: bookings without the zone shard that they changed.
-        // The events after the oldest mend both, before anyone decides.
+        // Pages that were read at different revisions may together contain a deleted key or
+        // a part of a commit, such as bookings without the zone shard that they changed.
+        // Applying the events since the oldest page corrects both before any decision is
+        // made.
         let events_since = match newest_revision > oldest_revision {
             true => Some(
                 self.store
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    /// Watches until something changes, and brings the replica up to that.
+    /// Waits for a change with one watch request, and applies it to the replica.
     async fn watch_once(&self) -> WatchEnd {
         let block = self.settings.worker_lease() / 4;
         let after = self.replica.borrow().revision;
@@ -140,8 +143,8 @@
                 WatchEnd::Advanced
             }
             Err(error @ (StoreError::TooOld | StoreError::TooLarge)) => {
-                // The same request would bring the same answer: pages are
-                // bounded, and hold each record once.
+                // Repeating the request would give the same result. The pages of a full
+                // read are bounded, and contain each record once.
                 tracing::info!(%error, "watch fallen behind, reading the state anew");
                 WatchEnd::FallenBehind
             }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,5 +1,5 @@
-//! The daemon: starts all loops of one controller and ends them together. The context
-//! that they share, [`Controller`], knows none of them.
+//! The daemon, which starts all loops of one controller and stops them together. The
+//! context that the loops share, [`Controller`], does not depend on any of them.
 
 use std::rc::Rc;
 
@@ -8,12 +8,12 @@
 use crate::controller::Controller;
 use crate::{accounting, api, cloud, compaction, gossip, scheduler, workers};
 
-/// Starts all loops of this controller; must run inside a `LocalSet`. They end when the
-/// returned future is dropped.
+/// Runs all loops of this controller. Must be called inside a `LocalSet`. The loops stop
+/// when the returned future is dropped.
 ///
 /// # Errors
 ///
-/// When the controller cannot listen on one of its two addresses.
+/// Returns an error if the controller cannot listen on one of its two addresses.
 pub async fn run(controller: Rc<Controller>) -> std::io::Result<()> {
     let user_listener = controller.net.listen(controller.settings.serve_on).await?;
     let gossip_listener = controller
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Ends the loops when the controller is dropped, as tests do.
+/// Aborts the loops when the future of [`run`] is dropped, as tests do.
 struct AbortAll(Vec<AbortHandle>);
 
 impl Drop for AbortAll {
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,18 +1,18 @@
-//! Dependencies between jobs: what follows from the records of jobs that depend on
-//! others.
+//! Dependencies between jobs: indexes that are derived from the records of jobs that depend
+//! on others.
 //!
-//! Nothing here is written. Whether a job is blocked, ready, or cancelled by one
-//! that it depends on follows from the jobs' records alone, so that every
-//! controller finds the same at the same revision, in whatever order it read them.
-//! The indexes are updated as records change, each change along its own chain: no
-//! round goes through all jobs for it.
+//! Nothing in this module is written to the state service. Whether a job is blocked, ready,
+//! or cancelled by one of its dependencies is derived from the jobs' records alone, so that
+//! every controller gets the same result at the same revision, in whatever order it read
+//! the records. The indexes are updated incrementally as records change, each change along
+//! its own dependency chain, so no scheduling round has to scan all jobs.
 //!
-//! An id can only be named once it is accepted, so there are no cycles.
+//! A job can only name dependencies that are already accepted, so there are no cycles.
 //!
 //! | module | task |
 //! | --- | --- |
 //! | `index` | updates the indexes as jobs' records change |
-//! | `demand` | what blocked jobs demand of their dependencies: priority and deadline |
+//! | `demand` | priority and deadline that jobs inherit from the jobs that depend on them |
 
 mod demand;
 mod index;
@@ -32,22 +32,24 @@
 /// Indexes over the records of jobs with dependencies; a part of the [`Replica`].
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Open jobs that wait, each with the ids of its pending dependencies.
+    /// Blocked open jobs by id, each with the ids of its pending dependencies.
     blocked: BTreeMap<String, Vec<String>>,
-    /// The blocked jobs that directly depend on a job, by its id.
+    /// Blocked jobs that directly depend on a job, by the job's id.
     dependents: HashMap<String, BTreeSet<String>>,
-    /// Jobs that are cancelled by one of their dependencies, while their own records
-    /// have them open. None of them has ever been booked.
+    /// Jobs that are cancelled by one of their dependencies while their own records are
+    /// still open. None of them has ever been booked.
     cancelled_by_dependency: BTreeSet<String>,
-    /// What blocked jobs demand of a job, by its id.
+    /// Priority and deadline that blocked jobs demand of a job, by the job's id.
     demand: HashMap<String, DependentDemand>,
-    /// When an open job with a deadline was first seen here: as near to its
-    /// submission as the state tells.
+    /// The time at which this controller first saw an open job with a deadline, by the
+    /// job's id. It is the closest approximation of the submission time that the state
+    /// provides.
     first_seen: HashMap<String, Instant>,
 }
 
 impl DependencyGraph {
-    /// What is kept over a full read of the state: how long jobs have been known.
+    /// Returns the part of the graph that survives a full read of the state: the times at
+    /// which jobs were first seen.
     #[must_use]
     pub fn after_reload(self) -> Self {
         DependencyGraph {
@@ -56,22 +58,23 @@
         }
     }
 
-    /// Forgets what is demanded of a job, and since when it is known: it is over.
+    /// Removes the demand on a job and the time at which it was first seen, as the job has
+    /// ended.
     fn remove_job(&mut self, id: &str) {
         self.first_seen.remove(id);
         self.demand.remove(id);
     }
 
-    /// Takes the direct dependents of a job out of the index.
+    /// Removes the direct dependents of a job from the index and returns them.
     fn take_dependents(&mut self, id: &str) -> BTreeSet<String> {
         self.dependents.remove(id).unwrap_or_default()
     }
 }
 
 impl Replica {
-    /// A job's final status, whether its own record says so or it follows from
-    /// its dependencies; `None` if it is not known. Whoever tells anybody what
-    /// became of a job, or decides by it, asks here.
+    /// Returns a job's status, derived from its own record and from its dependencies;
+    /// `None` if the job is unknown. Code that reports a job's outcome, or decides by it,
+    /// must use this method instead of the record's status.
     pub fn effective_status(&self, id: &str) -> Option<JobStatus> {
         let own = self.jobs.get(id)?.value.status;
         let cancelled = &self.dependency_graph.cancelled_by_dependency;
@@ -81,33 +84,33 @@
         }
     }
 
-    /// Whether all dependencies of a job are done. That is final: a replica that lags
-    /// can only say so late.
+    /// Returns whether all dependencies of a job are done. The result `true` is final: a
+    /// replica that lags behind can only return it late.
     pub fn dependencies_done(&self, spec: &Spec) -> bool {
         let done = |id: &String| self.effective_status(id) == Some(JobStatus::Done);
         spec.dependencies.iter().all(done)
     }
 
-    /// Open jobs that wait for others, with their pending dependencies.
+    /// Returns the blocked open jobs with their pending dependencies.
     pub fn blocked_jobs(&self) -> impl Iterator<Item = (&str, &[String])> {
         let blocked = self.dependency_graph.blocked.iter();
         blocked.map(|(id, pending)| (id.as_str(), pending.as_slice()))
     }
 
-    /// The dependencies of a job that are not done yet.
+    /// Returns the dependencies of a job that are not done yet.
     pub fn pending_dependencies(&self, id: &str) -> &[String] {
         let pending = self.dependency_graph.blocked.get(id);
         pending.map_or(&[], Vec::as_slice)
     }
 
-    /// Jobs that are cancelled with a dependency, and whose own records are yet to
-    /// say so.
+    /// Returns the jobs that are cancelled by a dependency while their own records do not
+    /// say so yet.
     pub fn cancelled_with_dependency(&self) -> impl Iterator<Item = &str> {
         let cancelled = self.dependency_graph.cancelled_by_dependency.iter();
         cancelled.map(String::as_str)
     }
 
-    /// Whether an open job depends on this one.
+    /// Returns whether an open job depends on this one.
     pub fn has_dependents(&self, id: &str) -> bool {
         self.dependency_graph.demand.contains_key(id)
     }
--- a/src/dependencies/demand.rs
+++ b/src/dependencies/demand.rs
@@ -1,5 +1,6 @@
-//! What blocked jobs demand of their dependencies: a job has the highest priority and
-//! the tightest deadline of its dependents, direct or not, less the work between.
+//! Priority and deadline that jobs inherit from their dependents. A job has the highest
+//! priority and the tightest deadline of its direct and indirect dependents; each deadline
+//! is reduced by the estimated work in between.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,16 +11,16 @@
 use crate::state::replica::Replica;
 use crate::wire::Priority;
 
-/// What the dependents of a job, direct or not, demand of it.
+/// The priority and deadline that the direct and indirect dependents of a job demand of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct DependentDemand {
     priority: Priority,
-    /// By when it has to be done, so that all of them can be in time.
+    /// The time by which the job must be done for all dependents to meet their deadlines.
     deadline: Option<Instant>,
 }
 
 impl DependentDemand {
-    /// The demand of both.
+    /// Combines two demands: the higher priority and the earlier deadline.
     fn merge(self, other: Self) -> Self {
         DependentDemand {
             priority: self.priority.max(other.priority),
@@ -28,21 +29,21 @@
     }
 }
 
-/// How urgent a job is, with its dependents counted in.
+/// The urgency of a job, including the demand of its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveUrgency {
     /// The highest priority of the job and its dependents.
     pub priority: Priority,
-    /// The seconds left until its deadline, or until the tightest of its dependents',
-    /// less the work between.
+    /// Time left until the job's own deadline or the tightest one of its dependents, less
+    /// the estimated work in between, in seconds; negative after the deadline.
     pub time_left_s: Option<f64>,
-    /// A dependent asks for a deadline, whatever the objectives of the job's own
-    /// class are.
+    /// True if a dependent has a deadline, whatever the objectives of the job's own class
+    /// are.
     pub dependents_have_deadline: bool,
 }
 
 impl EffectiveUrgency {
-    /// That of a job without dependents, submitted just now.
+    /// Returns the urgency of a job without dependents that was submitted just now.
     pub fn without_dependents(spec: &Spec) -> Self {
         EffectiveUrgency {
             priority: spec.priority,
@@ -52,7 +53,7 @@
     }
 }
 
-/// The number of seconds from `now` until `at`; negative when it is over.
+/// Returns the time from `now` until `at` in seconds; negative if `at` has passed.
 fn seconds_until(at: Instant, now: Instant) -> f64 {
     let ahead = at.saturating_duration_since(now).as_secs_f64();
     ahead - now.saturating_duration_since(at).as_secs_f64()
@@ -66,17 +67,17 @@
 }
 
 impl Replica {
-    /// The highest priority of a job and its open dependents.
+    /// Returns the highest priority of a job and its open dependents.
     pub fn effective_priority(&self, id: &str, spec: &Spec) -> Priority {
         let demanded = self.dependency_graph.demand.get(id).map(|d| d.priority);
         demanded.map_or(spec.priority, |priority| priority.max(spec.priority))
     }
 
-    /// How urgent a job is at this moment, with its dependents counted in.
+    /// Returns the urgency of a job at this moment, including the demand of its dependents.
     pub fn effective_urgency(&self, id: &str, spec: &Spec, now: Instant) -> EffectiveUrgency {
         let demanded = self.demanded_deadline(id);
         let own = match spec.deadline_s {
-            // Known by its spec alone, as in a plan: submitted just now.
+            // The job is not in the replica, as in a plan: counts as submitted just now.
             Some(deadline_s) if !self.dependency_graph.first_seen.contains_key(id) => {
                 Some(deadline_s)
             }
@@ -91,21 +92,21 @@
         }
     }
 
-    /// A job's own deadline, which counts from its submission.
+    /// Returns a job's own deadline, which counts from its submission.
     fn own_deadline(&self, id: &str, spec: &Spec) -> Option<Instant> {
         let first_seen = self.dependency_graph.first_seen.get(id)?;
         let span = Duration::try_from_secs_f64(spec.deadline_s?).ok()?;
         first_seen.checked_add(span)
     }
 
-    /// By when a job has to be done for its dependents.
+    /// Returns the time by which a job must be done for its dependents.
     fn demanded_deadline(&self, id: &str) -> Option<Instant> {
         let demand = self.dependency_graph.demand.get(id)?;
         demand.deadline
     }
 
-    /// Works out what is demanded of these jobs, and of their pending dependencies as
-    /// far as that changes anything.
+    /// Recomputes the demand on these jobs, and on their pending dependencies as long as it
+    /// changes.
     pub(super) fn propagate_demand(&mut self, ids: Vec<String>) {
         let mut queue = VecDeque::from(ids);
         while let Some(id) = queue.pop_front() {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// What the direct dependents of a job demand of it together.
+    /// Returns the combined demand of a job's direct dependents on it.
     fn demand_of_dependents(&self, id: &str) -> Option<DependentDemand> {
         let dependents = self.dependency_graph.dependents.get(id)?;
         let demands = dependents
@@ -135,11 +136,12 @@
         demands.reduce(DependentDemand::merge)
     }
 
-    /// What a blocked job demands of its dependencies.
+    /// Returns the demand of a blocked job on its dependencies.
     fn demand_on_dependencies(&self, id: &str) -> Option<DependentDemand> {
         let spec = self.jobs.get(id)?.value.spec.as_ref()?;
         let deadline = earliest(self.own_deadline(id, spec), self.demanded_deadline(id));
-        // Its own work comes between; tasks of one job run side by side.
+        // The dependencies must be done early enough for the job's own work. Its tasks run
+        // in parallel, so the work takes as long as one task.
         let work = Duration::try_from_secs_f64(spec.estimate_s).unwrap_or_default();
         Some(DependentDemand {
             priority: self.effective_priority(id, spec),
--- a/src/dependencies/index.rs
+++ b/src/dependencies/index.rs
@@ -6,7 +6,7 @@
 use crate::state::replica::Replica;
 
 impl Replica {
-    /// Indexes a job's record that has just been stored in the replica.
+    /// Indexes a job's record that was just stored in the replica.
     pub(crate) fn index_job_dependencies(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes back what followed from an open job's record.
+    /// Removes an open job's entries from the indexes before its record changes.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
         self.open_jobs
             .remove(&(old.accepted_revision, id.to_string()));
@@ -60,7 +60,7 @@
         self.remove_from_blocked(id);
     }
 
-    /// The job waits for its pending dependencies.
+    /// Records that a job is blocked by its pending dependencies.
     fn add_to_blocked(&mut self, id: &str, pending: Vec<String>) {
         let graph = &mut self.dependency_graph;
         for dependency in &pending {
@@ -71,7 +71,7 @@
         self.propagate_demand(pending);
     }
 
-    /// The job waits no longer, whatever becomes of it.
+    /// Removes a job from the blocked jobs, whether it becomes ready or ends.
     fn remove_from_blocked(&mut self, id: &str) {
         let graph = &mut self.dependency_graph;
         let Some(pending) = graph.blocked.remove(id) else {
@@ -88,7 +88,8 @@
         self.propagate_demand(pending);
     }
 
-    /// The job takes part in all that open jobs do from here on.
+    /// Adds a job without pending dependencies to the open jobs that the scheduler
+    /// considers.
     fn make_ready(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
@@ -100,7 +101,8 @@
             .insert((job.accepted_revision, id.to_string()));
     }
 
-    /// A job is done: dependents without other pending dependencies are ready.
+    /// Removes a completed dependency from its dependents, and makes those ready that have
+    /// no other pending dependency.
     fn unblock_dependents(&mut self, id: &str) {
         for dependent in self.dependency_graph.take_dependents(id) {
             let blocked = &mut self.dependency_graph.blocked;
@@ -116,14 +118,15 @@
         }
     }
 
-    /// A job is cancelled: those that depend on it are, through any chain.
+    /// Cancels the direct and indirect dependents of a cancelled job.
     fn cancel_dependents(&mut self, id: &str) {
         for dependent in self.dependency_graph.take_dependents(id) {
             self.cancel_with_dependency(&dependent);
         }
     }
 
-    /// A job is cancelled by one that it depends on, and its dependents with it.
+    /// Marks a job as cancelled by one of its dependencies, together with the job's direct
+    /// and indirect dependents.
     fn cancel_with_dependency(&mut self, id: &str) {
         let mut pending = vec![id.to_string()];
         while let Some(id) = pending.pop() {
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,10 +1,11 @@
-//! Hashes that all controllers work out alike: one that is the same in every version of
-//! the program, as what follows from it stands in records, and the choice of a preferred
-//! controller.
+//! Hashes that all controllers compute identically: FNV-1a, whose results are stored in
+//! records and therefore must not change between versions of the program, and rendezvous
+//! hashing for the choice of a preferred controller.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The 64-bit FNV-1a hash, unlike the standard library's the same for ever.
+/// Returns the 64-bit FNV-1a hash. Unlike the standard library's hash, it is the same in
+/// every version.
 pub(crate) fn fnv1a(bytes: impl Iterator<Item = u8>) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -13,8 +14,9 @@
     })
 }
 
-/// Rendezvous hashing: every controller finds the same preferred one among
-/// those alive, and only the jobs of a lost one move.
+/// Returns the preferred controller for a job among the live ones, by rendezvous hashing.
+/// All controllers choose the same one, and when a controller is lost only its own jobs get
+/// another.
 pub fn preferred<'a>(job: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     alive.max_by_key(|controller| {
         let mut hasher = DefaultHasher::new();
