--- a/crates/features/src/lib.rs
+++ b/crates/features/src/lib.rs
@@ -1,5 +1,6 @@
-//! The file that turns subsystems on (`deploy/features.toml`): its fields, their ranges,
-//! and its schema. Unknown fields are refused. Without a file everything is off.
+//! The features file (`deploy/features.toml`), which enables subsystems: its fields, their
+//! ranges, and its schema. Unknown fields are refused. Without a file all subsystems are
+//! disabled.
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
@@ -7,10 +8,10 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Why a features file cannot be used.
+/// The reason why a features file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
-    /// It is not TOML, or a field is unknown or of another type.
+    /// The file is not TOML, or a field is unknown or has the wrong type.
     #[error("features: {0}")]
     Parse(String),
     /// The value of a field is out of range.
@@ -18,7 +19,7 @@
     Range(String),
 }
 
-/// The subsystems, each with its settings.
+/// The optional subsystems, each with its settings.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Features {
@@ -27,20 +28,21 @@
     pub shares: Shares,
 }
 
-/// Shares of teams' limits: each controller admits within its own, and they can be moved.
+/// Shares of teams' limits: each controller books within its own shares, and operators can
+/// move capacity between them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Shares {
-    /// Whether controllers admit within shares.
+    /// True if controllers book within shares.
     #[garde(skip)]
     pub enabled: bool,
-    /// A share that grows from the pool takes so many times what it lacks, where the pool
-    /// has as much.
+    /// The amount by which a share grows from the pool, as a multiple of the capacity that
+    /// it lacks, if the pool has as much.
     #[garde(range(min = 1, max = 100))]
     #[schemars(range(min = 1, max = 100))]
     pub growth: u32,
-    /// How often in a worker's report interval a controller looks for something that is
-    /// left to move.
+    /// The number of passes per worker report interval in which a controller looks for
+    /// pending moves.
     #[garde(range(min = 1, max = 50))]
     #[schemars(range(min = 1, max = 50))]
     pub passes_per_report: u32,
@@ -57,7 +59,7 @@
 }
 
 impl Features {
-    /// Reads and checks the text of a features file.
+    /// Parses and validates the text of a features file.
     pub fn parse(text: &str) -> Result<Self, FeaturesError> {
         let parsed: Result<Features, toml::de::Error> = toml::from_str(text);
         let features = parsed.map_err(|error| FeaturesError::Parse(error_line(&error, text)))?;
@@ -66,13 +68,13 @@
         Ok(features)
     }
 
-    /// The schema of the file.
+    /// Returns the JSON schema of the file.
     pub fn schema() -> schemars::Schema {
         schemars::schema_for!(Features)
     }
 }
 
-/// The error as one line, with the place where it is.
+/// Returns the error as one line with its line number.
 fn error_line(error: &toml::de::Error, text: &str) -> String {
     let before = error.span().and_then(|span| text.get(..span.start));
     let line = before.map_or(1, |before| before.matches('\n').count() + 1);
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,4 +1,4 @@
-//! Processors, accelerators and memory in whole thousandths.
+//! Amounts of CPUs, accelerators and memory, in whole thousandths of a unit.
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A thousandth of a unit. Whole numbers, so that every controller adds up to
-/// the same figure.
+/// An amount in thousandths of a unit. Whole numbers make every controller compute
+/// identical sums.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,27 +16,27 @@
 pub struct Amount(pub i64);
 
 impl Amount {
-    /// What a task needs: rounded up.
+    /// Converts a task's need from whole units, rounding up.
     pub fn rounded_up(units: f64) -> Self {
         Amount((units * 1000.0 - 1e-6).ceil().max(0.0) as i64)
     }
-    /// What a machine or a limit gives: rounded down.
+    /// Converts the capacity of a machine or a limit from whole units, rounding down.
     pub fn rounded_down(units: f64) -> Self {
         Amount((units * 1000.0 + 1e-6).floor().max(0.0) as i64)
     }
-    /// The amount in whole units, as people write it.
+    /// Returns the amount in whole units, as people write it.
     pub fn units(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
-/// Resources of a machine: what a task needs, what is free, or what is used.
+/// Resources of a machine or a task: needed, free or used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "c")]
     pub cpus: Amount,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "g")]
     pub gpus: Amount,
     /// Memory, in GB.
@@ -45,22 +45,22 @@
 }
 
 impl Resources {
-    /// Whether it is nothing at all.
+    /// Returns whether all amounts are 0.
     pub fn is_empty(&self) -> bool {
         *self == Resources::default()
     }
 
-    /// Whether a task that needs this much fits into it.
+    /// Returns whether a task with this need fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
     }
 
-    /// The resources of so many equal tasks.
+    /// Returns the resources of `count` equal tasks.
     pub fn times(&self, count: usize) -> Resources {
         self.scaled(count as i64)
     }
 
-    /// As `times`, with a sign.
+    /// Returns the resources multiplied by a factor, which may be negative.
     pub fn scaled(&self, factor: i64) -> Resources {
         Resources {
             cpus: Amount(self.cpus.0.saturating_mul(factor)),
@@ -69,17 +69,17 @@
         }
     }
 
-    /// The smaller of the two in each dimension.
+    /// Returns the smaller amount of the two in each dimension.
     pub fn min(&self, other: &Resources) -> Resources {
         self.combine(other, i64::min)
     }
 
-    /// The larger of the two in each dimension.
+    /// Returns the larger amount of the two in each dimension.
     pub fn max(&self, other: &Resources) -> Resources {
         self.combine(other, i64::max)
     }
 
-    /// What is above nothing in each dimension.
+    /// Returns the resources with negative amounts replaced by 0.
     pub fn positive(&self) -> Resources {
         self.max(&Resources::default())
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// How many tasks of `need` fit at once.
+    /// Returns the number of tasks with this need that fit at the same time.
     pub fn slots(&self, need: &Resources) -> usize {
         let part = |have: Amount, want: Amount| {
             if want.0 <= 0 {
--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -1,4 +1,4 @@
-//! What is pending of a split, brought up to date after the split has changed.
+//! Correction of the pending amounts of a share record after its granted amounts changed.
 
 use resources::Resources;
 
@@ -6,9 +6,10 @@
 use crate::records::Share;
 
 impl Share {
-    /// Restores that no controller is to give more than it has, after capacity has left
-    /// its share by another way: the obligation follows the capacity, first to those
-    /// that were to receive.
+    /// Restores the invariant that no controller must transfer more than it has, after
+    /// capacity has left its share by another way than a transfer. The obligation to
+    /// transfer the excess passes to the controllers that can have received the capacity:
+    /// first to those with a pending incoming amount, then to the others.
     pub(crate) fn rebalance(&mut self) {
         let controllers = self.controllers();
         for source in &controllers {
@@ -18,14 +19,15 @@
         self.settle_if_complete();
     }
 
-    /// Passes what a controller cannot give on to the others.
+    /// Passes the outgoing amount that a controller cannot cover to the other controllers.
     fn redistribute_shortfall(
         &mut self,
         controllers: &[ControllerName],
         source: &ControllerName,
         mut shortfall: Resources,
     ) {
-        // Those that are to receive come first, then whoever will have something.
+        // Controllers with a pending incoming amount come first, then any whose target is
+        // above 0.
         for receivers_only in [true, false] {
             for other in controllers.iter().filter(|name| *name != source) {
                 let target = self.target_for(other.as_str()).positive();
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Records the generation as settled once nothing is left to move.
+    /// Records the present generation as settled if no move is pending.
     pub(crate) fn settle_if_complete(&mut self) {
         if self.pending.is_empty() {
             self.settled = self.generation;
--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -1,5 +1,6 @@
-//! Capacity for a booking: of the share itself, else from the team's other shares, else
-//! from the pool, else from what other teams' shares have free.
+//! Capacity for a booking. It is taken from the controller's own share, then from the
+//! team's other shares, then from the pool, and last from the free capacity of other teams'
+//! shares.
 
 use std::cmp::Reverse;
 
@@ -10,28 +11,30 @@
 use crate::names::{ControllerName, TeamName};
 use crate::records::Pool;
 
-/// Why a booking gets no capacity.
+/// The reason why no capacity can be reserved for a booking.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Shortage {
-    /// The team's bookings do not count against shares.
-    #[error("{0} has no shares")]
+    /// The team's bookings are not charged to shares.
+    #[error("team {0} has no shares")]
     NoShares(TeamName),
     /// The team would exceed its limit.
-    #[error("{0} would exceed its limit")]
+    #[error("team {0} would exceed its limit")]
     TeamLimit(TeamName),
-    /// All machines on record together have not as much.
-    #[error("the machines on record have no room for it")]
+    /// All machines on record together lack the capacity.
+    #[error("the machines on record lack the capacity")]
     MachineCapacity,
-    /// One commit cannot take back enough of what other teams have free: this is to be
-    /// committed first, and the rest follows.
-    #[error("other teams have to give room back first")]
+    /// One commit cannot take back enough free capacity of other teams. The contained
+    /// change must be committed first; the reservation is then continued.
+    #[error("other teams must return free capacity first")]
     Partial(Box<Change>),
 }
 
-/// The capacity that a booking needs in a controller's share, with all that has to be
-/// written for it beside the booking itself. What it reads is part of the change: the
-/// booking writes the record of use, and is guarded by the split. The change writes at
-/// most `max_writes` records, of which there have to be three.
+/// Reserves the capacity that a booking needs in a controller's share. Returns the change
+/// with all records that must be written beside the booking itself.
+///
+/// The records that the decision reads are part of the change. The booking itself writes
+/// the usage record and has a precondition on the share record. The change writes at most
+/// `max_writes` records, which must be at least three.
 pub fn reserve(
     ledger: &Ledger,
     team: &TeamName,
@@ -49,7 +52,7 @@
     if shortfall.is_empty() {
         return Ok(draft.finish());
     }
-    // The split of the team itself and the pool are written anyway.
+    // The team's own share record and the pool are written in any case.
     let max_others = max_writes.saturating_sub(2);
     match grow_share(&mut draft, ledger, team, controller, shortfall, max_others) {
         Ok(()) => Ok(draft.finish()),
@@ -62,7 +65,7 @@
     }
 }
 
-/// What a share has too little of for a need.
+/// Returns the part of a need that exceeds the free capacity of a share.
 fn shortfall(
     draft: &Draft,
     team: &TeamName,
@@ -72,8 +75,8 @@
     (need - draft.free(team, controller.as_str())).positive()
 }
 
-/// Takes what is shortfall out of the free capacity of the team's other shares, the largest
-/// first.
+/// Covers the shortfall from the free capacity of the team's other shares, starting with
+/// the share that has the most free CPUs.
 fn take_from_other_shares(
     draft: &mut Draft,
     team: &TeamName,
@@ -99,7 +102,7 @@
     }
 }
 
-/// Grows a share by what it lacks, from the pool and from other teams' free capacity.
+/// Grows a share by its shortfall, from the pool and from other teams' free capacity.
 fn grow_share(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -132,8 +135,9 @@
     Ok(())
 }
 
-/// The pool with as much free as is shortfall: machines that have come since count from now
-/// on, and other teams give free capacity back. `None` if that is not enough.
+/// Returns the pool with at least the free capacity of the shortfall; `None` if that is not
+/// possible. It counts machines that were added since the last change of the pool, and
+/// takes free capacity back from other teams if necessary.
 pub(crate) fn pool_with_free_capacity(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -142,7 +146,8 @@
     max_others: usize,
 ) -> Option<Pool> {
     let mut pool = draft.pool().unwrap_or_default();
-    // Those that are about to leave no longer do, but for what is granted already.
+    // Machines that are about to leave no longer count, except for capacity that is already
+    // granted.
     pool.capacity = ledger.retained_capacity.max(&pool.granted);
     draft.set_pool(pool);
     if !pool.free().fits(&shortfall) {
@@ -151,8 +156,8 @@
     draft.pool().filter(|pool| pool.free().fits(&shortfall))
 }
 
-/// Gives free capacity of other teams, of so many at most, back to the pool until it has as
-/// much as is shortfall.
+/// Returns free capacity of other teams to the pool until it covers the shortfall. Changes
+/// the share records of at most `max_others` other teams.
 fn reclaim_from_other_teams(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -170,7 +175,7 @@
     }
 }
 
-/// Gives as much of a team's free capacity back to the pool as is asked for and there is.
+/// Returns up to the wanted amount of a team's free capacity to the pool.
 pub(crate) fn reclaim_from_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
     let controllers = draft.share(team).map(|share| share.controllers());
     let mut missing = wanted;
--- a/crates/shares/src/capacity.rs
+++ b/crates/shares/src/capacity.rs
@@ -1,10 +1,10 @@
-//! The pool's capacity, as machines come and go.
+//! The pool's capacity as machines are added and removed.
 //!
-//! Capacity is never more than the machines on record have. It rises late, with a
-//! growth or by itself, and falls before, or in, the commit that takes a machine off
-//! the record. There is always free capacity to take it from: bookings are on machines, and
-//! no machine with a booking leaves the record, so that what is booked never exceeds
-//! what the remaining machines have.
+//! The capacity never exceeds that of the machines on record. It rises after machines are
+//! added, with the growth of a share or in a commit of its own, and falls before, or in,
+//! the commit that removes a machine from the record. The capacity to remove is always
+//! free: bookings are on machines, and no machine with a booking leaves the record, so the
+//! booked resources never exceed those of the remaining machines.
 
 use resources::Resources;
 
@@ -13,14 +13,16 @@
 use crate::ledger::Ledger;
 use crate::records::Pool;
 
-/// Shares hold more than the remaining machines have: they have to shrink first.
+/// The error that the shares have more than the remaining machines, so that they must
+/// shrink first.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("shares hold more than the remaining machines have")]
+#[error("shares exceed the capacity of the remaining machines")]
 pub struct CapacityShortage;
 
-/// The change that brings the capacity to what the machines have that stay, as far as
-/// shares have free capacity; `None` if there is nothing to do. A first pool is made by it. It
-/// writes at most `max_writes` records: what is left to shrink comes next.
+/// Returns the change that sets the pool's capacity to that of the machines that are not
+/// about to leave, as far as the shares have free capacity to return; `None` if there is
+/// nothing to do. The first such change creates the pool. It writes at most `max_writes`
+/// records; further shares shrink in later changes.
 pub fn adjust_capacity(ledger: &Ledger, max_writes: usize) -> Option<Change> {
     let mut draft = Draft::new(ledger);
     let before = ledger.pool;
@@ -28,7 +30,7 @@
     for team in ledger.teams.keys() {
         let granted = draft.pool().unwrap_or_default().granted;
         let excess = (granted - ledger.retained_capacity).positive();
-        // The pool is written, too.
+        // The pool is written as well.
         if !excess.is_empty() && draft.written_shares() + 1 < max_writes {
             reclaim_from_team(&mut draft, team, excess);
         }
@@ -41,9 +43,10 @@
     (before != Some(pool) || !change.shares.is_empty()).then_some(change)
 }
 
-/// The pool as the commit has to write it that takes machines off the record which
-/// have this much; `None` while there is no pool. Every such commit writes the pool, even
-/// if it stays the same: what others decided on the machines as they were then fails.
+/// Returns the pool that must be written by a commit which removes machines with these
+/// resources from the record; `None` while there is no pool. Every such commit writes the
+/// pool, even if it stays the same, so that commits fail that were decided on the earlier
+/// machines.
 pub fn release_machines(
     ledger: &Ledger,
     leaving: Resources,
--- a/crates/shares/src/change.rs
+++ b/crates/shares/src/change.rs
@@ -1,4 +1,4 @@
-//! What a decision reads and writes.
+//! The records that a decision reads and writes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,26 +8,27 @@
 use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::{Pool, Share};
 
-/// What a decision writes, and what must be as it was read when that is committed.
-/// Everything that is written is guarded, too.
+/// The records that a decision writes, and the records that must be unchanged since they
+/// were read when the decision is committed. All written records have preconditions, too.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The splits that are written, by team.
+    /// The share records that are written, by team.
     pub shares: BTreeMap<TeamName, Share>,
-    /// Teams whose split ends.
+    /// Teams whose share record is removed.
     pub closed: BTreeSet<TeamName>,
     /// The pool, if it is written.
     pub pool: Option<Pool>,
-    /// Jobs whose bookings count against another controller's share from then on.
+    /// Jobs whose bookings are charged to another controller's share by this change.
     pub reassigned: BTreeMap<JobId, ControllerName>,
-    /// Splits that are only read.
+    /// Teams whose share records are only read.
     pub read_shares: BTreeSet<TeamName>,
-    /// Records of use that are only read: nothing may be booked there meanwhile.
+    /// Usage records that are only read: nothing may be booked against these shares in the
+    /// meantime.
     pub read_uses: BTreeSet<(TeamName, ControllerName)>,
 }
 
 impl Change {
-    /// How many records it writes.
+    /// Returns the number of records that the change writes.
     pub fn writes(&self) -> usize {
         self.shares.len()
             + self.closed.len()
@@ -35,12 +36,12 @@
             + usize::from(self.pool.is_some())
     }
 
-    /// Whether it neither writes nor reads anything.
+    /// Returns whether the change neither writes nor reads any record.
     pub fn is_empty(&self) -> bool {
         *self == Change::default()
     }
 
-    /// Adds a change that was decided on the ledger that this one leaves.
+    /// Adds a change that was decided on the ledger as this change leaves it.
     pub fn merge(&mut self, later: Change) {
         self.shares.extend(later.shares);
         self.closed.extend(later.closed);
@@ -50,8 +51,8 @@
         self.read_uses.extend(later.read_uses);
     }
 
-    /// Applies splits and pool to a ledger. What is booked is for the caller to move:
-    /// the ledger does not know jobs.
+    /// Applies the share records and the pool to a ledger. The caller must move the booked
+    /// resources of reassigned jobs, as the ledger contains no jobs.
     pub fn apply(&self, ledger: &mut Ledger) {
         for (team, share) in &self.shares {
             ledger.teams.entry(team.clone()).or_default().share = Some(share.clone());
@@ -67,7 +68,7 @@
     }
 }
 
-/// A change in the making: the working copies of what it writes.
+/// A change under construction, with working copies of the records that it writes.
 pub(crate) struct Draft<'a> {
     ledger: &'a Ledger,
     pool: Option<Pool>,
@@ -83,25 +84,25 @@
         }
     }
 
-    /// A team's split as the change leaves it.
+    /// Returns a team's share record as the change leaves it.
     pub(crate) fn share(&self, team: &TeamName) -> Option<&Share> {
         let known = || self.ledger.share(team);
         self.change.shares.get(team).or_else(known)
     }
 
-    /// The pool as the change leaves it.
+    /// Returns the pool as the change leaves it.
     pub(crate) fn pool(&self) -> Option<Pool> {
         self.pool
     }
 
-    /// What a share has free as the change leaves it.
+    /// Returns the free capacity of a controller's share as the change leaves it.
     pub(crate) fn free(&self, team: &TeamName, controller: &str) -> Resources {
         let used = self.ledger.teams.get(team).map(|a| a.used_by(controller));
         let granted = self.share(team).map(|share| share.granted_to(controller));
         granted.unwrap_or_default() - used.unwrap_or_default()
     }
 
-    /// A team's split, to be written.
+    /// Returns a team's share record for modification, and marks it as written.
     pub(crate) fn edit_share(&mut self, team: &TeamName) -> Option<&mut Share> {
         if !self.change.shares.contains_key(team) {
             let share = self.share(team)?.clone();
@@ -110,30 +111,31 @@
         self.change.shares.get_mut(team)
     }
 
-    /// How many splits are written.
+    /// Returns the number of share records that are written.
     pub(crate) fn written_shares(&self) -> usize {
         self.change.shares.len()
     }
 
-    /// How many splits of other teams are written.
+    /// Returns the number of other teams' share records that are written.
     pub(crate) fn written_shares_of_others(&self, team: &TeamName) -> usize {
         let others = self.change.shares.keys().filter(|name| *name != team);
         others.count()
     }
 
-    /// The pool, to be written.
+    /// Sets the pool, and marks it as written.
     pub(crate) fn set_pool(&mut self, pool: Pool) {
         self.pool = Some(pool);
         self.change.pool = Some(pool);
     }
 
-    /// The change depends on nothing being booked against this share meanwhile.
+    /// Makes the change depend on the usage record of a share: nothing may be booked
+    /// against the share in the meantime.
     pub(crate) fn read_use(&mut self, team: &TeamName, controller: &ControllerName) {
         let key = (team.clone(), controller.clone());
         self.change.read_uses.insert(key);
     }
 
-    /// The change depends on this split.
+    /// Makes the change depend on a team's share record.
     pub(crate) fn read_share(&mut self, team: &TeamName) {
         self.change.read_shares.insert(team.clone());
     }
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -10,15 +10,15 @@
 /// The most that a team may use at any time; `None` where there is no limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct TeamLimit {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: Option<Amount>,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: Option<Amount>,
 }
 
 impl TeamLimit {
-    /// What the team may have beyond an amount that it has; negative where it has more
-    /// than its limit.
+    /// Returns the difference between the limit and the amount that the team has; negative
+    /// where it has more than the limit.
     #[must_use]
     pub fn remaining(&self, has: Resources) -> Resources {
         let remaining = |limit: Option<Amount>, has: Amount| match limit {
@@ -33,32 +33,33 @@
     }
 }
 
-/// More than any fleet has, far enough from overflow to add to it.
+/// The remainder where there is no limit: more than any fleet has, and small enough that
+/// additions to it do not overflow.
 const UNLIMITED: i64 = i64::MAX / 4;
 
-/// What is accounted for one team.
+/// The accounting of one team.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct TeamAccount {
     /// The team's limit.
     pub limit: TeamLimit,
-    /// The split of its limit, while its bookings count against shares.
+    /// The team's share record, if its bookings are charged to shares.
     pub share: Option<Share>,
-    /// What is booked, by the controller whose share it counts against.
+    /// The booked resources, by the controller to whose share they are charged.
     pub used: ResourcesByController,
 }
 
 impl TeamAccount {
-    /// What is booked against a controller's share.
+    /// Returns the resources booked against a controller's share.
     pub fn used_by(&self, controller: &str) -> Resources {
         self.used.get(controller).copied().unwrap_or_default()
     }
 
-    /// What is booked against all shares.
+    /// Returns the resources booked against all shares.
     pub fn total_used(&self) -> Resources {
         self.used.values().copied().sum()
     }
 
-    /// What a controller's share has that is not booked.
+    /// Returns the capacity of a controller's share that is not booked.
     pub fn free(&self, controller: &str) -> Resources {
         let granted = self
             .share
@@ -67,7 +68,8 @@
         granted.unwrap_or_default() - self.used_by(controller)
     }
 
-    /// Books more against a controller's share, or less.
+    /// Adds an amount, which may be negative, to the resources booked against a
+    /// controller's share.
     pub fn book(&mut self, controller: &ControllerName, amount: Resources) {
         let used = self.used.entry(controller.clone()).or_default();
         *used += amount;
@@ -80,58 +82,59 @@
 /// The accounting at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    /// The pool, once there is one.
+    /// The pool, once it has been created.
     pub pool: Option<Pool>,
-    /// What the machines on record have whose removal would be seen (see
+    /// Resources of the machines on record whose removal also writes the pool (see
     /// [`crate::release_machines`]).
     pub machine_capacity: Resources,
-    /// What those of them have that are not about to leave.
+    /// Resources of those machines that are not about to leave.
     pub retained_capacity: Resources,
-    /// A share that grows from the pool takes so many times what it lacks, where the pool
-    /// has as much: each growth writes the pool.
+    /// The amount by which a share grows from the pool, as a multiple of its shortfall, if
+    /// the pool has as much. A factor above 1 saves commits, as each growth writes the
+    /// pool.
     pub growth_factor: u32,
-    /// The teams.
+    /// The accounts of the teams.
     pub teams: BTreeMap<TeamName, TeamAccount>,
 }
 
-/// A breach of an invariant.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A team's shares add up to more than its limit.
-    #[error("the shares of {0} add up to more than its limit")]
+    #[error("the shares of team {0} add up to more than its limit")]
     AboveLimit(TeamName),
-    /// All shares add up to more than the machines on record have.
-    #[error("shares add up to more than the machines on record")]
+    /// All shares together have more than the machines on record.
+    #[error("all shares add up to more than the machines on record")]
     AboveMachines,
-    /// The pool counts more than the machines on record have.
-    #[error("the pool counts more than the machines on record")]
+    /// The pool's capacity is more than that of the machines on record.
+    #[error("the pool's capacity exceeds that of the machines on record")]
     PoolAboveMachines,
-    /// The pool's sum is not that of the shares.
-    #[error("the pool's sum of shares is wrong")]
+    /// The pool's sum of the granted amounts differs from that of the shares.
+    #[error("the pool's granted amount is not the sum of the shares")]
     GrantedSumMismatch,
     /// More is booked against a share than it has.
-    #[error("more is booked than {1} has of {0}")]
+    #[error("bookings exceed the share of controller {1} in team {0}")]
     Overbooked(TeamName, ControllerName),
-    /// A share is negative, or is to give what it has not.
-    #[error("{1} is to give more of {0} than it has")]
+    /// A share is negative, or its pending outgoing amount exceeds it.
+    #[error("controller {1} must transfer more of team {0} than it has")]
     NegativeShare(TeamName, ControllerName),
-    /// What is to be received is not what is to be given.
-    #[error("what is left to move of {0} does not add up to nothing")]
+    /// The pending amounts of a team's controllers do not add up to 0.
+    #[error("the pending amounts of team {0} do not add up to 0")]
     Unbalanced(TeamName),
 }
 
-/// Whether an amount is negative in some dimension.
+/// Returns whether an amount is negative in some dimension.
 fn is_negative(amount: Resources) -> bool {
     !amount.fits(&Resources::default())
 }
 
 impl Ledger {
-    /// The split of a team's limit, if its bookings count against shares.
+    /// Returns a team's share record, if its bookings are charged to shares.
     pub(crate) fn share(&self, team: &TeamName) -> Option<&Share> {
         self.teams.get(team)?.share.as_ref()
     }
 
-    /// All breaches of the invariants.
+    /// Returns all violations of the invariants.
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         let mut sum = Resources::default();
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,24 +1,25 @@
-//! Shares of a team's limit, one for each controller, and how they change.
+//! Shares of a team's limit, one for each controller, and the decisions that change them.
 //!
-//! A share is how much of a team's limit one controller may have booked for that
-//! team. This package decides; it does no input or output and reads no clock. Each
-//! decision is a pure function of a [`Ledger`], the accounting records at one revision
-//! of the state service, and gives a [`Change`]: the records that it writes and those
-//! that have to be as they were read. Whoever commits a change writes its records under
-//! guards on all of these; a change that was decided on an older state then fails.
+//! A share is the part of a team's limit that one controller may have booked for that team.
+//! This package only decides: it does no input or output and reads no clock. Each decision
+//! is a pure function of a [`Ledger`], the accounting records at one revision of the state
+//! service, and returns a [`Change`]: the records that it writes, and those that must be
+//! unchanged since they were read. The caller commits the written records with
+//! preconditions on all of these, so that a change that was decided on an older state
+//! fails.
 //!
 //! | module | task |
 //! | --- | --- |
-//! | `names` | names of teams, controllers and jobs as types of their own |
+//! | `names` | distinct types for the names of teams and controllers and the ids of jobs |
 //! | `records` | the records as they are stored |
 //! | `ledger` | the accounting at one revision, and its invariants |
-//! | `change` | what a decision reads and writes |
-//! | `booking` | capacity for a booking, from the share itself, its siblings and the pool |
-//! | `balance` | what is pending of a split, after the split has changed |
-//! | `moves` | an operator's moves: the request, and what stands in its way |
-//! | `transfer`, `unblock` | the steps that complete what is left to move |
-//! | `capacity` | the pool's capacity, as machines come and go |
-//! | `lifecycle` | the accounting of a team by shares is begun, and ended |
+//! | `change` | the records that a decision reads and writes |
+//! | `booking` | capacity for a booking, from the team's shares, the pool and other teams |
+//! | `balance` | correction of pending amounts after a share record changed |
+//! | `moves` | operators' moves: the request, and the reason why one cannot proceed |
+//! | `transfer`, `unblock` | the steps that complete pending moves |
+//! | `capacity` | the pool's capacity as machines are added and removed |
+//! | `lifecycle` | enabling and disabling a team's accounting by shares |
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -1,7 +1,8 @@
-//! The accounting of a team by shares is begun, and ended.
+//! Enabling and disabling a team's accounting by shares.
 //!
-//! Both are one commit that also writes the team's own record: a booking that was
-//! decided under the other accounting guards that record or the split, and fails.
+//! Each is one commit that also writes the team's own record. A booking that was decided
+//! under the other kind of accounting has a precondition on that record or on the share
+//! record, and therefore fails.
 
 use resources::Resources;
 
@@ -11,24 +12,25 @@
 use crate::names::{ControllerName, TeamName};
 use crate::records::Share;
 
-/// Why a team's accounting by shares cannot be begun.
+/// The reason why a team's accounting by shares cannot be enabled.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// It has begun already.
-    #[error("{0} has shares already")]
+    /// It is already enabled.
+    #[error("team {0} already has shares")]
     AlreadyOpen(TeamName),
-    /// There is no pool yet, or it does not hold what is booked.
-    #[error("the pool does not hold what is booked yet")]
+    /// There is no pool yet, or its capacity does not cover the booked resources.
+    #[error("the pool does not cover the booked resources yet")]
     PoolTooSmall,
-    /// Other teams' free capacity is more than one commit takes back: this is to be committed
-    /// first.
-    #[error("other teams have to give room back first")]
+    /// Other teams must return more free capacity than fits into one commit. The contained
+    /// change must be committed first.
+    #[error("other teams must return free capacity first")]
     Partial(Box<Change>),
 }
 
-/// Begins a team's accounting by shares: each controller is granted what is booked
-/// against it, and the rest comes on demand. What names no controller counts against
-/// the share of `fallback`. With the team's own record it writes at most `max_writes`.
+/// Enables a team's accounting by shares. Each controller is granted the resources that are
+/// booked against its share, and gets more on demand. Bookings of jobs that name no
+/// controller are charged to the share of `fallback`. The change and the team's own record
+/// together are at most `max_writes` records.
 pub fn open_team(
     ledger: &Ledger,
     team: &TeamName,
@@ -45,7 +47,7 @@
     if draft.pool().is_none() {
         return Err(OpenError::PoolTooSmall);
     }
-    // The split, the pool and the team's own record are written anyway.
+    // The team's share record, the pool and the team's own record are written in any case.
     let max_others = max_writes.saturating_sub(3);
     let Some(mut pool) = pool_with_free_capacity(&mut draft, ledger, team, total, max_others)
     else {
@@ -66,7 +68,7 @@
     Ok(change)
 }
 
-/// Ends a team's accounting by shares; `None` if it has none.
+/// Disables a team's accounting by shares; `None` if it is not enabled.
 pub fn close_team(ledger: &Ledger, team: &TeamName) -> Option<Change> {
     let mut draft = Draft::new(ledger);
     let total = draft.share(team)?.total();
@@ -78,10 +80,12 @@
     Some(change)
 }
 
-/// Makes a split anew that cannot be read: each controller is granted what is booked
-/// against it. What was left to move is lost; moves up to `generation` count as done. Every
-/// change of a split's total writes the pool, so that this one depends on no other record.
-/// `None` if there is no pool.
+/// Rebuilds an unreadable share record: each controller is granted the resources that are
+/// booked against its share. Pending moves are lost, and moves up to `generation` count as
+/// done. `None` if there is no pool.
+///
+/// Every change of a share record's total writes the pool, so this change needs no
+/// precondition on other records.
 pub fn rebuild_team(
     ledger: &Ledger,
     team: &TeamName,
--- a/crates/shares/src/moves.rs
+++ b/crates/shares/src/moves.rs
@@ -1,8 +1,9 @@
-//! An operator's moves of a share from one controller to another: the request, and
-//! what stands in its way.
+//! An operator's moves of capacity from one controller's share to another's: the request,
+//! and the reason why a move cannot proceed.
 //!
-//! A request changes only what is pending; a second one changes only that, too. Any
-//! controller completes it by transfers (see [`crate::next_transfer`]).
+//! A request changes only the pending amounts of the share record, and so does a later
+//! request before the first is complete. Any controller completes the moves by transfers
+//! (see [`crate::next_transfer`]).
 
 use resources::Resources;
 
@@ -10,24 +11,24 @@
 use crate::names::{ControllerName, TeamName};
 use crate::records::Share;
 
-/// Why a move is refused.
+/// The reason why a move is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MoveError {
-    /// The team's limit is not split into shares.
+    /// The team's bookings are not charged to shares.
     #[error("team {0} has no shares")]
     NoShares(TeamName),
-    /// From a controller to itself.
-    #[error("{0} cannot move a share to itself")]
+    /// The source and the destination are the same controller.
+    #[error("the source and the destination of the move are both {0}")]
     ToItself(ControllerName),
-    /// Nothing, or less than nothing.
+    /// The amount is zero or negative.
     #[error("the amount to move must be above 0")]
     NotPositive,
-    /// More than the controller will have once earlier moves are done.
-    #[error("{0} has less than that to give")]
+    /// The amount is more than the source will have once earlier moves are done.
+    #[error("{0} has less than the amount to move")]
     TooMuch(ControllerName),
 }
 
-/// The team's split with a move added to what is pending.
+/// Returns the team's share record with a move added to its pending amounts.
 pub fn request_move(
     ledger: &Ledger,
     team: &TeamName,
@@ -55,18 +56,18 @@
     Ok(next)
 }
 
-/// What a controller is to give and cannot give now.
+/// A pending outgoing amount that a controller cannot transfer now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockedTransfer {
-    /// The controller that is to give.
+    /// The source controller.
     pub controller: ControllerName,
-    /// What it is still to give.
+    /// The amount that the controller must still transfer.
     pub outgoing: Resources,
-    /// Its bookings, which are too large to be taken along.
+    /// The controller's booked resources, whose jobs are too large to be reassigned.
     pub booked: Resources,
 }
 
-/// The first controller that is to give what it cannot give now, if any.
+/// Returns the first controller with a pending outgoing amount, if any.
 pub fn blocked_transfer(account: &TeamAccount) -> Option<BlockedTransfer> {
     let share = account.share.as_ref()?;
     let mut controllers = share.controllers().into_iter();
--- a/crates/shares/src/names.rs
+++ b/crates/shares/src/names.rs
@@ -1,4 +1,4 @@
-//! Names as types of their own, so that none is taken for another.
+//! Distinct types for names and ids, so that one kind cannot be passed for another.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -15,7 +15,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -7,63 +7,69 @@
 
 use crate::names::{ControllerName, TeamName};
 
-/// A split over controllers; who has nothing is left out.
+/// Amounts by controller; controllers whose amount is zero are left out.
 pub(crate) type ResourcesByController = BTreeMap<ControllerName, Resources>;
 
-/// `share/TEAM`: how a team's quota is split over the controllers. While it exists the
-/// team's bookings count against shares; without it, against the team's own record.
+/// `share/TEAM`: the distribution of a team's limit over the controllers, called the team's
+/// share record. While it exists, the team's bookings are charged to shares; otherwise to
+/// the team's own record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
-    /// How many moves were asked for.
+    /// The number of moves that were requested.
     #[serde(rename = "n")]
     pub generation: u64,
-    /// The latest generation at which nothing was left to move.
+    /// The latest generation at which no move was pending.
     #[serde(rename = "d")]
     pub settled: u64,
-    /// Whose share the bookings of jobs count against that name none.
+    /// The controller to whose share the bookings of jobs that name no controller are
+    /// charged.
     #[serde(rename = "f")]
     pub fallback: ControllerName,
-    /// What each controller may have booked.
+    /// The resources that each controller may have booked.
     #[serde(rename = "g")]
     pub granted: ResourcesByController,
-    /// What each controller is still to receive, or to give where it is negative. It
-    /// adds up to nothing, and with what is granted it is the split that is wanted.
+    /// The amount that each controller is still to receive; negative where it must transfer
+    /// the amount to others. The amounts add up to 0. Added to the granted amounts they
+    /// give the target of the moves.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub pending: ResourcesByController,
 }
 
 impl Share {
-    /// What a controller may have booked.
+    /// Returns the resources that a controller may have booked.
     pub fn granted_to(&self, controller: &str) -> Resources {
         self.granted.get(controller).copied().unwrap_or_default()
     }
 
-    /// What a controller is still to receive; negative where it is to give.
+    /// Returns the amount that a controller is still to receive; negative where it must
+    /// transfer the amount to others.
     pub fn pending_for(&self, controller: &str) -> Resources {
         self.pending.get(controller).copied().unwrap_or_default()
     }
 
-    /// What a controller is still to give.
+    /// Returns the amount that a controller must still transfer to others, 0 where it is to
+    /// receive.
     pub(crate) fn outgoing_from(&self, controller: &str) -> Resources {
         (Resources::default() - self.pending_for(controller)).positive()
     }
 
-    /// What a controller is still to receive, nothing where it is to give.
+    /// Returns the amount that a controller is still to receive, 0 where it must transfer.
     pub(crate) fn incoming_to(&self, controller: &str) -> Resources {
         self.pending_for(controller).positive()
     }
 
-    /// What a controller will have once nothing is left to move.
+    /// Returns the resources that a controller will have once all pending moves are
+    /// complete.
     pub fn target_for(&self, controller: &str) -> Resources {
         self.granted_to(controller) + self.pending_for(controller)
     }
 
-    /// What all controllers may have booked together.
+    /// Returns the resources that all controllers together may have booked.
     pub fn total(&self) -> Resources {
         self.granted.values().copied().sum()
     }
 
-    /// Every controller that has a part in the split.
+    /// Returns all controllers with a granted or a pending amount.
     pub fn controllers(&self) -> Vec<ControllerName> {
         let names = self.granted.keys().chain(self.pending.keys());
         let mut names: Vec<ControllerName> = names.cloned().collect();
@@ -81,7 +87,7 @@
     }
 }
 
-/// Adds an amount to a controller's part of a split.
+/// Adds an amount to that of a controller.
 fn add(split: &mut ResourcesByController, controller: &ControllerName, amount: Resources) {
     let part = split.entry(controller.clone()).or_default();
     *part += amount;
@@ -90,61 +96,63 @@
     }
 }
 
-/// `pool`: what all shares together may hold, and what they do.
+/// `pool`: the capacity for all shares together, and its granted part.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pool {
-    /// No more than the machines on record have.
+    /// The resources that all shares together may have: at most those of the machines on
+    /// record.
     #[serde(rename = "c")]
     pub capacity: Resources,
-    /// What all shares of all teams add up to.
+    /// The resources that all shares of all teams together have.
     #[serde(rename = "g")]
     pub granted: Resources,
 }
 
 impl Pool {
-    /// What no share holds.
+    /// Returns the capacity that is not granted to any share.
     pub fn free(&self) -> Resources {
         self.capacity - self.granted
     }
 }
 
-/// `move/ID`: a move that was asked for. It is written in the commit that adds it to
-/// what is pending, under the condition that the id is new, so that an id takes effect
-/// once, whoever repeats it and however late. It never changes.
+/// `move/ID`: a move that was requested. It is written in the commit that adds the move to
+/// the pending amounts, under the precondition that the id is new, so that a request takes
+/// effect once, however often and however late it is repeated. The record never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MoveRecord {
-    /// The team whose quota share moves.
+    /// The team whose limit the move redistributes.
     #[serde(rename = "t")]
     pub team: TeamName,
-    /// The controller that gives.
+    /// The source controller.
     #[serde(rename = "f")]
     pub from: ControllerName,
-    /// The controller that receives.
+    /// The destination controller.
     #[serde(rename = "o")]
     pub to: ControllerName,
-    /// How much.
+    /// The resources to move.
     #[serde(rename = "a")]
     pub amount: Resources,
-    /// The generation of the split that it began.
+    /// The generation of the share record that the move created.
     #[serde(rename = "n")]
     pub generation: u64,
 }
 
-/// How far a move has come.
+/// The progress of a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MoveState {
-    /// Something of it is left to move.
+    /// A part of the move is still to be transferred.
     Pending,
-    /// A later move of the team came before it was done: the two are one now.
+    /// A later move of the team was requested before this one was done; both are completed
+    /// together.
     Superseded,
-    /// Nothing is left to move.
+    /// Nothing is left to transfer.
     Done,
 }
 
 impl MoveRecord {
-    /// How far the move has come; a team whose quota is split no longer has nothing
-    /// left to move.
+    /// Returns the progress of the move. A team without a share record has nothing left to
+    /// transfer.
     pub fn state(&self, share: Option<&Share>) -> MoveState {
         match share {
             Some(share) if share.settled < self.generation => {
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -1,7 +1,7 @@
-//! Transfers: the steps by which any controller completes what is left to move.
+//! Transfers, the steps by which any controller completes pending moves.
 //!
-//! Free capacity moves first, then whole jobs with their bookings. Each step is one
-//! commit, so that there is nothing halfway but what is pending.
+//! Free capacity is transferred first, then whole jobs with their bookings. Each step is
+//! one commit, so the only intermediate state is the pending amounts.
 
 use resources::{Amount, Resources};
 
@@ -10,33 +10,32 @@
 use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::Share;
 
-/// A job's bookings, which may be taken along as a whole.
+/// A job's bookings, which can only be reassigned as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobBooking {
     /// The job.
     pub job: JobId,
-    /// Whose share they count against.
+    /// The controller to whose share the bookings are charged.
     pub controller: ControllerName,
-    /// What they take.
+    /// The booked resources.
     pub booked: Resources,
 }
 
-/// One step of a team's moves.
+/// One step of a team's pending moves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
-    /// The controller that gives.
+    /// The source controller.
     pub from: ControllerName,
-    /// The controller that receives.
+    /// The destination controller.
     pub to: ControllerName,
-    /// What leaves the one share and enters the other.
+    /// The resources that leave the source's share and are added to the destination's.
     pub amount: Resources,
-    /// What to commit.
+    /// The change to commit.
     pub change: Change,
 }
 
-/// The next step that brings a team's split nearer to the one that is wanted; `None` if
-/// nothing is left to move or nothing can move now. At most `max_jobs` jobs are taken
-/// along.
+/// Returns the next step towards the target of a team's pending moves; `None` if nothing is
+/// pending or nothing can be transferred now. At most `max_jobs` jobs are reassigned.
 pub fn next_transfer(
     ledger: &Ledger,
     team: &TeamName,
@@ -61,14 +60,15 @@
     None
 }
 
-/// What may move from one share to another in one step.
+/// The bounds of one step from one share to another.
 struct TransferPlan<'a> {
     from: &'a ControllerName,
     to: &'a ControllerName,
-    /// What is left to move between the two.
+    /// The amount that is still to be transferred between the two.
     remaining: Resources,
-    /// What the giver has free, and the receiver.
+    /// The free capacity of the source.
     source_free: Resources,
+    /// The free capacity of the destination.
     destination_free: Resources,
 }
 
@@ -88,14 +88,15 @@
         }
     }
 
-    /// What the giver lacks beyond its free capacity.
+    /// Returns the part of the remaining amount that neither the source's free capacity nor
+    /// the included jobs cover.
     fn shortfall(&self, included: Resources) -> Resources {
         (self.remaining - self.source_free - included).positive()
     }
 
-    /// Whether jobs with these bookings may go along: where something is left to move
-    /// they fit into that and the receiver's free capacity; elsewhere their room goes with
-    /// them.
+    /// Returns whether jobs with these bookings may be included. In dimensions with a
+    /// remaining amount, they must fit into that amount and the destination's free
+    /// capacity; in the others, their capacity is transferred with them.
     fn can_include(&self, included: Resources) -> bool {
         let fits = |remaining: Amount, free: Amount, included: Amount| {
             remaining.0 == 0 || included.0 <= remaining.0 + free.0
@@ -111,8 +112,9 @@
         ) && fits(self.remaining.ram, self.destination_free.ram, included.ram)
     }
 
-    /// What leaves the giver's share: all that is left to move if free capacity and the jobs
-    /// cover it; where nothing is left to move, what the jobs take.
+    /// Returns the amount that leaves the source's share. In dimensions with a remaining
+    /// amount, that is as much of it as free capacity and the included jobs cover; in the
+    /// others, it is what the jobs use.
     fn amount(&self, included: Resources) -> Resources {
         let part = |remaining: Amount, free: Amount, included: Amount| match remaining.0 {
             0 => included,
@@ -125,7 +127,7 @@
         }
     }
 
-    /// The step with as many jobs as are needed and may go along, the largest first.
+    /// Returns the step with as many jobs as are needed and may be included, largest first.
     fn build_transfer(
         &self,
         team: &TeamName,
@@ -152,9 +154,10 @@
         }
         let next = self.share_after(share, amount);
         change.shares.insert(team.clone(), next);
-        // A booking at the giver meets the move as a conflict, on one side or the other.
+        // A concurrent booking against the source's share conflicts with the transfer, so
+        // that one of the two fails.
         change.read_uses.insert((team.clone(), self.from.clone()));
-        // What the receiver has free may go to jobs that come along.
+        // The destination's free capacity may be used by the included jobs.
         change.read_uses.insert((team.clone(), self.to.clone()));
         Some(Transfer {
             from: self.from.clone(),
@@ -164,7 +167,7 @@
         })
     }
 
-    /// The giver's jobs that may be taken along, the largest first.
+    /// Returns the source's jobs that may be included, largest first.
     fn candidates<'b>(&self, jobs: &'b [JobBooking]) -> Vec<&'b JobBooking> {
         let mut candidates: Vec<&JobBooking> = jobs
             .iter()
@@ -174,7 +177,7 @@
         candidates
     }
 
-    /// The split once this amount has moved.
+    /// Returns the share record after this amount has been transferred.
     fn share_after(&self, share: &Share, amount: Resources) -> Share {
         let mut next = share.clone();
         next.add_granted(self.from, Resources::default() - amount);
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -1,5 +1,5 @@
-//! Free capacity for a receiver, where every job that could be taken along is larger
-//! than what is left to move.
+//! Free capacity for the destination of a move when every job that could be included in a
+//! transfer is larger than the remaining amount.
 
 use resources::{Amount, Resources};
 
@@ -10,9 +10,10 @@
 use crate::records::Share;
 use crate::transfer::JobBooking;
 
-/// The change that gives a receiver the free capacity without which no job can be taken
-/// along, as the smallest one is larger than what is left to move; the next step then
-/// takes it. `None` if that is not what is in the way, or there is no such capacity.
+/// Returns the change that reserves the free capacity that a destination needs to receive
+/// the source's smallest job, if that job is larger than the remaining amount; the next
+/// transfer then includes it. `None` if this is not the obstacle, or if there is no such
+/// capacity.
 pub fn reserve_for_smallest_job(
     ledger: &Ledger,
     team: &TeamName,
@@ -30,7 +31,8 @@
     (change.writes() > 0).then_some(change)
 }
 
-/// The first pair of controllers between which something is left to move.
+/// The first pair of controllers with an amount that is still to be transferred between
+/// them.
 struct PendingPair {
     from: ControllerName,
     to: ControllerName,
@@ -55,7 +57,8 @@
     }
 }
 
-/// What bookings take beyond what is left to move, where something is.
+/// Returns the part of the bookings that exceeds the remaining amount, in the dimensions
+/// that have one.
 fn excess_over(remaining: Resources, booked: Resources) -> Resources {
     let excess = |remaining: Amount, booked: Amount| match remaining.0 {
         0 => Amount(0),
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -1,5 +1,5 @@
-//! What the bookings of one transaction count against: the team's own record, or a
-//! controller's share of the team's limit.
+//! The accounts to which one transaction's bookings are charged: the team's own record, or
+//! a controller's share of the team's limit.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +12,32 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// How many records and conditions a transaction can still take.
+/// The number of records and preconditions that a transaction can still take.
 #[derive(Debug, Clone, Copy)]
 pub struct CommitCapacity {
-    /// Records that may still be written.
+    /// The number of records that may still be written.
     pub writes: usize,
-    /// Conditions that may still be added.
+    /// The number of preconditions that may still be added.
     pub preconditions: usize,
 }
 
-/// What is asked of the accounting for one job.
+/// A request to charge the bookings of one job.
 pub struct BookingRequest<'a> {
     /// The job's team.
     pub team: &'a str,
-    /// The controller whose share its bookings count against.
+    /// The controller to whose share the bookings are charged.
     pub controller: &'a ControllerName,
-    /// What one task takes.
+    /// The resources that one task needs.
     pub need: Resources,
-    /// How many tasks are to be booked.
+    /// The number of tasks to book.
     pub tasks: usize,
-    /// All of them are booked, or none.
+    /// True if either all tasks are booked or none.
     pub all_or_nothing: bool,
-    /// The most records that the transaction may write.
+    /// The largest number of records that the transaction may write.
     pub max_writes: usize,
-    /// What the transaction can take beside the booking itself.
+    /// The capacity of the transaction beside the booking itself.
     pub capacity_with_booking: CommitCapacity,
-    /// What it can take without the booking.
+    /// The capacity of the transaction without the booking.
     pub capacity_without_booking: CommitCapacity,
 }
 
@@ -45,15 +45,16 @@
 pub struct BookingAccounts {
     own: ControllerName,
     ledger: Ledger,
-    /// What the bookings change of splits and pool.
+    /// The changes of share records and pool that the bookings require.
     change: Change,
-    /// What is booked against each share that is booked against here, by its id.
+    /// The resources booked against each share to which this transaction charges bookings,
+    /// by the id of the usage record.
     uses: BTreeMap<String, Resources>,
 }
 
 impl BookingAccounts {
-    /// The accounting that a round of this controller starts from; `None` where no team's
-    /// bookings count against shares.
+    /// Returns the accounting at the start of a round of this controller; `None` if no
+    /// team's bookings are charged to shares.
     pub fn new(replica: &Replica, settings: &Settings) -> Option<Self> {
         replica.has_shares().then(|| BookingAccounts {
             own: ControllerName::from(settings.controller_name.as_str()),
@@ -63,18 +64,18 @@
         })
     }
 
-    /// How many records it writes.
+    /// Returns the number of records that the accounting writes.
     pub fn writes(&self) -> usize {
         self.change.writes() + self.uses.len()
     }
 
-    /// How many records it depends on that it does not write.
+    /// Returns the number of records that the accounting depends on without writing them.
     pub fn reads(&self) -> usize {
         self.change.read_shares.len() + self.change.read_uses.len()
     }
 
-    /// The controller whose share a job's bookings count against: as long as some of its
-    /// tasks are booked it stays the same, else it is this one.
+    /// Returns the controller to whose share a job's new bookings are charged. While some
+    /// of the job's tasks are booked it stays the same; otherwise it is this controller.
     pub fn controller_for_new_bookings(&self, team: &str, job: &Job) -> ControllerName {
         if job.runs.is_empty() {
             return self.own.clone();
@@ -82,7 +83,7 @@
         self.controller_of_bookings(team, job)
     }
 
-    /// The controller whose share a job's present bookings count against.
+    /// Returns the controller to whose share a job's present bookings are charged.
     pub fn controller_of_bookings(&self, team: &str, job: &Job) -> ControllerName {
         let share = self.ledger.teams.get(team).and_then(|a| a.share.as_ref());
         let fallback = || share.map(|share| share.fallback.clone());
@@ -90,23 +91,25 @@
         name.unwrap_or_else(|| self.own.clone())
     }
 
-    /// Whether this transaction writes the record of what is booked there.
+    /// Returns whether this transaction writes the usage record of a controller's share.
     pub fn writes_use_record(&self, team: &str, controller: &ControllerName) -> bool {
         let id = share_use_id(team, controller.as_str());
         self.uses.contains_key(&id)
     }
 
-    /// Counts what an end frees.
+    /// Returns the resources of an ended task to the share to which it was charged.
     pub fn release(&mut self, team: &str, controller: &ControllerName, need: Resources) {
         if let Some(account) = self.ledger.teams.get_mut(team) {
             account.book(controller, Resources::default() - need);
         }
     }
 
-    /// Reserves capacity for the tasks of a booking, for as many as there is or for all or
-    /// none of a gang, and books it; returns how many. Where the transaction cannot take
-    /// what has to be written beside the booking, that alone goes into it if it can, and
-    /// the booking follows in the next.
+    /// Reserves capacity for the tasks of a booking and charges them; returns their number.
+    /// A gang is booked as a whole or not at all, other jobs in part if necessary.
+    ///
+    /// If the transaction cannot take the records that must be written beside the booking,
+    /// then only these records are added to it, if they fit, and the booking follows in the
+    /// next transaction.
     pub fn admit(&mut self, request: &BookingRequest) -> usize {
         let team = TeamName::from(request.team);
         let mut tasks = request.tasks;
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Merges a change in, if the transaction can take it; false if not.
+    /// Merges a change if the transaction can take it; returns whether it could.
     fn try_merge(&mut self, change: &Change, capacity: CommitCapacity) -> bool {
         let mut merged = self.change.clone();
         merged.merge(change.clone());
@@ -162,7 +165,7 @@
         true
     }
 
-    /// Adds all that it writes and depends on to a commit.
+    /// Adds all writes and preconditions of the accounting to a commit.
     pub fn into_commit(self, parts: &mut CommitParts) {
         parts.add_change(&self.change);
         for (id, used) in self.uses {
--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -1,4 +1,4 @@
-//! A change of the accounting as conditions and writes of a commit.
+//! Conversion of an accounting change into preconditions and writes of a commit.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,19 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// Conditions and writes of a commit in the making; no key is guarded twice.
+/// Builder of a commit's preconditions and writes. It adds at most one precondition per
+/// key.
 pub struct CommitParts<'a> {
     replica: &'a Replica,
     guarded: BTreeSet<String>,
-    /// The conditions.
+    /// The preconditions.
     pub preconditions: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
 
 impl<'a> CommitParts<'a> {
-    /// Nothing yet, on what this replica has.
+    /// Creates an empty builder that takes versions and records from this replica.
     pub fn new(replica: &'a Replica) -> Self {
         CommitParts {
             replica,
@@ -37,8 +38,9 @@
         }
     }
 
-    /// Adds the splits and the pool of a change, with all that it depends on. Jobs that
-    /// it reassigns are for [`Self::reassign_jobs`].
+    /// Adds the share records and the pool of a change, with preconditions on every record
+    /// that the change depends on. The jobs that it reassigns are added by
+    /// [`Self::reassign_jobs`].
     pub fn add_change(&mut self, change: &Change) {
         for (team, share) in &change.shares {
             self.guard_share(team);
@@ -71,21 +73,21 @@
         self.precondition(share_use_key(id), version);
     }
 
-    /// Writes what is booked against a share.
+    /// Writes the usage record of a share.
     pub fn put_use(&mut self, id: &str, used: Resources) {
         self.guard_use(id);
         self.writes.push(put(share_use_key(id), &Team { used }));
     }
 
-    /// Writes a team's own record, as last recounted.
+    /// Writes a team's own record with the usage that the replica last computed.
     pub fn put_team(&mut self, team: &str) {
         self.precondition(team_key(team), self.replica.team_version(team));
         let used = self.replica.team_used(team);
         self.writes.push(put(team_key(team), &Team { used }));
     }
 
-    /// Writes the records of the jobs whose bookings count against another share from
-    /// now on; nothing else of them changes.
+    /// Writes the records of the jobs whose bookings the change charges to another share.
+    /// Nothing else in these records changes.
     pub fn reassign_jobs(&mut self, change: &Change) {
         for (id, controller) in &change.reassigned {
             let Some(entry) = self.replica.jobs.get(id.as_str()) else {
--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -1,16 +1,16 @@
-//! Questions of operators about shares, and the answers, as JSON has them.
+//! JSON messages of the operators' endpoints for shares: requests and responses.
 
 use resources::{Amount, Resources};
 use serde::{Deserialize, Serialize};
 use shares::MoveState;
 
-/// Resources in whole units, as people write them.
+/// An amount of resources in whole units, as people write it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Amounts {
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub gpus: f64,
     /// Memory, in GB.
@@ -28,12 +28,12 @@
     }
 }
 
-/// The largest figure of a move.
+/// The largest amount of a move in each dimension, in whole units.
 const MAX_AMOUNT: f64 = 1e9;
 
 impl Amounts {
-    /// The amounts as the scheduler counts them; `None` if one is negative, too large or
-    /// not a number.
+    /// Converts the amounts to the scheduler's units; `None` if one is negative, too large
+    /// or not a number.
     pub fn resources(&self) -> Option<Resources> {
         let amounts = [self.cpus, self.gpus, self.memory_gb];
         let valid = amounts
@@ -47,45 +47,45 @@
     }
 }
 
-/// What one controller has of a team's quota.
+/// One controller's share of a team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerShare {
     /// The controller.
     pub controller: String,
-    /// What it may have booked.
+    /// The resources that the controller may have booked.
     pub granted: Amounts,
-    /// What it will have once nothing is left to move.
+    /// The resources that the controller will have once all pending moves are complete.
     pub wanted: Amounts,
-    /// What is booked.
+    /// The resources that are booked.
     pub used: Amounts,
 }
 
-/// The split of a team's quota.
+/// The distribution of a team's limit over the controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamShares {
     /// The team.
     pub team: String,
-    /// Whether its bookings count against shares.
+    /// True if the team's bookings are charged to shares.
     pub split: bool,
-    /// How many moves were asked for.
+    /// The number of moves that were requested.
     pub generation: u64,
-    /// The latest generation at which nothing was left to move.
+    /// The latest generation at which no move was pending.
     pub settled: u64,
-    /// The controllers that have or are to have a part.
+    /// The controllers that have a share, will receive one, or have bookings.
     pub controllers: Vec<ControllerShare>,
-    /// What stands in the way of what is left to move.
+    /// The reason why a pending move cannot proceed, if any.
     #[serde(default)]
     pub obstacle: Option<String>,
 }
 
-/// The answer to `GET /ops/shares`.
+/// The response to `GET /ops/shares`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareReport {
-    /// The revision of the state that it describes.
+    /// The revision of the state that the response describes.
     pub revision: u64,
-    /// What all shares may hold together.
+    /// The resources that all shares together may have.
     pub capacity: Amounts,
-    /// What they do.
+    /// The resources that all shares together have.
     pub granted: Amounts,
     /// The teams.
     pub teams: Vec<TeamShares>,
@@ -94,49 +94,50 @@
 /// The body of `POST /ops/shares/move`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MoveRequest {
-    /// The operation's id: however often it is sent, it takes effect once.
+    /// The operation's id, which makes the request idempotent: it takes effect once,
+    /// however often it is sent.
     pub id: String,
     /// The team.
     pub team: String,
-    /// The controller that gives.
+    /// The source controller.
     pub from: String,
-    /// The controller that receives.
+    /// The destination controller.
     pub to: String,
-    /// How much.
+    /// The resources to move.
     #[serde(flatten)]
     pub amount: Amounts,
-    /// Only say what would be done.
+    /// True if the request only asks what the move would do.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// A move, and how far it has come.
+/// A move and its progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MoveReport {
     /// The operation's id.
     pub id: String,
     /// The team.
     pub team: String,
-    /// The controller that gives.
+    /// The source controller.
     pub from: String,
-    /// The controller that receives.
+    /// The destination controller.
     pub to: String,
-    /// How much was asked for.
+    /// The resources that were requested to move.
     pub amount: Amounts,
-    /// The generation of the split that it began.
+    /// The generation of the team's share record that the move created.
     pub generation: u64,
-    /// How far it has come.
+    /// The progress of the move.
     pub state: MoveState,
-    /// What stands in the way, if it is not done.
+    /// The reason why the move cannot proceed, if it is not done.
     #[serde(default)]
     pub obstacle: Option<String>,
 }
 
-/// The answer to `GET /ops/shares/moves` and to `POST /ops/shares/move`.
+/// The response to `GET /ops/shares/moves` and to `POST /ops/shares/move`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MoveAnswer {
-    /// The revision of the state that it describes.
+    /// The revision of the state that the response describes.
     pub revision: u64,
-    /// The moves, by their ids.
+    /// The moves.
     pub moves: Vec<MoveReport>,
 }
--- a/src/accounting/mod.rs
+++ b/src/accounting/mod.rs
@@ -1,13 +1,14 @@
-//! Shares of teams' limits: which records a booking counts against, and the loop that
-//! moves shares, brings the pool up to date, and begins and ends the accounting by
-//! shares. The package `shares` decides; here its changes become commits.
+//! Accounting of bookings against teams' limits, which may be divided into shares of the
+//! controllers: the choice of the records to which a booking is charged, and the loop that
+//! moves shares, updates the pool, and enables and disables the accounting by shares. The
+//! package `shares` makes the decisions; this module turns its changes into commits.
 //!
 //! | module | task |
 //! | --- | --- |
-//! | `booking` | what the bookings of one transaction count against |
-//! | `commit` | a change as conditions and writes |
-//! | `messages`, `operators` | operators' queries: the splits and the moves |
-//! | `move_request` | an operator's request of a move |
+//! | `booking` | the accounts to which one transaction's bookings are charged |
+//! | `commit` | conversion of a change into preconditions and writes |
+//! | `messages`, `operators` | operators' queries for shares and moves |
+//! | `move_request` | an operator's request for a move |
 //! | `reconcile` | the next step of the accounting by shares |
 //! | `share_loop` | the loop that commits these steps |
 
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -1,7 +1,7 @@
 //! An operator's request to move a part of a share to another controller.
 //!
-//! A move is one commit, guarded by the split and by its id being new: a request that
-//! is repeated takes effect once.
+//! A move is one commit, with preconditions on the team's share record and on the absence
+//! of the move's id, so that a repeated request takes effect once.
 
 use shares::{Change, ControllerName, MoveError, MoveRecord, TeamName, request_move};
 
@@ -18,26 +18,27 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// How often a move is decided again after a conflict.
+/// The largest number of attempts to decide and commit a move, as conflicts require new
+/// ones.
 const MAX_ATTEMPTS: usize = 8;
 
-/// The longest id of an operation.
+/// The largest length of a move's id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// Why a requested move is not carried out.
+/// The reason why a requested move is refused.
 #[derive(Debug, thiserror::Error)]
 enum MoveRefusal {
-    #[error("an id has 1 to 64 letters, digits, dashes or dots")]
+    #[error("the id must have 1 to 64 letters, digits, dashes, underscores or dots")]
     InvalidId,
     #[error("an amount is negative, too large or not a number")]
     InvalidAmount,
-    #[error("no controller {0}")]
+    #[error("unknown controller {0}")]
     UnknownController(String),
-    #[error("no team {0}")]
+    #[error("unknown team {0}")]
     UnknownTeam(TeamName),
-    #[error("the id stands for another move")]
+    #[error("the id is already used by another move")]
     IdInUse,
-    #[error("the team's split cannot be read")]
+    #[error("the team's share record is unreadable")]
     SplitUnreadable,
     #[error(transparent)]
     Move(#[from] MoveError),
@@ -53,21 +54,21 @@
     }
 }
 
-/// What is to be done about a requested move.
+/// The decision on a requested move.
 enum MoveDecision {
-    /// It is known already, or only asked about.
+    /// The move is already recorded, or the request is a dry run.
     Answer(MoveAnswer),
-    /// It is to be committed, and then decided again.
+    /// The move must be committed and then decided again.
     Commit {
         preconditions: Vec<Precondition>,
         writes: Vec<Write>,
     },
 }
 
-/// The answer to `POST /ops/shares/move`.
+/// Handles `POST /ops/shares/move`.
 pub async fn move_share(controller: &Controller, body: &[u8]) -> Response {
     let Ok(request) = serde_json::from_slice::<MoveRequest>(body) else {
-        return Response::error(400, "not a move");
+        return Response::error(400, "the request body is not a valid move");
     };
     for _ in 0..MAX_ATTEMPTS {
         if !controller.is_state_service_reachable() {
@@ -92,8 +93,8 @@
     Response::unavailable("the state service does not answer", RETRY_AFTER_S)
 }
 
-/// Commits a move; false if the state service does not answer. Whether the commit took
-/// effect, the replica tells.
+/// Commits a move. Returns false if the state service does not answer. The replica shows
+/// whether the commit took effect.
 async fn commit_move(
     controller: &Controller,
     preconditions: Vec<Precondition>,
@@ -108,12 +109,14 @@
         Err(error) if error.is_refusal() => return false,
         Err(error) => tracing::debug!(%error, "share move commit failed"),
     }
-    // What has come between is on its way; or the commit was carried out.
+    // Either a conflicting commit has not reached the replica yet, or this commit took
+    // effect although its response was lost.
     let limit = controller.settings.worker_lease() / 8;
     controller.wait_for_barrier(limit).await
 }
 
-/// Decides on the replica whether a move is known, refused, or to be committed.
+/// Decides from the replica whether a move is already recorded, refused, or to be
+/// committed.
 fn decide(controller: &Controller, request: &MoveRequest) -> Result<MoveDecision, MoveRefusal> {
     let replica = controller.replica.borrow();
     if let Some(entry) = replica.moves.get(&request.id) {
@@ -159,7 +162,7 @@
     })
 }
 
-/// The amount of a move whose fields are valid.
+/// Validates the fields of a move and returns its amount.
 fn validated_amount(
     controller: &Controller,
     request: &MoveRequest,
@@ -178,7 +181,7 @@
     Ok(amount)
 }
 
-/// The answer to a move whose id is known.
+/// Returns the decision on a move whose id is already recorded.
 fn repeated_move(
     controller: &Controller,
     replica: &Replica,
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -1,7 +1,7 @@
-//! Operators' queries about shares: the splits and the moves.
+//! Operators' queries for shares and moves.
 //!
-//! They are answered from the replica, with its revision, so that every controller
-//! gives the same answer at the same revision.
+//! They are answered from the replica, and the response names its revision, so that every
+//! controller gives the same answer at the same revision.
 
 use shares::{
     ControllerName, Ledger, MoveRecord, MoveState, TeamAccount, TeamName, blocked_transfer,
@@ -14,15 +14,15 @@
 use crate::state::records::Resources;
 use crate::state::replica::Replica;
 
-/// After how many seconds a client may come back.
+/// `Retry-After` of a refused query, in seconds.
 pub(super) const RETRY_AFTER_S: u32 = 2;
 
-/// The most moves of one answer: the latest.
+/// The largest number of moves in one response, which contains the latest ones.
 const MAX_MOVES: usize = 100;
 
-const FEATURE_OFF: &str = "shares are off";
+const FEATURE_DISABLED: &str = "shares are disabled";
 
-/// The answer to `GET /ops/shares`, of one team if one is named.
+/// Handles `GET /ops/shares`, for one team if one is given.
 pub fn shares(controller: &Controller, team: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
     if let Some(refusal) = unavailable_response(controller, &replica) {
@@ -30,7 +30,7 @@
     }
     let ledger = replica.ledger(&controller.settings);
     if team.is_some_and(|team| !ledger.teams.contains_key(team)) {
-        return Response::error(404, "no such team");
+        return Response::error(404, "unknown team");
     }
     let teams = ledger.teams.iter();
     let teams = teams.filter(|(name, _)| team.is_none_or(|team| team == name.as_str()));
@@ -46,7 +46,7 @@
     Response::json(200, &report)
 }
 
-/// The answer to `GET /ops/shares/moves`, of one move if one is named.
+/// Handles `GET /ops/shares/moves`, for one move if one is given.
 pub fn moves(controller: &Controller, id: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
     if let Some(refusal) = unavailable_response(controller, &replica) {
@@ -55,22 +55,23 @@
     match id {
         Some(id) => match move_answer(&replica, &controller.settings, id) {
             Some(answer) => Response::json(200, &answer),
-            None => Response::error(404, "no such move"),
+            None => Response::error(404, "unknown move"),
         },
         None => Response::json(200, &latest_moves(&replica, &controller.settings)),
     }
 }
 
-/// Why nothing can be said of shares here, if so.
+/// Returns the refusal of a query while shares are unknown or disabled; `None` if it can be
+/// answered.
 pub(super) fn unavailable_response(controller: &Controller, replica: &Replica) -> Option<Response> {
     if !replica.loaded {
         return Some(Response::unavailable(
-            "the state is not read yet",
+            "the state is not loaded yet",
             RETRY_AFTER_S,
         ));
     }
-    let off = !controller.settings.features.shares.enabled && replica.pool.is_none();
-    off.then(|| Response::error(422, FEATURE_OFF))
+    let is_disabled = !controller.settings.features.shares.enabled && replica.pool.is_none();
+    is_disabled.then(|| Response::error(422, FEATURE_DISABLED))
 }
 
 fn team_shares(name: &TeamName, account: &TeamAccount) -> TeamShares {
@@ -95,12 +96,12 @@
     }
 }
 
-/// What stands in the way of what is left to move, in words.
+/// Returns the reason why a pending move cannot proceed, as text.
 fn obstacle_text(account: &TeamAccount) -> Option<String> {
     let found = blocked_transfer(account)?;
     let free = (account.free(found.controller.as_str())).positive();
     Some(format!(
-        "{} is still to give {}; it has {} free and {} booked",
+        "{} must still transfer {}; it has {} free and {} booked",
         found.controller,
         amount_text(found.outgoing),
         amount_text(free),
@@ -113,7 +114,7 @@
     format!("{cpus} CPUs, {gpus} accelerators, {ram} GB")
 }
 
-/// A move, and how far it has come.
+/// Returns a move and its progress.
 pub(super) fn move_report(ledger: &Ledger, id: &str, record: &MoveRecord) -> MoveReport {
     let account = ledger.teams.get(&record.team);
     let state = record.state(account.and_then(|account| account.share.as_ref()));
@@ -130,7 +131,7 @@
     }
 }
 
-/// The answer about one move, if its id is known.
+/// Returns the response for one move; `None` if its id is unknown.
 pub(super) fn move_answer(replica: &Replica, settings: &Settings, id: &str) -> Option<MoveAnswer> {
     let record = &replica.moves.get(id)?.value;
     Some(MoveAnswer {
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -1,9 +1,10 @@
-//! The next step of the accounting by shares: it completes what is left to move, keeps
-//! the pool in step with the machines, and begins and ends the accounting.
+//! The next step of the accounting by shares: completing pending moves, adapting the pool
+//! to the machines, and enabling and disabling the accounting by shares.
 //!
-//! There is no state here: each step is decided on the replica alone, again once the
-//! budget is there, and any controller may take it. Each subject has a preferred
-//! controller among those that are up, so that they seldom meet.
+//! This module keeps no state. Each step is decided from the replica alone, and decided
+//! again when the write budget allows the commit, and any controller may take it. Each team
+//! and the pool have a preferred controller among the live ones, so that controllers seldom
+//! conflict.
 
 use shares::{
     ControllerName, JobBooking, Ledger, OpenError, TeamName, Transfer, adjust_capacity, close_team,
@@ -21,11 +22,11 @@
 
 /// One commit of the accounting by shares.
 pub struct ReconcileStep {
-    /// What it does, for the log.
+    /// The name of the step for the log.
     pub action: &'static str,
-    /// The conditions.
+    /// The preconditions of the commit.
     pub preconditions: Vec<Precondition>,
-    /// The writes.
+    /// The writes of the commit.
     pub writes: Vec<Write>,
 }
 
@@ -39,7 +40,8 @@
     }
 }
 
-/// The next step that this controller takes, with these controllers up.
+/// Returns the next step of this controller, given the live controllers; `None` if there is
+/// nothing to do.
 pub fn next_reconcile_step(
     replica: &Replica,
     settings: &Settings,
@@ -69,16 +71,20 @@
     }
 }
 
-/// Whether every controller that is up has the feature on, this one included.
+/// Returns whether shares are enabled on every controller with a valid state lease, this
+/// one included. A controller with shares disabled reports an older format version.
 fn is_enabled(replica: &Replica, settings: &Settings) -> bool {
     let mut controllers = replica.controllers.values();
     settings.features.shares.enabled
         && controllers.all(|entry| entry.value.formats >= FORMATS_SHARES)
 }
 
-/// The pool is made once all machine shards count. It falls here only where shares hold more
-/// than the machines that stay have: else in the commit that takes a machine off the record.
-/// As machines come it rises with the growth of shares.
+/// Returns the step that creates the pool or reduces its capacity, if one is due.
+///
+/// The pool is created once all machine shards are counted. This step reduces its capacity
+/// only if the shares have more than the machines that are not about to leave; otherwise
+/// the commit that removes a machine from the record reduces it. When machines are added,
+/// the capacity rises with the next growth of a share.
 fn pool_step(
     replica: &Replica,
     settings: &Settings,
@@ -97,11 +103,12 @@
     let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| must_adjust)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(ReconcileStep::new("capacity", parts))
+    Some(ReconcileStep::new("adjust pool capacity", parts))
 }
 
-/// Writes machine shards anew that were last written before every controller counted the
-/// machines that it takes off the record: from then on what was decided before fails.
+/// Returns the step that rewrites machine shards which were last written before every
+/// controller accounted for the machines that it removes from the record. Rewriting them
+/// makes commits fail that were decided on their old versions.
 fn rewrite_uncounted_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
@@ -120,10 +127,11 @@
             .writes
             .push(replica.put_machine_shard(id, &entry.value));
     }
-    Some(ReconcileStep::new("count machines", parts))
+    Some(ReconcileStep::new("count machine shards", parts))
 }
 
-/// A team's accounting by shares is begun, or what is left of its moves is completed.
+/// Returns the step that enables a team's accounting by shares, or that continues its
+/// pending moves.
 fn team_step(
     replica: &Replica,
     settings: &Settings,
@@ -143,7 +151,8 @@
     }
 }
 
-/// A transfer, or what has to be committed before one is possible.
+/// Returns the step that transfers capacity, or the step that must be committed before a
+/// transfer is possible.
 fn transfer_step(
     replica: &Replica,
     settings: &Settings,
@@ -152,7 +161,7 @@
     fallback: &ControllerName,
 ) -> Option<ReconcileStep> {
     let jobs = job_bookings(replica, team, fallback);
-    // The split is written, too.
+    // The commit also writes the share record.
     let max_jobs = settings.txn_ops().saturating_sub(1);
     let mut parts = CommitParts::new(replica);
     let Some(transfer) = next_transfer(ledger, team, &jobs, max_jobs) else {
@@ -174,11 +183,11 @@
         cpus = transfer.amount.cpus.units(),
         gpus = transfer.amount.gpus.units(),
         jobs = transfer.change.reassigned.len(),
-        "share moves"
+        "transferring share capacity"
     );
 }
 
-/// A split that cannot be read is made anew from what is booked.
+/// Returns the step that rebuilds an unreadable share record from the bookings.
 fn rebuild_step(
     replica: &Replica,
     settings: &Settings,
@@ -189,11 +198,11 @@
     let change = rebuild_team(ledger, team, &fallback_controller(settings), generation)?;
     tracing::error!(
         team = team.as_str(),
-        "a split that cannot be read is made anew"
+        "unreadable share record rebuilt from bookings"
     );
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(ReconcileStep::new("rebuild", parts))
+    Some(ReconcileStep::new("rebuild share record", parts))
 }
 
 fn open_step(
@@ -218,7 +227,7 @@
         Err(_) => return None,
     }
     parts.put_team(team.as_str());
-    Some(ReconcileStep::new("begin", parts))
+    Some(ReconcileStep::new("enable team shares", parts))
 }
 
 fn close_step(replica: &Replica, ledger: &Ledger, team: &TeamName) -> Option<ReconcileStep> {
@@ -229,7 +238,7 @@
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
     parts.put_team(team.as_str());
-    Some(ReconcileStep::new("end", parts))
+    Some(ReconcileStep::new("disable team shares", parts))
 }
 
 fn remove_pool_step(replica: &Replica, is_responsible: bool) -> Option<ReconcileStep> {
@@ -241,7 +250,8 @@
     Some(ReconcileStep::new("remove the pool", parts))
 }
 
-/// What the team's jobs have booked, and whose share it counts against.
+/// Returns the bookings of the team's jobs, and the controllers to whose shares they are
+/// charged.
 fn job_bookings(replica: &Replica, team: &TeamName, fallback: &ControllerName) -> Vec<JobBooking> {
     let jobs = replica.jobs.iter().filter_map(|(id, entry)| {
         let job = &entry.value;
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -9,7 +9,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::client::StoreError;
 
-/// Commits one step after another, as the budget allows.
+/// Runs the loop that commits one step after another, as the write budget allows.
 pub async fn run_shares(controller: Rc<Controller>) {
     let settings = &controller.settings;
     let interval = settings.heartbeat_interval() / settings.features.shares.passes_per_report;
@@ -23,12 +23,12 @@
     }
 }
 
-/// Whether the loop goes on at once after a step.
+/// The result of one pass of the loop: continue immediately, or wait for the next interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The step was committed; there may be another.
+    /// The step was committed; another one may be due.
     Continue,
-    /// Nothing more can be decided before the next pass.
+    /// Nothing more can be decided before the next interval.
     Pause,
 }
 
@@ -45,7 +45,7 @@
     next_reconcile_step(&replica, &controller.settings, &alive)
 }
 
-/// Decides the next step once the budget is there, and commits it.
+/// Waits for the write budget, then decides the next step and commits it.
 async fn commit_next_step(controller: &Controller) -> Progress {
     controller
         .store
@@ -73,8 +73,8 @@
         }
         Err(error) => {
             tracing::debug!(action, %error, "share accounting commit failed");
-            // It may have happened: the replica tells after a barrier, and nothing more
-            // is decided before.
+            // The commit may have taken effect. The replica shows that after a barrier, and
+            // the next decision waits for it.
             let limit = controller.settings.worker_lease() / 4;
             controller.wait_for_barrier(limit).await;
             Progress::Pause
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -29,8 +29,8 @@
             .is_some_and(|age| age < self.settings.staleness_limit())
     }
 
-    /// Returns whether the state service has served this controller within the last quarter
-    /// of a worker's lease.
+    /// Returns whether the state service has served a read barrier of this controller
+    /// within a quarter of a worker's lease.
     pub fn is_state_service_reachable(&self) -> bool {
         let limit = self.settings.worker_lease() / 4;
         self.replica_staleness().is_some_and(|age| age < limit)
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -51,22 +51,22 @@
         // record was written. After a long silence the changes are many times larger than
         // the state itself and may exceed the memory, so the state is read again instead.
         let max_silence = self.settings.worker_lease() / 2;
-        let mut last_answered = Instant::now();
+        let mut last_response = Instant::now();
         let mut fallen_behind = false;
         loop {
-            let is_stale = fallen_behind || last_answered.elapsed() > max_silence;
+            let is_stale = fallen_behind || last_response.elapsed() > max_silence;
             if !self.replica.borrow().loaded || is_stale {
                 if let Err(error) = self.load().await {
                     tracing::debug!(%error, "reading the state failed");
                     sleep(self.store.jitter(RETRY_PAUSE)).await;
                     continue;
                 }
-                last_answered = Instant::now();
+                last_response = Instant::now();
                 fallen_behind = false;
             }
             let opened = Instant::now();
             match self.watch_once().await {
-                WatchEnd::Advanced => last_answered = Instant::now(),
+                WatchEnd::Advanced => last_response = Instant::now(),
                 WatchEnd::FallenBehind => fallen_behind = true,
                 WatchEnd::Failed => {}
                 WatchEnd::Reopened => continue,
@@ -145,7 +145,7 @@
             Err(error @ (StoreError::TooOld | StoreError::TooLarge)) => {
                 // Repeating the request would give the same result. The pages of a full
                 // read are bounded, and contain each record once.
-                tracing::info!(%error, "watch fallen behind, reading the state anew");
+                tracing::info!(%error, "watch fell behind, reloading the state");
                 WatchEnd::FallenBehind
             }
             Err(error) => {
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -14,13 +14,13 @@
     })
 }
 
-/// Returns the preferred controller for a job among the live ones, by rendezvous hashing.
-/// All controllers choose the same one, and when a controller is lost only its own jobs get
-/// another.
-pub fn preferred<'a>(job: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+/// Returns the preferred controller for a key, such as a job, among the live controllers,
+/// by rendezvous hashing. All controllers choose the same one, and when a controller is
+/// lost only its own keys get another.
+pub fn preferred<'a>(key: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     alive.max_by_key(|controller| {
         let mut hasher = DefaultHasher::new();
-        (job, controller).hash(&mut hasher);
+        (key, controller).hash(&mut hasher);
         (hasher.finish(), *controller)
     })
 }
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -106,23 +106,32 @@
             body
         };
         for (body, problem) in [
-            (with("team", json!("nobody")), "no team nobody"),
-            (with("from", json!("n9")), "no controller n9"),
-            (with("to", json!("n9")), "no controller n9"),
-            (with("to", json!("n0")), "n0 cannot move a share to itself"),
+            (with("team", json!("nobody")), "unknown team nobody"),
+            (with("from", json!("n9")), "unknown controller n9"),
+            (with("to", json!("n9")), "unknown controller n9"),
+            (
+                with("to", json!("n0")),
+                "the source and the destination of the move are both n0",
+            ),
             (
                 with("cpus", json!(0.0)),
                 "the amount to move must be above 0",
             ),
-            (with("cpus", json!(1e6)), "n0 has less than that to give"),
+            (
+                with("cpus", json!(1e6)),
+                "n0 has less than the amount to move",
+            ),
             (
                 with("cpus", json!(-1.0)),
                 "an amount is negative, too large or not a number",
             ),
-            (with("cpus", json!("two")), "not a move"),
+            (
+                with("cpus", json!("two")),
+                "the request body is not a valid move",
+            ),
             (
                 with("id", json!("a b")),
-                "an id has 1 to 64 letters, digits, dashes or dots",
+                "the id must have 1 to 64 letters, digits, dashes, underscores or dots",
             ),
         ] {
             let (status, answer) = ask_move(&w, 0, &body).await;
@@ -157,7 +166,7 @@
         let (status, answer) = ask_move(&w, 0, &move_body("x", "t", 0, 1, 1.0)).await;
         assert_eq!(
             (status, answer["error"].as_str()),
-            (422, Some("shares are off"))
+            (422, Some("shares are disabled"))
         );
         assert!(!checker.has_pool());
         w.assert_kept();
