--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -26,11 +26,11 @@
     /// One commit cannot take back enough free capacity of other teams. The contained
     /// change must be committed first; the reservation is then continued.
     #[error("other teams must return free capacity first")]
-    Partial(Box<Change>),
+    CommitFirst(Box<Change>),
 }
 
 /// Reserves the capacity that a booking needs in a controller's share. Returns the change
-/// with all records that must be written beside the booking itself.
+/// with all records that must be written in addition to the booking itself.
 ///
 /// The records that the decision reads are part of the change. The booking itself writes
 /// the usage record and has a precondition on the share record. The change writes at most
@@ -59,7 +59,7 @@
         Err(Shortage::MachineCapacity)
             if draft.written_shares_of_others(team) >= max_others.max(1) =>
         {
-            Err(Shortage::Partial(Box::new(draft.finish())))
+            Err(Shortage::CommitFirst(Box::new(draft.finish())))
         }
         Err(shortage) => Err(shortage),
     }
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -24,7 +24,7 @@
     /// Other teams must return more free capacity than fits into one commit. The contained
     /// change must be committed first.
     #[error("other teams must return free capacity first")]
-    Partial(Box<Change>),
+    CommitFirst(Box<Change>),
 }
 
 /// Enables a team's accounting by shares. Each controller is granted the resources that are
@@ -53,7 +53,7 @@
     else {
         return Err(match draft.written_shares_of_others(team) {
             0 => OpenError::PoolTooSmall,
-            _ => OpenError::Partial(Box::new(draft.finish())),
+            _ => OpenError::CommitFirst(Box::new(draft.finish())),
         });
     };
     pool.granted += total;
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -45,9 +45,9 @@
     let account = ledger.teams.get(team)?;
     let share = account.share.as_ref()?;
     for from in share.controllers() {
-        let owed = share.outgoing_from(from.as_str());
+        let outgoing = share.outgoing_from(from.as_str());
         for to in share.controllers() {
-            let remaining = owed.min(&share.incoming_to(to.as_str()));
+            let remaining = outgoing.min(&share.incoming_to(to.as_str()));
             if from == to || remaining.is_empty() {
                 continue;
             }
@@ -157,7 +157,8 @@
         // A concurrent booking against the source's share conflicts with the transfer, so
         // that one of the two fails.
         change.read_uses.insert((team.clone(), self.from.clone()));
-        // The destination's free capacity may be used by the included jobs.
+        // The included jobs may use the destination's free capacity, so nothing else may be
+        // booked against it in the meantime.
         change.read_uses.insert((team.clone(), self.to.clone()));
         Some(Transfer {
             from: self.from.clone(),
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -45,12 +45,12 @@
         let from = controllers
             .iter()
             .find(|name| !share.outgoing_from(name.as_str()).is_empty())?;
-        let owed = share.outgoing_from(from.as_str());
+        let outgoing = share.outgoing_from(from.as_str());
         let to = controllers
             .iter()
-            .find(|name| !owed.min(&share.incoming_to(name.as_str())).is_empty())?;
+            .find(|name| !outgoing.min(&share.incoming_to(name.as_str())).is_empty())?;
         Some(PendingPair {
-            remaining: owed.min(&share.incoming_to(to.as_str())),
+            remaining: outgoing.min(&share.incoming_to(to.as_str())),
             from: from.clone(),
             to: to.clone(),
         })
--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -435,7 +435,7 @@
         commits += 1;
         match reserve(&ledger, &"team-0".into(), &"n0".into(), amount(8, 8), 4) {
             Ok(change) => break change,
-            Err(Shortage::Partial(first)) => {
+            Err(Shortage::CommitFirst(first)) => {
                 assert!(first.writes() <= 4, "{first:?}");
                 first.apply(&mut ledger);
                 assert_eq!(ledger.violations(), []);
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -35,7 +35,7 @@
     pub all_or_nothing: bool,
     /// The largest number of records that the transaction may write.
     pub max_writes: usize,
-    /// The capacity of the transaction beside the booking itself.
+    /// The capacity of the transaction in addition to the booking itself.
     pub capacity_with_booking: CommitCapacity,
     /// The capacity of the transaction without the booking.
     pub capacity_without_booking: CommitCapacity,
@@ -105,11 +105,12 @@
     }
 
     /// Reserves capacity for the tasks of a booking and charges them; returns their number.
-    /// A gang is booked as a whole or not at all, other jobs in part if necessary.
+    /// A gang is booked as a whole or not at all; for other jobs, the number of tasks is
+    /// halved until they fit.
     ///
-    /// If the transaction cannot take the records that must be written beside the booking,
-    /// then only these records are added to it, if they fit, and the booking follows in the
-    /// next transaction.
+    /// If the transaction cannot take the records that must be written in addition to the
+    /// booking, then only these records are added to it, if they fit, and the booking
+    /// follows in the next transaction.
     pub fn admit(&mut self, request: &BookingRequest) -> usize {
         let team = TeamName::from(request.team);
         let mut tasks = request.tasks;
@@ -132,7 +133,7 @@
                     self.try_merge(&change, request.capacity_without_booking);
                     return 0;
                 }
-                Err(Shortage::Partial(first)) => {
+                Err(Shortage::CommitFirst(first)) => {
                     self.try_merge(&first, request.capacity_without_booking);
                     return 0;
                 }
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -18,8 +18,8 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// The largest number of attempts to decide and commit a move, as conflicts require new
-/// ones.
+/// The largest number of attempts to decide and commit a move. Each conflict requires
+/// another attempt.
 const MAX_ATTEMPTS: usize = 8;
 
 /// The largest length of a move's id, in bytes.
@@ -39,7 +39,7 @@
     #[error("the id is already used by another move")]
     IdInUse,
     #[error("the team's share record is unreadable")]
-    SplitUnreadable,
+    ShareRecordUnreadable,
     #[error(transparent)]
     Move(#[from] MoveError),
 }
@@ -48,7 +48,7 @@
     fn from(refusal: MoveRefusal) -> Self {
         let problem = refusal.to_string();
         match refusal {
-            MoveRefusal::SplitUnreadable => Response::unavailable(&problem, RETRY_AFTER_S),
+            MoveRefusal::ShareRecordUnreadable => Response::unavailable(&problem, RETRY_AFTER_S),
             _ => Response::error(400, &problem),
         }
     }
@@ -77,7 +77,7 @@
         if let Some(refusal) = unavailable_response(controller, &controller.replica.borrow()) {
             return refusal;
         }
-        match decide(controller, &request) {
+        match decide_move(controller, &request) {
             Err(refusal) => return refusal.into(),
             Ok(MoveDecision::Answer(answer)) => return Response::json(200, &answer),
             Ok(MoveDecision::Commit {
@@ -117,7 +117,10 @@
 
 /// Decides from the replica whether a move is already recorded, refused, or to be
 /// committed.
-fn decide(controller: &Controller, request: &MoveRequest) -> Result<MoveDecision, MoveRefusal> {
+fn decide_move(
+    controller: &Controller,
+    request: &MoveRequest,
+) -> Result<MoveDecision, MoveRefusal> {
     let replica = controller.replica.borrow();
     if let Some(entry) = replica.moves.get(&request.id) {
         return repeated_move(controller, &replica, request, &entry.value);
@@ -129,7 +132,7 @@
         return Err(MoveRefusal::UnknownTeam(team));
     }
     if replica.is_share_unreadable(team.as_str()) {
-        return Err(MoveRefusal::SplitUnreadable);
+        return Err(MoveRefusal::ShareRecordUnreadable);
     }
     let from = ControllerName::from(request.from.as_str());
     let to = ControllerName::from(request.to.as_str());
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -106,9 +106,9 @@
     Some(ReconcileStep::new("adjust pool capacity", parts))
 }
 
-/// Returns the step that rewrites machine shards which were last written before every
-/// controller accounted for the machines that it removes from the record. Rewriting them
-/// makes commits fail that were decided on their old versions.
+/// Returns the step that rewrites uncounted machine shards, those that were last written
+/// before every controller accounted for the machines that it removes from the record.
+/// Rewriting a shard makes commits fail that were decided on its old version.
 fn rewrite_uncounted_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
@@ -220,7 +220,7 @@
     );
     match opened {
         Ok(change) => parts.add_change(&change),
-        Err(OpenError::Partial(first)) => {
+        Err(OpenError::CommitFirst(first)) => {
             parts.add_change(&first);
             return Some(ReconcileStep::new("reserve for a team", parts));
         }
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -39,7 +39,7 @@
     /// Defers the launches on a machine until the next read barrier completes, and requests
     /// a barrier. Only the first deferred machine sends the request: while the state
     /// service refuses requests, barriers are retried at their normal interval.
-    pub fn request_barrier_for(&self, machine: &str) {
+    pub fn defer_launches_until_barrier(&self, machine: &str) {
         let barriers = &self.state_sync.barriers;
         let mut deferred = barriers.deferred_launches.borrow_mut();
         if deferred.is_empty() {
@@ -105,7 +105,7 @@
             self.expedite_watch();
         }
         if self.replica.borrow().loaded && self.wait_for_revision(revision, limit).await {
-            self.set_last_barrier(sent);
+            self.record_completed_barrier(sent);
             let barriers = &self.state_sync.barriers;
             barriers.completed.send_replace(number);
         } else {
@@ -123,7 +123,7 @@
 
     /// Records the send time of a newly completed barrier, and schedules the launches that
     /// were deferred until it.
-    fn set_last_barrier(&self, sent: Instant) {
+    fn record_completed_barrier(&self, sent: Instant) {
         let barriers = &self.state_sync.barriers;
         barriers.last_completed.set(Some(sent));
         let mut deferred = barriers.deferred_launches.borrow_mut();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -43,7 +43,7 @@
 
 /// Size limit of a worker's response to commands, as a multiple of the limit of a request
 /// body.
-const WORKER_RESPONSE_BODIES: usize = 4;
+const MAX_WORKER_RESPONSE_BODIES: usize = 4;
 
 /// Timeout of a request to the state service as a fraction of a worker's lease, within the
 /// bounds below. Responses take milliseconds, occasionally hundreds of milliseconds.
@@ -168,7 +168,7 @@
     let client = Client::new(net.clone(), settings.worker_lease());
     client.bounded(
         settings.command_connections(),
-        BODY_LIMIT * WORKER_RESPONSE_BODIES,
+        BODY_LIMIT * MAX_WORKER_RESPONSE_BODIES,
     )
 }
 
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the time since the previous call, in which the process may not have run.
+    /// Returns the time since the previous call, during which the process may not have run.
     fn take_time_since_last_run(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_ran.replace(now))
     }
@@ -58,7 +58,7 @@
         now
     }
 
-    /// Detects pauses and overload of this process within a short interval.
+    /// Detects pauses and overload of this process, at short intervals.
     pub async fn run_pause_detection(self: Rc<Self>) {
         let tick = self.settings.worker_lease() / 32;
         // Bounds the effect of one long pause, which is not load.
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -54,7 +54,7 @@
     pub(super) fn defer_stale_launches(&self, id: &str, plan: &mut WorkerPlan) {
         let limit = self.settings.launch_limit();
         if plan.defer_launches(self.replica_staleness(), limit) {
-            self.request_barrier_for(id);
+            self.defer_launches_until_barrier(id);
         }
     }
 
