--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -14,7 +14,7 @@
 /// key.
 pub struct CommitParts<'a> {
     replica: &'a Replica,
-    guarded: BTreeSet<String>,
+    guarded_keys: BTreeSet<String>,
     /// The preconditions.
     pub preconditions: Vec<Precondition>,
     /// The writes.
@@ -26,14 +26,14 @@
     pub fn new(replica: &'a Replica) -> Self {
         CommitParts {
             replica,
-            guarded: BTreeSet::new(),
+            guarded_keys: BTreeSet::new(),
             preconditions: Vec::new(),
             writes: Vec::new(),
         }
     }
 
     fn precondition(&mut self, key: String, version: u64) {
-        if self.guarded.insert(key.clone()) {
+        if self.guarded_keys.insert(key.clone()) {
             self.preconditions.push(precondition(key, version));
         }
     }
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -39,7 +39,7 @@
 
 /// Puts together one transaction: the terminations that are known, then as many jobs
 /// as it can hold, in queue order. `None` when there is nothing to write.
-pub(super) fn decide_move(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
+pub(super) fn decide(controller: &Controller, state: &mut RoundState) -> Option<Batch> {
     let now = Instant::now();
     let replica = controller.replica.borrow();
     let own = jobs_to_place(controller, state, &replica, now);
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::round::{Batch, decide_move};
+use super::round::{Batch, decide};
 use super::round_state::RoundState;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
@@ -68,7 +68,7 @@
             .wait_for_budget(RequestClass::Round, wanted)
             .await;
         let deciding = Instant::now();
-        let Some(batch) = decide_move(controller, state) else {
+        let Some(batch) = decide(controller, state) else {
             return;
         };
         gap = deciding.elapsed().max(shortest_gap);
