--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,4 +1,4 @@
-//! Processors, accelerators and memory in whole thousandths.
+//! Amounts of CPUs, accelerators and memory, in whole thousandths of a unit.
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A thousandth of a unit. Whole numbers, so that every controller adds up to
-/// the same figure.
+/// An amount in thousandths of a unit. Whole numbers make every controller compute
+/// identical sums.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,27 +16,27 @@
 pub struct Amount(pub i64);
 
 impl Amount {
-    /// What a task needs: rounded up.
-    pub fn rounded_up(x: f64) -> Self {
-        Amount((x * 1000.0 - 1e-6).ceil().max(0.0) as i64)
+    /// Converts a task's need from whole units, rounding up.
+    pub fn rounded_up(units: f64) -> Self {
+        Amount((units * 1000.0 - 1e-6).ceil().max(0.0) as i64)
     }
-    /// What a machine or a limit gives: rounded down.
-    pub fn rounded_down(x: f64) -> Self {
-        Amount((x * 1000.0 + 1e-6).floor().max(0.0) as i64)
+    /// Converts the capacity of a machine or a limit from whole units, rounding down.
+    pub fn rounded_down(units: f64) -> Self {
+        Amount((units * 1000.0 + 1e-6).floor().max(0.0) as i64)
     }
-    /// The amount in whole units, as people write it.
+    /// Returns the amount in whole units, as people write it.
     pub fn units(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
-/// Resources of a machine: what a task needs, what is free, or what is used.
+/// Resources of a machine or a task: needed, free or used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "c")]
     pub cpus: Amount,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "g")]
     pub gpus: Amount,
     /// Memory, in GB.
@@ -45,54 +45,54 @@
 }
 
 impl Resources {
-    /// Whether it is nothing at all.
+    /// Returns whether all amounts are 0.
     pub fn is_empty(&self) -> bool {
         *self == Resources::default()
     }
 
-    /// Whether a task that needs this much fits into it.
+    /// Returns whether a task with this need fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
     }
 
-    /// The resources of so many equal tasks.
-    pub fn times(&self, n: usize) -> Resources {
-        self.scaled(n as i64)
+    /// Returns the resources of `count` equal tasks.
+    pub fn times(&self, count: usize) -> Resources {
+        self.scaled(count as i64)
     }
 
-    /// As `times`, with a sign.
-    pub fn scaled(&self, n: i64) -> Resources {
+    /// Returns the resources multiplied by a factor, which may be negative.
+    pub fn scaled(&self, factor: i64) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0.saturating_mul(n)),
-            gpus: Amount(self.gpus.0.saturating_mul(n)),
-            ram: Amount(self.ram.0.saturating_mul(n)),
+            cpus: Amount(self.cpus.0.saturating_mul(factor)),
+            gpus: Amount(self.gpus.0.saturating_mul(factor)),
+            ram: Amount(self.ram.0.saturating_mul(factor)),
         }
     }
 
-    /// The smaller of the two in each dimension.
+    /// Returns the smaller amount of the two in each dimension.
     pub fn min(&self, other: &Resources) -> Resources {
         self.combine(other, i64::min)
     }
 
-    /// The larger of the two in each dimension.
+    /// Returns the larger amount of the two in each dimension.
     pub fn max(&self, other: &Resources) -> Resources {
         self.combine(other, i64::max)
     }
 
-    /// What is above nothing in each dimension.
+    /// Returns the resources with negative amounts replaced by 0.
     pub fn positive(&self) -> Resources {
         self.max(&Resources::default())
     }
 
-    fn combine(&self, other: &Resources, of: impl Fn(i64, i64) -> i64) -> Resources {
+    fn combine(&self, other: &Resources, operation: impl Fn(i64, i64) -> i64) -> Resources {
         Resources {
-            cpus: Amount(of(self.cpus.0, other.cpus.0)),
-            gpus: Amount(of(self.gpus.0, other.gpus.0)),
-            ram: Amount(of(self.ram.0, other.ram.0)),
+            cpus: Amount(operation(self.cpus.0, other.cpus.0)),
+            gpus: Amount(operation(self.gpus.0, other.gpus.0)),
+            ram: Amount(operation(self.ram.0, other.ram.0)),
         }
     }
 
-    /// How many tasks of `need` fit at once.
+    /// Returns the number of tasks with this need that fit at the same time.
     pub fn slots(&self, need: &Resources) -> usize {
         let part = |have: Amount, want: Amount| {
             if want.0 <= 0 {
@@ -109,35 +109,35 @@
 
 impl Add for Resources {
     type Output = Resources;
-    fn add(self, o: Resources) -> Resources {
+    fn add(self, other: Resources) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0 + o.cpus.0),
-            gpus: Amount(self.gpus.0 + o.gpus.0),
-            ram: Amount(self.ram.0 + o.ram.0),
+            cpus: Amount(self.cpus.0 + other.cpus.0),
+            gpus: Amount(self.gpus.0 + other.gpus.0),
+            ram: Amount(self.ram.0 + other.ram.0),
         }
     }
 }
 
 impl Sub for Resources {
     type Output = Resources;
-    fn sub(self, o: Resources) -> Resources {
+    fn sub(self, other: Resources) -> Resources {
         Resources {
-            cpus: Amount(self.cpus.0 - o.cpus.0),
-            gpus: Amount(self.gpus.0 - o.gpus.0),
-            ram: Amount(self.ram.0 - o.ram.0),
+            cpus: Amount(self.cpus.0 - other.cpus.0),
+            gpus: Amount(self.gpus.0 - other.gpus.0),
+            ram: Amount(self.ram.0 - other.ram.0),
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Resources) {
+        *self = *self + other;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        *self = *self - o;
+    fn sub_assign(&mut self, other: Resources) {
+        *self = *self - other;
     }
 }
 
--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -1,4 +1,4 @@
-//! What is pending of a split, brought up to date after the split has changed.
+//! Correction of the pending amounts of a share record after its granted amounts changed.
 
 use resources::Resources;
 
@@ -6,42 +6,44 @@
 use crate::records::Share;
 
 impl Share {
-    /// Restores that no controller is to give more than it has, after capacity has left
-    /// its share by another way: the obligation follows the capacity, first to those
-    /// that were to receive.
+    /// Restores the invariant that no controller must transfer more than it has, after
+    /// capacity has left its share by another way than a transfer. The obligation to
+    /// transfer the excess passes to the controllers that can have received the capacity:
+    /// first to those with a pending incoming amount, then to the others.
     pub(crate) fn rebalance(&mut self) {
         let controllers = self.controllers();
-        for debtor in &controllers {
-            let shortfall = (Resources::default() - self.target_for(debtor.as_str())).positive();
-            self.pass_obligation(&controllers, debtor, shortfall);
+        for source in &controllers {
+            let shortfall = (Resources::default() - self.target_for(source.as_str())).positive();
+            self.redistribute_shortfall(&controllers, source, shortfall);
         }
         self.settle_if_complete();
     }
 
-    /// Passes what a controller cannot give on to the others.
-    fn pass_obligation(
+    /// Passes the outgoing amount that a controller cannot cover to the other controllers.
+    fn redistribute_shortfall(
         &mut self,
         controllers: &[ControllerName],
-        debtor: &ControllerName,
+        source: &ControllerName,
         mut shortfall: Resources,
     ) {
-        // Those that are to receive come first, then whoever will have something.
+        // Controllers with a pending incoming amount come first, then any whose target is
+        // above 0.
         for receivers_only in [true, false] {
-            for other in controllers.iter().filter(|name| *name != debtor) {
+            for other in controllers.iter().filter(|name| *name != source) {
                 let target = self.target_for(other.as_str()).positive();
                 let bound = match receivers_only {
-                    true => self.due_to(other.as_str()).min(&target),
+                    true => self.incoming_to(other.as_str()).min(&target),
                     false => target,
                 };
                 let part = shortfall.min(&bound);
                 self.add_pending(other, Resources::default() - part);
-                self.add_pending(debtor, part);
+                self.add_pending(source, part);
                 shortfall -= part;
             }
         }
     }
 
-    /// Records the generation as settled once nothing is left to move.
+    /// Records the present generation as settled if no move is pending.
     pub(crate) fn settle_if_complete(&mut self) {
         if self.pending.is_empty() {
             self.settled = self.generation;
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -1,42 +1,41 @@
-//! Transfers: the steps by which any controller completes what is left to move.
+//! Transfers, the steps by which any controller completes pending moves.
 //!
-//! Free capacity moves first, then whole jobs with their bookings. Each step is one
-//! commit, so that there is nothing halfway but what is pending.
+//! Free capacity is transferred first, then whole jobs with their bookings. Each step is
+//! one commit, so the only intermediate state is the pending amounts.
 
 use resources::{Amount, Resources};
 
 use crate::change::Change;
 use crate::ledger::{Ledger, TeamAccount};
-use crate::names::{ControllerName, JobName, TeamName};
+use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::Share;
 
-/// A job's bookings, which may be taken along as a whole.
+/// A job's bookings, which can only be reassigned as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobBooking {
     /// The job.
-    pub job: JobName,
-    /// Whose share they count against.
+    pub job: JobId,
+    /// The controller to whose share the bookings are charged.
     pub controller: ControllerName,
-    /// What they take.
+    /// The booked resources.
     pub booked: Resources,
 }
 
-/// One step of a team's moves.
+/// One step of a team's pending moves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
-    /// The controller that gives.
+    /// The source controller.
     pub from: ControllerName,
-    /// The controller that receives.
+    /// The destination controller.
     pub to: ControllerName,
-    /// What leaves the one share and enters the other.
+    /// The resources that leave the source's share and are added to the destination's.
     pub amount: Resources,
-    /// What to commit.
+    /// The change to commit.
     pub change: Change,
 }
 
-/// The next step that brings a team's split nearer to the one that is wanted; `None` if
-/// nothing is left to move or nothing can move now. At most `max_jobs` jobs are taken
-/// along.
+/// Returns the next step towards the target of a team's pending moves; `None` if nothing is
+/// pending or nothing can be transferred now. At most `max_jobs` jobs are reassigned.
 pub fn next_transfer(
     ledger: &Ledger,
     team: &TeamName,
@@ -46,14 +45,14 @@
     let account = ledger.teams.get(team)?;
     let share = account.share.as_ref()?;
     for from in share.controllers() {
-        let owed = share.owed_by(from.as_str());
+        let outgoing = share.outgoing_from(from.as_str());
         for to in share.controllers() {
-            let left = owed.min(&share.due_to(to.as_str()));
-            if from == to || left.is_empty() {
+            let remaining = outgoing.min(&share.incoming_to(to.as_str()));
+            if from == to || remaining.is_empty() {
                 continue;
             }
-            let plan = TransferPlan::new(account, &from, &to, left);
-            if let Some(transfer) = plan.with_jobs(team, share, jobs, max_jobs) {
+            let plan = TransferPlan::new(account, &from, &to, remaining);
+            if let Some(transfer) = plan.build_transfer(team, share, jobs, max_jobs) {
                 return Some(transfer);
             }
         }
@@ -61,15 +60,16 @@
     None
 }
 
-/// What may move from one share to another in one step.
+/// The bounds of one step from one share to another.
 struct TransferPlan<'a> {
     from: &'a ControllerName,
     to: &'a ControllerName,
-    /// What is left to move between the two.
-    left: Resources,
-    /// What the giver has free, and the receiver.
-    free_from: Resources,
-    free_to: Resources,
+    /// The amount that is still to be transferred between the two.
+    remaining: Resources,
+    /// The free capacity of the source.
+    source_free: Resources,
+    /// The free capacity of the destination.
+    destination_free: Resources,
 }
 
 impl<'a> TransferPlan<'a> {
@@ -77,74 +77,88 @@
         account: &TeamAccount,
         from: &'a ControllerName,
         to: &'a ControllerName,
-        left: Resources,
+        remaining: Resources,
     ) -> Self {
         TransferPlan {
             from,
             to,
-            left,
-            free_from: account.free(from.as_str()).positive(),
-            free_to: account.free(to.as_str()).positive(),
+            remaining,
+            source_free: account.free(from.as_str()).positive(),
+            destination_free: account.free(to.as_str()).positive(),
         }
     }
 
-    /// What the giver lacks beyond its free capacity.
-    fn missing(&self, taken: Resources) -> Resources {
-        (self.left - self.free_from - taken).positive()
+    /// Returns the part of the remaining amount that neither the source's free capacity nor
+    /// the included jobs cover.
+    fn shortfall(&self, included: Resources) -> Resources {
+        (self.remaining - self.source_free - included).positive()
     }
 
-    /// Whether jobs with these bookings may go along: where something is left to move
-    /// they fit into that and the receiver's free capacity; elsewhere their room goes with
-    /// them.
-    fn admits(&self, taken: Resources) -> bool {
-        let fits =
-            |left: Amount, free: Amount, taken: Amount| left.0 == 0 || taken.0 <= left.0 + free.0;
-        fits(self.left.cpus, self.free_to.cpus, taken.cpus)
-            && fits(self.left.gpus, self.free_to.gpus, taken.gpus)
-            && fits(self.left.ram, self.free_to.ram, taken.ram)
+    /// Returns whether jobs with these bookings may be included. In dimensions with a
+    /// remaining amount, they must fit into that amount and the destination's free
+    /// capacity; in the others, their capacity is transferred with them.
+    fn can_include(&self, included: Resources) -> bool {
+        let fits = |remaining: Amount, free: Amount, included: Amount| {
+            remaining.0 == 0 || included.0 <= remaining.0 + free.0
+        };
+        fits(
+            self.remaining.cpus,
+            self.destination_free.cpus,
+            included.cpus,
+        ) && fits(
+            self.remaining.gpus,
+            self.destination_free.gpus,
+            included.gpus,
+        ) && fits(self.remaining.ram, self.destination_free.ram, included.ram)
     }
 
-    /// What leaves the giver's share: all that is left to move if free capacity and the jobs
-    /// cover it; where nothing is left to move, what the jobs take.
-    fn amount(&self, taken: Resources) -> Resources {
-        let part = |left: Amount, free: Amount, taken: Amount| match left.0 {
-            0 => taken,
-            left => Amount(left.min(free.0 + taken.0)),
+    /// Returns the amount that leaves the source's share. In dimensions with a remaining
+    /// amount, that is as much of it as free capacity and the included jobs cover; in the
+    /// others, it is what the jobs use.
+    fn amount(&self, included: Resources) -> Resources {
+        let part = |remaining: Amount, free: Amount, included: Amount| match remaining.0 {
+            0 => included,
+            remaining => Amount(remaining.min(free.0 + included.0)),
         };
         Resources {
-            cpus: part(self.left.cpus, self.free_from.cpus, taken.cpus),
-            gpus: part(self.left.gpus, self.free_from.gpus, taken.gpus),
-            ram: part(self.left.ram, self.free_from.ram, taken.ram),
+            cpus: part(self.remaining.cpus, self.source_free.cpus, included.cpus),
+            gpus: part(self.remaining.gpus, self.source_free.gpus, included.gpus),
+            ram: part(self.remaining.ram, self.source_free.ram, included.ram),
         }
     }
 
-    /// The step with as many jobs as are needed and may go along, the largest first.
-    fn with_jobs(
+    /// Returns the step with as many jobs as are needed and may be included, largest first.
+    fn build_transfer(
         &self,
         team: &TeamName,
         share: &Share,
         jobs: &[JobBooking],
         max_jobs: usize,
     ) -> Option<Transfer> {
-        let mut taken = Resources::default();
+        let mut included = Resources::default();
         let mut change = Change::default();
         for job in self.candidates(jobs) {
-            let helps = !self.missing(taken).min(&job.booked).is_empty();
-            if change.reassigned.len() == max_jobs || !helps || !self.admits(taken + job.booked) {
+            let helps = !self.shortfall(included).min(&job.booked).is_empty();
+            if change.reassigned.len() == max_jobs
+                || !helps
+                || !self.can_include(included + job.booked)
+            {
                 continue;
             }
-            taken += job.booked;
+            included += job.booked;
             change.reassigned.insert(job.job.clone(), self.to.clone());
         }
-        let amount = self.amount(taken);
-        if amount.min(&self.left).is_empty() {
+        let amount = self.amount(included);
+        if amount.min(&self.remaining).is_empty() {
             return None;
         }
-        let next = self.split_after(share, amount);
+        let next = self.share_after(share, amount);
         change.shares.insert(team.clone(), next);
-        // A booking at the giver meets the move as a conflict, on one side or the other.
+        // A concurrent booking against the source's share conflicts with the transfer, so
+        // that one of the two fails.
         change.read_uses.insert((team.clone(), self.from.clone()));
-        // What the receiver has free may go to jobs that come along.
+        // The included jobs may use the destination's free capacity, so nothing else may be
+        // booked against it in the meantime.
         change.read_uses.insert((team.clone(), self.to.clone()));
         Some(Transfer {
             from: self.from.clone(),
@@ -154,7 +168,7 @@
         })
     }
 
-    /// The giver's jobs that may be taken along, the largest first.
+    /// Returns the source's jobs that may be included, largest first.
     fn candidates<'b>(&self, jobs: &'b [JobBooking]) -> Vec<&'b JobBooking> {
         let mut candidates: Vec<&JobBooking> = jobs
             .iter()
@@ -164,12 +178,12 @@
         candidates
     }
 
-    /// The split once this amount has moved.
-    fn split_after(&self, share: &Share, amount: Resources) -> Share {
+    /// Returns the share record after this amount has been transferred.
+    fn share_after(&self, share: &Share, amount: Resources) -> Share {
         let mut next = share.clone();
         next.add_granted(self.from, Resources::default() - amount);
         next.add_granted(self.to, amount);
-        let completed = amount.min(&self.left);
+        let completed = amount.min(&self.remaining);
         next.add_pending(self.from, completed);
         next.add_pending(self.to, Resources::default() - completed);
         next.rebalance();
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -1,5 +1,5 @@
-//! Free capacity for a receiver, where every job that could be taken along is larger
-//! than what is left to move.
+//! Free capacity for the destination of a move when every job that could be included in a
+//! transfer is larger than the remaining amount.
 
 use resources::{Amount, Resources};
 
@@ -10,60 +10,63 @@
 use crate::records::Share;
 use crate::transfer::JobBooking;
 
-/// The change that gives a receiver the free capacity without which no job can be taken
-/// along, as the smallest one is larger than what is left to move; the next step then
-/// takes it. `None` if that is not what is in the way, or there is no such capacity.
+/// Returns the change that reserves the free capacity that a destination needs to receive
+/// the source's smallest job, if that job is larger than the remaining amount; the next
+/// transfer then includes it. `None` if this is not the obstacle, or if there is no such
+/// capacity.
 pub fn reserve_for_smallest_job(
     ledger: &Ledger,
     team: &TeamName,
     jobs: &[JobBooking],
     max_writes: usize,
 ) -> Option<Change> {
-    let pending = FirstPending::of(ledger.share(team)?)?;
+    let pending = PendingPair::first_in(ledger.share(team)?)?;
     let smallest = jobs
         .iter()
         .filter(|job| job.controller == pending.from)
-        .filter(|job| !pending.left.min(&job.booked).is_empty())
+        .filter(|job| !pending.remaining.min(&job.booked).is_empty())
         .min_by_key(|job| (job.booked.cpus, &job.job))?;
-    let needed = excess_over(pending.left, smallest.booked);
+    let needed = excess_over(pending.remaining, smallest.booked);
     let change = reserve(ledger, team, &pending.to, needed, max_writes).ok()?;
     (change.writes() > 0).then_some(change)
 }
 
-/// The first pair of controllers between which something is left to move.
-struct FirstPending {
+/// The first pair of controllers with an amount that is still to be transferred between
+/// them.
+struct PendingPair {
     from: ControllerName,
     to: ControllerName,
-    left: Resources,
+    remaining: Resources,
 }
 
-impl FirstPending {
-    fn of(share: &Share) -> Option<Self> {
+impl PendingPair {
+    fn first_in(share: &Share) -> Option<Self> {
         let controllers = share.controllers();
         let from = controllers
             .iter()
-            .find(|name| !share.owed_by(name.as_str()).is_empty())?;
-        let owed = share.owed_by(from.as_str());
+            .find(|name| !share.outgoing_from(name.as_str()).is_empty())?;
+        let outgoing = share.outgoing_from(from.as_str());
         let to = controllers
             .iter()
-            .find(|name| !owed.min(&share.due_to(name.as_str())).is_empty())?;
-        Some(FirstPending {
-            left: owed.min(&share.due_to(to.as_str())),
+            .find(|name| !outgoing.min(&share.incoming_to(name.as_str())).is_empty())?;
+        Some(PendingPair {
+            remaining: outgoing.min(&share.incoming_to(to.as_str())),
             from: from.clone(),
             to: to.clone(),
         })
     }
 }
 
-/// What bookings take beyond what is left to move, where something is.
-fn excess_over(left: Resources, booked: Resources) -> Resources {
-    let excess = |left: Amount, booked: Amount| match left.0 {
+/// Returns the part of the bookings that exceeds the remaining amount, in the dimensions
+/// that have one.
+fn excess_over(remaining: Resources, booked: Resources) -> Resources {
+    let excess = |remaining: Amount, booked: Amount| match remaining.0 {
         0 => Amount(0),
-        left => Amount((booked.0 - left).max(0)),
+        remaining => Amount((booked.0 - remaining).max(0)),
     };
     Resources {
-        cpus: excess(left.cpus, booked.cpus),
-        gpus: excess(left.gpus, booked.gpus),
-        ram: excess(left.ram, booked.ram),
+        cpus: excess(remaining.cpus, booked.cpus),
+        gpus: excess(remaining.gpus, booked.gpus),
+        ram: excess(remaining.ram, booked.ram),
     }
 }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -29,7 +29,7 @@
         return 0;
     }
     let next_gang = Job::new(gpu_spec.clone(), 0);
-    let urgency = EffectiveUrgency::of(gpu_spec);
+    let urgency = EffectiveUrgency::without_dependents(gpu_spec);
     let facts = scheduler::job_facts(&next_gang, gpu_spec, plan, settings, replica, 0.0, &urgency);
     let gangs = settings.policy.headroom(&facts);
     (gangs * f64::from(gpu_spec.tasks)).round() as usize
