--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,43 +1,45 @@
-//! The budget of requests and writes: this controller's allocation of the state
-//! service's rate limits, by the class of the request. Pure but for the clock's
-//! instants, which the caller passes.
+//! Implements the budget of requests and writes: this controller's allocation of the state
+//! service's rate limits, with a reserve for the classes of requests that have precedence.
+//! The functions read no clock; the caller passes the current time.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The limits of the state service are shared by all controllers, which do not
-/// count for one another: together they keep to so much of them.
+/// Fraction of the state service's rate limits that all controllers together may use. The
+/// controllers share the limits but do not see each other's requests.
 pub const BUDGET_SHARE: f64 = 0.97;
 
-/// Who goes first when the budget is short: the earlier, the sooner.
+/// Class of a request. When the budget is short, a class has precedence over the classes
+/// after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
     /// Accepting and cancelling jobs, reading the revision, watching.
     Accept,
-    /// The state lease, rentals, and reading pages of the state.
+    /// State leases, provisioning requests, and reads of pages of the state.
     Lease,
-    /// Claims and rounds wait with `Store::wait_for_budget` before they decide, then
-    /// go at once, into debt if need be: a commit that waits goes stale.
+    /// Claims of machines. Claims and rounds wait with `Store::wait_for_budget` before they
+    /// decide. Their commits are then sent without a further wait, into debt if necessary,
+    /// as the decision would become outdated.
     Claim,
     /// Commits of placement rounds.
     Round,
-    /// Machines that start, drain, are returned or are gone.
+    /// Changes of machines that start, drain, or are returned or gone.
     Lifecycle,
-    /// What can wait: publishing free capacity, moving services, removing records.
+    /// Deferrable work: publishing free capacity, moving services, removing records.
     Publication,
 }
 
-/// How many classes there are.
+/// Number of request classes.
 pub(super) const CLASSES: usize = 6;
 
 impl RequestClass {
-    /// The fraction of a full burst that this class must leave for those before;
-    /// below 0, how far into debt it may go.
+    /// Returns the fraction of a full burst that this class must leave to the classes with
+    /// precedence. A negative value is the debt that the class may incur.
     pub(super) fn reserve(self) -> f64 {
         match self {
-            // Few, and somebody waits: they may take what the larger ones are
-            // to leave in the seconds that follow.
+            // These requests are few and users wait for them. Their debt delays the larger
+            // classes in the following seconds.
             RequestClass::Accept => -3.0,
             RequestClass::Lease => -2.0,
             RequestClass::Claim => 0.05,
@@ -48,27 +50,28 @@
     }
 }
 
-/// A token bucket: tokens come at a rate, and are kept up to a burst.
+/// Token bucket, which is refilled at a rate up to a burst.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Refill rate, in tokens per second.
     rate: f64,
-    /// The most tokens that are kept.
+    /// Maximum number of tokens in the bucket.
     burst: f64,
-    /// The tokens at the last refill; negative while in debt.
+    /// Number of tokens at the last refill or charge; negative while in debt.
     tokens: f64,
+    /// Time of the last refill.
     refilled_at: Instant,
 }
 
-/// A shortage up to here is a rounding error.
+/// Shortage, in tokens, up to which a difference is a rounding error.
 const TOKEN_TOLERANCE: f64 = 1e-9;
 
-/// The fraction of a burst that is enough for the largest request: it goes into debt,
-/// as what waits for more would wait behind all that is small.
+/// Fraction of a burst that suffices for the largest request, which then incurs a debt. If
+/// it needed more, it would wait behind all smaller requests.
 const MAX_NEED_FRACTION: f64 = 0.5;
 
 impl TokenBucket {
-    /// A full bucket; `rate` is in tokens a second, `burst` the most that it holds.
+    /// Creates a full bucket with `rate` in tokens per second and at most `burst` tokens.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         TokenBucket {
             rate,
@@ -78,6 +81,7 @@
         }
     }
 
+    /// Adds the tokens of the time since the last refill.
     pub(super) fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         let refilled = self.tokens + elapsed.as_secs_f64() * self.rate;
@@ -85,7 +89,11 @@
         self.refilled_at = now;
     }
 
-    /// Takes one token; the error is how long to wait for it.
+    /// Takes one token.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time to wait for the token if there is none.
     pub fn take_one(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         match self.wait(1.0, 0.0) {
@@ -97,15 +105,15 @@
         }
     }
 
-    /// How long until `count` tokens can be taken with the fraction `reserve` of the
-    /// burst left over; `None` if they can be now.
+    /// Returns the time until `count` tokens can be taken with the fraction `reserve` of
+    /// the burst left over, or `None` if they can be taken now.
     pub(super) fn wait(&self, count: f64, reserve: f64) -> Option<Duration> {
         let need = count.min(self.burst * MAX_NEED_FRACTION) + self.burst * reserve;
         let shortage = need - self.tokens;
         (shortage > TOKEN_TOLERANCE).then(|| Duration::from_secs_f64(shortage / self.rate))
     }
 
-    /// Sets the rate, and a second's tokens as the burst.
+    /// Sets the rate, and the burst to the tokens of one second.
     fn set_rate(&mut self, rate: f64, now: Instant) {
         self.refill(now);
         self.rate = rate;
@@ -113,22 +121,23 @@
     }
 }
 
-/// How much this controller would write: what it has written of late, and more
-/// the longer it had to wait for its budget.
+/// Demand of this controller for writes: the average of its recent writes, increased by the
+/// time spent waiting for the budget.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct WriteDemand {
-    /// Keys written a second, averaged.
+    /// Moving average of written keys per second.
     written: f64,
-    /// The fraction of the time spent waiting, averaged.
+    /// Moving average of the fraction of time spent waiting.
     waited: f64,
+    /// Time of the last update of the averages.
     recorded_at: Option<Instant>,
 }
 
 impl WriteDemand {
-    /// The span over which demand is averaged, in seconds.
+    /// Time constant of the moving averages, in seconds.
     const AVERAGING_S: f64 = 4.0;
 
-    /// Records keys that were written, and seconds of waiting for the budget.
+    /// Records written keys and seconds spent waiting for the budget.
     pub(super) fn record(&mut self, written: f64, waited_s: f64, now: Instant) {
         let elapsed_s = self.recorded_at.map_or(0.0, |recorded_at| {
             now.saturating_duration_since(recorded_at).as_secs_f64()
@@ -139,23 +148,24 @@
         self.recorded_at = Some(now);
     }
 
-    /// Keys a second that this controller would write. One that has come to
-    /// write nothing, as `queued` commits wait for the budget, wants to all
-    /// the same.
+    /// Returns the keys per second that this controller would write. The `queued` commits
+    /// count as demand, too, as a controller whose commits all wait for the budget writes
+    /// nothing.
     pub(super) fn wanted(&self, queued: usize) -> f64 {
         self.written * (1.0 + self.waited) + self.waited * queued as f64
     }
 }
 
-/// The smallest allocation of a controller, as a fraction of an even one.
+/// Minimum allocation of a controller, as a fraction of an even allocation.
 const MIN_ALLOCATION: f64 = 0.25;
 
-/// The largest allocation of a controller, in even ones.
+/// Maximum allocation of a controller, as a multiple of an even allocation.
 const MAX_ALLOCATION: f64 = 3.0;
 
-/// This controller's allocation of the write rate that all have together, by what each
-/// would write; `others` holds what is known of the others, `None` for those not heard
-/// of. Each keeps a minimum, and none is given more than it could use.
+/// Returns this controller's allocation of the write rate `total` of all controllers,
+/// proportional to its `demand`. `others` contains the demands of the other controllers,
+/// with `None` for those that have not announced theirs. Each controller gets a minimum,
+/// and none gets more than a maximum, which it could not use.
 #[must_use]
 pub fn write_rate_allocation(total: f64, demand: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
@@ -168,7 +178,7 @@
     allocation.clamp(minimum, even * MAX_ALLOCATION)
 }
 
-/// The budget of requests and of written keys.
+/// Budget of requests and of written keys.
 #[derive(Debug)]
 pub struct Budget {
     requests: TokenBucket,
@@ -176,7 +186,7 @@
 }
 
 impl Budget {
-    /// A full budget of requests and written keys a second.
+    /// Creates a full budget with rates in requests and in written keys per second.
     pub fn new(rps: f64, write_rps: f64, now: Instant) -> Self {
         Budget {
             requests: TokenBucket::new(rps, rps, now),
@@ -184,7 +194,8 @@
         }
     }
 
-    /// How long until a request with `writes` written keys may go.
+    /// Returns the time until a request with `writes` written keys may be sent, or `None`
+    /// if it may be sent now.
     pub fn wait(&mut self, class: RequestClass, writes: usize, now: Instant) -> Option<Duration> {
         self.requests.refill(now);
         self.writes.refill(now);
@@ -196,23 +207,23 @@
         wait.max(self.writes.wait(writes as f64, reserve))
     }
 
-    /// Sets this controller's allocation of the writes, in keys a second.
+    /// Sets this controller's allocation of writes, in keys per second.
     pub fn set_write_rate(&mut self, write_rps: f64, now: Instant) {
         self.writes.set_rate(write_rps, now);
     }
 
-    /// Sets this controller's allocation of the requests, a second.
+    /// Sets this controller's allocation of requests, in requests per second.
     pub fn set_request_rate(&mut self, rps: f64, now: Instant) {
         self.requests.set_rate(rps, now);
     }
 
-    /// Gives back the writes of a request that was refused: they did not happen.
+    /// Returns the writes of a refused request to the budget, as they were not executed.
     pub fn refund(&mut self, writes: usize) {
         let refunded = self.writes.tokens + writes as f64;
         self.writes.tokens = refunded.min(self.writes.burst);
     }
 
-    /// Takes a request and its writes, into debt if need be.
+    /// Charges a request and its writes, into debt if necessary.
     pub fn charge(&mut self, writes: usize) {
         self.requests.tokens -= 1.0;
         self.writes.tokens -= writes as f64;
--- a/src/state/client/error.rs
+++ b/src/state/client/error.rs
@@ -1,39 +1,45 @@
-//! Errors of requests to the state service.
+//! Defines the errors of requests to the state service.
 
 use crate::http::CallError;
 
-/// Why the state service did not do as asked.
+/// Error of a request to the state service.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A guard did not hold: nothing was written.
+    /// Failed precondition, with the keys of the records concerned. Nothing was written.
     #[error("conflict on {0:?}")]
     Conflict(Vec<String>),
-    /// Not executed, surely.
-    #[error("state service refuses: {0}")]
+    /// Refusal by the state service, with the HTTP status, or 0 if no request was sent. The
+    /// request was certainly not executed.
+    #[error("state service refused the request with status {0}")]
     Refused(u16),
-    /// Longer than a request may be: not sent.
-    #[error("a commit of {0} bytes is too long")]
+    /// Commit that exceeds the maximum length of a request, with its length in bytes. It
+    /// was not sent.
+    #[error("commit of {0} bytes exceeds the maximum request size")]
     TooLong(usize),
-    /// May have been executed, or may yet be.
-    #[error("state service does not answer: {0}")]
+    /// Missing or unreadable response, with the reason. The request may have been executed,
+    /// or may still be.
+    #[error("no valid response from the state service: {0}")]
     NoAnswer(String),
-    /// Surely not executed, nor ever as it is; the longest record's key.
-    #[error("a commit beyond the state service's limits: {0}")]
+    /// Commit that exceeds the limits of the state service, with the key of its longest
+    /// record. It was certainly not executed, and would be refused again if it were sent
+    /// unchanged.
+    #[error("commit exceeds the limits of the state service; its longest record is {0}")]
     Limits(String),
-    /// The state lease has expired: its keys are gone.
+    /// Expired state lease. The keys that were tied to it are removed.
     #[error("state lease expired")]
     NoLease,
-    /// The service no longer has the changes since then: read the state anew.
+    /// Watch of a revision whose subsequent changes the service no longer has. The state
+    /// must be read again.
     #[error("the watched revision is too old")]
     TooOld,
-    /// A watch that holds more than this controller can take at once.
-    #[error("the answer is too large")]
+    /// Response that is larger than this controller accepts.
+    #[error("response from the state service is too large")]
     TooLarge,
 }
 
 impl StoreError {
-    /// Whether the state service serves this controller nothing at present. 429
-    /// is no such refusal: it passes within milliseconds.
+    /// Returns whether the state service currently serves no requests of this controller.
+    /// Status 429 does not count, as rate limiting ends within milliseconds.
     #[must_use]
     pub fn is_refusal(&self) -> bool {
         matches!(self, StoreError::Refused(status) if *status != 429)
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -1,14 +1,14 @@
-//! The state service's client. It alone keeps this controller inside its
-//! allocation of the service's rate limits, and it lets the work that users wait
-//! for go first.
+//! Client of the state service. All requests of this controller pass through it, so that
+//! they stay within the controller's allocation of the service's rate limits. Requests
+//! that users wait for have precedence.
 //!
 //! | module | task |
 //! | --- | --- |
-//! | `operations` | the service's operations: commit, read, watch, leases |
-//! | `request` | one request, with what it takes of the budget |
-//! | `write_queue` | the commits that wait, and which class goes first |
-//! | `rate_limit` | whether refusals show a lower rate limit |
-//! | `error` | why the service did not do as asked |
+//! | `operations` | operations of the service: commit, read, watch, leases |
+//! | `request` | a request and its cost in the budget |
+//! | `write_queue` | commits that wait, and the precedence of their classes |
+//! | `rate_limit` | detection of a lower rate limit by refusals |
+//! | `error` | errors of requests |
 
 mod error;
 mod operations;
@@ -34,23 +34,23 @@
 use super::budget::{Budget, RequestClass, WriteDemand};
 use crate::http::{Client, Response};
 
-/// How long everything but acceptance pauses after a 429, before jitter.
+/// Time for which all classes after `RequestClass::Lease` pause after a 429, before jitter.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(150);
 
-/// The shortest wait for the budget.
+/// Minimum time of a wait for the budget.
 const MIN_BUDGET_WAIT: Duration = Duration::from_millis(1);
 
-/// The longest wait for the budget at a time, as a part of the response timeout. The
-/// allocation may grow meanwhile, and what was refused is given back: whoever slept out
-/// a wait of half a minute would miss both, and would be forgotten as one that wants to
-/// write.
+/// Divisor of the response timeout that gives the maximum time of a single wait for the
+/// budget. The allocation may grow and refused writes may be refunded during a wait. A
+/// request that waited half a minute without checking again would miss both, and the
+/// controller's write demand would decay meanwhile.
 const MAX_BUDGET_WAIT_DIVISOR: u32 = 4;
 
-/// How long a write waits for those of classes before it, as a part of the response
-/// timeout.
+/// Divisor of the response timeout that gives the time for which a write yields to writes
+/// of classes with precedence before it checks again.
 const YIELD_DIVISOR: u32 = 50;
 
-/// The client of the state service, with this controller's budget.
+/// Client of the state service, with this controller's budget.
 pub struct Store {
     client: Rc<Client>,
     addr: SocketAddrV4,
@@ -58,20 +58,20 @@
     queue: WriteQueue,
     demand: Cell<WriteDemand>,
     rng: RefCell<SmallRng>,
-    /// How long a response may take before it counts as none.
+    /// Time after which a request counts as unanswered.
     response_timeout: Duration,
-    /// When the service last answered anything but a refusal.
+    /// Time of the last response from the service that was not a refusal.
     last_response: Cell<Option<Instant>>,
-    /// 429 makes everything but acceptance wait until then.
+    /// End of the pause of all classes after `RequestClass::Lease`, which follows a 429.
     paused_until: Cell<Option<Instant>>,
     rate_limit: RateLimitDetector,
-    /// Keys whose commit was refused as it was: each is logged once.
+    /// Longest records of commits that exceeded the limits, by key; each is logged once.
     logged_keys: RefCell<BTreeSet<String>>,
 }
 
 impl Store {
-    /// A client of the service at `addr` that counts a request as unanswered
-    /// after `response_timeout`.
+    /// Creates a client of the service at `addr`, whose requests count as unanswered after
+    /// `response_timeout`.
     pub fn new(
         client: Rc<Client>,
         addr: SocketAddrV4,
@@ -94,52 +94,57 @@
         }
     }
 
-    /// When the service last served us.
+    /// Returns the time of the last response from the service that was not a refusal.
     pub fn last_response(&self) -> Option<Instant> {
         self.last_response.get()
     }
 
-    /// A delay around `base` that no two controllers share.
+    /// Returns a random delay between half and one and a half times `base`, so that
+    /// controllers do not act simultaneously.
     pub fn jitter(&self, base: Duration) -> Duration {
         base.mul_f64(self.rng.borrow_mut().random_range(0.5..1.5))
     }
 
-    /// Keys a second that this controller would write, for the others to know.
+    /// Returns this controller's write demand in keys per second, to be announced to the
+    /// other controllers.
     pub fn demand(&self) -> f64 {
         self.record_demand(0, Duration::ZERO);
         self.demand.get().wanted(self.queue.len())
     }
 
+    /// Records written keys and the time spent waiting for the budget.
     fn record_demand(&self, written: usize, waited: Duration) {
         let mut demand = self.demand.get();
         demand.record(written as f64, waited.as_secs_f64(), Instant::now());
         self.demand.set(demand);
     }
 
-    /// Sets this controller's allocation of the writes, in keys a second.
+    /// Sets this controller's allocation of writes, in keys per second.
     pub fn set_write_rate(&self, write_rps: f64) {
         let now = Instant::now();
         self.budget.borrow_mut().set_write_rate(write_rps, now);
     }
 
-    /// Sets this controller's allocation of the requests, a second.
+    /// Sets this controller's allocation of requests, in requests per second.
     pub fn set_request_rate(&self, rps: f64) {
         let now = Instant::now();
         self.budget.borrow_mut().set_request_rate(rps, now);
     }
 
-    /// Whether refusals have shown that the lower rates are in force.
+    /// Returns whether refusals have shown that the lower rate limits are in force.
     pub fn is_rate_reduced(&self) -> bool {
         self.rate_limit.is_reduced()
     }
 
-    /// Waits until the budget has `writes` written keys for this class, and
-    /// takes nothing: for those who decide late, on what they know by then.
+    /// Waits until the budget allows a request of this class with `writes` written keys,
+    /// without charging the budget. The caller decides after the wait what to send, so
+    /// that the decision uses the latest state.
     pub async fn wait_for_budget(&self, class: RequestClass, writes: usize) {
         self.wait_turn(class, writes, BudgetUse::Keep).await;
     }
 
-    /// Takes a request and its writes out of the budget, once it may go.
+    /// Waits until the budget allows a request, and charges the request and its writes to
+    /// the budget. Rounds and claims have waited before and are charged without a wait.
     async fn admit(&self, class: RequestClass, writes: usize) {
         if matches!(class, RequestClass::Round | RequestClass::Claim) {
             self.budget.borrow_mut().charge(writes);
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Waits for the budget and for those that go first.
+    /// Waits for the budget and for writes of classes with precedence.
     async fn wait_turn(&self, class: RequestClass, writes: usize, budget_use: BudgetUse) {
         let _queued = (writes > 0).then(|| self.queue.enqueue(class));
         while let Some(wait) = self.try_admit(class, writes, budget_use) {
@@ -165,7 +170,8 @@
         }
     }
 
-    /// Charges the budget, if that is asked for, or tells how long to wait for it.
+    /// Charges the budget if `budget_use` says so. Returns the time to wait if the request
+    /// is not allowed yet.
     fn try_admit(
         &self,
         class: RequestClass,
@@ -187,7 +193,7 @@
         wait
     }
 
-    /// How long a class still pauses after a 429.
+    /// Returns the remaining pause of a class after a 429.
     fn remaining_pause(&self, class: RequestClass, now: Instant) -> Option<Duration> {
         let until = self.paused_until.get()?;
         (class > RequestClass::Lease && until > now).then(|| until - now)
@@ -221,23 +227,23 @@
         }
     }
 
-    /// Pauses after a refusal for the rate.
+    /// Pauses requests after a refusal because of the rate limit.
     fn back_off(&self, writes: usize) {
         if writes > 0 {
             self.rate_limit.record_refusal(Instant::now());
         }
         let pause = self.jitter(REFUSAL_PAUSE);
         self.paused_until.set(Some(Instant::now() + pause));
-        // Not executed: what it took of the budget is there still.
+        // The request was not executed, so its writes are returned to the budget.
         self.budget.borrow_mut().refund(writes);
     }
 }
 
-/// What a wait for the budget ends with.
+/// Action at the end of a wait for the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BudgetUse {
-    /// The request is taken out of the budget.
+    /// Charge: the request is charged to the budget.
     Charge,
-    /// Nothing is taken: the caller decides first what to send.
+    /// No charge: the caller first decides what to send.
     Keep,
 }
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of the state service: commits, reads, the watch, and leases.
+//! Implements the operations of the state service: commits, reads, the watch, and leases.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
     WatchResponse, Write,
 };
 
-/// How many records one page of a read may have.
+/// Maximum number of records per page of a read.
 const PAGE_RECORDS: usize = 500;
 
-/// How many keys of refused commits are remembered as logged.
+/// Number of keys of refused commits that are remembered as logged.
 const MAX_LOGGED_KEYS: usize = 1000;
 
 impl Store {
-    /// Sends a transaction, and returns the revision of its changes.
+    /// Commits a transaction and returns the revision of its changes.
     pub async fn commit(&self, class: RequestClass, commit: &Commit) -> Result<u64, StoreError> {
         let body = encode(commit)?;
         let writes = commit.writes.len();
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Logs once which record a refused commit was refused for, as far as that
-    /// can be known: its longest. Returns its key.
+    /// Logs the longest record of a commit that exceeded the limits, once per key. It is
+    /// the most likely cause, as the service does not name the record. Returns its key.
     fn log_longest_record(&self, commit: &Commit, body: &[u8]) -> String {
         let sizes = commit.writes.iter().map(|write| match write {
             Write::Put { key, value, .. } => (value.get().len(), key),
@@ -74,7 +74,7 @@
         key.clone()
     }
 
-    /// The current revision, by asking for a key that never exists.
+    /// Returns the current revision, by reading a key that never exists.
     pub async fn revision(&self, key: &str) -> Result<u64, StoreError> {
         let path = format!("/store/{key}");
         let request = Request::get(RequestClass::Accept, &path, self.response_timeout);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Reads records in the order of their keys, beginning after a key.
+    /// Reads a page of records in the order of their keys, beginning after the key `after`.
     pub async fn read_page(
         &self,
         prefix: &str,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Waits up to `block` for changes after a revision, and returns them.
+    /// Waits up to `block` for changes after a revision and returns them.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -114,7 +114,7 @@
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
         );
-        // An outage keeps watches open: the response may take longer than the block.
+        // Watches stay open during an outage, so the response may take longer than `block`.
         let timeout = block + self.response_timeout;
         let request = Request::get(RequestClass::Accept, &path, timeout);
         let response = self.send(request).await?;
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Takes a state lease that ends if it is not renewed in time.
+    /// Acquires a state lease that expires if it is not renewed within `ttl`. Returns its
+    /// id.
     pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let body = encode(&StateLeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
@@ -154,11 +155,12 @@
     }
 }
 
-/// Whether a commit was refused as its lease does not exist any more.
+/// Returns whether a commit was refused because its lease no longer exists.
 fn names_missing_lease(response: &Response) -> bool {
     String::from_utf8_lossy(&response.body).contains("no such lease")
 }
 
+/// Encodes the body of a request as JSON.
 fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
     serde_json::to_vec(value).map_err(|error| StoreError::NoAnswer(error.to_string()))
 }
--- a/src/state/client/rate_limit.rs
+++ b/src/state/client/rate_limit.rs
@@ -1,36 +1,39 @@
-//! Whether the state service's lower rate limits are in force, judged by its
-//! refusals (429).
+//! Detects by the refusals of the state service (429) whether its lower rate limits are in
+//! force.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// So many refusals for the rate within the observation window show a lower limit.
+/// Number of rate limit refusals within the observation window that indicates a lower
+/// limit.
 const REFUSAL_THRESHOLD: u32 = 3;
 
-/// The observation window, in response timeouts.
+/// Length of the observation window, in response timeouts.
 const WINDOW_TIMEOUTS: u32 = 2;
 
-/// How long the lower rate is then kept to, in response timeouts: four leases.
+/// Time for which the controller then keeps to the lower rates, in response timeouts. It
+/// equals four lease periods.
 const REDUCTION_TIMEOUTS: u32 = 32;
 
-/// The refusals of one observation window.
+/// Refusals within one observation window.
 #[derive(Debug, Clone, Copy, Default)]
 struct RefusalWindow {
     started: Option<Instant>,
     count: u32,
 }
 
-/// Counts refusals for the rate, and tells whether to keep to the lower rates.
+/// Detector of lower rate limits, which counts rate limit refusals.
 pub(super) struct RateLimitDetector {
     response_timeout: Duration,
     window: Cell<RefusalWindow>,
-    /// Until then the lower rates are taken to be in force.
+    /// Time until which the lower rates are assumed to be in force.
     reduced_until: Cell<Option<Instant>>,
 }
 
 impl RateLimitDetector {
+    /// Creates a detector that has recorded no refusal.
     pub(super) fn new(response_timeout: Duration) -> Self {
         RateLimitDetector {
             response_timeout,
@@ -39,14 +42,15 @@
         }
     }
 
-    /// Whether refusals have shown that the lower rates are in force.
+    /// Returns whether refusals have shown that the lower rates are in force.
     pub(super) fn is_reduced(&self) -> bool {
         self.reduced_until
             .get()
             .is_some_and(|until| until > Instant::now())
     }
 
-    /// One refusal may come of a burst; several in short order do not.
+    /// Records a refusal. A single refusal may be caused by a burst, so that only several
+    /// within one window indicate a lower limit.
     pub(super) fn record_refusal(&self, now: Instant) {
         let window = self.extended_window(now);
         if window.count < self.threshold() {
@@ -55,13 +59,14 @@
         }
         self.window.set(RefusalWindow::default());
         if !self.is_reduced() {
-            tracing::info!("state service refuses repeatedly: lower rate limit in force");
+            tracing::info!("state service refused repeatedly: lower rate limit in force");
         }
         let span = self.response_timeout * REDUCTION_TIMEOUTS;
         self.reduced_until.set(Some(now + span));
     }
 
-    /// The window with one more refusal; a new one if the last has ended.
+    /// Returns the current window with one more refusal, or a new window if the current one
+    /// has ended.
     fn extended_window(&self, now: Instant) -> RefusalWindow {
         let window = self.window.get();
         let length = self.response_timeout * WINDOW_TIMEOUTS;
@@ -77,7 +82,8 @@
         }
     }
 
-    /// Where the lower limit was met before, the first refusal shows that it still is.
+    /// Returns the number of refusals that indicates a lower limit. Once the lower limit
+    /// was detected, a single refusal shows that it is still in force.
     fn threshold(&self) -> u32 {
         match self.reduced_until.get() {
             Some(_) => 1,
--- a/src/state/client/request.rs
+++ b/src/state/client/request.rs
@@ -1,23 +1,23 @@
-//! One request to the state service, as the client sends it.
+//! Defines a request to the state service, as the client sends it.
 
 use std::time::Duration;
 
 use crate::state::budget::RequestClass;
 
-/// A request, with what it takes of the budget.
+/// Request to the state service, with its cost in the budget.
 pub(super) struct Request<'a> {
     pub(super) class: RequestClass,
-    /// How many keys it writes.
+    /// Number of keys that the request writes.
     pub(super) writes: usize,
     pub(super) method: &'static str,
     pub(super) path: &'a str,
     pub(super) body: Option<Vec<u8>>,
-    /// How long the response may take before it counts as none.
+    /// Time after which the request counts as unanswered.
     pub(super) timeout: Duration,
 }
 
 impl<'a> Request<'a> {
-    /// A request that reads.
+    /// Creates a request that reads.
     pub(super) fn get(class: RequestClass, path: &'a str, timeout: Duration) -> Self {
         Request {
             class,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A request with a body, which writes no key unless `writes` is set.
+    /// Creates a request with a body. It writes no keys unless the caller sets `writes`.
     pub(super) fn post(
         class: RequestClass,
         path: &'a str,
--- a/src/state/client/write_queue.rs
+++ b/src/state/client/write_queue.rs
@@ -1,13 +1,15 @@
-//! The commits that wait for the write budget, and which class of them goes first.
+//! Counts the commits that wait for the write budget and determines the precedence of their
+//! classes.
 
 use std::cell::{Cell, RefCell};
 
 use crate::state::budget::{CLASSES, RequestClass};
 
-/// How many commits of each class wait to be sent.
+/// Numbers of commits of each class that wait to be sent.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     waiting: RefCell<[usize; CLASSES]>,
+    /// Class of the last commit that was sent.
     last_writer: Cell<Option<RequestClass>>,
 }
 
@@ -18,18 +20,18 @@
         QueuedWrite { queue: self, class }
     }
 
-    /// How many commits wait, of all classes.
+    /// Returns the number of waiting commits of all classes.
     pub(super) fn len(&self) -> usize {
         self.waiting.borrow().iter().sum()
     }
 
-    /// Remembers the class that has written last.
+    /// Records the class of the last commit that was sent.
     pub(super) fn record_writer(&self, class: RequestClass) {
         self.last_writer.set(Some(class));
     }
 
-    /// Whether a class that goes before this one waits to write. Claims and rounds
-    /// take turns: neither may hold up the other for long.
+    /// Returns whether a commit of a class with precedence over this one is waiting. Claims
+    /// and rounds alternate, so that neither delays the other for long.
     pub(super) fn must_yield(&self, class: RequestClass) -> bool {
         let waiting = self.waiting.borrow();
         let is_waiting = |class: RequestClass| waiting[class as usize] > 0;
@@ -44,7 +46,7 @@
     }
 }
 
-/// Counts a commit as waiting for as long as it lives.
+/// Guard that counts a commit as waiting until it is dropped.
 pub(super) struct QueuedWrite<'a> {
     queue: &'a WriteQueue,
     class: RequestClass,
--- a/src/state/commit.rs
+++ b/src/state/commit.rs
@@ -1,15 +1,15 @@
-//! Conditions and writes of a commit.
+//! Builds the preconditions and writes of a commit.
 
 use serde::Serialize;
 
 use crate::wire::{Precondition, Write, to_raw_json};
 
-/// A condition of a commit: the record's version is still this one.
+/// Returns the precondition that a record still has a version.
 pub fn precondition(key: String, version: u64) -> Precondition {
     Precondition { key, version }
 }
 
-/// A write of `value` under `key`.
+/// Returns the write of `value` under `key`.
 pub fn put<T: Serialize>(key: String, value: &T) -> Write {
     Write::Put {
         key,
--- a/src/state/encoding/digits.rs
+++ b/src/state/encoding/digits.rs
@@ -1,40 +1,46 @@
-//! Numbers in base 64.
+//! Encodes and decodes numbers in base 64.
 
+/// Digits of the base 64 alphabet, in the order of their values.
 pub(super) const DIGITS: &[u8; 64] =
     b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz_~";
 
-/// Begins the compact encoding of a set of tasks; the plain one never does.
+/// First character of the compact encoding of a set of tasks. The plain encoding never
+/// begins with it.
 pub(super) const COMPACT_MARK: char = '.';
 
-pub(super) fn digit_value(c: u8) -> Option<u64> {
-    Some(u64::from(match c {
-        b'0'..=b'9' => c - b'0',
-        b'A'..=b'Z' => c - b'A' + 10,
-        b'a'..=b'z' => c - b'a' + 36,
+/// Returns the value of a digit, or `None` if the character is not a digit.
+pub(super) fn digit_value(digit: u8) -> Option<u64> {
+    Some(u64::from(match digit {
+        b'0'..=b'9' => digit - b'0',
+        b'A'..=b'Z' => digit - b'A' + 10,
+        b'a'..=b'z' => digit - b'a' + 36,
         b'_' => 62,
         b'~' => 63,
         _ => return None,
     }))
 }
 
-pub(super) fn push_number(text: &mut String, mut n: u64) {
+/// Appends a number to a text, without leading zeros.
+pub(super) fn push_number(text: &mut String, mut number: u64) {
     let mut digits = [0; 11];
-    let mut at = digits.len();
+    let mut start = digits.len();
     loop {
-        at -= 1;
-        digits[at] = DIGITS[(n % 64) as usize];
-        n /= 64;
-        if n == 0 {
+        start -= 1;
+        digits[start] = DIGITS[(number % 64) as usize];
+        number /= 64;
+        if number == 0 {
             break;
         }
     }
-    text.extend(digits[at..].iter().map(|d| char::from(*d)));
+    text.extend(digits[start..].iter().map(|digit| char::from(*digit)));
 }
 
+/// Parses a number. Returns `None` if the text is not a number or the number is too large.
 pub(super) fn read_number(text: &str) -> Option<u64> {
     if text.is_empty() {
         return None;
     }
-    text.bytes()
-        .try_fold(0u64, |n, c| n.checked_mul(64)?.checked_add(digit_value(c)?))
+    text.bytes().try_fold(0u64, |number, digit| {
+        number.checked_mul(64)?.checked_add(digit_value(digit)?)
+    })
 }
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -1,4 +1,4 @@
-//! The compact encoding of a job's runs.
+//! Encodes and decodes a job's record with its runs in the compact encoding.
 
 use std::fmt;
 
@@ -10,26 +10,26 @@
 use super::tasks::{push_tasks, read_tasks, task_width};
 use crate::state::records::{Job, Ranges, Run};
 
-/// Machines whose names have a prefix and a width in common, in one zone; with
-/// width 0 one machine.
+/// Pattern of machine names in one zone: the common prefix, the width of the number that
+/// follows, and the zone. With width 0, the prefix is the full name of one machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct NamePattern(String, usize, String);
 
-/// What a run takes beside its tasks: its name pattern, the machine's number, the
-/// attempt, the mark of a stop and two marks between.
+/// Returns the number of bytes that a run takes without its tasks: the name pattern, the
+/// machine's number, the attempt, the stop mark and two separators.
 pub fn run_bytes(attempt: u64) -> usize {
     let mut digits = String::new();
     push_number(&mut digits, attempt);
     1 + 5 + 1 + digits.len() + 1 + 1 + 1
 }
 
-/// What a task of the job takes.
+/// Returns the number of bytes that each task takes in a job with `tasks` tasks.
 pub fn task_bytes(tasks: u32) -> usize {
     task_width([tasks.saturating_sub(1)].into_iter())
 }
 
-/// What the table of patterns takes for machines of these names and zones, and all
-/// that stands around it.
+/// Returns the number of bytes that the table of name patterns takes for machines with
+/// these names and zones, including the surrounding punctuation and field names.
 pub fn table_bytes<'a>(machines: impl Iterator<Item = (&'a str, &'a str)>) -> usize {
     let mut patterns: Vec<(&str, usize, &str)> = machines
         .map(|(name, zone)| {
@@ -44,7 +44,8 @@
     40 + patterns.iter().map(one).sum::<usize>()
 }
 
-/// A job's record in the compact encoding; `None` where it has none.
+/// Encodes a job's record in the compact encoding. Returns `None` if the job cannot be
+/// encoded compactly.
 pub fn encode_job(job: &Job) -> Option<String> {
     let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
     let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
@@ -60,7 +61,8 @@
             table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
             table.len() - 1
         });
-        // Names of as many kinds have no compact encoding.
+        // The pattern's index is a single digit, so that more patterns than digits have no
+        // compact encoding.
         let pattern = *DIGITS.get(index)?;
         text.push(' ');
         text.push(char::from(pattern));
@@ -94,6 +96,7 @@
     Some(record)
 }
 
+/// Parses the runs of a job. Returns `None` if the text is not valid.
 fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
     let mut parts = text.split(' ');
     let width = read_number(parts.next()?)? as usize;
@@ -113,7 +116,7 @@
     parts.map(read_run).collect()
 }
 
-/// Reads a job's runs in either encoding.
+/// Deserializes a job's runs from either encoding.
 pub fn deserialize_runs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Run>, D::Error> {
     struct RunsVisitor;
     impl<'de> Visitor<'de> for RunsVisitor {
@@ -140,7 +143,8 @@
                     }
                 }
             }
-            read_runs(&table, &text).ok_or_else(|| A::Error::custom("not a text of runs"))
+            read_runs(&table, &text)
+                .ok_or_else(|| A::Error::custom("invalid compact encoding of runs"))
         }
     }
     deserializer.deserialize_any(RunsVisitor)
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -1,4 +1,4 @@
-//! The compact encoding of machine shards.
+//! Encodes and decodes machine shards in the compact encoding.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,8 +10,10 @@
 use super::names::{join_name, split_name};
 use crate::state::records::{HeartbeatId, Machine, MachineLifecycle, MachineShard};
 
-/// Machines of a machine shard that have owner, incarnation, lifecycle, type and kind in
-/// common; of each prefix and width a text: number, fencing token, epoch and sequence of the claim heartbeat.
+/// Machines of a machine shard with the same owner, incarnation, lifecycle state, machine
+/// type and spot flag. The list has a text for each prefix and width of names, with the
+/// number in the name, the fencing token, and the epoch and the sequence number of the
+/// claim heartbeat of each machine.
 #[derive(Debug, Serialize, Deserialize)]
 struct Members(
     String,
@@ -22,8 +24,8 @@
     Vec<(String, usize, String)>,
 );
 
-/// What the machines of one class have in common; the order of the fields is that of
-/// the classes in the text.
+/// Common properties of the machines in one class. The order of the fields determines the
+/// order of the classes in the encoding.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MachineClass<'a> {
     owner: &'a str,
@@ -45,21 +47,22 @@
     }
 }
 
-/// The most that a machine takes of its machine shard's compact record while its
-/// numbers are of usual length, in bytes.
+/// Maximum size of a machine in its machine shard's compact record while its numbers have
+/// their usual lengths, in bytes.
 pub const MACHINE_ENTRY_BYTES: usize = 22;
 
-/// What a class of machines takes there without its names, in bytes.
+/// Size of a class of machines in the compact record without its names, in bytes.
 const CLASS_BYTES: usize = 60;
 
-/// What a machine takes more whose name has no number, beside the name, in bytes.
+/// Additional size of a machine whose name has no number, without the name, in bytes.
 const FULL_NAME_BYTES: usize = 8;
 
-/// At most two owners and two lifecycles at a time, beside the class itself.
+/// Maximum number of classes per machine type: the machines have at most two owners and two
+/// lifecycle states at the same time, beside the class itself.
 const CLASSES_PER_TYPE: usize = 3;
 
-/// The most bytes that the machine shard may come to take with its machines' numbers
-/// grown and each in another state.
+/// Returns the maximum number of bytes that a machine shard may take after the numbers of
+/// its machines have grown and their states have diverged.
 pub fn machine_shard_bytes(
     machine_shard: &BTreeMap<String, Machine>,
     max_owner_length: usize,
@@ -78,7 +81,8 @@
     kinds * CLASSES_PER_TYPE + names.sum::<usize>()
 }
 
-/// The most bytes that one more machine may add to a machine shard, a type that is new there included.
+/// Returns the maximum number of bytes that one more machine may add to a machine shard,
+/// even if its machine type is new there.
 pub fn added_machine_bytes(name: &str, kind: &str, max_owner_length: usize) -> usize {
     let name = match split_name(name) {
         (name, 0, _) => name.len() + FULL_NAME_BYTES,
@@ -87,7 +91,7 @@
     MACHINE_ENTRY_BYTES + name + (kind.len() + max_owner_length + CLASS_BYTES) * CLASSES_PER_TYPE
 }
 
-/// A machine shard's record in the compact encoding.
+/// Encodes a machine shard's record in the compact encoding.
 pub fn encode_machine_shard(machine_shard: &MachineShard) -> Option<String> {
     let mut classes: BTreeMap<MachineClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
     for (name, m) in &machine_shard.machines {
@@ -129,15 +133,15 @@
     ))
 }
 
-/// The figures of one machine: the number that ends its name, and what it has not in
-/// common with others of its class.
+/// Numbers of one machine: the number at the end of its name, and the properties that are
+/// not common to its class.
 struct MemberFigures {
     number: u32,
     fencing_token: u64,
     claim_heartbeat: HeartbeatId,
 }
 
-/// Reads the figures of one machine; `None` if the text does not hold just these.
+/// Parses the numbers of one machine. Returns `None` if the text is not valid.
 fn read_member(text: &str) -> Option<MemberFigures> {
     let mut figures = text.split('.').map(read_number);
     let mut next = || figures.next().flatten();
@@ -152,7 +156,7 @@
     figures.next().is_none().then_some(member)
 }
 
-/// Reads a machine shard's machines in either encoding.
+/// Deserializes a machine shard's machines from either encoding.
 pub fn deserialize_machines<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, Machine>, D::Error> {
@@ -176,7 +180,7 @@
                 for (prefix, width, text) in texts {
                     for one in text.split(' ') {
                         let Some(figures) = read_member(one) else {
-                            return Err(A::Error::custom("not a text of machines"));
+                            return Err(A::Error::custom("invalid compact encoding of machines"));
                         };
                         let machine = Machine {
                             owner: owner.clone(),
--- a/src/state/encoding/mod.rs
+++ b/src/state/encoding/mod.rs
@@ -1,12 +1,11 @@
-//! Compact encodings of the records that grow with machines and tasks: zone
-//! shards, machine shards, a job's runs. They are written once every controller
-//! reads them and the state service's limits are to fall
-//! (`Replica::uses_compact_encoding`), and read always: each stands under the
-//! field of the plain encoding, which is of another shape.
+//! Implements compact encodings of the records that grow with machines and tasks: zone
+//! shards, machine shards, and the runs of jobs. They are written once every controller
+//! can read them and lower limits of the state service are announced
+//! (`Replica::uses_compact_encoding`). They can always be read: a compact encoding uses the
+//! same JSON field as the plain one, but another JSON type, which tells them apart.
 //!
-//! Numbers are in base 64, by an alphabet that JSON leaves as it is. A name is
-//! its number after a common prefix where it ends in digits; else it stands in
-//! full.
+//! Numbers are in base 64, with an alphabet that JSON does not escape. A name that ends in
+//! digits is encoded as its number after a common prefix, any other name in full.
 
 mod digits;
 mod job;
--- a/src/state/encoding/names.rs
+++ b/src/state/encoding/names.rs
@@ -1,24 +1,25 @@
-//! Machine names of one kind, as ranges of the numbers in them.
+//! Splits machine names into prefixes and numbers, and groups them into ranges of numbers.
 
 use std::collections::BTreeMap;
 
 use crate::state::records::Ranges;
 
-/// Digits of a name's number: as many as a `u32` always holds.
+/// Maximum number of digits of a name's number, so that it always fits a `u32`.
 pub(super) const NAME_DIGITS: usize = 9;
 
-/// A name as its prefix, the width of its number and that number; width 0 is a
-/// name that stands in full.
+/// Splits a name into its prefix, the width of its number in digits, and the number. With
+/// width 0, the prefix is the full name.
 pub(crate) fn split_name(name: &str) -> (&str, usize, u32) {
     let digits = name.bytes().rev().take_while(u8::is_ascii_digit).count();
     let width = digits.min(NAME_DIGITS);
     let (prefix, number) = name.split_at(name.len() - width);
     match number.parse() {
-        Ok(n) => (prefix, width, n),
+        Ok(number) => (prefix, width, number),
         Err(_) => (name, 0, 0),
     }
 }
 
+/// Returns the name that `split_name` has split.
 pub(super) fn join_name(prefix: &str, width: usize, number: u32) -> String {
     match width {
         0 => prefix.to_string(),
@@ -26,7 +27,8 @@
     }
 }
 
-/// The machines' names as ranges by prefix and width, and those in full.
+/// Groups names into ranges of numbers by prefix and width. Returns the ranges, and the
+/// names without a number in full.
 pub(super) fn fold_names<'a>(
     names: impl Iterator<Item = &'a str>,
 ) -> (Vec<(String, usize, Ranges)>, Vec<String>) {
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -1,28 +1,31 @@
-//! Sets of task numbers in the compact encoding.
+//! Encodes and decodes sets of task numbers in the compact encoding.
 
 use super::digits::{COMPACT_MARK, DIGITS, digit_value};
 use crate::state::records::Ranges;
 
-/// Stands between the first and the last task of a range.
+/// Separator between the first and the last task of a range.
 pub(super) const RANGE_MARK: u8 = b'-';
 
-/// The digits that each task of the set takes.
-pub(super) fn task_width(sets: impl Iterator<Item = u32>) -> usize {
-    match sets.max().unwrap_or(0) {
+/// Returns the number of digits that each task number takes, so that the highest of them
+/// fits.
+pub(super) fn task_width(tasks: impl Iterator<Item = u32>) -> usize {
+    match tasks.max().unwrap_or(0) {
         ..4096 => 2,
         4096..262_144 => 3,
         _ => 6,
     }
 }
 
-pub(super) fn push_task(text: &mut String, n: u32, width: usize) {
-    for at in (0..width).rev() {
-        let d = (u64::from(n) >> (6 * at)) % 64;
-        text.push(char::from(DIGITS[d as usize]));
+/// Appends a task number with a fixed number of digits.
+pub(super) fn push_task(text: &mut String, task: u32, width: usize) {
+    for position in (0..width).rev() {
+        let digit = (u64::from(task) >> (6 * position)) % 64;
+        text.push(char::from(DIGITS[digit as usize]));
     }
 }
 
-/// Writes a set of tasks. However it falls apart, a task takes its width at most.
+/// Appends a set of tasks. Each task takes at most `width` characters, even if the set
+/// consists of single tasks.
 pub(super) fn push_tasks(text: &mut String, set: &Ranges, width: usize) {
     for &(a, b) in &set.0 {
         push_task(text, a, width);
@@ -37,6 +40,7 @@
     }
 }
 
+/// Parses a set of tasks. Returns `None` if the text is not valid.
 pub(super) fn read_tasks(text: &str, width: usize) -> Option<Ranges> {
     let mut set: Vec<(u32, u32)> = Vec::new();
     let bytes = text.as_bytes();
@@ -58,7 +62,7 @@
             Some(last) if open && last.1 < n => last.1 = n,
             _ if open => return None,
             Some(last) if last.1 >= n => return None,
-            // Two that touch stand alone, as that is shorter.
+            // Two adjacent tasks are written without a range mark, as that is shorter.
             Some(last) if last.1 + 1 == n => last.1 = n,
             _ => set.push((n, n)),
         }
@@ -67,8 +71,8 @@
     (!open).then_some(Ranges(set))
 }
 
-/// Reads a set of tasks in the compact encoding; the outer `None` where the text is in
-/// the plain one.
+/// Parses a set of tasks in the compact encoding. Returns `None` if the text is in the plain
+/// encoding, and `Some(None)` if the compact encoding is not valid.
 pub fn decode_ranges(text: &str) -> Option<Option<Ranges>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -1,4 +1,4 @@
-//! The compact encoding of zone shards.
+//! Encodes and decodes zone shards in the compact encoding.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,8 +9,9 @@
 use super::names::{fold_names, join_name, split_name};
 use crate::state::records::{Amount, MachineSlot, Ranges, Resources, ZoneShard};
 
-/// Machines of one type and kind in a zone shard: ranges of numbers by prefix and
-/// width, names in full, and what unbooked tasks take of some.
+/// Machines of a zone shard with the same machine type and spot flag: ranges of numbers by
+/// prefix and width of names, names in full, and the resources that unbooked tasks take, by
+/// name.
 #[derive(Debug, Serialize, Deserialize)]
 struct Slots(
     String,
@@ -20,8 +21,9 @@
     BTreeMap<String, (i64, i64, i64)>,
 );
 
-/// A zone shard's record in the compact encoding: what is free is not written, as planning
-/// takes the type's capacity less what is booked and what unbooked tasks take.
+/// Encodes a zone shard's record in the compact encoding. The free resources are omitted, as
+/// planning subtracts the resources of bookings and of unbooked tasks from the capacity of
+/// the machine type.
 pub fn encode_zone_shard(shard: &ZoneShard) -> Option<String> {
     let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
     for (name, slot) in &shard.machines {
@@ -46,22 +48,23 @@
     Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
 }
 
-/// The punctuation and figures of a class of machines, of its names' prefix, and of
-/// one name.
+/// Size of the punctuation and numbers of a class of machines, of the prefix of its names,
+/// and of one name, in bytes.
 const CLASS_BYTES: usize = 40;
 
-/// What the figures of unbooked tasks take beside the machine's name.
+/// Size of the resources of unbooked tasks without the machine's name, in bytes.
 const UNBOOKED_BYTES: usize = 60;
 
-/// The most bytes that one more machine may add to a zone shard's compact encoding, even
-/// if it is the first of its class and every character of its names is quoted.
+/// Returns the maximum number of bytes that one more machine may add to a zone shard's
+/// compact encoding, even if it is the first of its class and every character of its names
+/// is escaped.
 pub fn slot_bytes_bound(machine: &str, kind: &str) -> usize {
     (machine.len() + kind.len()) * 2 + CLASS_BYTES
 }
 
-/// The most bytes that a zone shard's compact encoding may come to have while machines
-/// leave it: a machine that leaves may split a range of numbers, and so make the text
-/// longer. Here each number stands by itself.
+/// Returns the maximum number of bytes that a zone shard's compact encoding may have while
+/// machines leave it. A machine that leaves may split a range of numbers, which makes the
+/// encoding longer. The bound counts each number as a range of its own.
 pub fn zone_shard_bytes_bound(shard: &ZoneShard) -> usize {
     let mut classes: BTreeSet<(&str, bool, &str, usize)> = BTreeSet::new();
     let mut bytes = 0;
@@ -81,14 +84,14 @@
     bytes + classes.sum::<usize>()
 }
 
-/// Whether a zone shard's record is in the compact encoding: a list, where the longer one
-/// has names.
+/// Returns whether a zone shard's record is in the compact encoding, which is a list, while
+/// the plain encoding is an object.
 pub fn is_compact_zone_shard(text: &str) -> bool {
     let machines = text.split_once(':').map_or("", |(_, rest)| rest);
     machines.trim_start().starts_with('[')
 }
 
-/// Reads a zone shard's machines in either encoding.
+/// Deserializes a zone shard's machines from either encoding.
 pub fn deserialize_slots<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -1,10 +1,10 @@
-//! Names as small numbers, so that planning compares and copies no text.
+//! Numbers names, so that planning compares and copies small numbers in place of strings.
 
 use std::rc::Rc;
 
 use foldhash::HashMap;
 
-/// Names as small numbers, so that planning compares and copies no text.
+/// Table that assigns consecutive numbers to names.
 #[derive(Debug, Default)]
 pub struct Names {
     numbers: HashMap<Rc<str>, u32>,
@@ -12,37 +12,37 @@
 }
 
 impl Names {
-    /// The number of a name, which is given one if it has none.
+    /// Returns the number of a name, and assigns one if the name has none.
     pub fn number(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.numbers.get(name) {
-            return *n;
+        if let Some(number) = self.numbers.get(name) {
+            return *number;
         }
-        let n = self.names.len() as u32;
+        let number = self.names.len() as u32;
         let name: Rc<str> = name.into();
-        self.numbers.insert(name.clone(), n);
+        self.numbers.insert(name.clone(), number);
         self.names.push(name);
-        n
+        number
     }
-    /// The number of a name, if it has one.
+    /// Returns the number of a name, if it has one.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
-    /// The name with this number; empty if there is none.
+    /// Returns the name with a number, or an empty string if there is none.
     pub fn name(&self, number: u32) -> Rc<str> {
         self.names
             .get(number as usize)
             .cloned()
             .unwrap_or_else(|| "".into())
     }
-    /// All names in the order of their numbers.
+    /// Returns all names in the order of their numbers.
     pub fn all(&self) -> impl Iterator<Item = &str> {
-        self.names.iter().map(|n| &**n)
+        self.names.iter().map(|name| &**name)
     }
-    /// How many names there are.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
-    /// Whether there are no names.
+    /// Returns whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -1,31 +1,32 @@
-//! Bounds of the size of a job's record, whatever its tasks come to.
+//! Computes bounds of the size of a job's record, for any progress of its tasks.
 
 use crate::state::encoding;
 use crate::state::records::{Job, MAX_FAILED_MACHINES, Spec};
 use crate::wire::JobKind;
 
-/// What the counters may come to take in a compact record.
+/// Maximum size of the counters in a compact record, in bytes.
 const COMPACT_COUNTER_BYTES: usize = 130;
 
-/// The quotes and the comma of a name in a list.
+/// Size of the quotes and the comma around a name in a list, in bytes.
 const NAME_PUNCTUATION_BYTES: usize = 3;
 
-/// What the machines take that a job may come to have failed on.
+/// Returns the maximum number of bytes of the list of machines on which a job has failed.
 pub fn failed_on_bytes(max_name_length: usize) -> usize {
     MAX_FAILED_MACHINES * (max_name_length + NAME_PUNCTUATION_BYTES)
 }
 
-/// What a job's compact record takes beside its table, runs and tasks: counters as
-/// they may come to be, its spec, and machines that it may come to have failed on.
+/// Returns the maximum number of bytes of a job's compact record without its table, runs
+/// and tasks: the counters, the specification, and the machines on which it has failed.
 pub fn short_fixed_bytes(job: &Job, max_name_length: usize) -> usize {
     let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |text| text.len());
     COMPACT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
 }
 
-/// The least that a job's record takes while it runs: a gang's tasks all at
-/// once, of other jobs one; on machines with such names, in such zones.
+/// Returns the number of bytes that a job's record must have to run the job at all: with
+/// all tasks of a gang, or one task of another job. The machines are named like `name`, in
+/// a zone named like `zone`.
 pub fn min_record_bytes(spec: &Spec, name: &str, zone: &str) -> usize {
-    /// An attempt of as many digits as one may come to have.
+    /// Attempt number with the most digits that are expected.
     const LONG_ATTEMPT: u64 = 1000;
     let job = Job::new(spec.clone(), u64::from(u32::MAX));
     let tasks = match spec.kind {
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -1,11 +1,11 @@
-//! Trims a job's record that would exceed the coming limit of the state service.
+//! Trims job records that would exceed the upcoming size limit of the state service.
 //!
-//! An older version may have accepted a specification that is nearly as long as
-//! a record may be after the limits fall: dozens of machine types, names of
-//! hundreds of characters. Its record must stay writable, or neither a
-//! cancellation nor the end of a task could be recorded. What nothing decides by
-//! any more is left out, and long names are replaced by short ones, in fields
-//! that every version reads: no field or format is new.
+//! An older version may have accepted a specification that is nearly as long as the lower
+//! limit allows a whole record to be, with dozens of machine types or names of hundreds of
+//! characters. The record must stay writable, as otherwise neither a cancellation nor the
+//! end of a task could be recorded. Trimming drops data that no longer affects any
+//! decision and replaces long names by short ones. It uses only fields that every version
+//! reads and needs no new format.
 
 use std::collections::BTreeSet;
 
@@ -13,18 +13,18 @@
 use crate::state::records::{Job, Ranges, Spec};
 use crate::wire::MachineType;
 
-/// What trimming goes by, beside the job itself.
+/// Information that trimming needs beside the job.
 pub struct TrimContext<'a> {
-    /// The cloud's machine types as last read; empty if not known yet.
+    /// Machine types of the cloud as last read; empty if not known yet.
     pub machine_types: &'a [MachineType],
-    /// Classes that an objective of the settings names.
+    /// Job classes that an objective of the settings names.
     pub slo_classes: &'a BTreeSet<String>,
-    /// Whether an awaited job is done, for good.
+    /// Function that returns whether a job, given by its id, is done.
     pub is_done: &'a dyn Fn(&str) -> bool,
 }
 
-/// The record with as little left out as makes it fit, by `fits`; with all that
-/// may be left out if none does. `None` if nothing has to be, or can be.
+/// Returns the record trimmed just enough to satisfy `fits`, or as far as possible if it
+/// never does. Returns `None` if the record fits already or nothing can be trimmed.
 pub fn trim_job(job: &Job, context: &TrimContext, fits: impl Fn(&Job) -> bool) -> Option<Job> {
     if fits(job) {
         return None;
@@ -37,7 +37,8 @@
     (trimmed != *job).then_some(trimmed)
 }
 
-/// What decides least goes first.
+/// Trims an open job step by step until it fits. The steps begin with the data that affects
+/// the fewest decisions.
 fn trim_open(job: &mut Job, context: &TrimContext, fits: impl Fn(&Job) -> bool) {
     let steps: [fn(&mut Spec, &TrimContext); 4] = [
         drop_done_dependencies,
@@ -55,12 +56,12 @@
     }
 }
 
-/// A job that is done or cancelled starts no task any more. What its last runs
-/// still need is kept: the team and the room that they take, the kind of job and
-/// the counts that its user is told.
+/// Trims a job that is done or cancelled, which starts no more tasks. Data that its last
+/// runs need is kept: the team, the resources of a task, the kind of job, and the counts
+/// that are shown to its user.
 fn trim_closed(job: &mut Job) {
     job.failed_on.clear();
-    // The count of tasks that are done is what was started, less these.
+    // The number of done tasks is computed as the started tasks less the tasks to retry.
     job.next_task = job.next_task.saturating_sub(job.retry.len() as u32);
     job.retry = Ranges::default();
     if let Some(spec) = &mut job.spec {
@@ -73,14 +74,15 @@
     }
 }
 
-/// What is done stays done: nothing waits for it again.
+/// Drops the dependencies that are done. A done job never becomes open again.
 fn drop_done_dependencies(spec: &mut Spec, context: &TrimContext) {
     spec.dependencies.retain(|id| !(context.is_done)(id));
 }
 
-/// Keeps the types that the cloud offers where the job may run and that hold a
-/// task of it. Never more than before are allowed: if none is left, or the types
-/// are not known, all stay.
+/// Restricts the allowed machine types to those that the cloud offers in an allowed zone
+/// and that have the capacity for a task of the job. A type that was not allowed never
+/// becomes allowed: if no type would be left, or the machine types are not known, the list
+/// stays unchanged.
 fn narrow_types(spec: &mut Spec, context: &TrimContext) {
     let usable = |machine_type: &&MachineType| {
         let mut zones = machine_type.zones.iter();
@@ -95,13 +97,14 @@
     }
 }
 
-/// Workers fetch the image by the job's own description; the name in the record
-/// only tells which machines are likely to hold it already.
+/// Shortens the name of the image. Workers pull the image by the job's full description;
+/// the name in the record only serves to find machines that are likely to have the image.
 fn shorten_image(spec: &mut Spec, _: &TrimContext) {
     shorten(&mut spec.image);
 }
 
-/// A class is compared with those of the objectives, and shown to operators.
+/// Shortens the name of the job class, unless an objective names the class or the shortened
+/// name: the class is compared with those of the objectives, and shown to operators.
 fn shorten_class(spec: &mut Spec, context: &TrimContext) {
     let has_slo = |class: &String| context.slo_classes.contains(class);
     let mut class = spec.class.clone();
@@ -111,17 +114,18 @@
     }
 }
 
-/// Marks a name that stands for a longer one.
+/// Separator between the prefix and the hash in a shortened name.
 const SHORTENED: char = '~';
 
-/// How many of its characters are kept, so that people recognize it.
+/// Number of leading characters that are kept in a shortened name, so that people recognize
+/// it.
 const KEPT_CHARS: usize = 8;
 
-/// The length that every shortened name has at most, in bytes.
+/// Maximum length of a shortened name, in bytes.
 const SHORTENED_BYTES: usize = 1 + KEPT_CHARS * 4 + 16;
 
-/// Replaces a long name by its first characters and a hash of all: the same name
-/// gives the same text on every controller, and different ones different texts.
+/// Replaces a long name by its first characters and a hash of the full name. A name is
+/// shortened to the same text by every controller, and different names to different texts.
 fn shorten(name: &mut String) {
     if name.len() <= SHORTENED_BYTES {
         return;
--- a/src/state/records/accepted_batch.rs
+++ b/src/state/records/accepted_batch.rs
@@ -1,4 +1,4 @@
-//! The record of jobs that were accepted together.
+//! Defines the record of jobs that were accepted in one write.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::spec::Spec;
 
-/// `new/ID`: jobs that were accepted together, in one write. Each stands for
-/// its own record until that is first written; from then on that one counts.
+/// Record `new/ID`: jobs that were accepted in one write. Each entry serves as the job's
+/// record until the job's own record is first written and takes precedence.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedBatch {
-    /// The revision at which they were accepted.
+    /// Revision at which the jobs were accepted.
     #[serde(rename = "b")]
     pub accepted_revision: u64,
-    /// The jobs by their ids.
+    /// Specifications of the jobs, by job id.
     #[serde(rename = "j")]
     pub jobs: BTreeMap<String, Spec>,
 }
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -1,58 +1,58 @@
-//! Records of controllers and of the formats that they know.
+//! Defines the records of controllers and of the formats that they can read.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// `fleet`: who rents; `node/N`: that controller N is up. Both are tied to the
-/// controller's state lease.
+/// Record `fleet` of the controller that provisions machines, and record `node/N` of the
+/// running controller N. Both are tied to the controller's state lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// The controller's name.
+    /// Name of the controller.
     #[serde(rename = "h")]
     pub controller: String,
-    /// Which of the controller's starts it is from.
+    /// Incarnation of the controller that wrote the record.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// The newest formats that its program knows. Programs from before there
-    /// were any leave it out, and pass over it.
+    /// Newest formats that the controller's program can read. Programs from before the
+    /// introduction of formats omit the field and ignore it.
     #[serde(rename = "v", default, skip_serializing_if = "super::is_zero")]
     pub formats: u32,
 }
 
-/// The formats with compact encodings for zone shards, machine shards and runs, and
-/// with jobs that await others.
+/// Formats with compact encodings for zone shards, machine shards and runs, and with
+/// dependencies between jobs.
 pub const FORMATS_COMPACT: u32 = 2;
 
-/// The formats in which a home's machine shards may be used in groups: the records
-/// are as before, but other conditions go with a new machine.
+/// Formats in which the machine shards of a home controller may be used in groups. The
+/// records are unchanged, but a commit that adds a machine has different preconditions.
 pub const FORMATS_GROUPED_SHARDS: u32 = 3;
 
-/// The newest formats that a controller tells of while no feature is on.
+/// Newest formats that a controller announces while no feature is enabled.
 pub const FORMATS: u32 = FORMATS_GROUPED_SHARDS;
 
-/// The formats with shares: a controller tells of them while it has the feature on, and
-/// reads them always.
+/// Formats with shares. A controller announces them while the feature is enabled, and can
+/// always read them.
 pub const FORMATS_SHARES: u32 = 4;
 
-/// `formats`: which controllers have been seen to run a program that knows the
-/// newer formats, and whether all have. A controller is never seen to go back:
-/// one that ends before its turn in an upgrade has not been seen yet. What an
-/// older program could not read, or would spoil, is written only once `all`
-/// stands here; that is for good.
+/// Record `formats`: the newest formats that each controller has announced, and the newest
+/// that all can read. Neither ever decreases. A controller that stops before it is
+/// upgraded has not announced newer formats yet. Data that an older program could not read
+/// or would corrupt is written only once `all` includes its formats, which is permanent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Formats {
-    /// The newest format that each controller can read, by their names.
+    /// Newest formats that each controller can read, by controller.
     #[serde(rename = "n", default)]
     pub controllers: BTreeMap<String, u32>,
-    /// The newest format that every controller can read.
+    /// Newest formats that every controller can read.
     #[serde(rename = "a", default)]
     pub all: u32,
 }
 
 impl Formats {
-    /// The record as it should be, once these controllers have been seen; all
-    /// that the settings name have to be before anything new is written.
+    /// Returns the record updated with the announcements `seen`. Newer formats are written
+    /// only after all `configured` controllers, those of the settings, have announced
+    /// them.
     pub fn with<'a>(
         &self,
         seen: impl Iterator<Item = (&'a str, u32)>,
--- a/src/state/records/job/bookings.rs
+++ b/src/state/records/job/bookings.rs
@@ -1,26 +1,28 @@
-//! A job's tasks on machines: bookings, and those that are to be stopped.
+//! Books a job's tasks on machines and marks booked tasks to be stopped.
 
 use serde::{Deserialize, Serialize};
 
 use super::Job;
 use crate::state::records::{Ranges, Spec};
 
-/// Tasks of one attempt booked on one machine.
+/// Tasks of one attempt that are booked on one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "m")]
     pub machine: String,
-    /// Kept with the booking, so that a zone's count needs no machine record.
+    /// Zone of the machine. It is kept with the booking, so that counting the tasks in a
+    /// zone needs no machine record.
     #[serde(rename = "z")]
     pub zone: String,
-    /// The attempt; the tasks of a gang find each other through it.
+    /// Number of the attempt, through which the tasks of a gang find each other.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// The numbers of the tasks.
+    /// Numbers of the tasks.
     #[serde(rename = "t")]
     pub tasks: Ranges,
-    /// The run is wanted gone: preempted, drained, or of a broken gang.
+    /// True if the run is to be stopped: it is preempted, its machine is drained, or its
+    /// gang has lost a task.
     #[serde(
         rename = "x",
         default,
@@ -30,14 +32,14 @@
 }
 
 impl Job {
-    /// The run that has this task on this machine in this attempt.
+    /// Returns the run that has this task on this machine in this attempt.
     pub fn find(&self, machine: &str, attempt: u64, task: u32) -> Option<&Run> {
         self.runs
             .iter()
             .find(|run| run.has_task(machine, attempt, task))
     }
 
-    /// Books a task on a machine under `attempt`.
+    /// Books a task of an attempt on a machine.
     pub fn book(&mut self, machine: &str, zone: &str, attempt: u64, task: u32) {
         let known = self
             .runs
@@ -55,9 +57,10 @@
         }
     }
 
-    /// Marks tasks on a machine as wanted gone: all of a gang's everywhere, as
-    /// it saves only when all are told; else `count`, the latest first, or all
-    /// there when the record has no room for a run that is split.
+    /// Marks tasks on a machine to be stopped. Of a gang, all tasks on all machines are
+    /// marked, as a gang saves its progress only if all of its tasks are stopped. Of other
+    /// jobs, the latest `count` tasks on the machine are marked, or all of them there if
+    /// the record has no space for a run that is split.
     pub fn stop_tasks(&mut self, machine: &str, count: usize, fits: impl Fn(&Job) -> bool) {
         let before = self.clone();
         if self.spec.as_ref().is_some_and(Spec::is_gang) {
@@ -73,15 +76,15 @@
         }
     }
 
-    /// Marks all runs as wanted gone.
+    /// Marks all runs to be stopped.
     pub(super) fn stop_all_runs(&mut self) {
         for run in &mut self.runs {
             run.stop = true;
         }
     }
 
-    /// Marks so many tasks on a machine as wanted gone; the last run is split where only
-    /// some of its tasks are.
+    /// Marks the latest `count` tasks on a machine to be stopped. A run of which only some
+    /// tasks are to be stopped is split.
     fn stop_latest_tasks(&mut self, machine: &str, count: usize) {
         let mut remaining = count;
         let mut split_off: Vec<Run> = Vec::new();
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Adds a stopped run. What is stopped in steps stays one run, or the record would
-    /// grow.
+    /// Adds a run that is to be stopped. It is merged with such a run of the same machine
+    /// and attempt, as the record would otherwise grow with every step of a stop.
     fn merge_stopped(&mut self, stopped: Run) {
         let known = self.runs.iter_mut().find(|run| {
             run.stop && run.machine == stopped.machine && run.attempt == stopped.attempt
@@ -116,12 +119,12 @@
 }
 
 impl Run {
-    /// Whether it has this task of this attempt on this machine.
+    /// Returns whether the run has this task of this attempt on this machine.
     pub(super) fn has_task(&self, machine: &str, attempt: u64, task: u32) -> bool {
         self.machine == machine && self.attempt == attempt && self.tasks.contains(task)
     }
 
-    /// Takes the last `count` tasks out of it, as a run that is wanted gone.
+    /// Removes the last `count` tasks and returns them as a run that is to be stopped.
     fn split_off_stopped(&mut self, count: usize) -> Run {
         let mut stopped = Run {
             tasks: Ranges::default(),
--- a/src/state/records/job/failures.rs
+++ b/src/state/records/job/failures.rs
@@ -1,25 +1,26 @@
-//! Failed attempts of a job, and whether the job itself is at fault.
+//! Records failed attempts of a job and determines whether the job itself is faulty.
 
 use super::Job;
 
-/// A job that has failed on so many machines in a row, and has succeeded on
-/// none since, is taken to have a mistake of its own.
+/// Number of machines on which a job must have failed, without a success since, to be
+/// suspected faulty.
 pub const FAULTY_JOB_THRESHOLD: usize = 3;
 
-/// How many of those machines its record names.
+/// Maximum number of failed machines in a job's record.
 pub const MAX_FAILED_MACHINES: usize = FAULTY_JOB_THRESHOLD + 1;
 
-/// The most failed attempts that are counted.
+/// Maximum of the counter of failed attempts.
 const MAX_ERRORS: u32 = 1000;
 
 impl Job {
-    /// Whether the job rather than the machines is to blame for its failures.
+    /// Returns whether the failures are likely caused by the job rather than by the
+    /// machines.
     pub fn is_suspected_faulty(&self) -> bool {
         self.failed_on.len() >= FAULTY_JOB_THRESHOLD
     }
 
-    /// Counts a failed attempt, once however many of its tasks fail, and remembers the
-    /// machine.
+    /// Records a failure on a machine. An attempt counts once, even if several of its
+    /// tasks fail.
     pub(super) fn record_failure(&mut self, machine: &str, attempt: u64) {
         if attempt > self.failed_attempt {
             self.failed_attempt = attempt;
@@ -32,7 +33,7 @@
         self.failed_on.push(machine.to_string());
     }
 
-    /// It has succeeded somewhere: what failed before was the machines' fault.
+    /// Records a success, which clears all failures: they were caused by the machines.
     pub fn record_success(&mut self) {
         self.errors = 0;
         self.failed_attempt = 0;
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -1,9 +1,9 @@
-//! A job's record: its tasks, where they are booked, and how they ended.
+//! Defines a job's record: its tasks, their bookings on machines, and their outcomes.
 //!
 //! | module | task |
 //! | --- | --- |
-//! | `bookings` | the tasks that are booked on machines, and those to be stopped |
-//! | `failures` | failed attempts, and whether the job itself is at fault |
+//! | `bookings` | bookings of tasks on machines, and tasks to be stopped |
+//! | `failures` | failed attempts, and whether the job itself is faulty |
 //! | `termination` | the end of a task on its machine |
 
 mod bookings;
@@ -22,47 +22,48 @@
 use super::ranges::Ranges;
 use super::spec::Spec;
 
-/// Whether a job has reached its final state, and which.
+/// State of a job: open or one of the final states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// It has not: tasks run, wait, or are still to start.
+    /// Not final: the job has tasks that run, wait, or have not started yet.
     #[default]
     #[serde(rename = "o")]
     Open,
-    /// All tasks are done.
+    /// Final: all tasks are done.
     #[serde(rename = "d")]
     Done,
-    /// Its user cancelled it.
+    /// Final: the user cancelled the job.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// `job/ID`. Once final and with nothing on any machine, the spec and the
-/// progress are dropped; the final state stays for good.
+/// Record `job/ID`. Once the job is final and has no bookings, its specification and
+/// progress are dropped; the final state is kept permanently.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Whether it is over, and how it ended.
+    /// State of the job.
     #[serde(rename = "f", default)]
     pub status: JobStatus,
-    /// What placing needs to know of it, while it is needed.
+    /// Specification that placement needs, as long as it is needed.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Spec>,
-    /// The number of tasks, kept for display when the spec is gone.
+    /// Number of tasks, kept for display after the specification is dropped.
     #[serde(rename = "n", default)]
     pub tasks: u32,
-    /// The revision at which it was accepted, near enough: the queue's order.
+    /// Approximate revision at which the job was accepted. It determines the order of the
+    /// queue.
     #[serde(rename = "b", default)]
     pub accepted_revision: u64,
-    /// The last attempt number given out.
+    /// Latest attempt number that was assigned.
     #[serde(rename = "a", default)]
     pub attempt: u64,
-    /// The next task that was never started.
+    /// Number of the next task that was never started.
     #[serde(rename = "x", default)]
     pub next_task: u32,
     /// Tasks that were started before and have to be started again.
     #[serde(rename = "q", default, skip_serializing_if = "Ranges::is_empty")]
     pub retry: Ranges,
-    /// What is booked on machines.
+    /// Bookings on machines.
     #[serde(
         rename = "r",
         default,
@@ -70,40 +71,40 @@
         deserialize_with = "crate::state::encoding::deserialize_runs"
     )]
     pub runs: Vec<Run>,
-    /// Work has been stopped for it: it goes first, or the room that was
-    /// cleared would go to whoever looks next.
+    /// True if other work has been preempted for this job. The job is then placed first,
+    /// as the freed capacity would otherwise go to whichever job is placed next.
     #[serde(
         rename = "c",
         default,
         skip_serializing_if = "crate::state::records::is_false"
     )]
     pub has_preempted: bool,
-    /// Attempts that failed since the last success, for the back-off: however
-    /// many tasks of one attempt fail, it is one.
+    /// Number of failed attempts since the last success, for the back-off. An attempt
+    /// counts once, even if several of its tasks fail.
     #[serde(
         rename = "e",
         default,
         skip_serializing_if = "crate::state::records::is_zero"
     )]
     pub errors: u32,
-    /// The latest attempt that counts among them.
+    /// Latest attempt that is counted in `errors`.
     #[serde(
         rename = "ea",
         default,
         skip_serializing_if = "crate::state::records::is_zero_u64"
     )]
     pub failed_attempt: u64,
-    /// The machines that it failed on since then, the latest last.
+    /// Machines on which the job failed since the last success, the latest last.
     #[serde(rename = "em", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<String>,
-    /// The controller whose share its bookings count against, if its team's quota is
-    /// split. Only written once every controller reads it.
+    /// Controller whose share the job's bookings count against, if its team's quota is
+    /// split. It is written only once every controller can read it.
     #[serde(rename = "sh", default, skip_serializing_if = "Option::is_none")]
     pub share: Option<ControllerName>,
 }
 
 impl Job {
-    /// A job that was just accepted; `accepted_revision` is the revision at that time.
+    /// Creates the record of a job that was accepted at `accepted_revision`.
     pub fn new(spec: Spec, accepted_revision: u64) -> Self {
         Job {
             status: JobStatus::Open,
@@ -122,23 +123,23 @@
         }
     }
 
-    /// Whether it is neither done nor cancelled.
+    /// Returns whether the job is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.status == JobStatus::Open
     }
 
-    /// How many tasks are booked on machines.
+    /// Returns the number of tasks that are booked on machines.
     pub fn booked(&self) -> usize {
         self.runs.iter().map(|run| run.tasks.len()).sum()
     }
 
-    /// Tasks that wait for a place.
+    /// Returns the number of tasks that wait for placement.
     pub fn waiting(&self) -> usize {
         if !self.is_open() {
             return 0;
         }
         match &self.spec {
-            // A gang's next attempt waits until the old one is wholly gone.
+            // The next attempt of a gang waits until all tasks of the old one are released.
             Some(spec) if spec.is_gang() && self.runs.is_empty() => spec.tasks as usize,
             Some(spec) if spec.is_gang() => 0,
             Some(spec) => {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// How many tasks are done.
+    /// Returns the number of tasks that are done.
     pub fn done_count(&self) -> u32 {
         match self.status {
             JobStatus::Done => self.tasks,
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Tasks booked in each zone, old attempts included.
+    /// Returns the number of tasks that are booked in each zone, including those of old
+    /// attempts.
     pub fn tasks_per_zone(&self) -> BTreeMap<&str, usize> {
         let mut zones = BTreeMap::new();
         for run in &self.runs {
@@ -166,7 +168,7 @@
         zones
     }
 
-    /// The next task that was never started.
+    /// Returns the next task that was never started and counts it as started.
     pub fn take_unstarted_task(&mut self) -> Option<u32> {
         (self.next_task < self.tasks).then(|| {
             self.next_task += 1;
@@ -174,7 +176,7 @@
         })
     }
 
-    /// Drops what a finished job no longer needs.
+    /// Drops the specification and progress of a job that is final and has no bookings.
     pub fn trim_finished(&mut self) {
         if !self.is_open() && self.runs.is_empty() {
             self.spec = None;
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Makes the job cancelled, unless it is over already.
+    /// Cancels the job, unless it is final already.
     pub fn cancel(&mut self) {
         if self.is_open() {
             self.status = JobStatus::Cancelled;
--- a/src/state/records/job/termination.rs
+++ b/src/state/records/job/termination.rs
@@ -1,21 +1,22 @@
-//! The end of a task on its machine, and what it means for the job.
+//! Releases a task's booking on its machine and applies the outcome to the job.
 
 use super::{Job, JobStatus};
 use crate::state::records::Spec;
 
-/// How a task's time on a machine came to its end.
+/// Outcome of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskOutcome {
-    /// It is complete.
+    /// Completed.
     Done,
-    /// It failed by itself: counts towards the back-off.
+    /// Failed by itself, which counts towards the back-off.
     Failed,
     /// Stopped, refused, or lost with its machine.
     Lost,
 }
 
 impl Job {
-    /// Releases a booking whose task is surely gone. False when there was none.
+    /// Releases the booking of a task that is certain not to run any more. Returns false if
+    /// there is no such booking.
     pub fn release(
         &mut self,
         machine: &str,
@@ -39,6 +40,7 @@
         true
     }
 
+    /// Removes the booking of a task. Returns false if there is none.
     fn remove_booking(&mut self, machine: &str, attempt: u64, task: u32) -> bool {
         let mut runs = self.runs.iter();
         let Some(index) = runs.position(|run| run.has_task(machine, attempt, task)) else {
@@ -52,13 +54,14 @@
         true
     }
 
+    /// Updates the status or the tasks to retry by the outcome of a task.
     fn apply_outcome(&mut self, task: u32, outcome: TaskOutcome) {
         match (outcome, self.is_gang()) {
-            // A gang completes together: one done task proves all.
+            // The tasks of a gang complete together: if one is done, all are.
             (TaskOutcome::Done, true) => self.status = JobStatus::Done,
             (TaskOutcome::Done, false) => self.record_success(),
             (_, true) => {
-                // One member lost breaks the attempt: all must go.
+                // The attempt cannot continue without this task: all others must stop.
                 self.stop_all_runs();
                 self.next_task = 0;
             }
@@ -66,8 +69,8 @@
         }
     }
 
-    /// Whether no task of the job is left, booked or waiting; of a gang its first done
-    /// task tells.
+    /// Returns whether a job other than a gang has neither booked nor waiting tasks. A gang
+    /// is done with its first task that is done.
     fn all_tasks_done(&self) -> bool {
         !self.is_gang()
             && self.next_task == self.tasks
@@ -75,6 +78,7 @@
             && self.runs.is_empty()
     }
 
+    /// Returns whether the job is a gang.
     fn is_gang(&self) -> bool {
         self.spec.as_ref().is_some_and(Spec::is_gang)
     }
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -1,4 +1,4 @@
-//! Records of machines, their zone shards, and rentals.
+//! Defines the records of machines, zone shards, machine shards and provisioning requests.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::wire::{MachineType, WorkerStatus};
 
 impl MachineType {
-    /// All that a machine of this type has.
+    /// Returns the resources of a machine of this type.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: Amount::rounded_down(self.cpus),
@@ -18,30 +18,31 @@
     }
 }
 
-/// A machine that takes work, as its zone shard lists it.
+/// Machine that takes work, as its zone shard lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineSlot {
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "t")]
     pub kind: String,
-    /// Whether it is a spot machine.
+    /// True for a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// When the record was last written. What has ended since is free, too:
-    /// planning takes the type's capacity less the bookings that stand by then.
+    /// Free resources when the record was last written. Resources of tasks that ended
+    /// since are free as well: planning subtracts the current bookings from the capacity
+    /// of the machine type.
     #[serde(rename = "f", default)]
     pub free: Resources,
-    /// What tasks take there that nobody has booked, as its owner reported.
+    /// Resources that tasks without a booking take, as reported by the machine's owner.
     #[serde(rename = "o", default, skip_serializing_if = "Resources::is_empty")]
     pub unbooked: Resources,
 }
 
-/// `zone/Z/PART`: free capacity per machine that takes work. One record a zone
-/// would outgrow `value_kb` at some hundred machines, and be written by all
-/// controllers at once; a machine stays in its zone shard.
+/// Record `zone/Z/PART`: free capacity of each machine that takes work. A single record per
+/// zone would exceed `value_kb` with some hundred machines, and all controllers would
+/// write it concurrently. A machine stays in its zone shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneShard {
-    /// The machines by their ids.
+    /// Slots of the machines, by machine id.
     #[serde(
         rename = "m",
         default,
@@ -50,37 +51,38 @@
     pub machines: BTreeMap<String, MachineSlot>,
 }
 
-/// The most that a machine's slot can take of its zone shard's record: its names,
-/// quotes and marks, and twice three amounts of up to nine digits.
+/// Returns the maximum number of bytes that a machine's slot takes of its zone shard's
+/// record: its names, quotes and punctuation, and twice three amounts of up to nine digits.
 pub fn slot_entry_bytes(machine: &str, kind: &str) -> usize {
     machine.len() + kind.len() + 130
 }
 
-/// How far a provisioned machine has come.
+/// Lifecycle state of a provisioned machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineLifecycle {
-    /// Rented, not yet heard from.
+    /// Provisioned, without a heartbeat of its worker so far.
     #[serde(rename = "b")]
     Booting,
-    /// Takes work.
+    /// Active: the machine takes work.
     #[serde(rename = "a")]
     Active,
-    /// Takes no new work.
+    /// Draining: the machine takes no new work.
     #[serde(rename = "d")]
     Draining,
-    /// Goes back to the cloud; never undone.
+    /// Being returned to the cloud, which is never undone.
     #[serde(rename = "r")]
     Returning,
-    /// The cloud has confirmed: nothing on it exists any more.
+    /// Returned, as confirmed by the cloud: nothing on the machine exists any more.
     #[serde(rename = "g")]
     Gone,
 }
 
-/// `machine/Z/PART`: the machines of one zone shard, so that a takeover, a scale-out or
-/// a return of dozens costs a few writes. Each has a token of its own.
+/// Record `machine/Z/PART`: the machines of one zone shard. They share a record so that
+/// taking over, adding or returning dozens of machines needs only a few writes. Each
+/// machine has its own fencing token.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineShard {
-    /// The machines by their ids.
+    /// Machines, by id.
     #[serde(
         rename = "m",
         default,
@@ -89,27 +91,28 @@
     pub machines: BTreeMap<String, Machine>,
 }
 
-/// The most that a machine takes of its machine shard's record: names, quotes and
-/// marks, the incarnation and the token.
+/// Returns the maximum number of bytes that a machine takes of its machine shard's record:
+/// names, quotes and punctuation, the incarnation and the fencing token. `owner` is the
+/// length of the owner's name.
 pub fn machine_entry_bytes(machine: &str, kind: &str, owner: usize) -> usize {
     machine.len() + kind.len() + owner + 110
 }
 
-/// Identifies one heartbeat of a worker; a newer one compares greater. Written as the
-/// pair of its numbers.
+/// Identifier of a worker's heartbeat. A newer heartbeat compares greater. It is encoded as
+/// the pair of its numbers.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct HeartbeatId {
-    /// The worker's epoch: it rises each time the worker's lease has run out.
+    /// Epoch of the worker, which increases each time the worker's lease expires.
     pub epoch: u64,
-    /// The number of the status that the worker sent.
+    /// Sequence number of the status that the worker sent.
     pub sequence: u64,
 }
 
 impl HeartbeatId {
-    /// The heartbeat of an epoch with a number.
+    /// Creates the identifier of a heartbeat.
     pub const fn new(epoch: u64, sequence: u64) -> Self {
         HeartbeatId { epoch, sequence }
     }
@@ -128,49 +131,50 @@
 }
 
 impl WorkerStatus {
-    /// What orders this status among those of the same worker.
+    /// Returns the heartbeat id, which orders the statuses of the same worker.
     pub fn heartbeat_id(&self) -> HeartbeatId {
         HeartbeatId::new(self.epoch, self.sequence)
     }
 }
 
-/// One machine, as its machine shard has it.
+/// Machine, as its machine shard lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The controller that commands it; empty if none has claimed it.
+    /// Controller that sends commands to the machine; empty if none has claimed it.
     #[serde(rename = "h", default)]
     pub owner: String,
-    /// The incarnation of the owner that bumped the token: after a restart
-    /// the same node must bump it again before it gives orders.
+    /// Incarnation of the owner that last increased the fencing token. After a restart,
+    /// the same controller must increase the token again before it sends commands.
     #[serde(rename = "i", default)]
     pub incarnation: u64,
-    /// The fencing token of the owner's commands.
+    /// Fencing token of the owner's commands.
     #[serde(rename = "k", default)]
     pub fencing_token: u64,
-    /// The heartbeat on which it was last claimed: one that is no newer is a late
-    /// copy, whichever controller receives it.
+    /// Heartbeat on which the machine was last claimed. A heartbeat that is not newer is a
+    /// delayed copy, whichever controller receives it.
     #[serde(rename = "s", default)]
     pub claim_heartbeat: HeartbeatId,
-    /// How far it has come.
+    /// Lifecycle state of the machine.
     #[serde(rename = "f")]
     pub lifecycle: MachineLifecycle,
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "t")]
     pub kind: String,
-    /// Zone and part are the record's key: not written again.
+    /// Zone of the machine. Zone and shard are part of the record's key, so they are not
+    /// written with the machine.
     #[serde(skip)]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// True for a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// The part of its zone's record that it belongs to, from its first record
-    /// on: the name of its home controller and a number.
+    /// Shard of its zone that the machine belongs to from its first record on: the name of
+    /// its home controller and a number.
     #[serde(skip)]
     pub shard: String,
 }
 
 impl Machine {
-    /// One that nobody has claimed yet.
+    /// Creates a booting machine that no controller has claimed yet.
     pub fn new(kind: &str, zone: &str) -> Self {
         Machine {
             owner: String::new(),
@@ -186,28 +190,30 @@
     }
 }
 
-/// `hire/ID`: a provisioning request that is or may be under way, or whose machines are.
+/// Record `hire/ID`: a provisioning request that is or may be in progress, or that has
+/// machines without a record of their own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRequest {
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "t")]
     pub kind: String,
-    /// The zone.
+    /// Zone in which the machines are requested.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether spot machines are provisioned.
+    /// True if spot machines are requested.
     #[serde(rename = "l", default)]
     pub spot: bool,
-    /// How many machines were requested.
+    /// Number of requested machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// What the cloud has answered; empty until then. One write records all
-    /// machines of a provisioning request: they boot until their workers are claimed.
+    /// Ids of the machines in the cloud's response; empty until the response arrives. One
+    /// write records all machines of a provisioning request. They count as booting until
+    /// their workers are claimed.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub machines: Vec<String>,
 }
 
-/// `types`: the cloud's machine types as last read.
+/// Record `types`: the machine types of the cloud as last read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Types {
     /// All machine types.
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -1,7 +1,8 @@
-//! What the state service keeps: jobs, teams, zones, machines and rentals.
+//! Defines the records in the state service: jobs, teams, zones, machines and provisioning
+//! requests.
 //!
-//! Records are small JSON values with short field names, as `value_kb` bounds
-//! each of them. Everything here is plain data and pure functions.
+//! Records are small JSON values with short field names, as `value_kb` limits the size of
+//! each. The module contains only plain data and pure functions.
 
 mod accepted_batch;
 mod controller;
@@ -25,29 +26,33 @@
 pub use spec::Spec;
 pub use team::Team;
 
-pub(super) fn is_false(b: &bool) -> bool {
-    !b
+/// Returns whether a field is false, so that it is omitted.
+pub(super) fn is_false(value: &bool) -> bool {
+    !value
 }
 
-pub(super) fn is_zero_u64(n: &u64) -> bool {
-    *n == 0
+/// Returns whether a field is 0, so that it is omitted.
+pub(super) fn is_zero_u64(value: &u64) -> bool {
+    *value == 0
 }
 
-pub(super) fn is_zero(n: &u32) -> bool {
-    *n == 0
+/// Returns whether a field is 0, so that it is omitted.
+pub(super) fn is_zero(value: &u32) -> bool {
+    *value == 0
 }
 
-/// Splits `job-000412/3` into the job and the task's number.
+/// Splits the id of a task, such as `job-000412/3`, into the job's id and the task's number.
 pub fn split_task(task: &str) -> Option<(&str, u32)> {
-    let (job, n) = task.rsplit_once('/')?;
-    if n.is_empty() || (n.len() > 1 && n.starts_with('0')) {
+    let (job, number) = task.rsplit_once('/')?;
+    if number.is_empty() || (number.len() > 1 && number.starts_with('0')) {
         return None;
     }
-    Some((job, n.parse().ok()?))
+    Some((job, number.parse().ok()?))
 }
 
-/// Ids look like `job-000412`: the word, a dash and digits.
+/// Returns whether a text is a job id: `job-` and up to 18 digits, as in `job-000412`.
 pub fn is_job_id(id: &str) -> bool {
-    id.strip_prefix("job-")
-        .is_some_and(|d| (1..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("job-").is_some_and(|digits| {
+        (1..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
+    })
 }
--- a/src/state/records/ranges.rs
+++ b/src/state/records/ranges.rs
@@ -1,9 +1,9 @@
-//! Sets of task numbers.
+//! Defines sets of task numbers.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A set of task numbers as sorted, disjoint, closed ranges. Written as text,
-/// `0-4,7`: a job of thousands of tasks has to fit into one record.
+/// Set of task numbers as sorted, disjoint, closed ranges. It is encoded as text such as
+/// `0-4,7`, as a job with thousands of tasks has to fit into one record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ranges(pub Vec<(u32, u32)>);
 
@@ -42,34 +42,34 @@
 }
 
 impl Ranges {
-    /// The set of a single number.
+    /// Creates a set of a single number.
     pub fn one(n: u32) -> Self {
         Ranges(vec![(n, n)])
     }
-    /// How many numbers the set has.
+    /// Returns the number of elements.
     pub fn len(&self) -> usize {
         self.0.iter().map(|(a, b)| (b - a + 1) as usize).sum()
     }
-    /// Whether it has none.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// Whether a number is in the set.
+    /// Returns whether a number is in the set.
     pub fn contains(&self, n: u32) -> bool {
         self.0.iter().any(|&(a, b)| a <= n && n <= b)
     }
-    /// The numbers in ascending order.
+    /// Returns the numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|&(a, b)| a..=b)
     }
-    /// Adds a number, which may be there already.
+    /// Adds a number, unless it is in the set already.
     pub fn insert(&mut self, n: u32) {
         if self.contains(n) {
             return;
         }
         let at = self.0.partition_point(|&(a, _)| a < n);
         self.0.insert(at, (n, n));
-        // Join with the neighbours where they touch.
+        // Merge with the adjacent ranges.
         if at + 1 < self.0.len() && self.0[at].1 + 1 == self.0[at + 1].0 {
             self.0[at].1 = self.0[at + 1].1;
             self.0.remove(at + 1);
@@ -79,7 +79,7 @@
             self.0.remove(at);
         }
     }
-    /// Removes a number; false if it was not there.
+    /// Removes a number. Returns false if it was not in the set.
     pub fn remove(&mut self, n: u32) -> bool {
         let Some(at) = self.0.iter().position(|&(a, b)| a <= n && n <= b) else {
             return false;
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -1,4 +1,4 @@
-//! What of a submission is kept with its job.
+//! Defines a job's specification, the part of its submission that is kept in its record.
 
 use std::collections::HashSet;
 
@@ -7,97 +7,98 @@
 
 use crate::wire::{JobKind, Priority, Submission};
 
-/// The part of a submission that placing needs, kept with the job.
+/// Specification of a job: the part of its submission that placement needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
-    /// The class of jobs that objectives refer to.
+    /// Job class, to which objectives refer.
     #[serde(rename = "l")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "w")]
     pub team: String,
-    /// How the tasks belong together.
+    /// Kind of job, which determines how its tasks depend on each other.
     #[serde(rename = "k")]
     pub kind: JobKind,
-    /// What it may preempt and be preempted by.
+    /// Priority, which determines what the job may preempt and be preempted by.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// The number of tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// Resources that each task needs.
     #[serde(rename = "r")]
     pub need: Resources,
-    /// The image that a machine needs before a task starts.
+    /// Image that a machine needs before a task starts.
     #[serde(rename = "i")]
     pub image: String,
-    /// The size of the image, in GB.
+    /// Size of the image, in GB.
     #[serde(rename = "ig")]
     pub image_gb: f64,
-    /// The allowed machine types, `None` for any.
+    /// Allowed machine types; `None` for any.
     #[serde(rename = "ty", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone, `None` for any.
+    /// Only allowed zone; `None` for any.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// True if all tasks must be in the same zone.
     #[serde(rename = "oz", default, skip_serializing_if = "super::is_false")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// True if at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "sp", default, skip_serializing_if = "super::is_false")]
     pub spread: bool,
-    /// The job may use spot machines.
+    /// True if the job may use spot machines.
     #[serde(rename = "lo", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// Estimate by the job's owner of the run time of a task, in seconds.
     #[serde(rename = "e")]
     pub estimate_s: f64,
-    /// Seconds of progress between checkpoints, 0 if tasks never save.
+    /// Progress between checkpoints, in seconds; 0 if tasks never save.
     #[serde(rename = "cs")]
     pub checkpoint_s: f64,
-    /// Seconds that a task takes to save when it is stopped.
+    /// Time that a task needs to save when it is stopped, in seconds.
     #[serde(rename = "ss")]
     pub save_s: f64,
-    /// Seconds from the submission to the deadline, if there is one.
+    /// Time from the submission to the deadline, in seconds, if there is a deadline.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts; those that
-    /// were done when it was accepted, or booked, are left out. Left out of the
-    /// text when empty: programs from before it would write it back without.
+    /// Ids of jobs that have to be done before any task of this job starts, without those
+    /// that were already done when this job was accepted or booked. The field is omitted
+    /// if empty, as programs from before its introduction drop it when they rewrite the
+    /// record.
     #[serde(rename = "aw", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
 
 impl From<&Submission> for Spec {
-    fn from(s: &Submission) -> Self {
+    fn from(submission: &Submission) -> Self {
         Spec {
-            class: s.class.clone(),
-            team: s.team.clone(),
-            kind: s.kind,
-            priority: s.priority,
-            tasks: s.tasks,
+            class: submission.class.clone(),
+            team: submission.team.clone(),
+            kind: submission.kind,
+            priority: submission.priority,
+            tasks: submission.tasks,
             need: Resources {
-                cpus: Amount::rounded_up(s.cpus),
-                gpus: Amount::rounded_up(s.gpus),
-                ram: Amount::rounded_up(s.memory_gb),
+                cpus: Amount::rounded_up(submission.cpus),
+                gpus: Amount::rounded_up(submission.gpus),
+                ram: Amount::rounded_up(submission.memory_gb),
             },
-            image: s.image.clone(),
-            image_gb: s.image_gb,
-            types: s.types.clone(),
-            zone: s.zone.clone(),
-            one_zone: s.one_zone,
-            spread: s.spread,
-            spot: s.spot,
-            estimate_s: s.estimate_s,
-            checkpoint_s: s.checkpoint_s,
-            save_s: s.save_s,
-            deadline_s: s.deadline_s,
-            dependencies: distinct(s.dependencies.as_deref().unwrap_or_default()),
+            image: submission.image.clone(),
+            image_gb: submission.image_gb,
+            types: submission.types.clone(),
+            zone: submission.zone.clone(),
+            one_zone: submission.one_zone,
+            spread: submission.spread,
+            spot: submission.spot,
+            estimate_s: submission.estimate_s,
+            checkpoint_s: submission.checkpoint_s,
+            save_s: submission.save_s,
+            deadline_s: submission.deadline_s,
+            dependencies: distinct(submission.dependencies.as_deref().unwrap_or_default()),
         }
     }
 }
 
-/// Each once, in the order in which they first come.
+/// Returns the ids without duplicates, in the order of their first occurrences.
 fn distinct(ids: &[String]) -> Vec<String> {
     let mut seen = HashSet::new();
     let first = ids.iter().filter(|id| seen.insert(id.as_str()));
@@ -105,21 +106,23 @@
 }
 
 impl Spec {
-    /// Whether tasks may run on machines of this type.
-    pub fn allows_type(&self, t: &str) -> bool {
+    /// Returns whether tasks may run on machines of a type.
+    pub fn allows_type(&self, kind: &str) -> bool {
         self.types
             .as_ref()
-            .is_none_or(|ts| ts.iter().any(|x| x == t))
+            .is_none_or(|types| types.iter().any(|allowed| allowed == kind))
     }
 
-    /// Whether the machine's type, zone and kind are allowed; room apart.
+    /// Returns whether tasks may run on machines of this type, in this zone, and on spot
+    /// machines if `spot` is set. Free capacity is not considered.
     pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> bool {
         self.allows_type(kind)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && (self.spot || !spot)
     }
 
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Returns the maximum number of tasks in one zone: half of the tasks, rounded up, if
+    /// the job is to be spread; otherwise there is no limit.
     pub fn zone_cap(&self) -> usize {
         if self.spread {
             (self.tasks as usize).div_ceil(2)
@@ -128,24 +131,25 @@
         }
     }
 
-    /// Whether all tasks have to run at the same time.
+    /// Returns whether all tasks have to run at the same time.
     pub fn is_gang(&self) -> bool {
         self.kind == JobKind::Gang
     }
 
-    /// About how long its names are together.
+    /// Returns the approximate total length of the names in the specification, in bytes.
     pub fn names_bytes(&self) -> usize {
-        const MARKS: usize = 3;
-        let types = self.types.iter().flatten().chain(&self.dependencies);
-        let lists: usize = types.map(|name| name.len() + MARKS).sum();
+        const PUNCTUATION: usize = 3;
+        let names = self.types.iter().flatten().chain(&self.dependencies);
+        let lists: usize = names.map(|name| name.len() + PUNCTUATION).sum();
         let zone = self.zone.as_ref().map_or(0, String::len);
         self.class.len() + self.team.len() + self.image.len() + zone + lists
     }
 
-    /// How much of its text the ids take that it awaits, with quotes and commas.
+    /// Returns the number of bytes that the dependencies take of the encoded specification,
+    /// with quotes and commas.
     pub fn dependencies_bytes(&self) -> usize {
-        const NAME: usize = 10;
+        const FIELD_NAME: usize = 10;
         let ids: usize = self.dependencies.iter().map(|id| id.len() + 3).sum();
-        if ids == 0 { 0 } else { ids + NAME }
+        if ids == 0 { 0 } else { ids + FIELD_NAME }
     }
 }
--- a/src/state/records/team.rs
+++ b/src/state/records/team.rs
@@ -1,13 +1,13 @@
-//! The record of what is booked for a team.
+//! Defines the record of the resources that are booked for a team.
 
 use resources::Resources;
 use serde::{Deserialize, Serialize};
 
-/// `team/T`: what the team's bookings take; `use/T/C`: what those take that count
-/// against the share of controller C.
+/// Record `team/T` of the resources that the team's bookings take, and record `use/T/C` of
+/// the part of them that counts against the share of controller C.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Team {
-    /// The resources of all booked tasks.
+    /// Resources of the booked tasks.
     #[serde(rename = "u")]
     pub used: Resources,
 }
--- a/src/state/replica/accepted_batches.rs
+++ b/src/state/replica/accepted_batches.rs
@@ -1,4 +1,5 @@
-//! Jobs that were accepted together, as they come into the replica.
+//! Applies the records of accepted batches, each of which holds jobs that were accepted
+//! in one write, to the replica.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::state::keys::job_key;
 use crate::state::records::{AcceptedBatch, Job, Spec};
 
-/// The record with its jobs yet to be read.
+/// An accepted batch whose jobs are not parsed yet.
 #[derive(Deserialize)]
 struct RawAcceptedBatch {
     #[serde(rename = "b")]
@@ -21,9 +22,9 @@
 }
 
 impl Replica {
-    /// Takes jobs that were accepted together. Each stands alone: one that cannot
-    /// be read keeps none of the others away. The batch itself is only in the table
-    /// while all of its jobs can be read, so that it is never removed before.
+    /// Applies an update of an accepted batch. The jobs are read one by one, so that an
+    /// unreadable job does not hide the others. The batch itself enters the table only
+    /// if all of its jobs can be read, so that its record is not removed before.
     pub(super) fn set_accepted_batch(&mut self, update: RecordUpdate) {
         let batch = update.value.and_then(|value| {
             let raw = self.read::<RawAcceptedBatch>(update.key, update.version, value)?;
@@ -32,7 +33,8 @@
         put(&mut self.accepted_batches, update.id, update.version, batch);
     }
 
-    /// Takes the jobs of a batch; returns it if all of them can be read.
+    /// Adds the jobs of a batch to the replica. Returns the batch if all of its jobs can
+    /// be read.
     fn set_accepted_jobs(&mut self, raw: RawAcceptedBatch) -> Option<AcceptedBatch> {
         let accepted_revision = raw.accepted_revision;
         let count = raw.jobs.len();
@@ -48,6 +50,8 @@
         })
     }
 
+    /// Adds a job of a batch to the replica, unless the job has a record of its own.
+    /// Returns its specification, or `None` if that cannot be read.
     fn set_accepted_job(
         &mut self,
         id: &str,
@@ -55,7 +59,7 @@
         text: &RawValue,
     ) -> Option<Spec> {
         let key = job_key(id);
-        // A record of its own, whatever it says, is newer.
+        // The job's own record is newer than the batch, also if it cannot be read.
         let has_own = self.jobs.contains_key(id) || self.is_unreadable(&key);
         let spec = parse::<Spec>(&key, text);
         if has_own {
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -1,5 +1,5 @@
-//! What the replica works out of jobs' records as they come in: bookings by
-//! machine, resources in use, images.
+//! Applies job records to the replica and maintains the indexes that are derived from
+//! them: bookings by machine, resources in use, and images.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 use super::{Entry, Replica};
 use crate::state::records::{Job, Ranges, Run};
 
-/// How many images are remembered of a machine.
+/// Maximum number of images remembered per machine.
 const MAX_IMAGES_PER_MACHINE: usize = 16;
 
-/// About what a gang's task takes of its job's record once it is placed, in bytes.
+/// Approximate size of a placed gang task within its job's record, in bytes.
 const GANG_TASK_BYTES: usize = 20;
 
-/// Whether an open job's names, with a gang's placed tasks, take half of a record of
-/// `max_bytes`.
+/// Returns whether an open job's names, together with the placed tasks of a gang, take
+/// more than half of a record of `max_bytes`.
 pub(super) fn is_long(job: &Job, max_bytes: usize) -> bool {
     let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
         return false;
@@ -27,7 +27,7 @@
     spec.names_bytes() + placed_bytes > max_bytes / 2
 }
 
-/// What tells a job's runs apart.
+/// Identity of a run within its job.
 #[derive(PartialEq, Eq, Hash)]
 struct RunKey<'a> {
     machine: &'a str,
@@ -45,19 +45,21 @@
     }
 }
 
-/// The tasks of a job's runs.
+/// Tasks of a job's runs, by run.
 type TasksByRun<'a> = HashMap<RunKey<'a>, &'a Ranges>;
 
+/// Indexes the tasks of a job by run.
 fn tasks_by_run(job: Option<&Job>) -> TasksByRun<'_> {
     let runs = job.into_iter().flat_map(|job| &job.runs);
     runs.map(|run| (RunKey::from(run), &run.tasks)).collect()
 }
 
+/// Returns the machines that have at least one of the runs.
 fn machines_of<'a>(runs: &TasksByRun<'a>) -> BTreeSet<&'a str> {
     runs.keys().map(|key| key.machine).collect()
 }
 
-/// Whether a job's bookings begin or cease to count.
+/// Direction in which a job's bookings change the totals.
 #[derive(Clone, Copy)]
 enum Count {
     Add,
@@ -65,6 +67,7 @@
 }
 
 impl Count {
+    /// Returns the factor for the amounts.
     fn sign(self) -> i64 {
         match self {
             Count::Add => 1,
@@ -74,13 +77,13 @@
 }
 
 impl Replica {
-    /// Takes a job's record, or its removal.
+    /// Applies a job's record, or its removal.
     pub(super) fn set_job(&mut self, id: &str, version: u64, job: Option<Job>) {
         if self.jobs.get(id).is_some_and(|e| e.version >= version) {
             return;
         }
         if job.is_none() && self.is_unreadable_job(id) && !self.is_open_or_unknown(id) {
-            // What is final stays so, whatever its record has come to be.
+            // A final job stays final, even if its record has become unreadable.
             return;
         }
         let old = self.jobs.remove(id).map(|entry| entry.value);
@@ -91,11 +94,12 @@
         }
     }
 
+    /// Returns whether a job is open or not in the replica.
     fn is_open_or_unknown(&self, id: &str) -> bool {
         self.jobs.get(id).is_none_or(|entry| entry.value.is_open())
     }
 
-    /// Puts a job into the table, and into what follows from its dependencies.
+    /// Inserts a job into the table and into the dependency graph.
     pub(super) fn place_job(&mut self, id: &str, version: u64, job: Job) {
         let limit = self.compact_limit;
         if limit.is_some_and(|max_bytes| is_long(&job, max_bytes)) {
@@ -106,13 +110,14 @@
         self.index_job_dependencies(id);
     }
 
-    /// Brings what follows from a job's runs up to date.
+    /// Updates the indexes that are derived from a job's runs.
     fn index_job(&mut self, id: &str, old: Option<&Job>, new: Option<&Job>) {
         self.count_bookings(old, Count::Remove);
         self.count_bookings(new, Count::Add);
         let (before, after) = (tasks_by_run(old), tasks_by_run(new));
         let is_open = |job: Option<&Job>| job.is_some_and(Job::is_open);
-        // Whether a job runs may be all that has changed for its machines.
+        // If the job was closed or reopened, all of its machines have changed, even those
+        // whose runs are the same.
         let all_changed = is_open(old) != is_open(new);
         self.mark_changed_machines(&before, &after, all_changed);
         self.mark_changed_machines(&after, &before, all_changed);
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Counts what a job's runs take, or no longer take.
+    /// Adds the resources of a job's runs to the totals, or subtracts them.
     fn count_bookings(&mut self, job: Option<&Job>, count: Count) {
         let Some(job) = job else { return };
         let Some(spec) = &job.spec else { return };
@@ -154,7 +159,8 @@
         by_share.add(job.share.as_ref(), resources);
     }
 
-    /// Marks the machines of runs that are not the same among the others, or of all.
+    /// Marks machines as changed: those whose runs differ from the runs in `others`, or
+    /// the machines of all runs if `all` is set.
     fn mark_changed_machines(&mut self, runs: &TasksByRun, others: &TasksByRun, all: bool) {
         for (key, tasks) in runs {
             if all || others.get(key) != Some(tasks) {
@@ -163,6 +169,7 @@
         }
     }
 
+    /// Removes a job from the index of a machine's bookings.
     fn remove_booking(&mut self, machine: &str, id: &str) {
         let Some(jobs) = self.bookings.get_mut(machine) else {
             return;
@@ -173,7 +180,7 @@
         }
     }
 
-    /// Remembers an image as the latest that a machine was sent.
+    /// Records an image as the latest one that was sent to a machine.
     fn remember_image(&mut self, machine: &str, image: u32) {
         let machine = self.machine_names.number(machine);
         let images = self.images.entry(machine).or_default();
--- a/src/state/replica/machine_shards.rs
+++ b/src/state/replica/machine_shards.rs
@@ -1,10 +1,10 @@
-//! Machines, as the machine shards that come into the replica list them.
+//! Applies machine shards, and the machines that they list, to the replica.
 
 use super::{Entry, Replica};
 use crate::state::records::{Machine, MachineShard};
 
 impl Replica {
-    /// Takes a machine shard, and what it says of each of its machines.
+    /// Applies a machine shard and the records of its machines, or its removal.
     pub(super) fn set_machine_shard(
         &mut self,
         id: &str,
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Sets a machine's record and marks the machine as changed, unless it is the same.
     fn set_machine(&mut self, name: &str, version: u64, machine: Machine) {
         let known = self.machines.get(name);
         if known.is_some_and(|entry| entry.value == machine) {
@@ -46,8 +47,8 @@
             .insert(name.to_string(), Entry { version, value });
     }
 
-    /// Removes a machine that a shard no longer lists, unless it stands in another one
-    /// now: a commit that moves it brings both, in any order.
+    /// Removes a machine that a shard no longer lists, unless another shard lists it by
+    /// now: a commit that moves a machine updates both shards, in either order.
     fn remove_machine_of(&mut self, name: String, zone: &str, shard: &str) {
         let is_here = |entry: &Entry<Machine>| {
             let machine = &entry.value;
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -1,17 +1,17 @@
 //! The replica: this controller's copy of the state under the shared prefix.
 //!
-//! `revision` is what the watch has reached: everything up to it is here. A
-//! commit of our own is laid into the replica at once (`overlay`), ahead of the
-//! watch, so that the next round does not decide on what it has just changed;
-//! entries beyond `revision` serve planning only, never a launch.
+//! `revision` is the revision that the watch has reached: the replica contains every
+//! change up to it. A commit of this controller is applied immediately (`overlay`), ahead
+//! of the watch, so that the next round does not decide by outdated records. Entries
+//! newer than `revision` are used for planning only, never to launch tasks.
 //!
 //! | module | task |
 //! | --- | --- |
-//! | `updates` | news of records: full reads, the watch, our own commits |
-//! | `jobs`, `accepted_batches`, `machine_shards`, `plan_slots` | what follows from records as they come in |
+//! | `updates` | updates of records: full reads, the watch, this controller's commits |
+//! | `jobs`, `accepted_batches`, `machine_shards`, `plan_slots` | indexes that are derived from updated records |
 //! | `unreadable` | records that cannot be read |
-//! | `queries`, `shares` | questions to the replica |
-//! | `writes` | records as this controller may write them |
+//! | `queries`, `shares` | lookups in the replica |
+//! | `writes` | writes of records, in the encoding that all controllers can read |
 
 mod accepted_batches;
 mod jobs;
@@ -39,118 +39,126 @@
     Resources, Spec, Team, Types, ZoneShard,
 };
 
-/// A record with the revision of its last change.
+/// Record with the revision of its last change.
 #[derive(Debug, Clone, Default)]
 pub struct Entry<T> {
-    /// The revision of the record's last change; 0 if it has none of its own.
+    /// Revision of the record's last change; 0 if it has no record of its own.
     pub version: u64,
-    /// The record.
+    /// Content of the record.
     pub value: T,
 }
 
+/// Records of one kind, by id.
 type Table<T> = BTreeMap<String, Entry<T>>;
 
-/// What has changed since it was last asked.
+/// Changes since the caller last took them.
 #[derive(Debug, Default)]
 pub struct Changes {
-    /// Machines whose record or whose jobs have changed.
+    /// Machines whose records or whose jobs have changed.
     pub machines: BTreeSet<String>,
 }
 
 /// This controller's replica of the state, with the indexes that planning uses.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Complete up to here; 0 until the first full read.
+    /// Revision up to which the replica is complete; 0 until the first full read.
     pub revision: u64,
     /// Whether the first full read is complete.
     pub loaded: bool,
-    /// Jobs by their ids.
+    /// Jobs, by id.
     pub jobs: HashMap<String, Entry<Job>>,
-    /// What the teams' bookings take, by the teams' names.
+    /// Resources that the teams' bookings take, by team.
     pub teams: Table<Team>,
-    /// The splits of teams' rooms, by the teams' names.
+    /// Splits of the teams' quotas among controllers, by team.
     pub shares: Table<Share>,
-    /// What is booked against each share, as last recounted, by `team/controller`.
+    /// Resources that are booked against each share, as of the last recount, by
+    /// `team/controller`.
     pub share_uses: Table<Team>,
-    /// The pool that shares grow from, if there is one.
+    /// Pool that shares grow from, if there is one.
     pub pool: Option<Entry<Pool>>,
-    /// The moves that were asked for, by their ids.
+    /// Requested moves between shares, by id.
     pub moves: Table<MoveRecord>,
-    /// The zones' records, by `zone/part`.
+    /// Zone shards, by `zone/shard`.
     pub zone_shards: Table<ZoneShard>,
-    /// All machines, each with the revision of its own last change.
+    /// All machines, each with the revision of its last change.
     pub machines: Table<Machine>,
-    /// The records that they stand in, by `zone/part`.
+    /// Machine shards, which hold the machines' records, by `zone/shard`.
     pub machine_shards: Table<MachineShard>,
-    /// Rentals by the names of their requests.
+    /// Provisioning requests, by id.
     pub provisioning_requests: Table<ProvisioningRequest>,
-    /// Jobs that were accepted together, by the names of those writes.
+    /// Accepted batches, by id.
     pub accepted_batches: Table<AcceptedBatch>,
-    /// The cloud's machine types as last read.
+    /// Machine types of the cloud as last read.
     pub types: Entry<Types>,
-    /// The controller that rents machines, if there is one.
+    /// Controller that provisions machines, if there is one.
     pub fleet: Option<Entry<ControllerRecord>>,
-    /// Which controllers know the newer formats.
+    /// Record formats that the controllers can read.
     pub formats: Entry<Formats>,
-    /// Controllers whose state lease stands.
+    /// Controllers with a valid state lease, by name.
     pub controllers: Table<ControllerRecord>,
-    /// Jobs that are not final and await no others, in the order of acceptance:
-    /// those that take part in anything.
+    /// Open jobs whose dependencies are done, in the order of acceptance. Only these can
+    /// be placed.
     pub open_jobs: BTreeSet<(u64, String)>,
-    /// Which jobs book something on a machine.
+    /// Ids of the jobs that have bookings on a machine, by machine.
     pub bookings: HashMap<String, BTreeSet<String>>,
-    /// What bookings take of each machine, by its number, and of each team.
+    /// Resources that bookings take of each machine, by machine number.
     booked: HashMap<u32, Resources>,
+    /// Resources that bookings take in total, by team.
     team_booked: HashMap<String, Resources>,
-    /// What the machines on record have, once it was asked for since they changed.
+    /// Cached sums of the resources of machines; `None` after a change of the machines.
     machine_sums: Cell<Option<MachineSums>>,
-    /// The same by the share that they count against.
+    /// Resources that a team's bookings take of each share, by team.
     share_booked: HashMap<String, shares::BookedByShare>,
-    /// Removals of our own that the watch has not reached yet.
+    /// Versions of the removals by this controller that the watch has not reached yet,
+    /// by key.
     removed: HashMap<String, u64>,
-    /// Images that have been sent to a machine, the latest last. Memory only:
-    /// a hint for placing, rebuilt as bookings are seen.
+    /// Numbers of the images that have been sent to a machine, the latest last, by
+    /// machine number. They are only a hint for placement: they are kept in memory and
+    /// rebuilt from the bookings.
     images: HashMap<u32, Vec<u32>>,
+    /// Numbers of images.
     image_names: Names,
-    /// The numbers of machines.
+    /// Numbers of machines.
     pub machine_names: Names,
-    /// The numbers of zone shards.
+    /// Numbers of zone shards.
     pub zone_shard_names: Names,
-    /// The numbers of zones.
+    /// Numbers of zones.
     pub zone_names: Names,
-    /// The classes of machines, by their numbers.
+    /// Classes of machines, by class number.
     pub classes: Vec<MachineClass>,
+    /// Numbers of the classes of machines.
     class_numbers: HashMap<plan_slots::ClassKey, u32>,
-    /// The zone shards' machines, ready for planning.
+    /// Machines of each zone shard, prepared for planning.
     plan_slots: BTreeMap<String, Vec<PlanSlot>>,
-    /// The zone shard that has a machine's slot, by their numbers.
+    /// Number of the zone shard that has a machine's slot, by machine number.
     slot_shards: HashMap<u32, u32>,
-    /// Parts that stand in the compact encoding.
+    /// Zone shards whose records are in the compact encoding.
     compact_zone_shards: BTreeSet<String>,
-    /// What a record may hold, where the limits are to fall: from the settings.
+    /// Upcoming maximum size of a record, in bytes, if the settings announce lower limits
+    /// of the state service.
     pub compact_limit: Option<usize>,
-    /// Records that hold more, with what they hold.
+    /// Sizes in bytes of the records that exceed `compact_limit`, by key.
     pub oversized_records: BTreeMap<String, usize>,
-    /// Open jobs whose specification may leave too little of a record for their
-    /// tasks: a coarse choice by length, `trimmed_job` decides.
+    /// Open jobs whose specification may leave too little of a record for their tasks.
+    /// This is a coarse preselection by length; `trimmed_job` decides.
     pub long_jobs: BTreeSet<String>,
-    /// Classes that an objective of the settings names.
+    /// Job classes that an objective of the settings names.
     pub slo_classes: BTreeSet<String>,
-    /// The latest job that needs accelerators: what machines with accelerators
-    /// are kept free for. A hint, too.
+    /// Specification of the latest job that needs accelerators. Machines with
+    /// accelerators are kept free for such jobs; this, too, is only a hint.
     pub gpu_spec: Option<Spec>,
-    /// What has changed since it was last taken.
+    /// Changes that the caller has not taken yet.
     pub changes: Changes,
-    /// Keys whose records cannot be read, with their versions: nothing is known
-    /// of what they say, but whoever writes them anew guards these versions.
+    /// Versions of the records that cannot be read, by key. Their contents are unknown,
+    /// but a commit that overwrites such a record needs its version as a precondition.
     unreadable: BTreeMap<String, u64>,
-    /// What follows from jobs that await others, see there.
+    /// Dependencies between jobs.
     pub(crate) dependency_graph: DependencyGraph,
 }
 
 impl Replica {
-    /// A replica that is to hold its records to so many bytes, if the limits are
-    /// to fall.
+    /// Creates an empty replica that writes records of at most `compact_limit` bytes, if
+    /// a limit is given.
     pub fn with_compact_limit(compact_limit: Option<usize>) -> Self {
         Replica {
             compact_limit,
--- a/src/state/replica/plan_slots.rs
+++ b/src/state/replica/plan_slots.rs
@@ -1,4 +1,4 @@
-//! The machines that take work, ready for planning: by numbers in place of names.
+//! Indexes the machines that take work for planning, with numbers in place of names.
 
 use std::rc::Rc;
 
@@ -6,22 +6,23 @@
 use crate::state::records::{MachineSlot, Resources};
 use crate::wire::MachineType;
 
-/// Machines of one type, zone and kind: what a job may or may not run on.
+/// Class of machines with the same type, zone and spot flag. A job is allowed on all
+/// machines of a class or on none.
 #[derive(Debug, Clone)]
 pub struct MachineClass {
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: Rc<str>,
-    /// The zone's number among `Replica::zone_names`.
+    /// Number of the zone in `Replica::zone_names`.
     pub zone_number: usize,
-    /// Whether they are spot machines.
+    /// True for spot machines.
     pub spot: bool,
-    /// Where its type stands in the types' record, if it does.
+    /// Index of the machine type in the record of machine types, if the cloud offers it.
     pub type_index: Option<usize>,
 }
 
-/// What tells classes of machines apart.
+/// Identity of a class of machines.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(super) struct ClassKey {
     kind: String,
@@ -30,6 +31,7 @@
 }
 
 impl ClassKey {
+    /// Creates the key of a class of machines.
     fn new(kind: &str, zone: &str, spot: bool) -> Self {
         ClassKey {
             kind: kind.to_string(),
@@ -39,39 +41,40 @@
     }
 }
 
-/// A machine that takes work, as small as planning can have it.
+/// Machine that takes work, in a small form that planning copies cheaply.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanSlot {
-    /// Its number among `Replica::machine_names`.
+    /// Number of the machine in `Replica::machine_names`.
     pub machine: u32,
-    /// The number of its zone shard's key among `Replica::zone_shard_names`.
+    /// Number of its zone shard in `Replica::zone_shard_names`.
     pub shard: u32,
-    /// The number of its class among `Replica::classes`.
+    /// Number of its class in `Replica::classes`.
     pub class: u32,
-    /// In a plan: what is free. In the replica: what unbooked tasks take.
+    /// Free resources in a plan; in the replica, the resources that unbooked tasks take.
     pub free: Resources,
 }
 
 impl Replica {
-    /// The number of a class of machines, if it has one.
+    /// Returns the number of a class of machines, if it has one.
     pub fn find_class(&self, kind: &str, zone: &str, spot: bool) -> Option<u32> {
         let key = ClassKey::new(kind, zone, spot);
         self.class_numbers.get(&key).copied()
     }
 
-    /// The machine type of a class, if the cloud still offers it.
+    /// Returns the machine type of a class, if the cloud still offers it.
     pub fn class_type(&self, class: &MachineClass) -> Option<&MachineType> {
         self.types.value.types.get(class.type_index?)
     }
 
-    /// All machines that take work.
+    /// Returns all machines that take work.
     pub fn plan_slots(&self) -> impl Iterator<Item = &PlanSlot> {
         self.plan_slots.values().flatten()
     }
 
-    /// A machine that takes work, with its free capacity as the bookings of this replica
-    /// leave it. Whoever books more there writes its zone shard, so that a commit
-    /// guarded by the zone shard's version counts on no less than this.
+    /// Returns a machine that takes work with its free capacity according to the bookings
+    /// in this replica. A controller that books more on the machine also writes its zone
+    /// shard. A commit with the zone shard's version as a precondition therefore finds at
+    /// least this capacity.
     pub fn with_free_resources(&self, slot: &PlanSlot) -> PlanSlot {
         let machine_type = self.class_type(&self.classes[slot.class as usize]);
         let capacity = machine_type.map_or(Resources::default(), MachineType::resources);
@@ -82,21 +85,22 @@
         }
     }
 
-    /// The slot that a machine has in its zone's record.
+    /// Returns the slot of a machine in its zone shard.
     pub fn slot(&self, machine: &str) -> Option<&MachineSlot> {
         let shard = self.zone_shards.get(&*self.zone_shard_of(machine)?)?;
         shard.value.machines.get(machine)
     }
 
-    /// The zone shard that has a machine's slot. Any of its home's may: they are
-    /// merged while there is space, as a commit writes few.
+    /// Returns the zone shard that has a machine's slot. This may be any zone shard of the
+    /// machine's home controller: shards are merged while they have space, because a
+    /// commit can write only a few records.
     pub fn zone_shard_of(&self, machine: &str) -> Option<Rc<str>> {
         let number = self.machine_names.find(machine)?;
         let shard = self.slot_shards.get(&number)?;
         Some(self.zone_shard_names.name(*shard))
     }
 
-    /// Makes a zone shard's machines ready for planning.
+    /// Rebuilds the plan slots of a zone shard's machines.
     pub(super) fn index_zone_shard(&mut self, id: &str) {
         let shard = self.zone_shard_names.number(id);
         for slot in self.plan_slots.remove(id).into_iter().flatten() {
@@ -129,7 +133,7 @@
         self.plan_slots.insert(id.to_string(), plan_slots);
     }
 
-    /// The number of a class of machines, which is given one if it has none.
+    /// Returns the number of a class of machines, and assigns one if it has none.
     pub fn class(&mut self, kind: &str, zone: &str, spot: bool) -> u32 {
         let key = ClassKey::new(kind, zone, spot);
         if let Some(number) = self.class_numbers.get(&key) {
@@ -148,7 +152,7 @@
         number
     }
 
-    /// Finds the classes' types anew, once the machine types have changed.
+    /// Updates the type indexes of all classes after a change of the machine types.
     pub(super) fn index_machine_types(&mut self) {
         let types = &self.types.value.types;
         for class in &mut self.classes {
@@ -156,6 +160,7 @@
         }
     }
 
+    /// Returns the index of a machine type in the record of machine types.
     fn type_index(&self, kind: &str) -> Option<usize> {
         let mut types = self.types.value.types.iter();
         types.position(|machine_type| machine_type.name == kind)
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -1,5 +1,5 @@
-//! What the replica knows of shares: their records' versions, what is booked against
-//! them, and what the machines on record have.
+//! Looks up shares of quotas in the replica: the versions of their records, the bookings
+//! against them, and the total resources of the machines.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 use crate::state::records::{FORMATS_SHARES, MachineLifecycle};
 use crate::wire::MachineType;
 
-/// What a team's bookings take by the share that their jobs name.
+/// Resources that a team's bookings take, by the share that their jobs name.
 #[derive(Debug, Default)]
 pub(super) struct BookedByShare(BTreeMap<Option<ControllerName>, Resources>);
 
 impl BookedByShare {
-    /// Counts what a job's bookings take, or no longer take.
+    /// Adds the resources of a job's bookings, which are negative if the bookings end.
     pub(super) fn add(&mut self, share: Option<&ControllerName>, amount: Resources) {
         let booked = self.0.entry(share.cloned()).or_default();
         *booked += amount;
@@ -27,70 +27,73 @@
     }
 }
 
-/// What machines have in all.
+/// Total resources of machines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MachineSums {
-    /// All on record.
+    /// Resources of all machines that have a record.
     pub on_record: Resources,
-    /// Those of them that are not about to leave.
+    /// Resources of the booting and active machines among them.
     pub staying: Resources,
 }
 
 impl Replica {
-    /// The revision since which every controller reads the formats of shares; `None`
-    /// while one may not.
+    /// Returns the revision since which every controller can read the formats of shares,
+    /// or `None` while some controller may not.
     pub fn shares_since(&self) -> Option<u64> {
         let known = self.formats.value.all >= FORMATS_SHARES;
         known.then_some(self.formats.version)
     }
 
-    /// Whether bookings of some team count against shares.
+    /// Returns whether the bookings of any team count against shares.
     pub fn has_shares(&self) -> bool {
         !self.shares.is_empty()
     }
 
-    /// The split of a team's quota, if its bookings count against shares.
+    /// Returns the split of a team's quota, if its bookings count against shares.
     pub fn share(&self, team: &str) -> Option<&Share> {
         self.shares.get(team).map(|entry| &entry.value)
     }
 
-    /// Whether nothing is known of how a team's bookings count: none may be made.
+    /// Returns whether the records that decide which share a team's bookings count
+    /// against cannot be read. The team may not make any bookings then.
     pub fn is_share_unreadable(&self, team: &str) -> bool {
         !self.unreadable.is_empty()
             && (self.is_split_unreadable(team) || self.is_unreadable(POOL_KEY))
     }
 
-    /// Whether a team's split cannot be read.
+    /// Returns whether the split of a team's quota cannot be read.
     pub fn is_split_unreadable(&self, team: &str) -> bool {
         self.is_unreadable(&share_key(team))
     }
 
-    /// The generation of the latest move of a team that was asked for.
+    /// Returns the generation of the latest move that was requested for a team, or 0 if
+    /// there was none.
     pub fn last_move_generation(&self, team: &str) -> u64 {
         let moves = self.moves.values().map(|entry| &entry.value);
         let of_team = moves.filter(|record| record.team.as_str() == team);
         of_team.map(|record| record.generation).max().unwrap_or(0)
     }
 
-    /// The version of the split of a team's quota, 0 if there is none.
+    /// Returns the version of the split of a team's quota, or 0 if there is none.
     pub fn share_version(&self, team: &str) -> u64 {
         let absent = || self.absent_version(&share_key(team));
         self.shares.get(team).map_or_else(absent, |e| e.version)
     }
 
-    /// The version of the record of what is booked against a share, by its id.
+    /// Returns the version of the record of a share's bookings, or 0 if there is none.
     pub fn share_use_version(&self, id: &str) -> u64 {
         let absent = || self.absent_version(&share_use_key(id));
         self.share_uses.get(id).map_or_else(absent, |e| e.version)
     }
 
-    /// The version of the pool, 0 if there is none.
+    /// Returns the version of the pool's record, or 0 if there is none.
     pub fn pool_version(&self) -> u64 {
         let absent = || self.absent_version(POOL_KEY);
         self.pool.as_ref().map_or_else(absent, |e| e.version)
     }
 
-    /// About what the name of a share adds to a job's record, where there are shares.
+    /// Returns the approximate number of bytes that the name of a share adds to a job's
+    /// record; 0 if the team has no shares.
     pub fn share_name_bytes(&self, team: &str) -> usize {
         const PUNCTUATION: usize = 8;
         if !self.shares.contains_key(team) {
@@ -100,14 +103,14 @@
         PUNCTUATION + names.max().unwrap_or(0)
     }
 
-    /// Whether a machine shard was written since every controller counts the machines
-    /// that it takes off the record.
+    /// Returns whether a machine shard was last written after every controller began to
+    /// account for the machines that it removes from the records.
     pub fn is_counted_shard(&self, id: &str) -> bool {
         let version = self.machine_shards.get(id).map_or(0, |e| e.version);
         self.shares_since().is_some_and(|since| version > since)
     }
 
-    /// What the machines of the counted shards have.
+    /// Returns the total resources of the machines in the counted shards.
     pub fn machine_sums(&self) -> MachineSums {
         let known = self.machine_sums.get();
         let sums = known.unwrap_or_else(|| self.sum_machines());
@@ -115,6 +118,7 @@
         sums
     }
 
+    /// Sums the resources of the machines in the counted shards.
     fn sum_machines(&self) -> MachineSums {
         let mut sums = MachineSums::default();
         let shards = self.machine_shards.iter();
@@ -133,13 +137,14 @@
         sums
     }
 
-    /// All that a machine of this type has; nothing if the cloud no longer offers it.
+    /// Returns the resources of a machine of this type; none if the cloud no longer offers
+    /// the type.
     pub fn resources_of(&self, kind: &str) -> Resources {
         self.machine_type(kind)
             .map_or(Resources::default(), MachineType::resources)
     }
 
-    /// The accounting of all teams at this revision.
+    /// Returns the quota accounting of all teams at this revision.
     pub fn ledger(&self, settings: &Settings) -> Ledger {
         let sums = self.machine_sums();
         let teams = settings.deployment.teams.iter();
@@ -159,6 +164,7 @@
         }
     }
 
+    /// Returns the quota accounting of a team.
     fn team_account(&self, team: &str, limit: TeamLimit, settings: &Settings) -> TeamAccount {
         let share = self.share(team).cloned();
         let fallback = match &share {
@@ -177,8 +183,8 @@
     }
 }
 
-/// The controller whose share bookings count against that were made before there were
-/// shares: every controller finds the same.
+/// Returns the controller whose share is charged for bookings that were made before the
+/// team's quota was split. Every controller determines the same one.
 pub fn fallback_controller(settings: &Settings) -> ControllerName {
     let first = settings.controllers().into_iter().min();
     ControllerName::from(first.unwrap_or_default())
--- a/src/state/replica/unreadable.rs
+++ b/src/state/replica/unreadable.rs
@@ -1,5 +1,5 @@
-//! Records that cannot be read: they are logged, and written anew under their
-//! own versions.
+//! Logs records that cannot be read and keeps their versions, which are needed to
+//! overwrite the records.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -7,7 +7,7 @@
 use super::Replica;
 use crate::state::keys::job_key;
 
-/// Reads a record's text; one that cannot be read is logged.
+/// Parses a record's text. Logs a record that cannot be read.
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
     serde_json::from_str(value.get())
         .inspect_err(|error| tracing::error!(key, %error, "record not understood"))
@@ -15,7 +15,7 @@
 }
 
 impl Replica {
-    /// Reads a record's text; one that cannot be read is logged, and its version kept.
+    /// Parses a record's text. Logs a record that cannot be read and keeps its version.
     pub(super) fn read<T: DeserializeOwned>(
         &mut self,
         key: &str,
@@ -29,20 +29,20 @@
         record
     }
 
-    /// Whether a key has a record that cannot be read.
+    /// Returns whether the record under a key cannot be read.
     pub fn is_unreadable(&self, key: &str) -> bool {
         self.unreadable.contains_key(key)
     }
 
-    /// Whether a job is known to exist, though its record cannot be read: it
-    /// was accepted, and nothing more can be said of it.
+    /// Returns whether a job's record exists but cannot be read: the job was accepted, and
+    /// nothing else is known about it.
     pub fn is_unreadable_job(&self, id: &str) -> bool {
         !self.unreadable.is_empty() && self.is_unreadable(&job_key(id))
     }
 
-    /// The version of a record that is not in the replica: that of one which cannot
-    /// be read, or 0 as there is none. Guarding 0 where an unreadable record
-    /// stands would be refused again and again.
+    /// Returns the version of a record that is not in the replica: its version if the
+    /// record cannot be read, otherwise 0. If an unreadable record exists, a commit with
+    /// the precondition 0 would be refused on every attempt.
     pub fn absent_version(&self, key: &str) -> u64 {
         self.unreadable.get(key).copied().unwrap_or(0)
     }
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -1,5 +1,5 @@
-//! How news of records gets into the replica: full reads, the watch, and commits of
-//! this controller.
+//! Applies updates of records to the replica: full reads, events of the watch, and
+//! commits of this controller.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -10,22 +10,23 @@
 use crate::state::records::Job;
 use crate::wire::{Event, StoredRecord, Write};
 
-/// One record as it is from a version on; without a value it is removed.
+/// Update of one record; without a value it is a removal.
 #[derive(Clone, Copy)]
 pub(super) struct RecordUpdate<'a> {
     pub(super) key: &'a str,
-    /// The part of the key behind its table.
+    /// Part of the key after the table's name.
     pub(super) id: &'a str,
     pub(super) version: u64,
     pub(super) value: Option<&'a RawValue>,
 }
 
-/// Whether a record is older than this version, or there is none.
+/// Returns whether a record is older than a version, or there is no record.
 fn is_older<T>(entry: Option<&Entry<T>>, version: u64) -> bool {
     entry.is_none_or(|entry| entry.version < version)
 }
 
-/// Sets or removes a record, unless the table has a newer one; false in that case.
+/// Sets or removes a record, unless the table has one that is as new or newer. Returns
+/// whether the update was applied.
 pub(super) fn put<T>(table: &mut Table<T>, id: &str, version: u64, value: Option<T>) -> bool {
     if !is_older(table.get(id), version) {
         return false;
@@ -42,7 +43,7 @@
 }
 
 impl Replica {
-    /// Takes a full read in place of what was known.
+    /// Replaces all records of the replica by those of a full read.
     pub fn reload(&mut self, pairs: Vec<StoredRecord>, revision: u64) {
         let old = std::mem::take(self);
         let mut changes = old.changes;
@@ -67,11 +68,12 @@
         for pair in pairs {
             self.set(&pair.key, pair.version, Some(&pair.value));
         }
-        // A page may be newer than the revision of the first: the watch goes
-        // on from the oldest, and older events than an entry are passed over.
+        // Later pages may be newer than the revision of the first page. The watch
+        // continues from the revision of the first page, and events that are older than
+        // an entry are ignored.
     }
 
-    /// Takes what the watch brought.
+    /// Applies events of the watch.
     pub fn advance(&mut self, events: Vec<Event>, revision: u64) {
         for event in events {
             match (&event.set, &event.remove) {
@@ -85,7 +87,7 @@
         self.removed.retain(|_, version| *version > reached);
     }
 
-    /// Lays a commit of our own over the replica, ahead of the watch.
+    /// Applies a commit of this controller, ahead of the watch.
     pub fn overlay(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
@@ -100,6 +102,7 @@
         }
     }
 
+    /// Applies an update of the record under a key, unless it is outdated.
     fn set(&mut self, key: &str, version: u64, value: Option<&RawValue>) {
         if self.is_outdated(key, version) {
             return;
@@ -122,20 +125,20 @@
         self.set_record(table, update);
     }
 
-    /// Whether a newer removal is known of this key, or a newer record that cannot be
-    /// read.
+    /// Returns whether the replica has a newer removal of this key, or a newer record
+    /// under it that cannot be read.
     fn is_outdated(&self, key: &str, version: u64) -> bool {
         let is_known = |known: Option<&u64>| known.is_some_and(|known| *known >= version);
         is_known(self.removed.get(key)) || is_known(self.unreadable.get(key))
     }
 
-    /// Keeps the list of records that exceed the coming limit.
+    /// Updates the list of records that exceed the upcoming limit.
     fn track_size(&mut self, key: &str, value: Option<&RawValue>) {
         let Some(limit) = self.compact_limit else {
             return;
         };
-        // Older news may come after newer: what looks at this looks at the
-        // record itself then.
+        // An older update may follow a newer one, so the list is only a hint: its readers
+        // check the record itself.
         let bytes = value.map_or(0, |value| value.get().len());
         if bytes > limit {
             self.oversized_records.insert(key.to_string(), bytes);
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Sets a record in the table that its key names.
+    /// Applies an update to the table that its key names.
     fn set_record(&mut self, table: &str, update: RecordUpdate) {
         match table {
             "job" => {
@@ -177,6 +180,7 @@
         }
     }
 
+    /// Applies an update to a table of records by id.
     fn set_in_table<T: DeserializeOwned>(
         &mut self,
         table: impl FnOnce(&mut Replica) -> &mut Table<T>,
@@ -186,7 +190,7 @@
         put(table(self), update.id, update.version, record);
     }
 
-    /// Sets a record of which there is at most one.
+    /// Applies an update to a record of which there is at most one.
     fn set_single<T: DeserializeOwned>(
         &mut self,
         slot: impl Fn(&mut Replica) -> &mut Option<Entry<T>>,
@@ -200,8 +204,8 @@
         *slot(self) = record.map(|value| Entry { version, value });
     }
 
-    /// Sets a record that is never removed; its last readable text stays in force. True
-    /// if it was set.
+    /// Applies an update to a record that is never removed. If the update cannot be read,
+    /// the last readable value remains in force. Returns whether the record was set.
     fn set_permanent<T: DeserializeOwned>(
         &mut self,
         entry: impl FnOnce(&mut Replica) -> &mut Entry<T>,
@@ -219,6 +223,7 @@
         is_newer
     }
 
+    /// Applies an update to a zone shard and to the plan slots of its machines.
     fn set_zone_shard(&mut self, update: RecordUpdate) {
         let RecordUpdate {
             id, version, value, ..
@@ -235,7 +240,8 @@
         self.index_zone_shard(id);
     }
 
-    /// Reads the record of an update; `None` if it is removed or cannot be read.
+    /// Reads the record of an update. Returns `None` if the record is removed or cannot be
+    /// read.
     fn read_update<T: DeserializeOwned>(&mut self, update: RecordUpdate) -> Option<T> {
         self.read(update.key, update.version, update.value?)
     }
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -1,4 +1,5 @@
-//! Records as this controller may write them: plain or in the compact encoding.
+//! Builds the writes of records, in the plain or the compact encoding, and checks whether
+//! they fit the limit of a record's size.
 
 use serde_json::value::RawValue;
 
@@ -16,45 +17,46 @@
 };
 use crate::wire::Write;
 
-/// Fewer machines than these never fill a zone shard's record.
+/// Number of machines below which a zone shard's record always fits the limit.
 const FEW_MACHINES: usize = 8;
 
 impl Replica {
-    /// Whether records are written in their compact encodings: all controllers read
-    /// them, and the limits are to fall. Otherwise they stay in the plain ones.
+    /// Returns whether records are written in their compact encodings: all controllers
+    /// can read these, and lower limits of the state service are announced. Otherwise
+    /// records are written in their plain encodings.
     pub fn uses_compact_encoding(&self) -> bool {
         self.compact_limit.is_some() && self.all_read_compact_encodings()
     }
 
-    /// Whether a zone shard's compact encoding stays within what a record may hold,
-    /// whichever machines leave it, with some to spare for what unbooked tasks take.
+    /// Returns whether a zone shard's compact encoding fits a record, whichever machines
+    /// leave the shard, with a margin for the resources of unbooked tasks.
     pub fn fits_zone_shard(&self, shard: &ZoneShard) -> bool {
         let machines = shard.machines.len();
         machines < FEW_MACHINES
             || self.fits_zone_shard_bytes(machines, zone_shard_bytes_bound(shard))
     }
 
-    /// The same of a zone shard with so many machines, whose compact encoding may come
-    /// to have so many bytes.
+    /// Returns whether a zone shard with this number of machines, whose compact encoding
+    /// may grow to `bytes`, fits a record.
     pub fn fits_zone_shard_bytes(&self, machines: usize, bytes: usize) -> bool {
         let max_bytes = self.compact_limit.unwrap_or(usize::MAX) / 10 * 9;
         machines < FEW_MACHINES || bytes <= max_bytes
     }
 
-    /// Whether a zone shard's compact encoding may exceed the coming limit once machines
-    /// leave it: then they could not leave it any more.
+    /// Returns whether a zone shard's compact encoding may exceed the upcoming limit while
+    /// machines leave it. The commits that remove them would then be refused.
     pub fn may_outgrow_record(&self, shard: &ZoneShard) -> bool {
         let limit = self.compact_limit.unwrap_or(usize::MAX);
         shard.machines.len() >= FEW_MACHINES && zone_shard_bytes_bound(shard) > limit
     }
 
-    /// Whether a job's record, as it will be written, is within `max_bytes`.
+    /// Returns whether a job's record, as it will be written, has at most `max_bytes`.
     pub fn fits_job(&self, job: &Job, max_bytes: usize) -> bool {
         let trimmed = self.trimmed_job(job);
         self.job_bytes(trimmed.as_ref().unwrap_or(job)) <= max_bytes
     }
 
-    /// The length of a job's record as it stands, not trimmed.
+    /// Returns the length of a job's record without trimming, in bytes.
     pub(super) fn job_bytes(&self, job: &Job) -> usize {
         let compact = match self.uses_compact_encoding() {
             true => encode_job(job),
@@ -64,13 +66,14 @@
         text.map_or(usize::MAX, |t| t.len())
     }
 
-    /// The job as it has to be written if its record would exceed the coming
-    /// limit, now or with the least that it runs at once; `None` where it fits.
+    /// Returns the job trimmed for its record if that would exceed the upcoming limit, now
+    /// or with the fewest tasks that the job can run with. Returns `None` if the record
+    /// fits.
     pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
         let max_bytes = self
             .compact_limit
             .filter(|_| self.uses_compact_encoding())?;
-        // Nearly all: told by a few lengths, as every write of a job asks.
+        // Most jobs end here. The check is cheap, as every write of a job runs it.
         if !is_long(job, max_bytes) && self.job_bytes(job) <= max_bytes {
             return None;
         }
@@ -85,7 +88,8 @@
         })
     }
 
-    /// Whether an open job's record leaves space for the least that it runs at once.
+    /// Returns whether an open job's record has space for the fewest tasks that the job can
+    /// run with.
     fn runs_within(&self, job: &Job, max_bytes: usize) -> bool {
         let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
             return true;
@@ -96,12 +100,12 @@
         };
         let machine = longest(&mut self.machines.keys().map(String::as_str));
         let zone = longest(&mut self.zone_names.all());
-        // What it awaits leaves its record before any of its tasks comes in.
+        // The dependencies are removed from the record before the first task is booked.
         let min_bytes = min_record_bytes(spec, &machine, &zone);
         min_bytes.saturating_sub(spec.dependencies_bytes()) <= max_bytes
     }
 
-    /// The write of a job's record, in the encoding in force.
+    /// Returns the write of a job's record in the encoding in force.
     pub fn put_job(&self, id: &str, job: &Job) -> Write {
         let trimmed = self.trimmed_job(job);
         let job = trimmed.as_ref().unwrap_or(job);
@@ -109,18 +113,20 @@
         self.put(job_key(id), job, compact)
     }
 
-    /// The write of a zone shard's record, in the encoding in force.
+    /// Returns the write of a zone shard's record in the encoding in force.
     pub fn put_zone_shard(&self, id: &str, shard: &ZoneShard) -> Write {
         let compact = || encode_zone_shard(shard);
         self.put(zone_shard_key(id), shard, compact)
     }
 
-    /// The write of a machine shard's record, in the encoding in force.
+    /// Returns the write of a machine shard's record in the encoding in force.
     pub fn put_machine_shard(&self, id: &str, machine_shard: &MachineShard) -> Write {
         let compact = || encode_machine_shard(machine_shard);
         self.put(machine_shard_key(id), machine_shard, compact)
     }
 
+    /// Returns the write of a record, in its compact encoding if that is in force and the
+    /// record has one.
     fn put<T: serde::Serialize>(
         &self,
         key: String,
@@ -138,14 +144,14 @@
         }
     }
 
-    /// Safety 8: whether every controller of the deployment reads the formats with
-    /// compact encodings, so that they may be written.
+    /// Returns whether every controller of the deployment can read the formats with
+    /// compact encodings, so that these may be written (Safety 8).
     pub fn all_read_compact_encodings(&self) -> bool {
         self.formats.value.all >= FORMATS_COMPACT
     }
 
-    /// The revision since which every controller knows that machine shards may be
-    /// used in groups; `None` while one may not.
+    /// Returns the revision since which every controller supports groups of machine
+    /// shards, or `None` while some controller may not.
     pub fn grouped_shards_since(&self) -> Option<u64> {
         let known = self.formats.value.all >= FORMATS_GROUPED_SHARDS;
         known.then_some(self.formats.version)
