--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -298,7 +298,7 @@
     for machine_type in replica.types.value.types.clone() {
         for zone in &machine_type.zones {
             for spot in [true, false] {
-                replica.class(&machine_type.name, zone, spot);
+                replica.class_number(&machine_type.name, zone, spot);
             }
         }
     }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -96,7 +96,7 @@
             spec,
             hints,
             protection,
-            image: replica.image(&spec.image),
+            image: replica.image_number(&spec.image),
             excluded: Vec::new(),
             only_shards: None,
         }
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -216,7 +216,7 @@
     pub(super) fn preemptible_runs(&self, preemptor: &Preemptor) -> Vec<PreemptibleRun<'a>> {
         let replica = self.hints.replica;
         let spec = preemptor.waiting.spec;
-        let image = replica.image(&spec.image);
+        let image = replica.image_number(&spec.image);
         let allowed: Vec<bool> = replica
             .classes
             .iter()
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -31,7 +31,7 @@
 }
 
 /// Number of request classes.
-pub(super) const CLASSES: usize = 6;
+pub(super) const CLASS_COUNT: usize = 6;
 
 impl RequestClass {
     /// Returns the fraction of a full burst that this class must leave to the classes with
@@ -126,9 +126,9 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct WriteDemand {
     /// Moving average of written keys per second.
-    written: f64,
+    written_rate: f64,
     /// Moving average of the fraction of time spent waiting.
-    waited: f64,
+    waited_fraction: f64,
     /// Time of the last update of the averages.
     recorded_at: Option<Instant>,
 }
@@ -143,24 +143,25 @@
             now.saturating_duration_since(recorded_at).as_secs_f64()
         });
         let decay = (-elapsed_s / Self::AVERAGING_S).exp();
-        self.written = self.written * decay + written / Self::AVERAGING_S;
-        self.waited = (self.waited * decay + waited_s / Self::AVERAGING_S).min(1.0);
+        self.written_rate = self.written_rate * decay + written / Self::AVERAGING_S;
+        self.waited_fraction =
+            (self.waited_fraction * decay + waited_s / Self::AVERAGING_S).min(1.0);
         self.recorded_at = Some(now);
     }
 
     /// Returns the keys per second that this controller would write. The `queued` commits
     /// count as demand, too, as a controller whose commits all wait for the budget writes
     /// nothing.
-    pub(super) fn wanted(&self, queued: usize) -> f64 {
-        self.written * (1.0 + self.waited) + self.waited * queued as f64
+    pub(super) fn wanted_rate(&self, queued: usize) -> f64 {
+        self.written_rate * (1.0 + self.waited_fraction) + self.waited_fraction * queued as f64
     }
 }
 
 /// Minimum allocation of a controller, as a fraction of an even allocation.
-const MIN_ALLOCATION: f64 = 0.25;
+const MIN_ALLOCATION_FRACTION: f64 = 0.25;
 
 /// Maximum allocation of a controller, as a multiple of an even allocation.
-const MAX_ALLOCATION: f64 = 3.0;
+const MAX_ALLOCATION_MULTIPLE: f64 = 3.0;
 
 /// Returns this controller's allocation of the write rate `total` of all controllers,
 /// proportional to its `demand`. `others` contains the demands of the other controllers,
@@ -169,13 +170,13 @@
 #[must_use]
 pub fn write_rate_allocation(total: f64, demand: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
-    let minimum = even * MIN_ALLOCATION;
+    let minimum = even * MIN_ALLOCATION_FRACTION;
     let others: f64 = others
         .iter()
         .map(|demand| demand.map_or(even, |demand| demand + minimum))
         .sum();
     let allocation = total * (demand + minimum) / (others + demand + minimum);
-    allocation.clamp(minimum, even * MAX_ALLOCATION)
+    allocation.clamp(minimum, even * MAX_ALLOCATION_MULTIPLE)
 }
 
 /// Budget of requests and of written keys.
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -109,7 +109,7 @@
     /// other controllers.
     pub fn demand(&self) -> f64 {
         self.record_demand(0, Duration::ZERO);
-        self.demand.get().wanted(self.queue.len())
+        self.demand.get().wanted_rate(self.queue.len())
     }
 
     /// Records written keys and the time spent waiting for the budget.
@@ -140,7 +140,7 @@
     /// without charging the budget. The caller decides after the wait what to send, so
     /// that the decision uses the latest state.
     pub async fn wait_for_budget(&self, class: RequestClass, writes: usize) {
-        self.wait_turn(class, writes, BudgetUse::Keep).await;
+        self.wait_for_turn(class, writes, BudgetUse::Keep).await;
     }
 
     /// Waits until the budget allows a request, and charges the request and its writes to
@@ -149,7 +149,7 @@
         if matches!(class, RequestClass::Round | RequestClass::Claim) {
             self.budget.borrow_mut().charge(writes);
         } else {
-            self.wait_turn(class, writes, BudgetUse::Charge).await;
+            self.wait_for_turn(class, writes, BudgetUse::Charge).await;
         }
         if writes > 0 {
             self.record_demand(writes, Duration::ZERO);
@@ -158,7 +158,7 @@
     }
 
     /// Waits for the budget and for writes of classes with precedence.
-    async fn wait_turn(&self, class: RequestClass, writes: usize, budget_use: BudgetUse) {
+    async fn wait_for_turn(&self, class: RequestClass, writes: usize, budget_use: BudgetUse) {
         let _queued = (writes > 0).then(|| self.queue.enqueue(class));
         while let Some(wait) = self.try_admit(class, writes, budget_use) {
             let max_wait = self.response_timeout / MAX_BUDGET_WAIT_DIVISOR;
@@ -216,7 +216,7 @@
             .await?;
         match response.status {
             429 => {
-                self.back_off(writes);
+                self.pause_after_refusal(writes);
                 Err(StoreError::Refused(429))
             }
             status @ 500.. => Err(StoreError::Refused(status)),
@@ -228,7 +228,7 @@
     }
 
     /// Pauses requests after a refusal because of the rate limit.
-    fn back_off(&self, writes: usize) {
+    fn pause_after_refusal(&self, writes: usize) {
         if writes > 0 {
             self.rate_limit.record_refusal(Instant::now());
         }
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum number of records per page of a read.
-const PAGE_RECORDS: usize = 500;
+const MAX_PAGE_RECORDS: usize = 500;
 
 /// Number of keys of refused commits that are remembered as logged.
 const MAX_LOGGED_KEYS: usize = 1000;
@@ -91,7 +91,7 @@
         prefix: &str,
         after: &str,
     ) -> Result<StoredRecordPage, StoreError> {
-        let mut path = format!("/store?prefix={prefix}&limit={PAGE_RECORDS}");
+        let mut path = format!("/store?prefix={prefix}&limit={MAX_PAGE_RECORDS}");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
         }
--- a/src/state/client/write_queue.rs
+++ b/src/state/client/write_queue.rs
@@ -3,12 +3,12 @@
 
 use std::cell::{Cell, RefCell};
 
-use crate::state::budget::{CLASSES, RequestClass};
+use crate::state::budget::{CLASS_COUNT, RequestClass};
 
 /// Numbers of commits of each class that wait to be sent.
 #[derive(Default)]
 pub(super) struct WriteQueue {
-    waiting: RefCell<[usize; CLASSES]>,
+    waiting: RefCell<[usize; CLASS_COUNT]>,
     /// Class of the last commit that was sent.
     last_writer: Cell<Option<RequestClass>>,
 }
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -39,17 +39,18 @@
         .collect();
     patterns.sort_unstable();
     patterns.dedup();
-    let text = |s: &str| serde_json::to_string(s).map_or(0, |t| t.len());
-    let one = |(prefix, _, zone): &(&str, usize, &str)| text(prefix) + text(zone) + 6;
-    40 + patterns.iter().map(one).sum::<usize>()
+    let json_bytes = |name: &str| serde_json::to_string(name).map_or(0, |json| json.len());
+    let pattern_bytes =
+        |(prefix, _, zone): &(&str, usize, &str)| json_bytes(prefix) + json_bytes(zone) + 6;
+    40 + patterns.iter().map(pattern_bytes).sum::<usize>()
 }
 
 /// Encodes a job's record in the compact encoding. Returns `None` if the job cannot be
 /// encoded compactly.
 pub fn encode_job(job: &Job) -> Option<String> {
-    let runs = job.runs.iter().flat_map(|r| r.tasks.0.last());
-    let last = runs.chain(job.retry.0.last()).map(|(_, b)| *b);
-    let width = task_width(last);
+    let runs = job.runs.iter().flat_map(|run| run.tasks.0.last());
+    let last_tasks = runs.chain(job.retry.0.last()).map(|(_, last)| *last);
+    let width = task_width(last_tasks);
     let mut table: Vec<NamePattern> = Vec::new();
     let mut text = String::new();
     push_number(&mut text, width as u64);
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -27,7 +27,7 @@
 /// Common properties of the machines in one class. The order of the fields determines the
 /// order of the classes in the encoding.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct MachineClass<'a> {
+struct MemberClass<'a> {
     owner: &'a str,
     incarnation: u64,
     lifecycle: MachineLifecycle,
@@ -35,9 +35,9 @@
     spot: bool,
 }
 
-impl<'a> From<&'a Machine> for MachineClass<'a> {
+impl<'a> From<&'a Machine> for MemberClass<'a> {
     fn from(machine: &'a Machine) -> Self {
-        MachineClass {
+        MemberClass {
             owner: &machine.owner,
             incarnation: machine.incarnation,
             lifecycle: machine.lifecycle,
@@ -67,14 +67,17 @@
     machine_shard: &BTreeMap<String, Machine>,
     max_owner_length: usize,
 ) -> usize {
-    let mut kinds: Vec<&str> = machine_shard.values().map(|m| m.kind.as_str()).collect();
+    let mut kinds: Vec<&str> = machine_shard
+        .values()
+        .map(|machine| machine.kind.as_str())
+        .collect();
     kinds.sort_unstable();
     kinds.dedup();
     let kinds: usize = kinds
         .iter()
-        .map(|k| k.len() + max_owner_length + CLASS_BYTES)
+        .map(|kind| kind.len() + max_owner_length + CLASS_BYTES)
         .sum();
-    let names = machine_shard.keys().map(|n| match split_name(n) {
+    let names = machine_shard.keys().map(|name| match split_name(name) {
         (name, 0, _) => name.len() + MACHINE_ENTRY_BYTES + FULL_NAME_BYTES,
         _ => MACHINE_ENTRY_BYTES,
     });
@@ -93,9 +96,9 @@
 
 /// Encodes a machine shard's record in the compact encoding.
 pub fn encode_machine_shard(machine_shard: &MachineShard) -> Option<String> {
-    let mut classes: BTreeMap<MachineClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
-    for (name, m) in &machine_shard.machines {
-        let class = MachineClass::from(m);
+    let mut classes: BTreeMap<MemberClass, BTreeMap<(&str, usize), String>> = BTreeMap::new();
+    for (name, machine) in &machine_shard.machines {
+        let class = MemberClass::from(machine);
         let (prefix, width, number) = split_name(name);
         let texts = classes.entry(class).or_default();
         let text = texts.entry((prefix, width)).or_default();
@@ -103,13 +106,13 @@
             text.push(' ');
         }
         push_number(text, u64::from(number));
-        for figure in [
-            m.fencing_token,
-            m.claim_heartbeat.epoch,
-            m.claim_heartbeat.sequence,
+        for value in [
+            machine.fencing_token,
+            machine.claim_heartbeat.epoch,
+            machine.claim_heartbeat.sequence,
         ] {
             text.push('.');
-            push_number(text, figure);
+            push_number(text, value);
         }
     }
     let members: Vec<Members> = classes
@@ -135,17 +138,17 @@
 
 /// Numbers of one machine: the number at the end of its name, and the properties that are
 /// not common to its class.
-struct MemberFigures {
+struct MemberNumbers {
     number: u32,
     fencing_token: u64,
     claim_heartbeat: HeartbeatId,
 }
 
 /// Parses the numbers of one machine. Returns `None` if the text is not valid.
-fn read_member(text: &str) -> Option<MemberFigures> {
-    let mut figures = text.split('.').map(read_number);
-    let mut next = || figures.next().flatten();
-    let member = MemberFigures {
+fn read_member(text: &str) -> Option<MemberNumbers> {
+    let mut numbers = text.split('.').map(read_number);
+    let mut next = || numbers.next().flatten();
+    let member = MemberNumbers {
         number: u32::try_from(next()?).ok()?,
         fencing_token: next()?,
         claim_heartbeat: HeartbeatId {
@@ -153,7 +156,7 @@
             sequence: next()?,
         },
     };
-    figures.next().is_none().then_some(member)
+    numbers.next().is_none().then_some(member)
 }
 
 /// Deserializes a machine shard's machines from either encoding.
@@ -167,35 +170,35 @@
             f.write_str("machines")
         }
         fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
-            let mut all = BTreeMap::new();
+            let mut machines = BTreeMap::new();
             while let Some((name, machine)) = map.next_entry()? {
-                all.insert(name, machine);
+                machines.insert(name, machine);
             }
-            Ok(all)
+            Ok(machines)
         }
         fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
-            let mut all = BTreeMap::new();
+            let mut machines = BTreeMap::new();
             while let Some(class) = seq.next_element()? {
                 let Members(owner, incarnation, lifecycle, kind, spot, texts) = class;
                 for (prefix, width, text) in texts {
-                    for one in text.split(' ') {
-                        let Some(figures) = read_member(one) else {
+                    for member in text.split(' ') {
+                        let Some(numbers) = read_member(member) else {
                             return Err(A::Error::custom("invalid compact encoding of machines"));
                         };
                         let machine = Machine {
                             owner: owner.clone(),
                             incarnation,
-                            fencing_token: figures.fencing_token,
-                            claim_heartbeat: figures.claim_heartbeat,
+                            fencing_token: numbers.fencing_token,
+                            claim_heartbeat: numbers.claim_heartbeat,
                             lifecycle,
                             spot: spot != 0,
                             ..Machine::new(&kind, "")
                         };
-                        all.insert(join_name(&prefix, width, figures.number), machine);
+                        machines.insert(join_name(&prefix, width, numbers.number), machine);
                     }
                 }
             }
-            Ok(all)
+            Ok(machines)
         }
     }
     deserializer.deserialize_any(MachinesVisitor)
--- a/src/state/encoding/names.rs
+++ b/src/state/encoding/names.rs
@@ -29,7 +29,7 @@
 
 /// Groups names into ranges of numbers by prefix and width. Returns the ranges, and the
 /// names without a number in full.
-pub(super) fn fold_names<'a>(
+pub(super) fn group_names<'a>(
     names: impl Iterator<Item = &'a str>,
 ) -> (Vec<(String, usize, Ranges)>, Vec<String>) {
     let mut folded: BTreeMap<(&str, usize), Vec<u32>> = BTreeMap::new();
@@ -37,16 +37,16 @@
     for name in names {
         match split_name(name) {
             (_, 0, _) => full.push(name.to_string()),
-            (prefix, width, n) => folded.entry((prefix, width)).or_default().push(n),
+            (prefix, width, number) => folded.entry((prefix, width)).or_default().push(number),
         }
     }
     let folded = folded.into_iter().map(|((prefix, width), mut numbers)| {
         numbers.sort_unstable();
         let mut ranges: Vec<(u32, u32)> = Vec::new();
-        for n in numbers {
+        for number in numbers {
             match ranges.last_mut() {
-                Some(last) if last.1 + 1 == n => last.1 = n,
-                _ => ranges.push((n, n)),
+                Some(last) if last.1 + 1 == number => last.1 = number,
+                _ => ranges.push((number, number)),
             }
         }
         (prefix.to_string(), width, Ranges(ranges))
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -27,14 +27,14 @@
 /// Appends a set of tasks. Each task takes at most `width` characters, even if the set
 /// consists of single tasks.
 pub(super) fn push_tasks(text: &mut String, set: &Ranges, width: usize) {
-    for &(a, b) in &set.0 {
-        push_task(text, a, width);
-        match b - a {
+    for &(first, last) in &set.0 {
+        push_task(text, first, width);
+        match last - first {
             0 => {}
-            1 => push_task(text, b, width),
+            1 => push_task(text, last, width),
             _ => {
                 text.push(char::from(RANGE_MARK));
-                push_task(text, b, width);
+                push_task(text, last, width);
             }
         }
     }
@@ -42,33 +42,33 @@
 
 /// Parses a set of tasks. Returns `None` if the text is not valid.
 pub(super) fn read_tasks(text: &str, width: usize) -> Option<Ranges> {
-    let mut set: Vec<(u32, u32)> = Vec::new();
+    let mut ranges: Vec<(u32, u32)> = Vec::new();
     let bytes = text.as_bytes();
-    let mut at = 0;
-    let mut open = false;
-    while at < bytes.len() {
-        if bytes[at] == RANGE_MARK {
-            open = true;
-            at += 1;
+    let mut position = 0;
+    let mut in_range = false;
+    while position < bytes.len() {
+        if bytes[position] == RANGE_MARK {
+            in_range = true;
+            position += 1;
             continue;
         }
-        let code = bytes.get(at..at + width)?;
-        let n = code
+        let digits = bytes.get(position..position + width)?;
+        let task = digits
             .iter()
-            .try_fold(0u64, |n, c| Some(n * 64 + digit_value(*c)?))?;
-        let n = u32::try_from(n).ok()?;
-        at += width;
-        match set.last_mut() {
-            Some(last) if open && last.1 < n => last.1 = n,
-            _ if open => return None,
-            Some(last) if last.1 >= n => return None,
+            .try_fold(0u64, |value, digit| Some(value * 64 + digit_value(*digit)?))?;
+        let task = u32::try_from(task).ok()?;
+        position += width;
+        match ranges.last_mut() {
+            Some(last) if in_range && last.1 < task => last.1 = task,
+            _ if in_range => return None,
+            Some(last) if last.1 >= task => return None,
             // Two adjacent tasks are written without a range mark, as that is shorter.
-            Some(last) if last.1 + 1 == n => last.1 = n,
-            _ => set.push((n, n)),
+            Some(last) if last.1 + 1 == task => last.1 = task,
+            _ => ranges.push((task, task)),
         }
-        open = false;
+        in_range = false;
     }
-    (!open).then_some(Ranges(set))
+    (!in_range).then_some(Ranges(ranges))
 }
 
 /// Parses a set of tasks in the compact encoding. Returns `None` if the text is in the plain
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -6,7 +6,7 @@
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Serialize};
 
-use super::names::{fold_names, join_name, split_name};
+use super::names::{group_names, join_name, split_name};
 use crate::state::records::{Amount, MachineSlot, Ranges, Resources, ZoneShard};
 
 /// Machines of a zone shard with the same machine type and spot flag: ranges of numbers by
@@ -33,13 +33,13 @@
     let slots: Vec<Slots> = classes
         .into_iter()
         .map(|((kind, spot), machines)| {
-            let (folded, full) = fold_names(machines.iter().map(|(n, _)| *n));
+            let (folded, full) = group_names(machines.iter().map(|(name, _)| *name));
             let unbooked = machines
                 .iter()
-                .filter(|(_, s)| !s.unbooked.is_empty())
-                .map(|(n, s)| {
-                    let Resources { cpus, gpus, ram } = s.unbooked;
-                    (n.to_string(), (cpus.0, gpus.0, ram.0))
+                .filter(|(_, slot)| !slot.unbooked.is_empty())
+                .map(|(name, slot)| {
+                    let Resources { cpus, gpus, ram } = slot.unbooked;
+                    (name.to_string(), (cpus.0, gpus.0, ram.0))
                 })
                 .collect();
             Slots(kind.to_string(), u8::from(spot), folded, full, unbooked)
@@ -102,17 +102,19 @@
             f.write_str("machines that take work")
         }
         fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
-            let mut all = BTreeMap::new();
+            let mut slots = BTreeMap::new();
             while let Some((name, slot)) = map.next_entry()? {
-                all.insert(name, slot);
+                slots.insert(name, slot);
             }
-            Ok(all)
+            Ok(slots)
         }
         fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
-            let mut all = BTreeMap::new();
+            let mut slots = BTreeMap::new();
             while let Some(Slots(kind, spot, folded, full, unbooked)) = seq.next_element()? {
                 let numbered = folded.iter().flat_map(|(prefix, width, numbers)| {
-                    numbers.iter().map(|n| join_name(prefix, *width, n))
+                    numbers
+                        .iter()
+                        .map(|number| join_name(prefix, *width, number))
                 });
                 for name in numbered.chain(full) {
                     let taken = unbooked.get(&name).copied().unwrap_or_default();
@@ -126,10 +128,10 @@
                             ram: Amount(taken.2),
                         },
                     };
-                    all.insert(name, slot);
+                    slots.insert(name, slot);
                 }
             }
-            Ok(all)
+            Ok(slots)
         }
     }
     deserializer.deserialize_any(SlotsVisitor)
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -6,7 +6,7 @@
 /// Key that never exists; the response to a read of it contains the current revision.
 pub const BARRIER_KEY: &str = "sh-barrier";
 
-/// Key of the controller that provisions machines.
+/// Key of the fleet leader, the controller that provisions machines.
 pub const FLEET_KEY: &str = "sh/fleet";
 
 /// Key of the cloud's machine types.
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -6,12 +6,12 @@
 
 /// Table that assigns consecutive numbers to names.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<Rc<str>, u32>,
     names: Vec<Rc<str>>,
 }
 
-impl Names {
+impl NameTable {
     /// Returns the number of a name, and assigns one if the name has none.
     pub fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -31,15 +31,15 @@
     }
     let mut trimmed = job.clone();
     match job.is_open() {
-        true => trim_open(&mut trimmed, context, fits),
-        false => trim_closed(&mut trimmed),
+        true => trim_open_job(&mut trimmed, context, fits),
+        false => trim_final_job(&mut trimmed),
     }
     (trimmed != *job).then_some(trimmed)
 }
 
 /// Trims an open job step by step until it fits. The steps begin with the data that affects
 /// the fewest decisions.
-fn trim_open(job: &mut Job, context: &TrimContext, fits: impl Fn(&Job) -> bool) {
+fn trim_open_job(job: &mut Job, context: &TrimContext, fits: impl Fn(&Job) -> bool) {
     let steps: [fn(&mut Spec, &TrimContext); 4] = [
         drop_done_dependencies,
         narrow_types,
@@ -59,7 +59,7 @@
 /// Trims a job that is done or cancelled, which starts no more tasks. Data that its last
 /// runs need is kept: the team, the resources of a task, the kind of job, and the counts
 /// that are shown to its user.
-fn trim_closed(job: &mut Job) {
+fn trim_final_job(job: &mut Job) {
     job.failed_on.clear();
     // The number of done tasks is computed as the started tasks less the tasks to retry.
     job.next_task = job.next_task.saturating_sub(job.retry.len() as u32);
@@ -91,7 +91,9 @@
             && zones.any(|zone| spec.zone.as_ref().is_none_or(|only| only == zone))
     };
     let offered = context.machine_types.iter().filter(usable);
-    let names: BTreeSet<String> = offered.map(|t| t.name.clone()).collect();
+    let names: BTreeSet<String> = offered
+        .map(|machine_type| machine_type.name.clone())
+        .collect();
     if spec.types.is_some() && !names.is_empty() {
         spec.types = Some(names.into_iter().collect());
     }
@@ -115,22 +117,22 @@
 }
 
 /// Separator between the prefix and the hash in a shortened name.
-const SHORTENED: char = '~';
+const SHORTENED_SEPARATOR: char = '~';
 
 /// Number of leading characters that are kept in a shortened name, so that people recognize
 /// it.
 const KEPT_CHARS: usize = 8;
 
 /// Maximum length of a shortened name, in bytes.
-const SHORTENED_BYTES: usize = 1 + KEPT_CHARS * 4 + 16;
+const MAX_SHORTENED_BYTES: usize = 1 + KEPT_CHARS * 4 + 16;
 
 /// Replaces a long name by its first characters and a hash of the full name. A name is
 /// shortened to the same text by every controller, and different names to different texts.
 fn shorten(name: &mut String) {
-    if name.len() <= SHORTENED_BYTES {
+    if name.len() <= MAX_SHORTENED_BYTES {
         return;
     }
     let hash = fnv1a(name.bytes());
     let start: String = name.chars().take(KEPT_CHARS).collect();
-    *name = format!("{start}{SHORTENED}{hash:016x}");
+    *name = format!("{start}{SHORTENED_SEPARATOR}{hash:016x}");
 }
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Record `fleet` of the controller that provisions machines, and record `node/N` of the
-/// running controller N. Both are tied to the controller's state lease.
+/// Record `fleet` of the fleet leader, the controller that provisions machines, and record
+/// `node/N` of the running controller N. Both are tied to the controller's state lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
     /// Name of the controller.
@@ -59,7 +59,7 @@
         configured: &[&str],
     ) -> Formats {
         let mut next = self.clone();
-        for (name, formats) in seen.filter(|(_, f)| *f > 0) {
+        for (name, formats) in seen.filter(|(_, formats)| *formats > 0) {
             let known = next.controllers.entry(name.to_string()).or_default();
             *known = formats.max(*known);
         }
--- a/src/state/records/ranges.rs
+++ b/src/state/records/ranges.rs
@@ -1,9 +1,10 @@
-//! Defines sets of task numbers.
+//! Defines sets of numbers as ranges, which are used for task numbers above all.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Set of task numbers as sorted, disjoint, closed ranges. It is encoded as text such as
-/// `0-4,7`, as a job with thousands of tasks has to fit into one record.
+/// Set of numbers, of tasks or of machine names, as sorted, disjoint, closed ranges. It is
+/// encoded as text such as `0-4,7`, so that a job with thousands of tasks fits into one
+/// record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ranges(pub Vec<(u32, u32)>);
 
@@ -11,12 +12,12 @@
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         use std::fmt::Write;
         let mut text = String::with_capacity(self.0.len() * 8);
-        for (a, b) in &self.0 {
+        for (first, last) in &self.0 {
             let comma = if text.is_empty() { "" } else { "," };
-            let _ = if a == b {
-                write!(text, "{comma}{a}")
+            let _ = if first == last {
+                write!(text, "{comma}{first}")
             } else {
-                write!(text, "{comma}{a}-{b}")
+                write!(text, "{comma}{first}-{last}")
             };
         }
         serializer.serialize_str(&text)
@@ -26,15 +27,17 @@
 impl<'de> Deserialize<'de> for Ranges {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
-        if let Some(short) = crate::state::encoding::decode_ranges(&text) {
-            return short.ok_or_else(|| serde::de::Error::custom("not a set of tasks"));
+        if let Some(decoded) = crate::state::encoding::decode_ranges(&text) {
+            return decoded.ok_or_else(|| {
+                serde::de::Error::custom("invalid compact encoding of task numbers")
+            });
         }
         let mut ranges = Vec::new();
         for part in text.split(',').filter(|p| !p.is_empty()) {
-            let (a, b) = part.split_once('-').unwrap_or((part, part));
-            match (a.parse(), b.parse()) {
-                (Ok(a), Ok(b)) if a <= b => ranges.push((a, b)),
-                _ => return Err(serde::de::Error::custom("not a set of numbers")),
+            let (first, last) = part.split_once('-').unwrap_or((part, part));
+            match (first.parse(), last.parse()) {
+                (Ok(first), Ok(last)) if first <= last => ranges.push((first, last)),
+                _ => return Err(serde::de::Error::custom("invalid ranges of task numbers")),
             }
         }
         Ok(Ranges(ranges))
@@ -43,60 +46,69 @@
 
 impl Ranges {
     /// Creates a set of a single number.
-    pub fn one(n: u32) -> Self {
-        Ranges(vec![(n, n)])
+    pub fn one(number: u32) -> Self {
+        Ranges(vec![(number, number)])
     }
     /// Returns the number of elements.
     pub fn len(&self) -> usize {
-        self.0.iter().map(|(a, b)| (b - a + 1) as usize).sum()
+        self.0
+            .iter()
+            .map(|(first, last)| (last - first + 1) as usize)
+            .sum()
     }
     /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
     /// Returns whether a number is in the set.
-    pub fn contains(&self, n: u32) -> bool {
-        self.0.iter().any(|&(a, b)| a <= n && n <= b)
+    pub fn contains(&self, number: u32) -> bool {
+        self.0
+            .iter()
+            .any(|&(first, last)| first <= number && number <= last)
     }
     /// Returns the numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.0.iter().flat_map(|&(a, b)| a..=b)
+        self.0.iter().flat_map(|&(first, last)| first..=last)
     }
     /// Adds a number, unless it is in the set already.
-    pub fn insert(&mut self, n: u32) {
-        if self.contains(n) {
+    pub fn insert(&mut self, number: u32) {
+        if self.contains(number) {
             return;
         }
-        let at = self.0.partition_point(|&(a, _)| a < n);
-        self.0.insert(at, (n, n));
+        let index = self.0.partition_point(|&(first, _)| first < number);
+        self.0.insert(index, (number, number));
         // Merge with the adjacent ranges.
-        if at + 1 < self.0.len() && self.0[at].1 + 1 == self.0[at + 1].0 {
-            self.0[at].1 = self.0[at + 1].1;
-            self.0.remove(at + 1);
+        if index + 1 < self.0.len() && self.0[index].1 + 1 == self.0[index + 1].0 {
+            self.0[index].1 = self.0[index + 1].1;
+            self.0.remove(index + 1);
         }
-        if at > 0 && self.0[at - 1].1 + 1 == self.0[at].0 {
-            self.0[at - 1].1 = self.0[at].1;
-            self.0.remove(at);
+        if index > 0 && self.0[index - 1].1 + 1 == self.0[index].0 {
+            self.0[index - 1].1 = self.0[index].1;
+            self.0.remove(index);
         }
     }
     /// Removes a number. Returns false if it was not in the set.
-    pub fn remove(&mut self, n: u32) -> bool {
-        let Some(at) = self.0.iter().position(|&(a, b)| a <= n && n <= b) else {
+    pub fn remove(&mut self, number: u32) -> bool {
+        let Some(index) = self
+            .0
+            .iter()
+            .position(|&(first, last)| first <= number && number <= last)
+        else {
             return false;
         };
-        let (a, b) = self.0.remove(at);
-        if n < b {
-            self.0.insert(at, (n + 1, b));
+        let (first, last) = self.0.remove(index);
+        if number < last {
+            self.0.insert(index, (number + 1, last));
         }
-        if a < n {
-            self.0.insert(at, (a, n - 1));
+        if first < number {
+            self.0.insert(index, (first, number - 1));
         }
         true
     }
     /// Removes the lowest number and returns it.
     pub fn pop_first(&mut self) -> Option<u32> {
-        let n = self.0.first()?.0;
-        self.remove(n);
-        Some(n)
+        let number = self.0.first()?.0;
+        self.remove(number);
+        Some(number)
     }
 }
--- a/src/state/replica/accepted_batches.rs
+++ b/src/state/replica/accepted_batches.rs
@@ -8,7 +8,7 @@
 
 use super::Replica;
 use super::unreadable::parse;
-use super::updates::{RecordUpdate, put};
+use super::updates::{RecordUpdate, put_if_newer};
 use crate::state::keys::job_key;
 use crate::state::records::{AcceptedBatch, Job, Spec};
 
@@ -30,7 +30,7 @@
             let raw = self.read::<RawAcceptedBatch>(update.key, update.version, value)?;
             self.set_accepted_jobs(raw)
         });
-        put(&mut self.accepted_batches, update.id, update.version, batch);
+        put_if_newer(&mut self.accepted_batches, update.id, update.version, batch);
     }
 
     /// Adds the jobs of a batch to the replica. Returns the batch if all of its jobs can
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -61,17 +61,17 @@
 
 /// Direction in which a job's bookings change the totals.
 #[derive(Clone, Copy)]
-enum Count {
+enum BookingChange {
     Add,
     Remove,
 }
 
-impl Count {
+impl BookingChange {
     /// Returns the factor for the amounts.
     fn sign(self) -> i64 {
         match self {
-            Count::Add => 1,
-            Count::Remove => -1,
+            BookingChange::Add => 1,
+            BookingChange::Remove => -1,
         }
     }
 }
@@ -79,7 +79,11 @@
 impl Replica {
     /// Applies a job's record, or its removal.
     pub(super) fn set_job(&mut self, id: &str, version: u64, job: Option<Job>) {
-        if self.jobs.get(id).is_some_and(|e| e.version >= version) {
+        if self
+            .jobs
+            .get(id)
+            .is_some_and(|entry| entry.version >= version)
+        {
             return;
         }
         if job.is_none() && self.is_unreadable_job(id) && !self.is_open_or_unknown(id) {
@@ -112,8 +116,8 @@
 
     /// Updates the indexes that are derived from a job's runs.
     fn index_job(&mut self, id: &str, old: Option<&Job>, new: Option<&Job>) {
-        self.count_bookings(old, Count::Remove);
-        self.count_bookings(new, Count::Add);
+        self.count_bookings(old, BookingChange::Remove);
+        self.count_bookings(new, BookingChange::Add);
         let (before, after) = (tasks_by_run(old), tasks_by_run(new));
         let is_open = |job: Option<&Job>| job.is_some_and(Job::is_open);
         // If the job was closed or reopened, all of its machines have changed, even those
@@ -140,12 +144,12 @@
     }
 
     /// Adds the resources of a job's runs to the totals, or subtracts them.
-    fn count_bookings(&mut self, job: Option<&Job>, count: Count) {
+    fn count_bookings(&mut self, job: Option<&Job>, change: BookingChange) {
         let Some(job) = job else { return };
         let Some(spec) = &job.spec else { return };
         let mut tasks = 0;
         for run in &job.runs {
-            let run_tasks = count.sign() * run.tasks.len() as i64;
+            let run_tasks = change.sign() * run.tasks.len() as i64;
             tasks += run_tasks;
             let machine = self.machine_names.number(&run.machine);
             *self.booked.entry(machine).or_default() += spec.need.scaled(run_tasks);
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -33,7 +33,7 @@
 use foldhash::HashMap;
 
 use crate::dependencies::DependencyGraph;
-use crate::state::names::Names;
+use crate::state::names::NameTable;
 use crate::state::records::{
     AcceptedBatch, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
     Resources, Spec, Team, Types, ZoneShard,
@@ -90,7 +90,7 @@
     pub accepted_batches: Table<AcceptedBatch>,
     /// Machine types of the cloud as last read.
     pub types: Entry<Types>,
-    /// Controller that provisions machines, if there is one.
+    /// Fleet leader, the controller that provisions machines, if there is one.
     pub fleet: Option<Entry<ControllerRecord>>,
     /// Record formats that the controllers can read.
     pub formats: Entry<Formats>,
@@ -117,13 +117,13 @@
     /// rebuilt from the bookings.
     images: HashMap<u32, Vec<u32>>,
     /// Numbers of images.
-    image_names: Names,
+    image_names: NameTable,
     /// Numbers of machines.
-    pub machine_names: Names,
+    pub machine_names: NameTable,
     /// Numbers of zone shards.
-    pub zone_shard_names: Names,
+    pub zone_shard_names: NameTable,
     /// Numbers of zones.
-    pub zone_names: Names,
+    pub zone_names: NameTable,
     /// Classes of machines, by class number.
     pub classes: Vec<MachineClass>,
     /// Numbers of the classes of machines.
--- a/src/state/replica/plan_slots.rs
+++ b/src/state/replica/plan_slots.rs
@@ -123,7 +123,7 @@
             .map(|(machine, slot)| PlanSlot {
                 machine: self.machine_names.number(&machine),
                 shard,
-                class: self.class(&slot.kind, &zone, slot.spot),
+                class: self.class_number(&slot.kind, &zone, slot.spot),
                 free: slot.unbooked,
             })
             .collect();
@@ -134,7 +134,7 @@
     }
 
     /// Returns the number of a class of machines, and assigns one if it has none.
-    pub fn class(&mut self, kind: &str, zone: &str, spot: bool) -> u32 {
+    pub fn class_number(&mut self, kind: &str, zone: &str, spot: bool) -> u32 {
         let key = ClassKey::new(kind, zone, spot);
         if let Some(number) = self.class_numbers.get(&key) {
             return *number;
@@ -156,7 +156,9 @@
     pub(super) fn index_machine_types(&mut self) {
         let types = &self.types.value.types;
         for class in &mut self.classes {
-            class.type_index = types.iter().position(|t| t.name == class.kind);
+            class.type_index = types
+                .iter()
+                .position(|machine_type| machine_type.name == class.kind);
         }
     }
 
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -13,18 +13,18 @@
         let absent = || self.absent_version(&machine_shard_key(id));
         self.machine_shards
             .get(id)
-            .map_or_else(absent, |e| e.version)
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the number of an image, if it has been sent to any machine.
-    pub fn image(&self, image: &str) -> Option<u32> {
+    pub fn image_number(&self, image: &str) -> Option<u32> {
         self.image_names.find(image)
     }
 
     /// Returns whether the image has been sent to the machine.
-    pub fn has_image(&self, machine: u32, image: Option<u32>) -> bool {
+    pub fn has_image(&self, machine: u32, image_number: Option<u32>) -> bool {
         let images = self.images.get(&machine);
-        image.is_some_and(|i| images.is_some_and(|v| v.contains(&i)))
+        image_number.is_some_and(|number| images.is_some_and(|images| images.contains(&number)))
     }
 
     /// Returns the jobs that have bookings on a machine, with their ids.
@@ -34,26 +34,33 @@
             .into_iter()
             .flatten()
             .filter_map(|id| self.jobs.get_key_value(id))
-            .map(|(id, e)| (id.as_str(), e))
+            .map(|(id, entry)| (id.as_str(), entry))
     }
 
     /// Returns the resources that the bookings on a machine take.
     pub fn booked_on(&self, machine: &str) -> Resources {
         let number = self.machine_names.find(machine);
-        let booked = number.and_then(|n| self.booked.get(&n));
+        let booked = number.and_then(|number| self.booked.get(&number));
         booked.copied().unwrap_or_default()
     }
 
     /// Returns the machine type with this name, if the cloud offers it.
     pub fn machine_type(&self, kind: &str) -> Option<&MachineType> {
-        self.types.value.types.iter().find(|t| t.name == kind)
+        self.types
+            .value
+            .types
+            .iter()
+            .find(|machine_type| machine_type.name == kind)
     }
 
     /// Returns the shortest boot time of all machine types, in seconds; 0 if there are no
     /// types.
     pub fn min_boot_s(&self) -> f64 {
         let types = &self.types.value.types;
-        let shortest = types.iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
+        let shortest = types
+            .iter()
+            .map(|machine_type| machine_type.boot_s)
+            .fold(f64::INFINITY, f64::min);
         if shortest.is_finite() { shortest } else { 0.0 }
     }
 
@@ -67,13 +74,17 @@
     /// Returns the version of a zone shard's record, or 0 if there is none.
     pub fn zone_shard_version(&self, id: &str) -> u64 {
         let absent = || self.absent_version(&zone_shard_key(id));
-        self.zone_shards.get(id).map_or_else(absent, |e| e.version)
+        self.zone_shards
+            .get(id)
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the version of a team's record, or 0 if there is none.
     pub fn team_version(&self, team: &str) -> u64 {
         let absent = || self.absent_version(&team_key(team));
-        self.teams.get(team).map_or_else(absent, |e| e.version)
+        self.teams
+            .get(team)
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the resources that a team's bookings take. As with a zone shard, a
@@ -89,6 +100,6 @@
 
     /// Returns the version of a job's record, or 0 if it has no record of its own.
     pub fn job_version(&self, id: &str) -> u64 {
-        self.jobs.get(id).map_or(0, |e| e.version)
+        self.jobs.get(id).map_or(0, |entry| entry.version)
     }
 }
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -77,19 +77,25 @@
     /// Returns the version of the split of a team's quota, or 0 if there is none.
     pub fn share_version(&self, team: &str) -> u64 {
         let absent = || self.absent_version(&share_key(team));
-        self.shares.get(team).map_or_else(absent, |e| e.version)
+        self.shares
+            .get(team)
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the version of the record of a share's bookings, or 0 if there is none.
     pub fn share_use_version(&self, id: &str) -> u64 {
         let absent = || self.absent_version(&share_use_key(id));
-        self.share_uses.get(id).map_or_else(absent, |e| e.version)
+        self.share_uses
+            .get(id)
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the version of the pool's record, or 0 if there is none.
     pub fn pool_version(&self) -> u64 {
         let absent = || self.absent_version(POOL_KEY);
-        self.pool.as_ref().map_or_else(absent, |e| e.version)
+        self.pool
+            .as_ref()
+            .map_or_else(absent, |entry| entry.version)
     }
 
     /// Returns the approximate number of bytes that the name of a share adds to a job's
@@ -106,7 +112,7 @@
     /// Returns whether a machine shard was last written after every controller began to
     /// account for the machines that it removes from the records.
     pub fn is_counted_shard(&self, id: &str) -> bool {
-        let version = self.machine_shards.get(id).map_or(0, |e| e.version);
+        let version = self.machine_shards.get(id).map_or(0, |entry| entry.version);
         self.shares_since().is_some_and(|since| version > since)
     }
 
@@ -176,7 +182,12 @@
             share,
             used: BTreeMap::new(),
         };
-        for (name, booked) in self.share_booked.get(team).iter().flat_map(|b| &b.0) {
+        for (name, booked) in self
+            .share_booked
+            .get(team)
+            .iter()
+            .flat_map(|booked| &booked.0)
+        {
             account.book(name.as_ref().unwrap_or(&fallback), *booked);
         }
         account
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -27,7 +27,12 @@
 
 /// Sets or removes a record, unless the table has one that is as new or newer. Returns
 /// whether the update was applied.
-pub(super) fn put<T>(table: &mut Table<T>, id: &str, version: u64, value: Option<T>) -> bool {
+pub(super) fn put_if_newer<T>(
+    table: &mut Table<T>,
+    id: &str,
+    version: u64,
+    value: Option<T>,
+) -> bool {
     if !is_older(table.get(id), version) {
         return false;
     }
@@ -187,7 +192,7 @@
         update: RecordUpdate,
     ) {
         let record = self.read_update(update);
-        put(table(self), update.id, update.version, record);
+        put_if_newer(table(self), update.id, update.version, record);
     }
 
     /// Applies an update to a record of which there is at most one.
@@ -229,7 +234,7 @@
             id, version, value, ..
         } = update;
         let shard = self.read_update(update);
-        if !put(&mut self.zone_shards, id, version, shard) {
+        if !put_if_newer(&mut self.zone_shards, id, version, shard) {
             return;
         }
         if value.is_some_and(|value| is_compact_zone_shard(value.get())) {
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -18,7 +18,7 @@
 use crate::wire::Write;
 
 /// Number of machines below which a zone shard's record always fits the limit.
-const FEW_MACHINES: usize = 8;
+const MIN_CHECKED_MACHINES: usize = 8;
 
 impl Replica {
     /// Returns whether records are written in their compact encodings: all controllers
@@ -32,7 +32,7 @@
     /// leave the shard, with a margin for the resources of unbooked tasks.
     pub fn fits_zone_shard(&self, shard: &ZoneShard) -> bool {
         let machines = shard.machines.len();
-        machines < FEW_MACHINES
+        machines < MIN_CHECKED_MACHINES
             || self.fits_zone_shard_bytes(machines, zone_shard_bytes_bound(shard))
     }
 
@@ -40,14 +40,14 @@
     /// may grow to `bytes`, fits a record.
     pub fn fits_zone_shard_bytes(&self, machines: usize, bytes: usize) -> bool {
         let max_bytes = self.compact_limit.unwrap_or(usize::MAX) / 10 * 9;
-        machines < FEW_MACHINES || bytes <= max_bytes
+        machines < MIN_CHECKED_MACHINES || bytes <= max_bytes
     }
 
     /// Returns whether a zone shard's compact encoding may exceed the upcoming limit while
     /// machines leave it. The commits that remove them would then be refused.
     pub fn may_outgrow_record(&self, shard: &ZoneShard) -> bool {
         let limit = self.compact_limit.unwrap_or(usize::MAX);
-        shard.machines.len() >= FEW_MACHINES && zone_shard_bytes_bound(shard) > limit
+        shard.machines.len() >= MIN_CHECKED_MACHINES && zone_shard_bytes_bound(shard) > limit
     }
 
     /// Returns whether a job's record, as it will be written, has at most `max_bytes`.
@@ -63,7 +63,7 @@
             false => None,
         };
         let text = compact.or_else(|| serde_json::to_string(job).ok());
-        text.map_or(usize::MAX, |t| t.len())
+        text.map_or(usize::MAX, |text| text.len())
     }
 
     /// Returns the job trimmed for its record if that would exceed the upcoming limit, now
@@ -84,13 +84,13 @@
         };
         record_trim::trim_job(job, &context, |job| {
             self.job_bytes(job) <= max_bytes
-                && (!is_long(job, max_bytes) || self.runs_within(job, max_bytes))
+                && (!is_long(job, max_bytes) || self.can_run_within(job, max_bytes))
         })
     }
 
     /// Returns whether an open job's record has space for the fewest tasks that the job can
     /// run with.
-    fn runs_within(&self, job: &Job, max_bytes: usize) -> bool {
+    fn can_run_within(&self, job: &Job, max_bytes: usize) -> bool {
         let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
             return true;
         };
@@ -134,7 +134,7 @@
         compact: impl FnOnce() -> Option<String>,
     ) -> Write {
         let text = self.uses_compact_encoding().then(compact).flatten();
-        match text.and_then(|t| RawValue::from_string(t).ok()) {
+        match text.and_then(|text| RawValue::from_string(text).ok()) {
             Some(value) => Write::Put {
                 key,
                 value,
