--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -166,7 +166,7 @@
 /// Returns this controller's allocation of the write rate `total` of all controllers,
 /// proportional to its `demand`. `others` contains the demands of the other controllers,
 /// with `None` for those that have not announced theirs. Each controller gets a minimum,
-/// and none gets more than a maximum, which it could not use.
+/// and none gets more than a multiple of an even allocation, as it could not use more.
 #[must_use]
 pub fn write_rate_allocation(total: f64, demand: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -242,8 +242,8 @@
 /// Action at the end of a wait for the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BudgetUse {
-    /// Charge: the request is charged to the budget.
+    /// Charge of the request to the budget.
     Charge,
-    /// No charge: the caller first decides what to send.
+    /// No charge, as the caller first decides what to send.
     Keep,
 }
--- a/src/state/client/rate_limit.rs
+++ b/src/state/client/rate_limit.rs
@@ -59,7 +59,7 @@
         }
         self.window.set(RefusalWindow::default());
         if !self.is_reduced() {
-            tracing::info!("state service refused repeatedly: lower rate limit in force");
+            tracing::info!("state service refuses repeatedly: lower rate limit in force");
         }
         let span = self.response_timeout * REDUCTION_TIMEOUTS;
         self.reduced_until.set(Some(now + span));
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -55,11 +55,15 @@
     let mut text = String::new();
     push_number(&mut text, width as u64);
     for run in &job.runs {
-        let (prefix, digits, number) = split_name(&run.machine);
+        let (prefix, name_width, number) = split_name(&run.machine);
         let is_same =
-            |known: &NamePattern| known.0 == prefix && known.1 == digits && known.2 == run.zone;
+            |known: &NamePattern| known.0 == prefix && known.1 == name_width && known.2 == run.zone;
         let index = table.iter().position(is_same).unwrap_or_else(|| {
-            table.push(NamePattern(prefix.to_string(), digits, run.zone.clone()));
+            table.push(NamePattern(
+                prefix.to_string(),
+                name_width,
+                run.zone.clone(),
+            ));
             table.len() - 1
         });
         // The pattern's index is a single digit, so that more patterns than digits have no
@@ -76,7 +80,7 @@
     let mut retry = String::from(COMPACT_MARK);
     push_number(&mut retry, width as u64);
     push_tasks(&mut retry, &job.retry, width);
-    let bare = Job {
+    let job_without_tasks = Job {
         runs: Vec::new(),
         retry: Ranges::default(),
         spec: job.spec.clone(),
@@ -84,7 +88,7 @@
         share: job.share.clone(),
         ..*job
     };
-    let mut record = serde_json::to_string(&bare).ok()?;
+    let mut record = serde_json::to_string(&job_without_tasks).ok()?;
     record.pop()?;
     if !job.retry.is_empty() {
         record.push_str(&format!(",\"q\":\"{retry}\""));
--- a/src/state/encoding/names.rs
+++ b/src/state/encoding/names.rs
@@ -32,15 +32,15 @@
 pub(super) fn group_names<'a>(
     names: impl Iterator<Item = &'a str>,
 ) -> (Vec<(String, usize, Ranges)>, Vec<String>) {
-    let mut folded: BTreeMap<(&str, usize), Vec<u32>> = BTreeMap::new();
-    let mut full = Vec::new();
+    let mut grouped: BTreeMap<(&str, usize), Vec<u32>> = BTreeMap::new();
+    let mut full_names = Vec::new();
     for name in names {
         match split_name(name) {
-            (_, 0, _) => full.push(name.to_string()),
-            (prefix, width, number) => folded.entry((prefix, width)).or_default().push(number),
+            (_, 0, _) => full_names.push(name.to_string()),
+            (prefix, width, number) => grouped.entry((prefix, width)).or_default().push(number),
         }
     }
-    let folded = folded.into_iter().map(|((prefix, width), mut numbers)| {
+    let grouped = grouped.into_iter().map(|((prefix, width), mut numbers)| {
         numbers.sort_unstable();
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for number in numbers {
@@ -51,5 +51,5 @@
         }
         (prefix.to_string(), width, Ranges(ranges))
     });
-    (folded.collect(), full)
+    (grouped.collect(), full_names)
 }
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -33,7 +33,7 @@
     let slots: Vec<Slots> = classes
         .into_iter()
         .map(|((kind, spot), machines)| {
-            let (folded, full) = group_names(machines.iter().map(|(name, _)| *name));
+            let (grouped, full_names) = group_names(machines.iter().map(|(name, _)| *name));
             let unbooked = machines
                 .iter()
                 .filter(|(_, slot)| !slot.unbooked.is_empty())
@@ -42,7 +42,13 @@
                     (name.to_string(), (cpus.0, gpus.0, ram.0))
                 })
                 .collect();
-            Slots(kind.to_string(), u8::from(spot), folded, full, unbooked)
+            Slots(
+                kind.to_string(),
+                u8::from(spot),
+                grouped,
+                full_names,
+                unbooked,
+            )
         })
         .collect();
     Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
@@ -110,13 +116,13 @@
         }
         fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
             let mut slots = BTreeMap::new();
-            while let Some(Slots(kind, spot, folded, full, unbooked)) = seq.next_element()? {
-                let numbered = folded.iter().flat_map(|(prefix, width, numbers)| {
+            while let Some(Slots(kind, spot, grouped, full_names, unbooked)) = seq.next_element()? {
+                let numbered = grouped.iter().flat_map(|(prefix, width, numbers)| {
                     numbers
                         .iter()
                         .map(|number| join_name(prefix, *width, number))
                 });
-                for name in numbered.chain(full) {
+                for name in numbered.chain(full_names) {
                     let taken = unbooked.get(&name).copied().unwrap_or_default();
                     let slot = MachineSlot {
                         kind: kind.clone(),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The state service as this controller sees it: the client with its budget,
-//! the records and their encodings, the replica, and the compaction of records
-//! that are to fit lower limits.
+//! Accesses the state service: the client with its budget, the records and their
+//! encodings, this controller's replica, and the trimming of records that have to fit
+//! lower limits.
 
 pub mod budget;
 pub mod client;
--- a/src/state/records/job/bookings.rs
+++ b/src/state/records/job/bookings.rs
@@ -58,8 +58,8 @@
     }
 
     /// Marks tasks on a machine to be stopped. Of a gang, all tasks on all machines are
-    /// marked, as a gang saves its progress only if all of its tasks are stopped. Of other
-    /// jobs, the latest `count` tasks on the machine are marked, or all of them there if
+    /// marked, as a gang saves its progress only if all of its tasks are told to stop. Of
+    /// other jobs, the latest `count` tasks on the machine are marked, or all there if
     /// the record has no space for a run that is split.
     pub fn stop_tasks(&mut self, machine: &str, count: usize, fits: impl Fn(&Job) -> bool) {
         let before = self.clone();
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -37,7 +37,7 @@
     pub unbooked: Resources,
 }
 
-/// Record `zone/Z/PART`: free capacity of each machine that takes work. A single record per
+/// Record `zone/Z/SHARD`: free capacity of each machine that takes work. A single record per
 /// zone would exceed `value_kb` with some hundred machines, and all controllers would
 /// write it concurrently. A machine stays in its zone shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -63,10 +63,10 @@
     /// Provisioned, without a heartbeat of its worker so far.
     #[serde(rename = "b")]
     Booting,
-    /// Active: the machine takes work.
+    /// In service: the machine takes work.
     #[serde(rename = "a")]
     Active,
-    /// Draining: the machine takes no new work.
+    /// Being drained: the machine takes no new work.
     #[serde(rename = "d")]
     Draining,
     /// Being returned to the cloud, which is never undone.
@@ -77,7 +77,7 @@
     Gone,
 }
 
-/// Record `machine/Z/PART`: the machines of one zone shard. They share a record so that
+/// Record `machine/Z/SHARD`: the machines of one zone shard. They share a record so that
 /// taking over, adding or returning dozens of machines needs only a few writes. Each
 /// machine has its own fencing token.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -216,6 +216,6 @@
 /// Record `types`: the machine types of the cloud as last read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Types {
-    /// All machine types.
+    /// Machine types.
     pub types: Vec<MachineType>,
 }
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -49,7 +49,7 @@
     /// True if the job may use spot machines.
     #[serde(rename = "lo", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// Estimate by the job's owner of the run time of a task, in seconds.
+    /// Run time of a task as estimated by the job's owner, in seconds.
     #[serde(rename = "e")]
     pub estimate_s: f64,
     /// Progress between checkpoints, in seconds; 0 if tasks never save.
--- a/src/state/replica/accepted_batches.rs
+++ b/src/state/replica/accepted_batches.rs
@@ -12,7 +12,7 @@
 use crate::state::keys::job_key;
 use crate::state::records::{AcceptedBatch, Job, Spec};
 
-/// An accepted batch whose jobs are not parsed yet.
+/// Accepted batch whose jobs are not parsed yet.
 #[derive(Deserialize)]
 struct RawAcceptedBatch {
     #[serde(rename = "b")]
@@ -24,7 +24,7 @@
 impl Replica {
     /// Applies an update of an accepted batch. The jobs are read one by one, so that an
     /// unreadable job does not hide the others. The batch itself enters the table only
-    /// if all of its jobs can be read, so that its record is not removed before.
+    /// if all of its jobs can be read: its record is not removed as long as one cannot.
     pub(super) fn set_accepted_batch(&mut self, update: RecordUpdate) {
         let batch = update.value.and_then(|value| {
             let raw = self.read::<RawAcceptedBatch>(update.key, update.version, value)?;
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -120,8 +120,8 @@
         self.count_bookings(new, BookingChange::Add);
         let (before, after) = (tasks_by_run(old), tasks_by_run(new));
         let is_open = |job: Option<&Job>| job.is_some_and(Job::is_open);
-        // If the job was closed or reopened, all of its machines have changed, even those
-        // whose runs are the same.
+        // If the job has become open or final, all of its machines have changed, even
+        // those whose runs are the same.
         let all_changed = is_open(old) != is_open(new);
         self.mark_changed_machines(&before, &after, all_changed);
         self.mark_changed_machines(&after, &before, all_changed);
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replica: this controller's copy of the state under the shared prefix.
+//! Maintains the replica, this controller's copy of the state under the shared prefix.
 //!
 //! `revision` is the revision that the watch has reached: the replica contains every
 //! change up to it. A commit of this controller is applied immediately (`overlay`), ahead
@@ -63,7 +63,7 @@
 pub struct Replica {
     /// Revision up to which the replica is complete; 0 until the first full read.
     pub revision: u64,
-    /// Whether the first full read is complete.
+    /// True once the first full read is complete.
     pub loaded: bool,
     /// Jobs, by id.
     pub jobs: HashMap<String, Entry<Job>>,
@@ -80,7 +80,7 @@
     pub moves: Table<MoveRecord>,
     /// Zone shards, by `zone/shard`.
     pub zone_shards: Table<ZoneShard>,
-    /// All machines, each with the revision of its last change.
+    /// Machines, by id, each with the revision of its last change.
     pub machines: Table<Machine>,
     /// Machine shards, which hold the machines' records, by `zone/shard`.
     pub machine_shards: Table<MachineShard>,
