--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -6,7 +6,7 @@
 
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{POOL_KEY, share_key, share_use_id, share_use_key, team_key};
-use crate::state::records::{Resources, Team};
+use crate::state::records::{Resources, TeamUsage};
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
@@ -76,14 +76,15 @@
     /// Writes the usage record of a share.
     pub fn put_use(&mut self, id: &str, used: Resources) {
         self.guard_use(id);
-        self.writes.push(put(share_use_key(id), &Team { used }));
+        self.writes
+            .push(put(share_use_key(id), &TeamUsage { used }));
     }
 
     /// Writes a team's own record with the usage that the replica last computed.
     pub fn put_team(&mut self, team: &str) {
         self.precondition(team_key(team), self.replica.team_version(team));
         let used = self.replica.team_used(team);
-        self.writes.push(put(team_key(team), &Team { used }));
+        self.writes.push(put(team_key(team), &TeamUsage { used }));
     }
 
     /// Writes the records of the jobs whose bookings the change charges to another share.
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -11,7 +11,7 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::move_key;
 use crate::state::records::Resources;
@@ -105,7 +105,7 @@
         .await;
     match committed {
         Ok(_) => return true,
-        Err(StoreError::Conflict(_)) => controller.expedite_watch(),
+        Err(StateClientError::Conflict(_)) => controller.expedite_watch(),
         Err(error) if error.is_refusal() => return false,
         Err(error) => tracing::debug!(%error, "share move commit failed"),
     }
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -7,7 +7,7 @@
 use super::reconcile::{ReconcileStep, next_reconcile_step};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 
 /// Runs the loop that commits one step after another, as the write budget allows.
 pub async fn run_shares(controller: Rc<Controller>) {
@@ -66,7 +66,7 @@
             tracing::debug!(action, "share accounting committed");
             Progress::Continue
         }
-        Err(StoreError::Conflict(keys)) => {
+        Err(StateClientError::Conflict(keys)) => {
             tracing::debug!(action, ?keys, "share accounting conflict");
             controller.expedite_watch();
             Progress::Pause
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -10,10 +10,10 @@
 use super::is_retry_futile;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{accepted_batch_key, job_key};
-use crate::state::records::{AcceptedBatch, Job, Spec};
+use crate::state::records::{AcceptedBatch, Job, JobSpec};
 use crate::wire::{Precondition, Write};
 
 /// The outcome of a submission that waited for its commit.
@@ -29,7 +29,7 @@
 /// dropped without an outcome when acceptance is given up.
 pub struct PendingSubmission {
     pub(super) id: String,
-    pub(super) spec: Spec,
+    pub(super) spec: JobSpec,
     pub(super) outcome_sender: oneshot::Sender<AcceptanceOutcome>,
 }
 
@@ -122,7 +122,7 @@
                 pending.complete(AcceptanceOutcome::Committed);
             }
         }
-        Err(StoreError::Conflict(keys)) => resolve_conflict(controller, batch, &keys),
+        Err(StateClientError::Conflict(keys)) => resolve_conflict(controller, batch, &keys),
         Err(error) if is_retry_futile(controller, &error) => {
             tracing::debug!(%error, "acceptance failed: all pending submissions are rejected");
             drop(batch);
@@ -159,7 +159,7 @@
             write: put(job_key(&single.id), &job),
         };
     }
-    let jobs: BTreeMap<String, Spec> = batch
+    let jobs: BTreeMap<String, JobSpec> = batch
         .iter()
         .map(|pending| (pending.id.clone(), pending.spec.clone()))
         .collect();
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -11,11 +11,11 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::precondition;
 use crate::state::keys::job_key;
 use crate::state::records::{Job, is_job_id};
-use crate::state::replica::Entry;
+use crate::state::replica::Versioned;
 use crate::wire::{JobStage, JobState};
 
 /// The longest that a cancellation takes; its user waits 5 s.
@@ -49,12 +49,12 @@
             Some(job) => match commit_cancellation(controller, id, &job).await {
                 Ok(response) => return response,
                 // Surely not executed: the same may be tried again.
-                Err(StoreError::Refused(429)) => {
+                Err(StateClientError::Refused(429)) => {
                     back_off(controller).await;
                     continue;
                 }
                 // It changed meanwhile: look again.
-                Err(StoreError::Conflict(_)) => {}
+                Err(StateClientError::Conflict(_)) => {}
                 Err(error) if is_retry_futile(controller, &error) => return state_unavailable(),
                 // It may have changed.
                 Err(_) => back_off(controller).await,
@@ -80,8 +80,8 @@
 async fn commit_cancellation(
     controller: &Controller,
     id: &str,
-    known: &Entry<Job>,
-) -> Result<Response, StoreError> {
+    known: &Versioned<Job>,
+) -> Result<Response, StateClientError> {
     let mut job = known.value.clone();
     job.cancel();
     let preconditions = vec![precondition(job_key(id), known.version)];
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -30,7 +30,7 @@
 use crate::http::{Request, Response, ServerLimits, query_value};
 use crate::introspection;
 use crate::net::Listener;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::wire::WorkerStatus;
 
 pub use acceptance::{PendingSubmission, run_acceptance};
@@ -113,7 +113,10 @@
 
 /// Whether retrying a user's commit is futile for now: the state service serves
 /// nothing here, or would refuse the same again.
-fn is_retry_futile(controller: &Controller, error: &StoreError) -> bool {
-    let exceeds_limits = matches!(error, StoreError::Limits(_) | StoreError::TooLong(_));
+fn is_retry_futile(controller: &Controller, error: &StateClientError) -> bool {
+    let exceeds_limits = matches!(
+        error,
+        StateClientError::LimitsExceeded(_) | StateClientError::CommitTooLong(_)
+    );
     exceeds_limits || error.is_refusal() || !controller.is_state_service_reachable()
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -15,7 +15,7 @@
 use super::validation::{SubmissionError, check_submission, read_submission};
 use crate::controller::Controller;
 use crate::http::Response;
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 use crate::wire::{JobStage, JobState, Submission};
 
 /// The longest that a submission takes; its user waits 5 s.
@@ -83,7 +83,7 @@
     controller: &Controller,
     submission: &Submission,
     limit: Duration,
-) -> Result<Spec, Response> {
+) -> Result<JobSpec, Response> {
     let check = || {
         let replica = controller.replica.borrow();
         check_submission(submission, &controller.settings, &replica)
@@ -104,7 +104,7 @@
 
 /// Safety 1: accepted means committed. The commit's precondition makes a repeat,
 /// here or at another controller, find the first one.
-async fn accept(controller: &Controller, id: &str, spec: Spec, limit: Duration) -> Response {
+async fn accept(controller: &Controller, id: &str, spec: JobSpec, limit: Duration) -> Response {
     let (outcome_sender, outcome) = oneshot::channel();
     controller.admissions.enqueue(PendingSubmission {
         id: id.to_string(),
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -4,7 +4,7 @@
 
 use crate::scheduler;
 use crate::settings::{Settings, TeamQuota};
-use crate::state::records::{JobStatus, Spec, is_job_id};
+use crate::state::records::{JobSpec, JobStatus, is_job_id};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Submission};
 
@@ -133,8 +133,8 @@
     submission: &Submission,
     settings: &Settings,
     replica: &Replica,
-) -> Result<Spec, SubmissionError> {
-    let mut spec = Spec::from(submission);
+) -> Result<JobSpec, SubmissionError> {
+    let mut spec = JobSpec::from(submission);
     let team = settings
         .team(&submission.team)
         .ok_or_else(|| unsatisfiable("crew: unknown team"))?;
@@ -151,7 +151,7 @@
 
 /// The number of zones in which the cloud offers machines that a task fits on.
 fn usable_zones(
-    spec: &Spec,
+    spec: &JobSpec,
     settings: &Settings,
     replica: &Replica,
 ) -> Result<usize, SubmissionError> {
@@ -177,7 +177,7 @@
 
 /// A gang runs all of its tasks or none: one that has to be spread over more zones
 /// than it may use never runs.
-fn check_spread(spec: &Spec, zones: usize) -> Result<(), SubmissionError> {
+fn check_spread(spec: &JobSpec, zones: usize) -> Result<(), SubmissionError> {
     let zones_at_once = if spec.one_zone { 1 } else { zones };
     let max_per_zone = spec.tasks.div_ceil(2) as usize;
     let is_spread_gang = spec.kind == JobKind::Gang && spec.spread;
@@ -187,7 +187,7 @@
     Ok(())
 }
 
-fn check_team_quota(spec: &Spec, team: &TeamQuota) -> Result<(), SubmissionError> {
+fn check_team_quota(spec: &JobSpec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks as usize,
@@ -200,7 +200,7 @@
 
 /// All dependencies have to be accepted jobs. A job that depends on itself is
 /// rejected, too: its own id is not known yet.
-fn check_dependencies(spec: &Spec, replica: &Replica) -> Result<(), SubmissionError> {
+fn check_dependencies(spec: &JobSpec, replica: &Replica) -> Result<(), SubmissionError> {
     if spec
         .dependencies
         .iter()
@@ -221,7 +221,7 @@
 /// Whether records can hold the job while it waits, and while tasks of it run. The
 /// dependencies leave the record before the first task is booked.
 fn check_record_size(
-    spec: &Spec,
+    spec: &JobSpec,
     settings: &Settings,
     replica: &Replica,
 ) -> Result<(), SubmissionError> {
@@ -245,7 +245,7 @@
 }
 
 /// The bytes of the smallest record in which one task or one gang runs.
-fn min_running_record_bytes(spec: &Spec, settings: &Settings, replica: &Replica) -> usize {
+fn min_running_record_bytes(spec: &JobSpec, settings: &Settings, replica: &Replica) -> usize {
     let machine = longest_name(replica.machines.keys());
     let zone = longest_name(settings.deployment.zones.iter());
     scheduler::min_record_bytes(spec, machine, zone)
--- a/src/cloud/commit.rs
+++ b/src/cloud/commit.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::wire::Commit;
 
 /// Sends a commit, unless it has no writes.
@@ -10,7 +10,7 @@
     controller: &Controller,
     class: RequestClass,
     commit: Commit,
-) -> Result<(), StoreError> {
+) -> Result<(), StateClientError> {
     let Commit {
         preconditions,
         writes,
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -9,7 +9,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::commit::precondition;
 use crate::state::keys::job_key;
-use crate::state::records::{Job, MachineLifecycle, Spec};
+use crate::state::records::{Job, JobSpec, MachineLifecycle};
 use crate::wire::{Commit, JobKind, Write};
 
 /// Drains the machines that are queued for draining, such as those with a preemption
@@ -81,7 +81,7 @@
 /// tasks if it is a gang.
 fn stopped(job: &Job, machine: &str) -> Job {
     let mut job = job.clone();
-    let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+    let is_gang = job.spec.as_ref().is_some_and(JobSpec::is_gang);
     for run in &mut job.runs {
         if is_gang || run.machine == machine {
             run.stop = true;
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -5,7 +5,7 @@
 use super::offer_search::OfferConstraints;
 use crate::policy::{JobFacts, Policy};
 use crate::scheduler::AcceleratorProtection;
-use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, Spec};
+use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, JobSpec};
 use crate::state::replica::{MachineClass, Replica};
 use crate::wire::{JobKind, MachineType};
 
@@ -15,7 +15,7 @@
 /// A job for which capacity is planned.
 pub(super) struct JobDemand<'a> {
     pub(super) id: &'a str,
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
     pub(super) facts: JobFacts,
     /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
@@ -104,7 +104,7 @@
 /// the job runs nowhere and no machine in service can hold one of its tasks, machines are
 /// provisioned for it until it has failed more than twice `FAULTY_JOB_THRESHOLD` times.
 /// Otherwise three faulty machines in a row would stop a correct job permanently.
-pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &Spec) -> bool {
+pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &JobSpec) -> bool {
     let can_hold = |class: &MachineClass| {
         let capacity = replica.class_type(class).map(MachineType::resources);
         spec.allows(&class.kind, &class.zone, class.spot)
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -12,7 +12,7 @@
 use crate::state::budget::RequestClass;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::TYPES_KEY;
-use crate::state::records::Types;
+use crate::state::records::MachineTypesRecord;
 use crate::wire::MachineTypes;
 
 /// The interval between reads of the machine types, as a multiple of the inventory's lag.
@@ -39,10 +39,10 @@
 }
 
 /// Reads the machine types from the cloud.
-async fn read_machine_types(controller: &Controller) -> Result<Types, CloudError> {
+async fn read_machine_types(controller: &Controller) -> Result<MachineTypesRecord, CloudError> {
     let response = controller.call_cloud("GET", "/flavors", None).await?;
     let MachineTypes { types } = response.parse::<MachineTypes>()?;
-    Ok(Types { types })
+    Ok(MachineTypesRecord { types })
 }
 
 /// Reads the machine types from the cloud and records them if they have changed.
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -9,7 +9,7 @@
 use super::planned_provisioning::PlannedProvisioning;
 use super::pricing::{cheapest_slot_price, machine_price};
 use crate::scheduler::AcceleratorProtection;
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, MachineType};
 
@@ -44,7 +44,7 @@
     /// most `wanted_slots` tasks per machine.
     pub(super) fn best(
         &self,
-        spec: &Spec,
+        spec: &JobSpec,
         wanted_slots: usize,
         constraints: &OfferConstraints,
     ) -> Option<ChosenOffer<'a>> {
@@ -91,7 +91,7 @@
         machine_type: &MachineType,
         zone: &str,
         spot: bool,
-        spec: &Spec,
+        spec: &JobSpec,
         constraints: &OfferConstraints,
     ) -> bool {
         if !spec.allows(&machine_type.name, zone, spot) || constraints.excluded_zones.contains(zone)
--- a/src/cloud/pricing.rs
+++ b/src/cloud/pricing.rs
@@ -1,13 +1,13 @@
 //! Prices of machines and slots, from the cloud's price list.
 
 use crate::policy::MachineFacts;
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
 /// Returns the lowest list price of a slot for one of the job's tasks on any machine type that
 /// the job allows, or infinity if no such type can hold a task.
-pub(super) fn cheapest_slot_price(replica: &Replica, spec: &Spec) -> f64 {
+pub(super) fn cheapest_slot_price(replica: &Replica, spec: &JobSpec) -> f64 {
     let mut cheapest = f64::INFINITY;
     for machine_type in &replica.types.value.types {
         let slots = machine_type.resources().slots(&spec.need);
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -13,7 +13,7 @@
 use crate::state::commit::{precondition, put};
 use crate::state::keys::provisioning_request_key;
 use crate::state::records::ProvisioningRequest;
-use crate::state::replica::{Entry, Replica};
+use crate::state::replica::{Replica, Versioned};
 use crate::wire::{CreateMachinesRequest, MachineIds, Write};
 
 /// The extent to which the cloud has delivered a request's machines.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RecordedRequest<'a> {
     pub(super) id: &'a String,
-    pub(super) entry: &'a Entry<ProvisioningRequest>,
+    pub(super) entry: &'a Versioned<ProvisioningRequest>,
 }
 
 /// Returns the provisioning request that still lists the machine, if there is one.
@@ -64,8 +64,12 @@
 }
 
 /// Calls the cloud for one recorded request and records the answer.
-async fn complete_request(controller: &Controller, id: &str, recorded: Entry<ProvisioningRequest>) {
-    let Entry {
+async fn complete_request(
+    controller: &Controller,
+    id: &str,
+    recorded: Versioned<ProvisioningRequest>,
+) {
+    let Versioned {
         version,
         value: mut request,
     } = recorded;
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -17,7 +17,7 @@
 use crate::scheduler::{
     self, AcceleratorProtection, FirstSeenTimes, PlacementHints, Plan, WaitReason,
 };
-use crate::state::records::{ProvisioningRequest, Spec};
+use crate::state::records::{JobSpec, ProvisioningRequest};
 use crate::state::replica::Replica;
 use crate::wire::JobKind;
 
@@ -273,7 +273,7 @@
     /// Returns the cheapest offer that can serve the job's tasks.
     fn best_offer(
         &self,
-        spec: &Spec,
+        spec: &JobSpec,
         wanted_slots: usize,
         constraints: &OfferConstraints,
     ) -> Option<ChosenOffer<'a>> {
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -9,7 +9,7 @@
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, controller_key};
 use crate::state::records::ControllerRecord;
@@ -55,7 +55,7 @@
 
 /// Acquires or extends this controller's state lease and writes the keys attached to
 /// it: the controller's own key and, if there is no fleet leader, the fleet key.
-async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StoreError> {
+async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StateClientError> {
     let ttl = controller.settings.worker_lease() / 2;
     let current_lease = controller.fleet.borrow().state_lease();
     let Some(lease) = current_lease else {
@@ -74,7 +74,7 @@
     controller: &Controller,
     lease: u64,
     ttl: Duration,
-) -> Result<LeaseStatus, StoreError> {
+) -> Result<LeaseStatus, StateClientError> {
     if !controller.fleet.borrow().is_extension_due(ttl / 4) {
         return Ok(LeaseStatus::Valid);
     }
@@ -83,7 +83,7 @@
             controller.fleet.borrow_mut().record_state_lease(lease);
             Ok(LeaseStatus::Valid)
         }
-        Err(StoreError::NoLease) => {
+        Err(StateClientError::LeaseExpired) => {
             tracing::info!(controller = controller.name(), "state lease expired");
             controller.fleet.borrow_mut().clear_state_lease();
             Ok(LeaseStatus::Expired)
@@ -93,7 +93,7 @@
 }
 
 /// Writes the keys whose stored value is missing or outdated.
-async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
+async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StateClientError> {
     let Commit {
         preconditions,
         writes,
@@ -115,7 +115,7 @@
             }
             Ok(())
         }
-        Err(StoreError::NoLease) => {
+        Err(StateClientError::LeaseExpired) => {
             controller.fleet.borrow_mut().clear_state_lease();
             Ok(())
         }
--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::replica::Replica;
 use crate::wire::Commit;
 use crate::workers::preferred_owner_of;
@@ -82,7 +82,7 @@
     let keys: Vec<String> = writes.iter().map(|w| w.key().to_string()).collect();
     match controller.commit(step.class, preconditions, writes).await {
         Ok(revision) => tracing::debug!(?keys, revision, "records compacted"),
-        Err(StoreError::Conflict(_)) => controller.expedite_watch(),
+        Err(StateClientError::Conflict(_)) => controller.expedite_watch(),
         Err(error) => {
             tracing::debug!(?keys, %error, "compaction commit failed");
             let until = now + controller.settings.worker_lease();
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -11,7 +11,7 @@
 
 use super::Controller;
 use crate::settings::BARRIER_GAP_REQUESTS;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::keys::BARRIER_KEY;
 
 impl Controller {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn record_failed_barrier(&self, number: u64, error: &StoreError) {
+    fn record_failed_barrier(&self, number: u64, error: &StateClientError) {
         tracing::debug!(%error, "read barrier failed");
         if error.is_refusal() {
             self.state_sync.barriers.refused.send_replace(number);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -36,7 +36,7 @@
 use crate::scheduler::PlacementState;
 use crate::settings::Settings;
 use crate::state::budget::{BUDGET_SHARE, Budget, RequestClass};
-use crate::state::client::{Store, StoreError};
+use crate::state::client::{StateClient, StateClientError};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
 use crate::workers::WorkerTable;
@@ -64,7 +64,7 @@
     /// there are many workers.
     pub worker_client: Client,
     /// The client of the state service, with this controller's part of the request budget.
-    pub store: Store,
+    pub store: StateClient,
     /// A random number that distinguishes this run of the process from earlier runs under
     /// the same controller name.
     pub incarnation: u64,
@@ -137,7 +137,7 @@
         class: RequestClass,
         preconditions: Vec<Precondition>,
         writes: Vec<Write>,
-    ) -> Result<u64, StoreError> {
+    ) -> Result<u64, StateClientError> {
         let commit = Commit {
             preconditions,
             writes,
@@ -173,7 +173,7 @@
 }
 
 /// Creates the client of the state service, with this controller's part of its rate limits.
-fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> Store {
+fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> StateClient {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
         settings.rps(false) / count * BUDGET_SHARE,
@@ -183,7 +183,7 @@
     let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
     let timeout_s = timeout_s.clamp(MIN_STATE_TIMEOUT_S, MAX_STATE_TIMEOUT_S);
     let timeout = Duration::from_secs_f64(timeout_s);
-    Store::new(client, settings.external.state, budget, timeout, rng)
+    StateClient::new(client, settings.external.state, budget, timeout, rng)
 }
 
 /// Creates an empty replica for these settings.
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::Controller;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::keys::PREFIX;
 
 /// Pause before a failed read is retried, before jitter.
@@ -79,7 +79,7 @@
     }
 
     /// Reads all records again and replaces the contents of the replica.
-    async fn load(&self) -> Result<(), StoreError> {
+    async fn load(&self) -> Result<(), StateClientError> {
         let mut pairs = Vec::new();
         let mut after = String::new();
         let mut oldest_revision = u64::MAX;
@@ -142,7 +142,7 @@
                 self.notify_replica_changed();
                 WatchEnd::Advanced
             }
-            Err(error @ (StoreError::TooOld | StoreError::TooLarge)) => {
+            Err(error @ (StateClientError::TooOld | StateClientError::TooLarge)) => {
                 // Repeating the request would give the same result. The pages of a full
                 // read are bounded, and contain each record once.
                 tracing::info!(%error, "watch fell behind, reloading the state");
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -22,7 +22,7 @@
 use foldhash::HashMap;
 use tokio::time::Instant;
 
-use crate::state::records::{JobStatus, Spec};
+use crate::state::records::{JobSpec, JobStatus};
 use crate::state::replica::Replica;
 
 use demand::DependentDemand;
@@ -86,7 +86,7 @@
 
     /// Returns whether all dependencies of a job are done. The result `true` is final: a
     /// replica that lags behind can only return it late.
-    pub fn dependencies_done(&self, spec: &Spec) -> bool {
+    pub fn dependencies_done(&self, spec: &JobSpec) -> bool {
         let done = |id: &String| self.effective_status(id) == Some(JobStatus::Done);
         spec.dependencies.iter().all(done)
     }
--- a/src/dependencies/demand.rs
+++ b/src/dependencies/demand.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 use crate::state::replica::Replica;
 use crate::wire::Priority;
 
@@ -44,7 +44,7 @@
 
 impl EffectiveUrgency {
     /// Returns the urgency of a job without dependents that was submitted just now.
-    pub fn without_dependents(spec: &Spec) -> Self {
+    pub fn without_dependents(spec: &JobSpec) -> Self {
         EffectiveUrgency {
             priority: spec.priority,
             time_left_s: spec.deadline_s,
@@ -68,13 +68,13 @@
 
 impl Replica {
     /// Returns the highest priority of a job and its open dependents.
-    pub fn effective_priority(&self, id: &str, spec: &Spec) -> Priority {
+    pub fn effective_priority(&self, id: &str, spec: &JobSpec) -> Priority {
         let demanded = self.dependency_graph.demand.get(id).map(|d| d.priority);
         demanded.map_or(spec.priority, |priority| priority.max(spec.priority))
     }
 
     /// Returns the urgency of a job at this moment, including the demand of its dependents.
-    pub fn effective_urgency(&self, id: &str, spec: &Spec, now: Instant) -> EffectiveUrgency {
+    pub fn effective_urgency(&self, id: &str, spec: &JobSpec, now: Instant) -> EffectiveUrgency {
         let demanded = self.demanded_deadline(id);
         let own = match spec.deadline_s {
             // The job is not in the replica, as in a plan: counts as submitted just now.
@@ -93,7 +93,7 @@
     }
 
     /// Returns a job's own deadline, which counts from its submission.
-    fn own_deadline(&self, id: &str, spec: &Spec) -> Option<Instant> {
+    fn own_deadline(&self, id: &str, spec: &JobSpec) -> Option<Instant> {
         let first_seen = self.dependency_graph.first_seen.get(id)?;
         let span = Duration::try_from_secs_f64(spec.deadline_s?).ok()?;
         first_seen.checked_add(span)
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -12,7 +12,7 @@
 use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
 use crate::settings::TeamQuota;
-use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
+use crate::state::records::{Job, JobSpec, JobStatus, MachineLifecycle, Run};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, JobStage};
 
@@ -33,7 +33,7 @@
 struct Unfinished<'a> {
     id: &'a str,
     job: &'a Job,
-    spec: &'a Spec,
+    spec: &'a JobSpec,
     stage: JobStage,
     is_late: bool,
 }
@@ -207,7 +207,7 @@
 
     /// Whether a job is past its own deadline, or has waiting tasks and is too late
     /// for every SLO of its class.
-    fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
+    fn is_late(&self, id: &str, job: &Job, spec: &JobSpec) -> bool {
         let urgency = self.replica.effective_urgency(id, spec, self.now);
         if urgency.time_left_s.is_some_and(|left| left < 0.0) {
             return true;
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -17,7 +17,7 @@
 use super::record_size::tasks_within_record_limit;
 use super::wait_states::WaitReason;
 use crate::settings::Settings;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::wire::JobKind;
 
 /// Number of records in a booking commit that are not zone shards: the record of the job
@@ -28,7 +28,7 @@
 /// or an error; for other jobs, returns placements for as many tasks as fit.
 pub fn find_placements(
     job: &Job,
-    spec: &Spec,
+    spec: &JobSpec,
     plan: &Plan,
     hints: &PlacementHints,
     settings: &Settings,
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest<'a> {
     pub(super) job: &'a Job,
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
     pub(super) plan: &'a Plan,
     pub(super) hints: &'a PlacementHints<'a>,
     pub(super) settings: &'a Settings,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::hints::{AcceleratorProtection, PlacementHints};
 use super::plan::UNASSIGNED;
-use crate::state::records::{Amount, Spec};
+use crate::state::records::{Amount, JobSpec};
 use crate::state::replica::{MachineClass, PlanSlot, Replica};
 use crate::wire::JobKind;
 use crate::workers;
@@ -49,7 +49,7 @@
 }
 
 impl ClassEligibility {
-    fn new(spec: &Spec, replica: &Replica, class: &MachineClass) -> Self {
+    fn new(spec: &JobSpec, replica: &Replica, class: &MachineClass) -> Self {
         let gpus = replica.class_type(class).map_or(0.0, |t| t.gpus);
         let gpu_work_allowed = replica
             .gpu_spec
@@ -67,7 +67,7 @@
 
 /// Filter and scoring of the machines for a job's tasks.
 pub(super) struct MachineCandidates<'a> {
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
     hints: &'a PlacementHints<'a>,
     protection: AcceleratorProtection,
     /// Eligibility of each machine class, by class number.
@@ -88,7 +88,7 @@
 
 impl<'a> MachineCandidates<'a> {
     pub(super) fn new(
-        spec: &'a Spec,
+        spec: &'a JobSpec,
         hints: &'a PlacementHints<'a>,
         protection: AcceleratorProtection,
     ) -> Self {
--- a/src/scheduler/capacity_reservation.rs
+++ b/src/scheduler/capacity_reservation.rs
@@ -4,13 +4,13 @@
 use super::candidates::MachineCandidates;
 use super::hints::{AcceleratorProtection, PlacementHints};
 use super::plan::Plan;
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 use crate::state::replica::PlanSlot;
 
 /// Reserves resources for a waiting gang, in the zone with the most of them, so that jobs
 /// behind it in the queue do not use them. Machines without capacity for any of its tasks
 /// are not reserved: a reservation would not free them any sooner.
-pub fn reserve_capacity(spec: &Spec, plan: &mut Plan, hints: &PlacementHints) {
+pub fn reserve_capacity(spec: &JobSpec, plan: &mut Plan, hints: &PlacementHints) {
     let candidates = MachineCandidates::new(spec, hints, AcceleratorProtection::Strict);
     let zones = hints.replica.zone_names.len();
     let Some(best) = zone_with_most_slots(&candidates, plan, zones) else {
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -6,12 +6,12 @@
 use crate::dependencies::EffectiveUrgency;
 use crate::policy::JobFacts;
 use crate::settings::{Settings, TeamQuota};
-use crate::state::records::{Amount, Job, Resources, Spec};
+use crate::state::records::{Amount, Job, JobSpec, Resources};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Priority};
 
 /// Returns whether an objective is configured for the job's class.
-pub(super) fn has_slo(spec: &Spec, settings: &Settings) -> bool {
+pub(super) fn has_slo(spec: &JobSpec, settings: &Settings) -> bool {
     let mut objectives = settings.deployment.objectives.iter();
     objectives.any(|o| o.class.as_ref() == Some(&spec.class))
 }
@@ -19,7 +19,7 @@
 /// Returns whether a job only uses otherwise idle capacity: an array of low priority that
 /// has neither a deadline nor an objective, and that saves its progress when it is
 /// stopped.
-pub fn is_opportunistic(spec: &Spec, settings: &Settings) -> bool {
+pub fn is_opportunistic(spec: &JobSpec, settings: &Settings) -> bool {
     spec.kind == JobKind::Array
         && spec.priority == Priority::Low
         && spec.deadline_s.is_none()
@@ -31,7 +31,12 @@
 /// deadline of its dependents. A job without objectives and deadlines is never late.
 /// Deadlines count from the submission; other objectives count from the time when the job
 /// could first start, which was `age_s` seconds ago.
-pub fn is_late(spec: &Spec, settings: &Settings, age_s: f64, urgency: &EffectiveUrgency) -> bool {
+pub fn is_late(
+    spec: &JobSpec,
+    settings: &Settings,
+    age_s: f64,
+    urgency: &EffectiveUrgency,
+) -> bool {
     let in_time = urgency
         .time_left_s
         .is_some_and(|left| left >= spec.estimate_s);
@@ -61,7 +66,7 @@
 /// Returns the attributes of a job that the policy's rules can use.
 pub fn job_facts(
     job: &Job,
-    spec: &Spec,
+    spec: &JobSpec,
     plan: &Plan,
     settings: &Settings,
     replica: &Replica,
@@ -100,7 +105,7 @@
 
 /// Returns the team's usage of its guarantee, in accelerators if the job needs them, else
 /// in CPUs. A guarantee below one unit counts as one unit.
-fn guarantee_usage(spec: &Spec, used: &Resources, quota: Option<&TeamQuota>) -> GuaranteeUsage {
+fn guarantee_usage(spec: &JobSpec, used: &Resources, quota: Option<&TeamQuota>) -> GuaranteeUsage {
     let Some(quota) = quota else {
         return GuaranteeUsage {
             borrows: true,
@@ -120,7 +125,7 @@
 
 /// Returns the waiting work of a job, in accelerator seconds if the job needs
 /// accelerators, else in CPU seconds. Returns 0 for a service, as it has no end.
-fn work(job: &Job, spec: &Spec) -> f64 {
+fn work(job: &Job, spec: &JobSpec) -> f64 {
     let amount = match spec.need.gpus.0 > 0 {
         true => spec.need.gpus,
         false => spec.need.cpus,
@@ -136,7 +141,7 @@
 pub(super) fn within_guarantee(
     quota: &TeamQuota,
     used: &Resources,
-    spec: &Spec,
+    spec: &JobSpec,
     tasks: usize,
 ) -> bool {
     let used_after = *used + spec.need.times(tasks);
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -10,7 +10,7 @@
 use super::plan::Plan;
 use super::waiting_job::{WaitingJob, coscheduled_tasks};
 use crate::settings::{Settings, TeamQuota};
-use crate::state::records::{Job, Run, Spec};
+use crate::state::records::{Job, JobSpec, Run};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Priority};
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PreemptingJob<'a> {
     /// Spec of the job that needs capacity.
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     /// Effective priority of the job, as computed by the replica, which takes the
     /// priorities of dependent jobs into account.
     pub priority: Priority,
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RunningWork<'a> {
     /// Spec of the running job.
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     /// Effective priority of the running job.
     pub priority: Priority,
     /// True if the running job uses resources beyond its team's guarantee.
@@ -59,7 +59,7 @@
 /// Returns whether work uses resources beyond its team's guarantee. Work that the team
 /// could start again within its guarantee after a stop does not count as borrowed: the
 /// team would claim the resources back and preempt other work for it.
-fn is_borrowed(spec: &Spec, quota: Option<&TeamQuota>, plan: &Plan) -> bool {
+fn is_borrowed(spec: &JobSpec, quota: Option<&TeamQuota>, plan: &Plan) -> bool {
     let resources = || spec.need.times(coscheduled_tasks(spec));
     quota.is_some_and(|quota| quota.can_lend(&plan.team_used(&spec.team), &resources()))
 }
@@ -134,7 +134,7 @@
     pub(super) slot_index: usize,
     pub(super) job: &'a String,
     pub(super) run: &'a Run,
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
     quota: Option<&'a TeamQuota>,
 }
 
@@ -180,7 +180,7 @@
 
     fn may_preempt(
         &self,
-        spec: &Spec,
+        spec: &JobSpec,
         priority: Priority,
         quota: Option<&TeamQuota>,
         plan: &Plan,
@@ -201,7 +201,7 @@
     /// Returns whether strict protection forbids the job from preempting work with this
     /// spec, as that work uses accelerators and the job needs none. Such work is preempted
     /// only under lax protection.
-    fn takes_protected_accelerators(&self, spec: &Spec) -> bool {
+    fn takes_protected_accelerators(&self, spec: &JobSpec) -> bool {
         let takes_accelerators = self.waiting.spec.need.gpus.0 == 0 && spec.need.gpus.0 > 0;
         self.protection == AcceleratorProtection::Strict && takes_accelerators
     }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -10,7 +10,7 @@
 use super::job_facts::job_facts;
 use super::plan::Plan;
 use crate::settings::Settings;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::state::replica::Replica;
 
 /// Returns whether a job has waited so long that it is placed before all others. `age_s`
@@ -20,7 +20,7 @@
 /// Only jobs of which no task has ever been started can be starving: the remaining tasks
 /// of an array follow in the policy's order, and a job that was preempted for a team's
 /// guarantee must not be placed again before the job that preempted it.
-pub(super) fn is_starving(job: &Job, spec: &Spec, settings: &Settings, age_s: f64) -> bool {
+pub(super) fn is_starving(job: &Job, spec: &JobSpec, settings: &Settings, age_s: f64) -> bool {
     age_s > settings.starvation_threshold_s()
         && job.attempt == 0
         && job.waiting() == spec.tasks as usize
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -5,7 +5,7 @@
 use super::plan::TaskPlacement;
 use crate::state::encoding;
 use crate::state::record_bound::{failed_on_bytes, short_fixed_bytes};
-use crate::state::records::{Job, Run, Spec};
+use crate::state::records::{Job, JobSpec, Run};
 
 /// Size of the keys, the counters, and the mark of a run that was split for a stop, in
 /// bytes.
@@ -67,7 +67,7 @@
 /// the whole record.
 fn spec_bytes(job: &Job, value_limit_bytes: usize) -> usize {
     let all = serde_json::to_vec(&job.spec).map_or(value_limit_bytes, |text| text.len());
-    let dependencies = job.spec.as_ref().map_or(0, Spec::dependencies_bytes);
+    let dependencies = job.spec.as_ref().map_or(0, JobSpec::dependencies_bytes);
     all - dependencies.min(all)
 }
 
@@ -90,7 +90,7 @@
     value_limit_bytes: usize,
 ) -> usize {
     let task_bytes = encoding::task_bytes(job.tasks);
-    let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+    let is_gang = job.spec.as_ref().is_some_and(JobSpec::is_gang);
     let mut new_runs = NewRuns::new(job);
     let mut size = current_compact_bytes(job, placements, task_bytes);
     for (index, placement) in placements.iter().enumerate() {
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -22,7 +22,7 @@
 use super::transaction::Transaction;
 use crate::accounting::BookingAccounts;
 use crate::controller::Controller;
-use crate::state::records::{Resources, Spec};
+use crate::state::records::{JobSpec, Resources};
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 use crate::workers::AttemptKey;
@@ -111,7 +111,7 @@
 /// Placements found for a job that this controller books.
 struct JobPlacement<'a> {
     id: &'a str,
-    spec: Spec,
+    spec: JobSpec,
     tasks: Vec<TaskPlacement>,
 }
 
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -8,19 +8,19 @@
 use crate::scheduler::round_search::SearchContext;
 use crate::scheduler::wait_states::WaitReason;
 use crate::scheduler::waiting_job::WaitingJob;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 
 /// Decision of a round on one job of the queue.
 enum JobDecision {
     /// Placements for the job's tasks.
-    Place(Spec, Vec<TaskPlacement>),
+    Place(JobSpec, Vec<TaskPlacement>),
     /// Wait of the job until a later round.
     Wait(WaitDecision),
 }
 
 /// Details of a job's wait.
 struct WaitDecision {
-    spec: Spec,
+    spec: JobSpec,
     reason: WaitReason,
     /// True if the job has waited longer than the starvation threshold, so that capacity
     /// is reserved for it.
@@ -107,7 +107,7 @@
         &self,
         id: &str,
         job: &Job,
-        spec: Spec,
+        spec: JobSpec,
         reason: WaitReason,
         is_own: bool,
     ) -> WaitDecision {
@@ -140,7 +140,7 @@
 
     /// Returns the placement hints for a job, from the point of view of the controller
     /// that places it.
-    fn hints(&self, id: &str, spec: &Spec, is_own: bool) -> PlacementHints<'a> {
+    fn hints(&self, id: &str, spec: &JobSpec, is_own: bool) -> PlacementHints<'a> {
         let settings = &self.controller.settings;
         let placing_controller = match is_own {
             true => self.controller.name(),
@@ -158,14 +158,14 @@
         hints
     }
 
-    fn is_starving(&self, id: &str, job: &Job, spec: &Spec) -> bool {
+    fn is_starving(&self, id: &str, job: &Job, spec: &JobSpec) -> bool {
         let age = self.controller.placement.age_s(id, self.now);
         is_starving(job, spec, &self.controller.settings, age)
     }
 
     /// Reserves a job's placements in the plan. Placements of own jobs are booked later in
     /// the round.
-    fn reserve(&mut self, id: &'a str, spec: Spec, tasks: Vec<TaskPlacement>, is_own: bool) {
+    fn reserve(&mut self, id: &'a str, spec: JobSpec, tasks: Vec<TaskPlacement>, is_own: bool) {
         for placement in &tasks {
             self.plan.reserve(placement, &spec.team, spec.need);
         }
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -16,7 +16,7 @@
 use super::wait_states::WaitReason;
 use super::waiting_job::WaitingJob;
 use crate::settings::Settings;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::state::replica::Replica;
 use crate::wire::JobKind;
 
@@ -80,7 +80,7 @@
 /// Returns a hash of the attributes that determine where a job fits, except its team and
 /// the location of its running tasks. Returns `None` if the location of its running tasks
 /// matters.
-fn shape_hash(job: &Job, spec: &Spec) -> Option<u64> {
+fn shape_hash(job: &Job, spec: &JobSpec) -> Option<u64> {
     if !spec.is_gang() && (spec.one_zone || spec.spread) {
         return None;
     }
@@ -199,7 +199,7 @@
         &mut self,
         replica: &Replica,
         plan: &mut Plan,
-        spec: &Spec,
+        spec: &JobSpec,
     ) {
         if !spec.is_gang() || self.reserved {
             return;
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -12,7 +12,7 @@
 use super::round_state::RoundState;
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::keys::job_key;
 use crate::workers;
 
@@ -113,12 +113,12 @@
             );
             controller.workers.remove_terminations(&terminations);
         }
-        Err(StoreError::TooLong(_)) => state.small_commits = true,
-        Err(StoreError::Limits(key)) => {
+        Err(StateClientError::CommitTooLong(_)) => state.small_commits = true,
+        Err(StateClientError::LimitsExceeded(key)) => {
             shrink_after_refusal(controller, state, &key);
             sleep(controller.store.jitter(controller.request_interval() * 4)).await;
         }
-        Err(StoreError::Conflict(keys)) => {
+        Err(StateClientError::Conflict(keys)) => {
             tracing::debug!(?keys, "round conflicted");
             await_newer_replica(controller).await;
         }
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -22,7 +22,7 @@
 use crate::accounting::{BookingAccounts, CommitParts};
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{job_key, machine_shard_key, team_key, zone_shard_key};
-use crate::state::records::{Job, Resources, Team, ZoneShard};
+use crate::state::records::{Job, Resources, TeamUsage, ZoneShard};
 use crate::state::replica::Replica;
 use crate::wire::{MachineType, Precondition, Write};
 
@@ -163,7 +163,7 @@
                 team_key(&name),
                 self.replica.team_version(&name),
             ));
-            writes.push(put(team_key(&name), &Team { used }));
+            writes.push(put(team_key(&name), &TeamUsage { used }));
         }
         for (id, shard) in &self.zone_shards {
             let version = self.replica.zone_shard_version(id);
--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -8,12 +8,12 @@
 use super::Transaction;
 use crate::accounting::{BookingRequest, CommitCapacity};
 use crate::scheduler::plan::TaskPlacement;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 
 /// Record that a booking counts against.
 enum Account {
     /// Record of the team itself.
-    Team,
+    TeamUsage,
     /// Share of this controller in the team's quota.
     Share(ControllerName),
 }
@@ -26,7 +26,7 @@
             return None;
         }
         if self.replica.share(team).is_none() {
-            return Some(Account::Team);
+            return Some(Account::TeamUsage);
         }
         let accounts = self.accounts.as_ref()?;
         Some(Account::Share(
@@ -48,20 +48,25 @@
 
     /// Returns the controller whose share must be recorded in the job when it is booked,
     /// or `None` if the share recorded in the job does not change.
-    pub(super) fn share_to_record(&self, id: &str, spec: &Spec) -> Option<ControllerName> {
+    pub(super) fn share_to_record(&self, id: &str, spec: &JobSpec) -> Option<ControllerName> {
         let job = self.job(id)?;
         match self.account_of(&spec.team, job)? {
             Account::Share(controller) => Some(controller),
-            Account::Team => None,
+            Account::TeamUsage => None,
         }
     }
 
     /// Charges the job's account for as many of the placements as the account permits, and
     /// returns their number.
-    pub(super) fn admit(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
+    pub(super) fn admit(
+        &mut self,
+        id: &str,
+        spec: &JobSpec,
+        placements: &[&TaskPlacement],
+    ) -> usize {
         let job = self.job(id);
         match job.and_then(|job| self.account_of(&spec.team, job)) {
-            Some(Account::Team) => {
+            Some(Account::TeamUsage) => {
                 *self.edit_team(&spec.team) += spec.need.times(placements.len());
                 placements.len()
             }
@@ -75,7 +80,7 @@
     fn admit_to_share(
         &mut self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         placements: &[&TaskPlacement],
         controller: &ControllerName,
     ) -> usize {
@@ -105,7 +110,7 @@
 
     /// Returns the number of records that a booking of these placements adds to the
     /// transaction.
-    fn new_records(&self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> usize {
+    fn new_records(&self, id: &str, spec: &JobSpec, placements: &[&TaskPlacement]) -> usize {
         let shards: BTreeSet<&str> = placements.iter().map(|p| &*p.shard).collect();
         let new_shards = shards
             .iter()
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -5,13 +5,13 @@
 use super::Transaction;
 use super::size::TouchedRecords;
 use crate::scheduler::plan::TaskPlacement;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::wire::JobKind;
 
 impl Transaction<'_> {
     /// Books a job's waiting tasks, and returns the number of booked tasks, which is 0 if
     /// the commit is full.
-    pub fn book(&mut self, id: &str, spec: &Spec, placements: &[TaskPlacement]) -> usize {
+    pub fn book(&mut self, id: &str, spec: &JobSpec, placements: &[TaskPlacement]) -> usize {
         let placements = self.bookable(id, spec, placements);
         if placements.is_empty() {
             return 0;
@@ -34,7 +34,7 @@
     }
 
     /// Books the placements in the job's record. Returns false if there is no such job.
-    fn book_in_job(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> bool {
+    fn book_in_job(&mut self, id: &str, spec: &JobSpec, placements: &[&TaskPlacement]) -> bool {
         let share = self.share_to_record(id, spec);
         let Some(job) = self.edit_job(id) else {
             return false;
@@ -51,7 +51,7 @@
 
     /// Subtracts the task's resources from the machine's free resources in the zone
     /// shard's record.
-    fn book_in_zone_shard(&mut self, placement: &TaskPlacement, spec: &Spec) {
+    fn book_in_zone_shard(&mut self, placement: &TaskPlacement, spec: &JobSpec) {
         let shard = self.edit_zone_shard(&placement.shard);
         if let Some(slot) = shard.machines.get_mut(&*placement.machine) {
             slot.free -= spec.need;
@@ -65,7 +65,7 @@
     fn bookable<'p>(
         &self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         placements: &'p [TaskPlacement],
     ) -> Vec<&'p TaskPlacement> {
         let zone_shards: BTreeSet<&str> = placements.iter().map(|p| &*p.shard).collect();
@@ -90,7 +90,7 @@
     fn bookable_one_by_one<'p>(
         &self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         placements: &'p [TaskPlacement],
     ) -> Vec<&'p TaskPlacement> {
         let mut zone_shards: BTreeSet<&str> = BTreeSet::new();
@@ -124,7 +124,7 @@
 /// each booking. Tasks that were never started share the first attempt, so that those on
 /// the same machine share one run in the job's record. Tasks that were started before get
 /// a new attempt.
-pub fn book(job: &mut Job, spec: &Spec, placements: &[&TaskPlacement]) {
+pub fn book(job: &mut Job, spec: &JobSpec, placements: &[&TaskPlacement]) {
     job.has_preempted = false;
     // A suspected service gets further replicas only after a booked replica has run well,
     // so this booking counts as a success.
--- a/src/scheduler/transaction/release.rs
+++ b/src/scheduler/transaction/release.rs
@@ -5,7 +5,7 @@
 use super::Transaction;
 use super::size::TouchedRecords;
 use crate::state::keys::shard_id;
-use crate::state::records::{MachineLifecycle, Spec};
+use crate::state::records::{JobSpec, MachineLifecycle};
 use crate::workers::{AttemptKey, TerminationEvidence};
 
 /// Result of the attempt to record a termination.
@@ -74,7 +74,7 @@
     }
 
     /// Returns the spec of the task's job if the task is still booked.
-    fn booked_spec(&self, key: &AttemptKey) -> Option<Spec> {
+    fn booked_spec(&self, key: &AttemptKey) -> Option<JobSpec> {
         let job = self.job(&key.job)?;
         job.find(&key.machine, key.attempt, key.task)?;
         job.spec.clone()
@@ -93,7 +93,7 @@
     }
 
     /// Returns a task's resources to the share that its booking counts against.
-    fn release_from_share(&mut self, id: &str, spec: &Spec) {
+    fn release_from_share(&mut self, id: &str, spec: &JobSpec) {
         let share = match (&self.accounts, self.job(id)) {
             (Some(accounts), Some(job)) => accounts.controller_of_bookings(&spec.team, job),
             _ => return,
--- a/src/scheduler/waiting_job.rs
+++ b/src/scheduler/waiting_job.rs
@@ -1,6 +1,6 @@
 //! Waiting jobs, as the placement and preemption searches of a round use them.
 
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::wire::JobKind;
 
 /// Job with waiting tasks.
@@ -9,7 +9,7 @@
     pub(super) id: &'a str,
     pub(super) job: &'a Job,
     /// Spec of the job. Every open job has one.
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
 }
 
 impl WaitingJob<'_> {
@@ -25,7 +25,7 @@
 }
 
 /// Returns the number of tasks of a job that start and stop together.
-pub(super) fn coscheduled_tasks(spec: &Spec) -> usize {
+pub(super) fn coscheduled_tasks(spec: &JobSpec) -> usize {
     match spec.is_gang() {
         true => spec.tasks as usize,
         false => 1,
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -18,7 +18,7 @@
     Accept,
     /// State leases, provisioning requests, and reads of pages of the state.
     Lease,
-    /// Claims of machines. Claims and rounds wait with `Store::wait_for_budget` before they
+    /// Claims of machines. Claims and rounds wait with `StateClient::wait_for_budget` before they
     /// decide. Their commits are then sent without a further wait, into debt if necessary,
     /// as the decision would become outdated.
     Claim,
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -16,7 +16,7 @@
 mod request;
 mod write_queue;
 
-pub use error::StoreError;
+pub use error::StateClientError;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -51,7 +51,7 @@
 const YIELD_DIVISOR: u32 = 50;
 
 /// Client of the state service, with this controller's budget.
-pub struct Store {
+pub struct StateClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
     budget: RefCell<Budget>,
@@ -69,7 +69,7 @@
     logged_keys: RefCell<BTreeSet<String>>,
 }
 
-impl Store {
+impl StateClient {
     /// Creates a client of the service at `addr`, whose requests count as unanswered after
     /// `response_timeout`.
     pub fn new(
@@ -79,7 +79,7 @@
         response_timeout: Duration,
         rng: SmallRng,
     ) -> Self {
-        Store {
+        StateClient {
             client,
             addr,
             budget: RefCell::new(budget),
@@ -200,7 +200,7 @@
     }
 
     /// Sends a request once the budget allows it.
-    async fn send(&self, request: Request<'_>) -> Result<Response, StoreError> {
+    async fn send(&self, request: Request<'_>) -> Result<Response, StateClientError> {
         let Request {
             class,
             writes,
@@ -217,9 +217,9 @@
         match response.status {
             429 => {
                 self.pause_after_refusal(writes);
-                Err(StoreError::Refused(429))
+                Err(StateClientError::Refused(429))
             }
-            status @ 500.. => Err(StoreError::Refused(status)),
+            status @ 500.. => Err(StateClientError::Refused(status)),
             _ => {
                 self.last_response.set(Some(Instant::now()));
                 Ok(response)
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::request::Request;
-use super::{Store, StoreError};
+use super::{StateClient, StateClientError};
 use crate::http::{BODY_LIMIT, Response};
 use crate::state::budget::RequestClass;
 use crate::wire::{
@@ -17,32 +17,36 @@
 /// Number of keys of refused commits that are remembered as logged.
 const MAX_LOGGED_KEYS: usize = 1000;
 
-impl Store {
+impl StateClient {
     /// Commits a transaction and returns the revision of its changes.
-    pub async fn commit(&self, class: RequestClass, commit: &Commit) -> Result<u64, StoreError> {
+    pub async fn commit(
+        &self,
+        class: RequestClass,
+        commit: &Commit,
+    ) -> Result<u64, StateClientError> {
         let body = encode(commit)?;
         let writes = commit.writes.len();
         if body.len() > BODY_LIMIT {
             tracing::error!(bytes = body.len(), writes, "commit too long to send");
-            return Err(StoreError::TooLong(body.len()));
+            return Err(StateClientError::CommitTooLong(body.len()));
         }
         let mut request = Request::post(class, "/commit", body, self.response_timeout);
         request.writes = writes;
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse::<Revision>()?.revision),
-            409 => Err(StoreError::Conflict(
+            409 => Err(StateClientError::Conflict(
                 response.parse::<CommitConflict>()?.failed,
             )),
-            400 if names_missing_lease(&response) => Err(StoreError::NoLease),
+            400 if names_missing_lease(&response) => Err(StateClientError::LeaseExpired),
             400 => {
                 let key = self.log_longest_record(commit, &response.body);
-                Err(StoreError::Limits(key))
+                Err(StateClientError::LimitsExceeded(key))
             }
             status => {
                 let body = String::from_utf8_lossy(&response.body);
                 tracing::error!(status, %body, "commit refused");
-                Err(StoreError::Refused(status))
+                Err(StateClientError::Refused(status))
             }
         }
     }
@@ -75,13 +79,13 @@
     }
 
     /// Returns the current revision, by reading a key that never exists.
-    pub async fn revision(&self, key: &str) -> Result<u64, StoreError> {
+    pub async fn revision(&self, key: &str) -> Result<u64, StateClientError> {
         let path = format!("/store/{key}");
         let request = Request::get(RequestClass::Accept, &path, self.response_timeout);
         let response = self.send(request).await?;
         match response.status {
             404 => Ok(response.parse::<Revision>()?.revision),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
@@ -90,7 +94,7 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<StoredRecordPage, StoreError> {
+    ) -> Result<StoredRecordPage, StateClientError> {
         let mut path = format!("/store?prefix={prefix}&limit={MAX_PAGE_RECORDS}");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
@@ -99,7 +103,7 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse()?),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
@@ -109,7 +113,7 @@
         prefix: &str,
         after: u64,
         block: Duration,
-    ) -> Result<WatchResponse, StoreError> {
+    ) -> Result<WatchResponse, StateClientError> {
         let path = format!(
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
@@ -120,14 +124,14 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse()?),
-            410 => Err(StoreError::TooOld),
-            status => Err(StoreError::Refused(status)),
+            410 => Err(StateClientError::TooOld),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
     /// Acquires a state lease that expires if it is not renewed within `ttl`. Returns its
     /// id.
-    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StateClientError> {
         let body = encode(&StateLeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         })?;
@@ -136,12 +140,12 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse::<StateLease>()?.lease),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
     /// Renews a state lease.
-    pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), StateClientError> {
         let path = format!("/holds/{lease}/extend");
         let body = b"{}".to_vec();
         let timeout = self.response_timeout;
@@ -149,8 +153,8 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(StoreError::NoLease),
-            status => Err(StoreError::Refused(status)),
+            404 => Err(StateClientError::LeaseExpired),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 }
@@ -161,6 +165,6 @@
 }
 
 /// Encodes the body of a request as JSON.
-fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
-    serde_json::to_vec(value).map_err(|error| StoreError::NoAnswer(error.to_string()))
+fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StateClientError> {
+    serde_json::to_vec(value).map_err(|error| StateClientError::NoResponse(error.to_string()))
 }
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -8,7 +8,7 @@
 use super::digits::{COMPACT_MARK, DIGITS, digit_value, push_number, read_number};
 use super::names::{join_name, split_name};
 use super::tasks::{push_tasks, read_tasks, task_width};
-use crate::state::records::{Job, Ranges, Run};
+use crate::state::records::{Job, NumberSet, Run};
 
 /// Pattern of machine names in one zone: the common prefix, the width of the number that
 /// follows, and the zone. With width 0, the prefix is the full name of one machine.
@@ -82,7 +82,7 @@
     push_tasks(&mut retry, &job.retry, width);
     let job_without_tasks = Job {
         runs: Vec::new(),
-        retry: Ranges::default(),
+        retry: NumberSet::default(),
         spec: job.spec.clone(),
         failed_on: job.failed_on.clone(),
         share: job.share.clone(),
--- a/src/state/encoding/names.rs
+++ b/src/state/encoding/names.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::state::records::Ranges;
+use crate::state::records::NumberSet;
 
 /// Maximum number of digits of a name's number, so that it always fits a `u32`.
 pub(super) const NAME_DIGITS: usize = 9;
@@ -31,7 +31,7 @@
 /// names without a number in full.
 pub(super) fn group_names<'a>(
     names: impl Iterator<Item = &'a str>,
-) -> (Vec<(String, usize, Ranges)>, Vec<String>) {
+) -> (Vec<(String, usize, NumberSet)>, Vec<String>) {
     let mut grouped: BTreeMap<(&str, usize), Vec<u32>> = BTreeMap::new();
     let mut full_names = Vec::new();
     for name in names {
@@ -49,7 +49,7 @@
                 _ => ranges.push((number, number)),
             }
         }
-        (prefix.to_string(), width, Ranges(ranges))
+        (prefix.to_string(), width, NumberSet(ranges))
     });
     (grouped.collect(), full_names)
 }
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -1,7 +1,7 @@
 //! Encodes and decodes sets of task numbers in the compact encoding.
 
 use super::digits::{COMPACT_MARK, DIGITS, digit_value};
-use crate::state::records::Ranges;
+use crate::state::records::NumberSet;
 
 /// Separator between the first and the last task of a range.
 pub(super) const RANGE_MARK: u8 = b'-';
@@ -26,7 +26,7 @@
 
 /// Appends a set of tasks. Each task takes at most `width` characters, even if the set
 /// consists of single tasks.
-pub(super) fn push_tasks(text: &mut String, set: &Ranges, width: usize) {
+pub(super) fn push_tasks(text: &mut String, set: &NumberSet, width: usize) {
     for &(first, last) in &set.0 {
         push_task(text, first, width);
         match last - first {
@@ -41,7 +41,7 @@
 }
 
 /// Parses a set of tasks. Returns `None` if the text is not valid.
-pub(super) fn read_tasks(text: &str, width: usize) -> Option<Ranges> {
+pub(super) fn read_tasks(text: &str, width: usize) -> Option<NumberSet> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     let bytes = text.as_bytes();
     let mut position = 0;
@@ -68,12 +68,12 @@
         }
         in_range = false;
     }
-    (!in_range).then_some(Ranges(ranges))
+    (!in_range).then_some(NumberSet(ranges))
 }
 
 /// Parses a set of tasks in the compact encoding. Returns `None` if the text is in the plain
 /// encoding, and `Some(None)` if the compact encoding is not valid.
-pub fn decode_ranges(text: &str) -> Option<Option<Ranges>> {
+pub fn decode_ranges(text: &str) -> Option<Option<NumberSet>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
         let width = digit_value(*rest.as_bytes().first()?)? as usize;
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::names::{group_names, join_name, split_name};
-use crate::state::records::{Amount, MachineSlot, Ranges, Resources, ZoneShard};
+use crate::state::records::{Amount, MachineSlot, NumberSet, Resources, ZoneShard};
 
 /// Machines of a zone shard with the same machine type and spot flag: ranges of numbers by
 /// prefix and width of names, names in full, and the resources that unbooked tasks take, by
@@ -16,7 +16,7 @@
 struct Slots(
     String,
     u8,
-    Vec<(String, usize, Ranges)>,
+    Vec<(String, usize, NumberSet)>,
     Vec<String>,
     BTreeMap<String, (i64, i64, i64)>,
 );
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -1,7 +1,7 @@
 //! Computes bounds of the size of a job's record, for any progress of its tasks.
 
 use crate::state::encoding;
-use crate::state::records::{Job, MAX_FAILED_MACHINES, Spec};
+use crate::state::records::{Job, JobSpec, MAX_FAILED_MACHINES};
 use crate::wire::JobKind;
 
 /// Maximum size of the counters in a compact record, in bytes.
@@ -25,7 +25,7 @@
 /// Returns the number of bytes that a job's record must have to run the job at all: with
 /// all tasks of a gang, or one task of another job. The machines are named like `name`, in
 /// a zone named like `zone`.
-pub fn min_record_bytes(spec: &Spec, name: &str, zone: &str) -> usize {
+pub fn min_record_bytes(spec: &JobSpec, name: &str, zone: &str) -> usize {
     /// Attempt number with the most digits that are expected.
     const LONG_ATTEMPT: u64 = 1000;
     let job = Job::new(spec.clone(), u64::from(u32::MAX));
--- a/src/state/record_trim.rs
+++ b/src/state/record_trim.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 use crate::hash::fnv1a;
-use crate::state::records::{Job, Ranges, Spec};
+use crate::state::records::{Job, JobSpec, NumberSet};
 use crate::wire::MachineType;
 
 /// Information that trimming needs beside the job.
@@ -40,7 +40,7 @@
 /// Trims an open job step by step until it fits. The steps begin with the data that affects
 /// the fewest decisions.
 fn trim_open_job(job: &mut Job, context: &TrimContext, fits: impl Fn(&Job) -> bool) {
-    let steps: [fn(&mut Spec, &TrimContext); 4] = [
+    let steps: [fn(&mut JobSpec, &TrimContext); 4] = [
         drop_done_dependencies,
         narrow_types,
         shorten_image,
@@ -63,7 +63,7 @@
     job.failed_on.clear();
     // The number of done tasks is computed as the started tasks less the tasks to retry.
     job.next_task = job.next_task.saturating_sub(job.retry.len() as u32);
-    job.retry = Ranges::default();
+    job.retry = NumberSet::default();
     if let Some(spec) = &mut job.spec {
         spec.class.clear();
         spec.image.clear();
@@ -75,7 +75,7 @@
 }
 
 /// Drops the dependencies that are done. A done job never becomes open again.
-fn drop_done_dependencies(spec: &mut Spec, context: &TrimContext) {
+fn drop_done_dependencies(spec: &mut JobSpec, context: &TrimContext) {
     spec.dependencies.retain(|id| !(context.is_done)(id));
 }
 
@@ -83,7 +83,7 @@
 /// and that have the capacity for a task of the job. A type that was not allowed never
 /// becomes allowed: if no type would be left, or the machine types are not known, the list
 /// stays unchanged.
-fn narrow_types(spec: &mut Spec, context: &TrimContext) {
+fn narrow_types(spec: &mut JobSpec, context: &TrimContext) {
     let usable = |machine_type: &&MachineType| {
         let mut zones = machine_type.zones.iter();
         spec.allows_type(&machine_type.name)
@@ -101,13 +101,13 @@
 
 /// Shortens the name of the image. Workers pull the image by the job's full description;
 /// the name in the record only serves to find machines that are likely to have the image.
-fn shorten_image(spec: &mut Spec, _: &TrimContext) {
+fn shorten_image(spec: &mut JobSpec, _: &TrimContext) {
     shorten(&mut spec.image);
 }
 
 /// Shortens the name of the job class, unless an objective names the class or the shortened
 /// name: the class is compared with those of the objectives, and shown to operators.
-fn shorten_class(spec: &mut Spec, context: &TrimContext) {
+fn shorten_class(spec: &mut JobSpec, context: &TrimContext) {
     let has_slo = |class: &String| context.slo_classes.contains(class);
     let mut class = spec.class.clone();
     shorten(&mut class);
--- a/src/state/records/accepted_batch.rs
+++ b/src/state/records/accepted_batch.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::spec::Spec;
+use super::spec::JobSpec;
 
 /// Record `new/ID`: jobs that were accepted in one write. Each entry serves as the job's
 /// record until the job's own record is first written and takes precedence.
@@ -15,5 +15,5 @@
     pub accepted_revision: u64,
     /// Specifications of the jobs, by job id.
     #[serde(rename = "j")]
-    pub jobs: BTreeMap<String, Spec>,
+    pub jobs: BTreeMap<String, JobSpec>,
 }
--- a/src/state/records/job/bookings.rs
+++ b/src/state/records/job/bookings.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Job;
-use crate::state::records::{Ranges, Spec};
+use crate::state::records::{JobSpec, NumberSet};
 
 /// Tasks of one attempt that are booked on one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     pub attempt: u64,
     /// Numbers of the tasks.
     #[serde(rename = "t")]
-    pub tasks: Ranges,
+    pub tasks: NumberSet,
     /// True if the run is to be stopped: it is preempted, its machine is drained, or its
     /// gang has lost a task.
     #[serde(
@@ -51,7 +51,7 @@
                 machine: machine.to_string(),
                 zone: zone.to_string(),
                 attempt,
-                tasks: Ranges::one(task),
+                tasks: NumberSet::one(task),
                 stop: false,
             }),
         }
@@ -63,7 +63,7 @@
     /// the record has no space for a run that is split.
     pub fn stop_tasks(&mut self, machine: &str, count: usize, fits: impl Fn(&Job) -> bool) {
         let before = self.clone();
-        if self.spec.as_ref().is_some_and(Spec::is_gang) {
+        if self.spec.as_ref().is_some_and(JobSpec::is_gang) {
             self.stop_all_runs();
         } else {
             self.stop_latest_tasks(machine, count);
@@ -127,7 +127,7 @@
     /// Removes the last `count` tasks and returns them as a run that is to be stopped.
     fn split_off_stopped(&mut self, count: usize) -> Run {
         let mut stopped = Run {
-            tasks: Ranges::default(),
+            tasks: NumberSet::default(),
             stop: true,
             ..self.clone()
         };
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -19,8 +19,8 @@
 use serde::{Deserialize, Serialize};
 use shares::ControllerName;
 
-use super::ranges::Ranges;
-use super::spec::Spec;
+use super::ranges::NumberSet;
+use super::spec::JobSpec;
 
 /// State of a job: open or one of the final states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     pub status: JobStatus,
     /// Specification that placement needs, as long as it is needed.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
-    pub spec: Option<Spec>,
+    pub spec: Option<JobSpec>,
     /// Number of tasks, kept for display after the specification is dropped.
     #[serde(rename = "n", default)]
     pub tasks: u32,
@@ -61,8 +61,8 @@
     #[serde(rename = "x", default)]
     pub next_task: u32,
     /// Tasks that were started before and have to be started again.
-    #[serde(rename = "q", default, skip_serializing_if = "Ranges::is_empty")]
-    pub retry: Ranges,
+    #[serde(rename = "q", default, skip_serializing_if = "NumberSet::is_empty")]
+    pub retry: NumberSet,
     /// Bookings on machines.
     #[serde(
         rename = "r",
@@ -105,7 +105,7 @@
 
 impl Job {
     /// Creates the record of a job that was accepted at `accepted_revision`.
-    pub fn new(spec: Spec, accepted_revision: u64) -> Self {
+    pub fn new(spec: JobSpec, accepted_revision: u64) -> Self {
         Job {
             status: JobStatus::Open,
             tasks: spec.tasks,
@@ -113,7 +113,7 @@
             accepted_revision,
             attempt: 0,
             next_task: 0,
-            retry: Ranges::default(),
+            retry: NumberSet::default(),
             runs: Vec::new(),
             has_preempted: false,
             errors: 0,
@@ -180,7 +180,7 @@
     pub fn trim_finished(&mut self) {
         if !self.is_open() && self.runs.is_empty() {
             self.spec = None;
-            self.retry = Ranges::default();
+            self.retry = NumberSet::default();
             self.record_success();
         }
     }
--- a/src/state/records/job/termination.rs
+++ b/src/state/records/job/termination.rs
@@ -1,7 +1,7 @@
 //! Releases a task's booking on its machine and applies the outcome to the job.
 
 use super::{Job, JobStatus};
-use crate::state::records::Spec;
+use crate::state::records::JobSpec;
 
 /// Outcome of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,6 +80,6 @@
 
     /// Returns whether the job is a gang.
     fn is_gang(&self) -> bool {
-        self.spec.as_ref().is_some_and(Spec::is_gang)
+        self.spec.as_ref().is_some_and(JobSpec::is_gang)
     }
 }
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -215,7 +215,7 @@
 
 /// Record `types`: the machine types of the cloud as last read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Types {
+pub struct MachineTypesRecord {
     /// Machine types.
     pub types: Vec<MachineType>,
 }
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -18,13 +18,13 @@
 };
 pub use job::{FAULTY_JOB_THRESHOLD, Job, JobStatus, MAX_FAILED_MACHINES, Run, TaskOutcome};
 pub use machine::{
-    HeartbeatId, Machine, MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Types,
-    ZoneShard, machine_entry_bytes, slot_entry_bytes,
+    HeartbeatId, Machine, MachineLifecycle, MachineShard, MachineSlot, MachineTypesRecord,
+    ProvisioningRequest, ZoneShard, machine_entry_bytes, slot_entry_bytes,
 };
-pub use ranges::Ranges;
+pub use ranges::NumberSet;
 pub use resources::{Amount, Resources};
-pub use spec::Spec;
-pub use team::Team;
+pub use spec::JobSpec;
+pub use team::TeamUsage;
 
 /// Returns whether a field is false, so that it is omitted.
 pub(super) fn is_false(value: &bool) -> bool {
--- a/src/state/records/ranges.rs
+++ b/src/state/records/ranges.rs
@@ -6,9 +6,9 @@
 /// encoded as text such as `0-4,7`, so that a job with thousands of tasks fits into one
 /// record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ranges(pub Vec<(u32, u32)>);
+pub struct NumberSet(pub Vec<(u32, u32)>);
 
-impl Serialize for Ranges {
+impl Serialize for NumberSet {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         use std::fmt::Write;
         let mut text = String::with_capacity(self.0.len() * 8);
@@ -24,7 +24,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Ranges {
+impl<'de> Deserialize<'de> for NumberSet {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
         if let Some(decoded) = crate::state::encoding::decode_ranges(&text) {
@@ -40,14 +40,14 @@
                 _ => return Err(serde::de::Error::custom("invalid ranges of task numbers")),
             }
         }
-        Ok(Ranges(ranges))
+        Ok(NumberSet(ranges))
     }
 }
 
-impl Ranges {
+impl NumberSet {
     /// Creates a set of a single number.
     pub fn one(number: u32) -> Self {
-        Ranges(vec![(number, number)])
+        NumberSet(vec![(number, number)])
     }
     /// Returns the number of elements.
     pub fn len(&self) -> usize {
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -9,7 +9,7 @@
 
 /// Specification of a job: the part of its submission that placement needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     /// Job class, to which objectives refer.
     #[serde(rename = "l")]
     pub class: String,
@@ -69,9 +69,9 @@
     pub dependencies: Vec<String>,
 }
 
-impl From<&Submission> for Spec {
+impl From<&Submission> for JobSpec {
     fn from(submission: &Submission) -> Self {
-        Spec {
+        JobSpec {
             class: submission.class.clone(),
             team: submission.team.clone(),
             kind: submission.kind,
@@ -105,7 +105,7 @@
     first.cloned().collect()
 }
 
-impl Spec {
+impl JobSpec {
     /// Returns whether tasks may run on machines of a type.
     pub fn allows_type(&self, kind: &str) -> bool {
         self.types
--- a/src/state/records/team.rs
+++ b/src/state/records/team.rs
@@ -6,7 +6,7 @@
 /// Record `team/T` of the resources that the team's bookings take, and record `use/T/C` of
 /// the part of them that counts against the share of controller C.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Team {
+pub struct TeamUsage {
     /// Resources of the booked tasks.
     #[serde(rename = "u")]
     pub used: Resources,
--- a/src/state/replica/accepted_batches.rs
+++ b/src/state/replica/accepted_batches.rs
@@ -10,7 +10,7 @@
 use super::unreadable::parse;
 use super::updates::{RecordUpdate, put_if_newer};
 use crate::state::keys::job_key;
-use crate::state::records::{AcceptedBatch, Job, Spec};
+use crate::state::records::{AcceptedBatch, Job, JobSpec};
 
 /// Accepted batch whose jobs are not parsed yet.
 #[derive(Deserialize)]
@@ -57,11 +57,11 @@
         id: &str,
         accepted_revision: u64,
         text: &RawValue,
-    ) -> Option<Spec> {
+    ) -> Option<JobSpec> {
         let key = job_key(id);
         // The job's own record is newer than the batch, also if it cannot be read.
         let has_own = self.jobs.contains_key(id) || self.is_unreadable(&key);
-        let spec = parse::<Spec>(&key, text);
+        let spec = parse::<JobSpec>(&key, text);
         if has_own {
             return spec;
         }
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -5,8 +5,8 @@
 
 use foldhash::HashMap;
 
-use super::{Entry, Replica};
-use crate::state::records::{Job, Ranges, Run};
+use super::{Replica, Versioned};
+use crate::state::records::{Job, NumberSet, Run};
 
 /// Maximum number of images remembered per machine.
 const MAX_IMAGES_PER_MACHINE: usize = 16;
@@ -46,7 +46,7 @@
 }
 
 /// Tasks of a job's runs, by run.
-type TasksByRun<'a> = HashMap<RunKey<'a>, &'a Ranges>;
+type TasksByRun<'a> = HashMap<RunKey<'a>, &'a NumberSet>;
 
 /// Indexes the tasks of a job by run.
 fn tasks_by_run(job: Option<&Job>) -> TasksByRun<'_> {
@@ -110,7 +110,8 @@
             self.long_jobs.insert(id.to_string());
         }
         let value = job;
-        self.jobs.insert(id.to_string(), Entry { version, value });
+        self.jobs
+            .insert(id.to_string(), Versioned { version, value });
         self.index_job_dependencies(id);
     }
 
--- a/src/state/replica/machine_shards.rs
+++ b/src/state/replica/machine_shards.rs
@@ -1,6 +1,6 @@
 //! Applies machine shards, and the machines that they list, to the replica.
 
-use super::{Entry, Replica};
+use super::{Replica, Versioned};
 use crate::state::records::{Machine, MachineShard};
 
 impl Replica {
@@ -30,7 +30,7 @@
             self.remove_machine_of(name, zone, shard);
         }
         if let Some(value) = machine_shard {
-            let entry = Entry { version, value };
+            let entry = Versioned { version, value };
             self.machine_shards.insert(id.to_string(), entry);
         }
     }
@@ -44,13 +44,13 @@
         self.changes.machines.insert(name.to_string());
         let value = machine;
         self.machines
-            .insert(name.to_string(), Entry { version, value });
+            .insert(name.to_string(), Versioned { version, value });
     }
 
     /// Removes a machine that a shard no longer lists, unless another shard lists it by
     /// now: a commit that moves a machine updates both shards, in either order.
     fn remove_machine_of(&mut self, name: String, zone: &str, shard: &str) {
-        let is_here = |entry: &Entry<Machine>| {
+        let is_here = |entry: &Versioned<Machine>| {
             let machine = &entry.value;
             machine.zone == zone && machine.shard == shard
         };
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -35,13 +35,13 @@
 use crate::dependencies::DependencyGraph;
 use crate::state::names::NameTable;
 use crate::state::records::{
-    AcceptedBatch, ControllerRecord, Formats, Job, Machine, MachineShard, ProvisioningRequest,
-    Resources, Spec, Team, Types, ZoneShard,
+    AcceptedBatch, ControllerRecord, Formats, Job, JobSpec, Machine, MachineShard,
+    MachineTypesRecord, ProvisioningRequest, Resources, TeamUsage, ZoneShard,
 };
 
 /// Record with the revision of its last change.
 #[derive(Debug, Clone, Default)]
-pub struct Entry<T> {
+pub struct Versioned<T> {
     /// Revision of the record's last change; 0 if it has no record of its own.
     pub version: u64,
     /// Content of the record.
@@ -49,7 +49,7 @@
 }
 
 /// Records of one kind, by id.
-type Table<T> = BTreeMap<String, Entry<T>>;
+type Table<T> = BTreeMap<String, Versioned<T>>;
 
 /// Changes since the caller last took them.
 #[derive(Debug, Default)]
@@ -66,16 +66,16 @@
     /// True once the first full read is complete.
     pub loaded: bool,
     /// Jobs, by id.
-    pub jobs: HashMap<String, Entry<Job>>,
+    pub jobs: HashMap<String, Versioned<Job>>,
     /// Resources that the teams' bookings take, by team.
-    pub teams: Table<Team>,
+    pub teams: Table<TeamUsage>,
     /// Splits of the teams' quotas among controllers, by team.
     pub shares: Table<Share>,
     /// Resources that are booked against each share, as of the last recount, by
     /// `team/controller`.
-    pub share_uses: Table<Team>,
+    pub share_uses: Table<TeamUsage>,
     /// Pool that shares grow from, if there is one.
-    pub pool: Option<Entry<Pool>>,
+    pub pool: Option<Versioned<Pool>>,
     /// Requested moves between shares, by id.
     pub moves: Table<MoveRecord>,
     /// Zone shards, by `zone/shard`.
@@ -89,11 +89,11 @@
     /// Accepted batches, by id.
     pub accepted_batches: Table<AcceptedBatch>,
     /// Machine types of the cloud as last read.
-    pub types: Entry<Types>,
+    pub types: Versioned<MachineTypesRecord>,
     /// Fleet leader, the controller that provisions machines, if there is one.
-    pub fleet: Option<Entry<ControllerRecord>>,
+    pub fleet: Option<Versioned<ControllerRecord>>,
     /// Record formats that the controllers can read.
-    pub formats: Entry<Formats>,
+    pub formats: Versioned<Formats>,
     /// Controllers with a valid state lease, by name.
     pub controllers: Table<ControllerRecord>,
     /// Open jobs whose dependencies are done, in the order of acceptance. Only these can
@@ -146,7 +146,7 @@
     pub slo_classes: BTreeSet<String>,
     /// Specification of the latest job that needs accelerators. Machines with
     /// accelerators are kept free for such jobs; this, too, is only a hint.
-    pub gpu_spec: Option<Spec>,
+    pub gpu_spec: Option<JobSpec>,
     /// Changes that the caller has not taken yet.
     pub changes: Changes,
     /// Versions of the records that cannot be read, by key. Their contents are unknown,
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -2,7 +2,7 @@
 
 use foldhash::HashMap;
 
-use super::{Entry, Replica};
+use super::{Replica, Versioned};
 use crate::state::keys::{machine_shard_key, team_key, zone_shard_key};
 use crate::state::records::{Job, Resources};
 use crate::wire::MachineType;
@@ -28,7 +28,10 @@
     }
 
     /// Returns the jobs that have bookings on a machine, with their ids.
-    pub fn jobs_on<'a>(&'a self, machine: &str) -> impl Iterator<Item = (&'a str, &'a Entry<Job>)> {
+    pub fn jobs_on<'a>(
+        &'a self,
+        machine: &str,
+    ) -> impl Iterator<Item = (&'a str, &'a Versioned<Job>)> {
         self.bookings
             .get(machine)
             .into_iter()
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-use super::{Entry, Replica, Table};
+use super::{Replica, Table, Versioned};
 use crate::state::encoding::is_compact_zone_shard;
 use crate::state::keys::PREFIX;
 use crate::state::records::Job;
@@ -21,7 +21,7 @@
 }
 
 /// Returns whether a record is older than a version, or there is no record.
-fn is_older<T>(entry: Option<&Entry<T>>, version: u64) -> bool {
+fn is_older<T>(entry: Option<&Versioned<T>>, version: u64) -> bool {
     entry.is_none_or(|entry| entry.version < version)
 }
 
@@ -38,7 +38,7 @@
     }
     match value {
         Some(value) => {
-            table.insert(id.to_string(), Entry { version, value });
+            table.insert(id.to_string(), Versioned { version, value });
         }
         None => {
             table.remove(id);
@@ -198,7 +198,7 @@
     /// Applies an update to a record of which there is at most one.
     fn set_single<T: DeserializeOwned>(
         &mut self,
-        slot: impl Fn(&mut Replica) -> &mut Option<Entry<T>>,
+        slot: impl Fn(&mut Replica) -> &mut Option<Versioned<T>>,
         update: RecordUpdate,
     ) {
         let version = update.version;
@@ -206,14 +206,14 @@
             return;
         }
         let record = self.read_update(update);
-        *slot(self) = record.map(|value| Entry { version, value });
+        *slot(self) = record.map(|value| Versioned { version, value });
     }
 
     /// Applies an update to a record that is never removed. If the update cannot be read,
     /// the last readable value remains in force. Returns whether the record was set.
     fn set_permanent<T: DeserializeOwned>(
         &mut self,
-        entry: impl FnOnce(&mut Replica) -> &mut Entry<T>,
+        entry: impl FnOnce(&mut Replica) -> &mut Versioned<T>,
         update: RecordUpdate,
     ) -> bool {
         let version = update.version;
@@ -223,7 +223,7 @@
         let entry = entry(self);
         let is_newer = version > entry.version;
         if is_newer {
-            *entry = Entry { version, value };
+            *entry = Versioned { version, value };
         }
         is_newer
     }
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -13,7 +13,7 @@
 use super::claim_plan::{GrantedClaim, plan_claims};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::keys::{machine_shard_key, shard_id};
 use crate::state::records::HeartbeatId;
 use crate::wire::{Precondition, Write};
@@ -40,7 +40,7 @@
 }
 
 /// Updates the queue after a failed commit, and waits for the retry delay.
-async fn handle_failed_commit(controller: &Controller, error: &StoreError) {
+async fn handle_failed_commit(controller: &Controller, error: &StateClientError) {
     tracing::debug!(%error, "claim commit failed");
     drop_claims_beyond_limits(controller, error);
     if error.is_refusal() {
@@ -55,8 +55,8 @@
 /// Drops the claims in a machine shard whose record exceeds the limits of the state
 /// service. The same commit would be refused again: the next heartbeats of these workers
 /// request their claims again, and the other claims are committed without them.
-fn drop_claims_beyond_limits(controller: &Controller, error: &StoreError) {
-    let StoreError::Limits(key) = error else {
+fn drop_claims_beyond_limits(controller: &Controller, error: &StateClientError) {
+    let StateClientError::LimitsExceeded(key) = error else {
         return;
     };
     let replica = controller.replica.borrow();
@@ -69,7 +69,7 @@
 }
 
 /// Commits as many claims as fit into one commit, and resolves them.
-async fn commit_batch(controller: &Controller) -> Result<(), StoreError> {
+async fn commit_batch(controller: &Controller) -> Result<(), StateClientError> {
     drop_stale_claims(controller);
     let batch = plan_claims(controller);
     if !batch.writes.is_empty() {
@@ -113,11 +113,11 @@
     controller: &Controller,
     preconditions: Vec<Precondition>,
     writes: Vec<Write>,
-) -> Result<u64, StoreError> {
+) -> Result<u64, StateClientError> {
     let result = controller
         .commit(RequestClass::Claim, preconditions, writes)
         .await;
-    if let Err(StoreError::Conflict(_) | StoreError::NoAnswer(_)) = &result {
+    if let Err(StateClientError::Conflict(_) | StateClientError::NoResponse(_)) = &result {
         // An unanswered commit may have been applied. The barrier brings the replica up to
         // date: it then shows this controller as the owner under a fencing token that this
         // controller has not recorded as its own, and the next attempt increments the token
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -10,7 +10,7 @@
 use super::capacity_plan::{ZoneShardChange, plan_capacity_changes};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::wire::{Precondition, Write};
 
 /// Minimum time between two publications of a zone shard's record, unless a machine is
@@ -79,7 +79,7 @@
             .await
         {
             Ok(_) => return,
-            Err(StoreError::Conflict(keys)) => {
+            Err(StateClientError::Conflict(keys)) => {
                 // A booking has changed these zone shards; the other changes are retried.
                 tracing::debug!(?keys, "capacity publication conflict");
                 let count = changes.len();
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -9,8 +9,8 @@
 use super::owned_worker::{OwnedWorker, StopCommand, TaskAttempt};
 use super::termination::{AttemptKey, Termination, TerminationEvidence};
 use super::worker_plan::WorkerPlan;
-use crate::state::records::{Job, MachineLifecycle, Run, Spec, TaskOutcome, split_task};
-use crate::state::replica::{Entry, Replica};
+use crate::state::records::{Job, JobSpec, MachineLifecycle, Run, TaskOutcome, split_task};
+use crate::state::replica::{Replica, Versioned};
 use crate::wire::{CommandAction, ExitReason, TaskStage, TaskStatus};
 
 /// Ratio of a stop's grace period, before the margin, to the time that the job declares for
@@ -22,7 +22,7 @@
 
 /// Returns the grace period of a stop, in seconds: long enough to save a checkpoint, and zero
 /// if the job has ended or saves no checkpoints.
-pub fn stop_grace_s(job: &Job, spec: Option<&Spec>) -> f64 {
+pub fn stop_grace_s(job: &Job, spec: Option<&JobSpec>) -> f64 {
     match spec {
         Some(s) if job.is_open() && s.checkpoint_s > 0.0 => {
             s.save_s * SAVE_GRACE_FACTOR + SAVE_GRACE_MARGIN_S
@@ -217,7 +217,7 @@
     fn plan_missing_task(
         &self,
         job_id: &str,
-        entry: &Entry<Job>,
+        entry: &Versioned<Job>,
         run: &Run,
         number: u32,
         plan: &mut WorkerPlan,
@@ -247,7 +247,7 @@
     /// task has disappeared after its launch, the gang's attempt has failed; an independent
     /// task is launched again, unless commands do not reach the worker.
     fn is_lost(&self, job: &Job, run: &Run, attempt: &TaskAttempt) -> bool {
-        let is_gang = job.spec.as_ref().is_some_and(Spec::is_gang);
+        let is_gang = job.spec.as_ref().is_some_and(JobSpec::is_gang);
         let was_launched = self.owned_worker.launched_attempts.contains(attempt);
         run.stop || self.owned_worker.unreachable_since.is_some() || (is_gang && was_launched)
     }
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -123,7 +123,7 @@
     ];
     for case in cases {
         let (class, deadline_s, time_left_s, dependents_have_deadline, age, expected) = case;
-        let spec = Spec {
+        let spec = JobSpec {
             class: class.into(),
             deadline_s,
             ..spec(JobKind::Array, 1, 1.0)
@@ -143,7 +143,7 @@
 fn preemption_goes_by_the_effective_priority() {
     use Priority::*;
     let low = spec(JobKind::Array, 1, 1.0);
-    let low = Spec {
+    let low = JobSpec {
         priority: Low,
         ..low
     };
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn ranges_stay_sorted_and_joined() {
-    let mut r = Ranges::default();
+    let mut r = NumberSet::default();
     for n in [5, 3, 4, 9, 3] {
         r.insert(n);
     }
@@ -126,15 +126,15 @@
         (vec![(7, 7)], "\"7\""),
         (vec![(0, 4), (6, 6), (8, 1799)], "\"0-4,6,8-1799\""),
     ] {
-        let ranges = Ranges(ranges);
+        let ranges = NumberSet(ranges);
         assert_eq!(serde_json::to_string(&ranges).expect("text"), text);
         assert_eq!(
-            serde_json::from_str::<Ranges>(text).expect("ranges"),
+            serde_json::from_str::<NumberSet>(text).expect("ranges"),
             ranges
         );
     }
     for text in ["\"a\"", "\"4-2\"", "\"1--2\"", "[[0,1]]"] {
-        assert!(serde_json::from_str::<Ranges>(text).is_err(), "{text}");
+        assert!(serde_json::from_str::<NumberSet>(text).is_err(), "{text}");
     }
 }
 
@@ -148,7 +148,7 @@
             s["awaits"] = dependencies;
         }
         let s = read_submission(s.to_string().as_bytes()).expect("a submission");
-        let text = serde_json::to_string(&Job::new(Spec::from(&s), 7)).expect("text");
+        let text = serde_json::to_string(&Job::new(JobSpec::from(&s), 7)).expect("text");
         assert_eq!(text, BEFORE);
         let job: Job = serde_json::from_str(BEFORE).expect("a record");
         assert_eq!(serde_json::to_string(&job).expect("text"), BEFORE);
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -21,7 +21,7 @@
     let set = settings();
     let split = view_with(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
     let whole = view_with(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
-    let fit = |spec: &Spec, replica: &Replica| {
+    let fit = |spec: &JobSpec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::from_replica(replica);
         scheduler::find_placements(
@@ -40,7 +40,7 @@
             zones.into_iter().collect::<Vec<_>>()
         })
     };
-    let required = |s: Spec| Spec {
+    let required = |s: JobSpec| JobSpec {
         one_zone: true,
         ..s
     };
@@ -68,7 +68,7 @@
         fit(&spec(JobKind::Array, 8, 2.0), &split),
         Ok(vec![("a".into(), 2), ("b".into(), 2)])
     );
-    let spread = Spec {
+    let spread = JobSpec {
         spread: true,
         ..spec(JobKind::Service, 3, 2.0)
     };
@@ -94,7 +94,7 @@
     let replica = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
     let hints = hints(&replica);
     let plan = Plan::from_replica(&replica);
-    let s = Spec {
+    let s = JobSpec {
         one_zone: true,
         ..spec(JobKind::Array, 3, 2.0)
     };
@@ -123,7 +123,7 @@
     let settings = Settings::parse(&json.to_string()).expect("settings");
     let mut work = spec(JobKind::Array, 4, 1.0);
     work.priority = Priority::Low;
-    type Case = (&'static str, fn(&mut Spec), bool);
+    type Case = (&'static str, fn(&mut JobSpec), bool);
     let cases: [Case; 6] = [
         ("plain", |_| {}, true),
         ("cannot save", |s| s.checkpoint_s = 0.0, false),
@@ -163,7 +163,7 @@
         wide.need.ram = Amount(0);
         replica.jobs.insert(
             "job-1".into(),
-            shelfhoist::state::replica::Entry {
+            shelfhoist::state::replica::Versioned {
                 version: 3,
                 value: Job::new(wide.clone(), 1),
             },
@@ -194,7 +194,7 @@
 
 #[test]
 fn preemption_follows_the_protocol() {
-    let with = |team: &str, priority| Spec {
+    let with = |team: &str, priority| JobSpec {
         team: team.into(),
         priority,
         ..spec(JobKind::Array, 1, 1.0)
@@ -210,7 +210,7 @@
         (("t", Normal), true, ("t", Normal), true, false),
         (("t", Low), false, ("u", High), true, false),
     ];
-    let service = Spec {
+    let service = JobSpec {
         kind: JobKind::Service,
         ..with("u", Production)
     };
@@ -303,7 +303,7 @@
         ("b", "m3", 4.0),
         ("b", "m4", 1.0),
     ]);
-    let gang = Spec {
+    let gang = JobSpec {
         one_zone: true,
         ..spec(JobKind::Gang, 3, 4.0)
     };
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -67,15 +67,15 @@
     replica
 }
 
-pub fn spec(kind: JobKind, tasks: u32, cpus: f64) -> Spec {
+pub fn spec(kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
     let mut s = submission();
     s["cut"] = serde_json::to_value(kind).expect("kind");
     s["boards"] = json!(tasks);
     s["vcpus"] = json!(cpus);
     let s: Submission = serde_json::from_value(s).expect("submission");
-    Spec {
+    JobSpec {
         one_zone: false,
-        ..Spec::from(&s)
+        ..JobSpec::from(&s)
     }
 }
 
@@ -161,7 +161,7 @@
     estimate_s: f64,
     deadline_s: Option<f64>,
 ) -> Job {
-    let spec = Spec {
+    let spec = JobSpec {
         priority,
         estimate_s,
         deadline_s,
@@ -179,7 +179,7 @@
     }
 }
 
-pub fn jobs_of(jobs: &[(&str, Job)]) -> BTreeMap<String, Spec> {
+pub fn jobs_of(jobs: &[(&str, Job)]) -> BTreeMap<String, JobSpec> {
     let open = |job: &Job| job.spec.clone();
     let none = after(&[], Priority::Low, 5.0, None);
     jobs.iter()
@@ -190,9 +190,9 @@
 /// Whether work with a spec and effective priority may be preempted for a job with
 /// others.
 pub fn may_preempt(
-    (job, job_priority): (&Spec, Priority),
+    (job, job_priority): (&JobSpec, Priority),
     within_guarantee: bool,
-    (running, running_priority): (&Spec, Priority),
+    (running, running_priority): (&JobSpec, Priority),
     borrows: bool,
 ) -> bool {
     let job = PreemptingJob {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -12,9 +12,9 @@
 use shelfhoist::gossip::{PeerStatus, decode, encode};
 use shelfhoist::state::keys;
 use shelfhoist::state::records::{
-    AcceptedBatch, Amount, ControllerRecord, Formats, HeartbeatId, Job, JobStatus, Machine,
-    MachineLifecycle, MachineShard, MachineSlot, ProvisioningRequest, Ranges, Resources, Run, Spec,
-    Team, Types, ZoneShard,
+    AcceptedBatch, Amount, ControllerRecord, Formats, HeartbeatId, Job, JobSpec, JobStatus,
+    Machine, MachineLifecycle, MachineShard, MachineSlot, MachineTypesRecord, NumberSet,
+    ProvisioningRequest, Resources, Run, TeamUsage, ZoneShard,
 };
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, JobKind, MachineType, Priority, Write};
@@ -35,8 +35,8 @@
 }
 
 /// Every field is set.
-fn full_spec() -> Spec {
-    Spec {
+fn full_spec() -> JobSpec {
+    JobSpec {
         class: "train".into(),
         team: "vision".into(),
         kind: JobKind::Array,
@@ -59,8 +59,8 @@
 }
 
 /// What may be left out is.
-fn bare_spec(kind: JobKind, priority: Priority) -> Spec {
-    Spec {
+fn bare_spec(kind: JobKind, priority: Priority) -> JobSpec {
+    JobSpec {
         kind,
         priority,
         tasks: 4,
@@ -80,7 +80,7 @@
         machine: machine.into(),
         zone: "a".into(),
         attempt,
-        tasks: Ranges(tasks.to_vec()),
+        tasks: NumberSet(tasks.to_vec()),
         stop,
     }
 }
@@ -98,7 +98,7 @@
     Job {
         attempt: 300,
         next_task: 40,
-        retry: Ranges(vec![(0, 4), (7, 7)]),
+        retry: NumberSet(vec![(0, 4), (7, 7)]),
         runs: vec![
             run("host-000231", 1, &[(10, 19), (21, 22)], false),
             run("host-000231", 300, &[(30, 30)], true),
@@ -229,14 +229,14 @@
     }
 }
 
-fn types() -> Types {
+fn types() -> MachineTypesRecord {
     let machine_type: MachineType = serde_json::from_value(json!({
         "label": "g8", "vcpus": 8.0, "cards": 1.0, "ram_gb": 64.0, "local_gb": 50.0,
         "pull_gb_per_s": 1.5, "hourly": 0.14, "spot_price": 0.04, "ready_s": 20.0,
         "yards": ["a", "b"]
     }))
     .expect("a machine type");
-    Types {
+    MachineTypesRecord {
         types: vec![machine_type],
     }
 }
@@ -369,7 +369,7 @@
 fn arrivals_teams_and_rentals_are_stored_byte_for_byte() {
     same(&arrivals(), ARRIVALS);
     same(
-        &Team {
+        &TeamUsage {
             used: room(3000, 1000, 2000),
         },
         TEAM,
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -28,7 +28,7 @@
                 job.retry.insert(*n);
             }
             for at in 0..machines {
-                let mut set = Ranges::default();
+                let mut set = NumberSet::default();
                 let some = left.iter().filter(|n| **n as usize % machines == at);
                 some.for_each(|n| set.insert(*n));
                 job.runs.push(Run {
@@ -173,7 +173,7 @@
                 "yards": ["capannone-nord", "capannone-sud", "ufficio-porto"]})
         })
         .collect();
-    let types: Types = serde_json::from_value(json!({"types": types})).expect("types");
+    let types: MachineTypesRecord = serde_json::from_value(json!({"types": types})).expect("types");
     let bytes = serde_json::to_string(&types).expect("text").len();
     assert!(bytes <= LIMIT, "{bytes} bytes");
 }
--- a/tests/limits/falls.rs
+++ b/tests/limits/falls.rs
@@ -332,7 +332,7 @@
         for (one, n) in jobs.iter().zip(700..) {
             w.remember(one);
             let read = shelfhoist::api::read_submission(one.to_string().as_bytes());
-            let spec = Spec::from(&read.expect("a submission"));
+            let spec = JobSpec::from(&read.expect("a submission"));
             arrivals.jobs.insert(format!("job-{n:06}"), spec);
         }
         let text = serde_json::to_value(&arrivals).expect("text");
--- a/tests/limits/production_texts.rs
+++ b/tests/limits/production_texts.rs
@@ -36,18 +36,18 @@
     let job: Job = same_bytes(JOB);
     assert_eq!(job.runs.len(), 2);
     assert!(job.runs[1].stop);
-    assert_eq!(job.runs[0].tasks, Ranges(vec![(10, 19), (21, 21)]));
+    assert_eq!(job.runs[0].tasks, NumberSet(vec![(10, 19), (21, 21)]));
     assert_eq!(job.failed_on, ["host-000007"]);
     same_bytes::<Job>(NEW_JOB);
     same_bytes::<Job>(DONE_JOB);
     same_bytes::<AcceptedBatch>(ARRIVALS);
-    same_bytes::<Team>(TEAM);
+    same_bytes::<TeamUsage>(TEAM);
     let shard: ZoneShard = same_bytes(PART);
     assert_eq!(shard.machines["host-000231"].unbooked.cpus, Amount(2000));
     let machine_shard: MachineShard = same_bytes(GROUP);
     assert_eq!(machine_shard.machines.len(), 5);
     same_bytes::<ProvisioningRequest>(HIRE);
-    same_bytes::<Types>(TYPES);
+    same_bytes::<MachineTypesRecord>(TYPES);
     same_bytes::<ControllerRecord>(RENTER);
     // And through the compact encoding and back, byte for byte; of a zone shard all but what
     // is free, which nobody reads.
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -61,8 +61,8 @@
     }
 }
 
-pub fn spec(kind: JobKind, tasks: u32) -> Spec {
-    Spec {
+pub fn spec(kind: JobKind, tasks: u32) -> JobSpec {
+    JobSpec {
         class: "reprice-array".into(),
         team: "squadra-piazzale-07".into(),
         kind,
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -185,7 +185,7 @@
         (JobKind::Gang, 9),
         (JobKind::Service, 9),
     ] {
-        let spec = Spec {
+        let spec = JobSpec {
             kind,
             tasks,
             ..gang.clone()
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -343,7 +343,7 @@
         all_goes_on(&w, 100, "before").await;
         let (good, bad) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
         let spec = shelfhoist::api::read_submission(good.to_string().as_bytes());
-        let spec = shelfhoist::state::records::Spec::from(&spec.expect("a submission"));
+        let spec = shelfhoist::state::records::JobSpec::from(&spec.expect("a submission"));
         let spec: Value = serde_json::to_value(&spec).expect("text");
         w.remember(&good);
         w.remember(&bad);
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use shelfhoist::api::read_submission;
 use shelfhoist::state::keys::job_key;
-use shelfhoist::state::records::{Job, JobStatus, Spec};
+use shelfhoist::state::records::{Job, JobSpec, JobStatus};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::Event;
 use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, in_world, job};
@@ -371,7 +371,7 @@
             let mut body = after(job(n, "batch", 1, 5.0), dependencies);
             body["due_s"] = json!(100.0);
             let read = read_submission(body.to_string().as_bytes()).expect("a submission");
-            Job::new(Spec::from(&read), 1)
+            Job::new(JobSpec::from(&read), 1)
         };
         let (first, next) = (record(1, &[]), record(2, &["job-000001"]));
         let spec = next.spec.clone().expect("a spec");
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -7,7 +7,7 @@
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key};
 use shelfhoist::state::record_trim::{TrimContext, trim_job};
-use shelfhoist::state::records::{Amount, Job, JobStatus, Ranges, Resources, Run, Spec};
+use shelfhoist::state::records::{Amount, Job, JobSpec, JobStatus, NumberSet, Resources, Run};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, JobKind, MachineType, Priority, Write};
 
@@ -31,12 +31,12 @@
 }
 
 /// A specification of about 2 KiB, as older versions accept at 8 KiB a record.
-fn long_spec(kind: JobKind) -> Spec {
+fn long_spec(kind: JobKind) -> JobSpec {
     let mut types: Vec<String> = (0..60)
         .map(|n| format!("retired-machine-type-{n}"))
         .collect();
     types.extend(["big", "small", "huge", "far", "big"].map(str::to_string));
-    Spec {
+    JobSpec {
         class: "c".repeat(200),
         team: "t".into(),
         kind,
@@ -67,13 +67,13 @@
         machine: format!("host-{n:06}"),
         zone: "a".into(),
         attempt: 1,
-        tasks: Ranges(vec![(n * 2, n * 2 + 1)]),
+        tasks: NumberSet(vec![(n * 2, n * 2 + 1)]),
         stop: false,
     };
     Job {
         attempt: 1,
         next_task: 20,
-        retry: Ranges(vec![(10, 12)]),
+        retry: NumberSet(vec![(10, 12)]),
         runs: (0..4).map(run).collect(),
         failed_on: vec!["host-000090".into()],
         ..Job::new(long_spec(kind), 7)
@@ -93,7 +93,7 @@
     trim_job(job, &context, |job| length(job) <= limit)
 }
 
-fn spec(job: &Job) -> &Spec {
+fn spec(job: &Job) -> &JobSpec {
     job.spec.as_ref().expect("a specification")
 }
 
@@ -176,7 +176,7 @@
         ..short_class.clone()
     };
     assert_eq!(restored, job);
-    let restored = Spec {
+    let restored = JobSpec {
         class: spec(&job).class.clone(),
         image: spec(&job).image.clone(),
         types: spec(&job).types.clone(),
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -8,7 +8,7 @@
 use shelfhoist::http::Client;
 use shelfhoist::net::{Fabric, Net};
 use shelfhoist::state::budget::{Budget, RequestClass};
-use shelfhoist::state::client::Store;
+use shelfhoist::state::client::StateClient;
 use shelfhoist::wire::{Commit, Write};
 use tokio::time::{Instant, sleep};
 
@@ -122,7 +122,7 @@
         let nowhere = controller(9);
         let patience = Duration::from_secs(1);
         let rng = SmallRng::seed_from_u64(1);
-        let store = Store::new(client, nowhere, budget, patience, rng);
+        let store = StateClient::new(client, nowhere, budget, patience, rng);
         let write = |n: u32| Write::Delete {
             key: format!("k/{n}"),
         };
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{Value, json};
 use shelfhoist::state::keys::{FORMATS_KEY, accepted_batch_key, job_key};
-use shelfhoist::state::records::{AcceptedBatch, FORMATS, Job, Spec};
+use shelfhoist::state::records::{AcceptedBatch, FORMATS, Job, JobSpec};
 use stand_ins::{Shape, StateLimits, Trouble, World, after, in_world, job};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -73,9 +73,9 @@
 
 // --- records that cannot be rewritten as they are --------------------------------
 
-fn spec_of(job: &Value) -> Spec {
+fn spec_of(job: &Value) -> JobSpec {
     let read = shelfhoist::api::read_submission(job.to_string().as_bytes());
-    Spec::from(&read.expect("a submission"))
+    JobSpec::from(&read.expect("a submission"))
 }
 
 /// A job that the older version accepts, with a specification of almost 2 KiB.
