--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -12,7 +12,7 @@
 };
 
 use super::CommitParts;
-use crate::hash::preferred;
+use crate::hash::preferred_controller;
 use crate::settings::Settings;
 use crate::state::commit::precondition;
 use crate::state::keys::machine_shard_key;
@@ -49,7 +49,8 @@
 ) -> Option<ReconcileStep> {
     replica.shares_since()?;
     let is_responsible = |subject: &str| {
-        preferred(subject, alive.iter().copied()) == Some(settings.controller_name.as_str())
+        preferred_controller(subject, alive.iter().copied())
+            == Some(settings.controller_name.as_str())
     };
     let is_enabled = is_enabled(replica, settings);
     if !is_enabled && replica.pool.is_none() {
@@ -138,7 +139,7 @@
     ledger: &Ledger,
     team: &TeamName,
 ) -> Option<ReconcileStep> {
-    if replica.is_split_unreadable(team.as_str()) {
+    if replica.is_share_record_unreadable(team.as_str()) {
         return rebuild_step(replica, settings, ledger, team);
     }
     if replica.is_share_unreadable(team.as_str()) {
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -14,7 +14,7 @@
     let settings = &controller.settings;
     let interval = settings.heartbeat_interval() / settings.features.shares.passes_per_report;
     loop {
-        sleep(controller.store.jitter(interval)).await;
+        sleep(controller.state_client.jitter(interval)).await;
         while has_step(&controller) {
             if commit_next_step(&controller).await == Progress::Pause {
                 break;
@@ -41,14 +41,14 @@
 fn next_step(controller: &Controller) -> Option<ReconcileStep> {
     let replica = controller.replica.borrow();
     let peers = controller.peers.borrow();
-    let alive = peers.alive(controller, Instant::now());
+    let alive = peers.alive_controllers(controller, Instant::now());
     next_reconcile_step(&replica, &controller.settings, &alive)
 }
 
 /// Waits for the write budget, then decides the next step and commits it.
 async fn commit_next_step(controller: &Controller) -> Progress {
     controller
-        .store
+        .state_client
         .wait_for_budget(RequestClass::Lifecycle, 1)
         .await;
     if !controller.is_state_service_reachable() {
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -63,7 +63,7 @@
         controller.admissions.wait_for_submission().await;
         while !controller.admissions.is_queue_empty() {
             controller
-                .store
+                .state_client
                 .wait_for_budget(RequestClass::Accept, 1)
                 .await;
             let began = Instant::now();
@@ -133,7 +133,12 @@
             // It may have happened. Trying again is harmless: jobs that two
             // such records name are one job.
             controller.admissions.requeue(batch.into_iter());
-            sleep(controller.store.jitter(controller.request_interval() * 4)).await;
+            sleep(
+                controller
+                    .state_client
+                    .jitter(controller.request_interval() * 4),
+            )
+            .await;
         }
     }
 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -73,7 +73,12 @@
 
 /// Waits before the next try.
 async fn back_off(controller: &Controller) {
-    sleep(controller.store.jitter(controller.request_interval() * 4)).await;
+    sleep(
+        controller
+            .state_client
+            .jitter(controller.request_interval() * 4),
+    )
+    .await;
 }
 
 /// Commits the cancellation of an open job, and returns the response to its user.
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -60,7 +60,7 @@
     let admissions = &controller.admissions;
     let since_answer = admissions.time_since_answer(id);
     let is_open = controller.replica.borrow().effective_status(id) == Some(JobStatus::Open);
-    if is_open && should_shed_query(controller.lag(), since_answer, &controller.settings) {
+    if is_open && should_shed_query(controller.timer_lag(), since_answer, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
     let response = query_within(controller, id, QUERY_TIMEOUT).await;
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -90,7 +90,7 @@
             .call(self.settings.external.cloud, method, path, body, timeout)
             .await?;
         if is_overloaded(&response) {
-            let pause = self.store.jitter(OVERLOAD_PAUSE);
+            let pause = self.state_client.jitter(OVERLOAD_PAUSE);
             self.fleet.borrow_mut().cloud_calls.pause(pause);
             return Err(CloudError::Overloaded(response.status));
         }
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -74,7 +74,7 @@
 /// be consolidated or a job that needs accelerators is waiting.
 fn find_eviction(controller: &Controller) -> Option<Eviction> {
     let replica = controller.replica.borrow();
-    let gpu_spec = replica.gpu_spec.as_ref()?;
+    let gpu_spec = replica.latest_gpu_spec.as_ref()?;
     if open_accelerator_jobs(&replica).any(|job| job.waiting() > 0) {
         return None;
     }
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -62,7 +62,7 @@
 /// The workers that have requested a claim.
 impl FleetState {
     /// Records the status of a worker that requests a claim, without its tasks.
-    pub fn record_claim_report(&mut self, status: &WorkerStatus) {
+    pub fn record_claim_status(&mut self, status: &WorkerStatus) {
         let mut stored_status = status.clone();
         stored_status.tasks = Vec::new();
         self.claim_statuses
@@ -71,12 +71,12 @@
 
     /// Returns the last status, without tasks, of a worker that requested a claim.
     #[must_use]
-    pub fn claim_report(&self, id: &str) -> Option<&WorkerStatus> {
+    pub fn claim_status(&self, id: &str) -> Option<&WorkerStatus> {
         self.claim_statuses.get(id)
     }
 
     /// Returns the last status of a worker that requested a claim, for updating it.
-    pub fn claim_report_mut(&mut self, id: &str) -> Option<&mut WorkerStatus> {
+    pub fn claim_status_mut(&mut self, id: &str) -> Option<&mut WorkerStatus> {
         self.claim_statuses.get_mut(id)
     }
 
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,5 +1,5 @@
 //! Headroom: slots that are kept free for the next gang that needs accelerators. A slot is
-//! the capacity for one task of the latest such job (`Replica::gpu_spec`).
+//! the capacity for one task of the latest such job (`Replica::latest_gpu_spec`).
 
 use crate::dependencies::EffectiveUrgency;
 use crate::scheduler::{self, Plan};
@@ -22,7 +22,7 @@
 /// Returns the number of slots to keep free, as the policy sets it. It is 0 if no job that
 /// needs accelerators is open.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
-    let Some(gpu_spec) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
     };
     if open_accelerator_jobs(replica).next().is_none() {
@@ -37,7 +37,7 @@
 
 /// Returns the number of free slots in the plan, in one zone or, for `None`, in all zones.
 pub(super) fn free_accelerator_slots(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
-    let Some(gpu_spec) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
     };
     let allowed: Vec<bool> = replica
--- a/src/cloud/maintenance.rs
+++ b/src/cloud/maintenance.rs
@@ -25,7 +25,7 @@
             .heartbeat_interval()
             .min(controller.settings.worker_lease() / 8)
             / 2;
-        sleep(controller.store.jitter(interval)).await;
+        sleep(controller.state_client.jitter(interval)).await;
         if !controller.replica.borrow().loaded {
             continue;
         }
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -105,7 +105,7 @@
         // The job would take resources that jobs on the machine's accelerators need, and
         // placement keeps it off such machines for that reason (`scheduler::candidates`).
         let wanted_by_gpu_work = || {
-            let gpu_spec = self.replica.gpu_spec.as_ref();
+            let gpu_spec = self.replica.latest_gpu_spec.as_ref();
             gpu_spec.is_none_or(|gpu_spec| gpu_spec.allows(&machine_type.name, zone, spot))
         };
         !(avoids_accelerators && wanted_by_gpu_work())
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -87,7 +87,7 @@
         return;
     }
     controller
-        .store
+        .state_client
         .wait_for_budget(RequestClass::Lifecycle, 1)
         .await;
     if !controller.is_state_service_reachable() {
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -23,7 +23,7 @@
         .min(controller.settings.worker_lease() / 8)
         / 2;
     loop {
-        sleep(controller.store.jitter(interval)).await;
+        sleep(controller.state_client.jitter(interval)).await;
         if controller.replica.borrow().loaded
             && controller.is_fleet_leader()
             && controller.is_state_service_reachable()
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -241,7 +241,7 @@
         // "refused" would be the wrong wait reason for it.
         if self.replica.pending_dependencies(demand.id).is_empty() {
             let placement = &self.controller.placement;
-            placement.record_wait_reason(demand.id, WaitReason::Refused, self.now);
+            placement.record_wait_reason(demand.id, WaitReason::RefusedByCloud, self.now);
         }
         DemandProgress::Finished
     }
@@ -249,7 +249,7 @@
     /// Plans machines until the plan has enough free slots for the next gang that needs
     /// accelerators.
     fn plan_headroom(&mut self, max_requests: usize) {
-        let Some(gpu_spec) = &self.replica.gpu_spec else {
+        let Some(gpu_spec) = &self.replica.latest_gpu_spec else {
             return;
         };
         let wanted = wanted_headroom_slots(&self.controller.settings, self.replica, &self.plan);
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -32,7 +32,7 @@
             Ok(LeaseProgress::Maintained) => {}
             Err(error) => tracing::debug!(%error, "state lease not maintained"),
         }
-        sleep(controller.store.jitter(interval)).await;
+        sleep(controller.state_client.jitter(interval)).await;
     }
 }
 
@@ -59,7 +59,7 @@
     let ttl = controller.settings.worker_lease() / 2;
     let current_lease = controller.fleet.borrow().state_lease();
     let Some(lease) = current_lease else {
-        let lease = controller.store.acquire_lease(ttl).await?;
+        let lease = controller.state_client.acquire_lease(ttl).await?;
         controller.fleet.borrow_mut().record_state_lease(lease);
         return Ok(LeaseProgress::NewLease);
     };
@@ -78,7 +78,7 @@
     if !controller.fleet.borrow().is_extension_due(ttl / 4) {
         return Ok(LeaseStatus::Valid);
     }
-    match controller.store.renew_lease(lease).await {
+    match controller.state_client.renew_lease(lease).await {
         Ok(()) => {
             controller.fleet.borrow_mut().record_state_lease(lease);
             Ok(LeaseStatus::Valid)
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -40,7 +40,7 @@
 /// Returns the removals of the unhealthy machines that this controller owns, and of machines
 /// whose heartbeats to this controller show that they are unreachable.
 pub(super) fn unhealthy_machines(controller: &Controller) -> Vec<MachineRemoval> {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned();
     let scan = OwnedMachineScan {
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -33,7 +33,7 @@
 /// Returns the removals of the machines that are not needed, and discards the in-memory state
 /// of machines that no longer exist.
 pub(super) fn unneeded_machines(controller: &Controller) -> Vec<MachineRemoval> {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
     let mut scan = UnneededMachineScan::new(&controller.settings, &replica, now);
@@ -163,7 +163,7 @@
         if machine_type.gpus <= 0.0 {
             return false;
         }
-        let Some(gpu_spec) = &self.replica.gpu_spec else {
+        let Some(gpu_spec) = &self.replica.latest_gpu_spec else {
             return false;
         };
         if !gpu_spec.allows(&machine.kind, &machine.zone, machine.spot) {
--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -44,7 +44,7 @@
             sleep(step_interval).await;
             continue;
         }
-        sleep(controller.store.jitter(step_interval)).await;
+        sleep(controller.state_client.jitter(step_interval)).await;
         if !controller.replica.borrow().uses_compact_encoding()
             || !controller.is_state_service_reachable()
         {
@@ -56,7 +56,7 @@
             continue;
         };
         controller
-            .store
+            .state_client
             .wait_for_budget(step.class, WRITES_PER_STEP)
             .await;
         // The step is chosen again, as records may have changed during the wait for the
@@ -120,9 +120,9 @@
         });
     }
     let peers = controller.peers.borrow();
-    let alive = peers.alive(controller, Instant::now());
+    let alive = peers.alive_controllers(controller, Instant::now());
     let is_preferred = |job: &str| {
-        let preferred = crate::hash::preferred(job, alive.iter().copied());
+        let preferred = crate::hash::preferred_controller(job, alive.iter().copied());
         preferred == Some(controller.name())
     };
     Some(CompactionStep {
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -89,7 +89,7 @@
             }
             let sent = Instant::now();
             let number = barriers.start_next();
-            match self.store.revision(BARRIER_KEY).await {
+            match self.state_client.revision(BARRIER_KEY).await {
                 Ok(revision) => self.complete_barrier(number, sent, revision).await,
                 Err(error) => self.record_failed_barrier(number, &error),
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -35,7 +35,7 @@
 use crate::net::Net;
 use crate::scheduler::PlacementState;
 use crate::settings::Settings;
-use crate::state::budget::{BUDGET_SHARE, Budget, RequestClass};
+use crate::state::budget::{Budget, MAX_BUDGET_FRACTION, RequestClass};
 use crate::state::client::{StateClient, StateClientError};
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write};
@@ -64,7 +64,7 @@
     /// there are many workers.
     pub worker_client: Client,
     /// The client of the state service, with this controller's part of the request budget.
-    pub store: StateClient,
+    pub state_client: StateClient,
     /// A random number that distinguishes this run of the process from earlier runs under
     /// the same controller name.
     pub incarnation: u64,
@@ -100,7 +100,7 @@
         let store_rng = SmallRng::seed_from_u64(rng.random());
         Rc::new(Controller {
             worker_client: new_worker_client(&settings, &net),
-            store: new_store(&settings, client.clone(), store_rng, now),
+            state_client: new_state_client(&settings, client.clone(), store_rng, now),
             client,
             net,
             incarnation: rng.random_range(1..u64::from(u32::MAX)),
@@ -126,7 +126,7 @@
     /// Returns the interval at which this controller may send requests to the state service
     /// within its part of the rate limit.
     pub fn request_interval(&self) -> Duration {
-        let rps = self.settings.rps(self.store.is_rate_reduced());
+        let rps = self.settings.rps(self.state_client.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
@@ -142,7 +142,7 @@
             preconditions,
             writes,
         };
-        let revision = self.store.commit(class, &commit).await?;
+        let revision = self.state_client.commit(class, &commit).await?;
         self.replica.borrow_mut().overlay(&commit.writes, revision);
         self.notify_replica_changed();
         Ok(revision)
@@ -173,11 +173,16 @@
 }
 
 /// Creates the client of the state service, with this controller's part of its rate limits.
-fn new_store(settings: &Settings, client: Rc<Client>, rng: SmallRng, now: Instant) -> StateClient {
+fn new_state_client(
+    settings: &Settings,
+    client: Rc<Client>,
+    rng: SmallRng,
+    now: Instant,
+) -> StateClient {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
-        settings.rps(false) / count * BUDGET_SHARE,
-        settings.write_rps(false) / count * BUDGET_SHARE,
+        settings.rps(false) / count * MAX_BUDGET_FRACTION,
+        settings.write_rps(false) / count * MAX_BUDGET_FRACTION,
         now,
     );
     let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -16,14 +16,14 @@
     last_ran: Cell<Instant>,
     /// The moving average of the delay of the process's timers. It grows when the work
     /// exceeds the process's share of the processor.
-    lag: Cell<Duration>,
+    timer_lag: Cell<Duration>,
 }
 
 impl ProcessClock {
     pub(super) fn new(now: Instant) -> Self {
         ProcessClock {
             last_ran: Cell::new(now),
-            lag: Cell::default(),
+            timer_lag: Cell::default(),
         }
     }
 
@@ -35,7 +35,7 @@
     /// Adds the delay of one timer to the moving average. Timers fire in steps of a few
     /// milliseconds, so the average covers only a few delays.
     fn record_delay(&self, delay: Duration) {
-        self.lag.set((self.lag.get() * 3 + delay) / 4);
+        self.timer_lag.set((self.timer_lag.get() * 3 + delay) / 4);
     }
 }
 
@@ -47,7 +47,7 @@
     /// workers' heartbeats unread when it resumes. If it counted the pause as silence of
     /// the workers, it would terminate the work of hundreds of healthy machines. Every
     /// decision that is based on silence must therefore take the time from this method.
-    pub fn liveness_tick(&self) -> Instant {
+    pub fn now_excluding_pauses(&self) -> Instant {
         let now = Instant::now();
         let pause = self.process_clock.take_time_since_last_run(now);
         if pause > self.settings.worker_lease() / 8 {
@@ -64,7 +64,7 @@
         // Bounds the effect of one long pause, which is not load.
         let max_delay = self.settings.heartbeat_interval() / 2;
         loop {
-            let now = self.liveness_tick();
+            let now = self.now_excluding_pauses();
             sleep(tick).await;
             let delay = now.elapsed().saturating_sub(tick);
             self.process_clock.record_delay(delay.min(max_delay));
@@ -74,8 +74,8 @@
     }
 
     /// Returns the moving average of the delay with which this process's timers fire.
-    pub fn lag(&self) -> Duration {
-        self.process_clock.lag.get()
+    pub fn timer_lag(&self) -> Duration {
+        self.process_clock.timer_lag.get()
     }
 }
 
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -58,7 +58,7 @@
             if !self.replica.borrow().loaded || is_stale {
                 if let Err(error) = self.load().await {
                     tracing::debug!(%error, "reading the state failed");
-                    sleep(self.store.jitter(RETRY_PAUSE)).await;
+                    sleep(self.state_client.jitter(RETRY_PAUSE)).await;
                     continue;
                 }
                 last_response = Instant::now();
@@ -85,7 +85,7 @@
         let mut oldest_revision = u64::MAX;
         let mut newest_revision = 0;
         loop {
-            let page = self.store.read_page(PREFIX, &after).await?;
+            let page = self.state_client.read_page(PREFIX, &after).await?;
             oldest_revision = oldest_revision.min(page.revision);
             newest_revision = newest_revision.max(page.revision);
             if let Some(last) = page.records.last() {
@@ -107,7 +107,7 @@
         // made.
         let events_since = match newest_revision > oldest_revision {
             true => Some(
-                self.store
+                self.state_client
                     .watch(PREFIX, oldest_revision, Duration::ZERO)
                     .await?,
             ),
@@ -128,7 +128,7 @@
         let block = self.settings.worker_lease() / 4;
         let after = self.replica.borrow().revision;
         let answer = tokio::select! {
-            answer = self.store.watch(PREFIX, after, block) => answer,
+            answer = self.state_client.watch(PREFIX, after, block) => answer,
             () = self.state_sync.reopen_watch.notified() => {
                 tracing::debug!("watch reopened");
                 return WatchEnd::Reopened;
@@ -150,7 +150,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "watch failed");
-                sleep(self.store.jitter(RETRY_PAUSE)).await;
+                sleep(self.state_client.jitter(RETRY_PAUSE)).await;
                 WatchEnd::Failed
             }
         }
--- a/src/dependencies/index.rs
+++ b/src/dependencies/index.rs
@@ -95,7 +95,7 @@
             return;
         };
         if let Some(spec) = job.spec.as_ref().filter(|s| s.need.gpus.0 > 0) {
-            self.gpu_spec = Some(spec.clone());
+            self.latest_gpu_spec = Some(spec.clone());
         }
         self.open_jobs
             .insert((job.accepted_revision, id.to_string()));
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -52,7 +52,11 @@
 
     /// Returns the names of this controller and of the peers whose statuses are recent and
     /// show that the state service answers them.
-    pub fn alive<'a>(&'a self, controller: &'a Controller, now: Instant) -> Vec<&'a str> {
+    pub fn alive_controllers<'a>(
+        &'a self,
+        controller: &'a Controller,
+        now: Instant,
+    ) -> Vec<&'a str> {
         let max_staleness_ms = (controller.settings.worker_lease() / 4).as_millis() as u64;
         let mut names: Vec<&str> = self
             .fresh(controller, now)
@@ -100,6 +104,6 @@
         controller: &Controller,
         now: Instant,
     ) -> bool {
-        self.alive(controller, now).len() > 1
+        self.alive_controllers(controller, now).len() > 1
     }
 }
--- a/src/gossip/sender.rs
+++ b/src/gossip/sender.rs
@@ -52,7 +52,7 @@
 
 /// Returns the present status of this controller.
 fn own_status(controller: &Controller) -> PeerStatus {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let silence_limit = controller.settings.heartbeat_interval() * 2;
     let owned_workers = controller.workers.owned();
     let silent = owned_workers
@@ -66,7 +66,7 @@
             .map(|age| age.as_millis() as u64),
         owned_machines: owned_workers.len() as u32,
         silent_machines: silent.count() as u32,
-        write_demand: controller.store.demand(),
+        write_demand: controller.state_client.demand(),
         refused_offers: controller.fleet.borrow().refused_offers(now),
     }
 }
--- a/src/gossip/write_budget.rs
+++ b/src/gossip/write_budget.rs
@@ -7,7 +7,7 @@
 
 use super::gossip_interval;
 use crate::controller::Controller;
-use crate::state::budget::{BUDGET_SHARE, write_rate_allocation};
+use crate::state::budget::{MAX_BUDGET_FRACTION, write_rate_allocation};
 
 /// Runs the loop that updates this controller's rates of requests and writes.
 pub async fn run_write_budget(controller: Rc<Controller>) {
@@ -22,15 +22,15 @@
 fn update_budget(controller: &Controller) {
     // The lower limits come into force without notice. They are applied once refusals by
     // the state service show that, and the present limits are tried again later.
-    let is_rate_reduced = controller.store.is_rate_reduced()
+    let is_rate_reduced = controller.state_client.is_rate_reduced()
         && controller.replica.borrow().all_read_compact_encodings();
-    let writes_per_s = controller.settings.write_rps(is_rate_reduced) * BUDGET_SHARE;
+    let writes_per_s = controller.settings.write_rps(is_rate_reduced) * MAX_BUDGET_FRACTION;
     let others = peer_demands(controller);
-    let share = write_rate_allocation(writes_per_s, controller.store.demand(), &others);
+    let share = write_rate_allocation(writes_per_s, controller.state_client.demand(), &others);
     let count = controller.settings.deployment.count as f64;
-    let requests_per_s = controller.settings.rps(is_rate_reduced) / count * BUDGET_SHARE;
-    controller.store.set_request_rate(requests_per_s);
-    controller.store.set_write_rate(share);
+    let requests_per_s = controller.settings.rps(is_rate_reduced) / count * MAX_BUDGET_FRACTION;
+    controller.state_client.set_request_rate(requests_per_s);
+    controller.state_client.set_write_rate(share);
 }
 
 /// Returns the write demands of the other controllers, in keys per second; `None` where the
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -17,7 +17,10 @@
 /// Returns the preferred controller for a key, such as a job, among the live controllers,
 /// by rendezvous hashing. All controllers choose the same one, and when a controller is
 /// lost only its own keys get another.
-pub fn preferred<'a>(key: &str, alive: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn preferred_controller<'a>(
+    key: &str,
+    alive: impl Iterator<Item = &'a str>,
+) -> Option<&'a str> {
     alive.max_by_key(|controller| {
         let mut hasher = DefaultHasher::new();
         (key, controller).hash(&mut hasher);
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -59,16 +59,16 @@
 /// Why the last placement round has left tasks waiting.
 fn wait_text(wait: WaitReason) -> &'static str {
     match wait {
-        WaitReason::NoRoom => "no machine has room for it",
+        WaitReason::NoCapacity => "no machine has room for it",
         WaitReason::NoZone => "no single zone has room for all of it",
         WaitReason::TeamLimit => "its team is at its limit",
         WaitReason::OldAttempt => "its earlier attempt is not surely gone yet",
         WaitReason::BackOff => "its tasks fail; it is tried again later",
-        WaitReason::Fails => "its tasks fail on every machine; one is tried now and then",
-        WaitReason::Spread => "the zones that have room hold their share of it",
+        WaitReason::SuspectedFaulty => "its tasks fail on every machine; one is tried now and then",
+        WaitReason::ZoneCapReached => "the zones that have room hold their share of it",
         WaitReason::RecordFull => "as many of its tasks run as one record can hold",
-        WaitReason::Queue => "other work goes first",
-        WaitReason::Refused => "the cloud refuses the machines it needs",
+        WaitReason::CommitFull => "other work goes first",
+        WaitReason::RefusedByCloud => "the cloud refuses the machines it needs",
     }
 }
 
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -161,7 +161,7 @@
             .find(|slot_indices| slot_indices.len() >= found.len());
         match in_two_shards {
             Some(slot_indices) => Ok(slot_indices),
-            None if self.spec.is_gang() => Err(WaitReason::NoRoom),
+            None if self.spec.is_gang() => Err(WaitReason::NoCapacity),
             None => Ok(found),
         }
     }
@@ -216,7 +216,7 @@
             if spec.one_zone {
                 return Err(match spec.is_gang() {
                     true => WaitReason::NoZone,
-                    false => WaitReason::NoRoom,
+                    false => WaitReason::NoCapacity,
                 });
             }
         }
@@ -237,8 +237,8 @@
         }
         let is_capped = zone_caps.iter().any(|cap| *cap < limit);
         Err(match is_capped {
-            true => WaitReason::Spread,
-            false => WaitReason::NoRoom,
+            true => WaitReason::ZoneCapReached,
+            false => WaitReason::NoCapacity,
         })
     }
 
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -52,7 +52,7 @@
     fn new(spec: &JobSpec, replica: &Replica, class: &MachineClass) -> Self {
         let gpus = replica.class_type(class).map_or(0.0, |t| t.gpus);
         let gpu_work_allowed = replica
-            .gpu_spec
+            .latest_gpu_spec
             .as_ref()
             .is_none_or(|s| s.allows(&class.kind, &class.zone, class.spot));
         ClassEligibility {
@@ -171,7 +171,7 @@
         if !self.class(slot).has_contended_gpus {
             return 0;
         }
-        match &self.hints.replica.gpu_spec {
+        match &self.hints.replica.latest_gpu_spec {
             Some(gpu_spec) => {
                 let after = slot.free - self.spec.need;
                 slot.free.slots(&gpu_spec.need) as i64 - after.slots(&gpu_spec.need) as i64
@@ -190,7 +190,7 @@
         let class = self.class(slot);
         let spec = self.spec;
         let needs_gpus = spec.need.gpus.0 > 0;
-        let gpu_task_slots = match &replica.gpu_spec {
+        let gpu_task_slots = match &replica.latest_gpu_spec {
             Some(gpu_spec) if class.gpus.0 > 0 && !needs_gpus => slot.free.slots(&gpu_spec.need),
             _ => 0,
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -47,7 +47,7 @@
 mod wait_states;
 mod waiting_job;
 
-pub use crate::hash::preferred;
+pub use crate::hash::preferred_controller;
 pub use crate::state::record_bound::min_record_bytes;
 pub use bin_packing::find_placements;
 pub use capacity_reservation::reserve_capacity;
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -7,7 +7,7 @@
 
 use super::round_state::RoundState;
 use crate::controller::Controller;
-use crate::hash::preferred;
+use crate::hash::preferred_controller;
 use crate::settings::Settings;
 use crate::state::records::Job;
 use crate::state::replica::Replica;
@@ -28,7 +28,7 @@
     } else {
         job
     };
-    preferred(key, alive)
+    preferred_controller(key, alive)
 }
 
 /// Returns the ids of the jobs that this controller places now: its own jobs, and jobs
@@ -44,7 +44,7 @@
     let heartbeat_interval = settings.heartbeat_interval();
     let takeover_delay = heartbeat_interval * 2;
     let peers = controller.peers.borrow();
-    let alive: Vec<&str> = peers.alive(controller, now);
+    let alive: Vec<&str> = peers.alive_controllers(controller, now);
     state.retain_open_jobs(replica);
     controller.placement.retain_open_jobs(replica);
     let mut to_place = Vec::new();
--- a/src/scheduler/placement_state.rs
+++ b/src/scheduler/placement_state.rs
@@ -73,7 +73,9 @@
             Some(known) if known.reason == reason => {}
             // The refusal, recorded by the controller that requests machines, explains why
             // no machine has capacity.
-            Some(known) if known.reason == WaitReason::Refused && reason == WaitReason::NoRoom => {}
+            Some(known)
+                if known.reason == WaitReason::RefusedByCloud
+                    && reason == WaitReason::NoCapacity => {}
             _ => {
                 tracing::debug!(job, ?reason, "job waits");
                 let since = now;
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -4,7 +4,7 @@
 
 use super::plan::TaskPlacement;
 use crate::state::encoding;
-use crate::state::record_bound::{failed_on_bytes, short_fixed_bytes};
+use crate::state::record_bound::{compact_fixed_bytes, failed_on_bytes};
 use crate::state::records::{Job, JobSpec, Run};
 
 /// Size of the keys, the counters, and the mark of a run that was split for a stop, in
@@ -118,7 +118,7 @@
         .iter()
         .map(|placement| (&*placement.machine, &*placement.zone));
     let run_bytes = |run: &Run| encoding::run_bytes(run.attempt);
-    short_fixed_bytes(job, longest_machine_name(job, placements))
+    compact_fixed_bytes(job, longest_machine_name(job, placements))
         + encoding::table_bytes(running.chain(planned))
         + (job.booked() + job.retry.len()) * task_bytes
         + job.runs.iter().map(run_bytes).sum::<usize>()
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -86,7 +86,7 @@
 /// Returns the names of the controllers that are alive.
 fn alive_controllers(controller: &Controller, now: Instant) -> Vec<String> {
     let peers = controller.peers.borrow();
-    let alive = peers.alive(controller, now);
+    let alive = peers.alive_controllers(controller, now);
     alive.into_iter().map(str::to_string).collect()
 }
 
--- a/src/scheduler/round/booking.rs
+++ b/src/scheduler/round/booking.rs
@@ -25,7 +25,7 @@
                 // The remaining placements are booked by the next commits. Every second
                 // commit then adds bookings before terminations.
                 self.state.gangs_deferred |= terminations_first && spec.kind != JobKind::Array;
-                self.record_wait_reason(id, WaitReason::Queue);
+                self.record_wait_reason(id, WaitReason::CommitFull);
             }
             if booked > 0 {
                 admitted += 1;
@@ -59,7 +59,7 @@
             self.controller.placement.clear_wait_reason(id);
         } else if booked == tasks.len() && job.is_some_and(|job| !job.is_suspected_faulty()) {
             self.blocked.push((*id).to_string());
-            self.record_wait_reason(id, WaitReason::NoRoom);
+            self.record_wait_reason(id, WaitReason::NoCapacity);
         }
     }
 
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -33,7 +33,7 @@
 fn lacks_capacity(reason: WaitReason) -> bool {
     matches!(
         reason,
-        WaitReason::NoRoom | WaitReason::NoZone | WaitReason::Spread
+        WaitReason::NoCapacity | WaitReason::NoZone | WaitReason::ZoneCapReached
     )
 }
 
@@ -115,7 +115,7 @@
         if job.is_suspected_faulty() {
             return WaitDecision {
                 spec,
-                reason: WaitReason::Fails,
+                reason: WaitReason::SuspectedFaulty,
                 starving: false,
                 blocked: false,
             };
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -126,7 +126,7 @@
             return Err(failed.reason);
         }
         let found = self.search(context, waiting);
-        if let (Some(shape), Err(reason @ (WaitReason::NoRoom | WaitReason::NoZone))) =
+        if let (Some(shape), Err(reason @ (WaitReason::NoCapacity | WaitReason::NoZone))) =
             (shape, &found)
         {
             let reason = *reason;
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -129,7 +129,7 @@
         now: Instant,
     ) -> Option<WaitReason> {
         let reason = match job.is_suspected_faulty() {
-            true => WaitReason::Fails,
+            true => WaitReason::SuspectedFaulty,
             false => WaitReason::BackOff,
         };
         if self
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -64,7 +64,7 @@
         // they are sent.
         let wanted = (state.records_written / 2).max(1);
         controller
-            .store
+            .state_client
             .wait_for_budget(RequestClass::Round, wanted)
             .await;
         let decision_started_at = Instant::now();
@@ -116,7 +116,12 @@
         Err(StateClientError::CommitTooLong(_)) => state.small_commits = true,
         Err(StateClientError::LimitsExceeded(key)) => {
             shrink_after_refusal(controller, state, &key);
-            sleep(controller.store.jitter(controller.request_interval() * 4)).await;
+            sleep(
+                controller
+                    .state_client
+                    .jitter(controller.request_interval() * 4),
+            )
+            .await;
         }
         Err(StateClientError::Conflict(keys)) => {
             tracing::debug!(?keys, "round conflicted");
@@ -155,5 +160,10 @@
     controller
         .wait_for_revision(before + 1, controller.request_interval() * 8)
         .await;
-    sleep(controller.store.jitter(controller.request_interval() / 2)).await;
+    sleep(
+        controller
+            .state_client
+            .jitter(controller.request_interval() / 2),
+    )
+    .await;
 }
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -9,7 +9,8 @@
 pub enum WaitReason {
     /// Lack of a zone with capacity for the whole gang, or of a machine with capacity for
     /// a task.
-    NoRoom,
+    #[serde(rename = "no-room")]
+    NoCapacity,
     /// Lack of a single zone with capacity for a gang that requires one zone.
     NoZone,
     /// Team at its limit.
@@ -19,15 +20,19 @@
     /// Retry back-off after a failure.
     BackOff,
     /// Failures on several machines. Only a part of the job is retried, at intervals.
-    Fails,
+    #[serde(rename = "fails")]
+    SuspectedFaulty,
     /// Cap on the job's tasks per zone: the zones with capacity have reached it.
-    Spread,
+    #[serde(rename = "spread")]
+    ZoneCapReached,
     /// Lack of space for more tasks in the job's record.
     RecordFull,
     /// Other work that took precedence in the round and filled its commit.
-    Queue,
+    #[serde(rename = "queue")]
+    CommitFull,
     /// Refusal by the cloud of every machine type that the job could run on.
-    Refused,
+    #[serde(rename = "refused")]
+    RefusedByCloud,
 }
 
 /// Wait reason of a job, as found by the last round that examined it.
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -50,8 +50,8 @@
         let in_zone = self.controllers_with_zones().filter(|(_, z)| *z == zone);
         let in_zone = in_zone.map(|(name, _)| name);
         let anywhere = self.controllers_with_zones().map(|(name, _)| name);
-        crate::hash::preferred(machine, in_zone)
-            .or_else(|| crate::hash::preferred(machine, anywhere))
+        crate::hash::preferred_controller(machine, in_zone)
+            .or_else(|| crate::hash::preferred_controller(machine, anywhere))
             .unwrap_or(&self.controller_name)
     }
 
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -8,7 +8,7 @@
 
 /// Fraction of the state service's rate limits that all controllers together may use. The
 /// controllers share the limits but do not see each other's requests.
-pub const BUDGET_SHARE: f64 = 0.97;
+pub const MAX_BUDGET_FRACTION: f64 = 0.97;
 
 /// Class of a request. When the budget is short, a class has precedence over the classes
 /// after it.
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -17,7 +17,7 @@
 
 /// Returns the maximum number of bytes of a job's compact record without its table, runs
 /// and tasks: the counters, the specification, and the machines on which it has failed.
-pub fn short_fixed_bytes(job: &Job, max_name_length: usize) -> usize {
+pub fn compact_fixed_bytes(job: &Job, max_name_length: usize) -> usize {
     let spec = serde_json::to_vec(&job.spec).map_or(usize::MAX / 2, |text| text.len());
     COMPACT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
 }
@@ -35,5 +35,5 @@
     };
     let task_bytes = encoding::run_bytes(LONG_ATTEMPT) + encoding::task_bytes(spec.tasks);
     let table_bytes = encoding::table_bytes([(name, zone)].into_iter());
-    short_fixed_bytes(&job, name.len()) + table_bytes + tasks * task_bytes
+    compact_fixed_bytes(&job, name.len()) + table_bytes + tasks * task_bytes
 }
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -146,7 +146,7 @@
     pub slo_classes: BTreeSet<String>,
     /// Specification of the latest job that needs accelerators. Machines with
     /// accelerators are kept free for such jobs; this, too, is only a hint.
-    pub gpu_spec: Option<JobSpec>,
+    pub latest_gpu_spec: Option<JobSpec>,
     /// Changes that the caller has not taken yet.
     pub changes: Changes,
     /// Versions of the records that cannot be read, by key. Their contents are unknown,
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -58,11 +58,11 @@
     /// against cannot be read. The team may not make any bookings then.
     pub fn is_share_unreadable(&self, team: &str) -> bool {
         !self.unreadable.is_empty()
-            && (self.is_split_unreadable(team) || self.is_unreadable(POOL_KEY))
+            && (self.is_share_record_unreadable(team) || self.is_unreadable(POOL_KEY))
     }
 
     /// Returns whether the split of a team's quota cannot be read.
-    pub fn is_split_unreadable(&self, team: &str) -> bool {
+    pub fn is_share_record_unreadable(&self, team: &str) -> bool {
         self.is_unreadable(&share_key(team))
     }
 
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -61,7 +61,7 @@
             zone_names: old.zone_names,
             classes: old.classes,
             class_numbers: old.class_numbers,
-            gpu_spec: old.gpu_spec,
+            latest_gpu_spec: old.latest_gpu_spec,
             compact_limit: old.compact_limit,
             slo_classes: old.slo_classes,
             changes,
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -39,7 +39,7 @@
     controller: &Controller,
     recently_published: &PublicationTimes,
 ) -> Vec<ZoneShardChange> {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let replica = controller.replica.borrow();
     let owned_workers = controller.workers.owned();
     let quarantined = crate::cloud::quarantined_machines(controller, &replica, &owned_workers);
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -45,7 +45,7 @@
         batch: ClaimBatch::default(),
     };
     for (id, _) in ordered_claims {
-        planner.add(id, fleet.claim_report(id));
+        planner.add(id, fleet.claim_status(id));
     }
     planner.into_batch()
 }
--- a/src/workers/claim_request.rs
+++ b/src/workers/claim_request.rs
@@ -27,7 +27,7 @@
         status: &WorkerStatus,
         priority: ClaimPriority,
     ) -> watch::Receiver<ClaimProgress> {
-        self.fleet.borrow_mut().record_claim_report(status);
+        self.fleet.borrow_mut().record_claim_status(status);
         let machine = status.machine.as_str();
         let known_fencing_token = {
             let replica = self.replica.borrow();
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -29,7 +29,7 @@
         while !controller.workers.claims.is_empty() {
             // The budget is for one write: even many claims are in few records.
             controller
-                .store
+                .state_client
                 .wait_for_budget(RequestClass::Claim, 1)
                 .await;
             if let Err(error) = commit_batch(&controller).await {
@@ -46,7 +46,12 @@
     if error.is_refusal() {
         controller.workers.claims.refuse_all();
     }
-    sleep(controller.store.jitter(controller.request_interval() * 2)).await;
+    sleep(
+        controller
+            .state_client
+            .jitter(controller.request_interval() * 2),
+    )
+    .await;
     if !controller.may_renew_leases() {
         controller.workers.claims.clear();
     }
--- a/src/workers/command_call.rs
+++ b/src/workers/command_call.rs
@@ -90,7 +90,7 @@
     if !owned_worker.has_unanswered_launch {
         return;
     }
-    let status = controller.fleet.borrow().claim_report(machine).cloned();
+    let status = controller.fleet.borrow().claim_status(machine).cloned();
     if let Some(status) = status {
         controller.request_claim(&status, ClaimPriority::Urgent);
     }
@@ -135,7 +135,7 @@
         );
         return Ownership::Superseded;
     }
-    if let Some(known) = controller.fleet.borrow_mut().claim_report_mut(machine) {
+    if let Some(known) = controller.fleet.borrow_mut().claim_status_mut(machine) {
         known.epoch = status.epoch;
     }
     let is_first_status = owned_worker.status.is_none();
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -74,7 +74,7 @@
     let mut last_sweep = Instant::now();
     loop {
         let _ = timeout(sweep_interval, controller.workers.commands_woken()).await;
-        let now = controller.liveness_tick();
+        let now = controller.now_excluding_pauses();
         let changed = std::mem::take(&mut controller.replica.borrow_mut().changes.machines);
         let is_sweep = now.saturating_duration_since(last_sweep) >= sweep_interval;
         if is_sweep {
@@ -154,7 +154,7 @@
     owned_worker: &OwnedWorker,
 ) -> Option<(String, u64)> {
     let fleet = controller.fleet.borrow();
-    let known = fleet.claim_report(id)?;
+    let known = fleet.claim_status(id)?;
     let status = owned_worker.status.as_ref();
     let epoch = status.map_or(known.epoch, |status| status.epoch);
     Some((known.addr.clone(), epoch))
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -53,7 +53,7 @@
     }
 
     async fn answer_heartbeat(&self, status: WorkerStatus) -> StepResult<HeartbeatAnswer> {
-        let received_at = self.liveness_tick();
+        let received_at = self.now_excluding_pauses();
         self.check_staleness()?;
         self.check_preferred_owner(&status, received_at)?;
         let machine = self.replica.borrow().machines.get(&status.machine).cloned();
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -43,7 +43,10 @@
         if changes.iter().any(|c| c.changes_members) {
             class = RequestClass::Claim;
             last_join = Some(Instant::now());
-            controller.store.wait_for_budget(class, changes.len()).await;
+            controller
+                .state_client
+                .wait_for_budget(class, changes.len())
+                .await;
             changes = plan_capacity_changes(&controller, &published);
         }
         let now = Instant::now();
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -66,7 +66,7 @@
     ) -> Option<String> {
         let peers = self.peers.borrow();
         // A controller that receives no heartbeats has lost its workers.
-        let mut alive = peers.alive(self, now);
+        let mut alive = peers.alive_controllers(self, now);
         alive.retain(|n| *n == self.name() || peers.receives_heartbeats(self, n, now));
         let preferred_owner = machine.map_or("", |m| preferred_owner_of(&m.shard));
         match alive.contains(&preferred_owner) {
@@ -103,7 +103,7 @@
             .filter(|name| zone_of(name) == zone)
             .collect();
         let candidates = if in_zone.is_empty() { alive } else { &in_zone };
-        crate::hash::preferred(machine, candidates.iter().copied()).map(str::to_string)
+        crate::hash::preferred_controller(machine, candidates.iter().copied()).map(str::to_string)
     }
 
     /// Returns the other controller that owns a machine, if it is up and receives
@@ -143,7 +143,7 @@
             .is_some_and(|record| record.value.incarnation == machine.incarnation);
         let peers = self.peers.borrow();
         is_same_run
-            && peers.alive(self, now).contains(&owner)
+            && peers.alive_controllers(self, now).contains(&owner)
             && peers.receives_heartbeats(self, owner, now)
     }
 }
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -99,7 +99,7 @@
 /// Queues terminations for all bookings on machines whose worker's lease has certainly
 /// expired.
 pub fn queue_terminations_of_expired_leases(controller: &Controller) {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let lease = controller.settings.worker_lease();
     let margin = controller.settings.margin();
     let lost = expire_leases(controller, lease, margin, now);
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -61,7 +61,7 @@
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
     assert_eq!(
         fit(&spec(JobKind::Gang, 5, 2.0), &split),
-        Err(WaitReason::NoRoom)
+        Err(WaitReason::NoCapacity)
     );
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -208,7 +208,7 @@
         let Ok(places) = found else {
             // It fits the rooms of three zone shards only: machines are rented for it.
             assert_eq!((kind, tasks), (JobKind::Gang, 9), "{found:?}");
-            assert_eq!(found, Err(WaitReason::NoRoom));
+            assert_eq!(found, Err(WaitReason::NoCapacity));
             continue;
         };
         assert_eq!(places.len(), tasks as usize, "{kind:?}");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -5,7 +5,7 @@
 use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
 use shelfhoist::introspection::{FleetReport, JobDetails, TeamDetails};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
-use shelfhoist::scheduler::{preferred, retry_delay};
+use shelfhoist::scheduler::{preferred_controller, retry_delay};
 
 fn facts() -> JobFacts {
     JobFacts {
@@ -242,9 +242,12 @@
     let mut per_node = std::collections::BTreeMap::new();
     for n in 0..300 {
         let job = format!("job-{n:06}");
-        let first = preferred(&job, all.into_iter()).expect("one");
-        assert_eq!(preferred(&job, ["c", "a", "b"].into_iter()), Some(first));
-        let without_c = preferred(&job, ["a", "b"].into_iter()).expect("one");
+        let first = preferred_controller(&job, all.into_iter()).expect("one");
+        assert_eq!(
+            preferred_controller(&job, ["c", "a", "b"].into_iter()),
+            Some(first)
+        );
+        let without_c = preferred_controller(&job, ["a", "b"].into_iter()).expect("one");
         if first != "c" {
             assert_eq!(first, without_c, "{job}");
         } else {
