--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -104,7 +104,7 @@
     let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| must_adjust)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(ReconcileStep::new("adjust pool capacity", parts))
+    Some(ReconcileStep::new("capacity", parts))
 }
 
 /// Returns the step that rewrites uncounted machine shards, those that were last written
@@ -203,7 +203,7 @@
     );
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
-    Some(ReconcileStep::new("rebuild share record", parts))
+    Some(ReconcileStep::new("rebuild", parts))
 }
 
 fn open_step(
@@ -228,7 +228,7 @@
         Err(_) => return None,
     }
     parts.put_team(team.as_str());
-    Some(ReconcileStep::new("enable team shares", parts))
+    Some(ReconcileStep::new("begin", parts))
 }
 
 fn close_step(replica: &Replica, ledger: &Ledger, team: &TeamName) -> Option<ReconcileStep> {
@@ -239,7 +239,7 @@
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
     parts.put_team(team.as_str());
-    Some(ReconcileStep::new("disable team shares", parts))
+    Some(ReconcileStep::new("end", parts))
 }
 
 fn remove_pool_step(replica: &Replica, is_responsible: bool) -> Option<ReconcileStep> {
@@ -257,7 +257,7 @@
     let jobs = replica.jobs.iter().filter_map(|(id, entry)| {
         let job = &entry.value;
         let spec = job.spec.as_ref()?;
-        let booked = spec.need.times(job.booked());
+        let booked = spec.need.times(job.booked_count());
         (spec.team == team.as_str() && !job.runs.is_empty()).then(|| JobBooking {
             job: id.as_str().into(),
             controller: job.share.clone().unwrap_or_else(|| fallback.clone()),
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -19,7 +19,7 @@
 /// The state of a job, for users and operators; `None` for one that is not known.
 pub fn job_state<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
-    let booked = job.booked() as u32;
+    let booked = job.booked_count() as u32;
     let (stage, running) = match replica.effective_status(id)? {
         JobStatus::Done => (JobStage::Done, 0),
         JobStatus::Cancelled => (JobStage::Cancelled, 0),
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -46,7 +46,7 @@
     /// this run of the controller, and its state lease is not known to have expired.
     pub fn is_fleet_leader(&self) -> bool {
         let replica = self.replica.borrow();
-        let fleet_leader = replica.fleet.as_ref();
+        let fleet_leader = replica.fleet_leader.as_ref();
         fleet_leader.is_some_and(|entry| entry.value.incarnation == self.incarnation)
             && self.fleet.borrow().state_lease().is_some()
     }
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -75,7 +75,7 @@
 fn find_eviction(controller: &Controller) -> Option<Eviction> {
     let replica = controller.replica.borrow();
     let gpu_spec = replica.latest_gpu_spec.as_ref()?;
-    if open_accelerator_jobs(&replica).any(|job| job.waiting() > 0) {
+    if open_accelerator_jobs(&replica).any(|job| job.waiting_count() > 0) {
         return None;
     }
     let search = ConsolidationSearch {
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -64,7 +64,7 @@
             wanted -= covered;
             // So small a remainder runs when running tasks end. But a job that has no
             // running tasks and counts on no others' CPUs would wait forever.
-            if wanted < MIN_SHORTFALL && (self.planned_job.booked() > 0 || covered > 0.0) {
+            if wanted < MIN_SHORTFALL && (self.planned_job.booked_count() > 0 || covered > 0.0) {
                 return None;
             }
         }
@@ -88,7 +88,7 @@
     let boot_s = replica.min_boot_s();
     let ends_soon = |id: &String| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
-        let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
+        let job = job.filter(|job| job.booked_count() > 0 && job.waiting_count() == 0);
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind != JobKind::Service && spec.estimate_s <= boot_s)
     };
@@ -112,8 +112,8 @@
     };
     let max_errors = FAULTY_JOB_THRESHOLD as u32 * 2;
     let mut plan_slots = replica.plan_slots();
-    job.booked() == 0
-        && job.errors <= max_errors
+    job.booked_count() == 0
+        && job.failure_count <= max_errors
         && !plan_slots.any(|slot| can_hold(&replica.classes[slot.class as usize]))
 }
 
@@ -125,7 +125,7 @@
             && let Some(spec) = &job.spec
             && spec.kind == JobKind::Array
         {
-            cpus += spec.need.cpus.units() * job.booked() as f64;
+            cpus += spec.need.cpus.units() * job.booked_count() as f64;
         }
     }
     cpus
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -69,7 +69,7 @@
     }
     // This precondition makes the commit fail if this process was paused and is no
     // longer the fleet leader.
-    match controller.replica.borrow().fleet.as_ref() {
+    match controller.replica.borrow().fleet_leader.as_ref() {
         Some(fleet_leader) => {
             preconditions.push(precondition(FLEET_KEY.to_string(), fleet_leader.version))
         }
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -198,7 +198,7 @@
     /// that the team's limit still allows.
     fn unplaced_tasks(&self, demand: &JobDemand) -> usize {
         let spec = demand.spec;
-        let waiting = demand.planned_job.waiting();
+        let waiting = demand.planned_job.waiting_count();
         match self.controller.settings.team(&spec.team) {
             Some(team) => {
                 let used = self.plan.team_used(&spec.team);
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -172,7 +172,7 @@
     /// Adds the fleet key if there is no fleet leader or if an earlier run of this
     /// controller holds the key.
     fn add_fleet_key(&mut self) {
-        match &self.replica.fleet {
+        match &self.replica.fleet_leader {
             None => {
                 let absent = self.replica.absent_version(FLEET_KEY);
                 self.put_own_record(FLEET_KEY.to_string(), absent);
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -98,8 +98,8 @@
             && let Some(spec) = &job.spec
         {
             let summary = classes.entry(&spec.class).or_default();
-            summary.waiting += job.waiting();
-            summary.booked += job.booked();
+            summary.waiting += job.waiting_count();
+            summary.booked += job.booked_count();
         }
     }
     classes
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -143,7 +143,9 @@
             writes,
         };
         let revision = self.state_client.commit(class, &commit).await?;
-        self.replica.borrow_mut().overlay(&commit.writes, revision);
+        self.replica
+            .borrow_mut()
+            .apply_commit(&commit.writes, revision);
         self.notify_replica_changed();
         Ok(revision)
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -116,7 +116,7 @@
         let mut replica = self.replica.borrow_mut();
         replica.reload(pairs, oldest_revision);
         if let Some(answer) = events_since {
-            replica.advance(answer.events, answer.revision);
+            replica.apply_events(answer.events, answer.revision);
         }
         drop(replica);
         self.notify_replica_changed();
@@ -137,7 +137,7 @@
         match answer {
             Ok(answer) => {
                 let mut replica = self.replica.borrow_mut();
-                replica.advance(answer.events, answer.revision);
+                replica.apply_events(answer.events, answer.revision);
                 drop(replica);
                 self.notify_replica_changed();
                 WatchEnd::Advanced
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -36,7 +36,7 @@
         if let Some(dependencies) = dependencies_text(&controller.replica.borrow(), id) {
             return PendingReason::new(dependencies, 0.0);
         }
-        if job.waiting() > 0 {
+        if job.waiting_count() > 0 {
             return PendingReason::of_waiting_tasks(controller, id, now);
         }
         if job.runs.iter().any(|run| run.stop) {
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -62,9 +62,9 @@
             team: spec.map(|spec| spec.team.clone()),
             tasks: job.tasks,
             done: job.done_count(),
-            waiting: job.waiting(),
-            running: job.booked(),
-            failures: job.errors,
+            waiting: job.waiting_count(),
+            running: job.booked_count(),
+            failures: job.failure_count,
             failed_on: job.failed_on.clone(),
             known_s: is_open.then(|| self.age_s(id)),
             late: spec.is_some_and(|spec| is_open && self.is_late(id, job, spec)),
@@ -103,7 +103,7 @@
             gpus_limit: quota.gpus_max,
             gpus_borrowed: (gpus - quota.gpus).max(0.0),
             waiting_jobs: waiting.len(),
-            waiting_tasks: waiting.iter().map(|(_, job)| job.waiting()).sum(),
+            waiting_tasks: waiting.iter().map(|(_, job)| job.waiting_count()).sum(),
             why: waiting.first().map(|(id, job)| self.reason(id, job).text),
         }
     }
@@ -146,7 +146,7 @@
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
-            if spec.kind == JobKind::Service && job.waiting() == 0 {
+            if spec.kind == JobKind::Service && job.waiting_count() == 0 {
                 return None;
             }
             Some(Unfinished {
@@ -213,7 +213,7 @@
             return true;
         }
         let settings = &self.controller.settings;
-        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
+        job.waiting_count() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -200,7 +200,7 @@
         excluded: &[String],
     ) -> Result<SlotIndices, WaitReason> {
         let spec = self.spec;
-        let waiting = self.job.waiting();
+        let waiting = self.job.waiting_count();
         let limit = self.task_limit()?;
         let zone_caps = self.zone_caps();
         let candidates = MachineCandidates::new(spec, self.hints, self.protection)
@@ -231,7 +231,7 @@
         limit: usize,
     ) -> Result<SlotIndices, WaitReason> {
         let slot_indices = assign(candidates, self.plan, zone_caps, limit).slot_indices;
-        let incomplete_gang = self.spec.is_gang() && slot_indices.len() < self.job.waiting();
+        let incomplete_gang = self.spec.is_gang() && slot_indices.len() < self.job.waiting_count();
         if !slot_indices.is_empty() && !incomplete_gang {
             return Ok(slot_indices);
         }
@@ -245,7 +245,7 @@
     /// Returns the number of waiting tasks that the team's limit allows to run.
     fn task_limit(&self) -> Result<usize, WaitReason> {
         let spec = self.spec;
-        let waiting = self.job.waiting();
+        let waiting = self.job.waiting_count();
         if waiting == 0 {
             return Err(WaitReason::OldAttempt);
         }
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -82,7 +82,7 @@
         work: work(job, spec),
         age_s,
         tasks: f64::from(spec.tasks),
-        waiting: job.waiting() as f64,
+        waiting: job.waiting_count() as f64,
         estimate_s: spec.estimate_s,
         kind: match spec.kind {
             JobKind::Array => 0.0,
@@ -132,7 +132,7 @@
     };
     match spec.kind {
         JobKind::Service => 0.0,
-        _ => job.waiting() as f64 * spec.estimate_s * amount.units(),
+        _ => job.waiting_count() as f64 * spec.estimate_s * amount.units(),
     }
 }
 
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -55,10 +55,10 @@
         let job = &entry.value;
         controller.placement.observe_job(id, now);
         state.observe(id, entry.version, now);
-        if job.waiting() == 0 || state.is_excluded(id) {
+        if job.waiting_count() == 0 || state.is_excluded(id) {
             continue;
         }
-        state.update_backoff(id, job.errors, heartbeat_interval, now);
+        state.update_backoff(id, job.failure_count, heartbeat_interval, now);
         if let Some(reason) = state.failure_wait_reason(settings, id, job, now) {
             controller.placement.record_wait_reason(id, reason, now);
             continue;
--- a/src/scheduler/placement_state.rs
+++ b/src/scheduler/placement_state.rs
@@ -93,7 +93,7 @@
     pub(super) fn retain_waiting_jobs(&self, replica: &Replica) {
         let is_waiting = |job: &String| {
             let entry = replica.jobs.get(job);
-            entry.is_some_and(|entry| entry.value.waiting() > 0)
+            entry.is_some_and(|entry| entry.value.waiting_count() > 0)
         };
         self.wait_states
             .borrow_mut()
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -23,7 +23,7 @@
 pub(super) fn is_starving(job: &Job, spec: &JobSpec, settings: &Settings, age_s: f64) -> bool {
     age_s > settings.starvation_threshold_s()
         && job.attempt == 0
-        && job.waiting() == spec.tasks as usize
+        && job.waiting_count() == spec.tasks as usize
 }
 
 /// Sort key of the queue. Fields are compared in order, and lower keys come first.
@@ -61,7 +61,7 @@
         .iter()
         .filter_map(|(accepted_revision, id)| {
             let job = &replica.jobs.get(id)?.value;
-            let spec = job.spec.as_ref().filter(|_| job.waiting() > 0)?;
+            let spec = job.spec.as_ref().filter(|_| job.waiting_count() > 0)?;
             let age = age_s(first_seen, id, now);
             let urgency = replica.effective_urgency(id, spec, now);
             let facts = job_facts(job, spec, plan, settings, replica, age, &urgency);
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -32,7 +32,7 @@
     let task_bytes = digits(u64::from(job.tasks)) + 1;
     let mut size = FIXED_BYTES + spec_bytes(job, value_limit_bytes);
     size += failed_on_bytes(longest_machine_name(job, placements));
-    size += (job.booked() + job.retry.len()) * task_bytes;
+    size += (job.booked_count() + job.retry.len()) * task_bytes;
     for run in &job.runs {
         size += run_bytes(&run.machine, &run.zone, run.attempt);
     }
@@ -120,7 +120,7 @@
     let run_bytes = |run: &Run| encoding::run_bytes(run.attempt);
     compact_fixed_bytes(job, longest_machine_name(job, placements))
         + encoding::table_bytes(running.chain(planned))
-        + (job.booked() + job.retry.len()) * task_bytes
+        + (job.booked_count() + job.retry.len()) * task_bytes
         + job.runs.iter().map(run_bytes).sum::<usize>()
 }
 
--- a/src/scheduler/round/booking.rs
+++ b/src/scheduler/round/booking.rs
@@ -55,7 +55,7 @@
             "tasks booked"
         );
         let job = self.transaction.job(id);
-        if job.is_none_or(|job| job.waiting() == 0) {
+        if job.is_none_or(|job| job.waiting_count() == 0) {
             self.controller.placement.clear_wait_reason(id);
         } else if booked == tasks.len() && job.is_some_and(|job| !job.is_suspected_faulty()) {
             self.blocked.push((*id).to_string());
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -46,7 +46,7 @@
     mut tasks: Vec<TaskPlacement>,
 ) -> Vec<TaskPlacement> {
     let WaitingJob { job, spec, .. } = waiting;
-    if job.is_suspected_faulty() && !spec.is_gang() && job.booked() == 0 {
+    if job.is_suspected_faulty() && !spec.is_gang() && job.booked_count() == 0 {
         tasks.truncate(1);
     }
     tasks
@@ -76,7 +76,10 @@
     /// Decides whether a job is placed or waits. Returns `None` if the job is not
     /// considered in this round.
     fn decide_job(&mut self, id: &str, is_own: bool) -> Option<JobDecision> {
-        let job = self.transaction.job(id).filter(|job| job.waiting() > 0)?;
+        let job = self
+            .transaction
+            .job(id)
+            .filter(|job| job.waiting_count() > 0)?;
         if self.waits_after_failure(id, job) {
             return None;
         }
@@ -132,10 +135,14 @@
     /// Returns whether the job waits after a failure. A job whose failure is recorded in
     /// this same transaction waits until the next round.
     fn waits_after_failure(&self, id: &str, job: &Job) -> bool {
-        let errors_before = self.replica.jobs.get(id).map_or(0, |e| e.value.errors);
+        let errors_before = self
+            .replica
+            .jobs
+            .get(id)
+            .map_or(0, |e| e.value.failure_count);
         let settings = &self.controller.settings;
         let failure_wait_reason = || self.state.failure_wait_reason(settings, id, job, self.now);
-        job.errors > errors_before || failure_wait_reason().is_some()
+        job.failure_count > errors_before || failure_wait_reason().is_some()
     }
 
     /// Returns the placement hints for a job, from the point of view of the controller
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -118,7 +118,11 @@
         waiting: WaitingJob,
     ) -> Result<Vec<TaskPlacement>, WaitReason> {
         let WaitingJob { job, spec, .. } = waiting;
-        let tasks = if spec.is_gang() { job.waiting() } else { 1 };
+        let tasks = if spec.is_gang() {
+            job.waiting_count()
+        } else {
+            1
+        };
         let shape = shape_hash(job, spec).filter(|_| job.failed_on.is_empty());
         if let Some(failed) = shape.and_then(|shape| self.failed.get(&shape))
             && tasks >= failed.tasks
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -144,7 +144,8 @@
             .as_ref()
             .is_some_and(|s| s.kind == JobKind::Service);
         let has_run_for_lease = is_service && self.unchanged_for(id, now) > settings.worker_lease();
-        (job.is_suspected_faulty() && job.booked() > 0 && !has_run_for_lease).then_some(reason)
+        (job.is_suspected_faulty() && job.booked_count() > 0 && !has_run_for_lease)
+            .then_some(reason)
     }
 
     /// Returns the maximum number of records in the next commit.
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -128,7 +128,7 @@
     job.has_preempted = false;
     // A suspected service gets further replicas only after a booked replica has run well,
     // so this booking counts as a success.
-    if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked() > 0 {
+    if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked_count() > 0 {
         job.record_success();
     }
     let retry_attempt = job.attempt.max(1) + 1;
--- a/src/scheduler/transaction/release.rs
+++ b/src/scheduler/transaction/release.rs
@@ -76,7 +76,7 @@
     /// Returns the spec of the task's job if the task is still booked.
     fn booked_spec(&self, key: &AttemptKey) -> Option<JobSpec> {
         let job = self.job(&key.job)?;
-        job.find(&key.machine, key.attempt, key.task)?;
+        job.find_run(&key.machine, key.attempt, key.task)?;
         job.spec.clone()
     }
 
--- a/src/scheduler/transaction/size.rs
+++ b/src/scheduler/transaction/size.rs
@@ -32,7 +32,7 @@
 
 /// Returns the estimated size of a job's record, in bytes.
 fn job_bytes(job: &Job) -> usize {
-    let tasks = job.booked() + job.retry.len();
+    let tasks = job.booked_count() + job.retry.len();
     SPEC_BYTES + job.runs.len() * RUN_BYTES + tasks * TASK_BYTES
 }
 
--- a/src/scheduler/waiting_job.rs
+++ b/src/scheduler/waiting_job.rs
@@ -19,7 +19,7 @@
     pub(super) fn placements_wanted(&self) -> usize {
         match self.spec.kind {
             JobKind::Array => 1,
-            _ => self.job.waiting(),
+            _ => self.job.waiting_count(),
         }
     }
 }
--- a/src/state/records/job/bookings.rs
+++ b/src/state/records/job/bookings.rs
@@ -33,7 +33,7 @@
 
 impl Job {
     /// Returns the run that has this task on this machine in this attempt.
-    pub fn find(&self, machine: &str, attempt: u64, task: u32) -> Option<&Run> {
+    pub fn find_run(&self, machine: &str, attempt: u64, task: u32) -> Option<&Run> {
         self.runs
             .iter()
             .find(|run| run.has_task(machine, attempt, task))
--- a/src/state/records/job/failures.rs
+++ b/src/state/records/job/failures.rs
@@ -24,7 +24,7 @@
     pub(super) fn record_failure(&mut self, machine: &str, attempt: u64) {
         if attempt > self.failed_attempt {
             self.failed_attempt = attempt;
-            self.errors = self.errors.saturating_add(1).min(MAX_ERRORS);
+            self.failure_count = self.failure_count.saturating_add(1).min(MAX_ERRORS);
         }
         self.failed_on.retain(|failed_on| failed_on != machine);
         if self.failed_on.len() == MAX_FAILED_MACHINES {
@@ -35,7 +35,7 @@
 
     /// Records a success, which clears all failures: they were caused by the machines.
     pub fn record_success(&mut self) {
-        self.errors = 0;
+        self.failure_count = 0;
         self.failed_attempt = 0;
         self.failed_on.clear();
     }
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -86,7 +86,7 @@
         default,
         skip_serializing_if = "crate::state::records::is_zero"
     )]
-    pub errors: u32,
+    pub failure_count: u32,
     /// Latest attempt that is counted in `errors`.
     #[serde(
         rename = "ea",
@@ -116,7 +116,7 @@
             retry: NumberSet::default(),
             runs: Vec::new(),
             has_preempted: false,
-            errors: 0,
+            failure_count: 0,
             failed_attempt: 0,
             failed_on: Vec::new(),
             share: None,
@@ -129,12 +129,12 @@
     }
 
     /// Returns the number of tasks that are booked on machines.
-    pub fn booked(&self) -> usize {
+    pub fn booked_count(&self) -> usize {
         self.runs.iter().map(|run| run.tasks.len()).sum()
     }
 
     /// Returns the number of tasks that wait for placement.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         if !self.is_open() {
             return 0;
         }
@@ -154,7 +154,8 @@
     pub fn done_count(&self) -> u32 {
         match self.status {
             JobStatus::Done => self.tasks,
-            _ => (self.next_task as usize).saturating_sub(self.retry.len() + self.booked()) as u32,
+            _ => (self.next_task as usize).saturating_sub(self.retry.len() + self.booked_count())
+                as u32,
         }
     }
 
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -1,7 +1,7 @@
 //! Maintains the replica, this controller's copy of the state under the shared prefix.
 //!
 //! `revision` is the revision that the watch has reached: the replica contains every
-//! change up to it. A commit of this controller is applied immediately (`overlay`), ahead
+//! change up to it. A commit of this controller is applied immediately (`apply_commit`), ahead
 //! of the watch, so that the next round does not decide by outdated records. Entries
 //! newer than `revision` are used for planning only, never to launch tasks.
 //!
@@ -91,7 +91,7 @@
     /// Machine types of the cloud as last read.
     pub types: Versioned<MachineTypesRecord>,
     /// Fleet leader, the controller that provisions machines, if there is one.
-    pub fleet: Option<Versioned<ControllerRecord>>,
+    pub fleet_leader: Option<Versioned<ControllerRecord>>,
     /// Record formats that the controllers can read.
     pub formats: Versioned<Formats>,
     /// Controllers with a valid state lease, by name.
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -33,7 +33,7 @@
     /// Resources of all machines that have a record.
     pub on_record: Resources,
     /// Resources of the booting and active machines among them.
-    pub staying: Resources,
+    pub retained_capacity: Resources,
 }
 
 impl Replica {
@@ -136,7 +136,7 @@
                     machine.lifecycle,
                     MachineLifecycle::Booting | MachineLifecycle::Active
                 ) {
-                    sums.staying += capacity;
+                    sums.retained_capacity += capacity;
                 }
             }
         }
@@ -157,7 +157,7 @@
         Ledger {
             pool: self.pool.as_ref().map(|entry| entry.value),
             machine_capacity: sums.on_record,
-            retained_capacity: sums.staying,
+            retained_capacity: sums.retained_capacity,
             growth_factor: settings.features.shares.growth,
             teams: teams
                 .map(|terms| {
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -79,7 +79,7 @@
     }
 
     /// Applies events of the watch.
-    pub fn advance(&mut self, events: Vec<Event>, revision: u64) {
+    pub fn apply_events(&mut self, events: Vec<Event>, revision: u64) {
         for event in events {
             match (&event.set, &event.remove) {
                 (Some(key), _) => self.set(key, event.version, event.value.as_deref()),
@@ -93,7 +93,7 @@
     }
 
     /// Applies a commit of this controller, ahead of the watch.
-    pub fn overlay(&mut self, writes: &[Write], revision: u64) {
+    pub fn apply_commit(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
                 Write::Put { key, value, .. } => self.set(key, revision, Some(value)),
@@ -166,7 +166,7 @@
             "hire" => self.set_in_table(|replica| &mut replica.provisioning_requests, update),
             "node" => self.set_in_table(|replica| &mut replica.controllers, update),
             "pool" => self.set_single(|replica| &mut replica.pool, update),
-            "fleet" => self.set_single(|replica| &mut replica.fleet, update),
+            "fleet" => self.set_single(|replica| &mut replica.fleet_leader, update),
             "zone" => self.set_zone_shard(update),
             "machine" => {
                 let machine_shard = self.read_update(update);
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -157,7 +157,7 @@
         let unbooked_need = |task: &TaskStatus| {
             let (job, number) = split_task(&task.task)?;
             let job = &self.replica.jobs.get(job)?.value;
-            let is_booked = job.find(id, task.attempt, number).is_some();
+            let is_booked = job.find_run(id, task.attempt, number).is_some();
             let has_ended = task.stage == TaskStage::Ended;
             job.spec
                 .as_ref()
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -125,7 +125,7 @@
     fn plan_reported(&self, job: &str, number: u32, task: &TaskStatus, plan: &mut WorkerPlan) {
         let entry = self.replica.jobs.get(job);
         let booking = entry.and_then(|e| {
-            let run = e.value.find(self.machine, task.attempt, number)?;
+            let run = e.value.find_run(self.machine, task.attempt, number)?;
             Some((&e.value, run))
         });
         let has_ended = task.stage == TaskStage::Ended;
--- a/src/workers/required_stops.rs
+++ b/src/workers/required_stops.rs
@@ -23,8 +23,8 @@
         return false;
     };
     let job = replica.jobs.get(id).map(|entry| &entry.value);
-    let is_booked =
-        job.is_some_and(|job| job.is_open() && job.find(machine, task.attempt, number).is_some());
+    let is_booked = job
+        .is_some_and(|job| job.is_open() && job.find_run(machine, task.attempt, number).is_some());
     task.stage != TaskStage::Ended && !is_booked
 }
 
--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/pipelines.rs
@@ -34,7 +34,7 @@
     let mut at = 10;
     let mut set = |replica: &mut Replica, id: &str, job: &Job| {
         at += 1;
-        replica.advance(vec![Event::put(job_key(id), job, at)], at);
+        replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
     };
     // In no order of theirs: the last first.
     for (id, job) in jobs.iter().rev() {
@@ -248,7 +248,7 @@
             for (step, n) in order.iter().enumerate() {
                 let (id, job) = &jobs[*n];
                 let at = step as u64 + 1;
-                replica.advance(vec![Event::put(job_key(id), job, at)], at);
+                replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
             }
             check(&replica, &format!("{order:?}"));
         }
@@ -260,10 +260,10 @@
             accepted_revision: 7,
             jobs: specs,
         };
-        replica.advance(vec![Event::put(key, &arrivals, 1)], 1);
+        replica.apply_events(vec![Event::put(key, &arrivals, 1)], 1);
         for (n, (id, job)) in jobs[..2].iter().enumerate() {
             let at = n as u64 + 2;
-            replica.advance(vec![Event::put(job_key(id), job, at)], at);
+            replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
         }
         check(&replica, "arrivals");
         // A full read finds the same.
@@ -291,7 +291,7 @@
     ] {
         let mut replica = view_with(&[("a", "m", 8.0)]);
         let second = after(&["job-1"], Priority::Low, 5.0, None);
-        replica.advance(
+        replica.apply_events(
             vec![
                 Event::put(job_key("job-1"), &ended(status), 4),
                 Event::put(job_key("job-2"), &second, 4),
--- a/tests/decisions/records.rs
+++ b/tests/decisions/records.rs
@@ -39,7 +39,7 @@
         "another attempt is not this one"
     );
     assert!(array.release("m", 1, 1, TaskOutcome::Lost));
-    assert!(array.is_open() && array.waiting() == 1 && array.done_count() == 1);
+    assert!(array.is_open() && array.waiting_count() == 1 && array.done_count() == 1);
     let t = array.retry.pop_first().expect("again");
     array.book("m", "a", 2, t);
     assert!(array.release("m", 2, 1, TaskOutcome::Done));
@@ -53,9 +53,9 @@
     gang.book("n", "a", 1, 1);
     let mut broken = gang.clone();
     assert!(broken.release("m", 1, 0, TaskOutcome::Lost));
-    assert!(broken.runs.iter().all(|r| r.stop) && broken.waiting() == 0);
+    assert!(broken.runs.iter().all(|r| r.stop) && broken.waiting_count() == 0);
     assert!(broken.release("n", 1, 1, TaskOutcome::Lost));
-    assert_eq!(broken.waiting(), 2, "whole again once all are gone");
+    assert_eq!(broken.waiting_count(), 2, "whole again once all are gone");
     assert!(gang.release("m", 1, 0, TaskOutcome::Done));
     assert_eq!(gang.status, JobStatus::Done);
     gang.cancel();
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -257,14 +257,14 @@
             .collect(),
     };
     let key = shelfhoist::state::keys::accepted_batch_key;
-    replica.advance(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
+    replica.apply_events(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
     assert_eq!(
         (replica.job_version("job-1"), replica.open_jobs.len()),
         (0, 2)
     );
-    replica.advance(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
+    replica.apply_events(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
     // A commit without an answer that was carried out late.
-    replica.advance(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
+    replica.apply_events(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
     assert!(
         !replica.jobs["job-1"].value.is_open(),
         "a final state changed"
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -154,7 +154,7 @@
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
             let shard = json!({"m": {format!("m{n}"): slot}});
-            replica.advance(
+            replica.apply_events(
                 vec![Event::put(zone_shard_key(&format!("a/n0.{n}")), &shard, 3)],
                 3,
             );
@@ -270,7 +270,7 @@
     stopped.attempt = 1;
     let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
     let events = events.map(|(id, job)| Event::put(job_key(id), job, 7));
-    replica.advance(events.to_vec(), 8);
+    replica.apply_events(events.to_vec(), 8);
     let now = Instant::now();
     let bound = Duration::from_secs_f64(set.starvation_threshold_s());
     for (age, first) in [
@@ -367,7 +367,7 @@
             preconditions.len() > zone_shards.count().saturating_sub(1),
             "{preconditions:?}"
         );
-        replica.overlay(&writes, version);
+        replica.apply_commit(&writes, version);
     }
     assert_eq!(replica.machines.len(), 800);
     let listed: usize = replica
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -105,7 +105,7 @@
     let events = zone_shards
         .iter()
         .map(|(zone, shard)| Event::put(key(zone), shard, 3));
-    replica.advance(events.collect(), 3);
+    replica.apply_events(events.collect(), 3);
     replica
 }
 
@@ -132,7 +132,7 @@
         shard: "n0.0".into(),
     };
     let set = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
-    replica.advance(
+    replica.apply_events(
         vec![
             set(job_key("job-1"), serde_json::to_value(&job).expect("job")),
             set(
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -91,7 +91,7 @@
     }
 
     fn apply(&mut self, events: Vec<Event>) {
-        self.replica.advance(events, self.version);
+        self.replica.apply_events(events, self.version);
     }
 
     /// Records a shard with so many machines.
@@ -132,7 +132,7 @@
         let held = preconditions.iter().all(holds);
         if held {
             self.version += 1;
-            self.replica.overlay(&writes, self.version);
+            self.replica.apply_commit(&writes, self.version);
         }
         held
     }
@@ -217,16 +217,16 @@
         machines: machines.collect(),
     };
     let formats = json!({"n": {}, "a": FORMATS});
-    replica.advance(vec![Event::put(FORMATS_KEY.into(), &formats, 1)], 1);
+    replica.apply_events(vec![Event::put(FORMATS_KEY.into(), &formats, 1)], 1);
     let write = replica.put_zone_shard("a/n0.0", &shard);
-    replica.overlay(&[write], 2);
+    replica.apply_commit(&[write], 2);
     let left = Default::default();
     let Commit {
         preconditions,
         writes,
     } = compaction::split_long(&replica, &left, &|_| true).expect("a split");
     assert_eq!((preconditions.len(), writes.len()), (2, 2));
-    replica.overlay(&writes, 3);
+    replica.apply_commit(&writes, 3);
     assert_eq!(replica.plan_slots().count(), 700);
     assert!(compaction::split_long(&replica, &left, &|_| true).is_none());
     assert!(compaction::merge(&replica, &left, &|_| true).is_none());
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -75,7 +75,7 @@
             assert!(job.release(machine, *attempt, task, *outcome));
         }
         assert_eq!(
-            (job.errors, attribute_failure(&job, "m")),
+            (job.failure_count, attribute_failure(&job, "m")),
             (errors, whose),
             "case {n}"
         );
@@ -328,7 +328,7 @@
         let mut machine = replica.machines["m"].value.clone();
         machine.lifecycle = *lifecycle;
         let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
-        replica.advance(
+        replica.apply_events(
             vec![Event::put(machine_shard_key("a/n0.0"), &machine_shard, 11)],
             11,
         );
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -105,7 +105,7 @@
             run("gpu-box", 2, &[(31, 33)], false),
         ],
         has_preempted: true,
-        errors: 2,
+        failure_count: 2,
         failed_attempt: 290,
         failed_on: names(&["host-000007", "host-000008"]),
         ..dependent_job()
@@ -286,7 +286,7 @@
     let mut replica = Replica::with_compact_limit(Some(2048));
     let all = if short { 2 } else { 0 };
     let formats = json!({"n": {}, "a": all});
-    replica.advance(vec![Event::put("sh/formats".into(), &formats, 1)], 1);
+    replica.apply_events(vec![Event::put("sh/formats".into(), &formats, 1)], 1);
     assert_eq!(replica.uses_compact_encoding(), short);
     replica
 }
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -214,13 +214,13 @@
         let mut widest = 0;
         for round in 0..60 {
             let mut wanted = places(40, 14);
-            wanted.truncate(job.waiting());
+            wanted.truncate(job.waiting_count());
             let n = tasks_within_record_limit(&job, &wanted, LIMIT, true);
             let taken: Vec<&TaskPlacement> = wanted[..n].iter().collect();
             if !taken.is_empty() {
                 book(&mut job, &s, &taken);
             }
-            widest = widest.max(job.booked());
+            widest = widest.max(job.booked_count());
             let check = |job: &Job| {
                 let bytes = encoding::encode_job(job).expect("text").len();
                 assert!(bytes <= LIMIT, "{bytes} bytes in round {round}");
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -141,7 +141,7 @@
         ));
         events.push(Event::put(zone_shard_key(&id), &shard, 2 + g as u64));
     }
-    replica.advance(events, 100);
+    replica.apply_events(events, 100);
     replica
 }
 
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -28,7 +28,7 @@
     assert_eq!(machine_shards.into_commit().1.len(), 1);
     let shard = replica.zone_shards["a/n0.0"].value.clone();
     let write = replica.put_zone_shard("a/n0.0", &shard);
-    replica.overlay(&[write], 101);
+    replica.apply_commit(&[write], 101);
     assert!(replica.is_compact_zone_shard("a/n0.0"));
     let mut version = 102;
     while replica.machine_shards.values().any(|g| {
@@ -48,7 +48,7 @@
                 .get(&id)
                 .map_or(ZoneShard::default(), |p| p.value.clone()),
         )];
-        replica.overlay(&writes, version);
+        replica.apply_commit(&writes, version);
         let mut machine_shards = MachineShardEdits::new(&replica);
         machine_shards.edit(&id);
         let (preconditions, mut writes) = machine_shards.into_commit();
@@ -63,7 +63,7 @@
         if version % 2 == 0 {
             writes.reverse();
         }
-        replica.overlay(&writes, version + 1);
+        replica.apply_commit(&writes, version + 1);
         version += 2;
     }
     assert_eq!(replica.machines.len(), before.len());
@@ -102,7 +102,7 @@
         let id = format!("a/n0.{g}");
         let write = replica.put_zone_shard(&id, &replica.zone_shards[&id].value);
         version += 1;
-        replica.overlay(&[write], version);
+        replica.apply_commit(&[write], version);
     }
     let mut steps = 0;
     while let Some(Commit {
@@ -127,7 +127,7 @@
             writes.reverse();
         }
         version += 1;
-        replica.overlay(&writes, version);
+        replica.apply_commit(&writes, version);
         steps += 1;
         assert_eq!(replica.plan_slots().count(), 6 * 54);
         for name in replica.machines.keys() {
@@ -194,7 +194,7 @@
         let mut events = events.clone();
         events.push(Event::put(job_key("job-1"), &job, 3));
         let mut replica = Replica::with_compact_limit(Some(LIMIT));
-        replica.advance(events, 5);
+        replica.apply_events(events, 5);
         let plan = Plan::from_replica(&replica);
         let hints = PlacementHints::new(&replica, "n0");
         let found = scheduler::find_placements(
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -377,8 +377,8 @@
         let spec = next.spec.clone().expect("a spec");
         let mut replica = Replica::default();
         let put = |id: &str, job: &Job, at: u64| Event::put(job_key(id), job, at);
-        replica.advance(vec![put("job-000001", &first, 2)], 2);
-        replica.advance(vec![put("job-000002", &next, 3)], 3);
+        replica.apply_events(vec![put("job-000001", &first, 2)], 2);
+        replica.apply_events(vec![put("job-000002", &next, 3)], 3);
         let left_s = |replica: &Replica| {
             let urgency = replica.effective_urgency("job-000002", &spec, Instant::now());
             urgency.time_left_s.expect("a deadline").round()
@@ -391,7 +391,7 @@
             spec: None,
             ..first
         };
-        replica.advance(vec![put("job-000001", &done, 4)], 4);
+        replica.apply_events(vec![put("job-000001", &done, 4)], 4);
         assert!(replica.dependencies_done(&spec));
         assert_eq!(left_s(&replica), 70.0, "just ready");
         sleep(secs(10.0)).await;
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -118,9 +118,9 @@
             assert!(length(&short) < 600, "{}", length(&short));
             assert_eq!(short.status, job.status);
             assert_eq!(short.runs, job.runs);
-            assert_eq!(short.booked(), job.booked());
+            assert_eq!(short.booked_count(), job.booked_count());
             assert_eq!(short.done_count(), job.done_count());
-            assert_eq!(short.waiting(), job.waiting());
+            assert_eq!(short.waiting_count(), job.waiting_count());
             assert_eq!(
                 (short.tasks, short.accepted_revision),
                 (job.tasks, job.accepted_revision)
@@ -268,7 +268,7 @@
         Event::put(FORMATS_KEY.into(), &json!({"n": {}, "a": formats}), 1),
         Event::put(TYPES_KEY.into(), &json!({"types": offered()}), 1),
     ];
-    replica.advance(events, 2);
+    replica.apply_events(events, 2);
     replica
 }
 
@@ -304,12 +304,12 @@
         let spec = waiting.spec.as_mut().expect("a specification");
         spec.types.as_mut().expect("types").remove(0);
     }
-    replica.advance(vec![Event::put(job_key("job-000007"), &waiting, 3)], 3);
+    replica.apply_events(vec![Event::put(job_key("job-000007"), &waiting, 3)], 3);
     assert!(replica.oversized_records.is_empty());
     assert!(replica.long_jobs.contains("job-000007"));
     let short = written(&replica, &waiting);
     assert!(spec(&short).types < spec(&waiting).types);
-    replica.advance(vec![Event::put(job_key("job-000007"), &short, 4)], 4);
+    replica.apply_events(vec![Event::put(job_key("job-000007"), &short, 4)], 4);
     assert_eq!(replica.trimmed_job(&short), None);
     assert!(replica.long_jobs.is_empty());
 }
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -196,14 +196,16 @@
 fn survives(old: &Job, new: &Job) -> bool {
     old.runs.iter().any(|run| {
         let mut tasks = run.tasks.iter();
-        tasks.any(|task| new.find(&run.machine, run.attempt, task).is_some())
+        tasks.any(|task| new.find_run(&run.machine, run.attempt, task).is_some())
     })
 }
 
 /// What a job's bookings take.
 fn booked(job: &Job) -> Resources {
     let spec = job.spec.as_ref();
-    spec.map_or(Resources::default(), |spec| spec.need.times(job.booked()))
+    spec.map_or(Resources::default(), |spec| {
+        spec.need.times(job.booked_count())
+    })
 }
 
 impl Known {
