--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Records the begin of a newer epoch: the worker's lease has expired since the last
+    /// Records the start of a newer epoch: the worker's lease has expired since the last
     /// status.
     fn begin_epoch(&mut self, status: &WorkerStatus, lease: Duration, now: Instant) {
         // The worker has ended the tasks of the earlier epoch, and refuses late commands
