--- a/src/state/replica/unreadable.rs
+++ b/src/state/replica/unreadable.rs
@@ -10,7 +10,7 @@
 /// Parses a record's text. Logs a record that cannot be read.
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
     serde_json::from_str(value.get())
-        .inspect_err(|error| tracing::error!(key, %error, "record not understood"))
+        .inspect_err(|error| tracing::error!(key, %error, "record cannot be decoded"))
         .ok()
 }
 
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -184,11 +184,11 @@
     LOGGED.with_borrow_mut(Vec::clear);
 }
 
-/// Whether it was logged that the record of this key is not understood.
+/// Whether it was logged that the record of this key cannot be decoded.
 fn is_logged(key: &str) -> bool {
     let bytes = LOGGED.with_borrow(Clone::clone);
     let text = String::from_utf8_lossy(&bytes);
-    let told = |line: &str| line.contains("not understood") && line.contains(key);
+    let told = |line: &str| line.contains("record cannot be decoded") && line.contains(key);
     text.lines().any(told)
 }
 
