--- a/src/scheduler/placement_state.rs
+++ b/src/scheduler/placement_state.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records why a job waits. The wait time counts from the first decision with this
-    /// reason. [`WaitReason::NoRoom`] does not replace a refusal by the cloud.
+    /// reason. [`WaitReason::NoCapacity`] does not replace a refusal by the cloud.
     pub fn record_wait_reason(&self, job: &str, reason: WaitReason, now: Instant) {
         let mut wait_states = self.wait_states.borrow_mut();
         match wait_states.get(job) {
