--- a/tests/meetings/any_two.rs
+++ b/tests/meetings/any_two.rs
@@ -1,4 +1,4 @@
-//! Any two faults meet while users submit, cancel and ask.
+//! Pairs of faults that overlap while users submit, cancel and query jobs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,274 +10,303 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-use crate::scenario::{cancel, ending_at, secs, settle};
+use crate::scenario::{cancel, heal_and_check, job_with_run_times, secs};
 use crate::stand_ins::{Scenario, StateTroubles, Trouble, Worker, World, job};
 
-/// What can go wrong. The leader is the controller that holds most machines.
+/// A fault that a test injects. The leader is the controller that owns the most
+/// machines.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    LeaderEnds,
-    AllControllersEnd,
-    LeaderStandsStill,
+    LeaderRestart,
+    AllControllersRestart,
+    LeaderFrozen,
     LeaderRefusedByState,
     StateOutage,
     LateCommits,
     UnansweredCommits,
     SlowState,
-    DeafWorkers,
-    MuteWorkers,
+    MessagesToWorkersBlocked,
+    MessagesFromWorkersBlocked,
     HangingMachines,
-    DelayedOrders,
-    LateReports,
-    WorkersCut,
-    ZoneCut,
-    LeaderCutFromStateAndPeers,
+    DelayedCommands,
+    LateReportCopies,
+    LeaderPartitionedFromWorkers,
+    ZonePartitioned,
+    LeaderPartitionedFromStateAndPeers,
     MachineLost,
     JobsCancelled,
 }
 
 impl Fault {
-    /// The order is part of the seeds.
+    /// All faults. Their order determines the seed of each pair, so it must not
+    /// change.
     const ALL: [Fault; 18] = [
-        Fault::LeaderEnds,
-        Fault::AllControllersEnd,
-        Fault::LeaderStandsStill,
+        Fault::LeaderRestart,
+        Fault::AllControllersRestart,
+        Fault::LeaderFrozen,
         Fault::LeaderRefusedByState,
         Fault::StateOutage,
         Fault::LateCommits,
         Fault::UnansweredCommits,
         Fault::SlowState,
-        Fault::DeafWorkers,
-        Fault::MuteWorkers,
+        Fault::MessagesToWorkersBlocked,
+        Fault::MessagesFromWorkersBlocked,
         Fault::HangingMachines,
-        Fault::DelayedOrders,
-        Fault::LateReports,
-        Fault::WorkersCut,
-        Fault::ZoneCut,
-        Fault::LeaderCutFromStateAndPeers,
+        Fault::DelayedCommands,
+        Fault::LateReportCopies,
+        Fault::LeaderPartitionedFromWorkers,
+        Fault::ZonePartitioned,
+        Fault::LeaderPartitionedFromStateAndPeers,
         Fault::MachineLost,
         Fault::JobsCancelled,
     ];
 }
 
-/// One fault from its beginning to its end, and whom it hits.
-struct Occurrence {
+/// One injection of a fault: the controller and the workers that it affects, and
+/// its duration.
+struct Injection {
     world: Rc<World>,
     leader: usize,
-    /// Workers that run something.
-    busy: Vec<Rc<Worker>>,
-    /// Every other one of them.
-    some: Vec<Rc<Worker>>,
-    span: Duration,
-    /// A drawn number that chooses between variants.
-    draw: usize,
+    /// Workers that run at least one task.
+    busy_workers: Vec<Rc<Worker>>,
+    /// Every second busy worker, beginning with one of the first three.
+    affected: Vec<Rc<Worker>>,
+    duration: Duration,
+    /// Random number that selects a variant of the fault.
+    variant: usize,
 }
 
-impl Occurrence {
-    fn new(world: Rc<World>, span: Duration, draw: usize) -> Self {
-        let busy = world.busy();
-        let some = busy.iter().skip(draw % 3).step_by(2).cloned().collect();
-        Occurrence {
+impl Injection {
+    fn new(world: Rc<World>, duration: Duration, variant: usize) -> Self {
+        let busy_workers = world.busy();
+        let affected = busy_workers
+            .iter()
+            .skip(variant % 3)
+            .step_by(2)
+            .cloned()
+            .collect();
+        Injection {
             leader: world.busiest(),
-            busy,
-            some,
-            span,
-            draw,
+            busy_workers,
+            affected,
+            duration,
+            variant,
             world,
         }
     }
 
-    async fn bring_about(&self, fault: Fault) {
+    async fn inject(&self, fault: Fault) {
         match fault {
-            Fault::LeaderEnds => self.end_leader().await,
-            Fault::AllControllersEnd => self.end_all_controllers().await,
-            Fault::LeaderStandsStill => self.freeze_leader().await,
+            Fault::LeaderRestart => self.restart_leader().await,
+            Fault::AllControllersRestart => self.restart_all_controllers().await,
+            Fault::LeaderFrozen => self.freeze_leader().await,
             Fault::LeaderRefusedByState => {
-                self.alter_state(|t| _ = t.refused.insert(self.leader));
-                sleep(self.span).await;
-                self.alter_state(|t| _ = t.refused.remove(&self.leader));
+                self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
+                sleep(self.duration).await;
+                self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
             }
-            Fault::StateOutage => self.state_outage().await,
+            Fault::StateOutage => self.interrupt_state_service().await,
             Fault::LateCommits => {
-                self.alter_state(|t| t.late = 0.2);
-                sleep(self.span).await;
-                self.alter_state(|t| t.late = 0.0);
+                self.modify_state_faults(|faults| faults.late = 0.2);
+                sleep(self.duration).await;
+                self.modify_state_faults(|faults| faults.late = 0.0);
             }
             Fault::UnansweredCommits => {
-                self.alter_state(|t| t.unanswered = 0.3);
-                sleep(self.span).await;
-                self.alter_state(|t| t.unanswered = 0.0);
+                self.modify_state_faults(|faults| faults.unanswered = 0.3);
+                sleep(self.duration).await;
+                self.modify_state_faults(|faults| faults.unanswered = 0.0);
             }
             Fault::SlowState => {
-                self.alter_state(|t| t.slow = secs(1.2));
-                sleep(self.span).await;
-                self.alter_state(|t| t.slow = Duration::ZERO);
+                self.modify_state_faults(|faults| faults.slow = secs(1.2));
+                sleep(self.duration).await;
+                self.modify_state_faults(|faults| faults.slow = Duration::ZERO);
             }
-            Fault::DeafWorkers => self.deaf_workers().await,
-            Fault::MuteWorkers => self.mute_workers().await,
-            Fault::HangingMachines => self.some.iter().for_each(|w| w.hang(self.span)),
-            Fault::DelayedOrders => self.delay_orders().await,
-            Fault::LateReports => {
-                sleep(self.span).await;
+            Fault::MessagesToWorkersBlocked => self.block_messages_to_workers().await,
+            Fault::MessagesFromWorkersBlocked => self.block_messages_from_workers().await,
+            Fault::HangingMachines => self.affected.iter().for_each(|w| w.hang(self.duration)),
+            Fault::DelayedCommands => self.delay_commands().await,
+            Fault::LateReportCopies => {
+                sleep(self.duration).await;
                 self.world.deliver_copies();
             }
-            Fault::WorkersCut => self.cut_workers().await,
-            Fault::ZoneCut => self.cut_zone().await,
-            Fault::LeaderCutFromStateAndPeers => self.cut_leader().await,
+            Fault::LeaderPartitionedFromWorkers => self.partition_leader_from_workers().await,
+            Fault::ZonePartitioned => self.partition_zone().await,
+            Fault::LeaderPartitionedFromStateAndPeers => {
+                self.partition_leader_from_state_and_peers().await
+            }
             Fault::MachineLost => self.lose_machine(),
             Fault::JobsCancelled => self.cancel_running_jobs(),
         }
     }
 }
 
-// Controllers.
-impl Occurrence {
-    async fn end_leader(&self) {
+// Faults of controllers.
+impl Injection {
+    async fn restart_leader(&self) {
         self.world.kill(self.leader);
-        let away = self.span.mul_f64([0.0, 0.2, 1.0][self.draw % 3]);
-        sleep(away).await;
+        let downtime = self.duration.mul_f64([0.0, 0.2, 1.0][self.variant % 3]);
+        sleep(downtime).await;
         self.world.heal_controllers();
     }
 
-    async fn end_all_controllers(&self) {
+    async fn restart_all_controllers(&self) {
         for i in 0..self.world.shape.controllers {
             self.world.kill(i);
         }
-        sleep(self.span).await;
+        sleep(self.duration).await;
         self.world.heal_controllers();
     }
 
     async fn freeze_leader(&self) {
         self.world.freeze(self.leader, true);
-        sleep(self.span).await;
+        sleep(self.duration).await;
         self.world.freeze(self.leader, false);
     }
 }
 
-// The state service.
-impl Occurrence {
-    fn alter_state(&self, change: impl Fn(&mut StateTroubles)) {
+// Faults of the state service.
+impl Injection {
+    fn modify_state_faults(&self, change: impl Fn(&mut StateTroubles)) {
         change(&mut self.world.state.troubles.borrow_mut());
     }
 
-    async fn state_outage(&self) {
+    async fn interrupt_state_service(&self) {
         self.world.state.trouble.set(Trouble::Down);
-        sleep(self.span.mul_f64([1.0, 3.0][self.draw % 2])).await;
+        sleep(self.duration.mul_f64([1.0, 3.0][self.variant % 2])).await;
         self.world.state.trouble.set(Trouble::None);
     }
 }
 
-// Workers and their machines.
-impl Occurrence {
-    async fn deaf_workers(&self) {
-        self.some.iter().for_each(|worker| worker.deaf.set(true));
-        sleep(self.span).await;
-        self.some.iter().for_each(|worker| worker.deaf.set(false));
+// Faults of workers and their machines.
+impl Injection {
+    async fn block_messages_to_workers(&self) {
+        self.affected
+            .iter()
+            .for_each(|worker| worker.deaf.set(true));
+        sleep(self.duration).await;
+        self.affected
+            .iter()
+            .for_each(|worker| worker.deaf.set(false));
     }
 
-    async fn mute_workers(&self) {
-        self.some.iter().for_each(|worker| worker.mute.set(true));
-        sleep(self.span).await;
-        self.some.iter().for_each(|worker| worker.mute.set(false));
+    async fn block_messages_from_workers(&self) {
+        self.affected
+            .iter()
+            .for_each(|worker| worker.mute.set(true));
+        sleep(self.duration).await;
+        self.affected
+            .iter()
+            .for_each(|worker| worker.mute.set(false));
     }
 
-    async fn delay_orders(&self) {
-        let delay = |by: Duration| self.busy.iter().for_each(|w| w.orders_held.set(by));
-        delay(self.span.div_f64(2.0));
-        sleep(self.span).await;
+    async fn delay_commands(&self) {
+        let delay = |by: Duration| self.busy_workers.iter().for_each(|w| w.orders_held.set(by));
+        delay(self.duration.div_f64(2.0));
+        sleep(self.duration).await;
         delay(Duration::ZERO);
     }
 
     fn lose_machine(&self) {
-        if let Some(worker) = self.some.first() {
+        if let Some(worker) = self.affected.first() {
             self.world.lose(worker.name());
         }
     }
 }
 
-// The network.
-impl Occurrence {
-    async fn cut_workers(&self) {
+// Network partitions.
+impl Injection {
+    async fn partition_leader_from_workers(&self) {
         self.world.cut_workers(self.leader, true);
-        sleep(self.span).await;
+        sleep(self.duration).await;
         self.world.cut_workers(self.leader, false);
     }
 
-    async fn cut_zone(&self) {
-        let zone = self.world.shape.zones[self.draw % 2];
+    async fn partition_zone(&self) {
+        let zone = self.world.shape.zones[self.variant % 2];
         self.world.cut_zone(zone, true);
-        sleep(self.span).await;
+        sleep(self.duration).await;
         self.world.cut_zone(zone, false);
     }
 
-    async fn cut_leader(&self) {
+    async fn partition_leader_from_state_and_peers(&self) {
         self.world.cut_peers(self.leader, true);
-        self.alter_state(|t| _ = t.refused.insert(self.leader));
-        sleep(self.span).await;
+        self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
+        sleep(self.duration).await;
         self.world.cut_peers(self.leader, false);
-        self.alter_state(|t| _ = t.refused.remove(&self.leader));
+        self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
     }
 }
 
-// Users.
-impl Occurrence {
-    /// Up to five that run, within a fifth of a second, some machines hang.
+// Cancellations by users.
+impl Injection {
+    /// Cancels up to five running jobs concurrently, while two of the affected
+    /// machines hang.
     fn cancel_running_jobs(&self) {
         for id in self.world.running_jobs().into_iter().take(5) {
             let world = self.world.clone();
             spawn_local(async move { cancel(&world, None, &id).await });
         }
-        let two = self.some.iter().take(2);
-        two.for_each(|worker| worker.hang(self.span.div_f64(2.0)));
+        let hanging = self.affected.iter().take(2);
+        hanging.for_each(|worker| worker.hang(self.duration.div_f64(2.0)));
     }
 }
 
-/// One of a user's jobs, and what the user does with it.
+/// A job that a user submits, and the requests that the user sends for it.
 struct Submission {
     job: Value,
-    /// When the user cancels it, after its submission.
+    /// Time from the submission to the cancellation, in seconds; `None` for a job
+    /// that the user does not cancel.
     cancel_after_s: Option<f64>,
-    /// Whether the user asks all controllers as soon as it is accepted.
-    looks_closely: bool,
+    /// Immediate queries: the user queries all controllers as soon as the job is
+    /// accepted, and again after a cancellation.
+    queries_immediately: bool,
 }
 
 impl Submission {
-    fn draw(rng: &mut SmallRng, number: u32) -> Self {
+    fn random(rng: &mut SmallRng, number: u32) -> Self {
         let kind = *["batch", "gang", "daemon", "batch"]
             .choose(rng)
-            .expect("one");
+            .expect("a non-empty list");
         let run_s = rng.random_range(1.0..15.0);
-        let count = rng.random_range(1..4);
-        let ends: Vec<f64> = (0..count)
+        let task_count = rng.random_range(1..4);
+        let run_times_s: Vec<f64> = (0..task_count)
             .map(|_| run_s * rng.random_range(0.3..1.7))
             .collect();
         let mut job = match kind {
-            "batch" => ending_at(number, kind, &ends),
-            _ => job(number, kind, count, run_s),
+            "batch" => job_with_run_times(number, kind, &run_times_s),
+            _ => job(number, kind, task_count, run_s),
         };
-        job["crew"] = json!(*["t", "u"].choose(rng).expect("one"));
+        job["crew"] = json!(*["t", "u"].choose(rng).expect("a non-empty list"));
         let zones = [json!(null), json!(null), json!("a"), json!("b")];
         job["yard"] = zones[rng.random_range(0..4)].clone();
         job["same_place"] = json!(rng.random_bool(0.2));
-        job["urgency"] = json!(*["low", "normal", "urgent"].choose(rng).expect("one"));
-        let is_cancelled = kind == "daemon" || rng.random_bool(0.3);
-        let after_s = is_cancelled.then(|| rng.random_range(0.0..25.0));
-        // Many cancellations come at the job's very end.
-        let cancel_after_s = after_s.map(|s| if s < 8.0 { run_s + 2.0 } else { s });
+        job["urgency"] = json!(
+            *["low", "normal", "urgent"]
+                .choose(rng)
+                .expect("a non-empty list")
+        );
+        let cancels = kind == "daemon" || rng.random_bool(0.3);
+        let drawn_cancel_s = cancels.then(|| rng.random_range(0.0..25.0));
+        // Cancellations drawn for the first 8 s happen 2 s after the job's run time
+        // instead, so that many of them coincide with its completion.
+        let cancel_after_s = drawn_cancel_s.map(|s| if s < 8.0 { run_s + 2.0 } else { s });
         Submission {
             job,
             cancel_after_s,
-            looks_closely: rng.random_bool(0.3),
+            queries_immediately: rng.random_bool(0.3),
         }
     }
 
     fn id(&self) -> String {
-        self.job["name_id"].as_str().expect("id").to_string()
+        self.job["name_id"]
+            .as_str()
+            .expect("name_id is a string")
+            .to_string()
     }
 
-    async fn play(self, world: Rc<World>) {
+    async fn send_requests(self, world: Rc<World>) {
         let id = world.submit(self.job).await;
-        if self.looks_closely {
+        if self.queries_immediately {
             world.look_closely(&id).await;
         }
         if let Some(after) = self.cancel_after_s {
@@ -288,74 +317,75 @@
     }
 }
 
-/// Two faults begin within four seconds.
-fn begin_both(world: &Rc<World>, rng: &mut SmallRng, faults: [Fault; 2]) {
+/// Starts both faults, the second up to four seconds after the first.
+fn start_both(world: &Rc<World>, rng: &mut SmallRng, faults: [Fault; 2]) {
     for (fault, after) in faults.into_iter().zip([0.0, rng.random_range(0.0..4.0)]) {
-        let span = secs(rng.random_range(1.0..14.0));
-        let (world, draw) = (world.clone(), rng.random_range(0..6));
+        let duration = secs(rng.random_range(1.0..14.0));
+        let (world, variant) = (world.clone(), rng.random_range(0..6));
         spawn_local(async move {
             sleep(secs(after)).await;
-            let occurrence = Occurrence::new(world, span, draw);
-            occurrence.bring_about(fault).await;
+            let injection = Injection::new(world, duration, variant);
+            injection.inject(fault).await;
         });
     }
 }
 
-/// The two faults meet twice while users submit, cancel and ask, with teams at
-/// their limits.
-async fn two_meet(world: Rc<World>, seed: u64, faults: [Fault; 2]) {
+/// Injects the two faults twice while users submit, cancel and query jobs, with
+/// teams at their limits.
+async fn run_fault_pair(world: Rc<World>, seed: u64, faults: [Fault; 2]) {
     let mut rng = SmallRng::seed_from_u64(seed);
     world.copied.set(0.05);
     let mut ids = Vec::new();
     let mut users: Vec<JoinHandle<()>> = Vec::new();
     for step in 0..110u32 {
         if step == 20 || step == 60 {
-            begin_both(&world, &mut rng, faults);
+            start_both(&world, &mut rng, faults);
         }
         if step < 90 && step % 3 == 0 {
-            let submission = Submission::draw(&mut rng, step + 1);
+            let submission = Submission::random(&mut rng, step + 1);
             ids.push(submission.id());
-            users.push(spawn_local(submission.play(world.clone())));
+            users.push(spawn_local(submission.send_requests(world.clone())));
         }
         sleep(secs(1.0)).await;
     }
     for user in users {
-        user.await.expect("a user");
+        user.await.expect("the task of a user");
     }
     for id in ids.iter().filter(|id| world.is_service(id)) {
         world.heal();
         cancel(&world, None, id).await;
     }
-    settle(&world, &format!("{faults:?}, {seed}"), &ids).await;
+    heal_and_check(&world, &format!("{faults:?}, {seed}"), &ids).await;
 }
 
-/// The pairs whose number leaves `shard` of `of`; `MEETINGS_FROM` gives other seeds.
-fn pairs_meet(shard: usize, of: usize) {
-    let from = std::env::var("MEETINGS_FROM")
+/// Runs the pairs of faults whose number modulo `shard_count` is `shard`. The
+/// environment variable `MEETINGS_FROM` replaces the first seed.
+fn run_fault_pairs(shard: usize, shard_count: usize) {
+    let first_seed = std::env::var("MEETINGS_FROM")
         .ok()
         .and_then(|s| s.parse().ok());
-    let from: u64 = from.unwrap_or(2000);
+    let first_seed: u64 = first_seed.unwrap_or(2000);
     let mut number = 0;
-    for (n, a) in Fault::ALL.into_iter().enumerate() {
-        for (m, b) in Fault::ALL.into_iter().enumerate().skip(n) {
+    for (n, first) in Fault::ALL.into_iter().enumerate() {
+        for (m, second) in Fault::ALL.into_iter().enumerate().skip(n) {
             number += 1;
-            if number % of == shard {
-                let seed = from + 20 * n as u64 + m as u64;
+            if number % shard_count == shard {
+                let seed = first_seed + 20 * n as u64 + m as u64;
                 let scenario = Scenario::new(seed)
                     .cancel_s([30.0, 15.0][seed as usize % 2])
                     .boot_s([4.0, 1.0][seed as usize / 2 % 2]);
-                scenario.run(|w| two_meet(w, seed, [a, b]));
+                scenario.run(|world| run_fault_pair(world, seed, [first, second]));
             }
         }
     }
 }
 
 #[test]
-fn any_two_troubles_meet() {
-    pairs_meet(0, 19);
+fn fault_pairs_of_first_shard_break_no_rule() {
+    run_fault_pairs(0, 19);
 }
 
 #[test]
-fn any_other_two_troubles_meet() {
-    pairs_meet(5, 19);
+fn fault_pairs_of_second_shard_break_no_rule() {
+    run_fault_pairs(5, 19);
 }
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -1,246 +1,262 @@
-//! The work changes hands while jobs are cancelled or end.
+//! Changes of the leader while jobs are cancelled or complete.
 
 use std::rc::Rc;
 
 use tokio::time::sleep;
 
-use crate::scenario::{cancel, ending_at, long_jobs, secs, settle};
+use crate::scenario::{cancel, heal_and_check, job_with_run_times, secs, start_long_jobs};
 use crate::stand_ins::{Scenario, StateTroubles, Trouble, World, job};
 
-/// What comes with the changes of leader.
+/// Faults that accompany the changes of the leader.
 #[derive(Clone, Copy, Default)]
-struct Changes {
+struct FaultCase {
     name: &'static str,
-    late_reports: bool,
+    late_report_copies: bool,
     hang_s: f64,
-    orders_delayed_s: f64,
+    commands_delayed_s: f64,
     late_commits: f64,
     unanswered: f64,
     slow_s: f64,
-    deaf: bool,
-    mute: bool,
-    /// Some of the changes fall into an outage.
+    blocks_messages_to_workers: bool,
+    blocks_messages_from_workers: bool,
+    /// Outages of the state service, during some of the changes.
     outages: bool,
-    looks_closely: bool,
+    queries_immediately: bool,
 }
 
-/// One controller's work changes hands ten times in two minutes, in each way that
-/// there is, and jobs are cancelled in those very seconds.
+/// The leader restarts, is killed, freezes or is refused by the state service ten
+/// times in two minutes, and jobs are cancelled at the same moments.
 #[test]
-fn cancelled_while_work_changes_hands() {
-    let base = Changes {
+fn rules_hold_when_jobs_are_cancelled_during_leader_changes() {
+    let base = FaultCase {
         name: "plain",
-        ..Changes::default()
+        ..FaultCase::default()
     };
     let cases = [
         base,
-        Changes {
-            name: "copies for the next",
-            late_reports: true,
+        FaultCase {
+            name: "report copies for the next leader",
+            late_report_copies: true,
             ..base
         },
-        Changes {
-            name: "hanging, launches held up",
+        FaultCase {
+            name: "hanging machines, delayed launches",
             hang_s: 6.0,
-            orders_delayed_s: 3.0,
+            commands_delayed_s: 3.0,
             ..base
         },
-        Changes {
-            name: "hanging past the lease",
+        FaultCase {
+            name: "machines hanging past the lease",
             hang_s: 13.0,
-            late_reports: true,
+            late_report_copies: true,
             ..base
         },
-        Changes {
-            name: "late writes",
+        FaultCase {
+            name: "late commits",
             late_commits: 0.15,
             ..base
         },
-        Changes {
-            name: "answers lost",
+        FaultCase {
+            name: "lost answers",
             unanswered: 0.2,
-            looks_closely: true,
+            queries_immediately: true,
             ..base
         },
-        Changes {
-            name: "slow",
+        FaultCase {
+            name: "slow state service",
             slow_s: 0.8,
-            orders_delayed_s: 2.0,
+            commands_delayed_s: 2.0,
             ..base
         },
-        Changes {
-            name: "deaf",
-            deaf: true,
-            late_reports: true,
+        FaultCase {
+            name: "messages to workers blocked",
+            blocks_messages_to_workers: true,
+            late_report_copies: true,
             ..base
         },
-        Changes {
-            name: "mute",
-            mute: true,
-            orders_delayed_s: 5.0,
+        FaultCase {
+            name: "messages from workers blocked",
+            blocks_messages_from_workers: true,
+            commands_delayed_s: 5.0,
             ..base
         },
-        Changes {
+        FaultCase {
             name: "outages",
             outages: true,
             hang_s: 4.0,
             ..base
         },
-        Changes {
-            name: "outages, late writes, copies",
+        FaultCase {
+            name: "outages, late commits, report copies",
             outages: true,
             late_commits: 0.1,
-            late_reports: true,
+            late_report_copies: true,
             ..base
         },
     ];
     for (n, case) in cases.into_iter().enumerate() {
-        for k in 0..2 {
-            Scenario::with_large_teams(400 + 10 * n as u64 + k).run(|w| async move {
-                let name = format!("{}, {k}", case.name);
-                change_hands(&w, case, &name).await;
+        for variant in 0..2 {
+            Scenario::with_large_teams(400 + 10 * n as u64 + variant).run(|world| async move {
+                let name = format!("{}, {variant}", case.name);
+                run_leader_changes(&world, case, &name).await;
             });
         }
     }
 }
 
-async fn change_hands(w: &Rc<World>, case: Changes, name: &str) {
-    let mut ids = long_jobs(w, 1, 6).await;
-    let mut open: Vec<String> = ids.clone();
-    w.copied.set(if case.late_reports { 0.2 } else { 0.0 });
-    w.state.troubles.replace(StateTroubles {
+async fn run_leader_changes(world: &Rc<World>, case: FaultCase, name: &str) {
+    let mut ids = start_long_jobs(world, 1, 6).await;
+    let mut uncancelled: Vec<String> = ids.clone();
+    world
+        .copied
+        .set(if case.late_report_copies { 0.2 } else { 0.0 });
+    world.state.troubles.replace(StateTroubles {
         late: case.late_commits,
         unanswered: case.unanswered,
         slow: secs(case.slow_s),
         ..StateTroubles::default()
     });
     for change in 0..10u32 {
-        let leader = w.busiest();
-        disturb_workers(w, case, change);
-        // New work is on its way when its controller goes.
-        let new = submit_new(w, case, change).await;
-        ids.push(new.clone());
-        open.push(new);
+        let leader = world.busiest();
+        disturb_workers(world, case, change);
+        // The new job is being scheduled when the leader stops.
+        let new_id = submit_job(world, case, change).await;
+        ids.push(new_id.clone());
+        uncancelled.push(new_id);
         sleep(secs(f64::from(change % 4) * 0.3)).await;
-        let victims: Vec<String> = open.drain(..open.len().min(2)).collect();
-        take_leader_away(w, case, change, leader).await;
-        cancel_all(w, case, leader, &victims).await;
-        if case.late_reports {
-            w.deliver_copies();
+        let cancelled: Vec<String> = uncancelled.drain(..uncancelled.len().min(2)).collect();
+        stop_leader(world, case, change, leader).await;
+        cancel_all(world, case, leader, &cancelled).await;
+        if case.late_report_copies {
+            world.deliver_copies();
         }
         sleep(secs([2.0, 5.0, 3.0][change as usize % 3])).await;
-        bring_leader_back(w, change, leader);
-        if case.late_reports {
-            w.deliver_copies();
+        restore_leader(world, change, leader);
+        if case.late_report_copies {
+            world.deliver_copies();
         }
         sleep(secs(4.0)).await;
     }
-    sleep(secs(w.shape.cancel_s)).await;
-    settle(w, name, &ids).await;
+    sleep(secs(world.shape.cancel_s)).await;
+    heal_and_check(world, name, &ids).await;
 }
 
-/// Orders are delayed, and one worker hangs or loses a direction.
-fn disturb_workers(w: &Rc<World>, case: Changes, change: u32) {
-    let busy = w.busy();
-    for worker in &busy {
-        worker.orders_held.set(secs(case.orders_delayed_s));
+/// Delays the commands to all busy workers; one of them also hangs, or its messages
+/// are blocked in one direction.
+fn disturb_workers(world: &Rc<World>, case: FaultCase, change: u32) {
+    let busy_workers = world.busy();
+    for worker in &busy_workers {
+        worker.orders_held.set(secs(case.commands_delayed_s));
     }
-    if let Some(worker) = busy.get(change as usize % busy.len().max(1)) {
+    if let Some(worker) = busy_workers.get(change as usize % busy_workers.len().max(1)) {
         if case.hang_s > 0.0 {
             worker.hang(secs(case.hang_s));
         }
-        worker.deaf.set(case.deaf && change % 3 == 0);
-        worker.mute.set(case.mute && change % 2 == 0);
+        worker
+            .deaf
+            .set(case.blocks_messages_to_workers && change % 3 == 0);
+        worker
+            .mute
+            .set(case.blocks_messages_from_workers && change % 2 == 0);
     }
 }
 
-async fn submit_new(w: &Rc<World>, case: Changes, change: u32) -> String {
+async fn submit_job(world: &Rc<World>, case: FaultCase, change: u32) -> String {
     let kind = ["batch", "gang", "daemon"][change as usize % 3];
-    let id = w.submit(job(20 + change, kind, 2, 12.0)).await;
-    if case.looks_closely {
-        w.look_closely(&id).await;
+    let id = world.submit(job(20 + change, kind, 2, 12.0)).await;
+    if case.queries_immediately {
+        world.look_closely(&id).await;
     }
     id
 }
 
-/// The leader restarts at once, ends, stands still or is refused by the state
-/// service, in turn; some of it within an outage.
-async fn take_leader_away(w: &Rc<World>, case: Changes, change: u32, leader: usize) {
+/// Restarts the leader, kills it, freezes it, or lets the state service refuse it, in
+/// turn; some of the changes happen during an outage of the state service.
+async fn stop_leader(world: &Rc<World>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
-        w.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(Trouble::Down);
     }
     match change % 4 {
         0 => {
-            w.kill(leader);
-            w.start(leader);
+            world.kill(leader);
+            world.start(leader);
         }
-        1 => w.kill(leader),
-        2 => w.freeze(leader, true),
+        1 => world.kill(leader),
+        2 => world.freeze(leader, true),
         _ => {
-            w.state.troubles.borrow_mut().refused.insert(leader);
+            world.state.troubles.borrow_mut().refused.insert(leader);
         }
     }
     if outage {
         sleep(secs(3.0)).await;
-        w.state.trouble.set(Trouble::None);
+        world.state.trouble.set(Trouble::None);
     }
 }
 
-fn bring_leader_back(w: &Rc<World>, change: u32, leader: usize) {
-    w.state.troubles.borrow_mut().refused.clear();
+fn restore_leader(world: &Rc<World>, change: u32, leader: usize) {
+    world.state.troubles.borrow_mut().refused.clear();
     match change % 4 {
-        1 => w.start(leader),
-        2 => w.freeze(leader, false),
+        1 => world.start(leader),
+        2 => world.freeze(leader, false),
         _ => {}
     }
 }
 
-async fn cancel_all(w: &Rc<World>, case: Changes, leader: usize, ids: &[String]) {
+async fn cancel_all(world: &Rc<World>, case: FaultCase, leader: usize, ids: &[String]) {
     for id in ids {
-        cancel(w, Some(leader), id).await;
-        if case.looks_closely && w.is_cancelled(id) {
-            w.look_closely(id).await;
+        cancel(world, Some(leader), id).await;
+        if case.queries_immediately && world.is_cancelled(id) {
+            world.look_closely(id).await;
         }
     }
 }
 
-/// Jobs of two or three tasks end far apart across changes of leader, one of them
-/// while reports are kept for the next; nothing is done before all of it is.
+/// The tasks of each job complete far apart, under different leaders, and copies of
+/// reports reach the next leader late. No job may be reported as done before all of its
+/// tasks have completed.
 #[test]
-fn tasks_that_end_far_apart_across_changes_of_leader() {
-    for k in 0..4u64 {
-        Scenario::with_large_teams(1000 + k).run(|w| async move {
-            w.copied.set(0.3);
+fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
+    for variant in 0..4u64 {
+        Scenario::with_large_teams(1000 + variant).run(|world| async move {
+            world.copied.set(0.3);
             let mut ids = Vec::new();
             for n in 0..10u32 {
-                let spread = [1.0, 4.0 + f64::from(n) * 2.5, 12.0 + f64::from(n) * 2.0];
-                let count = 2 + n as usize % 2;
-                ids.push(w.submit(ending_at(n + 1, "batch", &spread[..count])).await);
+                let run_times_s = [1.0, 4.0 + f64::from(n) * 2.5, 12.0 + f64::from(n) * 2.0];
+                let task_count = 2 + n as usize % 2;
+                ids.push(
+                    world
+                        .submit(job_with_run_times(
+                            n + 1,
+                            "batch",
+                            &run_times_s[..task_count],
+                        ))
+                        .await,
+                );
             }
             sleep(secs(6.0)).await;
             for change in 0..6u64 {
-                let i = w.busiest();
-                let busy = w.busy();
-                if let Some(m) = busy.first()
-                    && (change + k) % 2 == 0
+                let leader = world.busiest();
+                let busy_workers = world.busy();
+                if let Some(worker) = busy_workers.first()
+                    && (change + variant) % 2 == 0
                 {
-                    m.hang(secs(12.0));
+                    worker.hang(secs(12.0));
                 }
-                w.kill(i);
-                sleep(secs((change + k) as f64 % 3.0)).await;
-                w.start(i);
-                w.deliver_copies();
+                world.kill(leader);
+                sleep(secs((change + variant) as f64 % 3.0)).await;
+                world.start(leader);
+                world.deliver_copies();
                 for id in &ids {
-                    w.look_closely(id).await;
+                    world.look_closely(id).await;
                 }
                 sleep(secs(3.0)).await;
             }
-            settle(&w, &format!("{k}"), &ids).await;
+            heal_and_check(&world, &format!("{variant}"), &ids).await;
             for id in &ids {
-                w.until(id, "done", 90).await;
+                world.until(id, "done", 90).await;
             }
-            w.assert_kept();
+            world.assert_kept();
         });
     }
 }
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -1,4 +1,4 @@
-//! Many jobs at once: teams at their limits, and machines that are up at once.
+//! Many concurrent jobs: teams at their limits, and machines that boot fast.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,82 +6,84 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::scenario::{cancel, secs, settle};
+use crate::scenario::{cancel, heal_and_check, secs};
 use crate::stand_ins::{Scenario, StateTroubles, Worker, World, job};
 
-/// Every team is at its limit, with more in the queue, while jobs are cancelled
-/// whose machines hang, are deaf or are cut off, and the leader changes.
+/// Every team is at its limit and has more jobs in the queue. Jobs are cancelled while
+/// their machines hang or are unreachable, and the leader changes. No team may exceed its
+/// limit.
 #[test]
-fn teams_at_their_limits_stay_there() {
-    let kinds = [
+fn teams_never_exceed_their_limits() {
+    let faults = [
         "hang",
         "hang past the lease",
-        "deaf",
-        "mute",
-        "cut",
-        "held",
-        "hang held",
+        "messages to worker blocked",
+        "messages from worker blocked",
+        "leader partitioned",
+        "delayed commands",
+        "hang, delayed commands",
     ];
-    for (n, kind) in kinds.into_iter().enumerate() {
-        for k in 0..3u64 {
-            Scenario::new(600 + 10 * n as u64 + k).run(|w| async move {
-                at_limits(&w, kind, k).await;
+    for (n, fault) in faults.into_iter().enumerate() {
+        for variant in 0..3u64 {
+            Scenario::new(600 + 10 * n as u64 + variant).run(|world| async move {
+                run_at_limits(&world, fault, variant).await;
             });
         }
     }
 }
 
-async fn at_limits(w: &Rc<World>, kind: &str, k: u64) {
+async fn run_at_limits(world: &Rc<World>, fault: &str, variant: u64) {
     let mut ids = Vec::new();
     for n in 0..16u32 {
-        let cut = ["batch", "gang", "daemon", "batch"][n as usize % 4];
-        // The services that are not cancelled must not fill the limits for ever.
-        let mut one = job(n + 1, cut, 2, 18.0);
-        one["crew"] = json!(["t", "u"][n as usize / 2 % 2]);
-        ids.push(w.submit(one).await);
+        let kind = ["batch", "gang", "daemon", "batch"][n as usize % 4];
+        // All services belong to team u: those that are not cancelled must not
+        // occupy the limits of both teams permanently.
+        let mut submission = job(n + 1, kind, 2, 18.0);
+        submission["crew"] = json!(["t", "u"][n as usize / 2 % 2]);
+        ids.push(world.submit(submission).await);
     }
     sleep(secs(18.0)).await;
     for round in 0..3 {
-        let leader = w.busiest();
-        let busy = w.busy();
-        for worker in busy.iter().take(3) {
-            disturb(worker, kind);
+        let leader = world.busiest();
+        let busy_workers = world.busy();
+        for worker in busy_workers.iter().take(3) {
+            inject_fault(worker, fault);
         }
-        if kind == "cut" {
-            w.cut_workers(leader, true);
+        if fault == "leader partitioned" {
+            world.cut_workers(leader, true);
         }
-        sleep(secs(0.4 * k as f64)).await;
-        let running: Vec<&String> = ids.iter().filter(|id| w.running(id) > 0).collect();
+        sleep(secs(0.4 * variant as f64)).await;
+        let running: Vec<&String> = ids.iter().filter(|id| world.running(id) > 0).collect();
         for id in running.iter().take(4) {
-            cancel(w, None, id).await;
+            cancel(world, None, id).await;
         }
         if round % 2 == 0 {
-            w.kill(leader);
-            sleep(secs(k as f64)).await;
-            w.start(leader);
+            world.kill(leader);
+            sleep(secs(variant as f64)).await;
+            world.start(leader);
         } else {
-            w.state.troubles.borrow_mut().refused.insert(leader);
+            world.state.troubles.borrow_mut().refused.insert(leader);
         }
         sleep(secs(8.0)).await;
-        w.state.troubles.borrow_mut().refused.clear();
-        busy.iter().for_each(|worker| restore(worker));
-        w.cut_workers(leader, false);
+        world.state.troubles.borrow_mut().refused.clear();
+        busy_workers.iter().for_each(|worker| clear_faults(worker));
+        world.cut_workers(leader, false);
         sleep(secs(12.0)).await;
     }
-    for id in ids.iter().filter(|id| w.is_service(id)) {
-        cancel(w, None, id).await;
+    for id in ids.iter().filter(|id| world.is_service(id)) {
+        cancel(world, None, id).await;
     }
-    settle(w, &format!("{kind}, {k}"), &ids).await;
+    heal_and_check(world, &format!("{fault}, {variant}"), &ids).await;
 }
 
-fn disturb(worker: &Worker, kind: &str) {
-    match kind {
+fn inject_fault(worker: &Worker, fault: &str) {
+    match fault {
         "hang" => worker.hang(secs(7.0)),
         "hang past the lease" => worker.hang(secs(13.0)),
-        "deaf" => worker.deaf.set(true),
-        "mute" => worker.mute.set(true),
-        "held" => worker.orders_held.set(secs(6.0)),
-        "hang held" => {
+        "messages to worker blocked" => worker.deaf.set(true),
+        "messages from worker blocked" => worker.mute.set(true),
+        "delayed commands" => worker.orders_held.set(secs(6.0)),
+        "hang, delayed commands" => {
             worker.orders_held.set(secs(3.0));
             worker.hang(secs(8.0));
         }
@@ -89,17 +91,17 @@
     }
 }
 
-/// What a hang has begun goes on to its end.
-fn restore(worker: &Worker) {
+/// Ends the faults of a worker, except a hang, which lasts for the time it was given.
+fn clear_faults(worker: &Worker) {
     worker.deaf.set(false);
     worker.mute.set(false);
     worker.orders_held.set(Duration::ZERO);
 }
 
-/// New machines are up within a second and get work at once while writes lag, and
-/// the leader ends.
+/// New machines boot within a second and receive work immediately, while commits are
+/// late, unanswered or slow, and the leader is restarted.
 #[test]
-fn machines_up_at_once_while_writes_lag() {
+fn rules_hold_when_machines_boot_fast_and_commits_are_slow() {
     for (n, (late, unanswered, slow_s)) in [
         (0.3, 0.0, 0.0),
         (0.0, 0.3, 0.0),
@@ -109,11 +111,11 @@
     .into_iter()
     .enumerate()
     {
-        for k in 0..2u64 {
-            let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + k);
-            scenario.boot_s(0.8).run(|w| async move {
-                let mut ids = vec![w.submit(job(1, "batch", 1, 1.0)).await];
-                w.state.troubles.replace(StateTroubles {
+        for variant in 0..2u64 {
+            let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + variant);
+            scenario.boot_s(0.8).run(|world| async move {
+                let mut ids = vec![world.submit(job(1, "batch", 1, 1.0)).await];
+                world.state.troubles.replace(StateTroubles {
                     late,
                     unanswered,
                     slow: secs(slow_s),
@@ -121,21 +123,21 @@
                 });
                 for round in 0..4u32 {
                     for n in 0..3 {
-                        let cut = ["batch", "gang", "daemon"][n as usize];
-                        let one = job(10 + round * 3 + n, cut, 3, 25.0);
-                        ids.push(w.submit(one).await);
+                        let kind = ["batch", "gang", "daemon"][n as usize];
+                        let submission = job(10 + round * 3 + n, kind, 3, 25.0);
+                        ids.push(world.submit(submission).await);
                     }
                     sleep(secs(1.0 + 0.5 * f64::from(round))).await;
-                    let i = w.busiest();
-                    w.kill(i);
-                    cancel(&w, Some(i), &ids[ids.len() - 1]).await;
+                    let leader = world.busiest();
+                    world.kill(leader);
+                    cancel(&world, Some(leader), &ids[ids.len() - 1]).await;
                     sleep(secs(2.0)).await;
-                    w.start(i);
+                    world.start(leader);
                     sleep(secs(6.0)).await;
                 }
-                settle(
-                    &w,
-                    &format!("late {late}, lost {unanswered}, slow {slow_s}, {k}"),
+                heal_and_check(
+                    &world,
+                    &format!("late {late}, unanswered {unanswered}, slow {slow_s}, {variant}"),
                     &ids,
                 )
                 .await;
@@ -144,46 +146,46 @@
     }
 }
 
-/// One-task jobs come four a second for a minute, a quarter of them is cancelled,
-/// and a controller ends meanwhile.
+/// Users submit four one-task jobs per second for a minute and cancel a quarter of
+/// them, while the leader is restarted several times.
 #[test]
-fn many_small_jobs_and_a_quarter_called_off() {
+fn rules_hold_when_a_quarter_of_many_small_jobs_is_cancelled() {
     for (n, (late, copied)) in [(0.0, 0.0), (0.05, 0.0), (0.0, 0.1)]
         .into_iter()
         .enumerate()
     {
-        Scenario::with_large_teams(900 + n as u64).run(|w| async move {
-            w.state.troubles.borrow_mut().late = late;
-            w.copied.set(copied);
+        Scenario::with_large_teams(900 + n as u64).run(|world| async move {
+            world.state.troubles.borrow_mut().late = late;
+            world.copied.set(copied);
             let mut users = Vec::new();
-            for k in 0..240u32 {
-                let (world, w) = (w.clone(), w.clone());
+            for number in 0..240u32 {
+                let (world, user_world) = (world.clone(), world.clone());
                 users.push(tokio::task::spawn_local(async move {
-                    let mut one = job(1 + k, "batch", 1, 2.0);
-                    one["vcpus"] = json!(1.0);
-                    one["crew"] = json!(["t", "u"][k as usize % 2]);
-                    let id = w.submit(one).await;
-                    if k % 4 == 0 {
-                        sleep(secs(f64::from(k % 7) * 0.6)).await;
-                        cancel(&w, None, &id).await;
+                    let mut submission = job(1 + number, "batch", 1, 2.0);
+                    submission["vcpus"] = json!(1.0);
+                    submission["crew"] = json!(["t", "u"][number as usize % 2]);
+                    let id = user_world.submit(submission).await;
+                    if number % 4 == 0 {
+                        sleep(secs(f64::from(number % 7) * 0.6)).await;
+                        cancel(&user_world, None, &id).await;
                     }
                     id
                 }));
                 sleep(secs(0.25)).await;
-                if k % 80 == 40 {
-                    let i = world.busiest();
-                    world.kill(i);
-                    world.start(i);
+                if number % 80 == 40 {
+                    let leader = world.busiest();
+                    world.kill(leader);
+                    world.start(leader);
                     world.deliver_copies();
                 }
             }
             let mut ids = Vec::new();
             for user in users {
-                ids.push(user.await.expect("a user"));
+                ids.push(user.await.expect("the task of a user"));
             }
-            w.deliver_copies();
+            world.deliver_copies();
             sleep(secs(10.0)).await;
-            settle(&w, &format!("late {late}, copied {copied}"), &ids).await;
+            heal_and_check(&world, &format!("late {late}, copied {copied}"), &ids).await;
         });
     }
 }
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -1,7 +1,7 @@
-//! Meetings of troubles: two or more at once, against stand-ins that hold every
-//! answer and every task against the rules, in simulated time.
+//! Two or more faults at a time, against stand-ins that check every answer and every
+//! task against the rules of the protocol, in simulated time.
 
-// Each target of tests uses a part of them.
+// Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
 #[path = "../stand_ins/mod.rs"]
 mod stand_ins;
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -1,5 +1,5 @@
-//! What all of these tests do with a deployment: jobs, cancellations, and the end
-//! of a test.
+//! Helpers of this test target: long-running jobs, cancellations and the checks at
+//! the end of a test.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,15 +13,15 @@
     Duration::from_secs_f64(s)
 }
 
-/// Cancels until it is confirmed or the job is over, at any controller but
-/// `not_at`.
-pub async fn cancel(w: &Rc<World>, not_at: Option<usize>, id: &str) -> Option<String> {
-    for k in 0..30 {
-        let i = k % w.shape.controllers;
-        if Some(i) == not_at {
+/// Sends the cancellation to one controller after another, except `excluded`, until
+/// one of them answers it; returns the job's stage in that answer.
+pub async fn cancel(world: &Rc<World>, excluded: Option<usize>, id: &str) -> Option<String> {
+    for attempt in 0..30 {
+        let i = attempt % world.shape.controllers;
+        if Some(i) == excluded {
             continue;
         }
-        if let Some(stage) = w.withdraw(i, id).await {
+        if let Some(stage) = world.withdraw(i, id).await {
             return Some(stage);
         }
         sleep(secs(0.2)).await;
@@ -29,64 +29,68 @@
     None
 }
 
-/// Troubles are over: within 90 s each job that was not cancelled runs or is
-/// done, every controller knows all jobs, and no rule was broken.
-pub async fn settle(w: &Rc<World>, case: &str, ids: &[String]) {
-    w.heal();
-    let began = Instant::now();
+/// Ends all faults, then asserts that each job that was not cancelled runs or is done
+/// within 90 s, that every controller answers queries for all jobs, and that no rule
+/// was broken.
+pub async fn heal_and_check(world: &Rc<World>, case: &str, ids: &[String]) {
+    world.heal();
+    let start = Instant::now();
     loop {
-        let mut waits = Vec::new();
-        for id in ids.iter().filter(|id| !w.is_cancelled(id)) {
-            if w.running(id) == 0 && w.stage(0, id).await.as_deref() != Some("done") {
-                waits.push(id);
+        let mut unfinished = Vec::new();
+        for id in ids.iter().filter(|id| !world.is_cancelled(id)) {
+            if world.running(id) == 0 && world.stage(0, id).await.as_deref() != Some("done") {
+                unfinished.push(id);
             }
         }
-        if waits.is_empty() {
+        if unfinished.is_empty() {
             break;
         }
         assert!(
-            began.elapsed() < secs(90.0),
-            "{case}: waits: {waits:?} {:?}",
-            w.broken.borrow()
+            start.elapsed() < secs(90.0),
+            "{case}: neither running nor done: {unfinished:?}; broken rules: {:?}",
+            world.broken.borrow()
         );
         sleep(secs(1.0)).await;
     }
     for id in ids {
-        for i in 0..w.shape.controllers {
+        for i in 0..world.shape.controllers {
             let mut stage = None;
             for _ in 0..10 {
-                stage = w.stage(i, id).await;
+                stage = world.stage(i, id).await;
                 if stage.is_some() {
                     break;
                 }
                 sleep(secs(1.0)).await;
             }
-            assert!(stage.is_some(), "{case}: forgotten: {id} at n{i}");
+            assert!(
+                stage.is_some(),
+                "{case}: n{i} does not answer queries for {id}"
+            );
         }
     }
-    let broken = w.broken.borrow().clone();
+    let broken = world.broken.borrow().clone();
     assert!(broken.is_empty(), "{case}: {broken:#?}");
-    w.assert_kept();
+    world.assert_kept();
 }
 
-/// Jobs of all kinds that run for long.
-pub async fn long_jobs(w: &Rc<World>, from: u32, count: u32) -> Vec<String> {
+/// Submits long-running jobs of all kinds and waits until they run.
+pub async fn start_long_jobs(world: &Rc<World>, first_number: u32, count: u32) -> Vec<String> {
     let mut ids = Vec::new();
-    for n in from..from + count {
-        let (cut, tasks) = [("daemon", 2), ("batch", 3), ("gang", 2)][n as usize % 3];
-        let mut one = job(n, cut, tasks, 400.0);
-        one["crew"] = json!(["t", "u"][n as usize % 2]);
-        ids.push(w.submit(one).await);
+    for number in first_number..first_number + count {
+        let (kind, tasks) = [("daemon", 2), ("batch", 3), ("gang", 2)][number as usize % 3];
+        let mut submission = job(number, kind, tasks, 400.0);
+        submission["crew"] = json!(["t", "u"][number as usize % 2]);
+        ids.push(world.submit(submission).await);
     }
     for id in &ids {
-        w.until(id, "running", 100).await;
+        world.until(id, "running", 100).await;
     }
     ids
 }
 
-/// A job whose tasks end at these seconds.
-pub fn ending_at(n: u32, cut: &str, ends_s: &[f64]) -> Value {
-    let mut one = job(n, cut, ends_s.len() as u32, 10.0);
-    one["ends_s"] = json!(ends_s);
-    one
+/// Returns a submission whose tasks have these run times, in seconds.
+pub fn job_with_run_times(number: u32, kind: &str, run_times_s: &[f64]) -> Value {
+    let mut submission = job(number, kind, run_times_s.len() as u32, 10.0);
+    submission["ends_s"] = json!(run_times_s);
+    submission
 }
