--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of each kind, from submission to their end.
+//! Jobs of each kind, from their submission to their completion or cancellation.
 
 use std::time::Duration;
 
@@ -8,114 +8,129 @@
 use crate::stand_ins::{CONTROLLERS, Scenario, job};
 
 #[test]
-fn each_kind_of_job_runs_to_its_end() {
-    Scenario::new(1).run(|w| async move {
-        let array = w.submit(job(1, "batch", 20, 5.0)).await;
-        let gang = w.submit(job(2, "gang", 2, 8.0)).await;
-        let service = w.submit(job(3, "daemon", 2, 0.0)).await;
-        w.until(&array, "done", 200).await;
-        w.until(&gang, "done", 200).await;
-        w.until(&service, "running", 60).await;
+fn each_kind_of_job_runs_until_done_or_cancelled() {
+    Scenario::new(1).run(|world| async move {
+        let array = world.submit(job(1, "batch", 20, 5.0)).await;
+        let gang = world.submit(job(2, "gang", 2, 8.0)).await;
+        let service = world.submit(job(3, "daemon", 2, 0.0)).await;
+        world.until(&array, "done", 200).await;
+        world.until(&gang, "done", 200).await;
+        world.until(&service, "running", 60).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(w.running(&service), 2);
-        assert_eq!(w.withdraw(1, &service).await.as_deref(), Some("aborted"));
+        assert_eq!(world.running(&service), 2);
+        assert_eq!(
+            world.withdraw(1, &service).await.as_deref(),
+            Some("aborted")
+        );
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(w.running(&service), 0);
+        assert_eq!(world.running(&service), 0);
         for i in 0..CONTROLLERS {
-            assert_eq!(w.stage(i, &array).await.as_deref(), Some("done"));
-            assert_eq!(w.stage(i, &service).await.as_deref(), Some("aborted"));
-            assert_eq!(w.withdraw(i, &array).await.as_deref(), Some("done"));
+            assert_eq!(world.stage(i, &array).await.as_deref(), Some("done"));
+            assert_eq!(world.stage(i, &service).await.as_deref(), Some("aborted"));
+            assert_eq!(world.withdraw(i, &array).await.as_deref(), Some("done"));
         }
-        // Nothing is left to do: the machines go back.
+        // No job is left, so all machines are returned.
         sleep(Duration::from_secs(60)).await;
-        assert_eq!(w.workers.borrow().len(), 0);
-        w.assert_kept();
+        assert_eq!(world.workers.borrow().len(), 0);
+        world.assert_kept();
     });
 }
 
 #[test]
-fn one_id_at_several_controllers_is_one_job() {
-    Scenario::new(2).run(|w| async move {
-        w.submit(job(1, "batch", 1, 1.0)).await;
-        let one = job(7, "batch", 2, 3.0);
+fn concurrent_submissions_of_one_id_create_one_job() {
+    Scenario::new(2).run(|world| async move {
+        world.submit(job(1, "batch", 1, 1.0)).await;
+        let submission = job(7, "batch", 2, 3.0);
         let (a, b, c) = tokio::join!(
-            w.ask(0, "POST", "/submissions", Some(&one)),
-            w.ask(1, "POST", "/submissions", Some(&one)),
-            w.ask(2, "POST", "/submissions", Some(&one)),
+            world.ask(0, "POST", "/submissions", Some(&submission)),
+            world.ask(1, "POST", "/submissions", Some(&submission)),
+            world.ask(2, "POST", "/submissions", Some(&submission)),
         );
         let mut statuses = [a.0, b.0, c.0];
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 200, 201]);
-        // Known: its state, whatever the repeated body says.
-        let mut other = one.clone();
-        other["crew"] = json!("nobody");
-        assert_eq!(w.ask(0, "POST", "/submissions", Some(&other)).await.0, 200);
+        // The repeated submission of a known id returns the job's stage, even if its
+        // body is invalid.
+        let mut changed = submission.clone();
+        changed["crew"] = json!("nobody");
+        assert_eq!(
+            world.ask(0, "POST", "/submissions", Some(&changed)).await.0,
+            200
+        );
         assert_eq!(
-            w.ask(0, "POST", "/submissions", Some(&json!([]))).await.0,
+            world
+                .ask(0, "POST", "/submissions", Some(&json!([])))
+                .await
+                .0,
             400
         );
         assert_eq!(
-            w.ask(0, "GET", "/submissions/job-999999", None).await.0,
+            world.ask(0, "GET", "/submissions/job-999999", None).await.0,
             404
         );
-        assert_eq!(w.ask(0, "GET", "/nowhere", None).await.0, 404);
-        assert_eq!(w.ask(0, "PUT", "/submissions", None).await.0, 405);
-        other["name_id"] = json!("job-000008");
-        assert_eq!(w.ask(0, "POST", "/submissions", Some(&other)).await.0, 422);
+        assert_eq!(world.ask(0, "GET", "/nowhere", None).await.0, 404);
+        assert_eq!(world.ask(0, "PUT", "/submissions", None).await.0, 405);
+        changed["name_id"] = json!("job-000008");
+        assert_eq!(
+            world.ask(0, "POST", "/submissions", Some(&changed)).await.0,
+            422
+        );
     });
 }
 
-/// Lower work is stopped for all replicas of a service at once, not for one
-/// after another: all run before a machine could boot.
+/// Jobs of lower priority are preempted for all replicas of a service together, not for
+/// one after another: all replicas run before a new machine could have booted.
 #[test]
-fn a_service_gets_room_for_all_its_replicas_at_once() {
-    Scenario::new(16).run(|w| async move {
-        let mut low = job(1, "batch", 4, 300.0);
-        low["urgency"] = json!("low");
-        low["crew"] = json!("u");
-        let array = w.submit(low).await;
-        w.until(&array, "running", 60).await;
+fn preemption_frees_capacity_for_all_replicas_of_a_service_together() {
+    Scenario::new(16).run(|world| async move {
+        let mut low_priority = job(1, "batch", 4, 300.0);
+        low_priority["urgency"] = json!("low");
+        low_priority["crew"] = json!("u");
+        let array = world.submit(low_priority).await;
+        world.until(&array, "running", 60).await;
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(w.running(&array), 4);
+        assert_eq!(world.running(&array), 4);
         let mut service = job(2, "daemon", 4, 0.0);
         service["urgency"] = json!("prod");
-        let service = w.submit(service).await;
+        let service = world.submit(service).await;
         sleep(Duration::from_millis(3500)).await;
-        assert_eq!((w.running(&service), w.running(&array)), (4, 0));
-        w.assert_kept();
+        assert_eq!((world.running(&service), world.running(&array)), (4, 0));
+        world.assert_kept();
     });
 }
 
 #[test]
-fn operators_are_told_what_is_undone_and_why() {
-    Scenario::new(10).run(|w| async move {
-        let big = w.submit(job(1, "gang", 6, 300.0)).await;
-        w.until(&big, "running", 100).await;
-        let second = w.submit(job(2, "gang", 2, 5.0)).await;
+fn operators_see_unfinished_jobs_and_their_reasons() {
+    Scenario::new(10).run(|world| async move {
+        let first = world.submit(job(1, "gang", 6, 300.0)).await;
+        world.until(&first, "running", 100).await;
+        let second = world.submit(job(2, "gang", 2, 5.0)).await;
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
-            let (status, report) = w.ask(i, "GET", "/ops/report", None).await;
+            let (status, report) = world.ask(i, "GET", "/ops/report", None).await;
             assert_eq!(
                 (status, &report["unfinished"]),
                 (200, &json!(2)),
                 "{report}"
             );
             let jobs = report["jobs"].as_array().expect("jobs");
-            let told = jobs
+            let reported = jobs
                 .iter()
                 .find(|j| j["job"] == second.as_str())
-                .expect("second");
-            assert_eq!(told["reason"], "its team is at its limit", "{told}");
-            let (_, teams) = w.ask(i, "GET", "/ops/teams", None).await;
+                .expect("the second job");
+            assert_eq!(reported["reason"], "its team is at its limit", "{reported}");
+            let (_, teams) = world.ask(i, "GET", "/ops/teams", None).await;
             assert_eq!(teams[0]["cpus_used"], 12.0);
             assert_eq!(teams[0]["cpus_borrowed"], 4.0);
             assert_eq!(teams[0]["why"], "its team is at its limit");
         }
-        let (_, story) = w.ask(0, "GET", &format!("/ops/job/{big}"), None).await;
+        let (_, details) = world
+            .ask(0, "GET", &format!("/ops/job/{first}"), None)
+            .await;
         assert_eq!(
-            (&story["running"], &story["stage"]),
+            (&details["running"], &details["stage"]),
             (&json!(6), &json!("running"))
         );
-        w.assert_kept();
+        world.assert_kept();
     });
 }
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that are lost, fail, hear nothing or never come up.
+//! Machines that are lost, reject tasks, are unreachable or never boot.
 
 use std::time::Duration;
 
@@ -9,185 +9,214 @@
 
 #[test]
 fn lost_machines_are_replaced() {
-    Scenario::new(6).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 2, 0.0)).await;
-        let gang = w.submit(job(2, "gang", 2, 20.0)).await;
-        w.until(&service, "running", 100).await;
+    Scenario::new(6).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
+        let gang = world.submit(job(2, "gang", 2, 20.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(12)).await;
-        let names: Vec<String> = w.workers.borrow().keys().cloned().collect();
+        let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
         for name in names {
-            w.lose(&name);
+            world.lose(&name);
         }
-        w.until(&gang, "done", 200).await;
-        assert_eq!(w.running(&service), 2);
-        w.assert_kept();
+        world.until(&gang, "done", 200).await;
+        assert_eq!(world.running(&service), 2);
+        world.assert_kept();
     });
 }
 
 #[test]
-fn a_sick_machine_goes_back_and_its_work_is_done_elsewhere() {
-    Scenario::new(9).run(|w| async move {
-        let first = w.submit(job(1, "batch", 4, 2.0)).await;
-        w.until(&first, "done", 100).await;
-        let name = w
+fn machine_that_rejects_tasks_is_returned_and_its_jobs_run_elsewhere() {
+    Scenario::new(9).run(|world| async move {
+        let first = world.submit(job(1, "batch", 4, 2.0)).await;
+        world.until(&first, "done", 100).await;
+        let name = world
             .workers
             .borrow()
             .keys()
             .next()
             .cloned()
             .expect("a machine");
-        w.workers.borrow()[&name].0.sick.set(true);
+        world.workers.borrow()[&name].0.sick.set(true);
         for n in 2..6 {
-            w.submit(job(n, "batch", 4, 2.0)).await;
+            world.submit(job(n, "batch", 4, 2.0)).await;
         }
         for n in 2..6 {
-            w.until(&format!("job-{n:06}"), "done", 300).await;
+            world.until(&format!("job-{n:06}"), "done", 300).await;
         }
-        assert!(!w.workers.borrow().contains_key(&name), "still rented");
-        w.assert_kept();
+        assert!(
+            !world.workers.borrow().contains_key(&name),
+            "the machine is still rented"
+        );
+        world.assert_kept();
     });
 }
 
-/// Jobs with a mistake fail on every machine. They blame none, are tried at a
-/// bounded pace, leave others their room, are told of plainly, and a cancel ends
-/// them at once.
+/// Faulty jobs fail on every machine. No machine is returned because of them, their
+/// retries are rate-limited, they leave capacity to other jobs, operators can see where
+/// they failed, and a cancellation ends them immediately.
 #[test]
-fn a_job_with_a_mistake_blames_no_machine() {
-    Scenario::new(23).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 3, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn failures_of_a_faulty_job_are_not_attributed_to_machines() {
+    Scenario::new(23).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 3, 0.0)).await;
+        world.until(&service, "running", 100).await;
         let kinds = ["batch", "gang", "daemon", "batch", "gang", "batch"];
         for (n, kind) in (10..).zip(kinds) {
-            let mut one = job(n, kind, if kind == "batch" { 6 } else { 2 }, 3.0);
-            one["blueprint"] = json!("mistake");
-            one["vcpus"] = json!(0.5);
-            w.submit(one).await;
+            let mut submission = job(n, kind, if kind == "batch" { 6 } else { 2 }, 3.0);
+            submission["blueprint"] = json!("mistake");
+            submission["vcpus"] = json!(0.5);
+            world.submit(submission).await;
         }
         sleep(Duration::from_secs(60)).await;
-        let machines: Vec<String> = w.workers.borrow().keys().cloned().collect();
-        let starts = w.starts.get();
+        let machines: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        let starts = world.starts.get();
         sleep(Duration::from_secs(60)).await;
-        // Six jobs, a try each in a minute once they are known, a gang's of two.
-        assert!(w.starts.get() - starts <= 16, "{}", w.starts.get() - starts);
-        assert!(w.starts.get() > starts, "never tried again");
-        let there: Vec<String> = w.workers.borrow().keys().cloned().collect();
+        // Six jobs with one attempt per minute each once they count as faulty; an
+        // attempt of a gang starts two tasks.
+        assert!(
+            world.starts.get() - starts <= 16,
+            "{}",
+            world.starts.get() - starts
+        );
+        assert!(
+            world.starts.get() > starts,
+            "the faulty jobs were never retried"
+        );
+        let rented: Vec<String> = world.workers.borrow().keys().cloned().collect();
         assert!(
-            machines.iter().all(|m| there.contains(m)),
-            "healthy ones went"
+            machines.iter().all(|m| rented.contains(m)),
+            "healthy machines were returned"
         );
-        assert_eq!((w.running(&service), w.lapsed()), (3, 0));
+        assert_eq!((world.running(&service), world.lapsed()), (3, 0));
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            let (status, story) = w.ask(0, "GET", &format!("/ops/job/{id}"), None).await;
+            let (status, details) = world.ask(0, "GET", &format!("/ops/job/{id}"), None).await;
             assert_eq!(status, 200);
-            assert!(!story["failed_on"].as_array().expect("machines").is_empty());
-            assert_eq!(w.stage(1, &id).await.as_deref(), Some("queued"), "{id}");
+            assert!(
+                !details["failed_on"]
+                    .as_array()
+                    .expect("machines")
+                    .is_empty()
+            );
+            assert_eq!(world.stage(1, &id).await.as_deref(), Some("queued"), "{id}");
         }
-        let good = w.submit(job(30, "gang", 2, 2.0)).await;
-        w.until(&good, "done", 40).await;
+        let good = world.submit(job(30, "gang", 2, 2.0)).await;
+        world.until(&good, "done", 40).await;
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            assert_eq!(w.withdraw(1, &id).await.as_deref(), Some("aborted"));
+            assert_eq!(world.withdraw(1, &id).await.as_deref(), Some("aborted"));
         }
-        w.assert_kept();
+        world.assert_kept();
     });
 }
 
-/// A machine whose reports arrive while answers and orders do not: its work
-/// starts elsewhere once its end is proven, it gets no new work and goes back.
+/// The reports of a machine arrive, but answers and commands do not reach it. Its tasks
+/// start elsewhere once they have provably ended on it, it receives no new tasks, and it
+/// is returned.
 #[test]
-fn a_machine_that_hears_nothing_is_replaced() {
-    Scenario::new(12).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 2, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn machine_that_receives_no_messages_is_replaced() {
+    Scenario::new(12).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let name = w.machine_of(&service);
-        let worker = w.workers.borrow()[&name].0.clone();
+        let name = world.machine_of(&service);
+        let worker = world.workers.borrow()[&name].0.clone();
         worker.deaf.set(true);
         sleep(Duration::from_secs(25)).await;
-        let after = w.running(&service);
-        assert_eq!(after, 2, "its replica does not run elsewhere");
-        let array = w.submit(job(2, "batch", 4, 3.0)).await;
-        w.until(&array, "done", 100).await;
+        let running = world.running(&service);
+        assert_eq!(running, 2, "the replica was not started elsewhere");
+        let array = world.submit(job(2, "batch", 4, 3.0)).await;
+        world.until(&array, "done", 100).await;
         sleep(Duration::from_secs(10)).await;
-        assert!(!w.workers.borrow().contains_key(&name), "still rented");
-        w.assert_kept();
+        assert!(
+            !world.workers.borrow().contains_key(&name),
+            "the machine is still rented"
+        );
+        world.assert_kept();
     });
 }
 
-/// One that hears again before it has gone back is used again.
+/// A machine that receives messages again before it is returned is used again.
 #[test]
-fn a_machine_that_hears_again_is_used_again() {
-    Scenario::new(13).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 2, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn machine_that_receives_messages_again_is_used_again() {
+    Scenario::new(13).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let name = w.machine_of(&service);
-        let worker = w.workers.borrow()[&name].0.clone();
+        let name = world.machine_of(&service);
+        let worker = world.workers.borrow()[&name].0.clone();
         worker.deaf.set(true);
         sleep(Duration::from_secs(3)).await;
         worker.deaf.set(false);
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(w.running(&service), 2);
-        assert_eq!(w.machine_of(&service), name, "moved without need");
-        // Its room serves others, too, once the service is over.
-        assert_eq!(w.withdraw(0, &service).await.as_deref(), Some("aborted"));
-        let array = w.submit(job(2, "batch", 2, 20.0)).await;
-        w.until(&array, "running", 60).await;
+        assert_eq!(world.running(&service), 2);
+        assert_eq!(
+            world.machine_of(&service),
+            name,
+            "the service was moved needlessly"
+        );
+        // Other jobs use its capacity once the service is cancelled.
+        assert_eq!(
+            world.withdraw(0, &service).await.as_deref(),
+            Some("aborted")
+        );
+        let array = world.submit(job(2, "batch", 2, 20.0)).await;
+        world.until(&array, "running", 60).await;
         sleep(Duration::from_secs(3)).await;
-        assert_eq!(w.machine_of(&array), name);
-        w.assert_kept();
+        assert_eq!(world.machine_of(&array), name);
+        world.assert_kept();
     });
 }
 
-/// Machines of one zone never come up: others are rented in their stead, once
-/// for each need; they go back; and what can run nowhere else does not rent and
-/// return without end.
+/// The machines of one zone never boot. A replacement is rented once for each of them,
+/// and the failed machines are returned. A job that can run in no other zone must not
+/// cause an endless series of rentals and returns.
 #[test]
-fn machines_that_never_come_up_are_replaced_and_go_back() {
-    Scenario::new(60).run(|w| async move {
-        w.barren.set(Some("a"));
+fn machines_that_never_boot_are_replaced_and_returned() {
+    Scenario::new(60).run(|world| async move {
+        world.barren.set(Some("a"));
         let jobs = [("batch", 4), ("gang", 2), ("daemon", 2)];
         for (n, (kind, tasks)) in (1..).zip(jobs) {
-            w.submit(job(n, kind, tasks, 3.0)).await;
+            world.submit(job(n, kind, tasks, 3.0)).await;
         }
-        w.until("job-000001", "done", 40).await;
-        w.until("job-000002", "done", 40).await;
-        w.until("job-000003", "running", 20).await;
-        assert!(w.rented.get() <= 9, "{}", w.rented.get());
+        world.until("job-000001", "done", 40).await;
+        world.until("job-000002", "done", 40).await;
+        world.until("job-000003", "running", 20).await;
+        assert!(world.rented.get() <= 9, "{}", world.rented.get());
         let mut bound = job(4, "batch", 2, 3.0);
         bound["yard"] = json!("a");
-        let bound = w.submit(bound).await;
+        let bound = world.submit(bound).await;
         sleep(Duration::from_secs(300)).await;
-        // One machine for two tasks, a second when it is late, and so on: each
-        // time it is left alone for longer.
-        assert!(w.rented.get() <= 9 + 12, "{}", w.rented.get());
-        assert_eq!(w.stage(0, &bound).await.as_deref(), Some("queued"));
-        w.barren.set(None);
-        w.until(&bound, "done", 400).await;
+        // One machine for the two tasks, another one when that is late, and so on,
+        // after longer and longer delays.
+        assert!(world.rented.get() <= 9 + 12, "{}", world.rented.get());
+        assert_eq!(world.stage(0, &bound).await.as_deref(), Some("queued"));
+        world.barren.set(None);
+        world.until(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
-        let there = w.workers.borrow().len();
-        assert!(there <= 3, "{there} machines");
-        w.assert_kept();
+        let rented = world.workers.borrow().len();
+        assert!(rented <= 3, "{rented} machines");
+        world.assert_kept();
     });
 }
 
-/// A fleet leader that is back at once finds its own state lease still valid.
+/// All controllers restart immediately, in the middle of a rental: the new fleet leader
+/// finds the lease of its predecessor still valid, and must neither stall nor rent
+/// twice.
 #[test]
-fn a_renter_that_is_back_at_once_rents_on() {
-    Scenario::new(15).run(|w| async move {
-        let first = w.submit(job(1, "batch", 2, 2.0)).await;
-        w.until(&first, "done", 100).await;
-        // In the middle of a rental: the intent is committed, the answer lost.
-        let gang = w.submit(job(2, "gang", 5, 5.0)).await;
+fn restarted_fleet_leader_continues_its_rentals() {
+    Scenario::new(15).run(|world| async move {
+        let first = world.submit(job(1, "batch", 2, 2.0)).await;
+        world.until(&first, "done", 100).await;
+        // The rental is committed in the state, and the cloud's answer gets lost.
+        let gang = world.submit(job(2, "gang", 5, 5.0)).await;
         sleep(Duration::from_millis(700)).await;
         for i in 0..CONTROLLERS {
-            w.kill(i);
-            w.start(i);
+            world.kill(i);
+            world.start(i);
         }
-        w.until(&gang, "done", 60).await;
-        let rented = w.workers.borrow().len();
+        world.until(&gang, "done", 60).await;
+        let rented = world.workers.borrow().len();
         assert!(rented <= 5, "{rented} machines for five tasks");
-        w.assert_kept();
+        world.assert_kept();
     });
 }
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -1,4 +1,5 @@
-//! The whole service against stand-ins, in simulated time.
+//! The whole service against stand-ins for the state service, the cloud and the
+//! workers, in simulated time.
 
 #[allow(dead_code)]
 #[path = "../stand_ins/mod.rs"]
--- a/tests/service/silence.rs
+++ b/tests/service/silence.rs
@@ -1,4 +1,4 @@
-//! Cuts and pauses: silence proves nothing by itself.
+//! Network partitions and frozen controllers: a missing message alone proves nothing.
 
 use std::time::Duration;
 
@@ -7,126 +7,135 @@
 
 use crate::stand_ins::{CONTROLLERS, Scenario, controller, job, state_addr};
 
-/// Safety 4: a controller cut off from the state service learns of no
-/// cancellation, so it must let its workers' leases run out in time.
+/// Safety 4: a controller that cannot reach the state service learns of no
+/// cancellation, so it must let its workers' leases expire in time.
 #[test]
-fn a_cut_off_controller_keeps_no_cancelled_task() {
-    Scenario::new(7).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 4, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn controller_without_state_service_keeps_no_cancelled_task() {
+    Scenario::new(7).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(w.running(&service), 4);
-        // One after another, each controller loses the state service, and
-        // its workers stay with it as long as it answers them.
+        assert_eq!(world.running(&service), 4);
+        // All controllers but one lose the state service; their workers stay with
+        // them as long as they answer.
         for i in 0..CONTROLLERS - 1 {
-            w.fabric.cut(controller(i), state_addr(i));
+            world.fabric.cut(controller(i), state_addr(i));
         }
         sleep(Duration::from_secs(1)).await;
         let last = CONTROLLERS - 1;
-        let mut told = None;
+        let mut stage = None;
         for _ in 0..10 {
-            told = w.withdraw(last, &service).await;
-            if told.is_some() {
+            stage = world.withdraw(last, &service).await;
+            if stage.is_some() {
                 break;
             }
         }
-        assert_eq!(told.as_deref(), Some("aborted"));
+        assert_eq!(stage.as_deref(), Some("aborted"));
         sleep(Duration::from_secs(40)).await;
-        assert_eq!(w.running(&service), 0);
-        w.assert_kept();
+        assert_eq!(world.running(&service), 0);
+        world.assert_kept();
     });
 }
 
-/// Workers report inside their zone, so a cut between zones ends nothing.
+/// Workers report to controllers of their zone, so a partition between zones must not
+/// end any task.
 #[test]
-fn zones_that_are_apart_keep_their_work() {
-    Scenario::new(11).run(|w| async move {
+fn tasks_keep_running_while_zones_are_partitioned() {
+    Scenario::new(11).run(|world| async move {
         let mut spread = job(1, "daemon", 4, 0.0);
         spread["scatter"] = json!(true);
-        let service = w.submit(spread).await;
-        w.until(&service, "running", 100).await;
+        let service = world.submit(spread).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
-        assert_eq!(w.running(&service), 4);
-        let before = w.starts.get();
-        w.shard_zones();
+        assert_eq!(world.running(&service), 4);
+        let before = world.starts.get();
+        world.shard_zones();
         sleep(Duration::from_secs(30)).await;
-        assert_eq!((w.running(&service), w.starts.get()), (4, before));
-        w.assert_kept();
+        assert_eq!((world.running(&service), world.starts.get()), (4, before));
+        world.assert_kept();
     });
 }
 
-/// Controllers that stand still for two seconds or for more than a lease, one,
-/// most or all of them, and go on: no healthy machine goes back, nothing that
-/// was decided before is done after, and what could run on still runs.
+/// One, most or all controllers freeze for seconds or for longer than a lease, and
+/// then continue. They must not return healthy machines, must not carry out decisions
+/// from before the freeze, and tasks whose leases did not expire must still run.
 #[test]
-fn who_stood_still_concludes_nothing_from_it() {
+fn frozen_controllers_act_on_no_outdated_information() {
     let all: [usize; 3] = [0, 1, 2];
     let cases: [(&[usize], f64, u64); 5] = [
         (&all[..1], 2.0, 0),
         (&all[..1], 13.0, 0),
-        // A worker that tries both of them in turn is back too late.
+        // A worker that tries both frozen controllers finds the third too late to keep
+        // its lease.
         (&all[..2], 25.0, u64::MAX),
-        // Inside a lease, all at once; and for longer, so that all work ends.
+        // All controllers: for less than a lease, and for so long that all leases expire.
         (&all, 5.0, 0),
         (&all, 35.0, u64::MAX),
     ];
-    for (n, (who, seconds, lapses)) in cases.into_iter().enumerate() {
-        Scenario::new(40 + n as u64).run(|w| async move {
-            let service = w.submit(job(1, "daemon", 4, 0.0)).await;
-            let idle = w.submit(job(2, "batch", 4, 2.0)).await;
-            w.until(&service, "running", 100).await;
-            w.until(&idle, "done", 100).await;
-            let gang = w.submit(job(3, "gang", 2, 60.0)).await;
-            w.until(&gang, "running", 100).await;
+    for (n, (frozen, seconds, allowed_expiries)) in cases.into_iter().enumerate() {
+        Scenario::new(40 + n as u64).run(|world| async move {
+            let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+            let finished = world.submit(job(2, "batch", 4, 2.0)).await;
+            world.until(&service, "running", 100).await;
+            world.until(&finished, "done", 100).await;
+            let gang = world.submit(job(3, "gang", 2, 60.0)).await;
+            world.until(&gang, "running", 100).await;
             sleep(Duration::from_secs(5)).await;
-            let booked: Vec<String> = [&service, &gang].map(|j| w.machine_of(j)).into();
-            let again = w.submit(job(4, "batch", 8, 4.0)).await;
-            who.iter().for_each(|i| w.freeze(*i, true));
+            let used_machines: Vec<String> = [&service, &gang].map(|j| world.machine_of(j)).into();
+            let array = world.submit(job(4, "batch", 8, 4.0)).await;
+            frozen.iter().for_each(|i| world.freeze(*i, true));
             sleep(Duration::from_secs_f64(seconds)).await;
-            // Those who go on are asked for a cancel meanwhile.
-            if let Some(i) = (0..CONTROLLERS).find(|i| !who.contains(i)) {
-                assert_eq!(w.withdraw(i, &again).await.as_deref(), Some("aborted"));
+            // A controller that is not frozen confirms a cancellation meanwhile.
+            if let Some(i) = (0..CONTROLLERS).find(|i| !frozen.contains(i)) {
+                assert_eq!(world.withdraw(i, &array).await.as_deref(), Some("aborted"));
             }
-            let starts = w.starts.get();
-            who.iter().for_each(|i| w.freeze(*i, false));
+            let starts = world.starts.get();
+            frozen.iter().for_each(|i| world.freeze(*i, false));
             sleep(Duration::from_secs(3)).await;
-            if who.len() < CONTROLLERS {
-                assert_eq!(w.running(&again), 0, "case {n}: cancelled, and runs");
-                assert!(w.starts.get() - starts <= 2, "case {n}: launched late");
+            if frozen.len() < CONTROLLERS {
+                assert_eq!(world.running(&array), 0, "case {n}: a cancelled task runs");
+                assert!(
+                    world.starts.get() - starts <= 2,
+                    "case {n}: outdated launches"
+                );
             }
-            // And once more while it recovers.
-            w.freeze(who[0], true);
+            // Freezes one of them again while it recovers.
+            world.freeze(frozen[0], true);
             sleep(Duration::from_secs(5)).await;
-            w.freeze(who[0], false);
+            world.freeze(frozen[0], false);
             sleep(Duration::from_secs(40)).await;
-            for name in booked.iter().filter(|_| lapses == 0) {
-                let there = w.workers.borrow().contains_key(name);
-                assert!(there, "case {n}: {name} was sent back");
+            for name in used_machines.iter().filter(|_| allowed_expiries == 0) {
+                let is_rented = world.workers.borrow().contains_key(name);
+                assert!(is_rented, "case {n}: {name} was returned");
             }
-            assert!(w.lapsed() <= lapses, "case {n}: leases have run out");
-            assert_eq!(w.running(&service), 4, "case {n}");
-            w.until(&gang, "done", 200).await;
-            w.assert_kept();
+            assert!(
+                world.lapsed() <= allowed_expiries,
+                "case {n}: leases have expired"
+            );
+            assert_eq!(world.running(&service), 4, "case {n}");
+            world.until(&gang, "done", 200).await;
+            world.assert_kept();
         });
     }
 }
 
-/// The time in which it stood still is no silence of its workers: with nobody
-/// else to go to they report again within seconds, and stay.
+/// A controller must not count the time for which it was frozen as time without reports
+/// from its workers. The workers have no other controller and report again within
+/// seconds, so their machines must be kept.
 #[test]
-fn a_lone_controller_that_stood_still_keeps_its_machines() {
-    Scenario::new(50).lone_controller().run(|w| async move {
-        let service = w.submit(job(1, "daemon", 4, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn single_controller_keeps_its_machines_after_a_freeze() {
+    Scenario::new(50).lone_controller().run(|world| async move {
+        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
-        let before: Vec<String> = w.workers.borrow().keys().cloned().collect();
-        w.freeze(0, true);
+        let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        world.freeze(0, true);
         sleep(Duration::from_secs(26)).await;
-        w.freeze(0, false);
+        world.freeze(0, false);
         sleep(Duration::from_secs(20)).await;
-        let after: Vec<String> = w.workers.borrow().keys().cloned().collect();
+        let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
         assert_eq!(before, after);
-        assert_eq!(w.running(&service), 4);
-        w.assert_kept();
+        assert_eq!(world.running(&service), 4);
+        world.assert_kept();
     });
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -1,4 +1,4 @@
-//! Restarts of all controllers, and troubles of the state service.
+//! Restarts of all controllers, and faults of the state service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,133 +15,149 @@
 use crate::stand_ins::{CONTROLLERS, Scenario, Trouble, controller, in_world, job};
 
 #[test]
-fn nothing_is_forgotten_when_all_controllers_restart() {
-    Scenario::new(3).run(|w| async move {
-        let array = w.submit(job(1, "batch", 30, 6.0)).await;
-        let service = w.submit(job(2, "daemon", 1, 0.0)).await;
-        let over = w.submit(job(3, "batch", 1, 1.0)).await;
-        w.until(&over, "done", 100).await;
-        w.until(&service, "running", 100).await;
+fn jobs_survive_a_restart_of_all_controllers() {
+    Scenario::new(3).run(|world| async move {
+        let array = world.submit(job(1, "batch", 30, 6.0)).await;
+        let service = world.submit(job(2, "daemon", 1, 0.0)).await;
+        let finished = world.submit(job(3, "batch", 1, 1.0)).await;
+        world.until(&finished, "done", 100).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(3)).await;
         for i in 0..CONTROLLERS {
-            w.kill(i);
+            world.kill(i);
         }
         sleep(Duration::from_secs(4)).await;
         for i in 0..CONTROLLERS {
-            w.start(i);
+            world.start(i);
         }
         sleep(Duration::from_secs(4)).await;
-        // Back inside the workers' lease: what ran still runs.
-        assert_eq!(w.running(&service), 1);
-        assert_eq!(w.stage(0, &over).await.as_deref(), Some("done"));
-        w.until(&array, "done", 300).await;
-        w.assert_kept();
+        // The controllers are back before the workers' leases expire, so the service
+        // still runs.
+        assert_eq!(world.running(&service), 1);
+        assert_eq!(world.stage(0, &finished).await.as_deref(), Some("done"));
+        world.until(&array, "done", 300).await;
+        world.assert_kept();
     });
 }
 
-/// A commit without an answer may have happened, or may happen yet.
+/// A commit whose answer is missing may have been applied, or may still be applied
+/// later. Neither may harm a job.
 #[test]
-fn lost_and_late_commit_answers_do_no_harm() {
+fn jobs_complete_despite_lost_and_late_commit_answers() {
     for (seed, trouble) in [(4, Trouble::LoseAnswers), (5, Trouble::Late)] {
-        Scenario::new(seed).run(|w| async move {
-            let first = w.submit(job(1, "batch", 12, 4.0)).await;
-            w.state.trouble.set(trouble);
+        Scenario::new(seed).run(|world| async move {
+            let first = world.submit(job(1, "batch", 12, 4.0)).await;
+            world.state.trouble.set(trouble);
             for n in 2..6 {
-                w.state.troubled.set(3);
-                w.submit(job(n, if n % 2 == 0 { "gang" } else { "batch" }, 3, 4.0))
+                world.state.troubled.set(3);
+                world
+                    .submit(job(n, if n % 2 == 0 { "gang" } else { "batch" }, 3, 4.0))
                     .await;
                 sleep(Duration::from_secs(6)).await;
             }
-            w.state.troubled.set(0);
-            w.until(&first, "done", 300).await;
+            world.state.troubled.set(0);
+            world.until(&first, "done", 300).await;
             for n in 2..6 {
-                w.until(&format!("job-{n:06}"), "done", 300).await;
+                world.until(&format!("job-{n:06}"), "done", 300).await;
             }
-            w.assert_kept();
+            world.assert_kept();
         });
     }
 }
 
 #[test]
-fn an_outage_that_all_share_ends_nothing() {
-    Scenario::new(8).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 3, 0.0)).await;
-        w.until(&service, "running", 100).await;
+fn tasks_keep_running_during_an_outage_of_the_state_service() {
+    Scenario::new(8).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 3, 0.0)).await;
+        world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let before = w.starts.get();
-        w.state.trouble.set(Trouble::Down);
+        let before = world.starts.get();
+        world.state.trouble.set(Trouble::Down);
         sleep(Duration::from_secs(12)).await;
         assert_eq!(
-            w.ask(0, "POST", "/submissions", Some(&job(2, "batch", 1, 1.0)))
+            world
+                .ask(0, "POST", "/submissions", Some(&job(2, "batch", 1, 1.0)))
                 .await
                 .0,
             503
         );
-        // A known job that is not over must not be told from an old view.
+        // The stage of an unfinished job must not be answered from an old view.
         assert_eq!(
-            w.ask(0, "GET", &format!("/submissions/{service}"), None)
+            world
+                .ask(0, "GET", &format!("/submissions/{service}"), None)
                 .await
                 .0,
             503
         );
-        w.state.trouble.set(Trouble::None);
+        world.state.trouble.set(Trouble::None);
         sleep(Duration::from_secs(10)).await;
-        assert_eq!((w.running(&service), w.starts.get()), (3, before));
-        w.assert_kept();
+        assert_eq!((world.running(&service), world.starts.get()), (3, before));
+        world.assert_kept();
     });
 }
 
-/// A watch that holds more than is read of one answer gives way to pages at
-/// once: the same request would bring the same answer for ever.
+/// A watch answer that exceeds the size limit of one answer makes the controller read
+/// the records page by page instead. If it repeated the watch, it would get the same
+/// answer again forever.
 #[test]
-fn a_watch_that_is_too_large_leads_to_pages() {
-    Scenario::new(17).run(|w| async move {
-        let service = w.submit(job(1, "daemon", 2, 0.0)).await;
-        w.until(&service, "running", 60).await;
-        w.state.trouble.set(Trouble::FatWatch);
-        let began = tokio::time::Instant::now();
+fn oversized_watch_answer_is_replaced_by_paged_reads() {
+    Scenario::new(17).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
+        world.until(&service, "running", 60).await;
+        world.state.trouble.set(Trouble::FatWatch);
+        let start = tokio::time::Instant::now();
         for n in 2..6 {
-            let array = w.submit(job(n, "batch", 2, 1.0)).await;
-            w.until(&array, "done", 30).await;
+            let array = world.submit(job(n, "batch", 2, 1.0)).await;
+            world.until(&array, "done", 30).await;
         }
-        let took = began.elapsed();
-        assert!(took < Duration::from_secs(20), "{took:?}");
-        assert_eq!(w.running(&service), 2);
-        w.assert_kept();
+        let elapsed = start.elapsed();
+        assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
+        assert_eq!(world.running(&service), 2);
+        world.assert_kept();
     });
 }
 
-/// A wait for the budget ends when the budget is there, not when it was once
-/// reckoned to be: a controller's share grows while it waits.
+/// A request that waits for its write budget is released when the budget is available,
+/// also earlier than first estimated: the controller's share of the write rate may grow
+/// during the wait.
 #[test]
-fn a_wait_for_the_budget_follows_the_share() {
+fn wait_for_the_write_budget_follows_the_current_share() {
     in_world(|| async {
         let net = Net::Fabric(Rc::new(Fabric::default()), controller(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
-        let nowhere = controller(9);
-        let patience = Duration::from_secs(1);
+        let unreachable = controller(9);
+        let timeout = Duration::from_secs(1);
         let rng = SmallRng::seed_from_u64(1);
-        let store = StateClient::new(client, nowhere, budget, patience, rng);
-        let write = |n: u32| Write::Delete {
-            key: format!("k/{n}"),
+        let state_client = StateClient::new(client, unreachable, budget, timeout, rng);
+        let write = |number: u32| Write::Delete {
+            key: format!("k/{number}"),
         };
         let commit = Commit {
             preconditions: Vec::new(),
             writes: (0..30).map(write).collect(),
         };
-        // Into debt, for half a minute at this share.
-        assert!(store.commit(RequestClass::Round, &commit).await.is_err());
-        let began = Instant::now();
-        let grow = async {
+        // Overdraws the budget by half a minute at this share.
+        assert!(
+            state_client
+                .commit(RequestClass::Round, &commit)
+                .await
+                .is_err()
+        );
+        let start = Instant::now();
+        let raise_share = async {
             sleep(Duration::from_secs(2)).await;
-            // It counts as one that would write, though it has not of late.
-            assert!(store.demand() > 0.5, "{}", store.demand());
-            store.set_write_rate(100.0);
+            // The controller counts as one with writes to send, although it has not
+            // sent any during the wait.
+            assert!(state_client.demand() > 0.5, "{}", state_client.demand());
+            state_client.set_write_rate(100.0);
         };
-        tokio::join!(store.wait_for_budget(RequestClass::Round, 8), grow);
-        let took = began.elapsed();
-        assert!(took < Duration::from_secs(4), "{took:?}");
-        assert!(took > Duration::from_secs(2), "{took:?}");
+        tokio::join!(
+            state_client.wait_for_budget(RequestClass::Round, 8),
+            raise_share
+        );
+        let elapsed = start.elapsed();
+        assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
+        assert!(elapsed > Duration::from_secs(2), "{elapsed:?}");
     });
 }
