--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -6,8 +6,8 @@
 #[path = "../stand_ins/mod.rs"]
 mod stand_ins;
 
-mod any_two;
-mod controllers_away;
+mod controllers_down;
+mod fault_pairs;
 mod leader_changes;
 mod leader_refused;
 mod load;
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -8,5 +8,5 @@
 mod heartbeats;
 mod jobs;
 mod machines;
-mod silence;
+mod partitions;
 mod state_service;
