--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -1,5 +1,5 @@
-//! Launches follow only from a recent view: a job that is booked in an older one
-//! may have been cancelled at another controller since.
+//! Launches are sent only while the controller's view of the state is recent: a job that
+//! is assigned in an older view may have been cancelled at another controller since.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -21,7 +21,7 @@
     Duration::from_secs_f64(s)
 }
 
-fn order(action: CommandAction) -> WorkerCommand {
+fn command(action: CommandAction) -> WorkerCommand {
     WorkerCommand {
         action,
         task: "job-1/0".to_string(),
@@ -30,16 +30,17 @@
     }
 }
 
-/// Without a recent last barrier all launches are held, and nothing else is.
+/// Checks that all launches, and no other commands, are deferred without a recent
+/// barrier.
 #[test]
-fn only_a_recent_view_launches() {
+fn launches_are_deferred_without_a_recent_view() {
     use CommandAction::{Forget, Start, Stop};
     let limit = secs(1.0);
     let cases = [
         ("recent", Some(secs(0.9)), vec![Start], vec![Start], false),
         ("just too old", Some(limit), vec![Start], vec![], true),
         ("old", Some(secs(1.1)), vec![Start, Start], vec![], true),
-        ("no horizon yet", None, vec![Start], vec![], true),
+        ("no barrier yet", None, vec![Start], vec![], true),
         (
             "no launch",
             None,
@@ -47,16 +48,16 @@
             vec![Stop, Forget],
             false,
         ),
-        ("nothing", Some(secs(9.0)), vec![], vec![], false),
+        ("empty plan", Some(secs(9.0)), vec![], vec![], false),
         (
-            "the rest goes on",
+            "only launches are deferred",
             Some(secs(9.0)),
             vec![Stop, Start, Forget],
             vec![Stop, Forget],
             true,
         ),
         (
-            "all of a recent plan",
+            "all commands of a recent plan",
             Some(secs(0.0)),
             vec![Stop, Start, Forget],
             vec![Stop, Start, Forget],
@@ -65,20 +66,22 @@
     ];
     for (name, age, planned, expected, deferred) in cases {
         let mut plan = WorkerPlan {
-            commands: planned.into_iter().map(order).collect(),
+            commands: planned.into_iter().map(command).collect(),
             terminations: Vec::new(),
         };
         assert_eq!(plan.defer_launches(age, limit), deferred, "{name}");
-        let left: Vec<CommandAction> = plan.commands.iter().map(|o| o.action).collect();
-        assert_eq!(left, expected, "{name}");
+        let remaining: Vec<CommandAction> =
+            plan.commands.iter().map(|command| command.action).collect();
+        assert_eq!(remaining, expected, "{name}");
     }
 }
 
-/// The bound holds two normal intervals between barriers wherever a quarter of
-/// the lease does, and is never longer than that.
+/// Checks that the launch limit, which is the maximum age of a view from which tasks are
+/// launched, is two normal intervals between barriers, but at least a sixteenth and at
+/// most a quarter of the lease.
 #[test]
-fn the_bound_is_a_small_multiple_of_the_interval() {
-    // Lease, cancellation, requests a second.
+fn launch_limit_is_a_small_multiple_of_the_barrier_interval() {
+    // Lease and cancellation limit, in seconds; requests per second.
     for (lease_s, cancel_s, rps) in [
         (10.0, 30.0, 150.0),
         (10.0, 40.0, 200.0),
@@ -97,24 +100,24 @@
         let (limit, lease) = (settings.launch_limit(), settings.worker_lease());
         let gap = secs(4.0 * shape.controllers as f64 / rps);
         let interval = settings.barrier_pause() + gap;
-        let name = format!("{lease_s} {cancel_s} {rps}: {limit:?}");
-        assert!(limit <= lease / 4, "{name}");
-        assert!(limit >= lease / 16, "{name}");
-        assert!(limit >= (interval * 2).min(lease / 4), "{name}");
-        assert!(limit <= (interval * 2).max(lease / 16), "{name}");
+        let case = format!("{lease_s} {cancel_s} {rps}: {limit:?}");
+        assert!(limit <= lease / 4, "{case}");
+        assert!(limit >= lease / 16, "{case}");
+        assert!(limit >= (interval * 2).min(lease / 4), "{case}");
+        assert!(limit <= (interval * 2).max(lease / 16), "{case}");
         assert!(settings.barrier_pause() <= settings.staleness_limit() / 20);
     }
 }
 
-/// A call is not sent after the time by which it must be, however long its answer
-/// may take; an answer that comes after that time is taken all the same.
+/// Checks that a call is not sent after its send deadline, even if its answer deadline is
+/// far away, and that an answer which arrives after the send deadline is accepted.
 #[test]
-fn a_call_is_sent_in_time_or_not_at_all() {
-    // By when it must be sent and answered, from now; whether it arrives.
+fn call_is_not_sent_after_its_send_deadline() {
+    // Send and answer deadlines from now, in seconds; whether the call arrives.
     let cases = [
-        ("in time", 1.0, 4.0, true),
-        ("no longer to be sent", 0.0, 4.0, false),
-        ("neither", 0.0, 0.0, false),
+        ("before both deadlines", 1.0, 4.0, true),
+        ("send deadline passed", 0.0, 4.0, false),
+        ("both deadlines passed", 0.0, 0.0, false),
     ];
     in_world(|| async move {
         let fabric = Rc::new(Fabric::default());
@@ -156,70 +159,89 @@
     });
 }
 
-/// A machine hangs for a little longer than its lease and comes back without the
-/// tasks that are booked on it: its owner launches them again. Shortly before,
-/// the state service refuses the owner alone, and some jobs are cancelled at
-/// another controller.
-struct Comeback {
+/// A deployment in which machines hang for slightly longer than their lease and return
+/// without the tasks that are assigned to them, so that their owner launches these tasks
+/// again. Shortly before, the state service refuses only the owner, and some jobs are
+/// cancelled at another controller.
+struct RefusedOwner {
     world: Rc<World>,
     owner: usize,
-    /// Cancelled at another controller.
+    /// Jobs that were cancelled at another controller.
     cancelled: Vec<String>,
-    kept: Vec<String>,
+    /// Jobs that were not cancelled.
+    uncancelled: Vec<String>,
 }
 
-/// How long before the machines come back the owner is refused, and how long
-/// before that the cancellations are asked for.
-async fn come_back(seed: u64, refused_s: f64, cancelled_s: f64) -> Comeback {
-    // Past the lease, but before the owner may conclude that it is over.
+/// Runs a deployment until shortly before its hanging machines return. The state service
+/// begins to refuse their owner `refused_s` seconds before their return, and the jobs are
+/// cancelled `cancelled_s` seconds before it.
+async fn refuse_owner_before_machines_return(
+    seed: u64,
+    refused_s: f64,
+    cancelled_s: f64,
+) -> RefusedOwner {
+    // Longer than the lease, but shorter than the time after which the owner may treat
+    // the lease as expired.
     const HANG_S: f64 = 10.3;
     let world = World::new(seed).await;
     let mut ids = Vec::new();
-    for n in 0..4 {
-        ids.push(world.submit(job(n + 1, "batch", 1, 300.0)).await);
+    for number in 0..4 {
+        ids.push(world.submit(job(number + 1, "batch", 1, 300.0)).await);
     }
     for id in &ids {
         world.until(id, "running", 60).await;
     }
     sleep(secs(5.0)).await;
     let owner = world.busiest();
-    world.busy().iter().for_each(|m| m.hang(secs(HANG_S)));
+    world
+        .busy()
+        .iter()
+        .for_each(|worker| worker.hang(secs(HANG_S)));
     sleep(secs(HANG_S - refused_s)).await;
     world.state.troubles.borrow_mut().refused.insert(owner);
     sleep(secs(refused_s - cancelled_s)).await;
-    let kept = ids.split_off(2);
+    let uncancelled = ids.split_off(2);
     for id in &ids {
-        let told = world.withdraw((owner + 1) % 3, id).await;
-        assert_eq!(told.as_deref(), Some("aborted"));
+        let stage = world.withdraw((owner + 1) % 3, id).await;
+        assert_eq!(stage.as_deref(), Some("aborted"));
     }
-    Comeback {
+    RefusedOwner {
         world,
         owner,
         cancelled: ids,
-        kept,
+        uncancelled,
     }
 }
 
-/// No launch later than the bound after a cancellation that another controller
-/// has confirmed, however long before the launch that was.
+/// Checks that no task is launched later than the launch limit after another controller
+/// confirmed its cancellation, for cancellations at different times before the machines
+/// return.
 #[test]
-fn no_launch_long_after_a_cancellation_elsewhere() {
-    for k in 0..12u32 {
-        let cancelled_s = 0.3 + 0.15 * f64::from(k);
+fn no_task_is_launched_long_after_its_cancellation_elsewhere() {
+    for variant in 0..12u32 {
+        let cancelled_s = 0.3 + 0.15 * f64::from(variant);
         in_world(|| async move {
-            let case = come_back(u64::from(k), cancelled_s + 0.1, cancelled_s).await;
+            let case = refuse_owner_before_machines_return(
+                u64::from(variant),
+                cancelled_s + 0.1,
+                cancelled_s,
+            )
+            .await;
             let world = case.world;
             sleep(secs(12.0)).await;
             let limit = world.shape.settings(0).launch_limit();
-            let late: Vec<_> = world.late_starts.borrow().clone();
-            let too_late: Vec<_> = late.iter().filter(|(_, after)| *after > limit).collect();
+            let late_starts: Vec<_> = world.late_starts.borrow().clone();
+            let too_late: Vec<_> = late_starts
+                .iter()
+                .filter(|(_, after)| *after > limit)
+                .collect();
             assert!(too_late.is_empty(), "{cancelled_s}: {too_late:?}");
             world.heal();
             sleep(secs(20.0)).await;
             for id in &case.cancelled {
                 assert_eq!(world.running(id), 0, "{id}");
             }
-            for id in &case.kept {
+            for id in &case.uncancelled {
                 assert_eq!(world.running(id), 1, "{id}");
             }
             world.assert_kept();
@@ -227,18 +249,18 @@
     }
 }
 
-/// What was held goes out as soon as the state service is back.
+/// Checks that deferred launches are sent as soon as the state service answers again.
 #[test]
-fn held_launches_follow_the_next_barrier() {
+fn deferred_launches_are_sent_after_the_next_barrier() {
     in_world(|| async {
-        let case = come_back(50, 2.4, 2.0).await;
+        let case = refuse_owner_before_machines_return(50, 2.4, 2.0).await;
         let (world, owner) = (case.world, case.owner);
         let starts = world.starts.get();
         sleep(secs(2.0 + 1.0)).await;
-        assert_eq!(world.starts.get(), starts, "launched by an old view");
+        assert_eq!(world.starts.get(), starts, "launched from an old view");
         world.state.troubles.borrow_mut().refused.remove(&owner);
         sleep(secs(1.0)).await;
-        for id in &case.kept {
+        for id in &case.uncancelled {
             assert_eq!(world.running(id), 1, "{id}");
         }
         assert_eq!(world.late_starts.borrow().len(), 0);
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -6,8 +6,9 @@
 use crate::scenario::{cancel, heal_and_check, secs, start_long_jobs};
 use crate::stand_ins::{Scenario, Trouble, job};
 
-/// All controllers are down for about a lease or longer. Afterwards they start one by
-/// one, each receives copies of old reports, and a user cancels a job immediately.
+/// Checks that no rule is broken when all controllers are down for about a lease or
+/// longer. They then start one by one, copies of old reports arrive, and a user cancels a
+/// job immediately.
 #[test]
 fn rules_hold_after_all_controllers_are_down_for_a_lease() {
     for variant in 0..4u64 {
@@ -34,8 +35,9 @@
     }
 }
 
-/// A zone with its controllers and machines is partitioned for longer than a lease.
-/// Meanwhile jobs, some of them bound to that zone, are cancelled in the other zone.
+/// Checks that no rule is broken when a zone with its controllers and machines is
+/// partitioned for longer than a lease, while jobs, some of them bound to that zone, are
+/// cancelled in the other zone.
 #[test]
 fn rules_hold_after_a_zone_is_partitioned_for_a_lease() {
     for (n, (zone, partition_s)) in [("b", 13.0), ("b", 45.0), ("a", 13.0), ("a", 45.0)]
@@ -67,9 +69,9 @@
     }
 }
 
-/// The leader is partitioned from the state service and the other controllers, while
-/// workers and users still reach it, and jobs are cancelled at another controller. The
-/// leader must neither report outdated stages nor keep cancelled tasks running.
+/// Checks that a leader which is partitioned from the state service and the other
+/// controllers neither reports outdated stages nor keeps cancelled tasks running. Workers
+/// and users still reach it, while jobs are cancelled at another controller.
 #[test]
 fn leader_without_state_and_peers_reports_no_outdated_stage() {
     for (n, (partition_s, hang_s, outage)) in [
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -24,8 +24,9 @@
     queries_immediately: bool,
 }
 
-/// The leader restarts, is killed, freezes or is refused by the state service ten
-/// times in two minutes, and jobs are cancelled at the same moments.
+/// Checks that no rule is broken when the leader restarts, is killed, freezes or is
+/// refused by the state service ten times in two minutes, and jobs are cancelled at the
+/// same moments.
 #[test]
 fn rules_hold_when_jobs_are_cancelled_during_leader_changes() {
     let base = FaultCase {
@@ -212,9 +213,9 @@
     }
 }
 
-/// The tasks of each job complete far apart, under different leaders, and copies of
-/// reports reach the next leader late. No job may be reported as done before all of its
-/// tasks have completed.
+/// Checks that no job is reported as done before all of its tasks have completed. The
+/// tasks of each job complete far apart, under different leaders, and copies of reports
+/// reach the next leader late.
 #[test]
 fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
     for variant in 0..4u64 {
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -148,10 +148,9 @@
     ]
 }
 
-/// The state service refuses only the leader, another controller confirms
-/// cancellations, and then the state service is unavailable to all for longer than
-/// `cancel_s`. The leader never learns of the cancellations, yet the cancelled tasks must
-/// have ended by the end of the outage.
+/// Checks that the tasks of jobs cancelled at another controller end although the leader
+/// never learns of the cancellations: the state service first refuses only the leader,
+/// and is then unavailable to all for longer than `cancel_s`.
 #[test]
 fn jobs_cancelled_elsewhere_end_in_time_during_an_outage() {
     for (n, case) in fault_cases().into_iter().enumerate() {
@@ -267,9 +266,9 @@
     sleep(total.saturating_sub(start.elapsed())).await;
 }
 
-/// The age of an answer that renews a lease counts from the moment its request was
-/// sent. Here the leader's requests stay in flight for long, and the state service begins
-/// to refuse the leader at different moments of that time.
+/// Checks that the age of an answer that renews a lease counts from the moment its
+/// request was sent. The leader's requests stay in flight for long, and the state service
+/// begins to refuse the leader at different moments of that time.
 #[test]
 fn age_of_an_answer_counts_from_its_request() {
     for variant in 0..8u32 {
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -9,9 +9,9 @@
 use crate::scenario::{cancel, heal_and_check, secs};
 use crate::stand_ins::{Scenario, StateTroubles, Worker, World, job};
 
-/// Every team is at its limit and has more jobs in the queue. Jobs are cancelled while
-/// their machines hang or are unreachable, and the leader changes. No team may exceed its
-/// limit.
+/// Checks that no team exceeds its limit. Every team is at its limit and has more jobs in
+/// the queue; jobs are cancelled while their machines hang or are unreachable, and the
+/// leader changes.
 #[test]
 fn teams_never_exceed_their_limits() {
     let faults = [
@@ -98,8 +98,8 @@
     worker.orders_held.set(Duration::ZERO);
 }
 
-/// New machines boot within a second and receive work immediately, while commits are
-/// late, unanswered or slow, and the leader is restarted.
+/// Checks that no rule is broken when new machines boot within a second and receive work
+/// immediately, while commits are late, unanswered or slow and the leader is restarted.
 #[test]
 fn rules_hold_when_machines_boot_fast_and_commits_are_slow() {
     for (n, (late, unanswered, slow_s)) in [
@@ -146,8 +146,8 @@
     }
 }
 
-/// Users submit four one-task jobs per second for a minute and cancel a quarter of
-/// them, while the leader is restarted several times.
+/// Checks that no rule is broken when users submit four one-task jobs per second for a
+/// minute and cancel a quarter of them, while the leader is restarted several times.
 #[test]
 fn rules_hold_when_a_quarter_of_many_small_jobs_is_cancelled() {
     for (n, (late, copied)) in [(0.0, 0.0), (0.05, 0.0), (0.0, 0.1)]
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -8,9 +8,9 @@
 use crate::scenario::{cancel, heal_and_check, secs};
 use crate::stand_ins::{Scenario, StateTroubles, World, job};
 
-/// Users query all controllers and repeat the submission within milliseconds after a
-/// job was accepted, completed or cancelled, and some cancel it as it completes. No
-/// answer may be older than an earlier one.
+/// Checks that no answer is older than an earlier one. Users query all controllers and
+/// repeat the submission within milliseconds after a job was accepted, completed or
+/// cancelled, and some cancel it as it completes.
 #[test]
 fn queries_after_a_change_return_no_older_stage() {
     let cases = [
@@ -152,9 +152,10 @@
     assert!([404, 503].contains(&status), "{status}");
 }
 
-/// Users send invalid submissions, repeat known ones and cancel finished jobs at every
+/// Checks that each request is answered with the status that the protocol defines. Users
+/// send invalid submissions, repeat known ones and cancel finished jobs at every
 /// controller, while the state service answers slowly, loses answers or refuses one
-/// controller. Each request must be answered with the status of the protocol.
+/// controller.
 #[test]
 fn invalid_and_repeated_requests_get_the_status_of_the_protocol() {
     for (n, (slow_s, unanswered, refused)) in [
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -1,5 +1,5 @@
-//! Users' requests while they cannot be served, and records that nobody can
-//! read, against stand-ins, in simulated time.
+//! Requests of users while controllers cannot serve them, and records that controllers
+//! cannot read, against stand-ins, in simulated time.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -17,78 +17,81 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The longest that a request may wait where something is under way for it.
-const LONGEST_WAIT: Duration = Duration::from_millis(3600);
+/// Maximum response time of a request while an operation for it is in progress.
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(3600);
 
-/// What counts as an answer given at once: some tries at the state service.
-const AT_ONCE: Duration = Duration::from_millis(400);
+/// Maximum response time of a request that is answered without waiting; it includes some
+/// attempts at the state service.
+const MAX_IMMEDIATE_RESPONSE_TIME: Duration = Duration::from_millis(400);
 
+/// A request of a user.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Request {
     Submission,
     Query,
-    Withdrawal,
+    Cancellation,
 }
 
-const REQUESTS: [Request; 3] = [Request::Submission, Request::Query, Request::Withdrawal];
+const REQUESTS: [Request; 3] = [Request::Submission, Request::Query, Request::Cancellation];
 
 impl Request {
-    /// Sends it to a controller; returns the answer and how long it took. What is
-    /// submitted is new; queries and withdrawals concern `open`.
-    async fn send(self, w: &World, i: usize, open: &str) -> (Response, Duration) {
-        let user = Net::Fabric(w.fabric.clone(), addr("10.3.0.9:1"));
+    /// Sends the request to a controller; returns the answer and the response time. A
+    /// submission is of a new job; queries and cancellations concern the job `existing`.
+    async fn send(self, world: &World, i: usize, existing: &str) -> (Response, Duration) {
+        let user = Net::Fabric(world.fabric.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
         let (method, path, body) = match self {
             Request::Submission => ("POST", "/submissions".to_string(), Some(new.to_string())),
-            Request::Query => ("GET", format!("/submissions/{open}"), None),
-            Request::Withdrawal => ("POST", format!("/submissions/{open}/withdraw"), None),
+            Request::Query => ("GET", format!("/submissions/{existing}"), None),
+            Request::Cancellation => ("POST", format!("/submissions/{existing}/withdraw"), None),
         };
         let body = body.map(String::into_bytes);
-        let began = Instant::now();
+        let start = Instant::now();
         let limit = Duration::from_secs(10);
         let answer = client.call(controller(i), method, &path, body, limit).await;
-        (answer.expect("an answer"), began.elapsed())
+        (answer.expect("an answer"), start.elapsed())
     }
 }
 
+/// A way in which the state service refuses requests of controllers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Refusal {
-    /// The state service is down for all.
+    /// Outage of the state service for all controllers.
     Outage,
-    /// It refuses this controller alone.
-    OneAlone,
-    /// It serves reads and refuses commits.
+    /// Refusal of a single controller by the state service.
+    OneController,
+    /// Refusal of all commits, while reads are served.
     Commits,
 }
 
 impl Refusal {
-    fn begin(self, w: &World) {
+    fn begin(self, world: &World) {
         match self {
-            Refusal::Outage => w.state.trouble.set(Trouble::Down),
-            Refusal::Commits => w.state.trouble.set(Trouble::NoCommits),
-            Refusal::OneAlone => {
-                w.state.troubles.borrow_mut().refused.insert(0);
+            Refusal::Outage => world.state.trouble.set(Trouble::Down),
+            Refusal::Commits => world.state.trouble.set(Trouble::NoCommits),
+            Refusal::OneController => {
+                world.state.troubles.borrow_mut().refused.insert(0);
             }
         }
     }
 }
 
-/// In the very moment in which the state service begins to refuse, and later:
-/// nobody is kept waiting, and everybody is told when to come back.
+/// Checks that requests which arrive as the state service begins to refuse, and later,
+/// are answered without waiting, and that each 503 says when to retry.
 #[test]
-fn what_is_refused_is_told_at_once() {
-    let refusals = [Refusal::Outage, Refusal::OneAlone, Refusal::Commits];
+fn refused_requests_are_answered_immediately() {
+    let refusals = [Refusal::Outage, Refusal::OneController, Refusal::Commits];
     for (n, refusal) in refusals.into_iter().enumerate() {
         for request in REQUESTS {
             for later_s in [0.0, 1.0, 20.0] {
                 in_world(|| async move {
-                    let w = World::new(300 + n as u64).await;
-                    let open = w.submit(job(1, "batch", 1, 300.0)).await;
-                    w.until(&open, "running", 60).await;
-                    refusal.begin(&w);
+                    let world = World::new(300 + n as u64).await;
+                    let existing = world.submit(job(1, "batch", 1, 300.0)).await;
+                    world.until(&existing, "running", 60).await;
+                    refusal.begin(&world);
                     sleep(Duration::from_secs_f64(later_s)).await;
-                    let (answer, took) = request.send(&w, 0, &open).await;
+                    let (answer, response_time) = request.send(&world, 0, &existing).await;
                     let case = format!("{refusal:?}, {request:?}, after {later_s} s");
                     if refusal == Refusal::Commits && request == Request::Query {
                         assert_eq!(answer.status, 200, "{case}");
@@ -96,56 +99,66 @@
                         assert_eq!(answer.status, 503, "{case}");
                         assert!(answer.retry_after.is_some(), "{case}");
                     }
-                    assert!(took < AT_ONCE, "{case}: {took:?}");
+                    assert!(
+                        response_time < MAX_IMMEDIATE_RESPONSE_TIME,
+                        "{case}: {response_time:?}"
+                    );
                 });
             }
         }
     }
 }
 
-/// A commit whose answer is lost is under way: its user may wait for it, but no
-/// longer than users wait.
+/// Checks that the wait for a commit whose answer is lost or late is limited. Such a
+/// commit may still succeed, so the controller may wait for its result before it answers
+/// the user, but not longer than users wait.
 #[test]
-fn what_is_under_way_is_waited_for_within_bounds() {
+fn wait_for_an_unanswered_commit_is_limited() {
     let cases = [
         (Trouble::LoseAnswers, Request::Submission, &[200, 201][..]),
-        (Trouble::LoseAnswers, Request::Withdrawal, &[200]),
+        (Trouble::LoseAnswers, Request::Cancellation, &[200]),
         (Trouble::Late, Request::Submission, &[200, 201, 503]),
-        (Trouble::Late, Request::Withdrawal, &[200, 503]),
+        (Trouble::Late, Request::Cancellation, &[200, 503]),
     ];
     for (n, (trouble, request, expected)) in cases.into_iter().enumerate() {
         in_world(|| async move {
-            let w = World::new(320 + n as u64).await;
-            let open = w.submit(job(1, "batch", 1, 300.0)).await;
-            w.until(&open, "running", 60).await;
-            w.state.trouble.set(trouble);
-            w.state.troubled.set(1);
-            let (answer, took) = request.send(&w, 0, &open).await;
-            let case = format!("{trouble:?}, {request:?}: {}, {took:?}", answer.status);
+            let world = World::new(320 + n as u64).await;
+            let existing = world.submit(job(1, "batch", 1, 300.0)).await;
+            world.until(&existing, "running", 60).await;
+            world.state.trouble.set(trouble);
+            world.state.troubled.set(1);
+            let (answer, response_time) = request.send(&world, 0, &existing).await;
+            let case = format!(
+                "{trouble:?}, {request:?}: {}, {response_time:?}",
+                answer.status
+            );
             assert!(expected.contains(&answer.status), "{case}");
-            assert!(took < LONGEST_WAIT, "{case}");
+            assert!(response_time < MAX_RESPONSE_TIME, "{case}");
         });
     }
 }
 
-/// Answers that take longer than anybody waits: whatever is tried in between, the
-/// whole wait is bounded.
+/// Checks that the response time of a request is limited, however many attempts it
+/// includes, when the state service answers a controller more slowly than users wait.
 #[test]
-fn no_request_waits_longer_than_its_user() {
+fn response_time_is_limited_when_the_state_service_is_slow() {
     for request in REQUESTS {
         for slow_s in [0.9, 1.2, 5.0] {
             in_world(|| async move {
-                let w = World::new(340).await;
-                let open = w.submit(job(1, "batch", 1, 300.0)).await;
-                w.until(&open, "running", 60).await;
-                w.state.troubles.borrow_mut().slow = Duration::from_secs_f64(slow_s);
-                w.state.troubles.borrow_mut().slow_to.insert(0);
-                let (answer, took) = request.send(&w, 0, &open).await;
-                let case = format!("{request:?}, {slow_s}: {}, {took:?}", answer.status);
+                let world = World::new(340).await;
+                let existing = world.submit(job(1, "batch", 1, 300.0)).await;
+                world.until(&existing, "running", 60).await;
+                world.state.troubles.borrow_mut().slow = Duration::from_secs_f64(slow_s);
+                world.state.troubles.borrow_mut().slow_to.insert(0);
+                let (answer, response_time) = request.send(&world, 0, &existing).await;
+                let case = format!(
+                    "{request:?}, {slow_s}: {}, {response_time:?}",
+                    answer.status
+                );
                 assert!([200, 201, 503].contains(&answer.status), "{case}");
-                assert!(took < LONGEST_WAIT, "{case}");
+                assert!(response_time < MAX_RESPONSE_TIME, "{case}");
                 assert!(
-                    request != Request::Query || took < Duration::from_millis(1900),
+                    request != Request::Query || response_time < Duration::from_millis(1900),
                     "{case}"
                 );
             });
@@ -154,11 +167,11 @@
 }
 
 thread_local! {
-    /// What the controllers of the test on this thread have logged.
+    /// Log of the controllers of the test on this thread.
     static LOGGED: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Writes to the log of its thread's test.
+/// A writer to the log of the test on its thread.
 struct ThreadLog;
 
 impl Write for ThreadLog {
@@ -171,8 +184,9 @@
     }
 }
 
-/// Begins a log; one subscriber serves all tests of this program.
-fn begin_log() {
+/// Clears the log of this thread, and installs the subscriber that all tests of this
+/// program share.
+fn start_log() {
     static SUBSCRIBED: Once = Once::new();
     SUBSCRIBED.call_once(|| {
         tracing_subscriber::fmt()
@@ -184,38 +198,38 @@
     LOGGED.with_borrow_mut(Vec::clear);
 }
 
-/// Whether it was logged that the record of this key is not understood.
+/// Returns whether the log says that the record of this key was not understood.
 fn is_logged(key: &str) -> bool {
     let bytes = LOGGED.with_borrow(Clone::clone);
     let text = String::from_utf8_lossy(&bytes);
-    let told = |line: &str| line.contains("not understood") && line.contains(key);
-    text.lines().any(told)
+    let is_unreadable_record = |line: &str| line.contains("not understood") && line.contains(key);
+    text.lines().any(is_unreadable_record)
 }
 
-/// New work comes to its end, whichever controller takes it.
-async fn all_goes_on(w: &Rc<World>, from: u32, case: &str) {
+/// Asserts that new jobs run until they are done, and that every controller reports so.
+async fn assert_new_jobs_complete(world: &Rc<World>, first_number: u32, case: &str) {
     let mut ids = Vec::new();
-    for n in from..from + CONTROLLERS as u32 {
-        let mut one = job(n, ["batch", "gang"][n as usize % 2], 2, 2.0);
-        one["crew"] = json!(["t", "u"][n as usize % 2]);
-        ids.push(w.submit(one).await);
+    for n in first_number..first_number + CONTROLLERS as u32 {
+        let mut submission = job(n, ["batch", "gang"][n as usize % 2], 2, 2.0);
+        submission["crew"] = json!(["t", "u"][n as usize % 2]);
+        ids.push(world.submit(submission).await);
     }
-    let last = after(job(from + 20, "batch", 1, 1.0), &[&ids[0], &ids[1]]);
-    ids.push(w.submit(last).await);
+    let dependent = after(job(first_number + 20, "batch", 1, 1.0), &[&ids[0], &ids[1]]);
+    ids.push(world.submit(dependent).await);
     for id in &ids {
-        w.until(id, "done", 120).await;
+        world.until(id, "done", 120).await;
         for i in 0..CONTROLLERS {
-            let stage = w.stage(i, id).await;
+            let stage = world.stage(i, id).await;
             assert_eq!(stage.as_deref(), Some("done"), "{case}: {id} at n{i}");
         }
     }
 }
 
-/// Whatever stands in a record, whichever: it is logged with its key, and all
-/// that does not need it goes on, with the controllers that are there and with
-/// those that begin with it.
+/// Checks that a record of any kind with invalid content is logged with its key, and that
+/// all jobs which do not need it still run, both with the running controllers and after
+/// their restart.
 #[test]
-fn unreadable_records_stall_nobody() {
+fn unreadable_records_delay_no_other_job() {
     let keys = [
         "sh/job/job-000002",
         "sh/job/job-000055",
@@ -235,146 +249,160 @@
         "sh/other/x",
     ];
     for (n, key) in keys.into_iter().enumerate() {
-        let bad = [
+        let invalid = [
             json!("what"),
             json!({"m": 7, "f": [], "j": 3, "types": {}, "n": 1, "h": 2, "u": "x"}),
         ][n % 2]
             .clone();
-        begin_log();
+        start_log();
         in_world(|| async move {
-            let w = World::new(360 + n as u64).await;
-            all_goes_on(&w, 100, key).await;
-            let long = w.submit(job(1, "batch", 1, 600.0)).await;
-            w.until(&long, "running", 60).await;
-            let second = w.submit(job(2, "batch", 1, 3.0)).await;
-            w.until(&second, "done", 60).await;
-            // What ends with a slash stands for all keys under it.
+            let world = World::new(360 + n as u64).await;
+            assert_new_jobs_complete(&world, 100, key).await;
+            let long = world.submit(job(1, "batch", 1, 600.0)).await;
+            world.until(&long, "running", 60).await;
+            let short = world.submit(job(2, "batch", 1, 3.0)).await;
+            world.until(&short, "done", 60).await;
+            // A key that ends with a slash selects all keys with this prefix.
             let keys = match key.ends_with('/') {
-                true => w.state.sizes(key).into_iter().map(|(k, _)| k).collect(),
+                true => world.state.sizes(key).into_iter().map(|(k, _)| k).collect(),
                 false => vec![key.to_string()],
             };
             assert!(!keys.is_empty(), "{key}");
             for key in &keys {
-                w.state.write(key, &bad);
+                world.state.write(key, &invalid);
             }
-            let case = format!("{key} is {bad}");
-            all_goes_on(&w, 200, &case).await;
-            let is_known = !["sh/formats/x", "sh/other/x"].contains(&key);
-            let unlogged = keys.iter().find(|key| is_known && !is_logged(key));
+            let case = format!("{key} is {invalid}");
+            assert_new_jobs_complete(&world, 200, &case).await;
+            let is_read = !["sh/formats/x", "sh/other/x"].contains(&key);
+            let unlogged = keys.iter().find(|key| is_read && !is_logged(key));
             assert_eq!(unlogged, None, "not logged: {case}");
             for i in 0..CONTROLLERS {
-                w.kill(i);
+                world.kill(i);
             }
             for i in 0..CONTROLLERS {
-                w.start(i);
+                world.start(i);
             }
-            all_goes_on(&w, 300, &case).await;
-            w.assert_kept();
+            assert_new_jobs_complete(&world, 300, &case).await;
+            world.assert_kept();
         });
     }
 }
 
-/// A job whose record cannot be read was accepted, and may be over: nobody is told
-/// anything else. Once it can be read, it is as before.
+/// Checks that a job whose record cannot be read is reported neither as unknown nor in a
+/// stage, as it was accepted and may be finished; only a controller that has seen its
+/// final stage still reports that stage. Once the record can be read again, the job is in
+/// the same stage as before.
 #[test]
-fn an_unreadable_job_is_neither_forgotten_nor_called_anything() {
+fn unreadable_job_is_reported_neither_as_unknown_nor_in_a_stage() {
     in_world(|| async {
-        let w = World::new(400).await;
-        all_goes_on(&w, 100, "before").await;
-        let first = w.submit(job(1, "batch", 1, 300.0)).await;
-        let next = w.submit(after(job(2, "batch", 1, 1.0), &[&first])).await;
-        let over = w.submit(job(3, "batch", 1, 1.0)).await;
-        w.until(&over, "done", 60).await;
-        w.until(&first, "running", 60).await;
-        let keys = [&first, &over].map(|id| format!("sh/job/{id}"));
-        let records = keys.each_ref().map(|k| w.state.value(k).expect("a record"));
+        let world = World::new(400).await;
+        assert_new_jobs_complete(&world, 100, "before the fault").await;
+        let first = world.submit(job(1, "batch", 1, 300.0)).await;
+        let dependent = world
+            .submit(after(job(2, "batch", 1, 1.0), &[&first]))
+            .await;
+        let finished = world.submit(job(3, "batch", 1, 1.0)).await;
+        world.until(&finished, "done", 60).await;
+        world.until(&first, "running", 60).await;
+        let keys = [&first, &finished].map(|id| format!("sh/job/{id}"));
+        let records = keys
+            .each_ref()
+            .map(|k| world.state.value(k).expect("a record"));
         for key in &keys {
-            w.state.write(key, &json!({"s": 7}));
+            world.state.write(key, &json!({"s": 7}));
         }
         sleep(Duration::from_secs(1)).await;
         for i in 0..CONTROLLERS {
-            // What is final stays so where it is known.
-            assert_eq!(w.stage(i, &over).await.as_deref(), Some("done"));
+            // A controller that has seen the final stage still reports it.
+            assert_eq!(world.stage(i, &finished).await.as_deref(), Some("done"));
         }
         for restarted in [false, true] {
             for i in 0..CONTROLLERS {
                 let ask = |method, path: String| {
-                    let w = w.clone();
-                    async move { w.ask(i, method, &path, None).await.0 }
+                    let world = world.clone();
+                    async move { world.ask(i, method, &path, None).await.0 }
                 };
                 let query = format!("/submissions/{first}");
                 assert_eq!(ask("GET", query.clone()).await, 503, "{restarted}, n{i}");
                 assert_eq!(ask("POST", format!("{query}/withdraw")).await, 503);
-                let again = job(1, "batch", 1, 300.0);
-                let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
+                let repeated = job(1, "batch", 1, 300.0);
+                let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
                 assert_eq!(status, 503);
-                let names = after(job(60, "batch", 1, 1.0), &[&first]);
-                let (status, _) = w.ask(i, "POST", "/submissions", Some(&names)).await;
-                assert_eq!(status, 503, "whether it may be named is not known");
-                assert_eq!(w.stage(i, &next).await.as_deref(), Some("queued"));
+                let new_dependent = after(job(60, "batch", 1, 1.0), &[&first]);
+                let (status, _) = world
+                    .ask(i, "POST", "/submissions", Some(&new_dependent))
+                    .await;
+                assert_eq!(status, 503, "a dependency on an unreadable job was decided");
+                assert_eq!(world.stage(i, &dependent).await.as_deref(), Some("queued"));
             }
             for i in 0..CONTROLLERS {
-                w.kill(i);
-                w.start(i);
+                world.kill(i);
+                world.start(i);
             }
             sleep(Duration::from_secs(5)).await;
         }
         for (key, record) in keys.iter().zip(&records) {
-            w.state.write(key, record);
+            world.state.write(key, record);
         }
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
-            assert_eq!(w.stage(i, &over).await.as_deref(), Some("done"));
-            let stage: Option<String> = w.stage(i, &first).await;
+            assert_eq!(world.stage(i, &finished).await.as_deref(), Some("done"));
+            let stage: Option<String> = world.stage(i, &first).await;
             assert!(["queued", "running"].map(Some).contains(&stage.as_deref()));
         }
-        assert_eq!(w.withdraw(0, &first).await.as_deref(), Some("aborted"));
-        assert_eq!(w.stage(1, &next).await.as_deref(), Some("aborted"));
-        w.assert_kept();
+        assert_eq!(world.withdraw(0, &first).await.as_deref(), Some("aborted"));
+        assert_eq!(world.stage(1, &dependent).await.as_deref(), Some("aborted"));
+        world.assert_kept();
     });
 }
 
-/// Jobs that were accepted in one record: one that cannot be read keeps none of the
-/// others away, and is not accepted a second time under another form.
+/// Checks that one unreadable job, in a record with which several jobs were accepted,
+/// does not keep the others from running, and is not accepted again with other content.
 #[test]
-fn one_unreadable_arrival_leaves_the_others() {
+fn one_unreadable_new_job_does_not_affect_the_others() {
     in_world(|| async {
-        let w = World::new(410).await;
-        all_goes_on(&w, 100, "before").await;
-        let (good, bad) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
-        let spec = shelfhoist::api::read_submission(good.to_string().as_bytes());
+        let world = World::new(410).await;
+        assert_new_jobs_complete(&world, 100, "before the fault").await;
+        let (readable, unreadable) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
+        let spec = shelfhoist::api::read_submission(readable.to_string().as_bytes());
         let spec = shelfhoist::state::records::JobSpec::from(&spec.expect("a submission"));
         let spec: Value = serde_json::to_value(&spec).expect("text");
-        w.remember(&good);
-        w.remember(&bad);
-        let arrivals = json!({"b": 1, "j": {"job-000001": spec, "job-000002": 5}});
-        w.state.write("sh/new/n0-1", &arrivals);
+        world.remember(&readable);
+        world.remember(&unreadable);
+        let new_jobs = json!({"b": 1, "j": {"job-000001": spec, "job-000002": 5}});
+        world.state.write("sh/new/n0-1", &new_jobs);
         sleep(Duration::from_secs(1)).await;
-        w.submit(good).await;
-        w.until("job-000001", "done", 60).await;
+        world.submit(readable).await;
+        world.until("job-000001", "done", 60).await;
         for i in 0..CONTROLLERS {
-            let (status, _) = w.ask(i, "POST", "/submissions", Some(&bad)).await;
+            let (status, _) = world
+                .ask(i, "POST", "/submissions", Some(&unreadable))
+                .await;
             assert_eq!(status, 503);
-            let (status, _) = w.ask(i, "GET", "/submissions/job-000002", None).await;
+            let (status, _) = world.ask(i, "GET", "/submissions/job-000002", None).await;
             assert_eq!(status, 503);
         }
         sleep(Duration::from_secs(20)).await;
-        assert!(w.state.value("sh/new/n0-1").is_some(), "it went with a job");
-        w.assert_kept();
+        assert!(
+            world.state.value("sh/new/n0-1").is_some(),
+            "the record was deleted with a job"
+        );
+        world.assert_kept();
     });
 }
 
-/// Whatever `awaits` says, at whichever controller, whatever it names.
+/// Checks that valid and invalid values of `awaits` get the status that the protocol
+/// defines, at every controller.
 #[test]
-fn lists_are_read_as_the_protocol_says() {
+fn dependency_lists_are_parsed_as_the_protocol_defines() {
     in_world(|| async {
-        let w = World::new(420).await;
-        all_goes_on(&w, 100, "before").await;
+        let world = World::new(420).await;
+        assert_new_jobs_complete(&world, 100, "before the fault").await;
         let mut other = job(1, "gang", 1, 300.0);
         other["crew"] = json!("u");
-        let running = w.submit(other).await;
-        let service = w.submit(job(2, "daemon", 1, 0.0)).await;
-        w.until(&running, "running", 60).await;
+        let running = world.submit(other).await;
+        let service = world.submit(job(2, "daemon", 1, 0.0)).await;
+        world.until(&running, "running", 60).await;
         let cases = [
             (Value::Null, 201),
             (json!([]), 201),
@@ -395,48 +423,50 @@
         ];
         for (n, (dependencies, expected)) in (10..).zip(cases) {
             for i in 0..CONTROLLERS {
-                let mut one = job(n, "batch", 1, 1.0);
-                one["awaits"] = dependencies.clone();
-                w.remember(&one);
-                let (status, answer) = w.ask(i, "POST", "/submissions", Some(&one)).await;
-                // The first is the one that is accepted.
-                let known = expected == 201 && i > 0;
-                let expected = if known { 200 } else { expected };
+                let mut submission = job(n, "batch", 1, 1.0);
+                submission["awaits"] = dependencies.clone();
+                world.remember(&submission);
+                let (status, answer) = world
+                    .ask(i, "POST", "/submissions", Some(&submission))
+                    .await;
+                // The first controller accepts the job; the others then know it.
+                let is_known = expected == 201 && i > 0;
+                let expected = if is_known { 200 } else { expected };
                 assert_eq!(status, expected, "{dependencies} at n{i}: {answer}");
             }
         }
-        // Of one that is accepted a repeat gets its state, whatever it says.
+        // The repeated submission of an accepted job returns its stage, whatever it awaits.
         for dependencies in [
             json!(["job-000777"]),
             json!([running]),
             json!(["job-000010"]),
         ] {
-            let mut again = job(10, "batch", 1, 1.0);
-            again["awaits"] = dependencies.clone();
+            let mut repeated = job(10, "batch", 1, 1.0);
+            repeated["awaits"] = dependencies.clone();
             for i in 0..CONTROLLERS {
-                let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
+                let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
                 assert_eq!(status, 200, "{dependencies}");
             }
         }
-        w.until("job-000010", "done", 60).await;
-        w.assert_kept();
+        world.until("job-000010", "done", 60).await;
+        world.assert_kept();
     });
 }
 
-/// A job that was accepted a moment ago at another controller, while this one's
-/// news are slow or its state service refuses it: named, or told to come back;
-/// never refused for good.
+/// Checks that a dependent of a job which was accepted a moment ago at another controller
+/// is accepted or answered 503, but never rejected permanently, while this controller
+/// receives the events of the state late or is refused by the state service.
 #[test]
-fn what_was_accepted_elsewhere_is_never_called_unknown() {
+fn job_accepted_elsewhere_is_never_reported_as_unknown() {
     for (n, trouble) in ["slow", "slow to one", "refused", "unanswered"]
         .into_iter()
         .enumerate()
     {
         in_world(|| async move {
-            let w = World::new(430 + n as u64).await;
-            all_goes_on(&w, 100, "before").await;
+            let world = World::new(430 + n as u64).await;
+            assert_new_jobs_complete(&world, 100, "before the fault").await;
             {
-                let mut troubles = w.state.troubles.borrow_mut();
+                let mut troubles = world.state.troubles.borrow_mut();
                 match trouble {
                     "slow" => troubles.slow = Duration::from_millis(600),
                     "slow to one" => {
@@ -449,111 +479,123 @@
                     }
                 }
             }
-            for k in 0..8 {
-                let first = w.submit(job(1000 + k, "batch", 1, 1.0)).await;
-                let next = after(job(1100 + k, "batch", 1, 1.0), &[&first]);
-                w.remember(&next);
-                let (status, answer) = w.ask(1, "POST", "/submissions", Some(&next)).await;
+            for round in 0..8 {
+                let first = world.submit(job(1000 + round, "batch", 1, 1.0)).await;
+                let dependent = after(job(1100 + round, "batch", 1, 1.0), &[&first]);
+                world.remember(&dependent);
+                let (status, answer) = world.ask(1, "POST", "/submissions", Some(&dependent)).await;
                 assert!(
                     [200, 201, 503].contains(&status),
                     "{trouble}: {status} {answer}"
                 );
-                let unknown = after(job(1200 + k, "batch", 1, 1.0), &["job-000777"]);
-                let (status, answer) = w.ask(1, "POST", "/submissions", Some(&unknown)).await;
+                let dependent_of_unknown =
+                    after(job(1200 + round, "batch", 1, 1.0), &["job-000777"]);
+                let (status, answer) = world
+                    .ask(1, "POST", "/submissions", Some(&dependent_of_unknown))
+                    .await;
                 let expected = match trouble {
                     "refused" => &[503][..],
                     _ => &[422, 503],
                 };
                 assert!(expected.contains(&status), "{trouble}: {status} {answer}");
-                w.submit(next).await;
+                world.submit(dependent).await;
             }
-            w.state.troubles.replace(Default::default());
-            for k in 0..8 {
-                w.until(&format!("job-{:06}", 1100 + k), "done", 100).await;
+            world.state.troubles.replace(Default::default());
+            for round in 0..8 {
+                world
+                    .until(&format!("job-{:06}", 1100 + round), "done", 100)
+                    .await;
             }
-            w.assert_kept();
+            world.assert_kept();
         });
     }
 }
 
-/// A list that fits a record now and not once the limits fall: refused for good
-/// where they are to fall, while what is short of that is accepted and runs; and a
-/// job that is accepted is known whatever its repeat says.
+/// Checks that a list of dependencies must also fit the lower limits that are configured
+/// as the next ones: a list that fits only the present limits is rejected permanently, a
+/// shorter one is accepted and its job runs under the lower limits, and the repeated
+/// submission of an accepted job returns its stage whatever it awaits.
 #[test]
-fn lists_fit_the_records_of_later() {
+fn dependency_lists_must_fit_the_next_record_limits() {
     in_world(|| async {
-        let w = World::new(440).await;
-        *w.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
+        let world = World::new(440).await;
+        *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
         for i in 0..CONTROLLERS {
-            w.kill(i);
-            w.start(i);
+            world.kill(i);
+            world.start(i);
         }
-        all_goes_on(&w, 100, "before").await;
-        let open = w.submit(job(1, "batch", 1, 60.0)).await;
-        let mut names = vec![open];
+        assert_new_jobs_complete(&world, 100, "before the fault").await;
+        let running = world.submit(job(1, "batch", 1, 60.0)).await;
+        let mut dependencies = vec![running];
         for n in 0..160 {
-            let mut one = after(job(2000 + n, "batch", 1, 0.2), &[&names[0]]);
-            one["vcpus"] = json!(0.1);
-            names.push(w.submit(one).await);
+            let mut submission = after(job(2000 + n, "batch", 1, 0.2), &[&dependencies[0]]);
+            submission["vcpus"] = json!(0.1);
+            dependencies.push(world.submit(submission).await);
         }
         let list = |count: usize| {
-            names[..count]
+            dependencies[..count]
                 .iter()
                 .map(String::as_str)
                 .collect::<Vec<_>>()
         };
         for (n, count, expected) in [(2, 161, 400), (3, 90, 201)] {
-            let one = after(job(n, "batch", 2, 1.0), &list(count));
-            w.remember(&one);
-            let (status, answer) = w.ask(1, "POST", "/submissions", Some(&one)).await;
+            let submission = after(job(n, "batch", 2, 1.0), &list(count));
+            world.remember(&submission);
+            let (status, answer) = world
+                .ask(1, "POST", "/submissions", Some(&submission))
+                .await;
             assert_eq!(status, expected, "{count} names: {answer}");
         }
-        let again = after(job(3, "batch", 2, 1.0), &list(161));
+        let repeated = after(job(3, "batch", 2, 1.0), &list(161));
         for i in 0..CONTROLLERS {
-            let (status, _) = w.ask(i, "POST", "/submissions", Some(&again)).await;
+            let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
             assert_eq!(status, 200);
         }
-        let mut limits = w.state.limits.get();
+        let mut limits = world.state.limits.get();
         limits.value_limit_bytes = 2048;
         limits.txn_ops = 4;
-        w.state.limits.set(limits);
-        w.until("job-000003", "done", 300).await;
-        assert_eq!(w.state.beyond.borrow().clone(), Vec::<String>::new());
-        w.assert_kept();
+        world.state.limits.set(limits);
+        world.until("job-000003", "done", 300).await;
+        assert_eq!(world.state.beyond.borrow().clone(), Vec::<String>::new());
+        world.assert_kept();
     });
 }
 
-/// Where little may be written, a withdrawal's wait for its turn is bounded too.
+/// Checks that the time for which a cancellation waits for the write budget is limited,
+/// even at a low write rate.
 #[test]
-fn a_wait_for_the_write_budget_is_bounded() {
+fn wait_for_the_write_budget_is_limited() {
     in_world(|| async {
         let shape = Shape {
             state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
             ..Shape::default()
         };
-        let w = World::of(450, shape).await;
-        let mut open = Vec::new();
+        let world = World::of(450, shape).await;
+        let mut ids = Vec::new();
         for n in 0..40 {
-            open.push(w.submit(job(1 + n, "batch", 1, 900.0)).await);
+            ids.push(world.submit(job(1 + n, "batch", 1, 900.0)).await);
         }
-        let asks: Vec<_> = open
+        let cancellations: Vec<_> = ids
             .into_iter()
             .map(|id| {
-                let w = w.clone();
+                let world = world.clone();
                 spawn_local(async move {
-                    let began = Instant::now();
-                    let told = w.withdraw(0, &id).await;
-                    (told, began.elapsed())
+                    let start = Instant::now();
+                    let confirmed = world.withdraw(0, &id).await;
+                    (confirmed, start.elapsed())
                 })
             })
             .collect();
-        let (mut told, mut longest) = (0, Duration::ZERO);
-        for ask in asks {
-            let (answer, took) = ask.await.expect("an answer");
-            told += usize::from(answer.is_some());
-            longest = longest.max(took);
+        let (mut confirmed, mut longest) = (0, Duration::ZERO);
+        for cancellation in cancellations {
+            let (answer, response_time) = cancellation.await.expect("an answer");
+            confirmed += usize::from(answer.is_some());
+            longest = longest.max(response_time);
         }
-        assert!(longest < LONGEST_WAIT, "{longest:?}");
-        assert!((1..40).contains(&told), "{told} were told: no shortage");
+        assert!(longest < MAX_RESPONSE_TIME, "{longest:?}");
+        assert!(
+            (1..40).contains(&confirmed),
+            "{confirmed} cancellations were confirmed: the budget did not limit them"
+        );
     });
 }
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -1,6 +1,7 @@
-//! Jobs that await others while answers are lost or late, controllers end and the
-//! state service refuses some or all of them, against stand-ins, in simulated
-//! time. The stand-ins hold every start and every answer against the rules.
+//! Jobs that depend on other jobs, while answers are lost or late, controllers restart and
+//! the state service refuses some or all controllers, against stand-ins, in simulated time.
+//! The stand-ins check every start of a task and every answer against the rules of the
+//! protocol.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -21,122 +22,129 @@
     Duration::from_secs_f64(s)
 }
 
-fn roomy() -> Shape {
+/// Returns a deployment whose teams have large limits.
+fn large_teams() -> Shape {
     let teams = [("t", 64.0), ("u", 64.0)];
     Shape {
-        teams: teams.map(|(n, m)| (n.into(), m, m)).to_vec(),
+        teams: teams.map(|(name, cpus)| (name.into(), cpus, cpus)).to_vec(),
         ..Shape::default()
     }
 }
 
-/// Waits until every controller is known to read the newer formats.
-async fn upgraded(w: &World) {
-    let first = w.submit(job(900_000, "batch", 1, 0.5)).await;
+/// Waits until the controllers accept jobs with dependencies, which they do once every
+/// controller is known to read the newer formats.
+async fn wait_for_upgrade(world: &World) {
+    let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = after(job(900_001, "batch", 1, 0.5), &[&first]);
-    w.submit(probe).await;
+    world.submit(probe).await;
 }
 
-/// A chain of four jobs of both kinds and teams, and one beside its end; the
-/// first takes `first_s`.
-async fn pipeline(w: &World, first_s: f64) -> Vec<String> {
-    let mut ids = vec![w.submit(job(1, "batch", 3, first_s)).await];
-    for (n, cut) in [(2, "gang"), (3, "batch"), (4, "gang")] {
-        let mut one = after(job(n, cut, 2, 2.0), &[&ids[ids.len() - 1]]);
-        one["crew"] = json!(["t", "u"][n as usize % 2]);
-        ids.push(w.submit(one).await);
+/// Submits a chain of four jobs of both kinds and teams, and a fifth job that depends on
+/// the second and the third; the first job runs for `first_s` seconds. Returns their ids.
+async fn submit_pipeline(world: &World, first_s: f64) -> Vec<String> {
+    let mut ids = vec![world.submit(job(1, "batch", 3, first_s)).await];
+    for (n, kind) in [(2, "gang"), (3, "batch"), (4, "gang")] {
+        let mut submission = after(job(n, kind, 2, 2.0), &[&ids[ids.len() - 1]]);
+        submission["crew"] = json!(["t", "u"][n as usize % 2]);
+        ids.push(world.submit(submission).await);
     }
-    let beside = after(job(5, "batch", 2, 1.0), &[&ids[1], &ids[2]]);
-    ids.push(w.submit(beside).await);
+    let fifth = after(job(5, "batch", 2, 1.0), &[&ids[1], &ids[2]]);
+    ids.push(world.submit(fifth).await);
     ids
 }
 
-/// What happens to the service while a pipeline runs or is cancelled.
+/// A fault that occurs while a pipeline runs or is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
-    /// The next commits are carried out, their answers lost.
+    /// Commits that are applied but whose answers are lost.
     LostAnswers,
-    /// The next commits are carried out some seconds late.
+    /// Commits that are applied some seconds late.
     LateCommits,
-    /// Commits are late or unanswered by chance.
+    /// Commits that are late or unanswered at random.
     MixedAnswers,
-    /// Copies of old reports reach every controller.
-    LateReports,
-    /// One controller after another ends and comes back.
+    /// Copies of old reports that reach every controller.
+    LateReportCopies,
+    /// Restarts of one controller after another.
     Restarts,
-    /// The state service is down for longer than a cancellation may take.
+    /// Outage of the state service that is longer than a cancellation may take.
     LongOutage,
-    /// It refuses one controller alone, for as long.
+    /// Refusal of a single controller by the state service, for the same time.
     OneRefused,
 }
 
-const EVENTS: [Fault; 7] = [
+const FAULTS: [Fault; 7] = [
     Fault::LostAnswers,
     Fault::LateCommits,
     Fault::MixedAnswers,
-    Fault::LateReports,
+    Fault::LateReportCopies,
     Fault::Restarts,
     Fault::LongOutage,
     Fault::OneRefused,
 ];
 
 impl Fault {
-    /// From its beginning to its end.
-    async fn happen(self, w: &Rc<World>, controller: usize) {
-        let long = secs(w.shape.cancel_s * 1.3);
+    /// Injects the fault and waits until it is over.
+    async fn inject(self, world: &Rc<World>, refused_controller: usize) {
+        let longer_than_cancel = secs(world.shape.cancel_s * 1.3);
         match self {
             Fault::LostAnswers | Fault::LateCommits => {
-                w.state.trouble.set(match self {
+                world.state.trouble.set(match self {
                     Fault::LostAnswers => Trouble::LoseAnswers,
                     _ => Trouble::Late,
                 });
                 for _ in 0..5 {
-                    w.state.troubled.set(2);
+                    world.state.troubled.set(2);
                     sleep(secs(2.0)).await;
                 }
-                w.state.troubled.set(0);
-                w.state.trouble.set(Trouble::None);
+                world.state.troubled.set(0);
+                world.state.trouble.set(Trouble::None);
             }
             Fault::MixedAnswers => {
-                w.state.troubles.borrow_mut().late = 0.2;
-                w.state.troubles.borrow_mut().unanswered = 0.2;
+                world.state.troubles.borrow_mut().late = 0.2;
+                world.state.troubles.borrow_mut().unanswered = 0.2;
                 sleep(secs(12.0)).await;
-                w.heal();
+                world.heal();
             }
-            Fault::LateReports => {
+            Fault::LateReportCopies => {
                 for _ in 0..6 {
                     sleep(secs(2.0)).await;
-                    w.deliver_copies();
+                    world.deliver_copies();
                 }
             }
             Fault::Restarts => {
                 for i in 0..CONTROLLERS {
-                    w.kill(i);
+                    world.kill(i);
                     sleep(secs(2.5)).await;
-                    w.start(i);
+                    world.start(i);
                     sleep(secs(1.5)).await;
                 }
             }
             Fault::LongOutage => {
-                w.state.trouble.set(Trouble::Down);
-                sleep(long).await;
-                w.state.trouble.set(Trouble::None);
+                world.state.trouble.set(Trouble::Down);
+                sleep(longer_than_cancel).await;
+                world.state.trouble.set(Trouble::None);
             }
             Fault::OneRefused => {
-                w.state.troubles.borrow_mut().refused.insert(controller);
-                sleep(long).await;
-                w.state.troubles.borrow_mut().refused.clear();
+                world
+                    .state
+                    .troubles
+                    .borrow_mut()
+                    .refused
+                    .insert(refused_controller);
+                sleep(longer_than_cancel).await;
+                world.state.troubles.borrow_mut().refused.clear();
             }
         }
     }
 }
 
-/// Polls every job at every controller, as users do, until told to end. What a
-/// user is told is judged by the stand-ins.
-async fn keep_polling(w: Rc<World>, ids: Vec<String>) {
+/// Polls every job at every controller, as users do, until the task is aborted. The
+/// stand-ins check the answers.
+async fn keep_polling(world: Rc<World>, ids: Vec<String>) {
     loop {
         for id in &ids {
             for i in 0..CONTROLLERS {
-                w.stage(i, id).await;
+                world.stage(i, id).await;
             }
         }
         sleep(secs(1.0)).await;
@@ -144,248 +152,281 @@
 }
 
 #[test]
-fn no_task_starts_too_early_through_trouble() {
-    for (n, fault) in EVENTS.into_iter().enumerate() {
-        for begins_s in [0.5, 4.0] {
+fn no_task_starts_before_its_dependencies_are_done() {
+    for (n, fault) in FAULTS.into_iter().enumerate() {
+        for delay_s in [0.5, 4.0] {
             in_world(|| async move {
-                let w = World::of(500 + n as u64, roomy()).await;
-                upgraded(&w).await;
-                w.copied.set(0.3);
-                let ids = pipeline(&w, 5.0).await;
-                let polls = tokio::task::spawn_local(keep_polling(w.clone(), ids.clone()));
-                sleep(secs(begins_s)).await;
-                fault.happen(&w, n % CONTROLLERS).await;
+                let world = World::of(500 + n as u64, large_teams()).await;
+                wait_for_upgrade(&world).await;
+                world.copied.set(0.3);
+                let ids = submit_pipeline(&world, 5.0).await;
+                let polling = tokio::task::spawn_local(keep_polling(world.clone(), ids.clone()));
+                sleep(secs(delay_s)).await;
+                fault.inject(&world, n % CONTROLLERS).await;
                 for id in &ids {
-                    w.until(id, "done", 200).await;
+                    world.until(id, "done", 200).await;
                 }
-                polls.abort();
-                let broken = w.broken.borrow().clone();
-                assert!(broken.is_empty(), "{fault:?} at {begins_s}: {broken:#?}");
-                w.assert_kept();
+                polling.abort();
+                let broken = world.broken.borrow().clone();
+                assert!(
+                    broken.is_empty(),
+                    "{fault:?} after {delay_s} s: {broken:#?}"
+                );
+                world.assert_kept();
             });
         }
     }
 }
 
-/// All controllers are asked at once to cancel one of a chain, at each depth, while
-/// each trouble goes on: once one of them has told it, none says anything older of
-/// it or of what comes after, and what comes before goes on.
+/// Checks that a cancellation is final at each depth of a chain and during each fault.
+/// All controllers receive it concurrently. Once one of them has confirmed it, no
+/// controller may report an older stage of the job or of its dependents, and the jobs
+/// before it must continue.
 #[test]
-fn a_cancel_at_each_depth_holds_through_trouble() {
-    for (n, fault) in EVENTS.into_iter().enumerate() {
+fn cancellation_at_each_depth_is_final_during_faults() {
+    for (n, fault) in FAULTS.into_iter().enumerate() {
         for depth in 0..4 {
             in_world(|| async move {
                 let case = format!("{fault:?}, depth {depth}");
-                let w = World::of(540 + (n * 4 + depth) as u64, roomy()).await;
-                upgraded(&w).await;
-                w.copied.set(0.3);
-                let ids = pipeline(&w, 40.0).await;
-                w.until(&ids[0], "running", 60).await;
-                let polls = tokio::task::spawn_local(keep_polling(w.clone(), ids.clone()));
-                let trouble = {
-                    let w = w.clone();
-                    tokio::task::spawn_local(async move { fault.happen(&w, n % CONTROLLERS).await })
+                let world = World::of(540 + (n * 4 + depth) as u64, large_teams()).await;
+                wait_for_upgrade(&world).await;
+                world.copied.set(0.3);
+                let ids = submit_pipeline(&world, 40.0).await;
+                world.until(&ids[0], "running", 60).await;
+                let polling = tokio::task::spawn_local(keep_polling(world.clone(), ids.clone()));
+                let injection = {
+                    let world = world.clone();
+                    tokio::task::spawn_local(
+                        async move { fault.inject(&world, n % CONTROLLERS).await },
+                    )
                 };
-                let mut told = None;
-                let began = Instant::now();
-                while told.is_none() && began.elapsed() < secs(90.0) {
+                let mut stage = None;
+                let start = Instant::now();
+                while stage.is_none() && start.elapsed() < secs(90.0) {
                     let id = &ids[depth];
-                    let (a, b, c) =
-                        tokio::join!(w.withdraw(0, id), w.withdraw(1, id), w.withdraw(2, id));
-                    told = a.or(b).or(c);
-                    if told.is_some() {
-                        w.look_closely(id).await;
-                        w.look_closely(&ids[4]).await;
+                    let (answer_0, answer_1, answer_2) = tokio::join!(
+                        world.withdraw(0, id),
+                        world.withdraw(1, id),
+                        world.withdraw(2, id)
+                    );
+                    stage = answer_0.or(answer_1).or(answer_2);
+                    if stage.is_some() {
+                        world.look_closely(id).await;
+                        world.look_closely(&ids[4]).await;
                     }
                     sleep(secs(1.0)).await;
                 }
-                assert_eq!(told.as_deref(), Some("aborted"), "{case}");
-                trouble.await.expect("the trouble");
-                // One that names a cancelled job is accepted, and is cancelled.
-                let late = w
+                assert_eq!(stage.as_deref(), Some("aborted"), "{case}");
+                injection.await.expect("the task that injects the fault");
+                // A job that awaits a cancelled job is accepted, and is cancelled.
+                let late_dependent = world
                     .submit(after(job(50, "batch", 1, 1.0), &[&ids[depth]]))
                     .await;
-                sleep(secs(w.shape.cancel_s)).await;
-                // The last stands after the second and the third.
-                let after_it: Vec<&String> = match depth {
-                    3 => vec![&ids[3], &late],
-                    _ => ids[depth..].iter().chain([&late]).collect(),
+                sleep(secs(world.shape.cancel_s)).await;
+                // The fifth job depends on the second and the third, but not on the fourth.
+                let dependents: Vec<&String> = match depth {
+                    3 => vec![&ids[3], &late_dependent],
+                    _ => ids[depth..].iter().chain([&late_dependent]).collect(),
                 };
-                for id in &after_it {
-                    assert_eq!(w.running(id), 0, "{case}: {id}");
+                for id in &dependents {
+                    assert_eq!(world.running(id), 0, "{case}: {id}");
                     for i in 0..CONTROLLERS {
-                        let stage = w.stage(i, id).await;
+                        let stage = world.stage(i, id).await;
                         assert_eq!(stage.as_deref(), Some("aborted"), "{case}: {id} at n{i}");
                     }
                 }
-                for id in ids.iter().filter(|id| !after_it.contains(id)) {
-                    w.until(id, "done", 200).await;
+                for id in ids.iter().filter(|id| !dependents.contains(id)) {
+                    world.until(id, "done", 200).await;
                 }
-                polls.abort();
-                let broken = w.broken.borrow().clone();
+                polling.abort();
+                let broken = world.broken.borrow().clone();
                 assert!(broken.is_empty(), "{case}: {broken:#?}");
-                w.assert_kept();
+                world.assert_kept();
             });
         }
     }
 }
 
-/// A withdrawal that comes too late is answered with `done`, and what comes after
-/// goes on, whichever controller was asked and whatever happens meanwhile.
+/// Checks that a cancellation which arrives after the job is done is answered with
+/// `done`, and that the dependents continue, at whichever controller it arrives and
+/// during each fault.
 #[test]
-fn a_cancel_answered_with_done_ends_nothing() {
+fn cancellation_of_a_done_job_ends_no_dependent() {
     for (n, fault) in [Fault::LostAnswers, Fault::Restarts, Fault::OneRefused]
         .into_iter()
         .enumerate()
     {
         in_world(|| async move {
-            let w = World::of(600 + n as u64, roomy()).await;
-            upgraded(&w).await;
-            let first = w.submit(job(1, "batch", 1, 2.0)).await;
-            let next = w.submit(after(job(2, "gang", 2, 8.0), &[&first])).await;
-            let last = w.submit(after(job(3, "batch", 1, 1.0), &[&next])).await;
-            w.until(&first, "done", 60).await;
-            let trouble = {
-                let w = w.clone();
-                tokio::task::spawn_local(async move { fault.happen(&w, n).await })
+            let world = World::of(600 + n as u64, large_teams()).await;
+            wait_for_upgrade(&world).await;
+            let first = world.submit(job(1, "batch", 1, 2.0)).await;
+            let next = world.submit(after(job(2, "gang", 2, 8.0), &[&first])).await;
+            let last = world.submit(after(job(3, "batch", 1, 1.0), &[&next])).await;
+            world.until(&first, "done", 60).await;
+            let injection = {
+                let world = world.clone();
+                tokio::task::spawn_local(async move { fault.inject(&world, n).await })
             };
             for i in 0..CONTROLLERS {
-                let told = w.withdraw(i, &first).await;
-                assert!(told.as_deref().is_none_or(|t| t == "done"), "{told:?}");
+                let stage = world.withdraw(i, &first).await;
+                assert!(
+                    stage.as_deref().is_none_or(|stage| stage == "done"),
+                    "{stage:?}"
+                );
             }
-            trouble.await.expect("the trouble");
-            assert_eq!(w.withdraw(0, &first).await.as_deref(), Some("done"));
-            w.until(&last, "done", 120).await;
-            w.assert_kept();
+            injection.await.expect("the task that injects the fault");
+            assert_eq!(world.withdraw(0, &first).await.as_deref(), Some("done"));
+            world.until(&last, "done", 120).await;
+            world.assert_kept();
         });
     }
 }
 
-/// Users never name a service. One that does waits for as long as the service
-/// runs, takes nothing meanwhile, and is cancelled with it.
+/// Checks that a job which awaits a service waits while the service runs, uses no
+/// resources meanwhile, and is cancelled with the service. Users are not expected to
+/// submit such jobs.
 #[test]
-fn a_job_that_names_a_service_waits_and_harms_nothing() {
+fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     in_world(|| async {
-        let w = World::of(620, roomy()).await;
-        upgraded(&w).await;
-        let service = w.submit(job(1, "daemon", 2, 0.0)).await;
-        w.until(&service, "running", 60).await;
+        let world = World::of(620, large_teams()).await;
+        wait_for_upgrade(&world).await;
+        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
+        world.until(&service, "running", 60).await;
         sleep(secs(30.0)).await;
-        let machines = w.workers.borrow().len();
-        let wide = w.submit(after(job(2, "gang", 12, 5.0), &[&service])).await;
-        let other = w.submit(job(3, "batch", 2, 2.0)).await;
-        w.until(&other, "done", 60).await;
+        let machines = world.workers.borrow().len();
+        let wide = world
+            .submit(after(job(2, "gang", 12, 5.0), &[&service]))
+            .await;
+        let other = world.submit(job(3, "batch", 2, 2.0)).await;
+        world.until(&other, "done", 60).await;
         sleep(secs(60.0)).await;
-        assert_eq!(w.stage(1, &wide).await.as_deref(), Some("queued"));
-        assert!(w.workers.borrow().len() <= machines, "machines stand by");
-        assert_eq!(w.withdraw(0, &service).await.as_deref(), Some("aborted"));
+        assert_eq!(world.stage(1, &wide).await.as_deref(), Some("queued"));
+        assert!(
+            world.workers.borrow().len() <= machines,
+            "idle machines are kept"
+        );
+        assert_eq!(
+            world.withdraw(0, &service).await.as_deref(),
+            Some("aborted")
+        );
         for i in 0..CONTROLLERS {
-            assert_eq!(w.stage(i, &wide).await.as_deref(), Some("aborted"));
+            assert_eq!(world.stage(i, &wide).await.as_deref(), Some("aborted"));
         }
-        w.assert_kept();
+        world.assert_kept();
     });
 }
 
-/// Urgent work that waits stops nothing, though its team has a guarantee and runs
-/// nothing; once it is ready it does.
+/// Checks that an urgent job that waits for its dependency preempts no other job,
+/// although its team uses less than its guarantee. Once the job is ready, it does.
 #[test]
-fn a_waiting_job_stops_nothing() {
+fn waiting_job_preempts_no_other_job() {
     in_world(|| async {
         let shape = Shape {
             teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 8.0, 64.0)],
             ..Shape::default()
         };
-        let w = World::of(630, shape).await;
-        upgraded(&w).await;
+        let world = World::of(630, shape).await;
+        wait_for_upgrade(&world).await;
         let mut first = job(1, "batch", 1, 60.0);
         first["crew"] = json!("u");
-        let first = w.submit(first).await;
-        w.until(&first, "running", 60).await;
-        let mut low = job(2, "batch", 8, 500.0);
-        low["urgency"] = json!("low");
-        let low = w.submit(low).await;
+        let first = world.submit(first).await;
+        world.until(&first, "running", 60).await;
+        let mut low_priority = job(2, "batch", 8, 500.0);
+        low_priority["urgency"] = json!("low");
+        let low_priority = world.submit(low_priority).await;
         let mut urgent = after(job(3, "gang", 3, 2.0), &[&first]);
         urgent["urgency"] = json!("urgent");
         urgent["crew"] = json!("u");
-        let urgent = w.submit(urgent).await;
-        w.until(&low, "running", 60).await;
+        let urgent = world.submit(urgent).await;
+        world.until(&low_priority, "running", 60).await;
         sleep(secs(10.0)).await;
-        let (running, starts) = (w.running(&low), w.starts.get());
-        while w.stage(0, &first).await.as_deref() != Some("done") {
-            assert!(w.running(&low) >= running, "stopped for what waits");
-            assert!(w.starts.get() <= starts + 8, "started again and again");
+        let (running, starts) = (world.running(&low_priority), world.starts.get());
+        while world.stage(0, &first).await.as_deref() != Some("done") {
+            assert!(
+                world.running(&low_priority) >= running,
+                "tasks were preempted for a waiting job"
+            );
+            assert!(
+                world.starts.get() <= starts + 8,
+                "tasks were restarted repeatedly"
+            );
             sleep(secs(1.0)).await;
         }
-        w.until(&urgent, "done", 60).await;
-        w.assert_kept();
+        world.until(&urgent, "done", 60).await;
+        world.assert_kept();
     });
 }
 
-/// What a job awaited before it was ready is no wait of its own: neither where it
-/// was seen throughout, nor where all controllers began anew.
+/// Checks that the time for which a job waits for its dependencies does not count as its
+/// own waiting time, neither at controllers that observed it throughout nor after a
+/// restart of all controllers.
 #[test]
-fn waiting_times_count_from_readiness() {
+fn waiting_time_counts_from_readiness() {
     for restarts in [false, true] {
         in_world(|| async move {
             let shape = Shape {
                 teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 2.0, 2.0)],
                 ..Shape::default()
             };
-            let w = World::of(640, shape).await;
-            upgraded(&w).await;
+            let world = World::of(640, shape).await;
+            wait_for_upgrade(&world).await;
             let mut blocker = job(1, "batch", 1, 160.0);
             blocker["crew"] = json!("u");
-            let blocker = w.submit(blocker).await;
-            w.until(&blocker, "running", 60).await;
-            let first = w.submit(job(2, "batch", 1, 90.0)).await;
-            // The blocker has all that this one's team may use.
+            let blocker = world.submit(blocker).await;
+            world.until(&blocker, "running", 60).await;
+            let first = world.submit(job(2, "batch", 1, 90.0)).await;
+            // The blocker uses all of the limit of this job's team.
             let mut next = after(job(3, "batch", 1, 1.0), &[&first]);
             next["crew"] = json!("u");
-            let next = w.submit(next).await;
-            w.until(&first, "done", 150).await;
-            let ready = Instant::now();
+            let next = world.submit(next).await;
+            world.until(&first, "done", 150).await;
+            let ready_at = Instant::now();
             if restarts {
                 for i in 0..CONTROLLERS {
-                    w.kill(i);
-                    w.start(i);
+                    world.kill(i);
+                    world.start(i);
                 }
             }
             sleep(secs(10.0)).await;
             for i in 0..CONTROLLERS {
-                let (_, story) = w.ask(i, "GET", &format!("/ops/job/{next}"), None).await;
-                let waited = story["known_s"].as_f64().expect("known_s");
-                let most = ready.elapsed().as_secs_f64() + 4.0;
-                assert!(waited <= most, "n{i}: {waited} of {most}: {story}");
+                let (_, details) = world.ask(i, "GET", &format!("/ops/job/{next}"), None).await;
+                let waiting_s = details["known_s"].as_f64().expect("known_s");
+                let limit_s = ready_at.elapsed().as_secs_f64() + 4.0;
+                assert!(
+                    waiting_s <= limit_s,
+                    "n{i}: {waiting_s} of {limit_s}: {details}"
+                );
             }
-            w.until(&next, "done", 200).await;
-            w.assert_kept();
+            world.until(&next, "done", 200).await;
+            world.assert_kept();
         });
     }
 }
 
-/// A deadline counts from the submission, while the job waits and once it is ready.
+/// Checks that the time to a job's deadline counts from its submission, both while the
+/// job waits for its dependencies and once it is ready.
 #[test]
-fn a_deadline_counts_from_the_submission() {
+fn deadline_counts_from_the_submission() {
     in_world(|| async {
-        let record = |n: u32, dependencies: &[&str]| {
+        let job_record = |n: u32, dependencies: &[&str]| {
             let mut body = after(job(n, "batch", 1, 5.0), dependencies);
             body["due_s"] = json!(100.0);
-            let read = read_submission(body.to_string().as_bytes()).expect("a submission");
-            Job::new(JobSpec::from(&read), 1)
+            let submission = read_submission(body.to_string().as_bytes()).expect("a submission");
+            Job::new(JobSpec::from(&submission), 1)
         };
-        let (first, next) = (record(1, &[]), record(2, &["job-000001"]));
+        let (first, next) = (job_record(1, &[]), job_record(2, &["job-000001"]));
         let spec = next.spec.clone().expect("a spec");
         let mut replica = Replica::default();
-        let put = |id: &str, job: &Job, at: u64| Event::put(job_key(id), job, at);
+        let put = |id: &str, job: &Job, revision: u64| Event::put(job_key(id), job, revision);
         replica.apply_events(vec![put("job-000001", &first, 2)], 2);
         replica.apply_events(vec![put("job-000002", &next, 3)], 3);
-        let left_s = |replica: &Replica| {
+        let seconds_left = |replica: &Replica| {
             let urgency = replica.effective_urgency("job-000002", &spec, Instant::now());
             urgency.time_left_s.expect("a deadline").round()
         };
-        assert_eq!(left_s(&replica), 100.0);
+        assert_eq!(seconds_left(&replica), 100.0);
         sleep(secs(30.0)).await;
-        assert_eq!(left_s(&replica), 70.0, "blocked");
+        assert_eq!(seconds_left(&replica), 70.0, "blocked");
         let done = Job {
             status: JobStatus::Done,
             spec: None,
@@ -393,8 +434,8 @@
         };
         replica.apply_events(vec![put("job-000001", &done, 4)], 4);
         assert!(replica.dependencies_done(&spec));
-        assert_eq!(left_s(&replica), 70.0, "just ready");
+        assert_eq!(seconds_left(&replica), 70.0, "just ready");
         sleep(secs(10.0)).await;
-        assert_eq!(left_s(&replica), 60.0, "ready");
+        assert_eq!(seconds_left(&replica), 60.0, "ready for 10 s");
     });
 }
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -8,9 +8,9 @@
 
 use crate::stand_ins::{CONTROLLERS, Scenario, Trouble, job};
 
-/// Old heartbeats arrive again at every controller, also at one that has just
-/// restarted. They must not end, release or launch any task, and must not keep a dead
-/// machine registered as alive.
+/// Checks that old heartbeats which arrive again, at every controller and at one that has
+/// just restarted, neither end, release nor launch a task, and do not make a lost machine
+/// count as alive.
 #[test]
 fn late_copies_of_heartbeats_change_nothing() {
     Scenario::new(14).run(|world| async move {
@@ -46,10 +46,10 @@
     });
 }
 
-/// A controller that cannot claim a worker yet answers its heartbeats with token 0,
-/// which the worker ignores, so that the worker stays. If it were redirected instead, it
-/// would try unreachable controllers until its lease expires. After some time it is
-/// redirected nevertheless, and its lease is never renewed meanwhile.
+/// Checks that a worker stays with a controller that cannot claim it yet, but only for a
+/// limited time and without a renewed lease. The controller answers its heartbeats with
+/// token 0, which the worker must ignore. If the worker were redirected instead, it would
+/// try unreachable controllers until its lease expires.
 #[test]
 fn worker_with_a_slow_claim_stays_for_a_limited_time() {
     Scenario::new(19).run(|world| async move {
@@ -90,8 +90,8 @@
     });
 }
 
-/// A heartbeat does not wait for a claim that the state service refuses: it is
-/// answered immediately, without a token that would renew the lease.
+/// Checks that a heartbeat does not wait for a claim that the state service refuses: it
+/// is answered immediately, without a token that would renew the lease.
 #[test]
 fn heartbeat_does_not_wait_for_a_refused_claim() {
     Scenario::new(23).run(|world| async move {
@@ -124,11 +124,12 @@
     });
 }
 
-/// A controller loses the connection to its workers, but not to its peers and the
-/// state service. Its peers must not redirect the workers back to it, or their leases
-/// would expire. Once it is reachable again, the workers return to their preferred
-/// owners, which must accept them and not redirect them to their present owner, or one
-/// controller would keep all workers.
+/// Checks that workers change to another controller when theirs loses the connection to
+/// them, but not to its peers and the state service, and that they return later. The
+/// peers must not redirect the workers back to the unreachable controller, or their
+/// leases would expire. Once it is reachable again, the preferred owners must accept the
+/// workers and not redirect them to their present owner, or one controller would keep all
+/// workers.
 #[test]
 fn workers_change_owner_when_cut_off_and_return_to_their_preferred_owner() {
     Scenario::new(21).run(|world| async move {
--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -78,8 +78,9 @@
     });
 }
 
-/// Jobs of lower priority are preempted for all replicas of a service together, not for
-/// one after another: all replicas run before a new machine could have booted.
+/// Checks that jobs of lower priority are preempted for all replicas of a service
+/// together, not for one after another: all replicas run before a new machine could have
+/// booted.
 #[test]
 fn preemption_frees_capacity_for_all_replicas_of_a_service_together() {
     Scenario::new(16).run(|world| async move {
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -51,9 +51,9 @@
     });
 }
 
-/// Faulty jobs fail on every machine. No machine is returned because of them, their
-/// retries are rate-limited, they leave capacity to other jobs, operators can see where
-/// they failed, and a cancellation ends them immediately.
+/// Checks that faulty jobs, which fail on every machine, cause no machine to be returned,
+/// are retried at a limited rate, leave capacity to other jobs, are shown to operators
+/// with the machines on which they failed, and end immediately when they are cancelled.
 #[test]
 fn failures_of_a_faulty_job_are_not_attributed_to_machines() {
     Scenario::new(23).run(|world| async move {
@@ -109,9 +109,9 @@
     });
 }
 
-/// The reports of a machine arrive, but answers and commands do not reach it. Its tasks
-/// start elsewhere once they have provably ended on it, it receives no new tasks, and it
-/// is returned.
+/// Checks that a machine is replaced if its reports arrive while answers and commands do
+/// not reach it: its tasks start elsewhere once they have provably ended on it, it
+/// receives no new tasks, and it is returned.
 #[test]
 fn machine_that_receives_no_messages_is_replaced() {
     Scenario::new(12).run(|world| async move {
@@ -135,7 +135,8 @@
     });
 }
 
-/// A machine that receives messages again before it is returned is used again.
+/// Checks that a machine that receives messages again before it is returned is used
+/// again.
 #[test]
 fn machine_that_receives_messages_again_is_used_again() {
     Scenario::new(13).run(|world| async move {
@@ -167,9 +168,9 @@
     });
 }
 
-/// The machines of one zone never boot. A replacement is rented once for each of them,
-/// and the failed machines are returned. A job that can run in no other zone must not
-/// cause an endless series of rentals and returns.
+/// Checks that machines which never boot, all in one zone, are replaced once for each
+/// need and are returned, and that a job that can run in no other zone causes no endless
+/// series of rentals and returns.
 #[test]
 fn machines_that_never_boot_are_replaced_and_returned() {
     Scenario::new(60).run(|world| async move {
@@ -199,9 +200,8 @@
     });
 }
 
-/// All controllers restart immediately, in the middle of a rental: the new fleet leader
-/// finds the lease of its predecessor still valid, and must neither stall nor rent
-/// twice.
+/// Checks that a fleet leader which restarts in the middle of a rental finds its own
+/// lease in the state still valid, continues with the rental, and rents no machine twice.
 #[test]
 fn restarted_fleet_leader_continues_its_rentals() {
     Scenario::new(15).run(|world| async move {
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -7,7 +7,7 @@
 
 use crate::stand_ins::{CONTROLLERS, Scenario, controller, job, state_addr};
 
-/// Safety 4: a controller that cannot reach the state service learns of no
+/// Checks Safety 4: a controller that cannot reach the state service learns of no
 /// cancellation, so it must let its workers' leases expire in time.
 #[test]
 fn controller_without_state_service_keeps_no_cancelled_task() {
@@ -37,8 +37,8 @@
     });
 }
 
-/// Workers report to controllers of their zone, so a partition between zones must not
-/// end any task.
+/// Checks that a partition between zones ends no task, as workers report to controllers
+/// of their own zone.
 #[test]
 fn tasks_keep_running_while_zones_are_partitioned() {
     Scenario::new(11).run(|world| async move {
@@ -56,9 +56,9 @@
     });
 }
 
-/// One, most or all controllers freeze for seconds or for longer than a lease, and
-/// then continue. They must not return healthy machines, must not carry out decisions
-/// from before the freeze, and tasks whose leases did not expire must still run.
+/// Checks one, most or all controllers that freeze, for two seconds up to longer than a
+/// lease, and then continue: they return no healthy machine and carry out no decision
+/// from before the freeze, and tasks whose leases did not expire still run.
 #[test]
 fn frozen_controllers_act_on_no_outdated_information() {
     let all: [usize; 3] = [0, 1, 2];
@@ -119,9 +119,9 @@
     }
 }
 
-/// A controller must not count the time for which it was frozen as time without reports
-/// from its workers. The workers have no other controller and report again within
-/// seconds, so their machines must be kept.
+/// Checks that a controller does not count the time for which it was frozen as time
+/// without reports from its workers. The workers have no other controller and report
+/// again within seconds, so their machines must be kept.
 #[test]
 fn single_controller_keeps_its_machines_after_a_freeze() {
     Scenario::new(50).lone_controller().run(|world| async move {
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -40,8 +40,8 @@
     });
 }
 
-/// A commit whose answer is missing may have been applied, or may still be applied
-/// later. Neither may harm a job.
+/// Checks that jobs complete although a commit without an answer may have been applied,
+/// or may still be applied later.
 #[test]
 fn jobs_complete_despite_lost_and_late_commit_answers() {
     for (seed, trouble) in [(4, Trouble::LoseAnswers), (5, Trouble::Late)] {
@@ -96,9 +96,9 @@
     });
 }
 
-/// A watch answer that exceeds the size limit of one answer makes the controller read
-/// the records page by page instead. If it repeated the watch, it would get the same
-/// answer again forever.
+/// Checks that a controller reads the records page by page after a watch answer that
+/// exceeds the maximum size of an answer. If it repeated the watch, it would get the same
+/// answer forever.
 #[test]
 fn oversized_watch_answer_is_replaced_by_paged_reads() {
     Scenario::new(17).run(|world| async move {
@@ -117,9 +117,9 @@
     });
 }
 
-/// A request that waits for its write budget is released when the budget is available,
-/// also earlier than first estimated: the controller's share of the write rate may grow
-/// during the wait.
+/// Checks that a wait for the write budget ends when the budget is available, not at the
+/// time first estimated: the controller's share of the write rate may grow during the
+/// wait.
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
     in_world(|| async {
