--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -242,7 +242,7 @@
 }
 
 /// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
-/// freezes the leader meanwhile if the case says so.
+/// freezes the leader meanwhile if the case includes that.
 async fn run_outage(world: &Rc<World>, leader: usize, case: FaultCase) {
     world.state.trouble.set(Trouble::Down);
     let start = Instant::now();
@@ -267,8 +267,8 @@
 }
 
 /// Checks that the age of an answer that renews a lease counts from the moment its
-/// request was sent. The leader's requests stay in flight for long, and the state service
-/// begins to refuse the leader at different moments of that time.
+/// request was sent. The answers to the leader stay in flight for long, and the state
+/// service begins to refuse the leader at different moments of that time.
 #[test]
 fn age_of_an_answer_counts_from_its_request() {
     for variant in 0..8u32 {
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -185,7 +185,12 @@
             }
             world.deliver_copies();
             sleep(secs(10.0)).await;
-            heal_and_check(&world, &format!("late {late}, copied {copied}"), &ids).await;
+            heal_and_check(
+                &world,
+                &format!("late {late}, report copies {copied}"),
+                &ids,
+            )
+            .await;
         });
     }
 }
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -143,7 +143,7 @@
 }
 
 /// Asserts that a query and a cancellation of jobs that nobody submitted are answered
-/// 404, or 503 while the controller cannot tell.
+/// 404, or 503 while the controller cannot determine whether the job exists.
 async fn assert_unknown_jobs_are_not_found(world: &Rc<World>, i: usize) {
     let (status, _) = world.ask(i, "GET", "/submissions/job-000050", None).await;
     assert!([404, 503].contains(&status), "{status}");
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -250,9 +250,9 @@
                 assert_ne!(world.stage(0, id).await.as_deref(), Some("aborted"), "{id}");
             }
             // A job that awaits a cancelled job is accepted, and is cancelled.
-            let late = after(job(50, "batch", 1, 1.0), &[&ids[4]]);
-            world.remember(&late);
-            let (status, body) = submit_once(&world, 1, &late).await;
+            let late_dependent = after(job(50, "batch", 1, 1.0), &[&ids[4]]);
+            world.remember(&late_dependent);
+            let (status, body) = submit_once(&world, 1, &late_dependent).await;
             assert!([200, 201].contains(&status));
             assert_eq!(body["stage"], "aborted");
             sleep(Duration::from_secs(40)).await;
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -429,7 +429,7 @@
                 let (status, answer) = world
                     .ask(i, "POST", "/submissions", Some(&submission))
                     .await;
-                // The first controller accepts the job; the others then know it.
+                // The first controller accepts the job; the others return its stage.
                 let is_known = expected == 201 && i > 0;
                 let expected = if is_known { 200 } else { expected };
                 assert_eq!(status, expected, "{dependencies} at n{i}: {answer}");
@@ -458,9 +458,14 @@
 /// receives the events of the state late or is refused by the state service.
 #[test]
 fn job_accepted_elsewhere_is_never_reported_as_unknown() {
-    for (n, trouble) in ["slow", "slow to one", "refused", "unanswered"]
-        .into_iter()
-        .enumerate()
+    for (n, trouble) in [
+        "slow",
+        "slow for one controller",
+        "one controller refused",
+        "unanswered commits",
+    ]
+    .into_iter()
+    .enumerate()
     {
         in_world(|| async move {
             let world = World::new(430 + n as u64).await;
@@ -469,11 +474,11 @@
                 let mut troubles = world.state.troubles.borrow_mut();
                 match trouble {
                     "slow" => troubles.slow = Duration::from_millis(600),
-                    "slow to one" => {
+                    "slow for one controller" => {
                         troubles.slow = Duration::from_millis(600);
                         troubles.slow_to.insert(1);
                     }
-                    "unanswered" => troubles.unanswered = 0.3,
+                    "unanswered commits" => troubles.unanswered = 0.3,
                     _ => {
                         troubles.refused.insert(1);
                     }
@@ -494,7 +499,7 @@
                     .ask(1, "POST", "/submissions", Some(&dependent_of_unknown))
                     .await;
                 let expected = match trouble {
-                    "refused" => &[503][..],
+                    "one controller refused" => &[503][..],
                     _ => &[422, 503],
                 };
                 assert!(expected.contains(&status), "{trouble}: {status} {answer}");
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -56,9 +56,9 @@
     });
 }
 
-/// Checks one, most or all controllers that freeze, for two seconds up to longer than a
-/// lease, and then continue: they return no healthy machine and carry out no decision
-/// from before the freeze, and tasks whose leases did not expire still run.
+/// Checks that controllers which freeze for two seconds up to longer than a lease, one,
+/// most or all of them, return no healthy machine afterwards and carry out no decision
+/// from before the freeze, and that tasks whose leases did not expire still run.
 #[test]
 fn frozen_controllers_act_on_no_outdated_information() {
     let all: [usize; 3] = [0, 1, 2];
