--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -440,7 +440,7 @@
 /// to run a newer release, as a controller of the earlier release does not support
 /// `awaits`.
 #[test]
-fn dependencies_are_rejected_until_all_controllers_are_upgraded() {
+fn dependencies_are_refused_until_all_controllers_are_upgraded() {
     in_world(|| async {
         let world = World::new(62).await;
         world.kill(2);
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -68,7 +68,8 @@
                     "recall_s": null, "boards": []});
                 let (status, body) = world.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
                 answers.push((status, body["baton"].as_u64()));
-                // The interval at which a worker sends heartbeats.
+                // The interval at which a worker sends heartbeats; no answer delays the
+                // next one.
                 sleep(Duration::from_secs(1)).await;
             }
             // The worker may be redirected once, to its preferred owner or its owner.
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -207,7 +207,8 @@
     Scenario::new(15).run(|world| async move {
         let first = world.submit(job(1, "batch", 2, 2.0)).await;
         world.until(&first, "done", 100).await;
-        // The rental is committed in the state, and the cloud's answer gets lost.
+        // In the middle of a rental: the intent to rent is committed in the state, and
+        // the cloud's answer gets lost.
         let gang = world.submit(job(2, "gang", 5, 5.0)).await;
         sleep(Duration::from_millis(700)).await;
         for i in 0..CONTROLLERS {
