--- /dev/null
+++ b/tests/meetings/controllers_down.rs
@@ -0,0 +1,115 @@
+//! Controllers, or a whole zone, that are down or partitioned for longer than a lease.
+
+use serde_json::json;
+use tokio::time::sleep;
+
+use crate::scenario::{cancel, heal_and_check, secs, start_long_jobs};
+use crate::stand_ins::{Scenario, Trouble, job};
+
+/// Checks that no rule is broken when all controllers are down for about a lease or
+/// longer. They then start one by one, copies of old reports arrive, and a user cancels a
+/// job immediately.
+#[test]
+fn rules_hold_after_all_controllers_are_down_for_a_lease() {
+    for variant in 0..4u64 {
+        Scenario::with_large_teams(1100 + variant).run(|world| async move {
+            world.copied.set(0.2);
+            let ids = start_long_jobs(&world, 1, 6).await;
+            sleep(secs(4.0)).await;
+            cancel(&world, None, &ids[0]).await;
+            for i in 0..world.shape.controllers {
+                world.kill(i);
+            }
+            for worker in world.busy().iter().take(2) {
+                worker.hang(secs(9.0 + variant as f64 * 3.0));
+            }
+            sleep(secs([8.0, 11.0, 14.0, 40.0][variant as usize])).await;
+            for i in 0..world.shape.controllers {
+                world.start(i);
+                world.deliver_copies();
+                sleep(secs(0.5)).await;
+            }
+            cancel(&world, None, &ids[1]).await;
+            heal_and_check(&world, &format!("{variant}"), &ids).await;
+        });
+    }
+}
+
+/// Checks that no rule is broken when a zone with its controllers and machines is
+/// partitioned for longer than a lease, while jobs, some of them bound to that zone, are
+/// cancelled in the other zone.
+#[test]
+fn rules_hold_after_a_zone_is_partitioned_for_a_lease() {
+    for (n, (zone, partition_s)) in [("b", 13.0), ("b", 45.0), ("a", 13.0), ("a", 45.0)]
+        .into_iter()
+        .enumerate()
+    {
+        Scenario::with_large_teams(1200 + n as u64).run(|world| async move {
+            let mut ids = Vec::new();
+            for index in 0..8u32 {
+                let kind = ["batch", "gang", "daemon", "batch"][index as usize % 4];
+                let mut submission = job(index + 1, kind, 2, 60.0);
+                submission["yard"] = json!(["a", "b"][index as usize / 4]);
+                ids.push(world.submit(submission).await);
+            }
+            for id in &ids {
+                world.until(id, "running", 100).await;
+            }
+            sleep(secs(4.0)).await;
+            world.cut_zone(zone, true);
+            let controller_in_zone = (0..3).find(|i| world.shape.locations[*i] == zone);
+            for id in [&ids[0], &ids[1], &ids[4], &ids[5]] {
+                cancel(&world, controller_in_zone, id).await;
+            }
+            sleep(secs(partition_s)).await;
+            world.cut_zone(zone, false);
+            sleep(secs(15.0)).await;
+            heal_and_check(&world, &format!("{zone}, {partition_s}"), &ids).await;
+        });
+    }
+}
+
+/// Checks that a leader which is partitioned from the state service and the other
+/// controllers neither reports outdated stages nor keeps cancelled tasks running. Workers
+/// and users still reach it, while jobs are cancelled at another controller.
+#[test]
+fn leader_without_state_and_peers_reports_no_outdated_stage() {
+    for (n, (partition_s, hang_s, outage)) in [
+        (20.0, 0.0, false),
+        (40.0, 6.0, false),
+        (12.0, 0.0, true),
+        (6.0, 8.0, true),
+    ]
+    .into_iter()
+    .enumerate()
+    {
+        Scenario::with_large_teams(1300 + n as u64).run(|world| async move {
+            let ids = start_long_jobs(&world, 1, 6).await;
+            sleep(secs(4.0)).await;
+            let leader = world.busiest();
+            world.state.troubles.borrow_mut().refused.insert(leader);
+            world.cut_peers(leader, true);
+            for (index, id) in ids[..4].iter().enumerate() {
+                cancel(&world, Some(leader), id).await;
+                world.look_closely(id).await;
+                if let Some(worker) = world.busy().get(index)
+                    && hang_s > 0.0
+                {
+                    worker.hang(secs(hang_s));
+                }
+                sleep(secs(1.0)).await;
+            }
+            if outage {
+                world.state.trouble.set(Trouble::Down);
+                sleep(secs(world.shape.cancel_s + 5.0)).await;
+                world.state.trouble.set(Trouble::None);
+            }
+            sleep(secs(partition_s)).await;
+            for id in &ids {
+                world.look_closely(id).await;
+            }
+            world.cut_peers(leader, false);
+            heal_and_check(&world, &format!("{partition_s}, {hang_s}, {outage}"), &ids).await;
+        });
+    }
+}
--- /dev/null
+++ b/tests/service/partitions.rs
@@ -0,0 +1,141 @@
+//! Network partitions and frozen controllers: a missing message alone proves nothing.
+
+use std::time::Duration;
+
+use serde_json::json;
+use tokio::time::sleep;
+
+use crate::stand_ins::{CONTROLLERS, Scenario, controller, job, state_addr};
+
+/// Checks Safety 4: a controller that cannot reach the state service learns of no
+/// cancellation, so it must let its workers' leases expire in time.
+#[test]
+fn controller_without_state_service_keeps_no_cancelled_task() {
+    Scenario::new(7).run(|world| async move {
+        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+        world.until(&service, "running", 100).await;
+        sleep(Duration::from_secs(5)).await;
+        assert_eq!(world.running(&service), 4);
+        // All controllers but one lose the state service; their workers stay with
+        // them as long as they answer.
+        for i in 0..CONTROLLERS - 1 {
+            world.fabric.cut(controller(i), state_addr(i));
+        }
+        sleep(Duration::from_secs(1)).await;
+        let last = CONTROLLERS - 1;
+        let mut stage = None;
+        for _ in 0..10 {
+            stage = world.withdraw(last, &service).await;
+            if stage.is_some() {
+                break;
+            }
+        }
+        assert_eq!(stage.as_deref(), Some("aborted"));
+        sleep(Duration::from_secs(40)).await;
+        assert_eq!(world.running(&service), 0);
+        world.assert_kept();
+    });
+}
+
+/// Checks that a partition between zones ends no task, as workers report to controllers
+/// of their own zone.
+#[test]
+fn tasks_keep_running_while_zones_are_partitioned() {
+    Scenario::new(11).run(|world| async move {
+        let mut spread = job(1, "daemon", 4, 0.0);
+        spread["scatter"] = json!(true);
+        let service = world.submit(spread).await;
+        world.until(&service, "running", 100).await;
+        sleep(Duration::from_secs(20)).await;
+        assert_eq!(world.running(&service), 4);
+        let before = world.starts.get();
+        world.shard_zones();
+        sleep(Duration::from_secs(30)).await;
+        assert_eq!((world.running(&service), world.starts.get()), (4, before));
+        world.assert_kept();
+    });
+}
+
+/// Checks that controllers which freeze for two seconds up to longer than a lease, one,
+/// most or all of them, return no healthy machine afterwards and carry out no decision
+/// from before the freeze, and that tasks whose leases did not expire still run.
+#[test]
+fn frozen_controllers_act_on_no_outdated_information() {
+    let all: [usize; 3] = [0, 1, 2];
+    let cases: [(&[usize], f64, u64); 5] = [
+        (&all[..1], 2.0, 0),
+        (&all[..1], 13.0, 0),
+        // A worker that tries both frozen controllers finds the third too late to keep
+        // its lease.
+        (&all[..2], 25.0, u64::MAX),
+        // All controllers: for less than a lease, and for so long that all leases expire.
+        (&all, 5.0, 0),
+        (&all, 35.0, u64::MAX),
+    ];
+    for (n, (frozen, seconds, allowed_expiries)) in cases.into_iter().enumerate() {
+        Scenario::new(40 + n as u64).run(|world| async move {
+            let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+            let finished = world.submit(job(2, "batch", 4, 2.0)).await;
+            world.until(&service, "running", 100).await;
+            world.until(&finished, "done", 100).await;
+            let gang = world.submit(job(3, "gang", 2, 60.0)).await;
+            world.until(&gang, "running", 100).await;
+            sleep(Duration::from_secs(5)).await;
+            let used_machines: Vec<String> = [&service, &gang].map(|j| world.machine_of(j)).into();
+            let array = world.submit(job(4, "batch", 8, 4.0)).await;
+            frozen.iter().for_each(|i| world.freeze(*i, true));
+            sleep(Duration::from_secs_f64(seconds)).await;
+            // A controller that is not frozen confirms a cancellation meanwhile.
+            if let Some(i) = (0..CONTROLLERS).find(|i| !frozen.contains(i)) {
+                assert_eq!(world.withdraw(i, &array).await.as_deref(), Some("aborted"));
+            }
+            let starts = world.starts.get();
+            frozen.iter().for_each(|i| world.freeze(*i, false));
+            sleep(Duration::from_secs(3)).await;
+            if frozen.len() < CONTROLLERS {
+                assert_eq!(world.running(&array), 0, "case {n}: a cancelled task runs");
+                assert!(
+                    world.starts.get() - starts <= 2,
+                    "case {n}: outdated launches"
+                );
+            }
+            // Freezes one of them again while it recovers.
+            world.freeze(frozen[0], true);
+            sleep(Duration::from_secs(5)).await;
+            world.freeze(frozen[0], false);
+            sleep(Duration::from_secs(40)).await;
+            for name in used_machines.iter().filter(|_| allowed_expiries == 0) {
+                let is_rented = world.workers.borrow().contains_key(name);
+                assert!(is_rented, "case {n}: {name} was returned");
+            }
+            assert!(
+                world.lapsed() <= allowed_expiries,
+                "case {n}: leases have expired"
+            );
+            assert_eq!(world.running(&service), 4, "case {n}");
+            world.until(&gang, "done", 200).await;
+            world.assert_kept();
+        });
+    }
+}
+
+/// Checks that a controller does not count the time for which it was frozen as time
+/// without reports from its workers. The workers have no other controller and report
+/// again within seconds, so their machines must be kept.
+#[test]
+fn single_controller_keeps_its_machines_after_a_freeze() {
+    Scenario::new(50).lone_controller().run(|world| async move {
+        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+        world.until(&service, "running", 100).await;
+        sleep(Duration::from_secs(20)).await;
+        let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        world.freeze(0, true);
+        sleep(Duration::from_secs(26)).await;
+        world.freeze(0, false);
+        sleep(Duration::from_secs(20)).await;
+        let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        assert_eq!(before, after);
+        assert_eq!(world.running(&service), 4);
+        world.assert_kept();
+    });
+}
