--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -6,7 +6,7 @@
 mod limits;
 mod places;
 mod reads;
-mod troubles;
+mod faults;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
 use limits::RateLimit;
 
 pub use limits::StateLimits;
-pub use troubles::{StateTroubles, Trouble};
+pub use faults::{StateTroubles, Trouble};
 
 /// The state service of a deployment.
 pub struct State {
