--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -2,11 +2,11 @@
 //! its limits, and the troubles that a test gives it.
 
 mod commits;
+mod faults;
 mod leases;
 mod limits;
 mod places;
 mod reads;
-mod faults;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,8 +23,8 @@
 use leases::StateLease;
 use limits::RateLimit;
 
-pub use limits::StateLimits;
 pub use faults::{StateTroubles, Trouble};
+pub use limits::StateLimits;
 
 /// The state service of a deployment.
 pub struct State {
