--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -13,22 +13,22 @@
 use super::worker::Worker;
 
 /// The most machines of one rental, of one return and of one page of the list.
-const RENTED_MACHINES: u64 = 50;
-const RETURNED_MACHINES: usize = 100;
-const LISTED_MACHINES: usize = 500;
+const MAX_RENTED_MACHINES: u64 = 50;
+const MAX_RETURNED_MACHINES: usize = 100;
+const MAX_LISTED_MACHINES: usize = 500;
 
 /// Bursts of so many seconds' worth of requests are allowed.
-const BURST_S: f64 = 2.0;
+const MAX_BURST_S: f64 = 2.0;
 
 /// What may be asked of the cloud at once, and when that was.
 #[derive(Default)]
-pub struct CloudLimit(Cell<Option<(f64, Instant)>>);
+pub struct CloudRateLimit(Cell<Option<(f64, Instant)>>);
 
-impl CloudLimit {
+impl CloudRateLimit {
     /// Takes a request; whether it is one too many.
-    fn is_exceeded(&self) -> bool {
+    fn refuses_request(&self) -> bool {
         let now = Instant::now();
-        let most = CLOUD_RPS * BURST_S;
+        let most = CLOUD_RPS * MAX_BURST_S;
         let (level, at) = self.0.get().unwrap_or((most, now));
         let passed = now.saturating_duration_since(at).as_secs_f64();
         let level = (level + passed * CLOUD_RPS).min(most);
@@ -40,14 +40,14 @@
 }
 
 /// Why a request is beyond what the protocol allows, if it is.
-fn beyond_cloud_limits(request: &Request, body: &Value) -> Option<String> {
+fn cloud_limit_violation(request: &Request, body: &Value) -> Option<String> {
     let rented = body["number"].as_u64().unwrap_or(0);
     let returned = body["bays"].as_array().map_or(0, Vec::len);
     let listed = query_value(&request.query, "limit").and_then(|v| v.parse().ok());
     let beyond = match (request.method.as_str(), request.path.as_str()) {
-        ("POST", "/rentals") => !(1..=RENTED_MACHINES).contains(&rented),
-        ("POST", "/rentals/return") => returned > RETURNED_MACHINES,
-        ("GET", "/rentals") => listed.unwrap_or(0) > LISTED_MACHINES,
+        ("POST", "/rentals") => !(1..=MAX_RENTED_MACHINES).contains(&rented),
+        ("POST", "/rentals/return") => returned > MAX_RETURNED_MACHINES,
+        ("GET", "/rentals") => listed.unwrap_or(0) > MAX_LISTED_MACHINES,
         _ => false,
     };
     beyond.then(|| {
@@ -59,13 +59,16 @@
 }
 
 impl World {
-    pub(super) fn cloud(self: Rc<Self>, r: Request) -> shelfhoist::http::ResponseFuture {
+    pub(super) fn handle_cloud_request(
+        self: Rc<Self>,
+        r: Request,
+    ) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
             let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
-            if self.cloud_limit.is_exceeded() {
+            if self.cloud_limit.refuses_request() {
                 return Response::json(429, &json!({"error": "too many"}));
             }
-            if let Some(problem) = beyond_cloud_limits(&r, &body) {
+            if let Some(problem) = cloud_limit_violation(&r, &body) {
                 self.cloud_refused.borrow_mut().push(problem.clone());
                 return Response::json(400, &json!({"error": problem}));
             }
@@ -84,7 +87,7 @@
                         return Response::json(200, known);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
-                        .map(|_| self.boot(&body))
+                        .map(|_| self.boot_machine(&body))
                         .collect();
                     let answer = json!({"bays": names});
                     self.provisioning_requests
@@ -101,14 +104,14 @@
                 _ => {
                     let after = query_value(&r.query, "after").unwrap_or("");
                     let limit = query_value(&r.query, "limit").and_then(|v| v.parse().ok());
-                    let limit = limit.unwrap_or(LISTED_MACHINES);
+                    let limit = limit.unwrap_or(MAX_LISTED_MACHINES);
                     let workers = self.workers.borrow();
                     let listed = workers.iter().filter(|(n, _)| n.as_str() > after);
                     let truncated = listed.clone().count() > limit;
                     let bays: Vec<Value> = listed
                         .take(limit)
                         .map(|(n, (w, _))| {
-                            json!({"name_id": n, "endpoint": w.port.to_string(), "grade": w.machine_type,
+                            json!({"name_id": n, "endpoint": w.address.to_string(), "grade": w.machine_type,
                                 "yard": w.zone, "loaners": false, "stage": "running", "age_s": 1.0})
                         })
                         .collect();
@@ -118,7 +121,7 @@
         })
     }
 
-    pub(super) fn boot(self: &Rc<Self>, body: &Value) -> String {
+    pub(super) fn boot_machine(self: &Rc<Self>, body: &Value) -> String {
         let n = self.rented.get();
         self.rented.set(n + 1);
         let name = format!("host-{n:06}");
@@ -126,25 +129,25 @@
             name: name.clone(),
             machine_type: body["grade"].as_str().unwrap_or("").to_string(),
             zone: body["yard"].as_str().unwrap_or("").to_string(),
-            port: addr(&format!("127.1.{}.{}:9000", n / 250, n % 250 + 1)),
+            address: addr(&format!("127.1.{}.{}:9000", n / 250, n % 250 + 1)),
             fencing_token: Cell::new(0),
             epoch: Cell::new(1),
             sequence: Cell::new(0),
-            renewed: Cell::new(Instant::now()),
+            lease_renewed_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
             sick: Cell::new(false),
             deaf: Cell::new(false),
             mute: Cell::new(false),
-            hangs_until: Cell::new(None),
+            hung_until: Cell::new(None),
             orders_held: Cell::new(Duration::ZERO),
-            clock: [1.0, 0.9995, 1.0005][n % 3],
+            clock_rate: [1.0, 0.9995, 1.0005][n % 3],
             sent: RefCell::default(),
         });
         let tasks = match self.barren.get() == Some(worker.zone.as_str()) {
             true => vec![],
             false => vec![
-                spawn_local(self.clone().listen(worker.clone())),
-                spawn_local(self.clone().heartbeat(worker.clone())),
+                spawn_local(self.clone().serve_commands(worker.clone())),
+                spawn_local(self.clone().send_heartbeats(worker.clone())),
             ],
         };
         self.workers
@@ -157,7 +160,7 @@
     pub fn lose(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
-            self.fabric.close(worker.port);
+            self.fabric.close(worker.address);
             tasks.iter().for_each(JoinHandle::abort);
         }
     }
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -9,15 +9,15 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-use super::scenario::{World, addr, controller, mesh};
+use super::scenario::{World, addr, controller, mesh_address};
 
 /// A controller that can stand still while its clocks run on.
-struct Freezable {
+struct PausableController {
     set: LocalSet,
     frozen: watch::Sender<bool>,
 }
 
-impl Future for Freezable {
+impl Future for PausableController {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         if *self.frozen.borrow() {
@@ -60,7 +60,7 @@
             let _ = shelfhoist::daemon::run(controller).await;
         });
         let frozen = self.frozen[i].clone();
-        self.controllers.borrow_mut()[i] = Some(spawn_local(Freezable { set, frozen }));
+        self.controllers.borrow_mut()[i] = Some(spawn_local(PausableController { set, frozen }));
     }
 
     /// Ends a controller at once; its connections are refused.
@@ -69,7 +69,7 @@
             task.abort();
         }
         self.fabric.close(controller(i));
-        self.fabric.close(addr(&mesh(i)));
+        self.fabric.close(addr(&mesh_address(i)));
     }
 
     /// Each machine's home and owner, as the state has them.
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::spawn_local;
 
-use super::scenario::{CLOUD, USERS, World, addr, controller, mesh, state_addr};
+use super::scenario::{CLOUD, USERS, World, addr, controller, mesh_address, state_addr};
 use super::state_service::{StateTroubles, Trouble};
 
 impl World {
@@ -14,8 +14,8 @@
     pub fn shard_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
-                self.fabric.cut(w.port, controller(i));
-                self.fabric.cut(controller(i), w.port);
+                self.fabric.cut(w.address, controller(i));
+                self.fabric.cut(controller(i), w.address);
             }
         }
     }
@@ -25,8 +25,10 @@
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
             for (from, to) in [(i, j), (j, i)] {
                 match cut {
-                    true => self.fabric.cut(controller(from), addr(&mesh(to))),
-                    false => self.fabric.repair(controller(from), addr(&mesh(to))),
+                    true => self.fabric.cut(controller(from), addr(&mesh_address(to))),
+                    false => self
+                        .fabric
+                        .repair(controller(from), addr(&mesh_address(to))),
                 }
             }
         }
@@ -35,11 +37,11 @@
     /// A controller is cut off from everything, or is back.
     pub fn cut_controller(&self, i: usize, cut: bool) {
         let mut others = vec![state_addr(i), addr(CLOUD), addr(USERS)];
-        others.extend(self.workers.borrow().values().map(|(w, _)| w.port));
+        others.extend(self.workers.borrow().values().map(|(w, _)| w.address));
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
-            others.extend([controller(j), addr(&mesh(j))]);
+            others.extend([controller(j), addr(&mesh_address(j))]);
         }
-        let own = [controller(i), addr(&mesh(i))];
+        let own = [controller(i), addr(&mesh_address(i))];
         for (here, there) in others.iter().flat_map(|o| own.map(|h| (h, *o))) {
             for (from, to) in [(here, there), (there, here)] {
                 match cut {
@@ -54,7 +56,7 @@
     /// else, or have each other back.
     pub fn cut_workers(&self, i: usize, cut: bool) {
         for (w, _) in self.workers.borrow().values() {
-            for (from, to) in [(w.port, controller(i)), (controller(i), w.port)] {
+            for (from, to) in [(w.address, controller(i)), (controller(i), w.address)] {
                 match cut {
                     true => self.fabric.cut(from, to),
                     false => self.fabric.repair(from, to),
@@ -78,14 +80,14 @@
             let here = self.shape.locations[i] == zone;
             for (w, _) in self.workers.borrow().values() {
                 if (w.zone == zone) != here {
-                    set(w.port, controller(i));
+                    set(w.address, controller(i));
                 }
             }
             for j in 0..self.shape.controllers {
                 if here && self.shape.locations[j] != zone {
                     set(controller(i), controller(j));
-                    set(controller(i), addr(&mesh(j)));
-                    set(controller(j), addr(&mesh(i)));
+                    set(controller(i), addr(&mesh_address(j)));
+                    set(controller(j), addr(&mesh_address(i)));
                 }
             }
             if here {
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    fn push_response(&self, at: SocketAddrV4, asked: &str, response: &Response) {
+    fn record_response(&self, at: SocketAddrV4, asked: &str, response: &Response) {
         let Response {
             status,
             retry_after,
@@ -155,7 +155,7 @@
             let (frames, answer) = (frames.clone(), handler(request));
             Box::pin(async move {
                 let response = answer.await;
-                frames.push_response(at, &asked, &response);
+                frames.record_response(at, &asked, &response);
                 response
             })
         }
@@ -195,7 +195,7 @@
         self.frames.push(self.at, &format!("request {asked}"), sent);
         let answer = self.client.call(to, method, path, body, limit).await;
         match &answer {
-            Ok(response) => self.frames.push_response(self.at, &asked, response),
+            Ok(response) => self.frames.record_response(self.at, &asked, response),
             Err(_) => {
                 let head = format!("no answer to {asked}");
                 self.frames.push(self.at, &head, &[]);
--- a/tests/stand_ins/production.rs
+++ b/tests/stand_ins/production.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 /// A commit as production would send it: nothing where it would send none.
-pub(super) fn as_production(mut body: Value) -> Option<Value> {
+pub(super) fn commit_of_production_version(mut body: Value) -> Option<Value> {
     for write in body["writes"].as_array_mut().into_iter().flatten() {
         let key = write["set"].as_str().unwrap_or_default().to_string();
         if key == "sh/formats" {
@@ -19,7 +19,7 @@
 }
 
 /// Whether production reads a record, and loses nothing when it writes it back.
-pub(super) fn production_reads(key: &str, value: &Value) -> bool {
+pub(super) fn is_readable_by_production(key: &str, value: &Value) -> bool {
     let whole = |spec: &Value| spec["aw"].is_null();
     let table = key.trim_start_matches("sh/").split('/').next();
     match table.unwrap_or_default() {
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -17,9 +17,9 @@
 use super::worker::Worker;
 
 /// For how long every poll for a job may fail while most others get answers.
-const POLLS_MAY_FAIL: Duration = Duration::from_secs(90);
+const MAX_POLL_FAILURE_TIME: Duration = Duration::from_secs(90);
 /// Polls farther apart than this are no series: users poll every 5 s.
-const POLL_GAP: Duration = Duration::from_secs(15);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(15);
 
 /// What the checker reports: the rules of the protocol, and some that follow
 /// from its text.
@@ -85,16 +85,16 @@
 /// What users were told of a job, each with the count at which the first such
 /// answer came: whoever asks later must not be told anything older.
 #[derive(Debug, Default, Clone)]
-pub(super) struct Told {
+pub(super) struct JobAnswers {
     pub(super) submitted: bool,
-    pub(super) cancel_asked: bool,
+    pub(super) cancel_requested: bool,
     accepted: Option<u64>,
     ended: Option<(String, u64)>,
 }
 
 /// The polls for one job.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct Polls {
+pub(super) struct JobPolls {
     last: Option<Instant>,
     answered: Option<Instant>,
     /// When the present series of failures began.
@@ -107,7 +107,7 @@
 }
 
 /// Whether a job may run on a machine with this property.
-fn allows(job: &Value, field: &str, given: &str) -> bool {
+fn is_allowed(job: &Value, field: &str, given: &str) -> bool {
     match &job[field] {
         Value::Array(some) => some.iter().any(|one| one == given),
         Value::String(one) => one == given,
@@ -118,8 +118,8 @@
 // What is true of jobs.
 impl World {
     /// How many tasks of a job have completed.
-    fn completed_tasks(&self, id: &str) -> u64 {
-        let completed = self.finished.borrow();
+    fn completed_task_count(&self, id: &str) -> u64 {
+        let completed = self.done_tasks.borrow();
         completed.iter().filter(|task| job_of(task) == id).count() as u64
     }
 
@@ -132,8 +132,8 @@
         }
     }
 
-    fn is_over(&self, id: &str) -> bool {
-        self.completed_tasks(id) >= self.tasks_to_complete(id)
+    fn is_job_done(&self, id: &str) -> bool {
+        self.completed_task_count(id) >= self.tasks_to_complete(id)
     }
 
     fn dependencies(&self, id: &str) -> Vec<String> {
@@ -156,13 +156,13 @@
 
     /// Whether a user has asked to cancel the job, or one that it needs through
     /// any chain.
-    fn is_cancel_asked(&self, id: &str) -> bool {
-        let asked = |told: &Told| told.cancel_asked;
+    fn is_cancel_requested(&self, id: &str) -> bool {
+        let asked = |told: &JobAnswers| told.cancel_requested;
         let own = self.answers.borrow().get(id).is_some_and(asked);
         own || self
             .dependencies(id)
             .iter()
-            .any(|a| self.is_cancel_asked(a))
+            .any(|a| self.is_cancel_requested(a))
     }
 
     fn cancel_limit(&self) -> Duration {
@@ -172,8 +172,8 @@
     /// Notes which tasks have come to their end, and which leases are over.
     pub(super) fn advance_tasks(&self) {
         for (worker, _) in self.workers.borrow().values() {
-            worker.expire(self.shape.lease());
-            worker.note_ends(&self.finished);
+            worker.expire_lease(self.shape.lease());
+            worker.record_completed_tasks(&self.done_tasks);
         }
     }
 }
@@ -215,13 +215,13 @@
         self.check_other_machines(task, on);
         self.advance_tasks();
         let id = job_of(task);
-        self.check_awaited_jobs(task, id);
+        self.check_dependencies(task, id);
         let Some(job) = self.jobs.borrow().get(id).cloned() else {
             self.report_violation(Rule::UnknownJob, &format!("{task} on {}", on.name));
             return;
         };
         self.check_start_after_cancel(task, id, on);
-        if !allows(&job, "yard", &on.zone) || !allows(&job, "grades", &on.machine_type) {
+        if !is_allowed(&job, "yard", &on.zone) || !is_allowed(&job, "grades", &on.machine_type) {
             self.report_violation(Rule::WrongPlace, &format!("{task} on {}", on.name));
         }
         self.check_zones(task, id, &job);
@@ -229,16 +229,16 @@
 
     fn check_other_machines(&self, task: &str, on: &Worker) {
         for (name, (worker, _)) in self.workers.borrow().iter() {
-            if *name != on.name && worker.runs(task, self.shape.lease()) {
+            if *name != on.name && worker.is_running(task, self.shape.lease()) {
                 let what = format!("{task} on {} and {name}", on.name);
                 self.report_violation(Rule::RanTwice, &what);
             }
         }
     }
 
-    fn check_awaited_jobs(&self, task: &str, id: &str) {
+    fn check_dependencies(&self, task: &str, id: &str) {
         for before in self.dependencies(id) {
-            if !self.is_over(&before) {
+            if !self.is_job_done(&before) {
                 let what = format!("{task}, {before} is not done");
                 self.report_violation(Rule::TooEarly, &what);
             }
@@ -317,7 +317,14 @@
     /// Judges an answer against what was told before its question was sent
     /// (`known`), and against what is true. Of questions under way at once none
     /// is older, but two final answers must agree all the same.
-    pub(super) fn check_answer(&self, i: usize, id: &str, known: &Told, status: u16, a: &Value) {
+    pub(super) fn check_answer(
+        &self,
+        i: usize,
+        id: &str,
+        known: &JobAnswers,
+        status: u16,
+        a: &Value,
+    ) {
         let said = format!("n{i} on {id}: {status} {a}, after {known:?}");
         if [400, 404, 422].contains(&status) && known.accepted.is_some() {
             self.report_violation(Rule::Forgotten, &said);
@@ -328,8 +335,8 @@
         if !known.submitted {
             self.report_violation(Rule::Invented, &said);
         }
-        let number = self.counted.get() + 1;
-        self.counted.set(number);
+        let number = self.answer_count.get() + 1;
+        self.answer_count.set(number);
         {
             let mut answers = self.answers.borrow_mut();
             let told = answers.entry(id.to_string()).or_default();
@@ -342,7 +349,7 @@
     }
 
     /// A job that is called neither done nor cancelled.
-    fn check_open_stage(&self, id: &str, stage: &str, known: &Told, said: &str) {
+    fn check_open_stage(&self, id: &str, stage: &str, known: &JobAnswers, said: &str) {
         if known.ended.is_some() {
             self.report_violation(Rule::WentBack, said);
         }
@@ -363,13 +370,13 @@
             }
         }
         if stage == "aborted" {
-            if !self.is_cancel_asked(id) {
+            if !self.is_cancel_requested(id) {
                 self.report_violation(Rule::WentBack, &format!("not cancelled: {said}"));
             }
             let mut cancelled = self.cancelled.borrow_mut();
             cancelled.entry(id.to_string()).or_insert(Instant::now());
-        } else if self.jobs.borrow().contains_key(id) && !self.is_over(id) {
-            let (done, all) = (self.completed_tasks(id), self.tasks_to_complete(id));
+        } else if self.jobs.borrow().contains_key(id) && !self.is_job_done(id) {
+            let (done, all) = (self.completed_task_count(id), self.tasks_to_complete(id));
             self.report_violation(Rule::NotDone, &format!("{done} of {all}: {said}"));
         }
     }
@@ -380,7 +387,7 @@
         let now = Instant::now();
         let mut polls = self.polls.borrow_mut();
         let own = polls.entry(id.to_string()).or_default();
-        let is_series = own.last.is_some_and(|last| now - last <= POLL_GAP);
+        let is_series = own.last.is_some_and(|last| now - last <= MAX_POLL_INTERVAL);
         own.last = Some(now);
         if status == 200 {
             own.answered = Some(now);
@@ -393,10 +400,10 @@
         let failing = now - *own.failing_since.get_or_insert(now);
         let answers = self.answers.borrow();
         let accepted = answers.get(id).is_some_and(|told| told.accepted.is_some());
-        if !accepted || failing < POLLS_MAY_FAIL {
+        if !accepted || failing < MAX_POLL_FAILURE_TIME {
             return;
         }
-        let recent = |at: Option<Instant>| at.is_some_and(|t| now - t < POLLS_MAY_FAIL);
+        let recent = |at: Option<Instant>| at.is_some_and(|t| now - t < MAX_POLL_FAILURE_TIME);
         let others = || polls.iter().filter(|(other, _)| *other != id);
         let polled = others().filter(|(_, p)| recent(p.last)).count();
         let answered = others().filter(|(_, p)| recent(p.answered)).count();
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -16,9 +16,9 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use super::cloud::CloudLimit;
+use super::cloud::CloudRateLimit;
 use super::frames::{FrameRecord, RecordedClient};
-use super::rules::{Polls, Told};
+use super::rules::{JobAnswers, JobPolls};
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
 
@@ -45,7 +45,7 @@
     addr(&format!("127.2.1.{}:2379", i + 1))
 }
 
-pub(super) fn mesh(i: usize) -> String {
+pub(super) fn mesh_address(i: usize) -> String {
     format!("127.7.0.{}:8081", i + 1)
 }
 
@@ -118,7 +118,7 @@
         let others: Vec<Value> = (0..self.controllers)
             .filter(|j| *j != i)
             .map(|j| {
-                json!({"node": format!("n{j}"), "location": self.locations[j], "addr": mesh(j)})
+                json!({"node": format!("n{j}"), "location": self.locations[j], "addr": mesh_address(j)})
             })
             .collect();
         let teams: Vec<Value> = self
@@ -128,7 +128,7 @@
             .collect();
         let text = json!({
             "node": format!("n{i}"), "location": self.locations[i],
-            "serve_on": controller(i).to_string(), "mesh_addr": mesh(i), "others": others,
+            "serve_on": controller(i).to_string(), "mesh_addr": mesh_address(i), "others": others,
             "external": {"cloud": CLOUD, "state": state_addr(i).to_string()},
             "deployment": {
                 "count": self.controllers, "zones": self.zones, "teams": teams,
@@ -167,18 +167,18 @@
 }
 
 /// A worker with the loops that drive it.
-pub(super) type Rented = (Rc<Worker>, Vec<JoinHandle<()>>);
+pub(super) type RunningWorker = (Rc<Worker>, Vec<JoinHandle<()>>);
 
 /// A running deployment: the controllers, all that they talk to, and what the
 /// rule checker knows.
 pub struct World {
     pub fabric: Rc<Fabric>,
     pub state: Rc<State>,
-    pub workers: RefCell<BTreeMap<String, Rented>>,
+    pub workers: RefCell<BTreeMap<String, RunningWorker>>,
     pub(super) jobs: RefCell<HashMap<String, Value>>,
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
     pub(super) provisioning_requests: RefCell<HashMap<String, Value>>,
-    pub(super) cloud_limit: CloudLimit,
+    pub(super) cloud_limit: CloudRateLimit,
     /// Requests that the cloud refused as malformed: none may be.
     pub cloud_refused: RefCell<Vec<String>>,
     pub broken: RefCell<Vec<String>>,
@@ -191,11 +191,11 @@
     /// Starts after a cancellation was confirmed, and how long after.
     pub late_starts: RefCell<Vec<(String, Duration)>>,
     /// Tasks that were done.
-    pub(super) finished: RefCell<HashSet<String>>,
+    pub(super) done_tasks: RefCell<HashSet<String>>,
     /// What users were told, and when by `counted`'s count.
-    pub(super) answers: RefCell<HashMap<String, Told>>,
-    pub(super) counted: Cell<u64>,
-    pub(super) polls: RefCell<HashMap<String, Polls>>,
+    pub(super) answers: RefCell<HashMap<String, JobAnswers>>,
+    pub(super) answer_count: Cell<u64>,
+    pub(super) polls: RefCell<HashMap<String, JobPolls>>,
     /// The share of the reports of which a copy is kept.
     pub copied: Cell<f64>,
     pub(super) copies: RefCell<Vec<Vec<u8>>>,
@@ -213,7 +213,7 @@
     pub(super) runs: Cell<u64>,
 }
 
-pub(super) const LIMITS: ServerLimits = ServerLimits {
+pub(super) const SERVER_LIMITS: ServerLimits = ServerLimits {
     connections: 1000,
     idle: Duration::from_secs(600),
     arrive: Duration::from_secs(60),
@@ -229,19 +229,19 @@
     /// A world with the program's controllers, all of them started.
     pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
-        world.serve_others().await;
+        world.serve_stand_ins().await;
         for i in 0..world.shape.controllers {
             world.start(i);
         }
-        world.watch_rules();
+        world.spawn_rule_checks();
         world
     }
 
     /// A world whose controllers a test plays itself.
     pub async fn without_controllers(seed: u64, shape: Shape) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
-        world.serve_others().await;
-        world.watch_rules();
+        world.serve_stand_ins().await;
+        world.spawn_rule_checks();
         world
     }
 
@@ -256,14 +256,14 @@
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
             provisioning_requests: RefCell::default(),
-            cloud_limit: CloudLimit::default(),
+            cloud_limit: CloudRateLimit::default(),
             cloud_refused: RefCell::default(),
             broken: RefCell::default(),
             starts: Cell::new(0),
             late_starts: RefCell::default(),
-            finished: RefCell::default(),
+            done_tasks: RefCell::default(),
             answers: RefCell::default(),
-            counted: Cell::new(0),
+            answer_count: Cell::new(0),
             polls: RefCell::default(),
             copied: Cell::new(0.0),
             copies: RefCell::default(),
@@ -284,21 +284,21 @@
     }
 
     /// Everything but the controllers: state service, cloud and first machines.
-    async fn serve_others(self: &Rc<Self>) {
+    async fn serve_stand_ins(self: &Rc<Self>) {
         for i in 0..self.shape.controllers {
             let state = self.state.clone();
             let handler = move |request| state.clone().answer(i, request);
             self.serve_at(state_addr(i), handler).await;
         }
-        spawn_local(self.state.clone().run_lease_renewal());
+        spawn_local(self.state.clone().run_lease_expiry());
         let cloud = self.clone();
-        let handler = move |request| cloud.clone().cloud(request);
+        let handler = move |request| cloud.clone().handle_cloud_request(request);
         self.serve_at(addr(CLOUD), handler).await;
         self.state.limits.set(self.shape.state_limits());
         for n in 0..self.shape.machines {
             let zones = &self.shape.machine_zones;
             let zone = zones[n % zones.len()];
-            self.boot(&json!({"grade": "big", "yard": zone}));
+            self.boot_machine(&json!({"grade": "big", "yard": zone}));
         }
     }
 
@@ -316,11 +316,11 @@
         let net = self.net(address);
         let listener = net.listen(address).await.expect("listen");
         let handler = self.recorded_handler(address, handler);
-        spawn_local(serve(listener, LIMITS, Rc::new(handler)));
+        spawn_local(serve(listener, SERVER_LIMITS, Rc::new(handler)));
     }
 
     /// Judges what is on the machines, from now on.
-    fn watch_rules(self: &Rc<Self>) {
+    fn spawn_rule_checks(self: &Rc<Self>) {
         let world = self.clone();
         spawn_local(async move {
             loop {
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -67,10 +67,13 @@
         let orders = json!({"baton": FENCING_TOKEN, "shift": worker.epoch.get(),
             "orders": [{"verb": action, "board": task, "try": 1}]});
         let body = Some(orders.to_string().into_bytes());
-        let call =
-            self.world
-                .client
-                .call(worker.port, "POST", "/orders", body, Duration::from_secs(5));
+        let call = self.world.client.call(
+            worker.address,
+            "POST",
+            "/orders",
+            body,
+            Duration::from_secs(5),
+        );
         let answer = call.await.expect("a worker's answer");
         assert_eq!(answer.status, 200, "{action} {task} on {name}");
     }
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::{State, Trouble};
-use crate::stand_ins::production::as_production;
+use crate::stand_ins::production::commit_of_production_version;
 
 /// The key that a write sets or removes.
 pub(super) fn written_key(write: &Value) -> &str {
@@ -20,7 +20,7 @@
 
 impl State {
     pub(super) async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
-        match as_production(body) {
+        match commit_of_production_version(body) {
             Some(body) => self.commit(body).await,
             None => {
                 let at = self.revision.get();
@@ -53,20 +53,20 @@
             let troubles = self.troubles.borrow();
             (troubles.late, troubles.unanswered)
         };
-        if self.chance(late) {
+        if self.draw_bool(late) {
             let after = self.rng.borrow_mut().random_range(2.0..12.0);
             let state = self.clone();
             // Whoever sent it gives up on it meanwhile; it is carried out.
             spawn_local(async move {
                 sleep(Duration::from_secs_f64(after)).await;
-                while state.is_down() {
+                while state.is_in_outage() {
                     sleep(Duration::from_millis(100)).await;
                 }
                 state.apply(&body);
             });
             return std::future::pending().await;
         }
-        if self.chance(unanswered) {
+        if self.draw_bool(unanswered) {
             self.apply(&body);
             return std::future::pending().await;
         }
@@ -79,7 +79,7 @@
         let writes = body["writes"].as_array().unwrap_or(&empty);
         let failed = self.failed_guards(body);
         let at = self.revision.get();
-        if let Some(problem) = self.exceeds(body) {
+        if let Some(problem) = self.limit_violation(body) {
             self.beyond.borrow_mut().push(problem.clone());
             return Response::json(400, &json!({"error": problem}));
         }
@@ -104,8 +104,8 @@
         let at = at + 1;
         for write in writes {
             self.attach_to_lease(write);
-            let event = self.carry_out(write, at);
-            self.log.borrow_mut().push(event);
+            let event = self.apply_write(write, at);
+            self.change_log.borrow_mut().push(event);
         }
         self.check_changed_places(writes, at);
         let keys: Vec<&str> = writes.iter().map(written_key).collect();
@@ -130,7 +130,7 @@
     }
 
     /// Sets or removes a key; returns what watches tell of it.
-    fn carry_out(&self, write: &Value, at: u64) -> Value {
+    fn apply_write(&self, write: &Value, at: u64) -> Value {
         let mut pairs = self.pairs.borrow_mut();
         let key = written_key(write);
         if write["set"].is_string() {
--- a/tests/stand_ins/state_service/leases.rs
+++ b/tests/stand_ins/state_service/leases.rs
@@ -21,13 +21,13 @@
 impl State {
     /// State leases end with their keys. In an outage none does, and after it
     /// each has its full time again.
-    pub(in crate::stand_ins) async fn run_lease_renewal(self: Rc<Self>) {
+    pub(in crate::stand_ins) async fn run_lease_expiry(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(50)).await;
             let now = Instant::now();
             let mut over = Vec::new();
             self.leases.borrow_mut().retain(|_, lease| {
-                if self.is_down() {
+                if self.is_in_outage() {
                     lease.ends = now + lease.ttl;
                 }
                 let stands = lease.ends > now;
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -9,10 +9,10 @@
 use super::commits::written_key;
 
 /// The longest key.
-const KEY_BYTES: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// The longest request.
-const REQUEST_BYTES: usize = 64 * 1024;
+const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
 /// What one commit may write, one value hold, and all write in a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -59,13 +59,13 @@
     }
 }
 
-fn is_key(key: &str) -> bool {
-    (1..=KEY_BYTES).contains(&key.len()) && !key.contains(char::is_whitespace)
+fn is_valid_key(key: &str) -> bool {
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
 impl State {
     /// Why a commit is beyond the limits, if it is.
-    pub(super) fn exceeds(&self, body: &Value) -> Option<String> {
+    pub(super) fn limit_violation(&self, body: &Value) -> Option<String> {
         let limits = self.limits.get();
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let (writes, preconditions) = (list("writes"), list("guards"));
@@ -80,13 +80,13 @@
             ));
         }
         let bytes = body.to_string().len();
-        if bytes > REQUEST_BYTES {
+        if bytes > MAX_REQUEST_BYTES {
             return Some(format!("a commit of {bytes} bytes"));
         }
         let keys = writes.iter().map(written_key);
         if let Some(key) = keys
             .chain(preconditions.iter().filter_map(|g| g["key"].as_str()))
-            .find(|k| !is_key(k))
+            .find(|k| !is_valid_key(k))
         {
             return Some(format!("not a key: {key:?}"));
         }
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use super::production::production_reads;
+use super::production::is_readable_by_production;
 use leases::StateLease;
 use limits::RateLimit;
 
@@ -29,7 +29,7 @@
 /// The state service of a deployment.
 pub struct State {
     pub(in crate::stand_ins) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
-    log: RefCell<Vec<Value>>,
+    change_log: RefCell<Vec<Value>>,
     revision: Cell<u64>,
     /// Wakes open watches in the order in which they came: a `watch` channel of tokio
     /// would wake them in a random one, and no two runs would be alike.
@@ -61,32 +61,34 @@
     /// Commits that failed on a condition.
     pub conflicts: Cell<usize>,
     /// Commits that are refused, by who sends them and what they hold.
-    pub gate: RefCell<Option<Gate>>,
+    pub gate: RefCell<Option<CommitRefusal>>,
     /// Told of every commit that was carried out, with the records as it leaves them.
-    pub observers: RefCell<Vec<Observer>>,
+    pub observers: RefCell<Vec<CommitObserver>>,
     /// What tests have put down by themselves: it alone may be unreadable.
-    put_down: RefCell<BTreeMap<String, Value>>,
+    test_writes: RefCell<BTreeMap<String, Value>>,
 }
 
 /// Whether a commit of a controller is refused.
-pub type Gate = Box<dyn Fn(usize, &Value) -> bool>;
+pub type CommitRefusal = Box<dyn Fn(usize, &Value) -> bool>;
 
 /// Who reads every committed revision: the records, the keys that were written, and the
 /// revision.
-pub type Observer = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
+pub type CommitObserver = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
 
 impl State {
     /// Records that the program in production could not read, or would spoil.
     pub fn unreadable(&self) -> Vec<String> {
         let pairs = self.pairs.borrow();
-        let bad = pairs.iter().filter(|(k, v)| !production_reads(k, &v.0));
+        let bad = pairs
+            .iter()
+            .filter(|(k, v)| !is_readable_by_production(k, &v.0));
         bad.map(|(k, _)| k.clone()).collect()
     }
 
     pub(in crate::stand_ins) fn new(seed: u64) -> Self {
         State {
             pairs: RefCell::default(),
-            log: RefCell::default(),
+            change_log: RefCell::default(),
             revision: Cell::default(),
             revision_changed: Notify::default(),
             trouble: Cell::default(),
@@ -106,24 +108,24 @@
             conflicts: Cell::default(),
             gate: RefCell::default(),
             observers: RefCell::default(),
-            put_down: RefCell::default(),
+            test_writes: RefCell::default(),
         }
     }
 
-    fn is_down(&self) -> bool {
+    fn is_in_outage(&self) -> bool {
         self.trouble.get() == Trouble::Down
     }
 
     fn refuses(&self, i: usize) -> bool {
-        self.is_down() || self.troubles.borrow().refused.contains(&i)
+        self.is_in_outage() || self.troubles.borrow().refused.contains(&i)
     }
 
-    pub(in crate::stand_ins) fn chance(&self, share: f64) -> bool {
+    pub(in crate::stand_ins) fn draw_bool(&self, share: f64) -> bool {
         share > 0.0 && self.rng.borrow_mut().random_bool(share)
     }
 
     /// A random factor that differs from one by up to `part`.
-    pub(in crate::stand_ins) fn spread_around_one(&self, part: f64) -> f64 {
+    pub(in crate::stand_ins) fn random_factor(&self, part: f64) -> f64 {
         match part > 0.0 {
             true => self.rng.borrow_mut().random_range(1.0 - part..1.0 + part),
             false => 1.0,
@@ -150,7 +152,7 @@
                 ("GET", "/store") => self.list(&r.query),
                 ("GET", "/watch") => self.watch(i, &r.query).await,
                 ("GET", path) => self.read(path.trim_start_matches("/store/")),
-                ("POST", "/commit") if self.is_gated(i, &body) => Response::empty(503),
+                ("POST", "/commit") if self.is_commit_refused(i, &body) => Response::empty(503),
                 ("POST", "/commit") if self.older.borrow().contains(&i) => {
                     self.commit_as_production(body).await
                 }
@@ -165,7 +167,7 @@
         })
     }
 
-    fn is_gated(&self, i: usize, body: &Value) -> bool {
+    fn is_commit_refused(&self, i: usize, body: &Value) -> bool {
         let gate = self.gate.borrow();
         gate.as_ref().is_some_and(|refuses| refuses(i, body))
     }
@@ -182,7 +184,7 @@
 
     /// A record as another program would have written it.
     pub fn write(&self, key: &str, value: &Value) {
-        let mut put_down = self.put_down.borrow_mut();
+        let mut put_down = self.test_writes.borrow_mut();
         put_down.insert(key.to_string(), value.clone());
         drop(put_down);
         self.apply(&json!({"writes": [{"set": key, "value": value}]}));
--- a/tests/stand_ins/state_service/places.rs
+++ b/tests/stand_ins/state_service/places.rs
@@ -19,8 +19,8 @@
     }
 
     /// Panics for a record that cannot be read, unless a test put it down.
-    fn assert_put_down(&self, key: &str, value: &Value) {
-        let put_down = self.put_down.borrow();
+    fn assert_written_by_test(&self, key: &str, value: &Value) {
+        let put_down = self.test_writes.borrow();
         assert_eq!(put_down.get(key), Some(value), "{key} cannot be read");
     }
 
@@ -45,7 +45,7 @@
                 }
             };
             let Some(names) = names else {
-                self.assert_put_down(key, value);
+                self.assert_written_by_test(key, value);
                 continue;
             };
             for name in names {
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -9,11 +9,11 @@
 use super::{State, Trouble};
 
 /// The most records of a page, and the most bytes of their texts.
-const PAGE_RECORDS: usize = 1000;
-const PAGE_BYTES: usize = 512 * 1024;
+const MAX_PAGE_RECORDS: usize = 1000;
+const MAX_PAGE_BYTES: usize = 512 * 1024;
 
 /// So many changes are kept for watches.
-const KEPT_CHANGES: usize = 10_000;
+const MAX_KEPT_CHANGES: usize = 10_000;
 
 impl State {
     /// One page of the records under a prefix.
@@ -21,7 +21,7 @@
         let prefix = query_value(query, "prefix").unwrap_or("");
         let after = query_value(query, "after").unwrap_or("");
         let limit = query_value(query, "limit").and_then(|v| v.parse().ok());
-        let limit = limit.unwrap_or(PAGE_RECORDS).min(PAGE_RECORDS);
+        let limit = limit.unwrap_or(MAX_PAGE_RECORDS).min(MAX_PAGE_RECORDS);
         let pairs = self.pairs.borrow();
         let mut matching = pairs
             .iter()
@@ -32,7 +32,7 @@
         for (key, (value, stamp)) in &mut matching {
             let record = json!({"key": key, "value": value, "stamp": stamp});
             bytes += record.to_string().len();
-            if page.len() == limit || (bytes > PAGE_BYTES && !page.is_empty()) {
+            if page.len() == limit || (bytes > MAX_PAGE_BYTES && !page.is_empty()) {
                 truncated = true;
                 break;
             }
@@ -61,8 +61,8 @@
         while self.refuses(i) {
             sleep(Duration::from_millis(100)).await;
         }
-        let log = self.log.borrow();
-        let forgotten = log.len().checked_sub(KEPT_CHANGES + 1);
+        let log = self.change_log.borrow();
+        let forgotten = log.len().checked_sub(MAX_KEPT_CHANGES + 1);
         if forgotten.is_some_and(|last| log[last]["stamp"].as_u64() > Some(after)) {
             return Response::empty(410);
         }
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -31,7 +31,7 @@
             let mut answers = self.answers.borrow_mut();
             let told = answers.entry(id.clone()).or_default();
             told.submitted |= body.is_some();
-            told.cancel_asked |= path.ends_with("/withdraw");
+            told.cancel_requested |= path.ends_with("/withdraw");
             told.clone()
         };
         let call = self
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::rules::job_of;
-use super::scenario::{LIMITS, World, controller};
+use super::scenario::{SERVER_LIMITS, World, controller};
 
 #[derive(Debug, Clone)]
 pub(super) struct Task {
@@ -28,13 +28,13 @@
     pub(super) name: String,
     pub(super) machine_type: String,
     pub(super) zone: String,
-    pub(super) port: SocketAddrV4,
+    pub(super) address: SocketAddrV4,
     pub(super) fencing_token: Cell<u64>,
     pub(super) epoch: Cell<u64>,
     pub(super) sequence: Cell<u64>,
-    pub(super) renewed: Cell<Instant>,
+    pub(super) lease_renewed_at: Cell<Instant>,
     /// How fast its clock runs.
-    pub(super) clock: f64,
+    pub(super) clock_rate: f64,
     pub(super) tasks: RefCell<BTreeMap<String, Task>>,
     /// Rejects every task it starts.
     pub sick: Cell<bool>,
@@ -43,7 +43,7 @@
     /// It reaches no controller, while direct orders reach it.
     pub mute: Cell<bool>,
     /// It executes nothing and answers nothing until then.
-    pub(super) hangs_until: Cell<Option<Instant>>,
+    pub(super) hung_until: Cell<Option<Instant>>,
     /// Direct orders are held up for as long.
     pub orders_held: Cell<Duration>,
     /// Heartbeats it has sent, for copies that come late.
@@ -68,13 +68,13 @@
                 _ => json!({"board": id, "try": t.attempt, "stage": "running"}),
             })
             .collect();
-        json!({"bay": self.name, "endpoint": self.port.to_string(), "grade": self.machine_type,
+        json!({"bay": self.name, "endpoint": self.address.to_string(), "grade": self.machine_type,
             "yard": self.zone, "loaners": false, "shift": self.epoch.get(),
             "tally": self.sequence.get(), "baton": self.fencing_token.get(), "recall_s": null, "boards": tasks})
     }
 
     /// Notes which tasks are done.
-    pub(super) fn note_ends(&self, finished: &RefCell<HashSet<String>>) {
+    pub(super) fn record_completed_tasks(&self, finished: &RefCell<HashSet<String>>) {
         let now = Instant::now();
         for (id, task) in self.tasks.borrow().iter() {
             if !self.hangs() && task.exit_reason.is_none() && task.ends.is_some_and(|e| e <= now) {
@@ -84,7 +84,7 @@
     }
 
     fn execute(&self, world: &World, orders: &[WorkerCommand]) {
-        self.note_ends(&world.finished);
+        self.record_completed_tasks(&world.done_tasks);
         for o in orders {
             let mut tasks = self.tasks.borrow_mut();
             match o.action {
@@ -92,11 +92,11 @@
                     if tasks.get(&o.task).is_some_and(|t| t.attempt == o.attempt) {
                         continue;
                     }
-                    let run = world.run_time(&o.task);
-                    let fails = self.sick.get() || world.is_mistaken(&o.task);
+                    let run = world.task_run_time(&o.task);
+                    let fails = self.sick.get() || world.is_faulty_job(&o.task);
                     let exit_reason = fails.then_some(ExitReason::Error);
                     // The result of a task that has once ended is kept.
-                    let run = match world.finished.borrow().contains(&o.task) {
+                    let run = match world.done_tasks.borrow().contains(&o.task) {
                         true => Some(Duration::ZERO),
                         false => run,
                     };
@@ -129,7 +129,7 @@
                             .is_none_or(|reason| reason == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
                         {
-                            world.finished.borrow_mut().insert(o.task.clone());
+                            world.done_tasks.borrow_mut().insert(o.task.clone());
                         }
                     }
                 }
@@ -138,18 +138,20 @@
     }
 
     /// On the machine: one that hangs keeps what it has until its lease is over.
-    pub(super) fn runs(&self, task: &str, lease: Duration) -> bool {
+    pub(super) fn is_running(&self, task: &str, lease: Duration) -> bool {
         let now = Instant::now();
         let tasks = self.tasks.borrow();
         let here = tasks.get(task);
-        let gone = self.hangs() && self.is_over(lease);
+        let gone = self.hangs() && self.is_lease_expired(lease);
         !gone && here.is_some_and(|t| t.exit_reason.is_none() && t.ends.is_none_or(|e| e > now))
     }
 
     /// The tasks that are on the machine.
     pub(super) fn tasks_on_machine(&self, lease: Duration) -> Vec<String> {
         let held: Vec<String> = self.tasks.borrow().keys().cloned().collect();
-        held.into_iter().filter(|t| self.runs(t, lease)).collect()
+        held.into_iter()
+            .filter(|t| self.is_running(t, lease))
+            .collect()
     }
 
     /// The machine's name.
@@ -159,12 +161,12 @@
 
     /// Whether the machine stands still.
     pub fn hangs(&self) -> bool {
-        self.hangs_until.get().is_some()
+        self.hung_until.get().is_some()
     }
 
     /// The machine stands still; all of its tasks end later by as much.
     pub fn hang(&self, span: Duration) {
-        self.hangs_until.set(Some(Instant::now() + span));
+        self.hung_until.set(Some(Instant::now() + span));
         for task in self.tasks.borrow_mut().values_mut() {
             if task.exit_reason.is_none() {
                 task.ends = task.ends.map(|e| match e > Instant::now() {
@@ -176,32 +178,32 @@
     }
 
     /// Until it goes on; what was held for it is looked at only then.
-    async fn awake(&self, lease: Duration) {
-        while let Some(until) = self.hangs_until.get() {
+    async fn wait_while_hung(&self, lease: Duration) {
+        while let Some(until) = self.hung_until.get() {
             if until <= Instant::now() {
-                self.hangs_until.set(None);
+                self.hung_until.set(None);
             } else {
                 tokio::time::sleep_until(until).await;
             }
         }
-        self.expire(lease);
+        self.expire_lease(lease);
     }
 
-    fn is_over(&self, lease: Duration) -> bool {
-        self.renewed.get().elapsed() > lease.div_f64(self.clock)
+    fn is_lease_expired(&self, lease: Duration) -> bool {
+        self.lease_renewed_at.get().elapsed() > lease.div_f64(self.clock_rate)
     }
 
-    pub(super) fn expire(&self, lease: Duration) {
-        if !self.hangs() && self.is_over(lease) {
+    pub(super) fn expire_lease(&self, lease: Duration) {
+        if !self.hangs() && self.is_lease_expired(lease) {
             self.tasks.borrow_mut().clear();
             self.epoch.set(self.epoch.get() + 1);
-            self.renewed.set(Instant::now());
+            self.lease_renewed_at.set(Instant::now());
         }
     }
 }
 
 impl World {
-    fn run_time(&self, task: &str) -> Option<Duration> {
+    fn task_run_time(&self, task: &str) -> Option<Duration> {
         let jobs = self.jobs.borrow();
         let job = jobs.get(task.split('/').next().unwrap_or(""))?;
         // Tasks of one job may end far apart; the service knows nothing of it.
@@ -212,16 +214,16 @@
     }
 
     /// Jobs of this image fail on every machine.
-    fn is_mistaken(&self, task: &str) -> bool {
+    fn is_faulty_job(&self, task: &str) -> bool {
         let jobs = self.jobs.borrow();
         let job = jobs.get(task.split('/').next().unwrap_or(""));
         job.is_some_and(|j| j["blueprint"] == "mistake")
     }
 
-    pub(super) async fn listen(self: Rc<Self>, worker: Rc<Worker>) {
-        let net = self.net(worker.port);
-        let listener = net.listen(worker.port).await.expect("listen");
-        let (world, at) = (self.clone(), worker.port);
+    pub(super) async fn serve_commands(self: Rc<Self>, worker: Rc<Worker>) {
+        let net = self.net(worker.address);
+        let listener = net.listen(worker.address).await.expect("listen");
+        let (world, at) = (self.clone(), worker.address);
         let handler = move |r: Request| -> shelfhoist::http::ResponseFuture {
             let (world, w) = (world.clone(), worker.clone());
             Box::pin(async move {
@@ -234,7 +236,7 @@
                 // It is executed even when whoever sent it has given up.
                 let executed = spawn_local(async move {
                     sleep(w.orders_held.get()).await;
-                    w.awake(world.shape.lease()).await;
+                    w.wait_while_hung(world.shape.lease()).await;
                     if orders.fencing_token < w.fencing_token.get() || orders.epoch != w.epoch.get()
                     {
                         return Response::json(409, &w.report());
@@ -247,18 +249,18 @@
             })
         };
         let handler = self.recorded_handler(at, handler);
-        serve(listener, LIMITS, Rc::new(handler)).await;
+        serve(listener, SERVER_LIMITS, Rc::new(handler)).await;
     }
 
-    pub(super) async fn heartbeat(self: Rc<Self>, w: Rc<Worker>) {
+    pub(super) async fn send_heartbeats(self: Rc<Self>, w: Rc<Worker>) {
         sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
-        w.renewed.set(Instant::now());
-        let client = self.recorded_client(w.port, Duration::from_secs(30));
+        w.lease_renewed_at.set(Instant::now());
+        let client = self.recorded_client(w.address, Duration::from_secs(30));
         let (lease, count) = (self.shape.lease(), self.shape.controllers);
         let report = Duration::from_secs_f64(self.shape.report_s);
         let mut to = 0;
         loop {
-            w.awake(lease).await;
+            w.wait_while_hung(lease).await;
             if w.mute.get() {
                 to = (to + 1) % count;
                 sleep(Duration::from_secs(1)).await;
@@ -270,7 +272,7 @@
             if self.shape.machines == 0 {
                 w.sent.borrow_mut().push(body.clone());
             }
-            if self.state.chance(self.copied.get()) {
+            if self.state.draw_bool(self.copied.get()) {
                 self.copies.borrow_mut().push(body.clone());
             }
             let call = client.call(
@@ -284,7 +286,7 @@
             if w.deaf.get() {
                 sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
             }
-            w.awake(lease).await;
+            w.wait_while_hung(lease).await;
             let late = sent.elapsed() > Duration::from_secs(4);
             match answer {
                 _ if w.deaf.get() || late => {
@@ -296,15 +298,14 @@
                     if a.fencing_token >= w.fencing_token.get() && epoch == w.epoch.get() {
                         let news = a.fencing_token > w.fencing_token.get();
                         w.fencing_token.set(a.fencing_token);
-                        w.renewed.set(sent);
+                        w.lease_renewed_at.set(sent);
                         w.execute(&self, &a.commands);
                         if news {
                             sleep(Duration::from_millis(500)).await;
                             continue;
                         }
                     }
-                    sleep(report.mul_f64(self.state.spread_around_one(self.shape.report_jitter)))
-                        .await;
+                    sleep(report.mul_f64(self.state.random_factor(self.shape.report_jitter))).await;
                 }
                 Ok(r) if r.status == 421 => {
                     let foreman = r.parse::<Redirect>().ok().and_then(|r| r.owner);
