--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -148,7 +148,7 @@
 fn assert_within_limits(world: &World) {
     let beyond = world.state.beyond.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
-    let refused = world.cloud_refused.borrow().clone();
+    let refused = world.refused_cloud_requests.borrow().clone();
     assert!(refused.is_empty(), "{refused:?}");
 }
 
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -32,7 +32,7 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 /// How many jobs are submitted, one every few seconds.
-const JOBS: u32 = 24;
+const JOB_COUNT: u32 = 24;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -42,7 +42,7 @@
 /// every seventh.
 async fn submit_jobs(world: Rc<World>) {
     let mut ids: Vec<String> = Vec::new();
-    for number in 1..=JOBS {
+    for number in 1..=JOB_COUNT {
         let kind = ["batch", "gang"][number as usize % 2];
         let mut next = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
         next["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
@@ -68,16 +68,16 @@
 }
 
 /// Lets one fault after another happen, each with its end.
-async fn cause_faults(world: &Rc<World>) {
+async fn inject_faults(world: &Rc<World>) {
     sleep(seconds(15.0)).await;
-    cause_state_faults(world).await;
+    inject_state_faults(world).await;
     restart_controllers(world).await;
-    cause_network_faults(world).await;
-    cause_worker_faults(world).await;
+    inject_network_faults(world).await;
+    inject_worker_faults(world).await;
 }
 
 /// The state service loses answers, carries commits out late, and is down.
-async fn cause_state_faults(world: &Rc<World>) {
+async fn inject_state_faults(world: &Rc<World>) {
     for trouble in [Trouble::LoseAnswers, Trouble::Late] {
         world.state.trouble.set(trouble);
         world.state.troubled.set(4);
@@ -107,7 +107,7 @@
 }
 
 /// A controller loses the others, and then everything; copies of reports come late.
-async fn cause_network_faults(world: &Rc<World>) {
+async fn inject_network_faults(world: &Rc<World>) {
     world.copied.set(0.3);
     world.cut_peers(1, true);
     sleep(seconds(8.0)).await;
@@ -121,7 +121,7 @@
 }
 
 /// A busy machine is lost, another stands still for longer than its lease.
-async fn cause_worker_faults(world: &Rc<World>) {
+async fn inject_worker_faults(world: &Rc<World>) {
     let busy = world.busy();
     if let Some(worker) = busy.first() {
         world.lose(worker.name());
@@ -133,13 +133,13 @@
 }
 
 /// All frames of a deployment with faults.
-fn run(seed: u64) -> Frames {
+fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
     in_world(|| async {
         let world = World::of(seed, Shape::default()).await;
         world.frames.begin();
         spawn_local(submit_jobs(world.clone()));
-        cause_faults(&world).await;
+        inject_faults(&world).await;
         frames = Some(world.frames.finish());
     });
     frames.expect("the run has ended")
@@ -149,7 +149,7 @@
 #[ignore = "a tool: prints digests, asserts nothing about them"]
 fn print_frame_digests() {
     for seed in SEEDS {
-        let (frames, again) = (run(seed), run(seed));
+        let (frames, again) = (record_frames(seed), record_frames(seed));
         let (count, digest) = (frames.count(), frames.digest());
         println!("frame digest: seed {seed}, {count} frames, digest {digest:016x}");
         let difference = frames.first_difference(&again);
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -211,7 +211,7 @@
             let world = case.world;
             sleep(secs(12.0)).await;
             let limit = world.shape.settings(0).launch_limit();
-            let late: Vec<_> = world.late_starts.borrow().clone();
+            let late: Vec<_> = world.starts_after_cancel.borrow().clone();
             let too_late: Vec<_> = late.iter().filter(|(_, after)| *after > limit).collect();
             assert!(too_late.is_empty(), "{cancelled_s}: {too_late:?}");
             world.heal();
@@ -241,7 +241,7 @@
         for id in &case.kept {
             assert_eq!(world.running(id), 1, "{id}");
         }
-        assert_eq!(world.late_starts.borrow().len(), 0);
+        assert_eq!(world.starts_after_cancel.borrow().len(), 0);
         world.assert_kept();
     });
 }
--- a/tests/limits/falls.rs
+++ b/tests/limits/falls.rs
@@ -51,7 +51,7 @@
         all_go_on(&w, &second).await;
         sleep(Duration::from_secs(30)).await;
         assert_eq!(w.running(&stopped), 0);
-        let refused = w.state.too_many.get();
+        let refused = w.state.rate_limited_commits.get();
         assert!(refused < 40, "{refused} refused for the rate");
         assert!(too_long(&w).is_empty(), "{:?}", too_long(&w));
         let beyond = w.state.beyond.borrow().clone();
@@ -233,7 +233,7 @@
                 ids.push(w.submit(job(100 + n * 3 + k, "batch", 8, 3.0)).await);
             }
             sleep(Duration::from_secs(1)).await;
-            let all = w.state.too_many.get();
+            let all = w.state.rate_limited_commits.get();
             refused.push(all - before);
             before = all;
         }
@@ -307,7 +307,7 @@
                 all_go_on(&w, all).await;
             }
             w.until("job-000006", "done", 300).await;
-            assert_eq!(w.state.misplaced.borrow().len(), 0);
+            assert_eq!(w.state.misplaced_machines.borrow().len(), 0);
             assert!(
                 !w.state.unreadable().is_empty(),
                 "no short text was written"
--- a/tests/meetings/any_two.rs
+++ b/tests/meetings/any_two.rs
@@ -136,7 +136,7 @@
         self.world.kill(self.leader);
         let away = self.span.mul_f64([0.0, 0.2, 1.0][self.draw % 3]);
         sleep(away).await;
-        self.world.heal_controllers();
+        self.world.restore_controllers();
     }
 
     async fn end_all_controllers(&self) {
@@ -144,7 +144,7 @@
             self.world.kill(i);
         }
         sleep(self.span).await;
-        self.world.heal_controllers();
+        self.world.restore_controllers();
     }
 
     async fn freeze_leader(&self) {
--- a/tests/rule_checker/further.rs
+++ b/tests/rule_checker/derived_rules.rs
@@ -3,32 +3,32 @@
 use serde_json::{Value, json};
 
 use crate::history::{
-    Cancel, Case, Elapse, FIRST, FIRST_TASK, Launch, Poll, Record, SECOND, Submit, beside,
-    long_batch, short_batch,
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Poll, SECOND, StartTask, Submit, WriteRecord,
+    after_unrelated_start, long_batch, short_batch,
 };
 use crate::stand_ins::{Rule, after, job};
 
-pub fn further_rules() -> Vec<Case> {
+pub fn derived_rules() -> Vec<Case> {
     vec![
         Case {
             name: "a start before the awaited job is done",
             rule: Rule::TooEarly,
-            before: || {
+            setup: || {
                 vec![
                     Submit(short_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
-                    Launch(0, FIRST_TASK),
+                    StartTask(0, FIRST_TASK),
                     Elapse(4.0),
                 ]
             },
-            lawful: || vec![Elapse(2.0), Launch(1, "job-000002/0")],
-            violation: || vec![Launch(1, "job-000002/0")],
+            compliant: || vec![Elapse(2.0), StartTask(1, "job-000002/0")],
+            violation: || vec![StartTask(1, "job-000002/0")],
         },
         Case {
             name: "a job after a cancelled one is still queued",
             rule: Rule::Orphaned,
-            before: || {
-                beside(vec![
+            setup: || {
+                after_unrelated_start(vec![
                     Submit(long_batch(1)),
                     Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
                     Cancel(FIRST, 200, "aborted"),
@@ -36,41 +36,43 @@
                     Poll(SECOND, 200, "queued"),
                 ])
             },
-            lawful: || vec![Elapse(2.0), Poll(SECOND, 200, "aborted")],
+            compliant: || vec![Elapse(2.0), Poll(SECOND, 200, "aborted")],
             violation: || vec![Elapse(2.0), Poll(SECOND, 200, "queued")],
         },
         Case {
             name: "a task of a job that nobody submitted",
             rule: Rule::UnknownJob,
-            before: || vec![Submit(long_batch(1))],
-            lawful: || vec![Launch(0, FIRST_TASK)],
-            violation: || vec![Launch(0, "job-000002/0")],
+            setup: || vec![Submit(long_batch(1))],
+            compliant: || vec![StartTask(0, FIRST_TASK)],
+            violation: || vec![StartTask(0, "job-000002/0")],
         },
         Case {
             name: "no task was started",
             rule: Rule::NothingRan,
-            before: || vec![Submit(long_batch(1)), Elapse(5.0)],
-            lawful: || vec![Launch(0, FIRST_TASK)],
+            setup: || vec![Submit(long_batch(1)), Elapse(5.0)],
+            compliant: || vec![StartTask(0, FIRST_TASK)],
             violation: Vec::new,
         },
         Case {
             name: "a machine in two groups",
             rule: Rule::Misplaced,
-            before: || {
-                beside(vec![Record(
+            setup: || {
+                after_unrelated_start(vec![WriteRecord(
                     "sh/machine/a",
                     machine_shard_of("host-000000"),
                 )])
             },
-            lawful: || vec![Record("sh/machine/b", machine_shard_of("host-000001"))],
-            violation: || vec![Record("sh/machine/b", machine_shard_of("host-000000"))],
+            compliant: || vec![WriteRecord("sh/machine/b", machine_shard_of("host-000001"))],
+            violation: || vec![WriteRecord("sh/machine/b", machine_shard_of("host-000000"))],
         },
         Case {
             name: "a machine in two shards",
             rule: Rule::Misplaced,
-            before: || beside(vec![Record("sh/zone/a", shard_of("host-000000"))]),
-            lawful: || vec![Record("sh/zone/b", shard_of("host-000001"))],
-            violation: || vec![Record("sh/zone/b", shard_of("host-000000"))],
+            setup: || {
+                after_unrelated_start(vec![WriteRecord("sh/zone/a", shard_of("host-000000"))])
+            },
+            compliant: || vec![WriteRecord("sh/zone/b", shard_of("host-000001"))],
+            violation: || vec![WriteRecord("sh/zone/b", shard_of("host-000000"))],
         },
     ]
 }
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -15,66 +15,69 @@
 pub const FIRST_TASK: &str = "job-000001/0";
 
 /// The machines with even numbers are in zone a, the others in zone b.
-pub const MACHINES: usize = 4;
+pub const MACHINE_COUNT: usize = 4;
 
 /// One event of a history. A machine is its number; a stage may be empty where
 /// the status says all.
 pub enum Step {
     Submit(Value),
     /// A submission that gets this status.
-    SubmitTo(Value, u16),
+    SubmitAnswered(Value, u16),
     /// A poll of a job that gets this status and stage.
     Poll(&'static str, u16, &'static str),
     /// A cancellation that gets this status and stage.
     Cancel(&'static str, u16, &'static str),
-    Launch(usize, &'static str),
-    Stop(usize, &'static str),
+    StartTask(usize, &'static str),
+    StopTask(usize, &'static str),
     /// A machine stands still for some seconds.
-    Hang(usize, f64),
+    HangMachine(usize, f64),
     /// A machine and all on it are gone.
-    Lose(usize),
+    LoseMachine(usize),
     /// A stored record.
-    Record(&'static str, Value),
+    WriteRecord(&'static str, Value),
     /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
     PollFor(f64, Vec<(&'static str, u16)>),
     /// Some seconds go by.
     Elapse(f64),
 }
 
-pub use Step::{Cancel, Elapse, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo};
+pub use Step::{
+    Cancel, Elapse, HangMachine, LoseMachine, Poll, PollFor, StartTask, StopTask, Submit,
+    SubmitAnswered, WriteRecord,
+};
 
 /// A history that goes on in two ways.
 pub struct Case {
     pub name: &'static str,
     pub rule: Rule,
-    pub before: fn() -> Vec<Step>,
-    pub lawful: fn() -> Vec<Step>,
+    pub setup: fn() -> Vec<Step>,
+    pub compliant: fn() -> Vec<Step>,
     pub violation: fn() -> Vec<Step>,
 }
 
-pub async fn play(world: &Rc<World>, controller: &ScriptedController, steps: Vec<Step>) {
+pub async fn run_steps(world: &Rc<World>, controller: &ScriptedController, steps: Vec<Step>) {
     for step in steps {
         match step {
             Submit(job) => submit(world, controller, &job, 201).await,
-            SubmitTo(job, status) => submit(world, controller, &job, status).await,
+            SubmitAnswered(job, status) => submit(world, controller, &job, status).await,
             Poll(id, status, stage) => {
-                controller.answer_next(status, stage);
+                controller.queue_response(status, stage);
                 world.stage(0, id).await;
             }
             Cancel(id, status, stage) => {
-                controller.answer_next(status, stage);
+                controller.queue_response(status, stage);
                 world.withdraw(0, id).await;
             }
-            Launch(machine, task) => controller.order(machine, "launch", task).await,
-            Stop(machine, task) => controller.order(machine, "stop", task).await,
-            Hang(machine, seconds) => {
+            StartTask(machine, task) => controller.send_command(machine, "launch", task).await,
+            StopTask(machine, task) => controller.send_command(machine, "stop", task).await,
+            HangMachine(machine, seconds) => {
                 let name = format!("host-{machine:06}");
                 let worker = world.workers.borrow()[&name].0.clone();
                 worker.hang(Duration::from_secs_f64(seconds));
             }
-            Lose(machine) => world.lose(&format!("host-{machine:06}")),
-            Record(key, value) => world.state.write(key, &value),
-            PollFor(seconds, jobs) => poll_for(world, controller, seconds, &jobs).await,
+            LoseMachine(machine) => world.lose(&format!("host-{machine:06}")),
+            WriteRecord(key, value) => world.state.write(key, &value),
+            PollFor(seconds, jobs) => poll_repeatedly(world, controller, seconds, &jobs).await,
             Elapse(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         }
     }
@@ -82,11 +85,11 @@
 
 pub async fn submit(world: &Rc<World>, controller: &ScriptedController, job: &Value, status: u16) {
     world.remember(job);
-    controller.answer_next(status, "queued");
+    controller.queue_response(status, "queued");
     world.ask(0, "POST", "/submissions", Some(job)).await;
 }
 
-pub async fn poll_for(
+pub async fn poll_repeatedly(
     world: &Rc<World>,
     controller: &ScriptedController,
     seconds: f64,
@@ -95,7 +98,7 @@
     const PERIOD_S: f64 = 5.0;
     for _ in 0..(seconds / PERIOD_S) as usize {
         for (id, status) in jobs {
-            controller.answer_next(*status, "queued");
+            controller.queue_response(*status, "queued");
             world.stage(0, id).await;
         }
         sleep(Duration::from_secs_f64(PERIOD_S)).await;
@@ -103,11 +106,11 @@
 }
 
 /// What the checker reports of a history.
-pub async fn violations_of(zone_shards: [Vec<Step>; 2]) -> Vec<String> {
+pub async fn reported_violations(zone_shards: [Vec<Step>; 2]) -> Vec<String> {
     let shape = Shape {
         controllers: 1,
         locations: vec!["a"],
-        machines: MACHINES,
+        machines: MACHINE_COUNT,
         ..Shape::default()
     };
     let world = World::without_controllers(1, shape).await;
@@ -115,18 +118,18 @@
     // The machines boot, and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
     for steps in zone_shards {
-        play(&world, &controller, steps).await;
+        run_steps(&world, &controller, steps).await;
     }
     world.violations()
 }
 
 /// Plays the cases both ways.
-pub fn check(cases: Vec<Case>) {
+pub fn check_cases(cases: Vec<Case>) {
     for case in cases {
         in_world(|| async {
-            let lawful = violations_of([(case.before)(), (case.lawful)()]).await;
+            let lawful = reported_violations([(case.setup)(), (case.compliant)()]).await;
             assert_eq!(lawful, Vec::<String>::new(), "{}: lawful", case.name);
-            let reported = violations_of([(case.before)(), (case.violation)()]).await;
+            let reported = reported_violations([(case.setup)(), (case.violation)()]).await;
             let prefix = format!("{}: ", case.rule.name());
             assert!(!reported.is_empty(), "{}: nothing reported", case.name);
             assert!(
@@ -152,34 +155,37 @@
 pub fn short_task_started(seconds: f64) -> Vec<Step> {
     vec![
         Submit(short_batch(1)),
-        Launch(0, FIRST_TASK),
+        StartTask(0, FIRST_TASK),
         Elapse(seconds),
     ]
 }
 
 /// A batch of one long task, which has just started on machine 0.
 pub fn long_task_started() -> Vec<Step> {
-    vec![Submit(long_batch(1)), Launch(0, FIRST_TASK)]
+    vec![Submit(long_batch(1)), StartTask(0, FIRST_TASK)]
 }
 
 /// The steps, and further ones after them.
-pub fn then(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
+pub fn followed_by(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
     steps.extend(further);
     steps
 }
 
 /// The job with one field altered.
-pub fn with(mut job: Value, field: &str, value: Value) -> Value {
+pub fn with_field(mut job: Value, field: &str, value: Value) -> Value {
     job[field] = value;
     job
 }
 
 /// A task of another job: so that something has run.
 pub fn unrelated_start() -> Vec<Step> {
-    vec![Submit(job(9, "daemon", 1, 0.0)), Launch(3, "job-000009/0")]
+    vec![
+        Submit(job(9, "daemon", 1, 0.0)),
+        StartTask(3, "job-000009/0"),
+    ]
 }
 
 /// A history in which something unrelated has run.
-pub fn beside(steps: Vec<Step>) -> Vec<Step> {
+pub fn after_unrelated_start(steps: Vec<Step>) -> Vec<Step> {
     unrelated_start().into_iter().chain(steps).collect()
 }
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -8,59 +8,62 @@
 mod stand_ins;
 
 mod answers;
-mod further;
+mod derived_rules;
 mod history;
 mod tasks;
 
 use answers::{forgotten, invented, not_done, went_back};
-use further::further_rules;
-use history::{Cancel, Elapse, FIRST, Launch, check, long_task_started, then, violations_of};
+use derived_rules::derived_rules;
+use history::{
+    Cancel, Elapse, FIRST, StartTask, check_cases, followed_by, long_task_started,
+    reported_violations,
+};
 use stand_ins::{Rule, in_world};
 use tasks::{quota, ran_cancelled, ran_twice, wrong_place};
 
 #[test]
 fn a_task_on_two_machines_is_reported() {
-    check(ran_twice());
+    check_cases(ran_twice());
 }
 
 #[test]
 fn a_team_beyond_its_limit_is_reported() {
-    check(quota());
+    check_cases(quota());
 }
 
 #[test]
 fn a_start_on_a_machine_that_is_not_allowed_is_reported() {
-    check(wrong_place());
+    check_cases(wrong_place());
 }
 
 #[test]
 fn a_task_that_outlives_its_cancellation_is_reported() {
-    check(ran_cancelled());
+    check_cases(ran_cancelled());
 }
 
 #[test]
 fn a_forgotten_job_is_reported() {
-    check(forgotten());
+    check_cases(forgotten());
 }
 
 #[test]
 fn an_invented_job_is_reported() {
-    check(invented());
+    check_cases(invented());
 }
 
 #[test]
 fn a_job_called_done_too_early_is_reported() {
-    check(not_done());
+    check_cases(not_done());
 }
 
 #[test]
 fn an_answer_that_goes_back_is_reported() {
-    check(went_back());
+    check_cases(went_back());
 }
 
 #[test]
 fn violations_of_the_further_rules_are_reported() {
-    check(further_rules());
+    check_cases(derived_rules());
 }
 
 #[test]
@@ -74,7 +77,7 @@
         invented(),
         not_done(),
         went_back(),
-        further_rules(),
+        derived_rules(),
     ];
     let with_case: Vec<Rule> = cases.iter().flatten().map(|case| case.rule).collect();
     for rule in Rule::ALL {
@@ -86,12 +89,12 @@
 #[test]
 fn what_follows_a_violation_is_still_judged() {
     in_world(|| async {
-        let unknown = vec![Launch(0, "job-000002/0"), Elapse(1.0)];
-        let second = then(
+        let unknown = vec![StartTask(0, "job-000002/0"), Elapse(1.0)];
+        let second = followed_by(
             long_task_started(),
             vec![Cancel(FIRST, 200, "aborted"), Elapse(32.0)],
         );
-        let reported = violations_of([unknown, second]).await;
+        let reported = reported_violations([unknown, second]).await;
         let rules: Vec<&str> = reported
             .iter()
             .filter_map(|t| t.split(':').next())
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -22,7 +22,7 @@
         w.kill(0);
         w.start(0);
         for i in 0..CONTROLLERS {
-            w.replay(i, &heartbeats).await;
+            w.send_heartbeat_copies(i, &heartbeats).await;
         }
         sleep(Duration::from_secs(15)).await;
         assert_eq!((w.running(&service), w.starts.get()), (2, before));
@@ -31,7 +31,7 @@
         for _ in 0..4 {
             sleep(Duration::from_secs(4)).await;
             for i in 0..CONTROLLERS {
-                w.replay(i, &heartbeats).await;
+                w.send_heartbeat_copies(i, &heartbeats).await;
             }
         }
         sleep(Duration::from_secs(20)).await;
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -36,7 +36,7 @@
             .next()
             .cloned()
             .expect("a machine");
-        w.workers.borrow()[&name].0.sick.set(true);
+        w.workers.borrow()[&name].0.fails_all_tasks.set(true);
         for n in 2..6 {
             w.submit(job(n, "batch", 4, 2.0)).await;
         }
@@ -146,7 +146,7 @@
 #[test]
 fn machines_that_never_come_up_are_replaced_and_go_back() {
     Scenario::new(60).run(|w| async move {
-        w.barren.set(Some("a"));
+        w.failed_boot_zone.set(Some("a"));
         let jobs = [("batch", 4), ("gang", 2), ("daemon", 2)];
         for (n, (kind, tasks)) in (1..).zip(jobs) {
             w.submit(job(n, kind, tasks, 3.0)).await;
@@ -163,7 +163,7 @@
         // time it is left alone for longer.
         assert!(w.rented.get() <= 9 + 12, "{}", w.rented.get());
         assert_eq!(w.stage(0, &bound).await.as_deref(), Some("queued"));
-        w.barren.set(None);
+        w.failed_boot_zone.set(None);
         w.until(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
         let there = w.workers.borrow().len();
--- a/tests/service/silence.rs
+++ b/tests/service/silence.rs
@@ -48,7 +48,7 @@
         sleep(Duration::from_secs(20)).await;
         assert_eq!(w.running(&service), 4);
         let before = w.starts.get();
-        w.shard_zones();
+        w.partition_zones();
         sleep(Duration::from_secs(30)).await;
         assert_eq!((w.running(&service), w.starts.get()), (4, before));
         w.assert_kept();
@@ -115,7 +115,7 @@
 /// else to go to they report again within seconds, and stay.
 #[test]
 fn a_lone_controller_that_stood_still_keeps_its_machines() {
-    Scenario::new(50).lone_controller().run(|w| async move {
+    Scenario::new(50).single_controller().run(|w| async move {
         let service = w.submit(job(1, "daemon", 4, 0.0)).await;
         w.until(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -12,7 +12,7 @@
 use crate::checker::Checker;
 use crate::program::{Controller, TemporaryFile, run};
 use crate::setup::{granted, secs, shape};
-use crate::stand_ins::{Shape, World, controller, in_real_world, job};
+use crate::stand_ins::{Shape, World, controller, job, run_in_real_time};
 
 /// Long enough for whatever is waited for, on a machine that is busy with other things.
 const PATIENCE: Duration = Duration::from_secs(240);
@@ -123,7 +123,7 @@
 /// has changed.
 #[test]
 fn a_controller_dies_in_a_move_and_another_move_comes() {
-    in_real_world(|| async {
+    run_in_real_time(|| async {
         let w = World::without_controllers(51, loopback_shape()).await;
         let checker = Checker::watch(&w);
         let deployment = Deployment::start(&w.shape);
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -19,13 +19,13 @@
 const CALLER: &str = "10.3.0.9:1";
 
 /// Whoever asks the stand-ins, without the daemon's own care for limits.
-struct Caller(Client);
+struct UnthrottledClient(Client);
 
-impl Caller {
+impl UnthrottledClient {
     fn new(world: &World) -> Self {
         let net = Net::Fabric(world.fabric.clone(), addr(CALLER));
         let client = Client::new(net, Duration::from_secs(30));
-        Caller(client.bounded(usize::MAX, 4 << 20))
+        UnthrottledClient(client.bounded(usize::MAX, 4 << 20))
     }
 
     /// The status and body of the answer.
@@ -53,14 +53,14 @@
     }
 }
 
-async fn world_with(limits: StateLimits) -> (Rc<World>, Caller) {
+async fn world_with_limits(limits: StateLimits) -> (Rc<World>, UnthrottledClient) {
     let world = World::without_controllers(7, Shape::default()).await;
     world.state.limits.set(limits);
-    let caller = Caller::new(&world);
+    let caller = UnthrottledClient::new(&world);
     (world, caller)
 }
 
-const SIZES_ONLY: StateLimits = StateLimits {
+const SIZE_LIMITS_ONLY: StateLimits = StateLimits {
     txn_ops: 12,
     value_limit_bytes: 8192,
     write_rps: f64::INFINITY,
@@ -68,22 +68,22 @@
 };
 
 /// A value whose text has so many bytes.
-fn value_of(bytes: usize) -> Value {
+fn value_with_length(bytes: usize) -> Value {
     Value::String("x".repeat(bytes - 2))
 }
 
-fn sets(count: usize, value: &Value) -> Value {
+fn commit_of_writes(count: usize, value: &Value) -> Value {
     let write = |n: usize| json!({"set": format!("c/{n}"), "value": value});
     json!({"guards": [], "writes": (0..count).map(write).collect::<Vec<_>>()})
 }
 
-fn preconditions(count: usize) -> Value {
+fn commit_with_guards(count: usize) -> Value {
     let precondition = |n: usize| json!({"key": format!("absent/{n}"), "stamp": 0});
     let writes = [json!({"set": "c/1", "value": 1})];
     json!({"guards": (0..count).map(precondition).collect::<Vec<_>>(), "writes": writes})
 }
 
-fn set_key(key: &str) -> Value {
+fn commit_of_key(key: &str) -> Value {
     json!({"guards": [], "writes": [{"set": key, "value": 1}]})
 }
 
@@ -91,26 +91,41 @@
 fn commits_beyond_a_limit_are_refused() {
     let longest_key = "k".repeat(200);
     let cases: [(&str, Value, Value); 5] = [
-        ("value", sets(1, &value_of(8192)), sets(1, &value_of(8193))),
-        ("writes", sets(12, &json!(1)), sets(13, &json!(1))),
-        ("guards", preconditions(48), preconditions(49)),
+        (
+            "value",
+            commit_of_writes(1, &value_with_length(8192)),
+            commit_of_writes(1, &value_with_length(8193)),
+        ),
+        (
+            "writes",
+            commit_of_writes(12, &json!(1)),
+            commit_of_writes(13, &json!(1)),
+        ),
+        ("guards", commit_with_guards(48), commit_with_guards(49)),
         (
             "key",
-            set_key(&longest_key),
-            set_key(&format!("{longest_key}k")),
+            commit_of_key(&longest_key),
+            commit_of_key(&format!("{longest_key}k")),
         ),
-        ("space", set_key("c/1"), set_key("c 1")),
+        ("space", commit_of_key("c/1"), commit_of_key("c 1")),
     ];
     in_world(|| async move {
-        let (world, caller) = world_with(SIZES_ONLY).await;
+        let (world, caller) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (limit, within, beyond) in cases {
             assert_eq!(caller.commit(within).await, 200, "{limit}");
             assert_eq!(caller.commit(beyond).await, 400, "{limit}");
         }
         assert_eq!(world.state.beyond.borrow().len(), 5);
         // Seven values fit into one request, eight do not.
-        assert_eq!(caller.commit(sets(7, &value_of(8192))).await, 200);
-        let long = sets(8, &value_of(8192)).to_string().into_bytes();
+        assert_eq!(
+            caller
+                .commit(commit_of_writes(7, &value_with_length(8192)))
+                .await,
+            200
+        );
+        let long = commit_of_writes(8, &value_with_length(8192))
+            .to_string()
+            .into_bytes();
         let patience = Duration::from_secs(4);
         let answer = caller
             .0
@@ -125,38 +140,38 @@
 #[test]
 fn requests_and_writes_beyond_the_rate_are_refused() {
     in_world(|| async move {
-        let (world, caller) = world_with(StateLimits {
+        let (world, caller) = world_with_limits(StateLimits {
             write_rps: 24.0,
             rps: 40.0,
-            ..SIZES_ONLY
+            ..SIZE_LIMITS_ONLY
         })
         .await;
         let mut statuses = Vec::new();
         for _ in 0..3 {
-            statuses.push(caller.commit(sets(12, &json!(1))).await);
+            statuses.push(caller.commit(commit_of_writes(12, &json!(1))).await);
         }
         assert_eq!(statuses, [200, 200, 429]);
-        assert_eq!(world.state.too_many.get(), 1);
+        assert_eq!(world.state.rate_limited_commits.get(), 1);
         let mut refused = 0;
         for _ in 0..40 {
             refused += usize::from(caller.get("/store/c/1").await.0 == 429);
         }
         assert_eq!(refused, 3, "of a burst of 40, three of which were commits");
-        assert_eq!(world.state.too_many_requests.get(), 3);
+        assert_eq!(world.state.rate_limited_requests.get(), 3);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(caller.commit(sets(12, &json!(1))).await, 200);
+        assert_eq!(caller.commit(commit_of_writes(12, &json!(1))).await, 200);
     });
 }
 
 #[test]
 fn lists_come_in_pages_and_watches_forget() {
     in_world(|| async move {
-        let (world, caller) = world_with(StateLimits {
+        let (world, caller) = world_with_limits(StateLimits {
             txn_ops: 2000,
-            ..SIZES_ONLY
+            ..SIZE_LIMITS_ONLY
         })
         .await;
-        assert_eq!(caller.commit(sets(1200, &json!(1))).await, 200);
+        assert_eq!(caller.commit(commit_of_writes(1200, &json!(1))).await, 200);
         let cases = [
             ("/store?prefix=c/", 1000, true),
             ("/store?prefix=c/&limit=10", 10, true),
@@ -174,7 +189,9 @@
             assert_eq!(page["truncated"], json!(truncated), "{path}");
         }
         for n in 0..100 {
-            world.state.write(&format!("long/{n:03}"), &value_of(8000));
+            world
+                .state
+                .write(&format!("long/{n:03}"), &value_with_length(8000));
         }
         let (_, page) = caller.get("/store?prefix=long/").await;
         let bytes = page["pairs"].to_string().len();
@@ -183,10 +200,10 @@
         let before = caller.get("/store/none").await.1["ledger_rev"].clone();
         let watch = format!("/watch?prefix=c/&after={before}");
         for _ in 0..10 {
-            assert_eq!(caller.commit(sets(1000, &json!(1))).await, 200);
+            assert_eq!(caller.commit(commit_of_writes(1000, &json!(1))).await, 200);
         }
         assert_eq!(caller.get(&watch).await.0, 200);
-        assert_eq!(caller.commit(sets(1, &json!(1))).await, 200);
+        assert_eq!(caller.commit(commit_of_writes(1, &json!(1))).await, 200);
         assert_eq!(caller.get(&watch).await.0, 410);
     });
 }
@@ -216,7 +233,7 @@
         ),
     ];
     in_world(|| async move {
-        let (world, caller) = world_with(SIZES_ONLY).await;
+        let (world, caller) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (method, path, within, beyond, beyond_path) in cases {
             let (status, _) = caller.ask(addr(CLOUD), method, path, within).await;
             assert_eq!(status, 200, "{path}");
@@ -228,7 +245,7 @@
             let (status, _) = caller.ask(addr(CLOUD), method, path, beyond).await;
             assert_eq!(status, 400, "{path}");
         }
-        assert_eq!(world.cloud_refused.borrow().len(), 3);
+        assert_eq!(world.refused_cloud_requests.borrow().len(), 3);
         let (_, list) = caller
             .ask(addr(CLOUD), "GET", "/rentals?limit=20", None)
             .await;
--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -48,7 +48,7 @@
     }
 
     /// One controller, in one zone.
-    pub fn lone_controller(mut self) -> Self {
+    pub fn single_controller(mut self) -> Self {
         self.shape.controllers = 1;
         self.shape.locations = vec!["a"];
         self.shape.zones = vec!["a"];
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -69,7 +69,9 @@
                 return Response::json(429, &json!({"error": "too many"}));
             }
             if let Some(problem) = cloud_limit_violation(&r, &body) {
-                self.cloud_refused.borrow_mut().push(problem.clone());
+                self.refused_cloud_requests
+                    .borrow_mut()
+                    .push(problem.clone());
                 return Response::json(400, &json!({"error": problem}));
             }
             match (r.method.as_str(), r.path.as_str()) {
@@ -135,7 +137,7 @@
             sequence: Cell::new(0),
             lease_renewed_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
-            sick: Cell::new(false),
+            fails_all_tasks: Cell::new(false),
             deaf: Cell::new(false),
             mute: Cell::new(false),
             hung_until: Cell::new(None),
@@ -143,7 +145,7 @@
             clock_rate: [1.0, 0.9995, 1.0005][n % 3],
             sent: RefCell::default(),
         });
-        let tasks = match self.barren.get() == Some(worker.zone.as_str()) {
+        let tasks = match self.failed_boot_zone.get() == Some(worker.zone.as_str()) {
             true => vec![],
             false => vec![
                 spawn_local(self.clone().serve_commands(worker.clone())),
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Zones a and b no longer reach each other.
-    pub fn shard_zones(&self) {
+    pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
                 self.fabric.cut(w.address, controller(i));
@@ -99,10 +99,10 @@
 
     /// The kept copies of reports reach all controllers, each at once.
     pub fn deliver_copies(self: &Rc<Self>) {
-        let copies = std::mem::take(&mut *self.copies.borrow_mut());
+        let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
             let (world, copies) = (self.clone(), copies.clone());
-            spawn_local(async move { world.replay(i, &copies).await });
+            spawn_local(async move { world.send_heartbeat_copies(i, &copies).await });
         }
     }
 
@@ -116,11 +116,11 @@
             w.mute.set(false);
             w.orders_held.set(Duration::ZERO);
         }
-        self.heal_controllers();
+        self.restore_controllers();
     }
 
     /// Those that have ended start anew, and none stands still.
-    pub fn heal_controllers(&self) {
+    pub fn restore_controllers(&self) {
         for i in 0..self.shape.controllers {
             self.freeze(i, false);
             if self.controllers.borrow()[i].is_none() {
@@ -130,7 +130,7 @@
     }
 
     /// Late copies of all that a worker has ever reported, to one controller.
-    pub async fn replay(&self, i: usize, beats: &[Vec<u8>]) {
+    pub async fn send_heartbeat_copies(&self, i: usize, beats: &[Vec<u8>]) {
         for body in beats {
             let body = Some(body.clone());
             let limit = Duration::from_secs(5);
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -24,7 +24,7 @@
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
-    CONTROLLERS, Shape, World, addr, after, controller, in_real_world, in_world, job, state_addr,
+    CONTROLLERS, Shape, World, addr, after, controller, in_world, job, run_in_real_time, state_addr,
 };
 #[allow(unused_imports)]
 pub use scripted::ScriptedController;
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -194,7 +194,7 @@
         if self.starts.get() == 0 {
             all.push(format!("{}: no task", Rule::NothingRan.name()));
         }
-        for place in self.state.misplaced.borrow().iter() {
+        for place in self.state.misplaced_machines.borrow().iter() {
             all.push(format!("{}: {place}", Rule::Misplaced.name()));
         }
         all
@@ -250,7 +250,9 @@
             return;
         };
         let after = told.elapsed();
-        self.late_starts.borrow_mut().push((task.into(), after));
+        self.starts_after_cancel
+            .borrow_mut()
+            .push((task.into(), after));
         if after > self.cancel_limit() {
             let what = format!("{task} starts on {}", on.name);
             self.report_violation(Rule::RanCancelled, &what);
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -180,16 +180,16 @@
     pub(super) provisioning_requests: RefCell<HashMap<String, Value>>,
     pub(super) cloud_limit: CloudRateLimit,
     /// Requests that the cloud refused as malformed: none may be.
-    pub cloud_refused: RefCell<Vec<String>>,
+    pub refused_cloud_requests: RefCell<Vec<String>>,
     pub broken: RefCell<Vec<String>>,
     pub shape: Shape,
     /// Machines that were ever rented.
     pub rented: Cell<usize>,
     /// The zone in which machines never come up.
-    pub barren: Cell<Option<&'static str>>,
+    pub failed_boot_zone: Cell<Option<&'static str>>,
     pub starts: Cell<usize>,
     /// Starts after a cancellation was confirmed, and how long after.
-    pub late_starts: RefCell<Vec<(String, Duration)>>,
+    pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
     /// Tasks that were done.
     pub(super) done_tasks: RefCell<HashSet<String>>,
     /// What users were told, and when by `counted`'s count.
@@ -198,7 +198,7 @@
     pub(super) polls: RefCell<HashMap<String, JobPolls>>,
     /// The share of the reports of which a copy is kept.
     pub copied: Cell<f64>,
-    pub(super) copies: RefCell<Vec<Vec<u8>>>,
+    pub(super) heartbeat_copies: RefCell<Vec<Vec<u8>>>,
     /// `state.next` in the settings of controllers that start from now on.
     pub next: RefCell<Value>,
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
@@ -257,18 +257,18 @@
             cancelled: RefCell::default(),
             provisioning_requests: RefCell::default(),
             cloud_limit: CloudRateLimit::default(),
-            cloud_refused: RefCell::default(),
+            refused_cloud_requests: RefCell::default(),
             broken: RefCell::default(),
             starts: Cell::new(0),
-            late_starts: RefCell::default(),
+            starts_after_cancel: RefCell::default(),
             done_tasks: RefCell::default(),
             answers: RefCell::default(),
             answer_count: Cell::new(0),
             polls: RefCell::default(),
             copied: Cell::new(0.0),
-            copies: RefCell::default(),
+            heartbeat_copies: RefCell::default(),
             rented: Cell::new(0),
-            barren: Cell::new(None),
+            failed_boot_zone: Cell::new(None),
             next: RefCell::default(),
             controllers: RefCell::new((0..shape.controllers).map(|_| None).collect()),
             frozen: (0..shape.controllers)
@@ -347,7 +347,7 @@
 }
 
 /// Runs a test's world in real time, on sockets of the system.
-pub fn in_real_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub fn run_in_real_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -36,7 +36,7 @@
         let handling = own.clone();
         let handler =
             move |request: shelfhoist::http::Request| -> shelfhoist::http::ResponseFuture {
-                let answer = handling.respond(&request.path);
+                let answer = handling.next_response(&request.path);
                 Box::pin(async move { answer })
             };
         world.serve_at(controller(0), handler).await;
@@ -44,14 +44,14 @@
     }
 
     /// Queues the status and stage of the next response to a user.
-    pub fn answer_next(&self, status: u16, stage: &str) {
+    pub fn queue_response(&self, status: u16, stage: &str) {
         let body = json!({"stage": stage});
         let response = UserResponse { status, body };
         self.responses.borrow_mut().push_back(response);
     }
 
     /// Commands go to workers directly: heartbeats only renew the leases.
-    fn respond(&self, path: &str) -> Response {
+    fn next_response(&self, path: &str) -> Response {
         if path == "/agent/beat" {
             return Response::json(200, &json!({"baton": FENCING_TOKEN, "orders": []}));
         }
@@ -61,7 +61,7 @@
     }
 
     /// Has a worker execute one command, at once.
-    pub async fn order(&self, machine: usize, action: &str, task: &str) {
+    pub async fn send_command(&self, machine: usize, action: &str, task: &str) {
         let name = format!("host-{machine:06}");
         let worker = self.world.workers.borrow()[&name].0.clone();
         let orders = json!({"baton": FENCING_TOKEN, "shift": worker.epoch.get(),
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -87,7 +87,8 @@
             .writes
             .refuses(self.limits.get().write_rps, writes.len())
         {
-            self.too_many.set(self.too_many.get() + 1);
+            self.rate_limited_commits
+                .set(self.rate_limited_commits.get() + 1);
             return Response::json(429, &json!({"error": "too many"}));
         }
         let mut permits = writes.iter().filter_map(|w| w["permit"].as_u64());
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -46,15 +46,15 @@
     /// Commits refused for their size: none may be that keep to the limits.
     pub beyond: RefCell<Vec<String>>,
     /// Requests refused for their rate.
-    pub too_many: Cell<usize>,
+    pub rate_limited_commits: Cell<usize>,
     /// The same of requests of any kind.
-    pub too_many_requests: Cell<usize>,
+    pub rate_limited_requests: Cell<usize>,
     /// What may be written at once.
     writes: RateLimit,
     /// What may be asked at once.
     requests: RateLimit,
     /// Machines that stood in two zone shards or in two machine shards at a revision.
-    pub misplaced: RefCell<Vec<String>>,
+    pub misplaced_machines: RefCell<Vec<String>>,
     /// Controllers whose records are those of the program in production: they do
     /// not tell of any formats, nor record what others tell.
     pub older: RefCell<BTreeSet<usize>>,
@@ -99,11 +99,11 @@
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             limits: Cell::default(),
             beyond: RefCell::default(),
-            too_many: Cell::default(),
-            too_many_requests: Cell::default(),
+            rate_limited_commits: Cell::default(),
+            rate_limited_requests: Cell::default(),
             writes: RateLimit::default(),
             requests: RateLimit::default(),
-            misplaced: RefCell::default(),
+            misplaced_machines: RefCell::default(),
             older: RefCell::default(),
             conflicts: Cell::default(),
             gate: RefCell::default(),
@@ -144,7 +144,8 @@
                 return Response::empty(503);
             }
             if self.requests.refuses(self.limits.get().rps, 1) {
-                self.too_many_requests.set(self.too_many_requests.get() + 1);
+                self.rate_limited_requests
+                    .set(self.rate_limited_requests.get() + 1);
                 return Response::json(429, &json!({"error": "too many"}));
             }
             let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
--- a/tests/stand_ins/state_service/places.rs
+++ b/tests/stand_ins/state_service/places.rs
@@ -51,7 +51,7 @@
             for name in names {
                 if let Some(other) = seen.insert(name.clone(), key.clone()) {
                     let place = format!("{name} in {other} and {key} at {at}");
-                    self.misplaced.borrow_mut().push(place);
+                    self.misplaced_machines.borrow_mut().push(place);
                 }
             }
         }
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -37,7 +37,7 @@
     pub(super) clock_rate: f64,
     pub(super) tasks: RefCell<BTreeMap<String, Task>>,
     /// Rejects every task it starts.
-    pub sick: Cell<bool>,
+    pub fails_all_tasks: Cell<bool>,
     /// Its reports arrive, but no answer and no order reaches it.
     pub deaf: Cell<bool>,
     /// It reaches no controller, while direct orders reach it.
@@ -93,7 +93,7 @@
                         continue;
                     }
                     let run = world.task_run_time(&o.task);
-                    let fails = self.sick.get() || world.is_faulty_job(&o.task);
+                    let fails = self.fails_all_tasks.get() || world.is_faulty_job(&o.task);
                     let exit_reason = fails.then_some(ExitReason::Error);
                     // The result of a task that has once ended is kept.
                     let run = match world.done_tasks.borrow().contains(&o.task) {
@@ -273,7 +273,7 @@
                 w.sent.borrow_mut().push(body.clone());
             }
             if self.state.draw_bool(self.copied.get()) {
-                self.copies.borrow_mut().push(body.clone());
+                self.heartbeat_copies.borrow_mut().push(body.clone());
             }
             let call = client.call(
                 controller(to),
