--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -1,25 +1,26 @@
-//! The builder of scenarios: a seed, what differs from the usual deployment, and
-//! the test that runs in it.
+//! A builder for simulated deployments: it takes a seed and the options that differ
+//! from the defaults, and runs a test in the deployment.
 
 use std::future::Future;
 use std::rc::Rc;
 
 use super::scenario::{Shape, World, in_world};
 
-/// A deployment that a test runs in, in simulated time.
+/// A builder for a deployment in simulated time that runs one test.
 pub struct Scenario {
     seed: u64,
     shape: Shape,
 }
 
 impl Scenario {
-    /// The usual deployment: three controllers in two zones, two small teams.
+    /// Returns a scenario with the default deployment: three controllers in two zones and
+    /// two teams with small quotas.
     pub fn new(seed: u64) -> Self {
         let shape = Shape::default();
         Scenario { seed, shape }
     }
 
-    /// Teams with room for all that a test submits.
+    /// Returns a scenario whose teams have quotas above anything that a test submits.
     pub fn with_large_teams(seed: u64) -> Self {
         let teams = [("t", 64.0), ("u", 64.0)];
         let shape = Shape {
@@ -29,25 +30,26 @@
         Scenario { seed, shape }
     }
 
-    /// How long a cancelled task may still be on its machine.
+    /// Sets the time in seconds within which a cancelled task must leave its machine.
     pub fn cancel_s(mut self, seconds: f64) -> Self {
         self.shape.cancel_s = seconds;
         self
     }
 
-    /// How long a machine takes before its worker reports.
+    /// Sets the time in seconds between the rental of a machine and its worker's first
+    /// heartbeat.
     pub fn boot_s(mut self, seconds: f64) -> Self {
         self.shape.boot_s = seconds;
         self
     }
 
-    /// How often a worker reports.
+    /// Sets the interval between the heartbeats of a worker, in seconds.
     pub fn report_s(mut self, seconds: f64) -> Self {
         self.shape.report_s = seconds;
         self
     }
 
-    /// One controller, in one zone.
+    /// Reduces the deployment to one controller and one zone.
     pub fn single_controller(mut self) -> Self {
         self.shape.controllers = 1;
         self.shape.locations = vec!["a"];
@@ -56,7 +58,7 @@
         self
     }
 
-    /// Starts the deployment and runs the test in it.
+    /// Starts the deployment and runs `test` in it.
     pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<World>) -> F) {
         in_world(|| async move {
             let world = World::of(self.seed, self.shape).await;
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud: machine types, rentals, returns and the list of machines.
+//! The simulated cloud: it lists machine types, rents and takes back machines, and lists
+//! the rented ones.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,26 +13,31 @@
 use super::scenario::{CLOUD_RPS, World, addr};
 use super::worker::Worker;
 
-/// The most machines of one rental, of one return and of one page of the list.
+/// Maximum number of machines in one rental request.
 const MAX_RENTED_MACHINES: u64 = 50;
+/// Maximum number of machines in one return request.
 const MAX_RETURNED_MACHINES: usize = 100;
+/// Maximum number of machines in one page of the list.
 const MAX_LISTED_MACHINES: usize = 500;
 
-/// Bursts of so many seconds' worth of requests are allowed.
+/// Size of the largest burst, as the time in seconds in which the cloud's request rate
+/// permits as many requests.
 const MAX_BURST_S: f64 = 2.0;
 
-/// What may be asked of the cloud at once, and when that was.
+/// A token bucket that limits requests to the cloud: the number of requests left, and the
+/// time at which that number applied.
 #[derive(Default)]
 pub struct CloudRateLimit(Cell<Option<(f64, Instant)>>);
 
 impl CloudRateLimit {
-    /// Takes a request; whether it is one too many.
+    /// Counts one request, and returns whether it exceeds the rate. A refused request uses
+    /// up nothing.
     fn refuses_request(&self) -> bool {
         let now = Instant::now();
-        let most = CLOUD_RPS * MAX_BURST_S;
-        let (level, at) = self.0.get().unwrap_or((most, now));
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        let level = (level + passed * CLOUD_RPS).min(most);
+        let burst = CLOUD_RPS * MAX_BURST_S;
+        let (level, at) = self.0.get().unwrap_or((burst, now));
+        let elapsed_s = now.saturating_duration_since(at).as_secs_f64();
+        let level = (level + elapsed_s * CLOUD_RPS).min(burst);
         let exceeded = level < 1.0;
         self.0
             .set(Some((if exceeded { level } else { level - 1.0 }, now)));
@@ -39,18 +45,18 @@
     }
 }
 
-/// Why a request is beyond what the protocol allows, if it is.
+/// Returns a description of the request if it exceeds a limit of the protocol.
 fn cloud_limit_violation(request: &Request, body: &Value) -> Option<String> {
     let rented = body["number"].as_u64().unwrap_or(0);
     let returned = body["bays"].as_array().map_or(0, Vec::len);
     let listed = query_value(&request.query, "limit").and_then(|v| v.parse().ok());
-    let beyond = match (request.method.as_str(), request.path.as_str()) {
+    let is_exceeded = match (request.method.as_str(), request.path.as_str()) {
         ("POST", "/rentals") => !(1..=MAX_RENTED_MACHINES).contains(&rented),
         ("POST", "/rentals/return") => returned > MAX_RETURNED_MACHINES,
         ("GET", "/rentals") => listed.unwrap_or(0) > MAX_LISTED_MACHINES,
         _ => false,
     };
-    beyond.then(|| {
+    is_exceeded.then(|| {
         format!(
             "{} {}?{}: {body}",
             request.method, request.path, request.query
@@ -59,34 +65,38 @@
 }
 
 impl World {
+    /// Serves one request to the cloud.
     pub(super) fn handle_cloud_request(
         self: Rc<Self>,
-        r: Request,
+        request: Request,
     ) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
-            let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
+            let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
             if self.cloud_limit.refuses_request() {
                 return Response::json(429, &json!({"error": "too many"}));
             }
-            if let Some(problem) = cloud_limit_violation(&r, &body) {
+            if let Some(problem) = cloud_limit_violation(&request, &body) {
                 self.refused_cloud_requests
                     .borrow_mut()
                     .push(problem.clone());
                 return Response::json(400, &json!({"error": problem}));
             }
-            match (r.method.as_str(), r.path.as_str()) {
+            match (request.method.as_str(), request.path.as_str()) {
                 ("GET", "/flavors") => {
-                    let t = |name: &str, vcpus: f64| {
+                    let machine_type = |name: &str, vcpus: f64| {
                         json!({"label": name, "vcpus": vcpus, "cards": 0.0, "ram_gb": 16.0,
                             "local_gb": 50.0, "pull_gb_per_s": 1.0, "hourly": vcpus / 10.0,
                             "spot_price": vcpus / 30.0, "ready_s": self.shape.ready_s, "yards": self.shape.zones})
                     };
-                    Response::json(200, &json!({"grades": [t("small", 4.0), t("big", 8.0)]}))
+                    Response::json(
+                        200,
+                        &json!({"grades": [machine_type("small", 4.0), machine_type("big", 8.0)]}),
+                    )
                 }
                 ("POST", "/rentals") => {
                     let hire = body["hire"].as_str().unwrap_or("").to_string();
-                    if let Some(known) = self.provisioning_requests.borrow().get(&hire) {
-                        return Response::json(200, known);
+                    if let Some(first_answer) = self.provisioning_requests.borrow().get(&hire) {
+                        return Response::json(200, first_answer);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
                         .map(|_| self.boot_machine(&body))
@@ -104,17 +114,17 @@
                     Response::empty(200)
                 }
                 _ => {
-                    let after = query_value(&r.query, "after").unwrap_or("");
-                    let limit = query_value(&r.query, "limit").and_then(|v| v.parse().ok());
+                    let after = query_value(&request.query, "after").unwrap_or("");
+                    let limit = query_value(&request.query, "limit").and_then(|v| v.parse().ok());
                     let limit = limit.unwrap_or(MAX_LISTED_MACHINES);
                     let workers = self.workers.borrow();
-                    let listed = workers.iter().filter(|(n, _)| n.as_str() > after);
+                    let listed = workers.iter().filter(|(name, _)| name.as_str() > after);
                     let truncated = listed.clone().count() > limit;
                     let bays: Vec<Value> = listed
                         .take(limit)
-                        .map(|(n, (w, _))| {
-                            json!({"name_id": n, "endpoint": w.address.to_string(), "grade": w.machine_type,
-                                "yard": w.zone, "loaners": false, "stage": "running", "age_s": 1.0})
+                        .map(|(name, (worker, _))| {
+                            json!({"name_id": name, "endpoint": worker.address.to_string(), "grade": worker.machine_type,
+                                "yard": worker.zone, "loaners": false, "stage": "running", "age_s": 1.0})
                         })
                         .collect();
                     Response::json(200, &json!({"bays": bays, "truncated": truncated}))
@@ -123,15 +133,17 @@
         })
     }
 
+    /// Boots a machine with the type and zone of a rental request, and returns its name.
+    /// Its worker starts unless boots fail in the zone.
     pub(super) fn boot_machine(self: &Rc<Self>, body: &Value) -> String {
-        let n = self.rented.get();
-        self.rented.set(n + 1);
-        let name = format!("host-{n:06}");
+        let number = self.rented.get();
+        self.rented.set(number + 1);
+        let name = format!("host-{number:06}");
         let worker = Rc::new(Worker {
             name: name.clone(),
             machine_type: body["grade"].as_str().unwrap_or("").to_string(),
             zone: body["yard"].as_str().unwrap_or("").to_string(),
-            address: addr(&format!("127.1.{}.{}:9000", n / 250, n % 250 + 1)),
+            address: addr(&format!("127.1.{}.{}:9000", number / 250, number % 250 + 1)),
             fencing_token: Cell::new(0),
             epoch: Cell::new(1),
             sequence: Cell::new(0),
@@ -142,7 +154,7 @@
             mute: Cell::new(false),
             hung_until: Cell::new(None),
             orders_held: Cell::new(Duration::ZERO),
-            clock_rate: [1.0, 0.9995, 1.0005][n % 3],
+            clock_rate: [1.0, 0.9995, 1.0005][number % 3],
             sent: RefCell::default(),
         });
         let tasks = match self.failed_boot_zone.get() == Some(worker.zone.as_str()) {
@@ -158,7 +170,7 @@
         name
     }
 
-    /// The machine and all on it are gone at once.
+    /// Removes a machine and all of its tasks from the deployment, without notice.
     pub fn lose(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers under test: the real program, each in a task set of its own.
+//! The controllers under test: each runs the real program in a task set of its own.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,7 +11,8 @@
 
 use super::scenario::{World, addr, controller, mesh_address};
 
-/// A controller that can stand still while its clocks run on.
+/// A controller that can be paused while its clocks keep running, like a suspended
+/// process.
 struct PausableController {
     set: LocalSet,
     frozen: watch::Sender<bool>,
@@ -21,11 +22,11 @@
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         if *self.frozen.borrow() {
-            // Whoever thaws it wakes it.
-            let mut thawed = self.frozen.subscribe();
+            // The sender that ends the pause wakes this future.
+            let mut pause = self.frozen.subscribe();
             let waker = cx.waker().clone();
             spawn_local(async move {
-                let _ = thawed.wait_for(|f| !f).await;
+                let _ = pause.wait_for(|is_frozen| !is_frozen).await;
                 waker.wake();
             });
             return Poll::Pending;
@@ -35,26 +36,28 @@
 }
 
 impl World {
-    /// A controller stands still while its clocks run on, or goes on.
+    /// Pauses a controller while its clocks keep running, or resumes it if `frozen` is
+    /// false.
     pub fn freeze(&self, i: usize, frozen: bool) {
         self.frozen[i].send_replace(frozen);
     }
 
-    /// Starts a controller as a new process.
+    /// Starts a controller as a new process would start: without any state in memory.
     pub fn start(&self, i: usize) {
         let net = self.net(controller(i));
-        // Another run of the process draws other numbers.
+        // Each start of the process draws different random numbers.
         self.runs.set(self.runs.get() + 1);
         let seed = self.seed * 1000 + self.runs.get();
         let mut shape = self.shape.clone();
         if !self.next.borrow().is_null() {
             shape.state["next"] = self.next.borrow().clone();
         }
-        if let Some(on) = self.shares.borrow().get(&i) {
-            shape.shares = *on;
+        if let Some(enabled) = self.shares.borrow().get(&i) {
+            shape.shares = *enabled;
         }
         let controller = Controller::new(shape.settings(i), net, seed);
-        // A set of its own: all that the controller spawned ends with it.
+        // The controller has a task set of its own, so that every task that it spawns ends
+        // with it.
         let set = LocalSet::new();
         set.spawn_local(async move {
             let _ = shelfhoist::daemon::run(controller).await;
@@ -63,7 +66,7 @@
         self.controllers.borrow_mut()[i] = Some(spawn_local(PausableController { set, frozen }));
     }
 
-    /// Ends a controller at once; its connections are refused.
+    /// Ends a controller without a shutdown; connections to it are refused afterwards.
     pub fn kill(&self, i: usize) {
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
@@ -72,10 +75,11 @@
         self.fabric.close(addr(&mesh_address(i)));
     }
 
-    /// Each machine's home and owner, as the state has them.
+    /// Returns the home controller and the owner of each machine, as the stored records
+    /// name them.
     pub fn holders(&self) -> Vec<(String, String)> {
         let pairs = self.state.pairs.borrow();
-        let mut all = Vec::new();
+        let mut owners = Vec::new();
         for (key, (machine_shard, _)) in pairs.iter() {
             let shard = key
                 .strip_prefix("sh/machine/")
@@ -83,19 +87,19 @@
             let Some((_, shard)) = shard else { continue };
             let home = shard.split('.').next().unwrap_or("");
             let machine_shard: MachineShard =
-                serde_json::from_str(&machine_shard.to_string()).expect("group");
+                serde_json::from_str(&machine_shard.to_string()).expect("a machine shard record");
             for machine in machine_shard.machines.into_values() {
-                all.push((home.to_string(), machine.owner));
+                owners.push((home.to_string(), machine.owner));
             }
         }
-        all
+        owners
     }
 
-    /// The controller that holds most machines.
+    /// Returns the index of the controller that owns the most machines.
     pub fn busiest(&self) -> usize {
         let holders = self.holders();
-        let held = |i: usize| holders.iter().filter(|h| h.1 == format!("n{i}")).count();
-        let all = 0..self.shape.controllers;
-        all.max_by_key(|i| held(*i)).unwrap_or(0)
+        let owned_count = |i: usize| holders.iter().filter(|h| h.1 == format!("n{i}")).count();
+        let controllers = 0..self.shape.controllers;
+        controllers.max_by_key(|i| owned_count(*i)).unwrap_or(0)
     }
 }
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the network and of messages, and their end.
+//! Injection of network faults and of duplicate heartbeats, and their removal.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -10,7 +10,8 @@
 use super::state_service::{StateTroubles, Trouble};
 
 impl World {
-    /// Zones a and b no longer reach each other.
+    /// Cuts the connections between workers and the controllers of other zones. Connections
+    /// among controllers, and to the state service and the cloud, stay.
     pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
@@ -20,7 +21,8 @@
         }
     }
 
-    /// A controller and the others lose each other, and nobody else.
+    /// Cuts the connections between a controller and the other controllers, or repairs them
+    /// if `cut` is false. Its connections to everything else stay.
     pub fn cut_peers(&self, i: usize, cut: bool) {
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
             for (from, to) in [(i, j), (j, i)] {
@@ -34,16 +36,19 @@
         }
     }
 
-    /// A controller is cut off from everything, or is back.
+    /// Cuts all connections of a controller, or repairs them if `cut` is false.
     pub fn cut_controller(&self, i: usize, cut: bool) {
-        let mut others = vec![state_addr(i), addr(CLOUD), addr(USERS)];
-        others.extend(self.workers.borrow().values().map(|(w, _)| w.address));
+        let mut remote_addrs = vec![state_addr(i), addr(CLOUD), addr(USERS)];
+        remote_addrs.extend(self.workers.borrow().values().map(|(w, _)| w.address));
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
-            others.extend([controller(j), addr(&mesh_address(j))]);
+            remote_addrs.extend([controller(j), addr(&mesh_address(j))]);
         }
-        let own = [controller(i), addr(&mesh_address(i))];
-        for (here, there) in others.iter().flat_map(|o| own.map(|h| (h, *o))) {
-            for (from, to) in [(here, there), (there, here)] {
+        let own_addrs = [controller(i), addr(&mesh_address(i))];
+        for (own, remote) in remote_addrs
+            .iter()
+            .flat_map(|remote| own_addrs.map(|own| (own, *remote)))
+        {
+            for (from, to) in [(own, remote), (remote, own)] {
                 match cut {
                     true => self.fabric.cut(from, to),
                     false => self.fabric.repair(from, to),
@@ -52,8 +57,8 @@
         }
     }
 
-    /// A controller and the workers that are there lose each other, and no one
-    /// else, or have each other back.
+    /// Cuts the connections between a controller and the present workers, or repairs them if
+    /// `cut` is false. Workers that start later are not affected.
     pub fn cut_workers(&self, i: usize, cut: bool) {
         for (w, _) in self.workers.borrow().values() {
             for (from, to) in [(w.address, controller(i)), (controller(i), w.address)] {
@@ -65,10 +70,10 @@
         }
     }
 
-    /// A zone with its machines and controllers is cut off from everything, or
-    /// is back.
+    /// Cuts all connections of a zone's machines and controllers to the outside, or repairs
+    /// them if `cut` is false.
     pub fn cut_zone(&self, zone: &str, cut: bool) {
-        let set = |a: SocketAddrV4, b: SocketAddrV4| {
+        let set_link = |a: SocketAddrV4, b: SocketAddrV4| {
             for (from, to) in [(a, b), (b, a)] {
                 match cut {
                     true => self.fabric.cut(from, to),
@@ -77,27 +82,27 @@
             }
         };
         for i in 0..self.shape.controllers {
-            let here = self.shape.locations[i] == zone;
+            let is_inside = self.shape.locations[i] == zone;
             for (w, _) in self.workers.borrow().values() {
-                if (w.zone == zone) != here {
-                    set(w.address, controller(i));
+                if (w.zone == zone) != is_inside {
+                    set_link(w.address, controller(i));
                 }
             }
             for j in 0..self.shape.controllers {
-                if here && self.shape.locations[j] != zone {
-                    set(controller(i), controller(j));
-                    set(controller(i), addr(&mesh_address(j)));
-                    set(controller(j), addr(&mesh_address(i)));
+                if is_inside && self.shape.locations[j] != zone {
+                    set_link(controller(i), controller(j));
+                    set_link(controller(i), addr(&mesh_address(j)));
+                    set_link(controller(j), addr(&mesh_address(i)));
                 }
             }
-            if here {
-                set(controller(i), state_addr(i));
-                set(controller(i), addr(CLOUD));
+            if is_inside {
+                set_link(controller(i), state_addr(i));
+                set_link(controller(i), addr(CLOUD));
             }
         }
     }
 
-    /// The kept copies of reports reach all controllers, each at once.
+    /// Sends the kept copies of heartbeats to all controllers, to all of them concurrently.
     pub fn deliver_copies(self: &Rc<Self>) {
         let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
@@ -106,7 +111,8 @@
         }
     }
 
-    /// All that a test has brought about is over, and who ended is back.
+    /// Removes the faults of the state service and the workers, resumes paused controllers
+    /// and restarts those that were killed. Cut connections are not repaired.
     pub fn heal(&self) {
         self.state.trouble.set(Trouble::None);
         self.state.troubles.replace(StateTroubles::default());
@@ -119,7 +125,7 @@
         self.restore_controllers();
     }
 
-    /// Those that have ended start anew, and none stands still.
+    /// Resumes paused controllers and restarts those that were killed.
     pub fn restore_controllers(&self) {
         for i in 0..self.shape.controllers {
             self.freeze(i, false);
@@ -129,9 +135,10 @@
         }
     }
 
-    /// Late copies of all that a worker has ever reported, to one controller.
-    pub async fn send_heartbeat_copies(&self, i: usize, beats: &[Vec<u8>]) {
-        for body in beats {
+    /// Sends copies of earlier heartbeats to one controller, as messages that the network
+    /// delayed and duplicated.
+    pub async fn send_heartbeat_copies(&self, i: usize, heartbeats: &[Vec<u8>]) {
+        for body in heartbeats {
             let body = Some(body.clone());
             let limit = Duration::from_secs(5);
             let call = self
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -1,7 +1,7 @@
-//! A record of the frames that pass between the controllers and the stand-ins: every
-//! request and every answer at the state service, the cloud, the workers and the users.
-//! Two runs whose records have the same digest exchanged the same requests and answers at
-//! the same moments of simulated time.
+//! A recorder of the frames between the controllers and the stand-ins: every request and
+//! every response at the state service, the cloud, the workers and the users. Two runs
+//! whose recordings have the same digest exchanged the same requests and responses at the
+//! same points of simulated time.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -14,14 +14,15 @@
 
 use super::scenario::World;
 
-/// The 64-bit FNV-1a hash, of one field after another.
+/// The state of a 64-bit FNV-1a hash over a sequence of fields.
 struct Fnv1a(u64);
 
 impl Fnv1a {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-    /// Takes in one field, and its length, so that bytes can't move between fields.
+    /// Hashes the length and the bytes of one field. With the length, the same bytes that
+    /// are divided into fields differently give a different hash.
     fn update(&mut self, field: &[u8]) {
         let length = (field.len() as u64).to_le_bytes();
         for byte in length.iter().chain(field) {
@@ -33,11 +34,11 @@
 /// One recorded frame.
 #[derive(Debug, Clone)]
 struct Frame {
-    /// The simulated time since recording began.
+    /// Simulated time since the recording began.
     at: Duration,
-    /// The address of the stand-in that received or sent it.
+    /// Address of the stand-in that received or sent the frame.
     stand_in: SocketAddrV4,
-    /// Whether it is a request or an answer, and to what.
+    /// Description of the request, or of the response and the request that it belongs to.
     head: String,
     body: Vec<u8>,
 }
@@ -49,27 +50,28 @@
     }
 }
 
-/// All frames of a run: by their time, those of one moment by their stand-in, and those
-/// of one stand-in as they came.
+/// All frames of a run, in the order of their time, then of the address of their stand-in,
+/// then of their arrival.
 ///
-/// Frames of one moment at different stand-ins are sorted because their order is no
-/// behaviour: a controller that sends orders to several workers at once walks a map whose
-/// order is random (`run_commands`).
+/// Frames with equal times are sorted by stand-in because their order is not significant:
+/// a controller that sends commands to several workers at the same time iterates over a
+/// map whose order is random (`run_commands`).
 #[derive(Debug)]
 pub struct Frames(Vec<Frame>);
 
 impl Frames {
+    /// Returns the frames in their sorted order.
     fn sorted(mut frames: Vec<Frame>) -> Self {
         frames.sort_by_key(|frame| (frame.at, frame.stand_in));
         Frames(frames)
     }
 
-    /// How many there are.
+    /// Returns the number of frames.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// The digest of all.
+    /// Returns the digest over all frames.
     pub fn digest(&self) -> u64 {
         let mut hash = Fnv1a(Fnv1a::OFFSET_BASIS);
         for frame in &self.0 {
@@ -81,15 +83,15 @@
         hash.0
     }
 
-    /// The number of the first frame that another run does not have alike, with the
-    /// frame of each, in words.
+    /// Returns a description of the first position at which two runs differ, with the frame
+    /// of each run, or `None` if the runs are equal.
     pub fn first_difference(&self, other: &Frames) -> Option<String> {
-        let describe = |frames: &Frames, n: usize| match frames.0.get(n) {
+        let describe = |frames: &Frames, position: usize| match frames.0.get(position) {
             Some(frame) => frame.to_string(),
             None => "no frame".to_string(),
         };
-        let longer = self.count().max(other.count());
-        let pairs = (0..longer).map(|n| (n, describe(self, n), describe(other, n)));
+        let longer_count = self.count().max(other.count());
+        let pairs = (0..longer_count).map(|n| (n, describe(self, n), describe(other, n)));
         let mut differing = pairs.filter(|(_, own, others)| own != others);
         differing
             .next()
@@ -97,8 +99,8 @@
     }
 }
 
-/// The frames since recording began. Nothing is recorded before, as most tests have
-/// no use for it.
+/// A recorder of frames. It records nothing until [`begin`](Self::begin) is called, since
+/// most tests do not read the frames.
 #[derive(Debug, Default)]
 pub struct FrameRecord {
     began: Cell<Option<Instant>>,
@@ -106,18 +108,18 @@
 }
 
 impl FrameRecord {
-    /// Records all frames from now on.
+    /// Starts the recording.
     pub fn begin(&self) {
         self.began.set(Some(Instant::now()));
     }
 
-    /// Ends the recording, and returns the frames.
+    /// Ends the recording and returns its frames.
     pub fn finish(&self) -> Frames {
         self.began.set(None);
         Frames::sorted(self.frames.take())
     }
 
-    /// Records one frame at the stand-in with this address.
+    /// Records one frame at the stand-in with address `stand_in`.
     fn push(&self, stand_in: SocketAddrV4, head: &str, body: &[u8]) {
         if let Some(began) = self.began.get() {
             self.frames.borrow_mut().push(Frame {
@@ -129,20 +131,22 @@
         }
     }
 
-    fn record_response(&self, at: SocketAddrV4, asked: &str, response: &Response) {
+    /// Records a response to `request` at the stand-in with address `stand_in`.
+    fn record_response(&self, stand_in: SocketAddrV4, request: &str, response: &Response) {
         let Response {
             status,
             retry_after,
             text,
             ..
         } = response;
-        let head = format!("answer {status} {retry_after:?} {text} to {asked}");
-        self.push(at, &head, &response.body);
+        let head = format!("answer {status} {retry_after:?} {text} to {request}");
+        self.push(stand_in, &head, &response.body);
     }
 }
 
 impl World {
-    /// The handler of a stand-in, with its requests and answers recorded.
+    /// Wraps the request handler of a stand-in so that its requests and responses are
+    /// recorded.
     pub(super) fn recorded_handler(
         &self,
         at: SocketAddrV4,
@@ -161,15 +165,15 @@
         }
     }
 
-    /// A client for the stand-in with this address, with its calls recorded.
+    /// Returns an HTTP client for the stand-in with address `at` that records its calls.
     pub(super) fn recorded_client(&self, at: SocketAddrV4, max_idle: Duration) -> RecordedClient {
         let client = Client::new(self.net(at), max_idle);
         RecordedClient::new(client, at, self.frames.clone())
     }
 }
 
-/// The client of a stand-in that calls controllers: it records what it sends, and what
-/// it is answered.
+/// The HTTP client of a stand-in that calls controllers. It records its requests and their
+/// responses.
 pub(super) struct RecordedClient {
     client: Client,
     at: SocketAddrV4,
@@ -177,11 +181,12 @@
 }
 
 impl RecordedClient {
+    /// Returns a client that records its calls in `frames`, at the address `at`.
     pub(super) fn new(client: Client, at: SocketAddrV4, frames: Rc<FrameRecord>) -> Self {
         RecordedClient { client, at, frames }
     }
 
-    /// The same as [`Client::call`].
+    /// Sends a request like [`Client::call`], and records it with its response.
     pub(super) async fn call(
         &self,
         to: SocketAddrV4,
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what the service talks to: state service, cloud, workers.
-//! They speak the protocol over a fabric inside the process, in simulated
-//! time, and they watch the rules that tests assert on.
+//! Simulated counterparts of the controllers under test: state service, cloud, workers and
+//! users. They communicate by the protocol over a simulated network inside the process, in
+//! simulated time, and check the rules of the protocol that tests assert on.
 
 mod builder;
 mod cloud;
@@ -15,7 +15,7 @@
 mod users;
 mod worker;
 
-// Each file of tests uses a part of them.
+// Each test target uses only some of these items.
 #[allow(unused_imports)]
 pub use builder::Scenario;
 #[allow(unused_imports)]
