--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -1,11 +1,11 @@
-//! The rule checker: it holds every start, every task on a machine and every
-//! answer to a user against the rules of the protocol.
+//! The rule checker. It checks every task start, every task on a machine and every answer
+//! to a user against the rules of the protocol.
 //!
-//! What it does not judge, since the stand-ins do not see it:
+//! Two limits of the checks:
 //!
-//! - `wrong_place` for the kind of machine: the stand-in cloud rents ordinary
+//! - `wrong_place` is not checked for spot machines: the simulated cloud rents regular
 //!   machines only, so no task can start on a spot machine.
-//! - `nothing_ran` is judged at the end of a test, by [`World::assert_kept`].
+//! - `nothing_ran` is checked only at the end of a test, by [`World::assert_kept`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use super::scenario::World;
 use super::worker::Worker;
 
-/// For how long every poll for a job may fail while most others get answers.
+/// Time for which every poll for a job may fail while most polls for other jobs succeed.
 const MAX_POLL_FAILURE_TIME: Duration = Duration::from_secs(90);
-/// Polls farther apart than this are no series: users poll every 5 s.
+/// Maximum time between two polls of one series of failures. Users poll every 5 s.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(15);
 
-/// What the checker reports: the rules of the protocol, and some that follow
-/// from its text.
+/// A rule whose violations the checker reports. Most are named by the protocol; those with
+/// a description follow from its text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
     RanTwice,
@@ -34,18 +34,18 @@
     NotDone,
     WentBack,
     NothingRan,
-    /// A task starts whose job nobody submitted.
+    /// A start of a task whose job was never submitted.
     UnknownJob,
-    /// A task starts before a job that its own job awaits is done.
+    /// A start of a task before all dependencies of its job are done.
     TooEarly,
-    /// A job that awaits a cancelled one is not called cancelled in time.
+    /// A job with a cancelled dependency that is not reported as cancelled in time.
     Orphaned,
-    /// A machine stands in two shards or two machine shards of the stored records.
+    /// A machine in two zone shards or two machine shards of the stored records.
     Misplaced,
 }
 
 impl Rule {
-    /// Every rule that is judged.
+    /// All rules that the checker checks.
     pub const ALL: [Rule; 13] = [
         Rule::RanTwice,
         Rule::Quota,
@@ -62,7 +62,7 @@
         Rule::Misplaced,
     ];
 
-    /// The rule's name in reports, the protocol's where it has one.
+    /// Returns the rule's name in reports: the name in the protocol if it has one.
     pub fn name(self) -> &'static str {
         match self {
             Rule::RanTwice => "ran_twice",
@@ -82,8 +82,8 @@
     }
 }
 
-/// What users were told of a job, each with the count at which the first such
-/// answer came: whoever asks later must not be told anything older.
+/// The requests and answers about one job up to now. Each first answer is stored with its
+/// sequence number, as a request that is sent later must not get an older state.
 #[derive(Debug, Default, Clone)]
 pub(super) struct JobAnswers {
     pub(super) submitted: bool,
@@ -92,21 +92,22 @@
     ended: Option<(String, u64)>,
 }
 
-/// The polls for one job.
+/// The times of the polls for one job.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct JobPolls {
     last: Option<Instant>,
     answered: Option<Instant>,
-    /// When the present series of failures began.
+    /// Start of the current series of failed polls.
     failing_since: Option<Instant>,
 }
 
-/// The job of a task.
+/// Returns the ID of the job that a task belongs to.
 pub(super) fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or("")
 }
 
-/// Whether a job may run on a machine with this property.
+/// Returns whether the job may run on a machine whose property `field` has the value
+/// `given`.
 fn is_allowed(job: &Value, field: &str, given: &str) -> bool {
     match &job[field] {
         Value::Array(some) => some.iter().any(|one| one == given),
@@ -115,15 +116,16 @@
     }
 }
 
-// What is true of jobs.
+// The actual states of jobs.
 impl World {
-    /// How many tasks of a job have completed.
+    /// Returns the number of completed tasks of a job.
     fn completed_task_count(&self, id: &str) -> u64 {
         let completed = self.done_tasks.borrow();
         completed.iter().filter(|task| job_of(task) == id).count() as u64
     }
 
-    /// How many completed tasks make a job done: a gang's complete together.
+    /// Returns the number of completed tasks that make a job done: one for a gang, whose
+    /// tasks complete together.
     fn tasks_to_complete(&self, id: &str) -> u64 {
         let jobs = self.jobs.borrow();
         match jobs[id]["cut"] == "gang" {
@@ -132,10 +134,12 @@
         }
     }
 
+    /// Returns whether enough tasks of a job have completed for it to be done.
     fn is_job_done(&self, id: &str) -> bool {
         self.completed_task_count(id) >= self.tasks_to_complete(id)
     }
 
+    /// Returns the IDs of the jobs that a job directly depends on.
     fn dependencies(&self, id: &str) -> Vec<String> {
         let jobs = self.jobs.borrow();
         let dependencies = jobs.get(id).and_then(|j| j["awaits"].as_array());
@@ -143,33 +147,36 @@
         ids.map(str::to_string).collect()
     }
 
-    /// When the user was told that the job, or one before it, is cancelled: the
-    /// earliest such moment.
+    /// Returns the earliest time at which users were told that the job, or one that it
+    /// depends on, is cancelled.
     fn cancelled_at(&self, id: &str) -> Option<Instant> {
-        let mut at = self.cancelled.borrow().get(id).copied();
-        for before in self.dependencies(id) {
-            let there = self.cancelled_at(&before);
-            at = at.into_iter().chain(there).min();
+        let mut earliest = self.cancelled.borrow().get(id).copied();
+        for dependency in self.dependencies(id) {
+            let cancelled_at = self.cancelled_at(&dependency);
+            earliest = earliest.into_iter().chain(cancelled_at).min();
         }
-        at
+        earliest
     }
 
-    /// Whether a user has asked to cancel the job, or one that it needs through
-    /// any chain.
+    /// Returns whether a user has requested the cancellation of the job, or of one that it
+    /// directly or indirectly depends on.
     fn is_cancel_requested(&self, id: &str) -> bool {
-        let asked = |told: &JobAnswers| told.cancel_requested;
-        let own = self.answers.borrow().get(id).is_some_and(asked);
-        own || self
-            .dependencies(id)
-            .iter()
-            .any(|a| self.is_cancel_requested(a))
+        let is_requested = |answers: &JobAnswers| answers.cancel_requested;
+        let own_requested = self.answers.borrow().get(id).is_some_and(is_requested);
+        own_requested
+            || self
+                .dependencies(id)
+                .iter()
+                .any(|dependency| self.is_cancel_requested(dependency))
     }
 
+    /// Returns the time within which a cancelled job's tasks must be stopped.
     fn cancel_limit(&self) -> Duration {
         Duration::from_secs_f64(self.shape.cancel_s)
     }
 
-    /// Notes which tasks have come to their end, and which leases are over.
+    /// Expires the leases of workers whose time is over, and records the tasks that have
+    /// completed.
     pub(super) fn advance_tasks(&self) {
         for (worker, _) in self.workers.borrow().values() {
             worker.expire_lease(self.shape.lease());
@@ -180,15 +187,17 @@
 
 // Reports.
 impl World {
-    fn report_violation(&self, rule: Rule, what: &str) {
-        let text = format!("{}: {what}", rule.name());
+    /// Reports a violation, once for each distinct text.
+    fn report_violation(&self, rule: Rule, details: &str) {
+        let text = format!("{}: {details}", rule.name());
         let mut broken = self.broken.borrow_mut();
         if !broken.contains(&text) {
             broken.push(text);
         }
     }
 
-    /// All violations up to now, and those that only the end of a test shows.
+    /// Returns all violations up to now, including those that are known only at the end of
+    /// a test.
     pub fn violations(&self) -> Vec<String> {
         let mut all = self.broken.borrow().clone();
         if self.starts.get() == 0 {
@@ -200,7 +209,7 @@
         all
     }
 
-    /// At the end of a test: no rule was broken.
+    /// Asserts at the end of a test that no rule was violated.
     pub fn assert_kept(&self) {
         let violations = self.violations();
         assert!(violations.is_empty(), "{violations:?}");
@@ -209,7 +218,7 @@
 
 // Starts of tasks.
 impl World {
-    /// Judges the start of a task, which is on the machine already.
+    /// Checks the start of a task that its worker has already accepted.
     pub(super) fn check_start(&self, task: &str, on: &Worker) {
         self.starts.set(self.starts.get() + 1);
         self.check_other_machines(task, on);
@@ -227,53 +236,58 @@
         self.check_zones(task, id, &job);
     }
 
+    /// Reports a task that also runs on another machine.
     fn check_other_machines(&self, task: &str, on: &Worker) {
         for (name, (worker, _)) in self.workers.borrow().iter() {
             if *name != on.name && worker.is_running(task, self.shape.lease()) {
-                let what = format!("{task} on {} and {name}", on.name);
-                self.report_violation(Rule::RanTwice, &what);
+                let details = format!("{task} on {} and {name}", on.name);
+                self.report_violation(Rule::RanTwice, &details);
             }
         }
     }
 
+    /// Reports a start before a dependency of the job is done.
     fn check_dependencies(&self, task: &str, id: &str) {
-        for before in self.dependencies(id) {
-            if !self.is_job_done(&before) {
-                let what = format!("{task}, {before} is not done");
-                self.report_violation(Rule::TooEarly, &what);
+        for dependency in self.dependencies(id) {
+            if !self.is_job_done(&dependency) {
+                let details = format!("{task}, {dependency} is not done");
+                self.report_violation(Rule::TooEarly, &details);
             }
         }
     }
 
+    /// Records a start after its job's cancellation was confirmed, and reports it if the
+    /// time limit for cancellations has passed.
     fn check_start_after_cancel(&self, task: &str, id: &str, on: &Worker) {
-        let Some(told) = self.cancelled.borrow().get(id).copied() else {
+        let Some(cancelled_at) = self.cancelled.borrow().get(id).copied() else {
             return;
         };
-        let after = told.elapsed();
+        let elapsed = cancelled_at.elapsed();
         self.starts_after_cancel
             .borrow_mut()
-            .push((task.into(), after));
-        if after > self.cancel_limit() {
-            let what = format!("{task} starts on {}", on.name);
-            self.report_violation(Rule::RanCancelled, &what);
+            .push((task.into(), elapsed));
+        if elapsed > self.cancel_limit() {
+            let details = format!("{task} starts on {}", on.name);
+            self.report_violation(Rule::RanCancelled, &details);
         }
     }
 
-    /// Judges the zones of a job's tasks against each other.
+    /// Checks a job's placement constraints that relate its tasks to each other: all in one
+    /// zone, or at most half of them, rounded up, in each zone.
     fn check_zones(&self, task: &str, id: &str, job: &Value) {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
         for (worker, _) in workers.values() {
             let on_machine = worker.tasks_on_machine(lease);
-            let here = on_machine.iter().filter(|t| job_of(t) == id).count();
-            *zones.entry(&worker.zone).or_default() += here as u64;
+            let own_count = on_machine.iter().filter(|t| job_of(t) == id).count();
+            *zones.entry(&worker.zone).or_default() += own_count as u64;
         }
-        let used = zones.values().filter(|count| **count > 0).count();
+        let zone_count = zones.values().filter(|count| **count > 0).count();
         let half = job["boards"].as_u64().unwrap_or(0).div_ceil(2);
-        let apart = job["same_place"] == true && used > 1;
-        let crowded = job["scatter"] == true && zones.values().any(|count| *count > half);
-        if apart || crowded {
+        let is_split = job["same_place"] == true && zone_count > 1;
+        let is_over_cap = job["scatter"] == true && zones.values().any(|count| *count > half);
+        if is_split || is_over_cap {
             self.report_violation(Rule::WrongPlace, &format!("{task} among {zones:?}"));
         }
     }
@@ -281,7 +295,7 @@
 
 // Tasks on machines.
 impl World {
-    /// Judges what is on the machines at this moment.
+    /// Checks all tasks that are on machines at present.
     pub(super) fn check_machines(&self) {
         self.advance_tasks();
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
@@ -294,9 +308,12 @@
                 };
                 *used.entry(job["crew"].to_string()).or_default() +=
                     job["vcpus"].as_f64().unwrap_or(0.0);
-                let told = self.cancelled_at(id);
-                // What a machine that hangs has cannot go on; it may when it does.
-                if told.is_some_and(|t| t.elapsed() > self.cancel_limit()) && !worker.hangs() {
+                let cancelled_at = self.cancelled_at(id);
+                // Tasks on a hung machine make no progress, so a cancelled one may stay there
+                // until the machine resumes.
+                if cancelled_at.is_some_and(|t| t.elapsed() > self.cancel_limit())
+                    && !worker.hangs()
+                {
                     self.report_violation(Rule::RanCancelled, &format!("{task} on {name}"));
                 }
             }
@@ -304,10 +321,11 @@
         self.check_team_limits(&used);
     }
 
+    /// Reports teams whose running tasks exceed their CPU limit.
     fn check_team_limits(&self, used: &BTreeMap<String, f64>) {
         for (team, _, limit) in &self.shape.teams {
-            let own = used.get(&json!(team).to_string());
-            if own.is_some_and(|cpus| cpus > limit) {
+            let team_cpus = used.get(&json!(team).to_string());
+            if team_cpus.is_some_and(|cpus| cpus > limit) {
                 self.report_violation(Rule::Quota, &format!("{team} {used:?}"));
             }
         }
@@ -316,102 +334,108 @@
 
 // Answers to users.
 impl World {
-    /// Judges an answer against what was told before its question was sent
-    /// (`known`), and against what is true. Of questions under way at once none
-    /// is older, but two final answers must agree all the same.
+    /// Checks an answer against the answers that users had received when its request was
+    /// sent (`known`), and against the actual state of the job. Concurrent requests have no
+    /// order among each other, but if they return two final stages these must be equal.
     pub(super) fn check_answer(
         &self,
         i: usize,
         id: &str,
         known: &JobAnswers,
         status: u16,
-        a: &Value,
+        body: &Value,
     ) {
-        let said = format!("n{i} on {id}: {status} {a}, after {known:?}");
+        let description = format!("n{i} on {id}: {status} {body}, after {known:?}");
         if [400, 404, 422].contains(&status) && known.accepted.is_some() {
-            self.report_violation(Rule::Forgotten, &said);
+            self.report_violation(Rule::Forgotten, &description);
         }
         if ![200, 201].contains(&status) {
             return;
         }
         if !known.submitted {
-            self.report_violation(Rule::Invented, &said);
+            self.report_violation(Rule::Invented, &description);
         }
         let number = self.answer_count.get() + 1;
         self.answer_count.set(number);
         {
             let mut answers = self.answers.borrow_mut();
-            let told = answers.entry(id.to_string()).or_default();
-            told.accepted = told.accepted.or(Some(number));
+            let job_answers = answers.entry(id.to_string()).or_default();
+            job_answers.accepted = job_answers.accepted.or(Some(number));
         }
-        match a["stage"].as_str().unwrap_or("") {
-            stage @ ("done" | "aborted") => self.check_final_stage(id, stage, number, &said),
-            stage => self.check_open_stage(id, stage, known, &said),
+        match body["stage"].as_str().unwrap_or("") {
+            stage @ ("done" | "aborted") => self.check_final_stage(id, stage, number, &description),
+            stage => self.check_open_stage(id, stage, known, &description),
         }
     }
 
-    /// A job that is called neither done nor cancelled.
-    fn check_open_stage(&self, id: &str, stage: &str, known: &JobAnswers, said: &str) {
+    /// Checks an answer that reports a job as neither done nor cancelled.
+    fn check_open_stage(&self, id: &str, stage: &str, known: &JobAnswers, description: &str) {
         if known.ended.is_some() {
-            self.report_violation(Rule::WentBack, said);
+            self.report_violation(Rule::WentBack, description);
         }
-        let told = self.cancelled_at(id);
-        if told.is_some_and(|t| t.elapsed() > self.cancel_limit()) {
+        let cancelled_at = self.cancelled_at(id);
+        if cancelled_at.is_some_and(|t| t.elapsed() > self.cancel_limit()) {
             self.report_violation(Rule::Orphaned, &format!("{id} is {stage}"));
         }
     }
 
-    /// A job that is called done or cancelled: so it stays.
-    fn check_final_stage(&self, id: &str, stage: &str, number: u64, said: &str) {
+    /// Checks an answer that reports a job as done or cancelled: the stage must be true, and
+    /// must equal every earlier final stage.
+    fn check_final_stage(&self, id: &str, stage: &str, number: u64, description: &str) {
         {
             let mut answers = self.answers.borrow_mut();
-            let told = answers.entry(id.to_string()).or_default();
-            let (first, _) = told.ended.get_or_insert((stage.to_string(), number));
-            if first != stage {
-                self.report_violation(Rule::WentBack, said);
+            let job_answers = answers.entry(id.to_string()).or_default();
+            let (first_stage, _) = job_answers.ended.get_or_insert((stage.to_string(), number));
+            if first_stage != stage {
+                self.report_violation(Rule::WentBack, description);
             }
         }
         if stage == "aborted" {
             if !self.is_cancel_requested(id) {
-                self.report_violation(Rule::WentBack, &format!("not cancelled: {said}"));
+                self.report_violation(Rule::WentBack, &format!("not cancelled: {description}"));
             }
             let mut cancelled = self.cancelled.borrow_mut();
             cancelled.entry(id.to_string()).or_insert(Instant::now());
         } else if self.jobs.borrow().contains_key(id) && !self.is_job_done(id) {
-            let (done, all) = (self.completed_task_count(id), self.tasks_to_complete(id));
-            self.report_violation(Rule::NotDone, &format!("{done} of {all}: {said}"));
+            let (done, required) = (self.completed_task_count(id), self.tasks_to_complete(id));
+            self.report_violation(
+                Rule::NotDone,
+                &format!("{done} of {required}: {description}"),
+            );
         }
     }
 
-    /// Judges a poll for an accepted job: not all may fail for long while most
-    /// other jobs' polls are answered.
+    /// Checks a poll for an accepted job: its polls must not all fail for
+    /// [`MAX_POLL_FAILURE_TIME`] while the polls for most other jobs are answered.
     pub(super) fn check_poll(&self, id: &str, status: u16) {
         let now = Instant::now();
         let mut polls = self.polls.borrow_mut();
-        let own = polls.entry(id.to_string()).or_default();
-        let is_series = own.last.is_some_and(|last| now - last <= MAX_POLL_INTERVAL);
-        own.last = Some(now);
+        let job_polls = polls.entry(id.to_string()).or_default();
+        let is_series = job_polls
+            .last
+            .is_some_and(|last| now - last <= MAX_POLL_INTERVAL);
+        job_polls.last = Some(now);
         if status == 200 {
-            own.answered = Some(now);
-            own.failing_since = None;
+            job_polls.answered = Some(now);
+            job_polls.failing_since = None;
             return;
         }
         if !is_series {
-            own.failing_since = None;
+            job_polls.failing_since = None;
         }
-        let failing = now - *own.failing_since.get_or_insert(now);
+        let failing = now - *job_polls.failing_since.get_or_insert(now);
         let answers = self.answers.borrow();
-        let accepted = answers.get(id).is_some_and(|told| told.accepted.is_some());
+        let accepted = answers.get(id).is_some_and(|a| a.accepted.is_some());
         if !accepted || failing < MAX_POLL_FAILURE_TIME {
             return;
         }
-        let recent = |at: Option<Instant>| at.is_some_and(|t| now - t < MAX_POLL_FAILURE_TIME);
+        let is_recent = |at: Option<Instant>| at.is_some_and(|t| now - t < MAX_POLL_FAILURE_TIME);
         let others = || polls.iter().filter(|(other, _)| *other != id);
-        let polled = others().filter(|(_, p)| recent(p.last)).count();
-        let answered = others().filter(|(_, p)| recent(p.answered)).count();
+        let polled = others().filter(|(_, p)| is_recent(p.last)).count();
+        let answered = others().filter(|(_, p)| is_recent(p.answered)).count();
         if answered * 2 > polled {
-            let what = format!("{id}: every poll failed for {} s", failing.as_secs());
-            self.report_violation(Rule::Forgotten, &what);
+            let details = format!("{id}: every poll failed for {} s", failing.as_secs());
+            self.report_violation(Rule::Forgotten, &details);
         }
     }
 }
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -1,5 +1,5 @@
-//! The scenario: what a deployment looks like, the world that a test runs in,
-//! and the jobs that its users submit.
+//! The simulated deployment that a test runs in: its options, its parts, and the jobs that
+//! its users submit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -22,66 +22,72 @@
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
 
-/// How many controllers the usual deployment has.
+/// Number of controllers in the default deployment.
 pub const CONTROLLERS: usize = 3;
-/// Requests a second that the cloud serves.
+/// Requests per second that the cloud serves.
 pub(super) const CLOUD_RPS: f64 = 5.0;
+/// Address of the cloud.
 pub(super) const CLOUD: &str = "127.2.0.2:8443";
+/// Address from which users call the controllers.
 pub(super) const USERS: &str = "127.3.0.1:9001";
 
-/// An address of the fabric.
+/// Parses an address of the simulated network.
 pub fn addr(text: &str) -> SocketAddrV4 {
     text.parse().expect("address")
 }
 
-/// Where controllers serve users and workers.
+/// Returns the address at which a controller serves users and workers.
 pub fn controller(i: usize) -> SocketAddrV4 {
     addr(&format!("127.7.0.{}:8080", i + 1))
 }
 
-/// Where a controller finds the state service: an address for each, so that one
-/// alone can be refused.
+/// Returns the address at which a controller reaches the state service. Each controller
+/// has an address of its own, so that the service can refuse a single one.
 pub fn state_addr(i: usize) -> SocketAddrV4 {
     addr(&format!("127.2.1.{}:2379", i + 1))
 }
 
+/// Returns the address at which a controller serves the other controllers.
 pub(super) fn mesh_address(i: usize) -> String {
     format!("127.7.0.{}:8081", i + 1)
 }
 
-/// A deployment as the stand-ins play it.
+/// The options of a simulated deployment.
 #[derive(Clone)]
 pub struct Shape {
     pub controllers: usize,
-    /// Where each controller is.
+    /// Zone of each controller.
     pub locations: Vec<&'static str>,
     pub zones: Vec<&'static str>,
-    /// Zones of the machines that are up at the start.
+    /// Zones of the machines that exist at the start, in turn.
     pub machine_zones: Vec<&'static str>,
     pub report_s: f64,
-    /// Intervals between reports differ by up to this part; the protocol's page names
-    /// a quarter.
+    /// Maximum random deviation of the intervals between heartbeats, as a fraction of
+    /// `report_s`. The protocol's page specifies a quarter.
     pub report_jitter: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
-    /// Name, guarantee and limit, in CPUs.
+    /// Name, guaranteed CPUs and CPU limit of each team.
     pub teams: Vec<(String, f64, f64)>,
     pub state: Value,
     pub sockets: usize,
-    /// Machines that are up at the start.
+    /// Number of machines that exist at the start.
     pub machines: usize,
-    /// What the cloud says of boots; an idle machine goes back after as long.
+    /// Boot time in seconds that the cloud announces for its machine types. Controllers
+    /// return a machine that was idle for as long.
     pub ready_s: f64,
-    /// How long a machine takes before its worker reports.
+    /// Time in seconds between a machine's rental and its worker's first heartbeat.
     pub boot_s: f64,
-    /// Whether controllers have the feature of shares on.
+    /// Value of the controllers' feature flag `shares`.
     pub shares: bool,
-    /// Whether all meet on sockets of the system, in real time.
+    /// Flag that makes all parts communicate over the operating system's sockets, in real
+    /// time.
     pub loopback: bool,
 }
 
 impl Default for Shape {
-    /// Two controllers in zone a, one in zone b.
+    /// Returns the options of the default deployment, with two controllers in zone a and
+    /// one in zone b.
     fn default() -> Self {
         Shape {
             controllers: CONTROLLERS,
@@ -105,7 +111,7 @@
 }
 
 impl Shape {
-    /// The settings of a controller.
+    /// Returns the settings of a controller.
     pub fn settings(&self, i: usize) -> Settings {
         let mut settings = Settings::parse(&self.settings_text(i)).expect("settings");
         settings.features.shares.enabled = self.shares;
@@ -113,7 +119,7 @@
         settings
     }
 
-    /// The text of a controller's settings file.
+    /// Returns the text of a controller's settings file.
     pub fn settings_text(&self, i: usize) -> String {
         let others: Vec<Value> = (0..self.controllers)
             .filter(|j| *j != i)
@@ -124,7 +130,7 @@
         let teams: Vec<Value> = self
             .teams
             .iter()
-            .map(|(name, cpus, most)| json!({"name": name, "cpus": cpus, "cpus_max": most}))
+            .map(|(name, cpus, limit)| json!({"name": name, "cpus": cpus, "cpus_max": limit}))
             .collect();
         let text = json!({
             "node": format!("n{i}"), "location": self.locations[i],
@@ -143,6 +149,7 @@
         text.to_string()
     }
 
+    /// Returns the limits that the state service enforces.
     fn state_limits(&self) -> StateLimits {
         let limit = |name: &str| self.state[name].as_f64().expect("a number");
         StateLimits {
@@ -153,7 +160,7 @@
         }
     }
 
-    /// The network of the process at an address.
+    /// Returns the network of a process with this address.
     fn net(&self, fabric: &Rc<Fabric>, address: SocketAddrV4) -> Net {
         match self.loopback {
             true => Net::System,
@@ -161,58 +168,73 @@
         }
     }
 
+    /// Returns the duration of a worker lease.
     pub(super) fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 }
 
-/// A worker with the loops that drive it.
+/// A worker and its background tasks.
 pub(super) type RunningWorker = (Rc<Worker>, Vec<JoinHandle<()>>);
 
-/// A running deployment: the controllers, all that they talk to, and what the
-/// rule checker knows.
+/// A running simulated deployment: the controllers, their simulated counterparts, and the
+/// state of the rule checker.
 pub struct World {
     pub fabric: Rc<Fabric>,
     pub state: Rc<State>,
     pub workers: RefCell<BTreeMap<String, RunningWorker>>,
+    /// Submissions of the known jobs, by job ID.
     pub(super) jobs: RefCell<HashMap<String, Value>>,
+    /// Times at which users were first told that a job is cancelled, by job ID.
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
+    /// Responses of the cloud to the rental requests, by request ID.
     pub(super) provisioning_requests: RefCell<HashMap<String, Value>>,
     pub(super) cloud_limit: CloudRateLimit,
-    /// Requests that the cloud refused as malformed: none may be.
+    /// Requests that the cloud refused because they exceed a limit of the protocol. A test
+    /// expects none.
     pub refused_cloud_requests: RefCell<Vec<String>>,
+    /// Violations that the rule checker has reported.
     pub broken: RefCell<Vec<String>>,
     pub shape: Shape,
-    /// Machines that were ever rented.
+    /// Number of machines that have ever been rented.
     pub rented: Cell<usize>,
-    /// The zone in which machines never come up.
+    /// Zone in which the workers of newly rented machines never start.
     pub failed_boot_zone: Cell<Option<&'static str>>,
+    /// Number of task starts.
     pub starts: Cell<usize>,
-    /// Starts after a cancellation was confirmed, and how long after.
+    /// Tasks that started after their job's cancellation was confirmed, and the time in
+    /// between.
     pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
-    /// Tasks that were done.
+    /// Tasks that have completed.
     pub(super) done_tasks: RefCell<HashSet<String>>,
-    /// What users were told, and when by `counted`'s count.
+    /// Answers that users have received, by job ID, numbered by `answer_count`.
     pub(super) answers: RefCell<HashMap<String, JobAnswers>>,
+    /// Number of answers that users have received.
     pub(super) answer_count: Cell<u64>,
+    /// Times of the polls, by job ID.
     pub(super) polls: RefCell<HashMap<String, JobPolls>>,
-    /// The share of the reports of which a copy is kept.
+    /// Probability with which a copy of a heartbeat is kept.
     pub copied: Cell<f64>,
+    /// Copies of heartbeats that have not been delivered.
     pub(super) heartbeat_copies: RefCell<Vec<Vec<u8>>>,
-    /// `state.next` in the settings of controllers that start from now on.
+    /// The setting `state.next` of the controllers that start from now on; it is omitted if
+    /// null.
     pub next: RefCell<Value>,
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
+    /// Pause flag of each controller.
     pub(super) frozen: Vec<watch::Sender<bool>>,
     pub(super) client: RecordedClient,
-    /// What passes between the controllers and the stand-ins, once a test records it.
+    /// Recorder of the frames between the controllers and the stand-ins.
     pub frames: Rc<FrameRecord>,
     pub(super) seed: u64,
-    /// Controllers that start with the feature of shares as it is here, if it is.
+    /// Values of the feature flag `shares` that replace the deployment's value, by the index
+    /// of the controller.
     pub shares: RefCell<BTreeMap<usize, bool>>,
-    /// How often controllers were started.
+    /// Number of controller starts.
     pub(super) runs: Cell<u64>,
 }
 
+/// The HTTP server limits of the stand-ins.
 pub(super) const SERVER_LIMITS: ServerLimits = ServerLimits {
     connections: 1000,
     idle: Duration::from_secs(600),
@@ -221,12 +243,12 @@
 };
 
 impl World {
-    /// The usual deployment, started.
+    /// Starts the default deployment.
     pub async fn new(seed: u64) -> Rc<Self> {
         Self::of(seed, Shape::default()).await
     }
 
-    /// A world with the program's controllers, all of them started.
+    /// Starts a deployment with all of its controllers.
     pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
         world.serve_stand_ins().await;
@@ -237,7 +259,8 @@
         world
     }
 
-    /// A world whose controllers a test plays itself.
+    /// Starts a deployment without controllers, for a test that acts as the controllers
+    /// itself.
     pub async fn without_controllers(seed: u64, shape: Shape) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
         world.serve_stand_ins().await;
@@ -245,6 +268,7 @@
         world
     }
 
+    /// Returns a deployment none of whose parts is started.
     fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
         let fabric = Rc::new(Fabric::default());
         let frames = Rc::new(FrameRecord::default());
@@ -283,7 +307,8 @@
         })
     }
 
-    /// Everything but the controllers: state service, cloud and first machines.
+    /// Starts everything but the controllers: the state service, the cloud and the initial
+    /// machines.
     async fn serve_stand_ins(self: &Rc<Self>) {
         for i in 0..self.shape.controllers {
             let state = self.state.clone();
@@ -302,12 +327,12 @@
         }
     }
 
-    /// The network of the process at an address.
+    /// Returns the network of a process with this address.
     pub(super) fn net(&self, address: SocketAddrV4) -> Net {
         self.shape.net(&self.fabric, address)
     }
 
-    /// Serves requests at an address of the fabric.
+    /// Serves requests at an address of the simulated network, and records them.
     pub(super) async fn serve_at(
         &self,
         address: SocketAddrV4,
@@ -319,7 +344,7 @@
         spawn_local(serve(listener, SERVER_LIMITS, Rc::new(handler)));
     }
 
-    /// Judges what is on the machines, from now on.
+    /// Starts the periodic check of the tasks on machines.
     fn spawn_rule_checks(self: &Rc<Self>) {
         let world = self.clone();
         spawn_local(async move {
@@ -331,7 +356,8 @@
     }
 }
 
-/// A submission of this number, kind, count of tasks and run time.
+/// Returns a submission with this job number, job kind, task count and run time in
+/// seconds.
 pub fn job(n: u32, cut: &str, tasks: u32, run_s: f64) -> Value {
     json!({"name_id": format!("job-{n:06}"), "lot": "x", "crew": "t", "cut": cut,
         "urgency": "normal", "boards": tasks, "vcpus": 2.0, "cards": 0.0, "ram_gb": 1.0,
@@ -340,13 +366,13 @@
         "due_s": null})
 }
 
-/// The same job, after these.
+/// Returns the submission with dependencies on these jobs.
 pub fn after(mut job: Value, dependencies: &[&str]) -> Value {
     job["awaits"] = json!(dependencies);
     job
 }
 
-/// Runs a test's world in real time, on sockets of the system.
+/// Runs a test in real time, with network I/O enabled.
 pub fn run_in_real_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -355,7 +381,7 @@
     LocalSet::new().block_on(&runtime, async { test().await });
 }
 
-/// Runs a test's world in simulated time.
+/// Runs a test in simulated time.
 pub fn in_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -1,5 +1,5 @@
-//! A scripted controller: it responds to users and commands workers as a test says,
-//! so that it can break the rules, which the program must not.
+//! A scripted controller. It responds to users and sends commands to workers as a test
+//! specifies, so that a test can violate the rules, which the program must not do.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,56 +11,58 @@
 
 use super::scenario::{World, controller};
 
-/// The fencing token of every command and of every response to a heartbeat.
+/// Fencing token in every command and in every response to a heartbeat.
 const FENCING_TOKEN: u64 = 1;
 
-/// A response to a user.
+/// A prepared response to a user's request.
 struct UserResponse {
     status: u16,
     body: Value,
 }
 
-/// Plays controller 0 of a world without controllers of its own.
+/// A scripted stand-in for controller 0, in a deployment without controllers.
 pub struct ScriptedController {
     world: Rc<World>,
     responses: RefCell<VecDeque<UserResponse>>,
 }
 
 impl ScriptedController {
-    /// Begins to serve at the address of controller 0.
+    /// Starts to serve at the address of controller 0.
     pub async fn serve(world: &Rc<World>) -> Rc<Self> {
-        let own = Rc::new(ScriptedController {
+        let scripted = Rc::new(ScriptedController {
             world: world.clone(),
             responses: RefCell::default(),
         });
-        let handling = own.clone();
+        let responder = scripted.clone();
         let handler =
             move |request: shelfhoist::http::Request| -> shelfhoist::http::ResponseFuture {
-                let answer = handling.next_response(&request.path);
+                let answer = responder.next_response(&request.path);
                 Box::pin(async move { answer })
             };
         world.serve_at(controller(0), handler).await;
-        own
+        scripted
     }
 
-    /// Queues the status and stage of the next response to a user.
+    /// Queues a response to a user with this status and job stage. Responses are sent in the
+    /// order in which they were queued.
     pub fn queue_response(&self, status: u16, stage: &str) {
         let body = json!({"stage": stage});
         let response = UserResponse { status, body };
         self.responses.borrow_mut().push_back(response);
     }
 
-    /// Commands go to workers directly: heartbeats only renew the leases.
+    /// Returns the response to a request: for a heartbeat one that renews the lease and has
+    /// no commands, as commands are sent to workers directly, otherwise the next queued one.
     fn next_response(&self, path: &str) -> Response {
         if path == "/agent/beat" {
             return Response::json(200, &json!({"baton": FENCING_TOKEN, "orders": []}));
         }
         let next = self.responses.borrow_mut().pop_front();
-        let UserResponse { status, body } = next.expect("a scripted response");
+        let UserResponse { status, body } = next.expect("a queued response");
         Response::json(status, &body)
     }
 
-    /// Has a worker execute one command, at once.
+    /// Sends one command to a worker and waits until the worker has executed it.
     pub async fn send_command(&self, machine: usize, action: &str, task: &str) {
         let name = format!("host-{machine:06}");
         let worker = self.world.workers.borrow()[&name].0.clone();
@@ -74,7 +76,7 @@
             body,
             Duration::from_secs(5),
         );
-        let answer = call.await.expect("a worker's answer");
+        let answer = call.await.expect("a response of the worker");
         assert_eq!(answer.status, 200, "{action} {task} on {name}");
     }
 }
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -1,4 +1,4 @@
-//! The users: they submit, ask, repeat and cancel.
+//! The simulated users: they submit jobs, poll them, repeat submissions and cancel jobs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use super::scenario::{World, controller};
 
 impl World {
-    /// Whether users were told that the job is cancelled.
+    /// Returns whether a user has received an answer that the job is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.borrow().contains_key(id)
     }
 
-    /// Sends a request to a controller and judges the answer: its status, 0 for
-    /// none, and its body.
+    /// Sends a user's request to a controller, checks the answer against the rules, and
+    /// returns its status and body. The status is 0 if there is no answer.
     pub async fn ask(
         &self,
         i: usize,
@@ -29,10 +29,10 @@
         let id = id.or(path.split('/').nth(2)).unwrap_or("").to_string();
         let known = {
             let mut answers = self.answers.borrow_mut();
-            let told = answers.entry(id.clone()).or_default();
-            told.submitted |= body.is_some();
-            told.cancel_requested |= path.ends_with("/withdraw");
-            told.clone()
+            let job_answers = answers.entry(id.clone()).or_default();
+            job_answers.submitted |= body.is_some();
+            job_answers.cancel_requested |= path.ends_with("/withdraw");
+            job_answers.clone()
         };
         let call = self
             .client
@@ -51,15 +51,15 @@
         (status, answer)
     }
 
-    /// Asks all controllers at once, again and again within milliseconds, and
-    /// repeats the submission, wherever the job stands.
+    /// Polls the job and repeats its submission at all controllers concurrently, five times
+    /// at intervals of a few milliseconds, in whatever stage the job is.
     pub async fn look_closely(self: &Rc<Self>, id: &str) {
         let job = self.jobs.borrow()[id].clone();
-        let mut looks = Vec::new();
+        let mut requests = Vec::new();
         for _ in 0..5 {
             for i in 0..self.shape.controllers {
                 let (world, job, id) = (self.clone(), job.clone(), id.to_string());
-                looks.push(spawn_local(async move {
+                requests.push(spawn_local(async move {
                     world.stage(i, &id).await;
                     world.ask(i, "POST", "/submissions", Some(&job)).await;
                     world.stage(i, &id).await;
@@ -67,23 +67,24 @@
             }
             sleep(Duration::from_millis(3)).await;
         }
-        for look in looks {
-            look.await.expect("a look");
+        for request in requests {
+            request.await.expect("a completed request");
         }
     }
 
-    /// A job that workers may be told to run.
+    /// Registers a job with the rule checker, as one that workers may be commanded to run.
     pub fn remember(&self, job: &Value) {
         let id = job["name_id"].as_str().expect("id").to_string();
         self.jobs.borrow_mut().insert(id, job.clone());
     }
 
-    /// Whether the job runs until it is cancelled.
+    /// Returns whether the job is a service, which runs until it is cancelled.
     pub fn is_service(&self, id: &str) -> bool {
         self.jobs.borrow()[id]["cut"] == "daemon"
     }
 
-    /// Submits until it is accepted, to whichever controller answers.
+    /// Submits a job to one controller after another until it is accepted, and returns its
+    /// ID. Panics if it is not accepted within 60 attempts.
     pub async fn submit(&self, job: Value) -> String {
         let id = job["name_id"].as_str().expect("id").to_string();
         self.remember(&job);
@@ -105,7 +106,7 @@
         panic!("{id} was not accepted");
     }
 
-    /// Polls a controller; the job's stage if it is answered with one.
+    /// Polls a job at a controller, and returns the job's stage if the poll succeeds.
     pub async fn stage(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
             .ask(i, "GET", &format!("/submissions/{id}"), None)
@@ -113,10 +114,10 @@
         (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string())
     }
 
-    /// Polls until all controllers that answer say `stage`.
+    /// Polls all controllers in turn until one reports `stage`. Panics after `limit` seconds.
     pub async fn until(&self, id: &str, stage: &str, limit: u64) {
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(limit) {
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(limit) {
             for i in 0..self.shape.controllers {
                 if self.stage(i, id).await.as_deref() == Some(stage) {
                     return;
@@ -130,7 +131,8 @@
         );
     }
 
-    /// Asks a controller to cancel; the job's stage if that is confirmed.
+    /// Requests a job's cancellation at a controller, and returns the job's stage if the
+    /// request succeeds.
     pub async fn withdraw(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
             .ask(i, "POST", &format!("/submissions/{id}/withdraw"), None)
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -1,5 +1,5 @@
-//! The workers: one a machine, each by the protocol's rules for tokens, leases
-//! and orders.
+//! The simulated workers, one for each machine. They follow the protocol's rules for
+//! fencing tokens, leases and commands.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -16,14 +16,17 @@
 use super::rules::job_of;
 use super::scenario::{SERVER_LIMITS, World, controller};
 
+/// A task that a worker has started.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     attempt: u64,
+    /// Time at which the task completes, none for a task that runs until it is stopped.
     ends: Option<Instant>,
+    /// Reason why the task ended otherwise than by completing.
     exit_reason: Option<ExitReason>,
 }
 
-/// One machine's worker, by the protocol's rules for tokens and leases.
+/// The worker of one machine.
 pub struct Worker {
     pub(super) name: String,
     pub(super) machine_type: String,
@@ -32,25 +35,30 @@
     pub(super) fencing_token: Cell<u64>,
     pub(super) epoch: Cell<u64>,
     pub(super) sequence: Cell<u64>,
+    /// Time at which the lease was last renewed.
     pub(super) lease_renewed_at: Cell<Instant>,
-    /// How fast its clock runs.
+    /// Rate of the worker's clock, as a multiple of simulated time.
     pub(super) clock_rate: f64,
     pub(super) tasks: RefCell<BTreeMap<String, Task>>,
-    /// Rejects every task it starts.
+    /// Fault: every task that the worker starts fails.
     pub fails_all_tasks: Cell<bool>,
-    /// Its reports arrive, but no answer and no order reaches it.
+    /// Fault: heartbeats arrive at controllers, but neither their responses nor commands
+    /// reach the worker.
     pub deaf: Cell<bool>,
-    /// It reaches no controller, while direct orders reach it.
+    /// Fault: the worker's heartbeats reach no controller, while commands that controllers
+    /// send to it arrive.
     pub mute: Cell<bool>,
-    /// It executes nothing and answers nothing until then.
+    /// Time until which the machine hangs: its worker executes and answers nothing.
     pub(super) hung_until: Cell<Option<Instant>>,
-    /// Direct orders are held up for as long.
+    /// Fault: delay of the commands that controllers send to the worker.
     pub orders_held: Cell<Duration>,
-    /// Heartbeats it has sent, for copies that come late.
+    /// Bodies of the heartbeats sent so far, for duplicates that arrive late. They are kept
+    /// only in a deployment without initial machines.
     pub sent: RefCell<Vec<Vec<u8>>>,
 }
 
 impl Worker {
+    /// Returns the body of the next heartbeat.
     fn report(&self) -> Value {
         self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
@@ -58,14 +66,14 @@
             .tasks
             .borrow()
             .iter()
-            .map(|(id, t)| match (t.exit_reason, t.ends) {
+            .map(|(id, task)| match (task.exit_reason, task.ends) {
                 (Some(exit_reason), _) => {
-                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": exit_reason})
+                    json!({"board": id, "try": task.attempt, "stage": "ended", "cause": exit_reason})
                 }
-                (None, Some(e)) if e <= now => {
-                    json!({"board": id, "try": t.attempt, "stage": "ended", "cause": "done"})
+                (None, Some(ends)) if ends <= now => {
+                    json!({"board": id, "try": task.attempt, "stage": "ended", "cause": "done"})
                 }
-                _ => json!({"board": id, "try": t.attempt, "stage": "running"}),
+                _ => json!({"board": id, "try": task.attempt, "stage": "running"}),
             })
             .collect();
         json!({"bay": self.name, "endpoint": self.address.to_string(), "grade": self.machine_type,
@@ -73,37 +81,42 @@
             "tally": self.sequence.get(), "baton": self.fencing_token.get(), "recall_s": null, "boards": tasks})
     }
 
-    /// Notes which tasks are done.
-    pub(super) fn record_completed_tasks(&self, finished: &RefCell<HashSet<String>>) {
+    /// Adds the tasks that have completed to `done_tasks`.
+    pub(super) fn record_completed_tasks(&self, done_tasks: &RefCell<HashSet<String>>) {
         let now = Instant::now();
         for (id, task) in self.tasks.borrow().iter() {
             if !self.hangs() && task.exit_reason.is_none() && task.ends.is_some_and(|e| e <= now) {
-                finished.borrow_mut().insert(id.clone());
+                done_tasks.borrow_mut().insert(id.clone());
             }
         }
     }
 
-    fn execute(&self, world: &World, orders: &[WorkerCommand]) {
+    /// Executes commands in their order.
+    fn execute(&self, world: &World, commands: &[WorkerCommand]) {
         self.record_completed_tasks(&world.done_tasks);
-        for o in orders {
+        for command in commands {
             let mut tasks = self.tasks.borrow_mut();
-            match o.action {
+            match command.action {
                 CommandAction::Start => {
-                    if tasks.get(&o.task).is_some_and(|t| t.attempt == o.attempt) {
+                    if tasks
+                        .get(&command.task)
+                        .is_some_and(|t| t.attempt == command.attempt)
+                    {
                         continue;
                     }
-                    let run = world.task_run_time(&o.task);
-                    let fails = self.fails_all_tasks.get() || world.is_faulty_job(&o.task);
+                    let run_time = world.task_run_time(&command.task);
+                    let fails = self.fails_all_tasks.get() || world.is_faulty_job(&command.task);
                     let exit_reason = fails.then_some(ExitReason::Error);
-                    // The result of a task that has once ended is kept.
-                    let run = match world.done_tasks.borrow().contains(&o.task) {
+                    // A task that has completed before completes again immediately, as its result
+                    // is kept.
+                    let run_time = match world.done_tasks.borrow().contains(&command.task) {
                         true => Some(Duration::ZERO),
-                        false => run,
+                        false => run_time,
                     };
-                    let ends = run.map(|r| Instant::now() + r);
-                    let attempt = o.attempt;
+                    let ends = run_time.map(|run_time| Instant::now() + run_time);
+                    let attempt = command.attempt;
                     tasks.insert(
-                        o.task.clone(),
+                        command.task.clone(),
                         Task {
                             attempt,
                             ends,
@@ -111,11 +124,11 @@
                         },
                     );
                     drop(tasks);
-                    world.check_start(&o.task, self);
+                    world.check_start(&command.task, self);
                 }
                 CommandAction::Stop => {
-                    if let Some(t) = tasks.get_mut(&o.task)
-                        && t.attempt == o.attempt
+                    if let Some(t) = tasks.get_mut(&command.task)
+                        && t.attempt == command.attempt
                         && t.exit_reason.is_none()
                         && t.ends.is_none_or(|e| e > Instant::now())
                     {
@@ -123,13 +136,13 @@
                     }
                 }
                 CommandAction::Forget => {
-                    if let Some(task) = tasks.remove(&o.task) {
+                    if let Some(task) = tasks.remove(&command.task) {
                         if task
                             .exit_reason
                             .is_none_or(|reason| reason == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
                         {
-                            world.done_tasks.borrow_mut().insert(o.task.clone());
+                            world.done_tasks.borrow_mut().insert(command.task.clone());
                         }
                     }
                 }
@@ -137,34 +150,37 @@
         }
     }
 
-    /// On the machine: one that hangs keeps what it has until its lease is over.
+    /// Returns whether the task is on the machine and has not ended. A hung machine keeps its
+    /// tasks until its lease expires.
     pub(super) fn is_running(&self, task: &str, lease: Duration) -> bool {
         let now = Instant::now();
         let tasks = self.tasks.borrow();
-        let here = tasks.get(task);
-        let gone = self.hangs() && self.is_lease_expired(lease);
-        !gone && here.is_some_and(|t| t.exit_reason.is_none() && t.ends.is_none_or(|e| e > now))
+        let found = tasks.get(task);
+        let is_stopped = self.hangs() && self.is_lease_expired(lease);
+        !is_stopped
+            && found.is_some_and(|t| t.exit_reason.is_none() && t.ends.is_none_or(|e| e > now))
     }
 
-    /// The tasks that are on the machine.
+    /// Returns the tasks that run on the machine.
     pub(super) fn tasks_on_machine(&self, lease: Duration) -> Vec<String> {
-        let held: Vec<String> = self.tasks.borrow().keys().cloned().collect();
-        held.into_iter()
+        let started: Vec<String> = self.tasks.borrow().keys().cloned().collect();
+        started
+            .into_iter()
             .filter(|t| self.is_running(t, lease))
             .collect()
     }
 
-    /// The machine's name.
+    /// Returns the name of the machine.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether the machine stands still.
+    /// Returns whether the machine hangs.
     pub fn hangs(&self) -> bool {
         self.hung_until.get().is_some()
     }
 
-    /// The machine stands still; all of its tasks end later by as much.
+    /// Makes the machine hang for a time, by which its running tasks complete later.
     pub fn hang(&self, span: Duration) {
         self.hung_until.set(Some(Instant::now() + span));
         for task in self.tasks.borrow_mut().values_mut() {
@@ -177,7 +193,8 @@
         }
     }
 
-    /// Until it goes on; what was held for it is looked at only then.
+    /// Waits until the machine no longer hangs, then checks whether its lease has expired
+    /// meanwhile.
     async fn wait_while_hung(&self, lease: Duration) {
         while let Some(until) = self.hung_until.get() {
             if until <= Instant::now() {
@@ -189,10 +206,13 @@
         self.expire_lease(lease);
     }
 
+    /// Returns whether the lease has expired by the worker's clock.
     fn is_lease_expired(&self, lease: Duration) -> bool {
         self.lease_renewed_at.get().elapsed() > lease.div_f64(self.clock_rate)
     }
 
+    /// Removes all tasks and begins a new epoch if the lease has expired and the machine does
+    /// not hang.
     pub(super) fn expire_lease(&self, lease: Duration) {
         if !self.hangs() && self.is_lease_expired(lease) {
             self.tasks.borrow_mut().clear();
@@ -203,74 +223,81 @@
 }
 
 impl World {
+    /// Returns the time that a task takes, or `None` for a service.
     fn task_run_time(&self, task: &str) -> Option<Duration> {
         let jobs = self.jobs.borrow();
         let job = jobs.get(task.split('/').next().unwrap_or(""))?;
-        // Tasks of one job may end far apart; the service knows nothing of it.
+        // `ends_s` gives each task its own run time, so that tasks of one job end far apart.
+        // Controllers do not read it.
         let number = task.split('/').nth(1).and_then(|n| n.parse::<usize>().ok());
-        let run = number.and_then(|n| job["ends_s"][n].as_f64());
-        let run = run.or(job["expect_s"].as_f64()).unwrap_or(0.0);
-        (job["cut"] != "daemon").then(|| Duration::from_secs_f64(run))
+        let run_time_s = number.and_then(|n| job["ends_s"][n].as_f64());
+        let run_time_s = run_time_s.or(job["expect_s"].as_f64()).unwrap_or(0.0);
+        (job["cut"] != "daemon").then(|| Duration::from_secs_f64(run_time_s))
     }
 
-    /// Jobs of this image fail on every machine.
+    /// Returns whether the task belongs to a job whose image fails on every machine.
     fn is_faulty_job(&self, task: &str) -> bool {
         let jobs = self.jobs.borrow();
         let job = jobs.get(task.split('/').next().unwrap_or(""));
         job.is_some_and(|j| j["blueprint"] == "mistake")
     }
 
+    /// Serves the commands that controllers send to a worker.
     pub(super) async fn serve_commands(self: Rc<Self>, worker: Rc<Worker>) {
         let net = self.net(worker.address);
         let listener = net.listen(worker.address).await.expect("listen");
         let (world, at) = (self.clone(), worker.address);
-        let handler = move |r: Request| -> shelfhoist::http::ResponseFuture {
-            let (world, w) = (world.clone(), worker.clone());
+        let handler = move |request: Request| -> shelfhoist::http::ResponseFuture {
+            let (world, worker) = (world.clone(), worker.clone());
             Box::pin(async move {
-                let Ok(orders) = serde_json::from_slice::<WorkerCommands>(&r.body) else {
+                let Ok(commands) = serde_json::from_slice::<WorkerCommands>(&request.body) else {
                     return Response::empty(400);
                 };
-                if w.deaf.get() {
+                if worker.deaf.get() {
                     std::future::pending::<()>().await;
                 }
-                // It is executed even when whoever sent it has given up.
+                // The commands are executed even if the controller no longer waits for the
+                // response.
                 let executed = spawn_local(async move {
-                    sleep(w.orders_held.get()).await;
-                    w.wait_while_hung(world.shape.lease()).await;
-                    if orders.fencing_token < w.fencing_token.get() || orders.epoch != w.epoch.get()
+                    sleep(worker.orders_held.get()).await;
+                    worker.wait_while_hung(world.shape.lease()).await;
+                    if commands.fencing_token < worker.fencing_token.get()
+                        || commands.epoch != worker.epoch.get()
                     {
-                        return Response::json(409, &w.report());
+                        return Response::json(409, &worker.report());
                     }
-                    w.fencing_token.set(orders.fencing_token);
-                    w.execute(&world, &orders.commands);
-                    Response::json(200, &w.report())
+                    worker.fencing_token.set(commands.fencing_token);
+                    worker.execute(&world, &commands.commands);
+                    Response::json(200, &worker.report())
                 });
-                executed.await.expect("executed")
+                executed.await.expect("executed commands")
             })
         };
         let handler = self.recorded_handler(at, handler);
         serve(listener, SERVER_LIMITS, Rc::new(handler)).await;
     }
 
-    pub(super) async fn send_heartbeats(self: Rc<Self>, w: Rc<Worker>) {
+    /// Sends a worker's heartbeats, to another controller after a failure or a redirect, and
+    /// executes the commands of the responses.
+    pub(super) async fn send_heartbeats(self: Rc<Self>, worker: Rc<Worker>) {
         sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
-        w.lease_renewed_at.set(Instant::now());
-        let client = self.recorded_client(w.address, Duration::from_secs(30));
-        let (lease, count) = (self.shape.lease(), self.shape.controllers);
-        let report = Duration::from_secs_f64(self.shape.report_s);
+        worker.lease_renewed_at.set(Instant::now());
+        let client = self.recorded_client(worker.address, Duration::from_secs(30));
+        let (lease, controller_count) = (self.shape.lease(), self.shape.controllers);
+        let interval = Duration::from_secs_f64(self.shape.report_s);
         let mut to = 0;
         loop {
-            w.wait_while_hung(lease).await;
-            if w.mute.get() {
-                to = (to + 1) % count;
+            worker.wait_while_hung(lease).await;
+            if worker.mute.get() {
+                to = (to + 1) % controller_count;
                 sleep(Duration::from_secs(1)).await;
                 continue;
             }
-            let epoch = w.epoch.get();
+            let epoch = worker.epoch.get();
             let sent = Instant::now();
-            let body = serde_json::to_vec(&w.report()).expect("report");
+            let body = serde_json::to_vec(&worker.report()).expect("report");
             if self.shape.machines == 0 {
-                w.sent.borrow_mut().push(body.clone());
+                worker.sent.borrow_mut().push(body.clone());
             }
             if self.state.draw_bool(self.copied.get()) {
                 self.heartbeat_copies.borrow_mut().push(body.clone());
@@ -283,45 +310,48 @@
                 Duration::from_secs(4),
             );
             let answer = call.await;
-            if w.deaf.get() {
+            if worker.deaf.get() {
                 sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
             }
-            w.wait_while_hung(lease).await;
-            let late = sent.elapsed() > Duration::from_secs(4);
+            worker.wait_while_hung(lease).await;
+            let is_late = sent.elapsed() > Duration::from_secs(4);
             match answer {
-                _ if w.deaf.get() || late => {
-                    to = (to + 1) % count;
+                _ if worker.deaf.get() || is_late => {
+                    to = (to + 1) % controller_count;
                     sleep(Duration::from_secs(1)).await;
                 }
                 Ok(r) if r.status == 200 => {
-                    let a: HeartbeatResponse = r.parse().expect("answer");
-                    if a.fencing_token >= w.fencing_token.get() && epoch == w.epoch.get() {
-                        let news = a.fencing_token > w.fencing_token.get();
-                        w.fencing_token.set(a.fencing_token);
-                        w.lease_renewed_at.set(sent);
-                        w.execute(&self, &a.commands);
-                        if news {
+                    let response: HeartbeatResponse = r.parse().expect("a heartbeat response");
+                    if response.fencing_token >= worker.fencing_token.get()
+                        && epoch == worker.epoch.get()
+                    {
+                        let is_new_token = response.fencing_token > worker.fencing_token.get();
+                        worker.fencing_token.set(response.fencing_token);
+                        worker.lease_renewed_at.set(sent);
+                        worker.execute(&self, &response.commands);
+                        if is_new_token {
                             sleep(Duration::from_millis(500)).await;
                             continue;
                         }
                     }
-                    sleep(report.mul_f64(self.state.random_factor(self.shape.report_jitter))).await;
+                    sleep(interval.mul_f64(self.state.random_factor(self.shape.report_jitter)))
+                        .await;
                 }
                 Ok(r) if r.status == 421 => {
-                    let foreman = r.parse::<Redirect>().ok().and_then(|r| r.owner);
-                    let named = foreman.and_then(|f| f.trim_start_matches('n').parse().ok());
-                    to = named.unwrap_or((to + 1) % count);
+                    let owner = r.parse::<Redirect>().ok().and_then(|r| r.owner);
+                    let index = owner.and_then(|owner| owner.trim_start_matches('n').parse().ok());
+                    to = index.unwrap_or((to + 1) % controller_count);
                     sleep(Duration::from_millis(300)).await;
                 }
                 _ => {
-                    to = (to + 1) % count;
+                    to = (to + 1) % controller_count;
                     sleep(Duration::from_secs(1)).await;
                 }
             }
         }
     }
 
-    /// Jobs of which something runs.
+    /// Returns the IDs of the jobs that have a running task, sorted.
     pub fn running_jobs(&self) -> Vec<String> {
         let mut ids: Vec<String> = self.jobs.borrow().keys().cloned().collect();
         ids.sort();
@@ -329,16 +359,16 @@
         ids
     }
 
-    /// Machines that run something, by name.
+    /// Returns the workers that have a running task, in the order of their names.
     pub fn busy(&self) -> Vec<Rc<Worker>> {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
-        let all = workers.values().map(|(w, _)| w.clone());
+        let all = workers.values().map(|(worker, _)| worker.clone());
         all.filter(|w| !w.tasks_on_machine(lease).is_empty())
             .collect()
     }
 
-    /// How many tasks of the job are on machines.
+    /// Returns the number of the job's running tasks.
     pub fn running(&self, id: &str) -> usize {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
@@ -348,7 +378,7 @@
         tasks.filter(|task| job_of(task) == id).count()
     }
 
-    /// A machine that runs a task of the job.
+    /// Returns the name of a machine that runs a task of the job. Panics if there is none.
     pub fn machine_of(&self, id: &str) -> String {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
@@ -358,10 +388,10 @@
         });
         found
             .map(|(name, _)| name.clone())
-            .expect("it runs somewhere")
+            .expect("a machine that runs a task of the job")
     }
 
-    /// How often a worker's lease has run out.
+    /// Returns the number of worker leases that have expired, over all present machines.
     pub fn lapsed(&self) -> u64 {
         let workers = self.workers.borrow();
         workers.values().map(|(w, _)| w.epoch.get() - 1).sum()
