--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -1,22 +1,22 @@
-//! A tool for refactorings: it digests all that a deployment with faults says on the
-//! wire. A change that keeps the behaviour keeps the digests:
+//! A tool for refactorings. It computes digests of all frames that a deployment with faults
+//! exchanges on the wire. A change that keeps the behaviour keeps the digests:
 //!
 //! ```text
 //! cargo test --locked --test frame_digest -- --ignored --nocapture
 //! ```
 //!
 //! Run it before and after the change, and compare the printed lines. The frames are the
-//! requests and answers at the stand-ins for the state service, the cloud, the workers
-//! and the users, each with its moment of simulated time. Not among them is what
-//! controllers say to each other, nor the order of frames of one moment at different
-//! stand-ins.
+//! requests and responses at the stand-ins for the state service, the cloud, the workers
+//! and the users, each with its point of simulated time. The digests do not cover the
+//! messages between controllers, nor the order of frames that different stand-ins exchange
+//! at the same point of time.
 //!
-//! The digests of these seeds are the same in every process. Not every seed's are: the
-//! program draws from tokio's random numbers, which no test can seed in a usual build
-//! (`select!` without `biased`, and the order in which a `watch` channel wakes its
+//! The digests of these seeds are the same in every process, those of other seeds may not
+//! be: the program uses tokio's random numbers, which a test cannot seed in a usual build
+//! (in `select!` without `biased`, and for the order in which a `watch` channel wakes its
 //! receivers). Before a seed is added here, its digests must be compared over many
-//! processes. A digest that changes with a refactoring may show such a draw rather than
-//! other behaviour: see whether it is the same in several processes.
+//! processes. A digest that changes with a refactoring may be due to such a random number
+//! instead of different behaviour: check whether it is the same in several processes.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -29,27 +29,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// Seeds whose digests are the same in every process.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// How many jobs are submitted, one every few seconds.
+/// Number of jobs, which are submitted at intervals of 4 s.
 const JOB_COUNT: u32 = 24;
 
+/// Returns a duration in seconds.
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// Submits jobs of both kinds and teams, some of which await earlier ones, and cancels
-/// every seventh.
+/// Submits batch and gang jobs of both teams, some of which depend on earlier ones, and
+/// cancels every seventh.
 async fn submit_jobs(world: Rc<World>) {
     let mut ids: Vec<String> = Vec::new();
     for number in 1..=JOB_COUNT {
         let kind = ["batch", "gang"][number as usize % 2];
-        let mut next = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
-        next["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
+        let mut submission = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
+        submission["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
         if number % 4 == 0 {
-            next = after(next, &[&ids[ids.len() - 2]]);
+            submission = after(submission, &[&ids[ids.len() - 2]]);
         }
-        let id = world.submit(next).await;
+        let id = world.submit(submission).await;
         spawn_local(poll_job(world.clone(), id.clone()));
         if number % 7 == 0 {
             world.withdraw(number as usize % CONTROLLERS, &id).await;
@@ -59,7 +61,7 @@
     }
 }
 
-/// Polls a job at one controller after another, as users do.
+/// Polls a job at one controller after another, every 5 s as users do.
 async fn poll_job(world: Rc<World>, id: String) {
     for i in (0..CONTROLLERS).cycle() {
         world.stage(i, &id).await;
@@ -67,7 +69,7 @@
     }
 }
 
-/// Lets one fault after another happen, each with its end.
+/// Injects one fault after another, and removes each.
 async fn inject_faults(world: &Rc<World>) {
     sleep(seconds(15.0)).await;
     inject_state_faults(world).await;
@@ -76,7 +78,7 @@
     inject_worker_faults(world).await;
 }
 
-/// The state service loses answers, carries commits out late, and is down.
+/// Makes the state service lose responses, apply commits late, be unavailable and slow.
 async fn inject_state_faults(world: &Rc<World>) {
     for trouble in [Trouble::LoseAnswers, Trouble::Late] {
         world.state.trouble.set(trouble);
@@ -95,18 +97,20 @@
     sleep(seconds(5.0)).await;
 }
 
-/// Every controller ends and comes back; one for longer than its leases stand.
+/// Kills and restarts each controller in turn. The first is down for longer than the worker
+/// leases last.
 async fn restart_controllers(world: &Rc<World>) {
     for i in 0..CONTROLLERS {
         world.kill(i);
-        let lasts = if i == 0 { 1.5 } else { 0.5 } * world.shape.lease_s;
-        sleep(seconds(lasts)).await;
+        let downtime_s = if i == 0 { 1.5 } else { 0.5 } * world.shape.lease_s;
+        sleep(seconds(downtime_s)).await;
         world.start(i);
         sleep(seconds(3.0)).await;
     }
 }
 
-/// A controller loses the others, and then everything; copies of reports come late.
+/// Cuts one controller off from its peers and then another from everything, and delivers
+/// duplicate heartbeats late.
 async fn inject_network_faults(world: &Rc<World>) {
     world.copied.set(0.3);
     world.cut_peers(1, true);
@@ -120,7 +124,7 @@
     sleep(seconds(5.0)).await;
 }
 
-/// A busy machine is lost, another stands still for longer than its lease.
+/// Loses one busy machine, and makes another hang for longer than its lease lasts.
 async fn inject_worker_faults(world: &Rc<World>) {
     let busy = world.busy();
     if let Some(worker) = busy.first() {
@@ -132,7 +136,7 @@
     sleep(seconds(40.0)).await;
 }
 
-/// All frames of a deployment with faults.
+/// Runs the deployment with faults, and returns its frames.
 fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
     in_world(|| async {
@@ -149,15 +153,15 @@
 #[ignore = "a tool: prints digests, asserts nothing about them"]
 fn print_frame_digests() {
     for seed in SEEDS {
-        let (frames, again) = (record_frames(seed), record_frames(seed));
+        let (frames, repeated) = (record_frames(seed), record_frames(seed));
         let (count, digest) = (frames.count(), frames.digest());
         println!("frame digest: seed {seed}, {count} frames, digest {digest:016x}");
-        let difference = frames.first_difference(&again);
+        let difference = frames.first_difference(&repeated);
         assert!(
             difference.is_none(),
             "seed {seed}: two runs differ at {}",
             difference.unwrap_or_default()
         );
-        assert_eq!(digest, again.digest(), "seed {seed}");
+        assert_eq!(digest, repeated.digest(), "seed {seed}");
     }
 }
--- a/tests/rule_checker/answers.rs
+++ b/tests/rule_checker/answers.rs
@@ -1,4 +1,5 @@
-//! Answers to users: forgotten, invented, done too early, gone back.
+//! Cases of wrong answers to users: a forgotten job, a job that was never submitted, a job
+//! reported as done too early, a final stage that is reverted.
 
 use crate::history::{
     Cancel, Case, Elapse, FIRST, FIRST_TASK, Poll, PollFor, SECOND, StartTask, StopTask, Submit,
@@ -7,6 +8,7 @@
 };
 use crate::stand_ins::{Rule, after, job};
 
+/// Returns cases in which an accepted job is no longer known.
 pub fn forgotten() -> Vec<Case> {
     let accepted = || after_unrelated_start(vec![Submit(long_batch(1))]);
     vec![
@@ -44,7 +46,7 @@
             violation: || vec![Cancel(FIRST, 404, "")],
         },
         Case {
-            name: "every poll fails for 90 s while others are answered",
+            name: "every poll for a job fails for 90 s while polls for others are answered",
             rule: Rule::Forgotten,
             setup: || {
                 let mut steps = after_unrelated_start(vec![Submit(long_batch(1))]);
@@ -60,7 +62,7 @@
             violation: || vec![PollFor(15.0, vec![("job-000009", 200), (FIRST, 503)])],
         },
         Case {
-            name: "every poll fails for 90 s, of all jobs or of one",
+            name: "polls fail for 90 s for one job, but not for all jobs",
             rule: Rule::Forgotten,
             setup: || after_unrelated_start(vec![Submit(long_batch(1))]),
             compliant: || vec![PollFor(300.0, vec![("job-000009", 503), (FIRST, 0)])],
@@ -69,17 +71,18 @@
     ]
 }
 
+/// Returns cases in which an answer is about a job that was never submitted.
 pub fn invented() -> Vec<Case> {
     vec![
         Case {
-            name: "a poll for a job that nobody submitted",
+            name: "a poll for a job that was never submitted",
             rule: Rule::Invented,
             setup: unrelated_start,
             compliant: || vec![Poll(FIRST, 404, ""), Poll("job-000009", 200, "running")],
             violation: || vec![Poll(FIRST, 200, "queued")],
         },
         Case {
-            name: "a cancellation of a job that nobody submitted",
+            name: "a cancellation of a job that was never submitted",
             rule: Rule::Invented,
             setup: unrelated_start,
             compliant: || vec![Cancel(FIRST, 404, "")],
@@ -88,6 +91,7 @@
     ]
 }
 
+/// Returns cases in which an unfinished job is reported as done.
 pub fn not_done() -> Vec<Case> {
     vec![
         Case {
@@ -144,7 +148,7 @@
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
-            name: "a cancellation and a submission are told so, too",
+            name: "an answer to a cancellation reports the job as done",
             rule: Rule::NotDone,
             setup: || short_task_started(4.0),
             compliant: || vec![Elapse(2.0), Cancel(FIRST, 200, "done")],
@@ -153,6 +157,8 @@
     ]
 }
 
+/// Returns cases in which a final stage is followed by another one, or a job is reported as
+/// cancelled without a cancellation.
 pub fn went_back() -> Vec<Case> {
     let done = || followed_by(short_task_started(6.0), vec![Poll(FIRST, 200, "done")]);
     let cancelled = || followed_by(short_task_started(6.0), vec![Cancel(FIRST, 200, "aborted")]);
@@ -193,14 +199,14 @@
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
-            name: "called cancelled though its user did not cancel",
+            name: "reported as cancelled without a cancellation request",
             rule: Rule::WentBack,
             setup: || after_unrelated_start(vec![Submit(long_batch(1))]),
             compliant: || vec![Cancel(FIRST, 503, ""), Poll(FIRST, 200, "aborted")],
             violation: || vec![Poll(FIRST, 200, "aborted")],
         },
         Case {
-            name: "called cancelled though no job that it awaits was",
+            name: "reported as cancelled without a cancelled dependency",
             rule: Rule::WentBack,
             setup: || {
                 after_unrelated_start(vec![
--- a/tests/rule_checker/derived_rules.rs
+++ b/tests/rule_checker/derived_rules.rs
@@ -1,4 +1,4 @@
-//! What follows from the protocol's text and has a name of its own.
+//! Cases for the rules that follow from the protocol's text and have no name there.
 
 use serde_json::{Value, json};
 
@@ -8,10 +8,11 @@
 };
 use crate::stand_ins::{Rule, after, job};
 
+/// Returns the cases of the rules that follow from the protocol's text.
 pub fn derived_rules() -> Vec<Case> {
     vec![
         Case {
-            name: "a start before the awaited job is done",
+            name: "a start before a dependency is done",
             rule: Rule::TooEarly,
             setup: || {
                 vec![
@@ -25,7 +26,7 @@
             violation: || vec![StartTask(1, "job-000002/0")],
         },
         Case {
-            name: "a job after a cancelled one is still queued",
+            name: "a job with a cancelled dependency is still queued",
             rule: Rule::Orphaned,
             setup: || {
                 after_unrelated_start(vec![
@@ -40,7 +41,7 @@
             violation: || vec![Elapse(2.0), Poll(SECOND, 200, "queued")],
         },
         Case {
-            name: "a task of a job that nobody submitted",
+            name: "a task of a job that was never submitted",
             rule: Rule::UnknownJob,
             setup: || vec![Submit(long_batch(1))],
             compliant: || vec![StartTask(0, FIRST_TASK)],
@@ -54,7 +55,7 @@
             violation: Vec::new,
         },
         Case {
-            name: "a machine in two groups",
+            name: "a machine in two machine shards",
             rule: Rule::Misplaced,
             setup: || {
                 after_unrelated_start(vec![WriteRecord(
@@ -66,23 +67,23 @@
             violation: || vec![WriteRecord("sh/machine/b", machine_shard_of("host-000000"))],
         },
         Case {
-            name: "a machine in two shards",
+            name: "a machine in two zone shards",
             rule: Rule::Misplaced,
             setup: || {
-                after_unrelated_start(vec![WriteRecord("sh/zone/a", shard_of("host-000000"))])
+                after_unrelated_start(vec![WriteRecord("sh/zone/a", zone_shard_of("host-000000"))])
             },
-            compliant: || vec![WriteRecord("sh/zone/b", shard_of("host-000001"))],
-            violation: || vec![WriteRecord("sh/zone/b", shard_of("host-000000"))],
+            compliant: || vec![WriteRecord("sh/zone/b", zone_shard_of("host-000001"))],
+            violation: || vec![WriteRecord("sh/zone/b", zone_shard_of("host-000000"))],
         },
     ]
 }
 
-/// The stored record of a machine shard with one machine.
+/// Returns the stored record of a machine shard with one machine.
 fn machine_shard_of(machine: &str) -> Value {
     json!({"m": {machine: {"h": "n0", "i": 1, "k": 1, "s": [1, 1], "f": "a", "t": "big"}}})
 }
 
-/// The stored record of a shard with one machine.
-fn shard_of(machine: &str) -> Value {
+/// Returns the stored record of a zone shard with one machine.
+fn zone_shard_of(machine: &str) -> Value {
     json!({"m": {machine: {"t": "big", "f": {"c": 8000, "g": 0, "m": 16000}}}})
 }
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -1,4 +1,5 @@
-//! Histories that are played to the checker in two ways: lawful, and with a violation.
+//! Histories of a deployment that are run twice, each time with the checker: once without
+//! and once with a violation.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,18 +9,21 @@
 
 use crate::stand_ins::{Rule, ScriptedController, Shape, World, in_world, job};
 
+/// ID of the first job.
 pub const FIRST: &str = "job-000001";
+/// ID of the second job.
 pub const SECOND: &str = "job-000002";
 
-/// The first task of the first job.
+/// ID of the first task of the first job.
 pub const FIRST_TASK: &str = "job-000001/0";
 
-/// The machines with even numbers are in zone a, the others in zone b.
+/// Number of machines. Those with even numbers are in zone a, the others in zone b.
 pub const MACHINE_COUNT: usize = 4;
 
-/// One event of a history. A machine is its number; a stage may be empty where
-/// the status says all.
+/// One event of a history. Machines are given by number. A stage may be empty if the
+/// response's status has no stage.
 pub enum Step {
+    /// A submission that is accepted.
     Submit(Value),
     /// A submission that gets this status.
     SubmitAnswered(Value, u16),
@@ -27,17 +31,20 @@
     Poll(&'static str, u16, &'static str),
     /// A cancellation that gets this status and stage.
     Cancel(&'static str, u16, &'static str),
+    /// A command to a machine to start a task.
     StartTask(usize, &'static str),
+    /// A command to a machine to stop a task.
     StopTask(usize, &'static str),
-    /// A machine stands still for some seconds.
+    /// A machine that hangs for this number of seconds.
     HangMachine(usize, f64),
-    /// A machine and all on it are gone.
+    /// A machine that is lost with all of its tasks.
     LoseMachine(usize),
-    /// A stored record.
+    /// A record that is written to the state service.
     WriteRecord(&'static str, Value),
-    /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
+    /// Polls of each job every 5 s, as a user sends them, for this number of seconds, with
+    /// the response's status for each job.
     PollFor(f64, Vec<(&'static str, u16)>),
-    /// Some seconds go by.
+    /// A pause of this number of seconds.
     Elapse(f64),
 }
 
@@ -46,15 +53,20 @@
     SubmitAnswered, WriteRecord,
 };
 
-/// A history that goes on in two ways.
+/// A history that continues in two ways.
 pub struct Case {
     pub name: &'static str,
+    /// The rule that the checker must report.
     pub rule: Rule,
+    /// Steps that both continuations start with.
     pub setup: fn() -> Vec<Step>,
+    /// Steps after the setup that keep to the rules.
     pub compliant: fn() -> Vec<Step>,
+    /// Steps after the setup that violate the rule.
     pub violation: fn() -> Vec<Step>,
 }
 
+/// Performs the steps of a history in their order.
 pub async fn run_steps(world: &Rc<World>, controller: &ScriptedController, steps: Vec<Step>) {
     for step in steps {
         match step {
@@ -83,30 +95,32 @@
     }
 }
 
+/// Submits a job, which gets a response with this status.
 pub async fn submit(world: &Rc<World>, controller: &ScriptedController, job: &Value, status: u16) {
     world.remember(job);
     controller.queue_response(status, "queued");
     world.ask(0, "POST", "/submissions", Some(job)).await;
 }
 
+/// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
 pub async fn poll_repeatedly(
     world: &Rc<World>,
     controller: &ScriptedController,
     seconds: f64,
     jobs: &[(&str, u16)],
 ) {
-    const PERIOD_S: f64 = 5.0;
-    for _ in 0..(seconds / PERIOD_S) as usize {
+    const INTERVAL_S: f64 = 5.0;
+    for _ in 0..(seconds / INTERVAL_S) as usize {
         for (id, status) in jobs {
             controller.queue_response(*status, "queued");
             world.stage(0, id).await;
         }
-        sleep(Duration::from_secs_f64(PERIOD_S)).await;
+        sleep(Duration::from_secs_f64(INTERVAL_S)).await;
     }
 }
 
-/// What the checker reports of a history.
-pub async fn reported_violations(zone_shards: [Vec<Step>; 2]) -> Vec<String> {
+/// Runs the two parts of a history, and returns the violations that the checker reports.
+pub async fn reported_violations(parts: [Vec<Step>; 2]) -> Vec<String> {
     let shape = Shape {
         controllers: 1,
         locations: vec!["a"],
@@ -115,15 +129,16 @@
     };
     let world = World::without_controllers(1, shape).await;
     let controller = ScriptedController::serve(&world).await;
-    // The machines boot, and their leases are renewed.
+    // Waits until the machines have booted and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
-    for steps in zone_shards {
+    for steps in parts {
         run_steps(&world, &controller, steps).await;
     }
     world.violations()
 }
 
-/// Plays the cases both ways.
+/// Runs each case both ways, and asserts that the checker reports the case's rule for the
+/// violation only.
 pub fn check_cases(cases: Vec<Case>) {
     for case in cases {
         in_world(|| async {
@@ -141,17 +156,18 @@
     }
 }
 
-/// A batch whose tasks take long.
+/// Returns a batch job whose tasks run for 1,000 s.
 pub fn long_batch(tasks: u32) -> Value {
     job(1, "batch", tasks, 1000.0)
 }
 
-/// A batch whose tasks take five seconds.
+/// Returns a batch job whose tasks run for 5 s.
 pub fn short_batch(tasks: u32) -> Value {
     job(1, "batch", tasks, 5.0)
 }
 
-/// A batch of one short task, which started on machine 0 so many seconds ago.
+/// Returns steps that submit a batch job of one short task, start it on machine 0 and then
+/// wait for `seconds`.
 pub fn short_task_started(seconds: f64) -> Vec<Step> {
     vec![
         Submit(short_batch(1)),
@@ -160,24 +176,24 @@
     ]
 }
 
-/// A batch of one long task, which has just started on machine 0.
+/// Returns steps that submit a batch job of one long task and start it on machine 0.
 pub fn long_task_started() -> Vec<Step> {
     vec![Submit(long_batch(1)), StartTask(0, FIRST_TASK)]
 }
 
-/// The steps, and further ones after them.
+/// Returns the steps with further ones after them.
 pub fn followed_by(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
     steps.extend(further);
     steps
 }
 
-/// The job with one field altered.
+/// Returns the job with one field replaced.
 pub fn with_field(mut job: Value, field: &str, value: Value) -> Value {
     job[field] = value;
     job
 }
 
-/// A task of another job: so that something has run.
+/// Returns steps that start a task of another job, so that the rule `nothing_ran` is kept.
 pub fn unrelated_start() -> Vec<Step> {
     vec![
         Submit(job(9, "daemon", 1, 0.0)),
@@ -185,7 +201,7 @@
     ]
 }
 
-/// A history in which something unrelated has run.
+/// Returns the steps, preceded by those of [`unrelated_start`].
 pub fn after_unrelated_start(steps: Vec<Step>) -> Vec<Step> {
     unrelated_start().into_iter().chain(steps).collect()
 }
--- a/tests/rule_checker/tasks.rs
+++ b/tests/rule_checker/tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks on machines: twice at once, beyond the limit, in the wrong place, after a cancellation.
+//! Cases of wrong tasks on machines: a task on two machines, tasks above a team's limit, in
+//! the wrong zone or on the wrong machine type, or after a cancellation.
 
 use serde_json::json;
 
@@ -8,31 +9,32 @@
 };
 use crate::stand_ins::{Rule, after, job};
 
+/// Returns cases in which a task runs on two machines.
 pub fn ran_twice() -> Vec<Case> {
     vec![
         Case {
-            name: "a second start elsewhere",
+            name: "a second start on another machine",
             rule: Rule::RanTwice,
             setup: long_task_started,
             compliant: || vec![StopTask(0, FIRST_TASK), StartTask(1, FIRST_TASK)],
             violation: || vec![StartTask(1, FIRST_TASK)],
         },
         Case {
-            name: "a start after its machine is gone, or before",
+            name: "a start before the loss of the task's first machine",
             rule: Rule::RanTwice,
             setup: long_task_started,
             compliant: || vec![LoseMachine(0), StartTask(2, FIRST_TASK)],
             violation: || vec![StartTask(2, FIRST_TASK), LoseMachine(0)],
         },
         Case {
-            name: "a machine that hangs keeps its task until its lease is over",
+            name: "a hung machine keeps its task until its lease expires",
             rule: Rule::RanTwice,
             setup: || followed_by(long_task_started(), vec![HangMachine(0, 60.0), Elapse(5.0)]),
             compliant: || vec![Elapse(7.0), StartTask(1, FIRST_TASK)],
             violation: || vec![StartTask(1, FIRST_TASK)],
         },
         Case {
-            name: "a task that has ended may start again",
+            name: "a second start before the task has ended",
             rule: Rule::RanTwice,
             setup: || short_task_started(4.0),
             compliant: || vec![Elapse(2.0), StartTask(1, FIRST_TASK)],
@@ -41,11 +43,12 @@
     ]
 }
 
+/// Returns cases in which a team's tasks exceed its limit.
 pub fn quota() -> Vec<Case> {
-    // Six tasks of two CPUs are the limit of team t, four that of team u.
+    // The limit of team t is six tasks of two CPUs each, that of team u four.
     vec![
         Case {
-            name: "a task more than the team's limit allows",
+            name: "one task more than the team's limit allows",
             rule: Rule::Quota,
             setup: || {
                 vec![
@@ -69,7 +72,7 @@
             violation: || vec![StartTask(3, "job-000001/6"), Elapse(1.0)],
         },
         Case {
-            name: "two jobs of one team, or of two",
+            name: "two jobs of one team above its limit",
             rule: Rule::Quota,
             setup: || {
                 let big = |n| with_field(job(n, "daemon", 1, 0.0), "vcpus", json!(7.0));
@@ -86,10 +89,11 @@
     ]
 }
 
+/// Returns cases in which a task violates a placement constraint of its job.
 pub fn wrong_place() -> Vec<Case> {
     vec![
         Case {
-            name: "a machine type that is not allowed",
+            name: "a machine type that the job does not allow",
             rule: Rule::WrongPlace,
             setup: || {
                 vec![
@@ -105,14 +109,14 @@
             violation: || vec![StartTask(0, FIRST_TASK)],
         },
         Case {
-            name: "a zone that is not allowed",
+            name: "a zone that the job does not allow",
             rule: Rule::WrongPlace,
             setup: || vec![Submit(with_field(long_batch(1), "yard", json!("b")))],
             compliant: || vec![StartTask(1, FIRST_TASK)],
             violation: || vec![StartTask(0, FIRST_TASK)],
         },
         Case {
-            name: "two zones of a job that must be in one",
+            name: "two zones for a job that must be in one",
             rule: Rule::WrongPlace,
             setup: || {
                 vec![
@@ -124,7 +128,7 @@
             violation: || vec![StartTask(1, "job-000001/1")],
         },
         Case {
-            name: "more than half, rounded up, in one zone",
+            name: "more than half of the tasks, rounded up, in one zone",
             rule: Rule::WrongPlace,
             setup: || {
                 vec![
@@ -139,8 +143,9 @@
     ]
 }
 
+/// Returns cases in which a task of a cancelled job runs after the time limit.
 pub fn ran_cancelled() -> Vec<Case> {
-    // `cancel_s` is 30.
+    // The setting `cancel_s` is 30 s.
     vec![
         Case {
             name: "a task that stays on its machine",
@@ -155,7 +160,7 @@
             violation: || vec![Elapse(3.0)],
         },
         Case {
-            name: "a second confirmation gives no more time",
+            name: "a second confirmation does not extend the time limit",
             rule: Rule::RanCancelled,
             setup: || {
                 followed_by(
@@ -172,7 +177,7 @@
             violation: || vec![Elapse(3.0)],
         },
         Case {
-            name: "a start",
+            name: "a start after the time limit",
             rule: Rule::RanCancelled,
             setup: || {
                 vec![
@@ -191,7 +196,7 @@
             },
         },
         Case {
-            name: "a task after a cancelled job",
+            name: "a task of a job with a cancelled dependency",
             rule: Rule::RanCancelled,
             setup: || {
                 vec![
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -1,7 +1,7 @@
-//! The stand-ins refuse what the state service and the cloud refuse by the protocol:
-//! each limit is met by one request that keeps to it and one that is beyond it.
+//! Tests of the limits that the simulated state service and cloud enforce by the protocol.
+//! Each limit gets one request that keeps to it and one that exceeds it.
 
-// Each file of tests uses a part of them.
+// Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -15,20 +15,22 @@
 use stand_ins::{Shape, StateLimits, World, addr, in_world, state_addr};
 use tokio::time::sleep;
 
+/// Address of the cloud.
 const CLOUD: &str = "127.2.0.2:8443";
-const CALLER: &str = "10.3.0.9:1";
+/// Address from which the tests send requests.
+const CLIENT: &str = "10.3.0.9:1";
 
-/// Whoever asks the stand-ins, without the daemon's own care for limits.
+/// A client of the stand-ins without the controllers' own rate and size limits.
 struct UnthrottledClient(Client);
 
 impl UnthrottledClient {
     fn new(world: &World) -> Self {
-        let net = Net::Fabric(world.fabric.clone(), addr(CALLER));
+        let net = Net::Fabric(world.fabric.clone(), addr(CLIENT));
         let client = Client::new(net, Duration::from_secs(30));
         UnthrottledClient(client.bounded(usize::MAX, 4 << 20))
     }
 
-    /// The status and body of the answer.
+    /// Sends a request, and returns the status and body of the response.
     async fn ask(
         &self,
         to: SocketAddrV4,
@@ -37,29 +39,34 @@
         body: Option<Value>,
     ) -> (u16, Value) {
         let bytes = body.map(|body| body.to_string().into_bytes());
-        let patience = Duration::from_secs(4);
-        let answer = self.0.call(to, method, path, bytes, patience).await;
+        let timeout = Duration::from_secs(4);
+        let answer = self.0.call(to, method, path, bytes, timeout).await;
         let answer = answer.expect("an answer");
         (answer.status, answer.parse().unwrap_or_default())
     }
 
+    /// Sends a commit to the state service, and returns the response's status.
     async fn commit(&self, commit: Value) -> u16 {
         let answer = self.ask(state_addr(0), "POST", "/commit", Some(commit));
         answer.await.0
     }
 
+    /// Sends a read to the state service, and returns the response's status and body.
     async fn get(&self, path: &str) -> (u16, Value) {
         self.ask(state_addr(0), "GET", path, None).await
     }
 }
 
+/// Starts a deployment without controllers whose state service has these limits, with a
+/// client.
 async fn world_with_limits(limits: StateLimits) -> (Rc<World>, UnthrottledClient) {
     let world = World::without_controllers(7, Shape::default()).await;
     world.state.limits.set(limits);
-    let caller = UnthrottledClient::new(&world);
-    (world, caller)
+    let client = UnthrottledClient::new(&world);
+    (world, client)
 }
 
+/// Limits on sizes, without limits on rates.
 const SIZE_LIMITS_ONLY: StateLimits = StateLimits {
     txn_ops: 12,
     value_limit_bytes: 8192,
@@ -67,28 +74,31 @@
     rps: f64::INFINITY,
 };
 
-/// A value whose text has so many bytes.
+/// Returns a value whose JSON text has this number of bytes.
 fn value_with_length(bytes: usize) -> Value {
     Value::String("x".repeat(bytes - 2))
 }
 
+/// Returns a commit that sets `count` keys to a value.
 fn commit_of_writes(count: usize, value: &Value) -> Value {
     let write = |n: usize| json!({"set": format!("c/{n}"), "value": value});
     json!({"guards": [], "writes": (0..count).map(write).collect::<Vec<_>>()})
 }
 
+/// Returns a commit with `count` preconditions.
 fn commit_with_guards(count: usize) -> Value {
     let precondition = |n: usize| json!({"key": format!("absent/{n}"), "stamp": 0});
     let writes = [json!({"set": "c/1", "value": 1})];
     json!({"guards": (0..count).map(precondition).collect::<Vec<_>>(), "writes": writes})
 }
 
+/// Returns a commit that sets one key.
 fn commit_of_key(key: &str) -> Value {
     json!({"guards": [], "writes": [{"set": key, "value": 1}]})
 }
 
 #[test]
-fn commits_beyond_a_limit_are_refused() {
+fn commits_over_size_limits_are_refused() {
     let longest_key = "k".repeat(200);
     let cases: [(&str, Value, Value); 5] = [
         (
@@ -110,37 +120,41 @@
         ("space", commit_of_key("c/1"), commit_of_key("c 1")),
     ];
     in_world(|| async move {
-        let (world, caller) = world_with_limits(SIZE_LIMITS_ONLY).await;
-        for (limit, within, beyond) in cases {
-            assert_eq!(caller.commit(within).await, 200, "{limit}");
-            assert_eq!(caller.commit(beyond).await, 400, "{limit}");
+        let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
+        for (limit, within, over) in cases {
+            assert_eq!(client.commit(within).await, 200, "{limit}");
+            assert_eq!(client.commit(over).await, 400, "{limit}");
         }
         assert_eq!(world.state.beyond.borrow().len(), 5);
-        // Seven values fit into one request, eight do not.
+        // Seven values of the maximum size fit into one request, eight do not.
         assert_eq!(
-            caller
+            client
                 .commit(commit_of_writes(7, &value_with_length(8192)))
                 .await,
             200
         );
-        let long = commit_of_writes(8, &value_with_length(8192))
+        let oversized = commit_of_writes(8, &value_with_length(8192))
             .to_string()
             .into_bytes();
-        let patience = Duration::from_secs(4);
-        let answer = caller
+        let timeout = Duration::from_secs(4);
+        let answer = client
             .0
-            .call(state_addr(0), "POST", "/commit", Some(long), patience);
+            .call(state_addr(0), "POST", "/commit", Some(oversized), timeout);
         let status = answer.await.map(|answer| answer.status);
         assert!(!matches!(status, Ok(200)), "{status:?}");
         let last = world.state.value("c/7");
-        assert_eq!(last, Some(json!(1)), "written in part");
+        assert_eq!(
+            last,
+            Some(json!(1)),
+            "the refused commit was written in part"
+        );
     });
 }
 
 #[test]
-fn requests_and_writes_beyond_the_rate_are_refused() {
+fn requests_and_writes_over_rate_limits_are_refused() {
     in_world(|| async move {
-        let (world, caller) = world_with_limits(StateLimits {
+        let (world, client) = world_with_limits(StateLimits {
             write_rps: 24.0,
             rps: 40.0,
             ..SIZE_LIMITS_ONLY
@@ -148,30 +162,30 @@
         .await;
         let mut statuses = Vec::new();
         for _ in 0..3 {
-            statuses.push(caller.commit(commit_of_writes(12, &json!(1))).await);
+            statuses.push(client.commit(commit_of_writes(12, &json!(1))).await);
         }
         assert_eq!(statuses, [200, 200, 429]);
         assert_eq!(world.state.rate_limited_commits.get(), 1);
         let mut refused = 0;
         for _ in 0..40 {
-            refused += usize::from(caller.get("/store/c/1").await.0 == 429);
+            refused += usize::from(client.get("/store/c/1").await.0 == 429);
         }
         assert_eq!(refused, 3, "of a burst of 40, three of which were commits");
         assert_eq!(world.state.rate_limited_requests.get(), 3);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(caller.commit(commit_of_writes(12, &json!(1))).await, 200);
+        assert_eq!(client.commit(commit_of_writes(12, &json!(1))).await, 200);
     });
 }
 
 #[test]
-fn lists_come_in_pages_and_watches_forget() {
+fn lists_are_paged_and_old_watch_revisions_fail() {
     in_world(|| async move {
-        let (world, caller) = world_with_limits(StateLimits {
+        let (world, client) = world_with_limits(StateLimits {
             txn_ops: 2000,
             ..SIZE_LIMITS_ONLY
         })
         .await;
-        assert_eq!(caller.commit(commit_of_writes(1200, &json!(1))).await, 200);
+        assert_eq!(client.commit(commit_of_writes(1200, &json!(1))).await, 200);
         let cases = [
             ("/store?prefix=c/", 1000, true),
             ("/store?prefix=c/&limit=10", 10, true),
@@ -180,7 +194,7 @@
             ("/store?prefix=none/", 0, false),
         ];
         for (path, records, truncated) in cases {
-            let (_, page) = caller.get(path).await;
+            let (_, page) = client.get(path).await;
             assert_eq!(
                 page["pairs"].as_array().map(Vec::len),
                 Some(records),
@@ -193,23 +207,23 @@
                 .state
                 .write(&format!("long/{n:03}"), &value_with_length(8000));
         }
-        let (_, page) = caller.get("/store?prefix=long/").await;
+        let (_, page) = client.get("/store?prefix=long/").await;
         let bytes = page["pairs"].to_string().len();
         assert!((500 << 10..=512 << 10).contains(&bytes), "{bytes}");
         assert_eq!(page["truncated"], json!(true));
-        let before = caller.get("/store/none").await.1["ledger_rev"].clone();
+        let before = client.get("/store/none").await.1["ledger_rev"].clone();
         let watch = format!("/watch?prefix=c/&after={before}");
         for _ in 0..10 {
-            assert_eq!(caller.commit(commit_of_writes(1000, &json!(1))).await, 200);
+            assert_eq!(client.commit(commit_of_writes(1000, &json!(1))).await, 200);
         }
-        assert_eq!(caller.get(&watch).await.0, 200);
-        assert_eq!(caller.commit(commit_of_writes(1, &json!(1))).await, 200);
-        assert_eq!(caller.get(&watch).await.0, 410);
+        assert_eq!(client.get(&watch).await.0, 200);
+        assert_eq!(client.commit(commit_of_writes(1, &json!(1))).await, 200);
+        assert_eq!(client.get(&watch).await.0, 410);
     });
 }
 
 #[test]
-fn requests_beyond_the_cloud_s_limits_are_refused() {
+fn requests_over_cloud_limits_are_refused() {
     let rental = |number: u32| {
         json!({"hire": format!("r-{number}"), "grade": "big", "yard": "a",
         "loaners": false, "number": number})
@@ -233,28 +247,28 @@
         ),
     ];
     in_world(|| async move {
-        let (world, caller) = world_with_limits(SIZE_LIMITS_ONLY).await;
-        for (method, path, within, beyond, beyond_path) in cases {
-            let (status, _) = caller.ask(addr(CLOUD), method, path, within).await;
+        let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
+        for (method, path, within, over, over_path) in cases {
+            let (status, _) = client.ask(addr(CLOUD), method, path, within).await;
             assert_eq!(status, 200, "{path}");
-            let path = if beyond_path.is_empty() {
+            let path = if over_path.is_empty() {
                 path
             } else {
-                beyond_path
+                over_path
             };
-            let (status, _) = caller.ask(addr(CLOUD), method, path, beyond).await;
+            let (status, _) = client.ask(addr(CLOUD), method, path, over).await;
             assert_eq!(status, 400, "{path}");
         }
         assert_eq!(world.refused_cloud_requests.borrow().len(), 3);
-        let (_, list) = caller
+        let (_, list) = client
             .ask(addr(CLOUD), "GET", "/rentals?limit=20", None)
             .await;
         assert_eq!(list["bays"].as_array().map(Vec::len), Some(20));
         assert_eq!(list["truncated"], json!(true));
-        // Five a second, in bursts of ten: seven were sent.
+        // The cloud serves 5 requests per second with bursts of 10, of which 7 were sent above.
         let mut refused = 0;
         for _ in 0..5 {
-            let (status, _) = caller.ask(addr(CLOUD), "GET", "/flavors", None).await;
+            let (status, _) = client.ask(addr(CLOUD), "GET", "/flavors", None).await;
             refused += usize::from(status == 429);
         }
         assert_eq!(refused, 2);
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -1,4 +1,4 @@
-//! Commits: their preconditions, their writes, and the faults that they meet.
+//! Commits: their preconditions, their writes, and the injected faults that affect them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,24 +12,27 @@
 use super::{State, Trouble};
 use crate::stand_ins::production::commit_of_production_version;
 
-/// The key that a write sets or removes.
+/// Returns the key that a write sets or removes.
 pub(super) fn written_key(write: &Value) -> &str {
     let key = write["set"].as_str().or(write["remove"].as_str());
     key.expect("set or remove")
 }
 
 impl State {
+    /// Serves a commit as the state service would receive it from the production version:
+    /// translated, or with a conflict on `sh/formats` if that version would not send it.
     pub(super) async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
         match commit_of_production_version(body) {
             Some(body) => self.commit(body).await,
             None => {
-                let at = self.revision.get();
-                let failed = json!({"failed": ["sh/formats"], "ledger_rev": at});
-                Response::json(409, &failed)
+                let revision = self.revision.get();
+                let conflict = json!({"failed": ["sh/formats"], "ledger_rev": revision});
+                Response::json(409, &conflict)
             }
         }
     }
 
+    /// Serves a commit, subject to the injected faults.
     pub(super) async fn commit(self: &Rc<Self>, body: Value) -> Response {
         if self.trouble.get() == Trouble::NoCommits {
             return Response::empty(503);
@@ -54,11 +57,11 @@
             (troubles.late, troubles.unanswered)
         };
         if self.draw_bool(late) {
-            let after = self.rng.borrow_mut().random_range(2.0..12.0);
+            let delay_s = self.rng.borrow_mut().random_range(2.0..12.0);
             let state = self.clone();
-            // Whoever sent it gives up on it meanwhile; it is carried out.
+            // The commit is applied after the controller has stopped waiting for its response.
             spawn_local(async move {
-                sleep(Duration::from_secs_f64(after)).await;
+                sleep(Duration::from_secs_f64(delay_s)).await;
                 while state.is_in_outage() {
                     sleep(Duration::from_millis(100)).await;
                 }
@@ -73,12 +76,13 @@
         self.apply(&body)
     }
 
-    /// Carries a transaction out, if the limits, its leases and its guards allow.
+    /// Applies a transaction if it keeps to the limits, its leases exist and its
+    /// preconditions hold, and returns the response.
     pub(super) fn apply(&self, body: &Value) -> Response {
         let empty = vec![];
         let writes = body["writes"].as_array().unwrap_or(&empty);
         let failed = self.failed_guards(body);
-        let at = self.revision.get();
+        let revision = self.revision.get();
         if let Some(problem) = self.limit_violation(body) {
             self.beyond.borrow_mut().push(problem.clone());
             return Response::json(400, &json!({"error": problem}));
@@ -97,49 +101,49 @@
         }
         if !failed.is_empty() {
             self.conflicts.set(self.conflicts.get() + 1);
-            return Response::json(409, &json!({"failed": failed, "ledger_rev": at}));
+            return Response::json(409, &json!({"failed": failed, "ledger_rev": revision}));
         }
         if writes.is_empty() {
-            return Response::json(200, &json!({"ledger_rev": at}));
+            return Response::json(200, &json!({"ledger_rev": revision}));
         }
-        let at = at + 1;
+        let revision = revision + 1;
         for write in writes {
             self.attach_to_lease(write);
-            let event = self.apply_write(write, at);
+            let event = self.apply_write(write, revision);
             self.change_log.borrow_mut().push(event);
         }
-        self.check_changed_places(writes, at);
+        self.check_changed_places(writes, revision);
         let keys: Vec<&str> = writes.iter().map(written_key).collect();
         for observer in self.observers.borrow().iter() {
-            observer(&self.pairs.borrow(), &keys, at);
+            observer(&self.pairs.borrow(), &keys, revision);
         }
-        self.revision.set(at);
+        self.revision.set(revision);
         self.revision_changed.notify_waiters();
-        Response::json(200, &json!({"ledger_rev": at}))
+        Response::json(200, &json!({"ledger_rev": revision}))
     }
 
-    /// The keys whose revision is not the one that the transaction expects.
+    /// Returns the keys whose revision differs from the one that the transaction expects.
     fn failed_guards(&self, body: &Value) -> Vec<String> {
         let pairs = self.pairs.borrow();
         let preconditions = body["guards"].as_array().into_iter().flatten();
         let failed = preconditions.filter_map(|precondition| {
             let key = precondition["key"].as_str()?;
-            let now = pairs.get(key).map_or(0, |pair| pair.1);
-            (precondition["stamp"].as_u64() != Some(now)).then(|| key.to_string())
+            let current = pairs.get(key).map_or(0, |pair| pair.1);
+            (precondition["stamp"].as_u64() != Some(current)).then(|| key.to_string())
         });
         failed.collect()
     }
 
-    /// Sets or removes a key; returns what watches tell of it.
-    fn apply_write(&self, write: &Value, at: u64) -> Value {
+    /// Sets or removes a key, and returns the event that watches report for it.
+    fn apply_write(&self, write: &Value, revision: u64) -> Value {
         let mut pairs = self.pairs.borrow_mut();
         let key = written_key(write);
         if write["set"].is_string() {
-            pairs.insert(key.to_string(), (write["value"].clone(), at));
-            json!({"set": key, "value": write["value"], "stamp": at})
+            pairs.insert(key.to_string(), (write["value"].clone(), revision));
+            json!({"set": key, "value": write["value"], "stamp": revision})
         } else {
             pairs.remove(key);
-            json!({"remove": key, "stamp": at})
+            json!({"remove": key, "stamp": revision})
         }
     }
 }
--- a/tests/stand_ins/state_service/faults.rs
+++ b/tests/stand_ins/state_service/faults.rs
@@ -7,42 +7,44 @@
 
 use super::State;
 
-/// Troubles of the state service that last until they are taken back.
+/// Faults of the state service with probabilities, delays and targets. They last until they
+/// are reset.
 #[derive(Debug, Clone, Default)]
 pub struct StateTroubles {
-    /// Controllers that are refused while others are served.
+    /// Indexes of the controllers whose requests are refused.
     pub refused: BTreeSet<usize>,
-    /// The share of commits that are carried out 2 to 12 s later, unanswered.
+    /// Probability with which a commit is applied 2 to 12 s later and gets no response.
     pub late: f64,
-    /// The share that is carried out at once, unanswered.
+    /// Probability with which a commit is applied immediately and gets no response.
     pub unanswered: f64,
-    /// Every answer takes up to this long, in part before and in part after the
-    /// request is carried out.
+    /// Maximum delay of a response. A random part of the delay precedes the execution of the
+    /// request, the rest follows it.
     pub slow: Duration,
-    /// Only these are answered slowly, if there are any: each answer to them is
-    /// under way for the whole of it, as old as that when it comes.
+    /// Indexes of the only controllers with delayed responses; if empty, the responses to all
+    /// are delayed at random. The responses to these controllers are delayed by the whole of
+    /// `slow` after the execution of the request, so that they are outdated by as much.
     pub slow_to: BTreeSet<usize>,
 }
 
-/// What the state service is to do with the commits that come next.
+/// Fault mode of the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Trouble {
     #[default]
     None,
-    /// Carried out, but the answer is lost.
+    /// Commits that are applied, but whose response is lost.
     LoseAnswers,
-    /// Carried out some seconds later, and no answer.
+    /// Commits that are applied some seconds later and get no response.
     Late,
-    /// Refused, as in an outage.
+    /// Outage: all requests are refused.
     Down,
-    /// Reads are served, commits refused.
+    /// Refusal of commits, while reads are served.
     NoCommits,
-    /// Watches bring more than a controller reads of one answer.
+    /// Watch responses that are larger than a controller accepts.
     FatWatch,
 }
 
 impl State {
-    /// How long before and after it is carried out a request is held up.
+    /// Returns the delays before and after the execution of a request.
     pub(super) fn delays(&self, i: usize) -> (Duration, Duration) {
         let troubles = self.troubles.borrow();
         if troubles.slow.is_zero()
@@ -54,8 +56,8 @@
             return (Duration::ZERO, troubles.slow);
         }
         let mut rng = self.rng.borrow_mut();
-        let whole = troubles.slow.mul_f64(rng.random_range(0.0..1.0));
-        let before = whole.mul_f64(rng.random_range(0.0..1.0));
-        (before, whole - before)
+        let total = troubles.slow.mul_f64(rng.random_range(0.0..1.0));
+        let before = total.mul_f64(rng.random_range(0.0..1.0));
+        (before, total - before)
     }
 }
--- a/tests/stand_ins/state_service/leases.rs
+++ b/tests/stand_ins/state_service/leases.rs
@@ -1,4 +1,4 @@
-//! State leases and the keys that expire with them.
+//! State leases, and the removal of their keys when they expire.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,42 +11,45 @@
 use super::State;
 use super::commits::written_key;
 
-/// A state lease and the keys that end with it, in the order in which they are removed.
+/// A state lease and the keys that are removed when it ends, in the order of removal.
 pub(super) struct StateLease {
     ttl: Duration,
+    /// Time at which the lease expires unless it is renewed.
     ends: Instant,
     keys: BTreeSet<String>,
 }
 
 impl State {
-    /// State leases end with their keys. In an outage none does, and after it
-    /// each has its full time again.
+    /// Removes expired leases and their keys periodically. No lease expires during an outage,
+    /// after which each lease has its full TTL again.
     pub(in crate::stand_ins) async fn run_lease_expiry(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(50)).await;
             let now = Instant::now();
-            let mut over = Vec::new();
+            let mut expired_keys = Vec::new();
             self.leases.borrow_mut().retain(|_, lease| {
                 if self.is_in_outage() {
                     lease.ends = now + lease.ttl;
                 }
-                let stands = lease.ends > now;
-                if !stands {
-                    over.extend(std::mem::take(&mut lease.keys));
+                let is_valid = lease.ends > now;
+                if !is_valid {
+                    expired_keys.extend(std::mem::take(&mut lease.keys));
                 }
-                stands
+                is_valid
             });
-            self.remove(over);
+            self.remove(expired_keys);
         }
     }
 
+    /// Removes keys, in transactions of at most `txn_ops` writes.
     fn remove(&self, keys: Vec<String>) {
         let writes: Vec<Value> = keys.iter().map(|k| json!({"remove": k})).collect();
-        for some in writes.chunks(self.limits.get().txn_ops.max(1)) {
-            self.apply(&json!({"guards": [], "writes": some}));
+        for chunk in writes.chunks(self.limits.get().txn_ops.max(1)) {
+            self.apply(&json!({"guards": [], "writes": chunk}));
         }
     }
 
+    /// Serves a request that creates, renews or revokes a lease.
     pub(super) fn lease(&self, method: &str, path: &str, body: &Value) -> Response {
         let now = Instant::now();
         let id = path.trim_matches('/').trim_end_matches("/extend").parse();
@@ -69,15 +72,16 @@
                 None => Response::empty(404),
             },
             (_, Ok(id)) => {
-                let ended = self.leases.borrow_mut().remove(&id);
-                self.remove(ended.into_iter().flat_map(|l| l.keys).collect());
+                let revoked = self.leases.borrow_mut().remove(&id);
+                self.remove(revoked.into_iter().flat_map(|l| l.keys).collect());
                 Response::empty(200)
             }
             _ => Response::empty(400),
         }
     }
 
-    /// A key belongs to the lease of its last write, if that names one.
+    /// Attaches the written key to the lease that the write names, and detaches it from every
+    /// other lease: a key belongs to the lease of its last write only.
     pub(super) fn attach_to_lease(&self, write: &Value) {
         let key = written_key(write);
         for (id, lease) in self.leases.borrow_mut().iter_mut() {
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -8,13 +8,14 @@
 use super::State;
 use super::commits::written_key;
 
-/// The longest key.
+/// Maximum length of a key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// The longest request.
+/// Maximum size of a commit request, in bytes.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// What one commit may write, one value hold, and all write in a second.
+/// The limits of the state service: writes per commit, bytes per value, and writes and
+/// requests per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
     pub txn_ops: usize,
@@ -34,24 +35,24 @@
     }
 }
 
-/// How much of a rate is left: bursts of one second's worth are allowed.
+/// A token bucket with a capacity of one second's tokens.
 #[derive(Default)]
 pub(super) struct RateLimit {
-    /// What may be taken at once, and when that was.
+    /// Number of tokens, and the time at which that number applied.
     level: Cell<Option<(f64, Instant)>>,
 }
 
 impl RateLimit {
-    /// Takes `count` at this rate a second; whether they are too many, and are
-    /// not taken.
+    /// Takes `count` tokens from the bucket, which is refilled with `rate` tokens per second,
+    /// and returns whether it has too few. In that case it takes none.
     pub(super) fn refuses(&self, rate: f64, count: usize) -> bool {
         if rate.is_infinite() {
             return false;
         }
         let now = Instant::now();
         let (level, at) = self.level.get().unwrap_or((rate, now));
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        let level = (level + passed * rate).min(rate);
+        let elapsed_s = now.saturating_duration_since(at).as_secs_f64();
+        let level = (level + elapsed_s * rate).min(rate);
         let refused = level < count as f64;
         let left = if refused { level } else { level - count as f64 };
         self.level.set(Some((left, now)));
@@ -59,16 +60,17 @@
     }
 }
 
+/// Returns whether the text is a valid key: not empty, not too long, without white space.
 fn is_valid_key(key: &str) -> bool {
     (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
 impl State {
-    /// Why a commit is beyond the limits, if it is.
+    /// Returns a description of the first limit that a commit exceeds, if any.
     pub(super) fn limit_violation(&self, body: &Value) -> Option<String> {
         let limits = self.limits.get();
-        let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
-        let (writes, preconditions) = (list("writes"), list("guards"));
+        let items = |name: &str| body[name].as_array().cloned().unwrap_or_default();
+        let (writes, preconditions) = (items("writes"), items("guards"));
         if writes.len() > limits.txn_ops || preconditions.len() > limits.txn_ops * 4 {
             return Some(format!(
                 "txn_ops: {} writes, {} guards, first {}",
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -1,5 +1,5 @@
-//! The state service: keys with revisions, transactions, leases, watches and
-//! its limits, and the troubles that a test gives it.
+//! The simulated state service: keys with revisions, transactions, leases, watches, limits,
+//! and the faults that a test injects.
 
 mod commits;
 mod faults;
@@ -26,65 +26,74 @@
 pub use faults::{StateTroubles, Trouble};
 pub use limits::StateLimits;
 
-/// The state service of a deployment.
+/// The simulated state service of a deployment.
 pub struct State {
+    /// Values by key, each with the revision of its last write.
     pub(in crate::stand_ins) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
+    /// Events of all revisions, in their order.
     change_log: RefCell<Vec<Value>>,
     revision: Cell<u64>,
-    /// Wakes open watches in the order in which they came: a `watch` channel of tokio
-    /// would wake them in a random one, and no two runs would be alike.
+    /// Notification of open watches, in the order in which they were opened. A `watch` channel
+    /// of tokio would wake them in random order, so that no two runs would be the same.
     revision_changed: Notify,
+    /// Current fault mode.
     pub trouble: Cell<Trouble>,
-    /// How many commits the trouble still meets.
+    /// Number of further commits that the fault modes [`Trouble::LoseAnswers`] and
+    /// [`Trouble::Late`] affect.
     pub troubled: Cell<usize>,
+    /// Faults with probabilities, delays and targets.
     pub troubles: RefCell<StateTroubles>,
     leases: RefCell<BTreeMap<u64, StateLease>>,
     next_lease: Cell<u64>,
     rng: RefCell<SmallRng>,
-    /// The limits in force.
+    /// Limits that the service enforces.
     pub limits: Cell<StateLimits>,
-    /// Commits refused for their size: none may be that keep to the limits.
+    /// Descriptions of the commits refused because they exceed a size limit or contain an
+    /// invalid key.
     pub beyond: RefCell<Vec<String>>,
-    /// Requests refused for their rate.
+    /// Number of commits refused by the limit on writes per second.
     pub rate_limited_commits: Cell<usize>,
-    /// The same of requests of any kind.
+    /// Number of requests refused by the limit on requests per second.
     pub rate_limited_requests: Cell<usize>,
-    /// What may be written at once.
+    /// Token bucket for writes.
     writes: RateLimit,
-    /// What may be asked at once.
+    /// Token bucket for requests.
     requests: RateLimit,
-    /// Machines that stood in two zone shards or in two machine shards at a revision.
+    /// Descriptions of machines that were in two zone shards or in two machine shards at some
+    /// revision.
     pub misplaced_machines: RefCell<Vec<String>>,
-    /// Controllers whose records are those of the program in production: they do
-    /// not tell of any formats, nor record what others tell.
+    /// Indexes of the controllers whose commits are translated to those of the production
+    /// version, which neither announces record formats nor stores the announced ones.
     pub older: RefCell<BTreeSet<usize>>,
-    /// Commits that failed on a condition.
+    /// Number of commits that failed a precondition.
     pub conflicts: Cell<usize>,
-    /// Commits that are refused, by who sends them and what they hold.
+    /// Predicate that selects commits to refuse with status 503.
     pub gate: RefCell<Option<CommitRefusal>>,
-    /// Told of every commit that was carried out, with the records as it leaves them.
+    /// Callbacks that are called after every applied commit.
     pub observers: RefCell<Vec<CommitObserver>>,
-    /// What tests have put down by themselves: it alone may be unreadable.
+    /// Records that tests wrote directly. Only these may be unreadable.
     test_writes: RefCell<BTreeMap<String, Value>>,
 }
 
-/// Whether a commit of a controller is refused.
+/// Predicate on a controller's index and its commit, true if the commit is refused.
 pub type CommitRefusal = Box<dyn Fn(usize, &Value) -> bool>;
 
-/// Who reads every committed revision: the records, the keys that were written, and the
+/// Callback that is called with the records after a commit, the written keys and the
 /// revision.
 pub type CommitObserver = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
 
 impl State {
-    /// Records that the program in production could not read, or would spoil.
+    /// Returns the keys of the records that the production version could not read, or would
+    /// write back incompletely.
     pub fn unreadable(&self) -> Vec<String> {
         let pairs = self.pairs.borrow();
-        let bad = pairs
+        let unreadable = pairs
             .iter()
             .filter(|(k, v)| !is_readable_by_production(k, &v.0));
-        bad.map(|(k, _)| k.clone()).collect()
+        unreadable.map(|(k, _)| k.clone()).collect()
     }
 
+    /// Returns an empty state service without faults or limits.
     pub(in crate::stand_ins) fn new(seed: u64) -> Self {
         State {
             pairs: RefCell::default(),
@@ -112,30 +121,37 @@
         }
     }
 
+    /// Returns whether the service is unavailable to all controllers.
     fn is_in_outage(&self) -> bool {
         self.trouble.get() == Trouble::Down
     }
 
+    /// Returns whether the service refuses all requests of a controller.
     fn refuses(&self, i: usize) -> bool {
         self.is_in_outage() || self.troubles.borrow().refused.contains(&i)
     }
 
-    pub(in crate::stand_ins) fn draw_bool(&self, share: f64) -> bool {
-        share > 0.0 && self.rng.borrow_mut().random_bool(share)
+    /// Returns true with this probability. Draws no random number if it is zero.
+    pub(in crate::stand_ins) fn draw_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.borrow_mut().random_bool(probability)
     }
 
-    /// A random factor that differs from one by up to `part`.
-    pub(in crate::stand_ins) fn random_factor(&self, part: f64) -> f64 {
-        match part > 0.0 {
-            true => self.rng.borrow_mut().random_range(1.0 - part..1.0 + part),
+    /// Returns a random factor that differs from one by up to `max_deviation`.
+    pub(in crate::stand_ins) fn random_factor(&self, max_deviation: f64) -> f64 {
+        match max_deviation > 0.0 {
+            true => self
+                .rng
+                .borrow_mut()
+                .random_range(1.0 - max_deviation..1.0 + max_deviation),
             false => 1.0,
         }
     }
 
+    /// Serves a request of controller `i`, subject to the injected faults.
     pub(in crate::stand_ins) fn answer(
         self: Rc<Self>,
         i: usize,
-        r: Request,
+        request: Request,
     ) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
             let (before, after) = self.delays(i);
@@ -148,10 +164,10 @@
                     .set(self.rate_limited_requests.get() + 1);
                 return Response::json(429, &json!({"error": "too many"}));
             }
-            let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
-            let answer = match (r.method.as_str(), r.path.as_str()) {
-                ("GET", "/store") => self.list(&r.query),
-                ("GET", "/watch") => self.watch(i, &r.query).await,
+            let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+            let answer = match (request.method.as_str(), request.path.as_str()) {
+                ("GET", "/store") => self.list(&request.query),
+                ("GET", "/watch") => self.watch(i, &request.query).await,
                 ("GET", path) => self.read(path.trim_start_matches("/store/")),
                 ("POST", "/commit") if self.is_commit_refused(i, &body) => Response::empty(503),
                 ("POST", "/commit") if self.older.borrow().contains(&i) => {
@@ -168,12 +184,13 @@
         })
     }
 
+    /// Returns whether the test's predicate refuses a commit of controller `i`.
     fn is_commit_refused(&self, i: usize, body: &Value) -> bool {
-        let gate = self.gate.borrow();
-        gate.as_ref().is_some_and(|refuses| refuses(i, body))
+        let predicate = self.gate.borrow();
+        predicate.as_ref().is_some_and(|refuses| refuses(i, body))
     }
 
-    /// One key, by `GET /store/{key}`.
+    /// Serves `GET /store/{key}`.
     fn read(&self, key: &str) -> Response {
         match self.pairs.borrow().get(key) {
             Some((value, stamp)) => {
@@ -183,27 +200,27 @@
         }
     }
 
-    /// A record as another program would have written it.
+    /// Writes a record directly, as another program would.
     pub fn write(&self, key: &str, value: &Value) {
-        let mut put_down = self.test_writes.borrow_mut();
-        put_down.insert(key.to_string(), value.clone());
-        drop(put_down);
+        let mut test_writes = self.test_writes.borrow_mut();
+        test_writes.insert(key.to_string(), value.clone());
+        drop(test_writes);
         self.apply(&json!({"writes": [{"set": key, "value": value}]}));
     }
 
-    /// The record of a key, as it stands.
+    /// Returns the current value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.pairs.borrow().get(key).map(|p| p.0.clone())
     }
 
-    /// The records under a prefix, as they stand.
+    /// Returns the current keys and values under a prefix.
     pub fn records(&self, prefix: &str) -> Vec<(String, Value)> {
         let pairs = self.pairs.borrow();
         let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
         all.map(|(k, (v, _))| (k.clone(), v.clone())).collect()
     }
 
-    /// The keys under a prefix, with the length of each value.
+    /// Returns the keys under a prefix, each with the length of its value in bytes.
     pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
         let pairs = self.pairs.borrow();
         let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
--- a/tests/stand_ins/state_service/places.rs
+++ b/tests/stand_ins/state_service/places.rs
@@ -1,4 +1,4 @@
-//! The check that each machine is in one zone shard and one machine shard at most.
+//! Checks that each machine is in at most one zone shard and at most one machine shard.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,25 +8,25 @@
 use super::State;
 
 impl State {
-    /// Judges the places of machines in the tables that a transaction wrote to.
-    pub(super) fn check_changed_places(&self, writes: &[Value], at: u64) {
+    /// Checks the tables of machines that a transaction wrote to.
+    pub(super) fn check_changed_places(&self, writes: &[Value], revision: u64) {
         for table in ["sh/zone/", "sh/machine/"] {
             let mut keys = writes.iter().filter_map(|w| w["set"].as_str());
             if keys.any(|key| key.starts_with(table)) {
-                self.check_places(&self.pairs.borrow(), table, at);
+                self.check_places(&self.pairs.borrow(), table, revision);
             }
         }
     }
 
-    /// Panics for a record that cannot be read, unless a test put it down.
+    /// Panics unless a test wrote this unreadable record.
     fn assert_written_by_test(&self, key: &str, value: &Value) {
-        let put_down = self.test_writes.borrow();
-        assert_eq!(put_down.get(key), Some(value), "{key} cannot be read");
+        let test_writes = self.test_writes.borrow();
+        assert_eq!(test_writes.get(key), Some(value), "{key} cannot be read");
     }
 
-    /// Each machine stands in one zone shard and one machine shard at most.
-    fn check_places(&self, pairs: &BTreeMap<String, (Value, u64)>, table: &str, at: u64) {
-        let mut seen: HashMap<String, String> = HashMap::new();
+    /// Records a violation for each machine that is in two records of a table.
+    fn check_places(&self, pairs: &BTreeMap<String, (Value, u64)>, table: &str, revision: u64) {
+        let mut key_by_machine: HashMap<String, String> = HashMap::new();
         for (key, (value, _)) in pairs.range(table.to_string()..) {
             if !key.starts_with(table) {
                 break;
@@ -49,8 +49,8 @@
                 continue;
             };
             for name in names {
-                if let Some(other) = seen.insert(name.clone(), key.clone()) {
-                    let place = format!("{name} in {other} and {key} at {at}");
+                if let Some(other) = key_by_machine.insert(name.clone(), key.clone()) {
+                    let place = format!("{name} in {other} and {key} at {revision}");
                     self.misplaced_machines.borrow_mut().push(place);
                 }
             }
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: pages of records, and watches.
+//! Reads: lists of records in pages, and watches.
 
 use std::time::Duration;
 
@@ -8,15 +8,17 @@
 
 use super::{State, Trouble};
 
-/// The most records of a page, and the most bytes of their texts.
+/// Maximum number of records in a page.
 const MAX_PAGE_RECORDS: usize = 1000;
+/// Maximum size of the records in a page, in bytes of their JSON text.
 const MAX_PAGE_BYTES: usize = 512 * 1024;
 
-/// So many changes are kept for watches.
+/// Number of latest events that are kept for watches. A watch from an earlier revision
+/// fails with status 410.
 const MAX_KEPT_CHANGES: usize = 10_000;
 
 impl State {
-    /// One page of the records under a prefix.
+    /// Serves one page of the records under a prefix.
     pub(super) fn list(&self, query: &str) -> Response {
         let prefix = query_value(query, "prefix").unwrap_or("");
         let after = query_value(query, "after").unwrap_or("");
@@ -45,29 +47,30 @@
         )
     }
 
-    /// Waits for a revision later than this.
+    /// Waits until the revision is later than `after`.
     async fn revision_after(&self, after: u64) {
         while self.revision.get() <= after {
             self.revision_changed.notified().await;
         }
     }
 
+    /// Serves a watch: waits for events under a prefix and returns them.
     pub(super) async fn watch(&self, i: usize, query: &str) -> Response {
         let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
         let after = number("after").unwrap_or(0);
         let block = Duration::from_millis(number("block_ms").unwrap_or(0));
         let _ = timeout(block, self.revision_after(after)).await;
-        // An open watch waits through an outage, and while it is refused.
+        // An open watch waits until an outage, or the refusal of its controller, has ended.
         while self.refuses(i) {
             sleep(Duration::from_millis(100)).await;
         }
         let log = self.change_log.borrow();
-        let forgotten = log.len().checked_sub(MAX_KEPT_CHANGES + 1);
-        if forgotten.is_some_and(|last| log[last]["stamp"].as_u64() > Some(after)) {
+        let last_dropped = log.len().checked_sub(MAX_KEPT_CHANGES + 1);
+        if last_dropped.is_some_and(|last| log[last]["stamp"].as_u64() > Some(after)) {
             return Response::empty(410);
         }
-        let news = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
-        let events: Vec<&Value> = news.collect();
+        let new_events = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
+        let events: Vec<&Value> = new_events.collect();
         let at = self.revision.get();
         let mut answer = Response::json(200, &json!({"ledger_rev": at, "events": events}));
         if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
