--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -88,7 +88,9 @@
 pub(super) struct JobAnswers {
     pub(super) submitted: bool,
     pub(super) cancel_requested: bool,
+    /// Number of the first answer that confirmed the submission.
     accepted: Option<u64>,
+    /// First final stage in an answer, and the number of that answer.
     ended: Option<(String, u64)>,
 }
 
@@ -96,6 +98,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct JobPolls {
     last: Option<Instant>,
+    /// Time of the last poll that succeeded.
     answered: Option<Instant>,
     /// Start of the current series of failed polls.
     failing_since: Option<Instant>,
@@ -110,13 +113,13 @@
 /// `given`.
 fn is_allowed(job: &Value, field: &str, given: &str) -> bool {
     match &job[field] {
-        Value::Array(some) => some.iter().any(|one| one == given),
-        Value::String(one) => one == given,
+        Value::Array(values) => values.iter().any(|value| value == given),
+        Value::String(value) => value == given,
         _ => true,
     }
 }
 
-// The actual states of jobs.
+// The actual states of jobs, as opposed to the answers about them.
 impl World {
     /// Returns the number of completed tasks of a job.
     fn completed_task_count(&self, id: &str) -> u64 {
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -61,15 +61,21 @@
     pub zones: Vec<&'static str>,
     /// Zones of the machines that exist at the start, in turn.
     pub machine_zones: Vec<&'static str>,
+    /// Interval between the heartbeats of a worker, in seconds.
     pub report_s: f64,
     /// Maximum random deviation of the intervals between heartbeats, as a fraction of
     /// `report_s`. The protocol's page specifies a quarter.
     pub report_jitter: f64,
+    /// Duration of a worker lease, in seconds.
     pub lease_s: f64,
+    /// Time in seconds within which a cancelled task must leave its machine.
     pub cancel_s: f64,
     /// Name, guaranteed CPUs and CPU limit of each team.
     pub teams: Vec<(String, f64, f64)>,
+    /// The settings `deployment.state`, which are also the limits that the state service
+    /// enforces.
     pub state: Value,
+    /// The setting `deployment.machine_limits.sockets`.
     pub sockets: usize,
     /// Number of machines that exist at the start.
     pub machines: usize,
@@ -182,6 +188,7 @@
 pub struct World {
     pub fabric: Rc<Fabric>,
     pub state: Rc<State>,
+    /// Running workers, by machine name.
     pub workers: RefCell<BTreeMap<String, RunningWorker>>,
     /// Submissions of the known jobs, by job ID.
     pub(super) jobs: RefCell<HashMap<String, Value>>,
@@ -220,9 +227,11 @@
     /// The setting `state.next` of the controllers that start from now on; it is omitted if
     /// null.
     pub next: RefCell<Value>,
+    /// Task of each controller, none after it was killed.
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
     /// Pause flag of each controller.
     pub(super) frozen: Vec<watch::Sender<bool>>,
+    /// HTTP client of the users.
     pub(super) client: RecordedClient,
     /// Recorder of the frames between the controllers and the stand-ins.
     pub frames: Rc<FrameRecord>,
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -14,13 +14,17 @@
 /// Maximum size of a commit request, in bytes.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// The limits of the state service: writes per commit, bytes per value, and writes and
-/// requests per second.
+/// The limits of the state service, which tests can set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
+    /// Maximum number of writes per commit; a commit may have four times as many
+    /// preconditions.
     pub txn_ops: usize,
+    /// Maximum size of a value's JSON text.
     pub value_limit_bytes: usize,
+    /// Maximum number of writes per second.
     pub write_rps: f64,
+    /// Maximum number of requests of any kind per second.
     pub rps: f64,
 }
 
