--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -26,7 +26,7 @@
     /// A submission that is accepted.
     Submit(Value),
     /// A submission that gets this status.
-    SubmitAnswered(Value, u16),
+    SubmitWithStatus(Value, u16),
     /// A poll of a job that gets this status and stage.
     Poll(&'static str, u16, &'static str),
     /// A cancellation that gets this status and stage.
@@ -50,7 +50,7 @@
 
 pub use Step::{
     Cancel, Elapse, HangMachine, LoseMachine, Poll, PollFor, StartTask, StopTask, Submit,
-    SubmitAnswered, WriteRecord,
+    SubmitWithStatus, WriteRecord,
 };
 
 /// A history that continues in two ways.
@@ -71,7 +71,7 @@
     for step in steps {
         match step {
             Submit(job) => submit(world, controller, &job, 201).await,
-            SubmitAnswered(job, status) => submit(world, controller, &job, status).await,
+            SubmitWithStatus(job, status) => submit(world, controller, &job, status).await,
             Poll(id, status, stage) => {
                 controller.queue_response(status, stage);
                 world.stage(0, id).await;
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the stand-ins' rule checker. For each violation, the checker must report the
 //! rule, and must report nothing for the same history without the violation. A scripted
-//! controller sends the commands and the answers, since the program must not violate the
+//! controller sends the commands and the responses, since the program must not violate the
 //! rules.
 
 // Each test target uses only some of the stand-ins.
@@ -8,17 +8,17 @@
 #[path = "../stand_ins/mod.rs"]
 mod stand_ins;
 
-mod answers;
 mod derived_rules;
 mod history;
+mod responses;
 mod tasks;
 
-use answers::{forgotten, invented, not_done, went_back};
 use derived_rules::derived_rules;
 use history::{
     Cancel, Elapse, FIRST, StartTask, check_cases, followed_by, long_task_started,
     reported_violations,
 };
+use responses::{forgotten, invented, not_done, went_back};
 use stand_ins::{Rule, in_world};
 use tasks::{quota, ran_cancelled, ran_twice, wrong_place};
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn answer_about_unsubmitted_job_is_reported() {
+fn response_about_unsubmitted_job_is_reported() {
     check_cases(invented());
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn answer_that_reverts_final_stage_is_reported() {
+fn response_that_reverts_final_stage_is_reported() {
     check_cases(went_back());
 }
 
--- a/tests/rule_checker/answers.rs
+++ b/tests/rule_checker/responses.rs
@@ -1,9 +1,9 @@
-//! Cases of wrong answers to users: a forgotten job, a job that was never submitted, a job
+//! Cases of wrong responses to users: a forgotten job, a job that was never submitted, a job
 //! reported as done too early, a final stage that is reverted.
 
 use crate::history::{
     Cancel, Case, Elapse, FIRST, FIRST_TASK, Poll, PollFor, SECOND, StartTask, StopTask, Submit,
-    SubmitAnswered, after_unrelated_start, followed_by, long_batch, short_batch,
+    SubmitWithStatus, after_unrelated_start, followed_by, long_batch, short_batch,
     short_task_started, unrelated_start,
 };
 use crate::stand_ins::{Rule, after, job};
@@ -25,18 +25,18 @@
             setup: accepted,
             compliant: || {
                 vec![
-                    SubmitAnswered(long_batch(1), 200),
-                    SubmitAnswered(long_batch(1), 503),
+                    SubmitWithStatus(long_batch(1), 200),
+                    SubmitWithStatus(long_batch(1), 503),
                 ]
             },
-            violation: || vec![SubmitAnswered(long_batch(1), 400)],
+            violation: || vec![SubmitWithStatus(long_batch(1), 400)],
         },
         Case {
             name: "a repeated submission gets 422",
             rule: Rule::Forgotten,
             setup: accepted,
-            compliant: || vec![SubmitAnswered(job(2, "batch", 1, 1.0), 422)],
-            violation: || vec![SubmitAnswered(long_batch(1), 422)],
+            compliant: || vec![SubmitWithStatus(job(2, "batch", 1, 1.0), 422)],
+            violation: || vec![SubmitWithStatus(long_batch(1), 422)],
         },
         Case {
             name: "a cancellation gets 404",
@@ -46,7 +46,7 @@
             violation: || vec![Cancel(FIRST, 404, "")],
         },
         Case {
-            name: "every poll for a job fails for 90 s while polls for others are answered",
+            name: "every poll for a job fails for 90 s while polls for others succeed",
             rule: Rule::Forgotten,
             setup: || {
                 let mut steps = after_unrelated_start(vec![Submit(long_batch(1))]);
@@ -71,7 +71,7 @@
     ]
 }
 
-/// Returns cases in which an answer is about a job that was never submitted.
+/// Returns cases in which a response is about a job that was never submitted.
 pub fn invented() -> Vec<Case> {
     vec![
         Case {
@@ -148,7 +148,7 @@
             violation: || vec![Poll(FIRST, 200, "done")],
         },
         Case {
-            name: "an answer to a cancellation reports the job as done",
+            name: "a response to a cancellation reports the job as done",
             rule: Rule::NotDone,
             setup: || short_task_started(4.0),
             compliant: || vec![Elapse(2.0), Cancel(FIRST, 200, "done")],
@@ -175,7 +175,7 @@
             rule: Rule::WentBack,
             setup: done,
             compliant: || vec![Cancel(FIRST, 200, "done")],
-            violation: || vec![SubmitAnswered(short_batch(1), 200)],
+            violation: || vec![SubmitWithStatus(short_batch(1), 200)],
         },
         Case {
             name: "done, then cancelled",
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -40,15 +40,15 @@
     ) -> (u16, Value) {
         let bytes = body.map(|body| body.to_string().into_bytes());
         let timeout = Duration::from_secs(4);
-        let answer = self.0.call(to, method, path, bytes, timeout).await;
-        let answer = answer.expect("an answer");
-        (answer.status, answer.parse().unwrap_or_default())
+        let response = self.0.call(to, method, path, bytes, timeout).await;
+        let response = response.expect("a response");
+        (response.status, response.parse().unwrap_or_default())
     }
 
     /// Sends a commit to the state service, and returns the response's status.
     async fn commit(&self, commit: Value) -> u16 {
-        let answer = self.ask(state_addr(0), "POST", "/commit", Some(commit));
-        answer.await.0
+        let response = self.ask(state_addr(0), "POST", "/commit", Some(commit));
+        response.await.0
     }
 
     /// Sends a read to the state service, and returns the response's status and body.
@@ -137,10 +137,10 @@
             .to_string()
             .into_bytes();
         let timeout = Duration::from_secs(4);
-        let answer = client
+        let response = client
             .0
             .call(state_addr(0), "POST", "/commit", Some(oversized), timeout);
-        let status = answer.await.map(|answer| answer.status);
+        let status = response.await.map(|response| response.status);
         assert!(!matches!(status, Ok(200)), "{status:?}");
         let last = world.state.value("c/7");
         assert_eq!(
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -95,17 +95,17 @@
                 }
                 ("POST", "/rentals") => {
                     let hire = body["hire"].as_str().unwrap_or("").to_string();
-                    if let Some(first_answer) = self.provisioning_requests.borrow().get(&hire) {
-                        return Response::json(200, first_answer);
+                    if let Some(first_response) = self.provisioning_requests.borrow().get(&hire) {
+                        return Response::json(200, first_response);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
                         .map(|_| self.boot_machine(&body))
                         .collect();
-                    let answer = json!({"bays": names});
+                    let response = json!({"bays": names});
                     self.provisioning_requests
                         .borrow_mut()
-                        .insert(hire, answer.clone());
-                    Response::json(200, &answer)
+                        .insert(hire, response.clone());
+                    Response::json(200, &response)
                 }
                 ("POST", "/rentals/return") => {
                     for name in body["bays"].as_array().into_iter().flatten() {
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -154,12 +154,12 @@
     ) -> impl Fn(Request) -> ResponseFuture + 'static {
         let frames = self.frames.clone();
         move |request| {
-            let asked = format!("{} {}?{}", request.method, request.path, request.query);
-            frames.push(at, &format!("request {asked}"), &request.body);
-            let (frames, answer) = (frames.clone(), handler(request));
+            let request_line = format!("{} {}?{}", request.method, request.path, request.query);
+            frames.push(at, &format!("request {request_line}"), &request.body);
+            let (frames, pending) = (frames.clone(), handler(request));
             Box::pin(async move {
-                let response = answer.await;
-                frames.record_response(at, &asked, &response);
+                let response = pending.await;
+                frames.record_response(at, &request_line, &response);
                 response
             })
         }
@@ -195,17 +195,20 @@
         body: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<Response, CallError> {
-        let asked = format!("{method} {path} of {to}");
+        let request_line = format!("{method} {path} of {to}");
         let sent = body.as_deref().unwrap_or_default();
-        self.frames.push(self.at, &format!("request {asked}"), sent);
-        let answer = self.client.call(to, method, path, body, limit).await;
-        match &answer {
-            Ok(response) => self.frames.record_response(self.at, &asked, response),
+        self.frames
+            .push(self.at, &format!("request {request_line}"), sent);
+        let result = self.client.call(to, method, path, body, limit).await;
+        match &result {
+            Ok(response) => self
+                .frames
+                .record_response(self.at, &request_line, response),
             Err(_) => {
-                let head = format!("no answer to {asked}");
+                let head = format!("no answer to {request_line}");
                 self.frames.push(self.at, &head, &[]);
             }
         }
-        answer
+        result
     }
 }
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -1,4 +1,4 @@
-//! The rule checker. It checks every task start, every task on a machine and every answer
+//! The rule checker. It checks every task start, every task on a machine and every response
 //! to a user against the rules of the protocol.
 //!
 //! Two limits of the checks:
@@ -82,15 +82,15 @@
     }
 }
 
-/// The requests and answers about one job up to now. Each first answer is stored with its
+/// The requests and responses about one job up to now. Each first response is stored with its
 /// sequence number, as a request that is sent later must not get an older state.
 #[derive(Debug, Default, Clone)]
-pub(super) struct JobAnswers {
+pub(super) struct JobResponses {
     pub(super) submitted: bool,
     pub(super) cancel_requested: bool,
-    /// Number of the first answer that confirmed the submission.
+    /// Number of the first response that confirmed the submission.
     accepted: Option<u64>,
-    /// First final stage in an answer, and the number of that answer.
+    /// First final stage in a response, and the number of that response.
     ended: Option<(String, u64)>,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-// The actual states of jobs, as opposed to the answers about them.
+// The actual states of jobs, as opposed to the responses about them.
 impl World {
     /// Returns the number of completed tasks of a job.
     fn completed_task_count(&self, id: &str) -> u64 {
@@ -164,8 +164,8 @@
     /// Returns whether a user has requested the cancellation of the job, or of one that it
     /// directly or indirectly depends on.
     fn is_cancel_requested(&self, id: &str) -> bool {
-        let is_requested = |answers: &JobAnswers| answers.cancel_requested;
-        let own_requested = self.answers.borrow().get(id).is_some_and(is_requested);
+        let is_requested = |responses: &JobResponses| responses.cancel_requested;
+        let own_requested = self.responses.borrow().get(id).is_some_and(is_requested);
         own_requested
             || self
                 .dependencies(id)
@@ -222,28 +222,30 @@
 // Starts of tasks.
 impl World {
     /// Checks the start of a task that its worker has already accepted.
-    pub(super) fn check_start(&self, task: &str, on: &Worker) {
+    pub(super) fn check_start(&self, task: &str, worker: &Worker) {
         self.starts.set(self.starts.get() + 1);
-        self.check_other_machines(task, on);
+        self.check_other_machines(task, worker);
         self.advance_tasks();
         let id = job_of(task);
         self.check_dependencies(task, id);
         let Some(job) = self.jobs.borrow().get(id).cloned() else {
-            self.report_violation(Rule::UnknownJob, &format!("{task} on {}", on.name));
+            self.report_violation(Rule::UnknownJob, &format!("{task} on {}", worker.name));
             return;
         };
-        self.check_start_after_cancel(task, id, on);
-        if !is_allowed(&job, "yard", &on.zone) || !is_allowed(&job, "grades", &on.machine_type) {
-            self.report_violation(Rule::WrongPlace, &format!("{task} on {}", on.name));
+        self.check_start_after_cancel(task, id, worker);
+        if !is_allowed(&job, "yard", &worker.zone)
+            || !is_allowed(&job, "grades", &worker.machine_type)
+        {
+            self.report_violation(Rule::WrongPlace, &format!("{task} on {}", worker.name));
         }
         self.check_zones(task, id, &job);
     }
 
     /// Reports a task that also runs on another machine.
-    fn check_other_machines(&self, task: &str, on: &Worker) {
-        for (name, (worker, _)) in self.workers.borrow().iter() {
-            if *name != on.name && worker.is_running(task, self.shape.lease()) {
-                let details = format!("{task} on {} and {name}", on.name);
+    fn check_other_machines(&self, task: &str, worker: &Worker) {
+        for (name, (other, _)) in self.workers.borrow().iter() {
+            if *name != worker.name && other.is_running(task, self.shape.lease()) {
+                let details = format!("{task} on {} and {name}", worker.name);
                 self.report_violation(Rule::RanTwice, &details);
             }
         }
@@ -261,7 +263,7 @@
 
     /// Records a start after its job's cancellation was confirmed, and reports it if the
     /// time limit for cancellations has passed.
-    fn check_start_after_cancel(&self, task: &str, id: &str, on: &Worker) {
+    fn check_start_after_cancel(&self, task: &str, id: &str, worker: &Worker) {
         let Some(cancelled_at) = self.cancelled.borrow().get(id).copied() else {
             return;
         };
@@ -270,7 +272,7 @@
             .borrow_mut()
             .push((task.into(), elapsed));
         if elapsed > self.cancel_limit() {
-            let details = format!("{task} starts on {}", on.name);
+            let details = format!("{task} starts on {}", worker.name);
             self.report_violation(Rule::RanCancelled, &details);
         }
     }
@@ -335,16 +337,16 @@
     }
 }
 
-// Answers to users.
+// Responses to users.
 impl World {
-    /// Checks an answer against the answers that users had received when its request was
+    /// Checks a response against the responses that users had received when its request was
     /// sent (`known`), and against the actual state of the job. Concurrent requests have no
     /// order among each other, but if they return two final stages these must be equal.
-    pub(super) fn check_answer(
+    pub(super) fn check_response(
         &self,
         i: usize,
         id: &str,
-        known: &JobAnswers,
+        known: &JobResponses,
         status: u16,
         body: &Value,
     ) {
@@ -358,12 +360,12 @@
         if !known.submitted {
             self.report_violation(Rule::Invented, &description);
         }
-        let number = self.answer_count.get() + 1;
-        self.answer_count.set(number);
+        let number = self.response_count.get() + 1;
+        self.response_count.set(number);
         {
-            let mut answers = self.answers.borrow_mut();
-            let job_answers = answers.entry(id.to_string()).or_default();
-            job_answers.accepted = job_answers.accepted.or(Some(number));
+            let mut responses = self.responses.borrow_mut();
+            let job_responses = responses.entry(id.to_string()).or_default();
+            job_responses.accepted = job_responses.accepted.or(Some(number));
         }
         match body["stage"].as_str().unwrap_or("") {
             stage @ ("done" | "aborted") => self.check_final_stage(id, stage, number, &description),
@@ -371,8 +373,8 @@
         }
     }
 
-    /// Checks an answer that reports a job as neither done nor cancelled.
-    fn check_open_stage(&self, id: &str, stage: &str, known: &JobAnswers, description: &str) {
+    /// Checks a response that reports a job as neither done nor cancelled.
+    fn check_open_stage(&self, id: &str, stage: &str, known: &JobResponses, description: &str) {
         if known.ended.is_some() {
             self.report_violation(Rule::WentBack, description);
         }
@@ -382,13 +384,15 @@
         }
     }
 
-    /// Checks an answer that reports a job as done or cancelled: the stage must be true, and
+    /// Checks a response that reports a job as done or cancelled: the stage must be true, and
     /// must equal every earlier final stage.
     fn check_final_stage(&self, id: &str, stage: &str, number: u64, description: &str) {
         {
-            let mut answers = self.answers.borrow_mut();
-            let job_answers = answers.entry(id.to_string()).or_default();
-            let (first_stage, _) = job_answers.ended.get_or_insert((stage.to_string(), number));
+            let mut responses = self.responses.borrow_mut();
+            let job_responses = responses.entry(id.to_string()).or_default();
+            let (first_stage, _) = job_responses
+                .ended
+                .get_or_insert((stage.to_string(), number));
             if first_stage != stage {
                 self.report_violation(Rule::WentBack, description);
             }
@@ -409,7 +413,7 @@
     }
 
     /// Checks a poll for an accepted job: its polls must not all fail for
-    /// [`MAX_POLL_FAILURE_TIME`] while the polls for most other jobs are answered.
+    /// [`MAX_POLL_FAILURE_TIME`] while the polls for most other jobs succeed.
     pub(super) fn check_poll(&self, id: &str, status: u16) {
         let now = Instant::now();
         let mut polls = self.polls.borrow_mut();
@@ -427,8 +431,8 @@
             job_polls.failing_since = None;
         }
         let failing = now - *job_polls.failing_since.get_or_insert(now);
-        let answers = self.answers.borrow();
-        let accepted = answers.get(id).is_some_and(|a| a.accepted.is_some());
+        let responses = self.responses.borrow();
+        let accepted = responses.get(id).is_some_and(|a| a.accepted.is_some());
         if !accepted || failing < MAX_POLL_FAILURE_TIME {
             return;
         }
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -18,7 +18,7 @@
 
 use super::cloud::CloudRateLimit;
 use super::frames::{FrameRecord, RecordedClient};
-use super::rules::{JobAnswers, JobPolls};
+use super::rules::{JobPolls, JobResponses};
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
 
@@ -214,10 +214,10 @@
     pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
     /// Tasks that have completed.
     pub(super) done_tasks: RefCell<HashSet<String>>,
-    /// Answers that users have received, by job ID, numbered by `answer_count`.
-    pub(super) answers: RefCell<HashMap<String, JobAnswers>>,
-    /// Number of answers that users have received.
-    pub(super) answer_count: Cell<u64>,
+    /// Responses that users have received, by job ID, numbered by `response_count`.
+    pub(super) responses: RefCell<HashMap<String, JobResponses>>,
+    /// Number of responses that users have received.
+    pub(super) response_count: Cell<u64>,
     /// Times of the polls, by job ID.
     pub(super) polls: RefCell<HashMap<String, JobPolls>>,
     /// Probability with which a copy of a heartbeat is kept.
@@ -295,8 +295,8 @@
             starts: Cell::new(0),
             starts_after_cancel: RefCell::default(),
             done_tasks: RefCell::default(),
-            answers: RefCell::default(),
-            answer_count: Cell::new(0),
+            responses: RefCell::default(),
+            response_count: Cell::new(0),
             polls: RefCell::default(),
             copied: Cell::new(0.0),
             heartbeat_copies: RefCell::default(),
@@ -321,7 +321,7 @@
     async fn serve_stand_ins(self: &Rc<Self>) {
         for i in 0..self.shape.controllers {
             let state = self.state.clone();
-            let handler = move |request| state.clone().answer(i, request);
+            let handler = move |request| state.clone().handle_request(i, request);
             self.serve_at(state_addr(i), handler).await;
         }
         spawn_local(self.state.clone().run_lease_expiry());
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -36,8 +36,8 @@
         let responder = scripted.clone();
         let handler =
             move |request: shelfhoist::http::Request| -> shelfhoist::http::ResponseFuture {
-                let answer = responder.next_response(&request.path);
-                Box::pin(async move { answer })
+                let response = responder.next_response(&request.path);
+                Box::pin(async move { response })
             };
         world.serve_at(controller(0), handler).await;
         scripted
@@ -76,7 +76,7 @@
             body,
             Duration::from_secs(5),
         );
-        let answer = call.await.expect("a response of the worker");
-        assert_eq!(answer.status, 200, "{action} {task} on {name}");
+        let response = call.await.expect("a response of the worker");
+        assert_eq!(response.status, 200, "{action} {task} on {name}");
     }
 }
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// Serves a request of controller `i`, subject to the injected faults.
-    pub(in crate::stand_ins) fn answer(
+    pub(in crate::stand_ins) fn handle_request(
         self: Rc<Self>,
         i: usize,
         request: Request,
@@ -165,7 +165,7 @@
                 return Response::json(429, &json!({"error": "too many"}));
             }
             let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-            let answer = match (request.method.as_str(), request.path.as_str()) {
+            let response = match (request.method.as_str(), request.path.as_str()) {
                 ("GET", "/store") => self.list(&request.query),
                 ("GET", "/watch") => self.watch(i, &request.query).await,
                 ("GET", path) => self.read(path.trim_start_matches("/store/")),
@@ -180,7 +180,7 @@
                 _ => Response::empty(400),
             };
             sleep(after).await;
-            answer
+            response
         })
     }
 
@@ -216,15 +216,16 @@
     /// Returns the current keys and values under a prefix.
     pub fn records(&self, prefix: &str) -> Vec<(String, Value)> {
         let pairs = self.pairs.borrow();
-        let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
-        all.map(|(k, (v, _))| (k.clone(), v.clone())).collect()
+        let matching = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
+        matching.map(|(k, (v, _))| (k.clone(), v.clone())).collect()
     }
 
     /// Returns the keys under a prefix, each with the length of its value in bytes.
     pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
         let pairs = self.pairs.borrow();
-        let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
-        all.map(|(k, (v, _))| (k.clone(), v.to_string().len()))
+        let matching = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
+        matching
+            .map(|(k, (v, _))| (k.clone(), v.to_string().len()))
             .collect()
     }
 }
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -40,10 +40,10 @@
             }
             page.push(record);
         }
-        let at = self.revision.get();
+        let revision = self.revision.get();
         Response::json(
             200,
-            &json!({"pairs": page, "truncated": truncated, "ledger_rev": at}),
+            &json!({"pairs": page, "truncated": truncated, "ledger_rev": revision}),
         )
     }
 
@@ -71,11 +71,11 @@
         }
         let new_events = log.iter().filter(|e| e["stamp"].as_u64() > Some(after));
         let events: Vec<&Value> = new_events.collect();
-        let at = self.revision.get();
-        let mut answer = Response::json(200, &json!({"ledger_rev": at, "events": events}));
+        let revision = self.revision.get();
+        let mut response = Response::json(200, &json!({"ledger_rev": revision, "events": events}));
         if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
-            answer.body.resize(16 << 20, b' ');
+            response.body.resize(16 << 20, b' ');
         }
-        answer
+        response
     }
 }
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -10,13 +10,13 @@
 use super::scenario::{World, controller};
 
 impl World {
-    /// Returns whether a user has received an answer that the job is cancelled.
+    /// Returns whether a user has received a response that the job is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.borrow().contains_key(id)
     }
 
-    /// Sends a user's request to a controller, checks the answer against the rules, and
-    /// returns its status and body. The status is 0 if there is no answer.
+    /// Sends a user's request to a controller, checks the response against the rules, and
+    /// returns its status and body. The status is 0 if there is no response.
     pub async fn ask(
         &self,
         i: usize,
@@ -28,27 +28,27 @@
         let id = body.and_then(|b| b["name_id"].as_str());
         let id = id.or(path.split('/').nth(2)).unwrap_or("").to_string();
         let known = {
-            let mut answers = self.answers.borrow_mut();
-            let job_answers = answers.entry(id.clone()).or_default();
-            job_answers.submitted |= body.is_some();
-            job_answers.cancel_requested |= path.ends_with("/withdraw");
-            job_answers.clone()
+            let mut responses = self.responses.borrow_mut();
+            let job_responses = responses.entry(id.clone()).or_default();
+            job_responses.submitted |= body.is_some();
+            job_responses.cancel_requested |= path.ends_with("/withdraw");
+            job_responses.clone()
         };
         let call = self
             .client
             .call(controller(i), method, path, bytes, Duration::from_secs(5));
-        let (status, answer) = match call.await {
+        let (status, response) = match call.await {
             Ok(r) => (r.status, r.parse().unwrap_or_default()),
             Err(_) => (0, Value::Null),
         };
         if path.starts_with("/submissions") {
             self.advance_tasks();
-            self.check_answer(i, &id, &known, status, &answer);
+            self.check_response(i, &id, &known, status, &response);
             if method == "GET" {
                 self.check_poll(&id, status);
             }
         }
-        (status, answer)
+        (status, response)
     }
 
     /// Polls the job and repeats its submission at all controllers concurrently, five times
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -48,7 +48,7 @@
     /// Fault: the worker's heartbeats reach no controller, while commands that controllers
     /// send to it arrive.
     pub mute: Cell<bool>,
-    /// Time until which the machine hangs: its worker executes and answers nothing.
+    /// Time until which the machine hangs: its worker executes nothing and sends no responses.
     pub(super) hung_until: Cell<Option<Instant>>,
     /// Fault: delay of the commands that controllers send to the worker.
     pub orders_held: Cell<Duration>,
@@ -309,13 +309,13 @@
                 Some(body),
                 Duration::from_secs(4),
             );
-            let answer = call.await;
+            let result = call.await;
             if worker.deaf.get() {
                 sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
             }
             worker.wait_while_hung(lease).await;
             let is_late = sent.elapsed() > Duration::from_secs(4);
-            match answer {
+            match result {
                 _ if worker.deaf.get() || is_late => {
                     to = (to + 1) % controller_count;
                     sleep(Duration::from_secs(1)).await;
