--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -230,7 +230,7 @@
             let world = case.world;
             sleep(secs(12.0)).await;
             let limit = world.shape.settings(0).launch_limit();
-            let late_starts: Vec<_> = world.late_starts.borrow().clone();
+            let late_starts: Vec<_> = world.starts_after_cancel.borrow().clone();
             let too_late: Vec<_> = late_starts
                 .iter()
                 .filter(|(_, after)| *after > limit)
@@ -263,7 +263,7 @@
         for id in &case.uncancelled {
             assert_eq!(world.running(id), 1, "{id}");
         }
-        assert_eq!(world.late_starts.borrow().len(), 0);
+        assert_eq!(world.starts_after_cancel.borrow().len(), 0);
         world.assert_kept();
     });
 }
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -146,7 +146,7 @@
         self.world.kill(self.leader);
         let downtime = self.duration.mul_f64([0.0, 0.2, 1.0][self.variant % 3]);
         sleep(downtime).await;
-        self.world.heal_controllers();
+        self.world.restore_controllers();
     }
 
     async fn restart_all_controllers(&self) {
@@ -154,7 +154,7 @@
             self.world.kill(i);
         }
         sleep(self.duration).await;
-        self.world.heal_controllers();
+        self.world.restore_controllers();
     }
 
     async fn freeze_leader(&self) {
--- /dev/null
+++ b/tests/rule_checker/derived_rules.rs
@@ -0,0 +1,89 @@
+//! Cases for the rules that follow from the protocol's text and have no name there.
+
+use serde_json::{Value, json};
+
+use crate::history::{
+    Cancel, Case, Elapse, FIRST, FIRST_TASK, Poll, SECOND, StartTask, Submit, WriteRecord,
+    after_unrelated_start, long_batch, short_batch,
+};
+use crate::stand_ins::{Rule, after, job};
+
+/// Returns the cases of the rules that follow from the protocol's text.
+pub fn derived_rules() -> Vec<Case> {
+    vec![
+        Case {
+            name: "a start before a dependency is done",
+            rule: Rule::TooEarly,
+            setup: || {
+                vec![
+                    Submit(short_batch(1)),
+                    Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
+                    StartTask(0, FIRST_TASK),
+                    Elapse(4.0),
+                ]
+            },
+            compliant: || vec![Elapse(2.0), StartTask(1, "job-000002/0")],
+            violation: || vec![StartTask(1, "job-000002/0")],
+        },
+        Case {
+            name: "a job with a cancelled dependency is still queued",
+            rule: Rule::Orphaned,
+            setup: || {
+                after_unrelated_start(vec![
+                    Submit(long_batch(1)),
+                    Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
+                    Cancel(FIRST, 200, "aborted"),
+                    Elapse(29.0),
+                    Poll(SECOND, 200, "queued"),
+                ])
+            },
+            compliant: || vec![Elapse(2.0), Poll(SECOND, 200, "aborted")],
+            violation: || vec![Elapse(2.0), Poll(SECOND, 200, "queued")],
+        },
+        Case {
+            name: "a task of a job that was never submitted",
+            rule: Rule::UnknownJob,
+            setup: || vec![Submit(long_batch(1))],
+            compliant: || vec![StartTask(0, FIRST_TASK)],
+            violation: || vec![StartTask(0, "job-000002/0")],
+        },
+        Case {
+            name: "no task was started",
+            rule: Rule::NothingRan,
+            setup: || vec![Submit(long_batch(1)), Elapse(5.0)],
+            compliant: || vec![StartTask(0, FIRST_TASK)],
+            violation: Vec::new,
+        },
+        Case {
+            name: "a machine in two machine shards",
+            rule: Rule::Misplaced,
+            setup: || {
+                after_unrelated_start(vec![WriteRecord(
+                    "sh/machine/a",
+                    machine_shard_of("host-000000"),
+                )])
+            },
+            compliant: || vec![WriteRecord("sh/machine/b", machine_shard_of("host-000001"))],
+            violation: || vec![WriteRecord("sh/machine/b", machine_shard_of("host-000000"))],
+        },
+        Case {
+            name: "a machine in two zone shards",
+            rule: Rule::Misplaced,
+            setup: || {
+                after_unrelated_start(vec![WriteRecord("sh/zone/a", zone_shard_of("host-000000"))])
+            },
+            compliant: || vec![WriteRecord("sh/zone/b", zone_shard_of("host-000001"))],
+            violation: || vec![WriteRecord("sh/zone/b", zone_shard_of("host-000000"))],
+        },
+    ]
+}
+
+/// Returns the stored record of a machine shard with one machine.
+fn machine_shard_of(machine: &str) -> Value {
+    json!({"m": {machine: {"h": "n0", "i": 1, "k": 1, "s": [1, 1], "f": "a", "t": "big"}}})
+}
+
+/// Returns the stored record of a zone shard with one machine.
+fn zone_shard_of(machine: &str) -> Value {
+    json!({"m": {machine: {"t": "big", "f": {"c": 8000, "g": 0, "m": 16000}}}})
+}
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -24,7 +24,7 @@
         world.kill(0);
         world.start(0);
         for i in 0..CONTROLLERS {
-            world.replay(i, &heartbeats).await;
+            world.send_heartbeat_copies(i, &heartbeats).await;
         }
         sleep(Duration::from_secs(15)).await;
         assert_eq!((world.running(&service), world.starts.get()), (2, before));
@@ -33,7 +33,7 @@
         for _ in 0..4 {
             sleep(Duration::from_secs(4)).await;
             for i in 0..CONTROLLERS {
-                world.replay(i, &heartbeats).await;
+                world.send_heartbeat_copies(i, &heartbeats).await;
             }
         }
         sleep(Duration::from_secs(20)).await;
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -36,7 +36,7 @@
             .next()
             .cloned()
             .expect("a machine");
-        world.workers.borrow()[&name].0.sick.set(true);
+        world.workers.borrow()[&name].0.fails_all_tasks.set(true);
         for n in 2..6 {
             world.submit(job(n, "batch", 4, 2.0)).await;
         }
@@ -174,7 +174,7 @@
 #[test]
 fn machines_that_never_boot_are_replaced_and_returned() {
     Scenario::new(60).run(|world| async move {
-        world.barren.set(Some("a"));
+        world.failed_boot_zone.set(Some("a"));
         let jobs = [("batch", 4), ("gang", 2), ("daemon", 2)];
         for (n, (kind, tasks)) in (1..).zip(jobs) {
             world.submit(job(n, kind, tasks, 3.0)).await;
@@ -191,7 +191,7 @@
         // after longer and longer delays.
         assert!(world.rented.get() <= 9 + 12, "{}", world.rented.get());
         assert_eq!(world.stage(0, &bound).await.as_deref(), Some("queued"));
-        world.barren.set(None);
+        world.failed_boot_zone.set(None);
         world.until(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
         let rented = world.workers.borrow().len();
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -49,7 +49,7 @@
         sleep(Duration::from_secs(20)).await;
         assert_eq!(world.running(&service), 4);
         let before = world.starts.get();
-        world.shard_zones();
+        world.partition_zones();
         sleep(Duration::from_secs(30)).await;
         assert_eq!((world.running(&service), world.starts.get()), (4, before));
         world.assert_kept();
@@ -124,7 +124,7 @@
 /// again within seconds, so their machines must be kept.
 #[test]
 fn single_controller_keeps_its_machines_after_a_freeze() {
-    Scenario::new(50).lone_controller().run(|world| async move {
+    Scenario::new(50).single_controller().run(|world| async move {
         let service = world.submit(job(1, "daemon", 4, 0.0)).await;
         world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
--- /dev/null
+++ b/tests/stand_ins/state_service/faults.rs
@@ -0,0 +1,63 @@
+//! The faults that a test injects into the state service.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use rand::Rng;
+
+use super::State;
+
+/// Faults of the state service with probabilities, delays and targets. They last until they
+/// are reset.
+#[derive(Debug, Clone, Default)]
+pub struct StateTroubles {
+    /// Indexes of the controllers whose requests are refused.
+    pub refused: BTreeSet<usize>,
+    /// Probability with which a commit is applied 2 to 12 s later and gets no response.
+    pub late: f64,
+    /// Probability with which a commit is applied immediately and gets no response.
+    pub unanswered: f64,
+    /// Maximum delay of a response. A random part of the delay precedes the execution of the
+    /// request, the rest follows it.
+    pub slow: Duration,
+    /// Indexes of the only controllers with delayed responses; if empty, the responses to all
+    /// are delayed at random. The responses to these controllers are delayed by the whole of
+    /// `slow` after the execution of the request, so that they are outdated by as much.
+    pub slow_to: BTreeSet<usize>,
+}
+
+/// Fault mode of the state service.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub enum Trouble {
+    #[default]
+    None,
+    /// Commits that are applied, but whose response is lost.
+    LoseAnswers,
+    /// Commits that are applied some seconds later and get no response.
+    Late,
+    /// Outage: all requests are refused.
+    Down,
+    /// Refusal of commits, while reads are served.
+    NoCommits,
+    /// Watch responses that are larger than a controller accepts.
+    FatWatch,
+}
+
+impl State {
+    /// Returns the delays before and after the execution of a request.
+    pub(super) fn delays(&self, i: usize) -> (Duration, Duration) {
+        let troubles = self.troubles.borrow();
+        if troubles.slow.is_zero()
+            || !(troubles.slow_to.is_empty() || troubles.slow_to.contains(&i))
+        {
+            return (Duration::ZERO, Duration::ZERO);
+        }
+        if !troubles.slow_to.is_empty() {
+            return (Duration::ZERO, troubles.slow);
+        }
+        let mut rng = self.rng.borrow_mut();
+        let total = troubles.slow.mul_f64(rng.random_range(0.0..1.0));
+        let before = total.mul_f64(rng.random_range(0.0..1.0));
+        (before, total - before)
+    }
+}
