--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -1,4 +1,4 @@
-//! Compact encodings are read back, and stay within the limits.
+//! Tests that compact encodings are decoded without loss and stay within the record limit.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use super::setup::{LIMIT, name, places, read, spec};
+use super::setup::{LIMIT_BYTES, decode, job_spec, machine_name, placements};
 use shelfhoist::scheduler::{TaskPlacement, book, min_record_bytes, tasks_within_record_limit};
 use shelfhoist::state::encoding;
 use shelfhoist::wire::JobKind;
@@ -14,11 +14,11 @@
 use shelfhoist::state::records::*;
 
 #[test]
-fn short_texts_of_jobs_are_read_back() {
+fn compact_jobs_are_decoded_without_loss() {
     let mut rng = SmallRng::seed_from_u64(7);
     for tasks in [1, 5, 64, 4096, 4097, 100_000, 262_145, u32::MAX] {
         for machines in [0, 1, 3, 40] {
-            let mut job = Job::new(spec(JobKind::Array, tasks), u64::MAX);
+            let mut job = Job::new(job_spec(JobKind::Array, tasks), u64::MAX);
             job.attempt = rng.random();
             job.next_task = rng.random_range(0..=tasks);
             job.has_preempted = rng.random();
@@ -27,29 +27,30 @@
             for n in left.iter().filter(|n| *n % 3 == 0) {
                 job.retry.insert(*n);
             }
-            for at in 0..machines {
+            for index in 0..machines {
                 let mut set = NumberSet::default();
-                let some = left.iter().filter(|n| **n as usize % machines == at);
-                some.for_each(|n| set.insert(*n));
+                let of_machine = left.iter().filter(|n| **n as usize % machines == index);
+                of_machine.for_each(|n| set.insert(*n));
                 job.runs.push(Run {
-                    machine: name(at),
-                    zone: ["a", "capannone \"nord\""][at % 2].into(),
+                    machine: machine_name(index),
+                    zone: ["a", "capannone \"nord\""][index % 2].into(),
                     attempt: rng.random::<u64>() >> rng.random_range(0..64),
                     tasks: set,
                     stop: rng.random(),
                 });
             }
-            let again: Job = read(encoding::encode_job(&job));
-            assert_eq!(again, job);
+            let decoded: Job = decode(encoding::encode_job(&job));
+            assert_eq!(decoded, job);
         }
     }
-    // As many kinds of names as no table holds: the longer text stands.
-    let mut job = Job::new(spec(JobKind::Array, 100), 1);
+    // The machine names have more prefixes than the table of the compact encoding can hold,
+    // so that the job has no compact encoding.
+    let mut job = Job::new(job_spec(JobKind::Array, 100), 1);
     for n in 0..70 {
         job.book(&format!("{n}-of-another-name"), "a", 1, n);
     }
     assert_eq!(encoding::encode_job(&job), None);
-    for bad in [
+    for invalid in [
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 1A.1:0001"}}"#,
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 0A.1:001"}}"#,
         r#"{"r":{"k":[["host-",6,"a"]],"t":"2 0A.1"}}"#,
@@ -59,12 +60,12 @@
         r#"{"q":".2000"}"#,
         r#"{"q":"."}"#,
     ] {
-        assert!(serde_json::from_str::<Job>(bad).is_err(), "{bad}");
+        assert!(serde_json::from_str::<Job>(invalid).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn compact_encodings_of_shards_are_read_back() {
+fn compact_shards_are_decoded_without_loss() {
     let mut rng = SmallRng::seed_from_u64(8);
     for count in [0, 1, 2, 90, 400] {
         let mut shard = ZoneShard::default();
@@ -73,7 +74,7 @@
             let n = n * rng.random_range(1..3);
             let kind = ["small", "\"big\" one"][rng.random_range(0..2)];
             let unbooked = match n % 9 {
-                4 => spec(JobKind::Array, 1).need,
+                4 => job_spec(JobKind::Array, 1).need,
                 _ => Resources::default(),
             };
             let slot = MachineSlot {
@@ -82,8 +83,8 @@
                 free: Resources::default(),
                 unbooked,
             };
-            shard.machines.insert(name(n), slot);
-            let lives = [
+            shard.machines.insert(machine_name(n), slot);
+            let lifecycles = [
                 MachineLifecycle::Booting,
                 MachineLifecycle::Active,
                 MachineLifecycle::Draining,
@@ -95,39 +96,42 @@
                 incarnation: rng.random::<u32>().into(),
                 fencing_token: rng.random::<u64>() >> rng.random_range(0..64),
                 claim_heartbeat: HeartbeatId::new(rng.random(), rng.random()),
-                lifecycle: lives[n % 5],
+                lifecycle: lifecycles[n % 5],
                 spot: rng.random(),
                 ..Machine::new(kind, "")
             };
-            machine_shard.machines.insert(name(n), machine);
+            machine_shard.machines.insert(machine_name(n), machine);
         }
         assert_eq!(
-            read::<ZoneShard>(encoding::encode_zone_shard(&shard)),
+            decode::<ZoneShard>(encoding::encode_zone_shard(&shard)),
             shard
         );
         assert_eq!(
-            read::<MachineShard>(encoding::encode_machine_shard(&machine_shard)),
+            decode::<MachineShard>(encoding::encode_machine_shard(&machine_shard)),
             machine_shard
         );
         assert!(encoding::is_compact_zone_shard(
             &encoding::encode_zone_shard(&shard).expect("text")
         ));
-        let long = serde_json::to_string(&shard).expect("text");
-        assert!(!encoding::is_compact_zone_shard(&long));
+        let plain = serde_json::to_string(&shard).expect("text");
+        assert!(!encoding::is_compact_zone_shard(&plain));
     }
-    for bad in [
+    for invalid in [
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,"1.2.3"]]]]}"#,
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,"1.2.3.4.5"]]]]}"#,
         r#"{"m":[["bay",1,"a","big",0,[["host-",6,""]]]]}"#,
     ] {
-        assert!(serde_json::from_str::<MachineShard>(bad).is_err(), "{bad}");
+        assert!(
+            serde_json::from_str::<MachineShard>(invalid).is_err(),
+            "{invalid}"
+        );
     }
 }
 
-/// The machines of a home stand in one zone shard, however their numbers fall apart,
-/// and a hundred and more in a machine shard.
+/// All machines that prefer one controller in one zone fit one zone shard, whatever their
+/// numbers, and more than a hundred of them fit one machine shard.
 #[test]
-fn a_home_stands_in_one_zone_shard() {
+fn machines_of_one_controller_fit_one_zone_shard() {
     let mut shard = ZoneShard::default();
     let mut machine_shard = MachineShard::default();
     for n in (0..320).map(|n| n * 2) {
@@ -155,16 +159,19 @@
         }
     }
     let bytes = encoding::encode_zone_shard(&shard).expect("text").len();
-    assert!(bytes <= LIMIT * 9 / 10, "{bytes} bytes for 320 machines");
+    assert!(
+        bytes <= LIMIT_BYTES * 9 / 10,
+        "{bytes} bytes for 320 machines"
+    );
     let bytes = encoding::encode_machine_shard(&machine_shard)
         .expect("text")
         .len();
-    assert!(bytes <= LIMIT, "{bytes} bytes for 110 machines");
+    assert!(bytes <= LIMIT_BYTES, "{bytes} bytes for 110 machines");
 }
 
-/// The machine types of the page's deployments fit one record.
+/// The machine types of the documented deployments fit one record.
 #[test]
-fn the_types_record_stays_small() {
+fn machine_types_fit_one_record() {
     let types: Vec<Value> = (0..5)
         .map(|n| {
             json!({"label": format!("grande-occhio-{n}"), "vcpus": 32.25, "cards": 4.0,
@@ -175,55 +182,58 @@
         .collect();
     let types: MachineTypesRecord = serde_json::from_value(json!({"types": types})).expect("types");
     let bytes = serde_json::to_string(&types).expect("text").len();
-    assert!(bytes <= LIMIT, "{bytes} bytes");
+    assert!(bytes <= LIMIT_BYTES, "{bytes} bytes");
 }
 
-/// At 2 KiB an array runs as wide as it did at 8, and the largest gang and
-/// service of the page have room to spare.
+/// A compact record of 2 KiB holds about as many tasks of an array as a plain record of
+/// 8 KiB, and at least as many as the largest documented gang and service have.
 #[test]
-fn a_short_record_holds_as_much() {
-    let array = Job::new(spec(JobKind::Array, 1800), 1 << 40);
-    let before = tasks_within_record_limit(&array, &places(40, 12), 8192, false);
-    let slots = tasks_within_record_limit(&array, &places(40, 12), LIMIT, true);
-    assert!(slots * 10 >= before.min(450) * 9, "{slots} of {before}");
-    for (kind, tasks, most) in [
+fn compact_record_holds_as_many_tasks() {
+    let array = Job::new(job_spec(JobKind::Array, 1800), 1 << 40);
+    let plain_tasks = tasks_within_record_limit(&array, &placements(40, 12), 8192, false);
+    let compact_tasks = tasks_within_record_limit(&array, &placements(40, 12), LIMIT_BYTES, true);
+    assert!(
+        compact_tasks * 10 >= plain_tasks.min(450) * 9,
+        "{compact_tasks} of {plain_tasks}"
+    );
+    for (kind, tasks, max_tasks) in [
         (JobKind::Gang, 8, 8),
         (JobKind::Service, 16, 16),
         (JobKind::Array, 1800, 400),
     ] {
-        let job = Job::new(spec(kind, tasks), 1 << 40);
-        let places = places(most.min(40), most.div_ceil(40));
+        let job = Job::new(job_spec(kind, tasks), 1 << 40);
+        let placements = placements(max_tasks.min(40), max_tasks.div_ceil(40));
         assert!(
-            tasks_within_record_limit(&job, &places, LIMIT, true) >= most,
+            tasks_within_record_limit(&job, &placements, LIMIT_BYTES, true) >= max_tasks,
             "{kind:?}"
         );
-        let least = min_record_bytes(&spec(kind, tasks), "host-000231", "capannone-nord");
-        assert!(least <= LIMIT, "{kind:?} {least}");
+        let min_bytes = min_record_bytes(&job_spec(kind, tasks), "host-000231", "capannone-nord");
+        assert!(min_bytes <= LIMIT_BYTES, "{kind:?} {min_bytes}");
     }
 }
 
-/// However the bookings of a full record fall apart, fail and are stopped, it
-/// stays within its limit.
+/// A full record stays within its limit whatever the order in which its bookings are made,
+/// end, fail and are stopped.
 #[test]
-fn a_full_short_record_stays_within_the_limit() {
+fn full_compact_record_stays_within_the_limit() {
     for (tasks, seed) in [(1800, 1), (4096, 2), (100_000, 3)] {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let s = spec(JobKind::Array, tasks);
-        let mut job = Job::new(s.clone(), 1 << 40);
+        let spec = job_spec(JobKind::Array, tasks);
+        let mut job = Job::new(spec.clone(), 1 << 40);
         job.attempt = 1;
-        let mut widest = 0;
+        let mut max_booked = 0;
         for round in 0..60 {
-            let mut wanted = places(40, 14);
-            wanted.truncate(job.waiting_count());
-            let n = tasks_within_record_limit(&job, &wanted, LIMIT, true);
-            let taken: Vec<&TaskPlacement> = wanted[..n].iter().collect();
-            if !taken.is_empty() {
-                book(&mut job, &s, &taken);
+            let mut candidates = placements(40, 14);
+            candidates.truncate(job.waiting_count());
+            let n = tasks_within_record_limit(&job, &candidates, LIMIT_BYTES, true);
+            let booked: Vec<&TaskPlacement> = candidates[..n].iter().collect();
+            if !booked.is_empty() {
+                book(&mut job, &spec, &booked);
             }
-            widest = widest.max(job.booked_count());
+            max_booked = max_booked.max(job.booked_count());
             let check = |job: &Job| {
                 let bytes = encoding::encode_job(job).expect("text").len();
-                assert!(bytes <= LIMIT, "{bytes} bytes in round {round}");
+                assert!(bytes <= LIMIT_BYTES, "{bytes} bytes in round {round}");
             };
             check(&job);
             let all: Vec<(String, u64, u32)> = job
@@ -241,12 +251,13 @@
                 job.release(&machine, attempt, task, outcome);
                 check(&job);
             }
-            let fits = |job: &Job| encoding::encode_job(job).is_some_and(|t| t.len() <= LIMIT);
+            let fits =
+                |job: &Job| encoding::encode_job(job).is_some_and(|t| t.len() <= LIMIT_BYTES);
             if let Some(machine) = job.runs.first().map(|r| r.machine.clone()) {
                 job.stop_tasks(&machine, 2, fits);
                 check(&job);
             }
         }
-        assert!(widest > 300, "{widest} of {tasks}");
+        assert!(max_booked > 300, "{max_booked} of {tasks}");
     }
 }
--- /dev/null
+++ b/tests/limits/lowered_limits.rs
@@ -0,0 +1,399 @@
+//! Tests that lower the limits of the state service while controllers serve.
+
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use tokio::time::sleep;
+
+use super::setup::{
+    LIMIT_BYTES, deployment, lower_limits, oversized_records, restart_with_upcoming_limits,
+    submit_largest_jobs, upcoming_limits, wait_until_formats_recorded, wait_until_jobs_progress,
+};
+use crate::stand_ins::{StateLimits, Trouble, World, in_world, job};
+use shelfhoist::settings::Settings;
+use shelfhoist::state::keys::{FORMATS_KEY, job_key};
+
+use shelfhoist::state::records::*;
+
+/// Lowers the limits `delay` after the compaction of records has begun and restarts every
+/// controller at the same moment. Jobs of the largest sizes that were started before
+/// continue, further jobs start and end, and nothing is sent that the state service would
+/// refuse. With `trouble`, some commits of the compaction are applied late, or their
+/// responses are lost.
+fn lower_limits_around_compaction(delay: Option<Duration>, trouble: Trouble) {
+    in_world(|| async move {
+        let world = World::of(31, deployment()).await;
+        sleep(Duration::from_secs(15)).await;
+        let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
+        let cancelled_job = world.submit(job(5, "batch", 300, 500.0)).await;
+        sleep(Duration::from_secs(12)).await;
+        let oversized = oversized_records(&world);
+        for table in ["sh/zone/", "sh/machine/", "sh/job/"] {
+            let has_oversized = oversized.iter().any(|(key, _)| key.starts_with(table));
+            assert!(
+                has_oversized,
+                "no oversized record of {table}: {has_oversized}"
+            );
+        }
+        restart_with_upcoming_limits(&world).await;
+        wait_until_formats_recorded(&world).await;
+        world.state.trouble.set(trouble);
+        world.state.troubled.set(12);
+        // Without a delay, the limits are lowered as soon as the new formats are recorded.
+        sleep(delay.unwrap_or_default()).await;
+        if delay.is_some_and(|t| t > Duration::from_secs(20)) {
+            assert!(
+                oversized_records(&world).is_empty(),
+                "{:?}",
+                oversized_records(&world)
+            );
+        }
+        for i in 0..3 {
+            world.kill(i);
+        }
+        lower_limits(&world);
+        for i in 0..3 {
+            world.start(i);
+        }
+        let second_jobs = submit_largest_jobs(&world, 2, 1800).await;
+        assert_eq!(
+            world.withdraw(1, &cancelled_job).await.as_deref(),
+            Some("aborted")
+        );
+        wait_until_jobs_progress(&world, &first_jobs).await;
+        wait_until_jobs_progress(&world, &second_jobs).await;
+        sleep(Duration::from_secs(30)).await;
+        assert_eq!(world.running(&cancelled_job), 0);
+        let refused = world.state.too_many.get();
+        assert!(refused < 40, "{refused} refused for the rate");
+        assert!(
+            oversized_records(&world).is_empty(),
+            "{:?}",
+            oversized_records(&world)
+        );
+        let beyond = world.state.beyond.borrow().clone();
+        assert!(beyond.is_empty(), "{beyond:?}");
+        world.assert_kept();
+    });
+}
+
+#[test]
+fn limits_are_lowered_before_compaction() {
+    lower_limits_around_compaction(None, Trouble::None);
+}
+
+#[test]
+fn limits_are_lowered_during_compaction() {
+    lower_limits_around_compaction(Some(Duration::from_secs(2)), Trouble::None);
+}
+
+#[test]
+fn limits_are_lowered_after_compaction() {
+    lower_limits_around_compaction(Some(Duration::from_secs(40)), Trouble::None);
+}
+
+/// The upcoming limits may be absent or partial. An upcoming limit of a size applies from the
+/// start; an upcoming limit of a rate applies once refusals show that it is in force.
+#[test]
+fn upcoming_limits_may_be_absent_or_partial() {
+    let settings_with = |next: Value| {
+        let mut shape = deployment();
+        if !next.is_null() {
+            shape.state["next"] = next;
+        }
+        shape.settings(0)
+    };
+    let limits_of = |settings: &Settings| {
+        let rates = (
+            settings.write_rps(false),
+            settings.write_rps(true),
+            settings.rps(true),
+        );
+        (
+            settings.value_limit_bytes(),
+            settings.txn_ops(),
+            rates,
+            settings.limits_will_fall(),
+        )
+    };
+    let present = (8192, 12, (90.0, 90.0, 200.0), false);
+    for (next, expected) in [
+        (Value::Null, present),
+        (json!({}), present),
+        (json!({"what_is_new": {"value_kb": 1.0}}), present),
+        (json!({"value_kb": null, "rps": null}), present),
+        (
+            json!({"value_kb": 16.0, "txn_ops": 20, "write_rps": 900.0}),
+            present,
+        ),
+        (json!({"value_kb": 2.0}), (2048, 12, present.2, true)),
+        (json!({"txn_ops": 5}), (8192, 5, present.2, true)),
+        (
+            json!({"write_rps": 27.0}),
+            (8192, 12, (90.0, 27.0, 200.0), false),
+        ),
+        (json!({"rps": 50.0}), (8192, 12, (90.0, 90.0, 50.0), false)),
+        (
+            json!({"value_kb": 2.5, "txn_ops": 4, "write_rps": 27.0, "rps": 99.0}),
+            (2560, 4, (90.0, 27.0, 99.0), true),
+        ),
+    ] {
+        assert_eq!(limits_of(&settings_with(next.clone())), expected, "{next}");
+    }
+    for (field, value) in [
+        ("value_kb", json!(1.9)),
+        ("value_kb", json!(-2)),
+        ("txn_ops", json!(3)),
+        ("write_rps", json!(0)),
+        ("rps", json!(1e9)),
+    ] {
+        let mut shape = deployment();
+        shape.state["next"] = json!({field: value});
+        let text = shape.settings_text(0);
+        let error = Settings::parse(&text).expect_err("refused").to_string();
+        let name = format!("deployment.state.next.{field}");
+        assert!(error.contains(&name), "{error}");
+    }
+}
+
+/// One controller takes over every machine at the lower write rate before a lease expires.
+#[test]
+fn one_controller_takes_over_every_machine_at_the_lower_rate() {
+    in_world(|| async move {
+        let world = World::of(32, deployment()).await;
+        sleep(Duration::from_secs(15)).await;
+        restart_with_upcoming_limits(&world).await;
+        wait_until_formats_recorded(&world).await;
+        sleep(Duration::from_secs(20)).await;
+        lower_limits(&world);
+        let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
+        sleep(Duration::from_secs(5)).await;
+        let lapsed = world.lapsed();
+        world.kill(0);
+        world.kill(1);
+        sleep(Duration::from_secs(25)).await;
+        assert_eq!(world.lapsed(), lapsed, "leases ran out");
+        let holders = world.holders();
+        assert_eq!(holders.len(), 160);
+        assert!(
+            holders.iter().all(|(_, owner)| owner == "n2"),
+            "{holders:?}"
+        );
+        wait_until_jobs_progress(&world, &first_jobs).await;
+        let beyond = world.state.beyond.borrow().clone();
+        assert!(beyond.is_empty(), "{beyond:?}");
+        world.assert_kept();
+    });
+}
+
+/// Lowers limits that the settings don't announce. A write that is refused for its size
+/// doesn't stop the loop that sent it and is not repeated endlessly, and other jobs continue.
+#[test]
+fn oversized_write_does_not_block_other_jobs() {
+    in_world(|| async move {
+        let mut shape = deployment();
+        shape.machines = 45;
+        let world = World::of(33, shape).await;
+        sleep(Duration::from_secs(15)).await;
+        let mut request = job(1, "batch", 1800, 15.0);
+        for field in ["blueprint", "lot"] {
+            request[field] = json!("a-name-that-is-long".repeat(10));
+        }
+        let oversized_job = world.submit(request).await;
+        // The record of this job exceeds the limit; zone shards and machine shards do not.
+        world.state.limits.set(StateLimits {
+            value_limit_bytes: 3000,
+            txn_ops: 12,
+            write_rps: 90.0,
+            ..world.state.limits.get()
+        });
+        let mut small_jobs = Vec::new();
+        for n in 0..6 {
+            small_jobs.push(world.submit(job(10 + n, "gang", 2, 5.0)).await);
+        }
+        for id in &small_jobs {
+            world.until(id, "done", 120).await;
+        }
+        sleep(Duration::from_secs(20)).await;
+        let stage = world.stage(0, &oversized_job).await;
+        assert!(stage.is_some(), "{stage:?}");
+        let beyond = world.state.beyond.borrow().clone();
+        let of_oversized_job = beyond
+            .iter()
+            .filter(|b| b.contains(&job_key(&oversized_job)));
+        assert_eq!(of_oversized_job.count(), beyond.len(), "{beyond:?}");
+        assert!((1..60).contains(&beyond.len()), "{beyond:?}");
+        world.assert_kept();
+    });
+}
+
+#[test]
+fn limits_are_lowered_after_late_compaction_commits() {
+    lower_limits_around_compaction(Some(Duration::from_secs(30)), Trouble::Late);
+}
+
+#[test]
+fn limits_are_lowered_after_lost_compaction_responses() {
+    lower_limits_around_compaction(Some(Duration::from_secs(30)), Trouble::LoseAnswers);
+}
+
+/// Controllers write at the present rate until refusals show that the lower rate is in force.
+/// From then on they keep to the lower rate, apart from occasional attempts at a higher rate,
+/// and all jobs complete.
+#[test]
+fn lower_write_rate_is_kept_after_refusals_show_it() {
+    in_world(|| async move {
+        let mut shape = deployment();
+        shape.machines = 60;
+        shape.state["next"] = json!({"write_rps": 12.0});
+        let world = World::of(34, shape).await;
+        sleep(Duration::from_secs(15)).await;
+        world.state.limits.set(StateLimits {
+            write_rps: 12.0,
+            ..world.state.limits.get()
+        });
+        let mut ids = Vec::new();
+        let mut refused = Vec::new();
+        let mut refused_before = 0;
+        for n in 0..40 {
+            for k in 0..3 {
+                ids.push(world.submit(job(100 + n * 3 + k, "batch", 8, 3.0)).await);
+            }
+            sleep(Duration::from_secs(1)).await;
+            let refused_total = world.state.too_many.get();
+            refused.push(refused_total - refused_before);
+            refused_before = refused_total;
+        }
+        for id in &ids {
+            world.until(id, "done", 120).await;
+        }
+        assert!(refused_before > 0, "no write was refused for the rate");
+        // Detecting the lower rate costs some refusals: 64 in all here, against 25 under the
+        // same load when the rate is known from the start.
+        assert!(refused_before < 90, "{refused:?}");
+        let late_refusals: usize = refused[20..].iter().sum();
+        assert!(late_refusals < 40, "{refused:?}");
+        world.assert_kept();
+    });
+}
+
+/// Controllers are upgraded one after another while jobs run, and one of them restarts with
+/// the older version before it is upgraded. Until the last controller is upgraded, every
+/// stored record can be read by the version in production. After that, the compact encodings
+/// are written, jobs with dependencies are accepted, and all jobs continue when the limits
+/// are lowered.
+#[test]
+fn controllers_are_upgraded_one_after_another() {
+    for seed in [51, 52] {
+        in_world(|| async move {
+            let world = World::of(seed, deployment()).await;
+            world.state.older.borrow_mut().extend(0..3);
+            sleep(Duration::from_secs(15)).await;
+            let first_jobs = submit_largest_jobs(&world, 1, 600).await;
+            let long_job = world.submit(job(5, "batch", 40, 120.0)).await;
+            world.until(&long_job, "running", 60).await;
+            let dependent_job = crate::stand_ins::after(job(6, "batch", 2, 1.0), &[&long_job]);
+            world.remember(&dependent_job);
+            // Checks the stored formats and that dependencies are refused, while `seconds`
+            // pass.
+            let check_while_old = async |seconds: u32| {
+                for _ in 0..seconds * 4 {
+                    assert_eq!(world.state.unreadable(), Vec::<String>::new());
+                    sleep(Duration::from_millis(250)).await;
+                }
+                for i in 0..3 {
+                    let response = world
+                        .ask(i, "POST", "/submissions", Some(&dependent_job))
+                        .await;
+                    assert_eq!(response.0, 503, "n{i}: {}", response.1);
+                }
+                let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
+                assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
+            };
+            let upgrade = |i: usize| {
+                world.kill(i);
+                world.state.older.borrow_mut().remove(&i);
+                *world.next.borrow_mut() = upcoming_limits();
+                world.start(i);
+            };
+            check_while_old(2).await;
+            upgrade(0);
+            check_while_old(15).await;
+            // Controller 2 restarts with the older version before it is upgraded.
+            world.kill(2);
+            *world.next.borrow_mut() = Value::Null;
+            world.start(2);
+            check_while_old(6).await;
+            upgrade(1);
+            let second_jobs = submit_largest_jobs(&world, 2, 600).await;
+            check_while_old(15).await;
+            upgrade(2);
+            wait_until_formats_recorded(&world).await;
+            world.submit(dependent_job.clone()).await;
+            assert_eq!(
+                world.stage(1, "job-000006").await.as_deref(),
+                Some("queued")
+            );
+            sleep(Duration::from_secs(5)).await;
+            lower_limits(&world);
+            for jobs in [&first_jobs, &second_jobs] {
+                wait_until_jobs_progress(&world, jobs).await;
+            }
+            world.until("job-000006", "done", 300).await;
+            assert_eq!(world.state.misplaced.borrow().len(), 0);
+            assert!(
+                !world.state.unreadable().is_empty(),
+                "no compact encoding was written"
+            );
+            world.assert_kept();
+        });
+    }
+}
+
+/// The jobs of an accepted batch whose record exceeds the lower limit are read and run, each
+/// under its own record. The oversized record is deleted and never rewritten.
+#[test]
+fn oversized_accepted_batch_is_completed_and_deleted() {
+    in_world(|| async {
+        let world = World::of(53, deployment()).await;
+        sleep(Duration::from_secs(15)).await;
+        let mut batch = AcceptedBatch {
+            accepted_revision: 1,
+            jobs: Default::default(),
+        };
+        let jobs: Vec<Value> = (700..716).map(|n| job(n, "batch", 2, 2.0)).collect();
+        for (submission, n) in jobs.iter().zip(700..) {
+            world.remember(submission);
+            let read = shelfhoist::api::read_submission(submission.to_string().as_bytes());
+            let spec = JobSpec::from(&read.expect("a submission"));
+            batch.jobs.insert(format!("job-{n:06}"), spec);
+        }
+        let text = serde_json::to_value(&batch).expect("text");
+        assert!(
+            text.to_string().len() > LIMIT_BYTES,
+            "{}",
+            text.to_string().len()
+        );
+        restart_with_upcoming_limits(&world).await;
+        wait_until_formats_recorded(&world).await;
+        world.state.write("sh/new/n0-long", &text);
+        // The users repeat their submissions, which are recognized as accepted.
+        for submission in &jobs {
+            world.submit(submission.clone()).await;
+        }
+        for i in 0..3 {
+            world.kill(i);
+        }
+        lower_limits(&world);
+        for i in 0..3 {
+            world.start(i);
+        }
+        for id in batch.jobs.keys() {
+            world.until(id, "done", 200).await;
+        }
+        sleep(Duration::from_secs(10)).await;
+        assert_eq!(world.state.value("sh/new/n0-long"), None);
+        assert_eq!(world.state.beyond.borrow().clone(), Vec::<String>::new());
+        world.assert_kept();
+    });
+}
--- a/tests/limits/main.rs
+++ b/tests/limits/main.rs
@@ -1,13 +1,14 @@
-//! The state service's limits fall: compact encodings, zone shards that are merged,
-//! machine shards that are split, and a deployment that goes on throughout.
+//! Tests of lower limits of the state service: compact encodings, merging of zone shards,
+//! splitting of machine shards, and a deployment that keeps serving while the limits are
+//! lowered.
 
-// Each target of tests uses a part of them.
+// Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
 #[path = "../stand_ins/mod.rs"]
 mod stand_ins;
 
 mod encodings;
-mod falls;
-mod production_texts;
+mod lowered_limits;
+mod production_records;
 mod setup;
 mod shards;
--- a/tests/limits/production_texts.rs
+++ b/tests/limits/production_records.rs
@@ -1,14 +1,14 @@
-//! Records as the program in production wrote them.
+//! Tests with records that the version in production wrote.
 
-use super::setup::{read, same_bytes, without_free};
+use super::setup::{decode, decode_and_check_round_trip, without_free_resources};
 use shelfhoist::state::encoding;
 
 use shelfhoist::state::records::*;
 
-// --- production's own texts ---------------------------------------------------
+// --- records as stored in production -------------------------------------------
 
-/// What the version in production (`f00c9ea`) writes for each record, as its own
-/// serializer gave it.
+/// The JSON text of a job that the serializer of the version in production (`f00c9ea`)
+/// writes. The other constants have the texts of the other records.
 const JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":0,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5},"n":1800,"b":412,"a":3,"x":40,"q":"0-4,7","r":[{"m":"host-000231","z":"a","a":1,"t":"10-19,21"},{"m":"host-000231","z":"a","a":3,"t":"30","x":true}],"c":true,"e":2,"ea":2,"em":["host-000007"]}"#;
 
 const NEW_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"gang","p":"normal","n":1800,"r":{"c":2000,"g":0,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":1800,"b":9,"a":0,"x":0}"#;
@@ -29,32 +29,32 @@
 
 const RENTER: &str = r#"{"h":"bay-1","i":4000000000}"#;
 
-/// What production wrote is read with nothing lost, and a record without the new
-/// fields is its text byte for byte.
+/// Records that production wrote are decoded without loss, and a record without the newer
+/// fields is encoded to the same bytes.
 #[test]
-fn the_texts_of_production_are_read_and_written() {
-    let job: Job = same_bytes(JOB);
+fn production_records_are_decoded_and_encoded() {
+    let job: Job = decode_and_check_round_trip(JOB);
     assert_eq!(job.runs.len(), 2);
     assert!(job.runs[1].stop);
     assert_eq!(job.runs[0].tasks, NumberSet(vec![(10, 19), (21, 21)]));
     assert_eq!(job.failed_on, ["host-000007"]);
-    same_bytes::<Job>(NEW_JOB);
-    same_bytes::<Job>(DONE_JOB);
-    same_bytes::<AcceptedBatch>(ARRIVALS);
-    same_bytes::<TeamUsage>(TEAM);
-    let shard: ZoneShard = same_bytes(PART);
+    decode_and_check_round_trip::<Job>(NEW_JOB);
+    decode_and_check_round_trip::<Job>(DONE_JOB);
+    decode_and_check_round_trip::<AcceptedBatch>(ARRIVALS);
+    decode_and_check_round_trip::<TeamUsage>(TEAM);
+    let shard: ZoneShard = decode_and_check_round_trip(PART);
     assert_eq!(shard.machines["host-000231"].unbooked.cpus, Amount(2000));
-    let machine_shard: MachineShard = same_bytes(GROUP);
+    let machine_shard: MachineShard = decode_and_check_round_trip(GROUP);
     assert_eq!(machine_shard.machines.len(), 5);
-    same_bytes::<ProvisioningRequest>(HIRE);
-    same_bytes::<MachineTypesRecord>(TYPES);
-    same_bytes::<ControllerRecord>(RENTER);
-    // And through the compact encoding and back, byte for byte; of a zone shard all but what
-    // is free, which nobody reads.
-    let again: Job = read(encoding::encode_job(&job));
-    assert_eq!(serde_json::to_string(&again).expect("text"), JOB);
-    let again: MachineShard = read(encoding::encode_machine_shard(&machine_shard));
-    assert_eq!(serde_json::to_string(&again).expect("text"), GROUP);
-    let again: ZoneShard = read(encoding::encode_zone_shard(&shard));
-    assert_eq!(again, without_free(&shard));
+    decode_and_check_round_trip::<ProvisioningRequest>(HIRE);
+    decode_and_check_round_trip::<MachineTypesRecord>(TYPES);
+    decode_and_check_round_trip::<ControllerRecord>(RENTER);
+    // The compact encoding restores the same bytes. Only the free resources of a zone shard
+    // are lost, which no version reads.
+    let decoded: Job = decode(encoding::encode_job(&job));
+    assert_eq!(serde_json::to_string(&decoded).expect("text"), JOB);
+    let decoded: MachineShard = decode(encoding::encode_machine_shard(&machine_shard));
+    assert_eq!(serde_json::to_string(&decoded).expect("text"), GROUP);
+    let decoded: ZoneShard = decode(encoding::encode_zone_shard(&shard));
+    assert_eq!(decoded, without_free_resources(&shard));
 }
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -1,4 +1,4 @@
-//! What the tests of lower limits are set up with.
+//! Set-up and helpers for the tests of lower limits: records, a replica and a deployment.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,22 +14,28 @@
 
 use shelfhoist::state::records::*;
 
-pub const LIMIT: usize = 2048;
+/// The lower limit of the size of a record.
+pub const LIMIT_BYTES: usize = 2048;
 
-pub fn same_bytes<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) -> T {
+/// Decodes the text and asserts that the value is encoded to the same bytes.
+pub fn decode_and_check_round_trip<T: serde::Serialize + serde::de::DeserializeOwned>(
+    text: &str,
+) -> T {
     let value: T = serde_json::from_str(text).expect(text);
     assert_eq!(serde_json::to_string(&value).expect("text"), text);
     value
 }
 
-pub fn read<T: serde::de::DeserializeOwned>(text: Option<String>) -> T {
+/// Decodes a text, which must be present and valid.
+pub fn decode<T: serde::de::DeserializeOwned>(text: Option<String>) -> T {
     let text = text.expect("a text");
     serde_json::from_str(&text).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
 // --- compact encodings ---------------------------------------------------------------
 
-pub fn without_free(shard: &ZoneShard) -> ZoneShard {
+/// Returns the shard with all free resources set to zero.
+pub fn without_free_resources(shard: &ZoneShard) -> ZoneShard {
     let mut shard = shard.clone();
     for slot in shard.machines.values_mut() {
         slot.free = Resources::default();
@@ -37,8 +43,8 @@
     shard
 }
 
-/// Names that are not like the cloud's, or only nearly.
-pub const ODD: [&str; 12] = [
+/// Machine names that differ from the pattern of the cloud's names, some only slightly.
+pub const UNUSUAL_MACHINE_NAMES: [&str; 12] = [
     "host",
     "h",
     "7",
@@ -53,15 +59,17 @@
     "999999999",
 ];
 
-pub fn name(n: usize) -> String {
+/// Returns a machine name; every seventh is unusual.
+pub fn machine_name(n: usize) -> String {
     match n % 7 {
-        0 => ODD[n / 7 % ODD.len()].to_string(),
+        0 => UNUSUAL_MACHINE_NAMES[n / 7 % UNUSUAL_MACHINE_NAMES.len()].to_string(),
         1 => format!("gpu-{n:04}"),
         _ => format!("host-{n:06}"),
     }
 }
 
-pub fn spec(kind: JobKind, tasks: u32) -> JobSpec {
+/// Returns the specification of a job with long names.
+pub fn job_spec(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         class: "reprice-array".into(),
         team: "squadra-piazzale-07".into(),
@@ -93,29 +101,32 @@
     }
 }
 
-pub fn places(machines: usize, each: usize) -> Vec<TaskPlacement> {
-    let place = |at: usize| TaskPlacement {
-        slot_index: at,
-        machine: format!("host-{:06}", at * 17).into(),
-        zone: ["capannone-nord", "capannone-sud", "ufficio-porto"][at % 3].into(),
+/// Returns placements of `tasks_per_machine` tasks on each machine.
+pub fn placements(machines: usize, tasks_per_machine: usize) -> Vec<TaskPlacement> {
+    let place = |index: usize| TaskPlacement {
+        slot_index: index,
+        machine: format!("host-{:06}", index * 17).into(),
+        zone: ["capannone-nord", "capannone-sud", "ufficio-porto"][index % 3].into(),
         shard: "capannone-nord/bay-1.0".into(),
     };
-    (0..machines * each).map(|n| place(n / each)).collect()
+    (0..machines * tasks_per_machine)
+        .map(|n| place(n / tasks_per_machine))
+        .collect()
 }
 
 // --- zone shards and machine shards ------------------------------------------------------------
 
-/// A replica whose records are to be short, of zone shards and machine shards as production left
-/// them.
-pub fn production_view(machine_shards: usize, each: usize) -> Replica {
-    let mut replica = Replica::with_compact_limit(Some(LIMIT));
+/// Returns a replica that writes the compact encoding and contains zone shards and machine
+/// shards in the plain encoding, as the version in production stored them.
+pub fn production_replica(machine_shards: usize, machines_per_shard: usize) -> Replica {
+    let mut replica = Replica::with_compact_limit(Some(LIMIT_BYTES));
     let formats = json!({"n": {"n0": 2}, "a": 2});
     let mut events = vec![Event::put(FORMATS_KEY.into(), &formats, 1)];
-    for g in 0..machine_shards {
+    for number in 0..machine_shards {
         let mut machine_shard = MachineShard::default();
         let mut shard = ZoneShard::default();
-        for n in 0..each {
-            let name = format!("host-{:06}", (g * each + n) * 3);
+        for n in 0..machines_per_shard {
+            let name = format!("host-{:06}", (number * machines_per_shard + n) * 3);
             let machine = Machine {
                 owner: "n0".into(),
                 incarnation: u64::from(u32::MAX),
@@ -133,13 +144,13 @@
             };
             shard.machines.insert(name, slot);
         }
-        let id = format!("a/n0.{g}");
+        let id = format!("a/n0.{number}");
         events.push(Event::put(
             machine_shard_key(&id),
             &machine_shard,
-            2 + g as u64,
+            2 + number as u64,
         ));
-        events.push(Event::put(zone_shard_key(&id), &shard, 2 + g as u64));
+        events.push(Event::put(zone_shard_key(&id), &shard, 2 + number as u64));
     }
     replica.apply_events(events, 100);
     replica
@@ -147,7 +158,8 @@
 
 // --- a deployment ------------------------------------------------------------------
 
-pub fn yard() -> Shape {
+/// Returns a deployment with 160 machines under the present limits, 8 KiB for each record.
+pub fn deployment() -> Shape {
     Shape {
         teams: vec![("t".into(), 4000.0, 6000.0)],
         state: json!({"rps": 200.0, "write_rps": 90.0, "value_kb": 8.0, "txn_ops": 12}),
@@ -157,47 +169,52 @@
     }
 }
 
-pub fn next() -> Value {
+/// Returns the upcoming limits for the settings.
+pub fn upcoming_limits() -> Value {
     json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0})
 }
 
-pub fn fall(w: &World) {
-    w.state.limits.set(StateLimits {
+/// Puts the lower limits into force.
+pub fn lower_limits(world: &World) {
+    world.state.limits.set(StateLimits {
         txn_ops: 4,
-        value_limit_bytes: LIMIT,
+        value_limit_bytes: LIMIT_BYTES,
         write_rps: 27.0,
-        ..w.state.limits.get()
+        ..world.state.limits.get()
     });
 }
 
-/// All controllers end, and come back one after the other with the new settings:
-/// only then is it recorded that all read the new formats.
-pub async fn roll(w: &Rc<World>) {
-    for i in 0..w.shape.controllers {
-        w.kill(i);
+/// Stops all controllers, resets the record of formats, and starts the controllers one after
+/// another with settings that name the upcoming limits. Only after the last start is it
+/// recorded that all controllers read the new formats.
+pub async fn restart_with_upcoming_limits(world: &Rc<World>) {
+    for i in 0..world.shape.controllers {
+        world.kill(i);
     }
-    *w.next.borrow_mut() = next();
-    w.state.write(FORMATS_KEY, &json!({"n": {}, "a": 0}));
-    for i in 0..w.shape.controllers {
-        w.start(i);
+    *world.next.borrow_mut() = upcoming_limits();
+    world.state.write(FORMATS_KEY, &json!({"n": {}, "a": 0}));
+    for i in 0..world.shape.controllers {
+        world.start(i);
         sleep(Duration::from_secs(2)).await;
     }
 }
 
-pub async fn upgraded(w: &World) {
-    let began = Instant::now();
+/// Waits until it is recorded that all controllers read the new formats.
+pub async fn wait_until_formats_recorded(world: &World) {
+    let start = Instant::now();
     loop {
-        let formats = w.state.value(FORMATS_KEY).unwrap_or_default();
+        let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
         if formats["a"] == json!(FORMATS) {
             return;
         }
-        assert!(began.elapsed() < Duration::from_secs(60), "{formats}");
+        assert!(start.elapsed() < Duration::from_secs(60), "{formats}");
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// One of each kind, of the largest size: ids of gang, service and array.
-pub async fn largest(w: &World, wave: u32, array: u32) -> [String; 3] {
+/// Submits a gang, a service and an array of the largest sizes and returns their ids in this
+/// order.
+pub async fn submit_largest_jobs(world: &World, wave: u32, array: u32) -> [String; 3] {
     let mut gang = job(wave * 10, "gang", 8, 20.0);
     gang["same_place"] = json!(true);
     gang["vcpus"] = json!(6.0);
@@ -205,24 +222,27 @@
     service["scatter"] = json!(true);
     let array = job(wave * 10 + 2, "batch", array, 10.0);
     [
-        w.submit(gang).await,
-        w.submit(service).await,
-        w.submit(array).await,
+        world.submit(gang).await,
+        world.submit(service).await,
+        world.submit(array).await,
     ]
 }
 
-pub async fn all_go_on(w: &World, [gang, service, array]: &[String; 3]) {
-    w.until(gang, "done", 200).await;
-    w.until(array, "done", 400).await;
-    let began = Instant::now();
-    while w.running(service) < 16 {
-        assert!(began.elapsed() < Duration::from_secs(200), "{service}");
+/// Waits until the gang and the array are done and all 16 replicas of the service run.
+pub async fn wait_until_jobs_progress(world: &World, [gang, service, array]: &[String; 3]) {
+    world.until(gang, "done", 200).await;
+    world.until(array, "done", 400).await;
+    let start = Instant::now();
+    while world.running(service) < 16 {
+        assert!(start.elapsed() < Duration::from_secs(200), "{service}");
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-pub fn too_long(w: &World) -> Vec<(String, usize)> {
-    let mut all = w.state.sizes("sh/");
-    all.retain(|(key, n)| *n > LIMIT && !key.starts_with("sh/new/"));
-    all
+/// Returns the records above the lower limit with their sizes in bytes, without accepted
+/// batches.
+pub fn oversized_records(world: &World) -> Vec<(String, usize)> {
+    let mut records = world.state.sizes("sh/");
+    records.retain(|(key, n)| *n > LIMIT_BYTES && !key.starts_with("sh/new/"));
+    records
 }
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -1,10 +1,10 @@
-//! Shards are split, merged and looked into.
+//! Tests that split and merge shards and place jobs in them.
 
 use std::collections::{BTreeSet, HashMap};
 
 use serde_json::json;
 
-use super::setup::{LIMIT, next, production_view, spec, yard};
+use super::setup::{LIMIT_BYTES, deployment, job_spec, production_replica, upcoming_limits};
 use shelfhoist::compaction;
 use shelfhoist::scheduler::{
     self, AcceleratorProtection, MachineShardEdits, PlacementHints, Plan, Transaction, WaitReason,
@@ -16,13 +16,14 @@
 
 use shelfhoist::state::records::*;
 
-/// A machine shard that is too long in its compact encoding, too, is split in the commit that
-/// writes it: none is lost, doubled or changed, whichever record comes first.
+/// A machine shard whose compact encoding still exceeds the limit is split in the commit that
+/// writes it. No machine is lost, duplicated or changed, whichever of the two records is
+/// applied first.
 #[test]
-fn a_long_machine_shard_is_split_in_one_commit() {
-    let mut replica = production_view(1, 60);
+fn oversized_machine_shard_is_split_in_one_commit() {
+    let mut replica = production_replica(1, 60);
     let before = replica.machines.clone();
-    // While what an older version decided may still arrive, it stays whole.
+    // The shard is not split while commits that an older version prepared may still arrive.
     let mut machine_shards = MachineShardEdits::new(&replica);
     machine_shards.edit("a/n0.0");
     assert_eq!(machine_shards.into_commit().1.len(), 1);
@@ -31,33 +32,35 @@
     replica.apply_commit(&[write], 101);
     assert!(replica.is_compact_zone_shard("a/n0.0"));
     let mut version = 102;
-    while replica.machine_shards.values().any(|g| {
-        let text = encoding::encode_machine_shard(&g.value).expect("text");
-        text.len() > LIMIT
+    while replica.machine_shards.values().any(|shard| {
+        let text = encoding::encode_machine_shard(&shard.value).expect("text");
+        text.len() > LIMIT_BYTES
     }) {
-        let long = replica.machine_shards.iter().find(|(_, g)| {
-            let text = encoding::encode_machine_shard(&g.value).expect("text");
-            text.len() > LIMIT
+        let oversized = replica.machine_shards.iter().find(|(_, shard)| {
+            let text = encoding::encode_machine_shard(&shard.value).expect("text");
+            text.len() > LIMIT_BYTES
         });
-        let id = long.expect("a long one").0.clone();
-        // A zone shard that is not there yet has to be, before a second split.
+        let id = oversized.expect("an oversized shard").0.clone();
+        // The new zone shard has to exist before the shard is split again.
         let writes = [replica.put_zone_shard(
             &id,
             &replica
                 .zone_shards
                 .get(&id)
-                .map_or(ZoneShard::default(), |p| p.value.clone()),
+                .map_or(ZoneShard::default(), |shard| shard.value.clone()),
         )];
         replica.apply_commit(&writes, version);
         let mut machine_shards = MachineShardEdits::new(&replica);
         machine_shards.edit(&id);
         let (preconditions, mut writes) = machine_shards.into_commit();
         assert_eq!(writes.len(), 2, "{id}");
-        for w in &writes {
+        for write in &writes {
             assert!(
-                preconditions.iter().any(|g| g.key == w.key()),
+                preconditions
+                    .iter()
+                    .any(|precondition| precondition.key == write.key()),
                 "{}",
-                w.key()
+                write.key()
             );
         }
         if version % 2 == 0 {
@@ -70,17 +73,17 @@
     let listed: usize = replica
         .machine_shards
         .values()
-        .map(|g| g.value.machines.len())
+        .map(|shard| shard.value.machines.len())
         .sum();
     assert_eq!(listed, before.len());
     for (name, machine) in &before {
-        let now = &replica.machines[name].value;
-        let as_before = Machine {
+        let after = &replica.machines[name].value;
+        let with_previous_shard = Machine {
             shard: machine.value.shard.clone(),
-            ..now.clone()
+            ..after.clone()
         };
-        assert_eq!(as_before, machine.value);
-        let machine_shard = format!("{}/{}", now.zone, now.shard);
+        assert_eq!(with_previous_shard, machine.value);
+        let machine_shard = format!("{}/{}", after.zone, after.shard);
         assert!(
             replica.machine_shards[&machine_shard]
                 .value
@@ -90,48 +93,52 @@
     }
 }
 
-/// Parts are merged by twos while there is room, and each machine is found where
-/// it stands; a booking that counted on the old part meets a conflict.
+/// Zone shards are merged in pairs while their machines fit one record. After each merge,
+/// every machine is found in its shard, and the commit has both shards as preconditions, so
+/// that a booking based on an old shard conflicts.
 #[test]
 fn zone_shards_are_merged() {
-    let mut replica = production_view(6, 54);
-    let tended = |_: &str| true;
-    assert!(compaction::merge(&replica, &HashMap::new(), &tended).is_none());
+    let mut replica = production_replica(6, 54);
+    let is_responsible = |_: &str| true;
+    assert!(compaction::merge(&replica, &HashMap::new(), &is_responsible).is_none());
     let mut version = 200;
-    for g in 0..6 {
-        let id = format!("a/n0.{g}");
+    for number in 0..6 {
+        let id = format!("a/n0.{number}");
         let write = replica.put_zone_shard(&id, &replica.zone_shards[&id].value);
         version += 1;
         replica.apply_commit(&[write], version);
     }
-    let mut steps = 0;
+    let mut merges = 0;
     while let Some(Commit {
         preconditions,
         mut writes,
-    }) = compaction::merge(&replica, &HashMap::new(), &tended)
+    }) = compaction::merge(&replica, &HashMap::new(), &is_responsible)
     {
         assert_eq!((preconditions.len(), writes.len()), (2, 2));
-        for w in &writes {
-            let id = w.key().trim_start_matches("sh/zone/");
+        for write in &writes {
+            let id = write.key().trim_start_matches("sh/zone/");
             let precondition = preconditions
                 .iter()
-                .find(|g| g.key == w.key())
-                .expect("a guard");
+                .find(|precondition| precondition.key == write.key())
+                .expect("a precondition");
             assert_eq!(precondition.version, replica.zone_shard_version(id));
-            let Write::Put { value, .. } = w else {
-                panic!("{w:?}")
+            let Write::Put { value, .. } = write else {
+                panic!("{write:?}")
             };
-            assert!(value.get().len() <= LIMIT);
+            assert!(value.get().len() <= LIMIT_BYTES);
         }
-        if steps % 2 == 0 {
+        if merges % 2 == 0 {
             writes.reverse();
         }
         version += 1;
         replica.apply_commit(&writes, version);
-        steps += 1;
+        merges += 1;
         assert_eq!(replica.plan_slots().count(), 6 * 54);
         for name in replica.machines.keys() {
-            let shard = replica.zone_shard_of(name).expect("a part").to_string();
+            let shard = replica
+                .zone_shard_of(name)
+                .expect("a zone shard")
+                .to_string();
             assert!(
                 replica.zone_shards[&shard]
                     .value
@@ -141,19 +148,20 @@
             assert!(replica.slot(name).is_some());
         }
     }
-    let filled = replica
+    let nonempty = replica
         .zone_shards
         .values()
-        .filter(|p| !p.value.machines.is_empty());
-    assert_eq!(filled.count(), 1, "after {steps}");
+        .filter(|shard| !shard.value.machines.is_empty());
+    assert_eq!(nonempty.count(), 1, "after {merges}");
 }
 
-/// Places in as few zone shards as one commit writes beside the job and its team.
+/// A gang is placed in two zone shards at most, because one commit of four writes also
+/// contains the job and its team. A service may be placed over several commits.
 #[test]
-fn a_gang_is_looked_for_in_two_zone_shards() {
-    let mut shape = yard();
-    shape.state["next"] = next();
-    let set = shape.settings(0);
+fn gang_is_placed_in_at_most_two_zone_shards() {
+    let mut shape = deployment();
+    shape.state["next"] = upcoming_limits();
+    let settings = shape.settings(0);
     let big = json!({"label": "big", "vcpus": 8.0, "cards": 0.0, "ram_gb": 16.0, "hourly": 0.8,
         "yards": ["a", "b"]});
     let formats = json!({"n": {}, "a": FORMATS});
@@ -176,7 +184,7 @@
         }
         events.push(Event::put(zone_shard_key(id), &shard, 2));
     }
-    let mut gang = spec(JobKind::Gang, 8);
+    let mut gang = job_spec(JobKind::Gang, 8);
     gang.team = "t".into();
     gang.types = None;
     gang.need.cpus = Amount(8000);
@@ -193,32 +201,33 @@
         let job = Job::new(spec.clone(), 1);
         let mut events = events.clone();
         events.push(Event::put(job_key("job-1"), &job, 3));
-        let mut replica = Replica::with_compact_limit(Some(LIMIT));
+        let mut replica = Replica::with_compact_limit(Some(LIMIT_BYTES));
         replica.apply_events(events, 5);
         let plan = Plan::from_replica(&replica);
         let hints = PlacementHints::new(&replica, "n0");
-        let found = scheduler::find_placements(
+        let result = scheduler::find_placements(
             &job,
             &spec,
             &plan,
             &hints,
-            &set,
+            &settings,
             AcceleratorProtection::Lax,
         );
-        let Ok(places) = found else {
-            // It fits the rooms of three zone shards only: machines are rented for it.
-            assert_eq!((kind, tasks), (JobKind::Gang, 9), "{found:?}");
-            assert_eq!(found, Err(WaitReason::NoCapacity));
+        let Ok(places) = result else {
+            // The gang would need the free capacity of three zone shards, so that machines are
+            // rented for it.
+            assert_eq!((kind, tasks), (JobKind::Gang, 9), "{result:?}");
+            assert_eq!(result, Err(WaitReason::NoCapacity));
             continue;
         };
         assert_eq!(places.len(), tasks as usize, "{kind:?}");
         let zone_shards: BTreeSet<&str> = places.iter().map(|p| &*p.shard).collect();
-        let mut transaction = Transaction::new(&replica, set.txn_ops());
+        let mut transaction = Transaction::new(&replica, settings.txn_ops());
         let booked = transaction.book("job-1", &spec, &places);
-        assert!(transaction.into_commit().1.len() <= set.txn_ops());
+        assert!(transaction.into_commit().1.len() <= settings.txn_ops());
         match kind {
             JobKind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
-            // Replica by replica: the rest go into the next commit.
+            // Replicas of a service are booked one by one: the rest go into the next commit.
             _ => assert!(
                 zone_shards.len() > 2 && (5..9).contains(&booked),
                 "{booked}"
