--- a/tests/fleet/deployments.rs
+++ b/tests/fleet/deployments.rs
@@ -1,11 +1,11 @@
-//! The deployments that operators have named, at the size of the largest one.
+//! Deployments with the parameters that operators have given, for fleets of the largest size.
 
 use serde_json::json;
 
 use crate::stand_ins::Shape;
 
-/// Five controllers in three zones, 1,905 machines.
-pub fn yard() -> Shape {
+/// Returns a deployment with five controllers in three zones and 1,905 machines.
+pub fn five_controller_deployment() -> Shape {
     Shape {
         controllers: 5,
         locations: vec!["a", "b", "c", "a", "b"],
@@ -26,8 +26,8 @@
     }
 }
 
-/// Three controllers in two zones, 1,295 machines.
-pub fn clubs() -> Shape {
+/// Returns a deployment with three controllers in two zones and 1,295 machines.
+pub fn three_controller_deployment() -> Shape {
     Shape {
         controllers: 3,
         locations: vec!["a", "a", "b"],
@@ -48,7 +48,7 @@
     }
 }
 
-/// Teams `t0`, `t1` and so on with the same limits each.
+/// Returns teams `t0`, `t1` and so on, all with the same limits.
 pub fn teams(count: usize, max_cpus: f64, max_memory: f64) -> Vec<(String, f64, f64)> {
     let team = |number| (format!("t{number}"), max_cpus, max_memory);
     (0..count).map(team).collect()
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -1,6 +1,6 @@
-//! 4,000 machines: a start, a takeover of all by one controller, a fifth of the
-//! machines lost at once, and a restart of all controllers. Every machine is
-//! claimed, listed and takes work, and nothing is sent beyond the limits of the
+//! Tests with 4,000 machines: the deployment starts, one controller takes over all machines,
+//! a fifth of the machines is lost at the same time, and all controllers restart. Every
+//! machine is claimed and listed and receives work, and no request exceeds the limits of the
 //! state service and of the cloud.
 
 use std::collections::BTreeSet;
@@ -10,34 +10,37 @@
 use shelfhoist::state::records::{MachineShard, ZoneShard};
 use tokio::time::{Instant, sleep};
 
-use crate::deployments::{clubs, teams, yard};
+use crate::deployments::{five_controller_deployment, teams, three_controller_deployment};
 use crate::stand_ins::{Shape, StateLimits, World, in_world, job};
 
 const MACHINES: usize = 4000;
 
-/// Tasks of one job: one fills a machine, and a job's record holds about this many.
+/// Number of tasks of one job. Each task fills a machine, and the record of a job can hold
+/// bookings of about this many.
 const TASKS_PER_JOB: usize = 40;
 
-/// Where the controllers are, and which zones have machines.
+/// The zones of the controllers and of the machines.
 struct Layout {
     locations: Vec<&'static str>,
     machine_zones: Vec<&'static str>,
 }
 
-/// The yard's limits, with sockets for fewer workers than there are.
-fn yard_with(layout: Layout) -> Shape {
-    with_layout(yard(), layout)
+/// Returns a deployment with 4,000 machines and the limits of `five_controller_deployment`,
+/// which has fewer sockets than there are workers.
+fn five_controllers_with_layout(layout: Layout) -> Shape {
+    with_layout(five_controller_deployment(), layout)
 }
 
-/// The clubs' limits, and the fewest sockets that any deployment gives.
-fn clubs_with(layout: Layout) -> Shape {
+/// Returns a deployment with 4,000 machines, the limits of `three_controller_deployment` and
+/// the smallest number of sockets of any deployment.
+fn three_controllers_with_layout(layout: Layout) -> Shape {
     Shape {
         sockets: 900,
-        ..with_layout(clubs(), layout)
+        ..with_layout(three_controller_deployment(), layout)
     }
 }
 
-/// A deployment with 4,000 machines in this layout.
+/// Returns the deployment with 4,000 machines in this layout.
 fn with_layout(deployment: Shape, layout: Layout) -> Shape {
     Shape {
         controllers: layout.locations.len(),
@@ -50,26 +53,27 @@
     }
 }
 
-/// Machines by what the state says of them.
-struct Recorded {
-    /// Owned by a controller.
+/// The names of the machines in the stored records.
+struct RecordedMachines {
+    /// Machines that a controller owns.
     claimed: BTreeSet<String>,
-    /// In a zone shard: they take work.
+    /// Machines in a zone shard, where tasks can be booked on them.
     listed: BTreeSet<String>,
 }
 
-fn recorded(world: &World) -> Recorded {
-    let mut recorded = Recorded {
+/// Reads the machines from the stored records.
+fn read_recorded_machines(world: &World) -> RecordedMachines {
+    let mut recorded = RecordedMachines {
         claimed: BTreeSet::new(),
         listed: BTreeSet::new(),
     };
     for (key, value) in world.state.records("sh/machine/") {
         let shard: MachineShard = serde_json::from_str(&value.to_string()).expect(&key);
-        let held = shard
+        let claimed = shard
             .machines
             .into_iter()
             .filter(|(_, machine)| machine.fencing_token > 0);
-        recorded.claimed.extend(held.map(|(name, _)| name));
+        recorded.claimed.extend(claimed.map(|(name, _)| name));
     }
     for (key, value) in world.state.records("sh/zone/") {
         let shard: ZoneShard = serde_json::from_str(&value.to_string()).expect(&key);
@@ -79,27 +83,28 @@
 }
 
 /// Waits until every machine is claimed and listed.
-async fn wait_until_all_take_part(world: &World, limit_s: f64, after: &str) {
-    let began = Instant::now();
+async fn wait_until_all_claimed_and_listed(world: &World, limit_s: f64, after: &str) {
+    let start = Instant::now();
     loop {
         let names: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
-        let recorded = recorded(world);
+        let recorded = read_recorded_machines(world);
         let unclaimed = names.difference(&recorded.claimed).count();
         let unlisted = names.difference(&recorded.listed).count();
         if unclaimed + unlisted == 0 {
             return;
         }
-        let spent = began.elapsed().as_secs_f64();
+        let elapsed_s = start.elapsed().as_secs_f64();
         assert!(
-            spent < limit_s,
-            "after {after}: {unclaimed} unclaimed, {unlisted} unlisted of {} after {spent} s",
+            elapsed_s < limit_s,
+            "after {after}: {unclaimed} unclaimed, {unlisted} unlisted of {} after {elapsed_s} s",
             names.len()
         );
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-/// Submits work for every machine, a task each, and waits until each has one.
+/// Submits one task for each machine, waits until every machine has run a task, and returns
+/// the ids of the jobs.
 async fn submit_work_for_all(world: &World, wave: u32, limit_s: f64, after: &str) -> Vec<String> {
     let machines = world.workers.borrow().len();
     let mut ids = Vec::new();
@@ -114,16 +119,16 @@
         array["vcpus"] = json!(8.0);
         ids.push(world.submit(array).await);
     }
-    let began = Instant::now();
+    let start = Instant::now();
     let mut idle: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
     while !idle.is_empty() {
         for worker in world.busy() {
             idle.remove(worker.name());
         }
         idle.retain(|name| world.workers.borrow().contains_key(name));
-        let spent = began.elapsed().as_secs_f64();
+        let elapsed_s = start.elapsed().as_secs_f64();
         assert!(
-            spent < limit_s,
+            elapsed_s < limit_s,
             "after {after}: {} machines without work",
             idle.len()
         );
@@ -132,19 +137,20 @@
     ids
 }
 
-/// Waits until every job is done, as its controller tells.
+/// Waits until every job is done. The jobs are queried at the controllers in turn.
 async fn wait_until_all_done(world: &World, ids: &[String], limit_s: f64) {
-    let began = Instant::now();
+    let start = Instant::now();
     for (number, id) in ids.iter().enumerate() {
         let controller = number % world.shape.controllers;
         while world.stage(controller, id).await.as_deref() != Some("done") {
-            assert!(began.elapsed().as_secs_f64() < limit_s, "{id} is not done");
+            assert!(start.elapsed().as_secs_f64() < limit_s, "{id} is not done");
             sleep(Duration::from_secs(1)).await;
         }
     }
 }
 
-/// Nothing was refused for its size: values, commits, keys, requests to the cloud.
+/// Asserts that the state service and the cloud refused nothing for its size: values, commits,
+/// keys and requests to the cloud.
 fn assert_within_limits(world: &World) {
     let beyond = world.state.beyond.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
@@ -152,35 +158,42 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// A start, a takeover of all by one controller, a fifth of the machines lost, and a
-/// restart of all controllers.
+/// Starts the deployment, lets one controller take over all machines, loses a fifth of the
+/// machines and restarts all controllers.
 fn run_all_stages(shape: Shape) {
     run_all_stages_with_limits(shape, None);
 }
 
-/// The same, with limits that come into force once all machines have taken part.
+/// Does the same, and puts `reduced_limits` into force once all machines are claimed and
+/// listed.
 fn run_all_stages_with_limits(shape: Shape, reduced_limits: Option<StateLimits>) {
     in_world(|| async move {
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
         let world = World::of(31, shape).await;
-        wait_until_all_take_part(&world, lease_s * 3.0, "a start").await;
+        wait_until_all_claimed_and_listed(&world, lease_s * 3.0, "a start").await;
         if let Some(limits) = reduced_limits {
             world.state.limits.set(limits);
         }
         let ids = submit_work_for_all(&world, 1, lease_s * 6.0, "a start").await;
-        assert_eq!(world.lapsed(), 0, "leases ran out at the start");
+        assert_eq!(world.lapsed(), 0, "leases expired at the start");
 
         for controller in 1..controllers {
             world.kill(controller);
         }
         sleep(lease * 2).await;
-        let lapsed = world.lapsed() as usize;
-        assert_eq!(lapsed, 0, "leases ran out on the way to one controller");
-        let held = world.holders();
-        let by_last = held.iter().filter(|(_, owner)| owner == "n0").count();
-        assert_eq!(by_last, MACHINES, "machines of the last controller");
+        let expired = world.lapsed() as usize;
+        assert_eq!(
+            expired, 0,
+            "leases expired during the takeover by one controller"
+        );
+        let claimed = world.holders();
+        let of_remaining = claimed.iter().filter(|(_, owner)| owner == "n0").count();
+        assert_eq!(
+            of_remaining, MACHINES,
+            "machines of the remaining controller"
+        );
         for controller in 1..controllers {
             world.start(controller);
         }
@@ -190,7 +203,7 @@
         for name in names.iter().step_by(5) {
             world.lose(name);
         }
-        let ids = submit_work_for_all(&world, 2, lease_s * 12.0, "a fifth was lost").await;
+        let ids = submit_work_for_all(&world, 2, lease_s * 12.0, "the loss of a fifth").await;
         for controller in 0..controllers {
             world.kill(controller);
         }
@@ -198,7 +211,7 @@
         for controller in 0..controllers {
             world.start(controller);
         }
-        wait_until_all_take_part(&world, lease_s * 6.0, "a restart of all").await;
+        wait_until_all_claimed_and_listed(&world, lease_s * 6.0, "a restart of all").await;
         wait_until_all_done(&world, &ids, lease_s * 16.0).await;
         assert_within_limits(&world);
         world.assert_kept();
@@ -207,15 +220,15 @@
 
 #[test]
 fn four_thousand_machines_spread_over_three_zones_with_five_controllers() {
-    run_all_stages(yard_with(Layout {
+    run_all_stages(five_controllers_with_layout(Layout {
         locations: vec!["a", "b", "c", "a", "b"],
         machine_zones: vec!["a", "b", "c"],
     }));
 }
 
 #[test]
-fn four_thousand_machines_in_one_zone_with_five_controllers_of_which_one_is_there() {
-    run_all_stages(yard_with(Layout {
+fn four_thousand_machines_in_one_zone_with_one_of_five_controllers() {
+    run_all_stages(five_controllers_with_layout(Layout {
         locations: vec!["a", "b", "c", "b", "c"],
         machine_zones: vec!["a"],
     }));
@@ -223,7 +236,7 @@
 
 #[test]
 fn four_thousand_machines_spread_over_two_zones_with_three_controllers() {
-    run_all_stages(clubs_with(Layout {
+    run_all_stages(three_controllers_with_layout(Layout {
         locations: vec!["a", "a", "b"],
         machine_zones: vec!["a", "b"],
     }));
@@ -231,17 +244,17 @@
 
 #[test]
 fn four_thousand_machines_in_one_zone_with_three_controllers() {
-    run_all_stages(clubs_with(Layout {
+    run_all_stages(three_controllers_with_layout(Layout {
         locations: vec!["a", "a", "a"],
         machine_zones: vec!["a"],
     }));
 }
 
-/// All machines have one home, in the smallest records and commits that the protocol's
-/// page names: 2 KiB and four writes.
+/// All machines prefer the same controller while the limits are lowered to the smallest
+/// records and commits that the protocol's page names: 2 KiB and four writes.
 #[test]
-fn four_thousand_machines_of_one_home_when_the_limits_fall() {
-    let mut shape = yard_with(Layout {
+fn four_thousand_machines_in_one_zone_when_limits_are_lowered() {
+    let mut shape = five_controllers_with_layout(Layout {
         locations: vec!["a", "b", "c", "b", "c"],
         machine_zones: vec!["a"],
     });
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,8 +1,9 @@
-//! Large fleets against stand-ins, in simulated time: the largest that operators
-//! have named and half as many machines again, and 4,000 machines in every layout.
+//! Tests of large fleets against stand-ins, in simulated time: the largest fleets that
+//! operators have described with half as many machines again, and 4,000 machines in several
+//! layouts.
 
 #[path = "../stand_ins/mod.rs"]
-// Each file of tests uses a part of them.
+// Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
 mod stand_ins;
 
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -1,15 +1,15 @@
-//! A fleet of the largest size that operators have named, and half as many
-//! machines again, goes through mass failures one after another.
+//! Tests of mass failures, one after another, in fleets of the largest size that operators
+//! have described plus half as many machines.
 
 use std::time::Duration;
 
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use crate::deployments::{clubs, yard};
+use crate::deployments::{five_controller_deployment, three_controller_deployment};
 use crate::stand_ins::{Shape, Trouble, World, in_world, job};
 
-/// Submits jobs of each kind, `wave` tells them apart.
+/// Submits jobs of each kind. The number of the wave keeps their ids distinct.
 async fn submit(world: &World, wave: u32) -> Vec<String> {
     let teams = world.shape.teams.len() as u32;
     let mut ids = Vec::new();
@@ -25,37 +25,40 @@
     ids
 }
 
-/// Each accepted job is answered for at every controller: services run whole,
-/// the rest is done.
-async fn wait_until_all_answered(world: &World, ids: &[String], limit_s: f64, after: &str) {
-    let began = Instant::now();
-    let mut left: Vec<(usize, &String)> = Vec::new();
+/// Waits until every controller reports that each accepted service runs with all its replicas
+/// and that every other job is done.
+async fn wait_until_running_or_done(world: &World, ids: &[String], limit_s: f64, after: &str) {
+    let start = Instant::now();
+    let mut unfinished: Vec<(usize, &String)> = Vec::new();
     for controller in 0..world.shape.controllers {
-        left.extend(ids.iter().map(|id| (controller, id)));
+        unfinished.extend(ids.iter().map(|id| (controller, id)));
     }
-    while !left.is_empty() {
-        let mut open = Vec::new();
-        for (controller, id) in left {
+    while !unfinished.is_empty() {
+        let mut waiting = Vec::new();
+        for (controller, id) in unfinished {
             let stage = world.stage(controller, id).await;
             let service = world.is_service(id);
-            let met = match stage.as_deref() {
+            let is_met = match stage.as_deref() {
                 Some("done") => true,
                 Some("running") => service && world.running(id) == 9,
                 _ => false,
             };
-            if !met {
-                open.push((controller, id));
+            if !is_met {
+                waiting.push((controller, id));
             }
         }
-        left = open;
-        let spent = began.elapsed().as_secs_f64();
-        assert!(spent < limit_s, "after {after}: not answered for: {left:?}");
+        unfinished = waiting;
+        let elapsed_s = start.elapsed().as_secs_f64();
+        assert!(
+            elapsed_s < limit_s,
+            "after {after}: not running or done: {unfinished:?}"
+        );
         sleep(Duration::from_secs_f64(world.shape.report_s)).await;
     }
 }
 
-/// A start, failures of controllers, machines, zones and the state service one after
-/// another, and repeats of all requests.
+/// Starts the deployment, causes failures of controllers, machines, zones and the state
+/// service one after another, and then cancels every service twice.
 fn run_mass_failures(shape: Shape) {
     in_world(|| async move {
         let lease_s = shape.lease_s;
@@ -63,9 +66,9 @@
         let seconds = Duration::from_secs_f64;
         let world = World::of(21, shape).await;
         let mut ids = submit(&world, 1).await;
-        wait_until_all_answered(&world, &ids, lease_s * 4.0, "a start").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 4.0, "a start").await;
 
-        // All machines on one controller.
+        // One controller takes over all machines.
         for controller in 1..controllers {
             world.kill(controller);
         }
@@ -74,16 +77,17 @@
         assert_eq!(
             world.lapsed(),
             0,
-            "leases ran out on the way to one controller"
+            "leases expired during the takeover by one controller"
         );
         ids.extend(submit_to(&world, 0, 2).await);
         for controller in 1..controllers {
             world.start(controller);
         }
-        wait_until_all_answered(&world, &ids, lease_s * 6.0, "all on one controller").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 6.0, "all on one controller").await;
 
-        // The same by a cut, behind which connections hang: whoever tries one
-        // who is cut off loses seconds of his lease.
+        // One controller takes over all machines because the network of the others is cut and
+        // connections to them hang. A worker that tries a controller that is cut off loses
+        // seconds of its lease.
         for controller in 1..controllers {
             world.cut_controller(controller, true);
         }
@@ -94,11 +98,11 @@
         }
         assert!(
             lapsed * 20 < world.shape.machines,
-            "{lapsed} leases ran out"
+            "{lapsed} leases expired"
         );
-        wait_until_all_answered(&world, &ids, lease_s * 6.0, "a cut of all but one").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 6.0, "a cut of all but one").await;
 
-        // A fifth of the machines gone at once, all controllers with them.
+        // A fifth of the machines is lost and all controllers restart at the same time.
         let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
             world.lose(name);
@@ -108,17 +112,17 @@
             world.start(controller);
         }
         ids.extend(submit(&world, 3).await);
-        wait_until_all_answered(&world, &ids, lease_s * 10.0, "a fifth gone").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a fifth gone").await;
 
-        // A zone cut off for longer than a lease, and back.
+        // A zone is cut off for longer than a lease and then reconnected.
         world.cut_zone("b", true);
         sleep(seconds(lease_s * 2.0)).await;
         world.cut_zone("b", false);
         ids.extend(submit(&world, 4).await);
-        wait_until_all_answered(&world, &ids, lease_s * 10.0, "a zone cut").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a zone cut").await;
 
-        // The state service away for longer than a lease; one controller
-        // stands still in the middle of it, another is back at once.
+        // The state service is down for longer than a lease. In the middle of the outage one
+        // controller freezes and another restarts immediately.
         world.state.trouble.set(Trouble::Down);
         sleep(seconds(lease_s * 0.6)).await;
         world.freeze(0, true);
@@ -129,9 +133,10 @@
         sleep(seconds(lease_s * 0.6)).await;
         world.freeze(0, false);
         ids.extend(submit(&world, 5).await);
-        wait_until_all_answered(&world, &ids, lease_s * 10.0, "an outage").await;
+        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "an outage").await;
 
-        // Repeats of all submissions, and withdrawals: carried out already.
+        // Every service is cancelled at two controllers, and every job is queried at a third:
+        // the repeated cancellation finds the service cancelled already.
         for id in &ids {
             if world.is_service(id) {
                 assert_eq!(
@@ -146,12 +151,12 @@
                 );
             }
             let stage = world.stage(controllers - 1, id).await;
-            let want = if world.is_service(id) {
+            let expected = if world.is_service(id) {
                 "aborted"
             } else {
                 "done"
             };
-            assert_eq!(stage.as_deref(), Some(want), "{id}");
+            assert_eq!(stage.as_deref(), Some(expected), "{id}");
         }
         sleep(seconds(lease_s)).await;
         assert!(world.workers.borrow().len() * 2 > world.shape.machines);
@@ -159,7 +164,7 @@
     });
 }
 
-/// Submits one job to this controller.
+/// Submits one job to this controller and returns its id.
 async fn submit_to(world: &World, controller: usize, wave: u32) -> Vec<String> {
     let mut request = job(wave * 100, "batch", 60, 10.0);
     request["crew"] = json!("t1");
@@ -172,11 +177,11 @@
 }
 
 #[test]
-fn the_yard_s_fleet_goes_through_mass_failures() {
-    run_mass_failures(yard());
+fn five_controller_fleet_recovers_from_mass_failures() {
+    run_mass_failures(five_controller_deployment());
 }
 
 #[test]
-fn the_clubs_fleet_goes_through_mass_failures() {
-    run_mass_failures(clubs());
+fn three_controller_fleet_recovers_from_mass_failures() {
+    run_mass_failures(three_controller_deployment());
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,7 +1,7 @@
-//! What the controllers store and send one another, byte for byte: the texts
-//! below were written by the version that names and modules were last changed
-//! from. Versions serve side by side and read what older ones stored, so that no
-//! change of the sources may alter a byte here.
+//! Tests that stored records and messages between controllers keep their encoding, byte for
+//! byte. The expected texts were written by the version before names and modules were last
+//! changed. Different versions serve side by side and read what older ones stored, so that no
+//! change of the source may alter a byte of them.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -22,7 +22,7 @@
 
 // --- values ---------------------------------------------------------------------
 
-fn room(cpus: i64, gpus: i64, ram: i64) -> Resources {
+fn resources(cpus: i64, gpus: i64, ram: i64) -> Resources {
     Resources {
         cpus: Amount(cpus),
         gpus: Amount(gpus),
@@ -34,7 +34,7 @@
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// Every field is set.
+/// Returns a specification with every field set.
 fn full_spec() -> JobSpec {
     JobSpec {
         class: "train".into(),
@@ -42,7 +42,7 @@
         kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1800,
-        need: room(2000, 500, 1800),
+        need: resources(2000, 500, 1800),
         image: "img-07".into(),
         image_gb: 6.2,
         types: Some(names(&["g8", "g16"])),
@@ -58,8 +58,8 @@
     }
 }
 
-/// What may be left out is.
-fn bare_spec(kind: JobKind, priority: Priority) -> JobSpec {
+/// Returns a specification without the optional fields.
+fn minimal_spec(kind: JobKind, priority: Priority) -> JobSpec {
     JobSpec {
         kind,
         priority,
@@ -86,14 +86,15 @@
 }
 
 fn waiting_job() -> Job {
-    Job::new(bare_spec(JobKind::Gang, Priority::High), 9)
+    Job::new(minimal_spec(JobKind::Gang, Priority::High), 9)
 }
 
 fn dependent_job() -> Job {
     Job::new(full_spec(), 412)
 }
 
-/// Some tasks run, some are stopped, some failed, some wait for another try.
+/// Returns a job of which some tasks run, some are stopped, some have failed and some wait to
+/// be retried.
 fn running_job() -> Job {
     Job {
         attempt: 300,
@@ -112,14 +113,14 @@
     }
 }
 
-/// Its tasks are told to stop.
+/// Returns a cancelled job whose tasks have been asked to stop.
 fn cancelled_job() -> Job {
     Job {
         status: JobStatus::Cancelled,
         runs: vec![run("host-000231", 1, &[(0, 3)], true)],
         attempt: 1,
         next_task: 4,
-        ..Job::new(bare_spec(JobKind::Service, Priority::Production), 77)
+        ..Job::new(minimal_spec(JobKind::Service, Priority::Production), 77)
     }
 }
 
@@ -133,20 +134,20 @@
     }
 }
 
-fn arrivals() -> AcceptedBatch {
+fn accepted_batch() -> AcceptedBatch {
     AcceptedBatch {
         accepted_revision: 7,
         jobs: BTreeMap::from([
             ("job-000001".into(), full_spec()),
             (
                 "job-000002".into(),
-                bare_spec(JobKind::Array, Priority::Low),
+                minimal_spec(JobKind::Array, Priority::Low),
             ),
         ]),
     }
 }
 
-fn shard() -> ZoneShard {
+fn zone_shard() -> ZoneShard {
     let slot = |kind: &str, spot, free, unbooked| MachineSlot {
         kind: kind.into(),
         spot,
@@ -159,7 +160,7 @@
             ("gpu-box".into(), slot("g16", false, none, none)),
             (
                 "host-000231".into(),
-                slot("g8", true, none, room(2000, 0, 1800)),
+                slot("g8", true, none, resources(2000, 0, 1800)),
             ),
             ("host-000232".into(), slot("g8", true, none, none)),
             ("host-000234".into(), slot("g8", true, none, none)),
@@ -167,12 +168,12 @@
     }
 }
 
-fn shard_with_free_resources() -> ZoneShard {
-    let mut shard = shard();
-    for slot in shard.machines.values_mut() {
-        slot.free = room(6000, 1000, 12000);
+fn zone_shard_with_free_resources() -> ZoneShard {
+    let mut zone_shard = zone_shard();
+    for slot in zone_shard.machines.values_mut() {
+        slot.free = resources(6000, 1000, 12000);
     }
-    shard
+    zone_shard
 }
 
 fn machine_shard() -> MachineShard {
@@ -219,7 +220,7 @@
     }
 }
 
-fn hire(spot: bool, machines: &[&str]) -> ProvisioningRequest {
+fn provisioning_request(spot: bool, machines: &[&str]) -> ProvisioningRequest {
     ProvisioningRequest {
         kind: "g8".into(),
         zone: "a".into(),
@@ -256,7 +257,7 @@
     }
 }
 
-fn gossip() -> PeerStatus {
+fn peer_status() -> PeerStatus {
     PeerStatus {
         controller: "bay-1".into(),
         incarnation: 4_000_000_000,
@@ -270,29 +271,30 @@
 
 // --- comparison -----------------------------------------------------------------
 
-/// The value is written as this text, and the text read as this value.
-fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+/// Asserts that the value is encoded as this text and the text decoded as this value.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("text"), text);
-    reads(value, text);
+    assert_decodes_to(value, text);
 }
 
-fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+/// Asserts that the text is decoded as this value.
+fn assert_decodes_to<T: DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     let read: T = serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"));
     assert_eq!(&read, value, "{text}");
 }
 
-/// A replica that writes the plain texts, or the short ones.
-fn replica(short: bool) -> Replica {
+/// Returns a replica that writes the plain or the compact encoding.
+fn replica(compact: bool) -> Replica {
     let mut replica = Replica::with_compact_limit(Some(2048));
-    let all = if short { 2 } else { 0 };
+    let all = if compact { 2 } else { 0 };
     let formats = json!({"n": {}, "a": all});
     replica.apply_events(vec![Event::put("sh/formats".into(), &formats, 1)], 1);
-    assert_eq!(replica.uses_compact_encoding(), short);
+    assert_eq!(replica.uses_compact_encoding(), compact);
     replica
 }
 
-/// The commit writes this text under this key.
-fn writes(write: &Write, expected_key: &str, text: &str) {
+/// Asserts that the write stores this text under this key, without a lease.
+fn assert_write(write: &Write, expected_key: &str, text: &str) {
     let Write::Put { key, value, lease } = write else {
         panic!("{write:?}")
     };
@@ -301,16 +303,16 @@
     assert_eq!(*lease, None);
 }
 
-/// A job is stored as either text, and each is read with nothing lost; written
-/// back by the other kind of replica it is that one's text.
-fn job_texts(job: &Job, plain: &str, short: &str) {
-    same(job, plain);
-    reads(job, short);
-    for text in [plain, short] {
+/// Asserts that both encodings of a job are decoded without loss, and that a decoded job is
+/// encoded again by either kind of replica as its own text.
+fn assert_job_encodings(job: &Job, plain: &str, compact: &str) {
+    assert_round_trip(job, plain);
+    assert_decodes_to(job, compact);
+    for text in [plain, compact] {
         let job: Job = serde_json::from_str(text).expect("a job");
         let key = "sh/job/job-000412";
-        writes(&replica(false).put_job("job-000412", &job), key, plain);
-        writes(&replica(true).put_job("job-000412", &job), key, short);
+        assert_write(&replica(false).put_job("job-000412", &job), key, plain);
+        assert_write(&replica(true).put_job("job-000412", &job), key, compact);
     }
 }
 
@@ -319,97 +321,100 @@
 const WAITING_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"gang","p":"urgent","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":9,"a":0,"x":0}"#;
 const DEPENDENT_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":0,"x":0}"#;
 const RUNNING_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":300,"x":40,"q":"0-4,7","r":[{"m":"host-000231","z":"a","a":1,"t":"10-19,21-22"},{"m":"host-000231","z":"a","a":300,"t":"30","x":true},{"m":"gpu-box","z":"a","a":2,"t":"31-33"}],"c":true,"e":2,"ea":290,"em":["host-000007","host-000008"]}"#;
-const RUNNING_JOB_SHORT: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":300,"x":40,"c":true,"e":2,"ea":290,"em":["host-000007","host-000008"],"q":".200-0407","r":{"k":[["host-",6,"a"],["gpu-box",0,"a"]],"t":"2 03d.1:0A-0J0L0M 03d.4i!0U 10.2:0V-0X"}}"#;
+const RUNNING_JOB_COMPACT: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"n":1800,"b":412,"a":300,"x":40,"c":true,"e":2,"ea":290,"em":["host-000007","host-000008"],"q":".200-0407","r":{"k":[["host-",6,"a"],["gpu-box",0,"a"]],"t":"2 03d.1:0A-0J0L0M 03d.4i!0U 10.2:0V-0X"}}"#;
 const CANCELLED_JOB: &str = r#"{"f":"c","s":{"l":"train","w":"vision","k":"daemon","p":"prod","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":77,"a":1,"x":4,"r":[{"m":"host-000231","z":"a","a":1,"t":"0-3","x":true}]}"#;
-const CANCELLED_JOB_SHORT: &str = r#"{"f":"c","s":{"l":"train","w":"vision","k":"daemon","p":"prod","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":77,"a":1,"x":4,"r":{"k":[["host-",6,"a"]],"t":"2 03d.1!00-03"}}"#;
+const CANCELLED_JOB_COMPACT: &str = r#"{"f":"c","s":{"l":"train","w":"vision","k":"daemon","p":"prod","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":4,"b":77,"a":1,"x":4,"r":{"k":[["host-",6,"a"]],"t":"2 03d.1!00-03"}}"#;
 const DONE_JOB: &str = r#"{"f":"d","n":1800,"b":412,"a":3,"x":40}"#;
 const ABORTED_JOB: &str = r#"{"f":"c","n":1800,"b":412,"a":3,"x":40}"#;
-const ARRIVALS: &str = r#"{"b":7,"j":{"job-000001":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"job-000002":{"l":"train","w":"vision","k":"batch","p":"low","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0}}}"#;
-const TEAM: &str = r#"{"u":{"c":3000,"g":1000,"m":2000}}"#;
-const SPOT_HIRE: &str = r#"{"t":"g8","z":"a","l":true,"n":3,"m":["host-000236","host-000237"]}"#;
-const OPEN_HIRE: &str = r#"{"t":"g8","z":"a","l":false,"n":3}"#;
+const ACCEPTED_BATCH: &str = r#"{"b":7,"j":{"job-000001":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5,"aw":["job-000398","job-000405"]},"job-000002":{"l":"train","w":"vision","k":"batch","p":"low","n":4,"r":{"c":2000,"g":500,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0}}}"#;
+const TEAM_USAGE: &str = r#"{"u":{"c":3000,"g":1000,"m":2000}}"#;
+const SPOT_REQUEST: &str = r#"{"t":"g8","z":"a","l":true,"n":3,"m":["host-000236","host-000237"]}"#;
+const REQUEST_WITHOUT_MACHINES: &str = r#"{"t":"g8","z":"a","l":false,"n":3}"#;
 const TYPES: &str = r#"{"types":[{"label":"g8","vcpus":8.0,"cards":1.0,"ram_gb":64.0,"local_gb":50.0,"pull_gb_per_s":1.5,"hourly":0.14,"spot_price":0.04,"ready_s":20.0,"yards":["a","b"]}]}"#;
-const OLDER_RENTER: &str = r#"{"h":"bay-1","i":4000000000}"#;
-const RENTER: &str = r#"{"h":"bay-1","i":4000000000,"v":2}"#;
+const OLDER_FLEET_LEADER: &str = r#"{"h":"bay-1","i":4000000000}"#;
+const FLEET_LEADER: &str = r#"{"h":"bay-1","i":4000000000,"v":2}"#;
 const FORMATS_RECORD: &str = r#"{"n":{"bay-1":2,"bay-2":2},"a":2}"#;
-const PART: &str = r#"{"m":{"gpu-box":{"t":"g16","f":{"c":6000,"g":1000,"m":12000}},"host-000231":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000},"o":{"c":2000,"g":0,"m":1800}},"host-000232":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}},"host-000234":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}}}}"#;
-const PART_SHORT: &str = r#"{"m":[["g16",0,[],["gpu-box"],{}],["g8",1,[["host-",6,"231-232,234"]],[],{"host-000231":[2000,0,1800]}]]}"#;
-const GROUP: &str = r#"{"m":{"gpu-box":{"h":"bay-2","i":4000000000,"k":246,"s":[6,528],"f":"a","t":"g8"},"host-000231":{"h":"bay-1","i":4000000000,"k":41,"s":[1,88],"f":"a","t":"g8","l":true},"host-000232":{"h":"","i":0,"k":0,"s":[0,0],"f":"b","t":"g8"},"host-000233":{"h":"bay-2","i":4000000000,"k":82,"s":[2,176],"f":"d","t":"g8"},"host-000234":{"h":"bay-1","i":4000000000,"k":123,"s":[3,264],"f":"r","t":"g8"},"host-000235":{"h":"bay-1","i":4000000000,"k":164,"s":[4,352],"f":"g","t":"g8"},"host-000236":{"h":"bay-2","i":4000000000,"k":205,"s":[5,440],"f":"a","t":"g8"}}}"#;
-const GROUP_SHORT: &str = r#"{"m":[["",0,"b","g8",0,[["host-",6,"3e.0.0.0"]]],["bay-1",4000000000,"a","g8",1,[["host-",6,"3d.f.1.1O"]]],["bay-1",4000000000,"r","g8",0,[["host-",6,"3g.1x.3.48"]]],["bay-1",4000000000,"g","g8",0,[["host-",6,"3h.2a.4.5W"]]],["bay-2",4000000000,"a","g8",0,[["gpu-box",0,"0.3s.6.8G"],["host-",6,"3i.3D.5.6u"]]],["bay-2",4000000000,"d","g8",0,[["host-",6,"3f.1I.2.2m"]]]]}"#;
+const ZONE_SHARD: &str = r#"{"m":{"gpu-box":{"t":"g16","f":{"c":6000,"g":1000,"m":12000}},"host-000231":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000},"o":{"c":2000,"g":0,"m":1800}},"host-000232":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}},"host-000234":{"t":"g8","l":true,"f":{"c":6000,"g":1000,"m":12000}}}}"#;
+const ZONE_SHARD_COMPACT: &str = r#"{"m":[["g16",0,[],["gpu-box"],{}],["g8",1,[["host-",6,"231-232,234"]],[],{"host-000231":[2000,0,1800]}]]}"#;
+const MACHINE_SHARD: &str = r#"{"m":{"gpu-box":{"h":"bay-2","i":4000000000,"k":246,"s":[6,528],"f":"a","t":"g8"},"host-000231":{"h":"bay-1","i":4000000000,"k":41,"s":[1,88],"f":"a","t":"g8","l":true},"host-000232":{"h":"","i":0,"k":0,"s":[0,0],"f":"b","t":"g8"},"host-000233":{"h":"bay-2","i":4000000000,"k":82,"s":[2,176],"f":"d","t":"g8"},"host-000234":{"h":"bay-1","i":4000000000,"k":123,"s":[3,264],"f":"r","t":"g8"},"host-000235":{"h":"bay-1","i":4000000000,"k":164,"s":[4,352],"f":"g","t":"g8"},"host-000236":{"h":"bay-2","i":4000000000,"k":205,"s":[5,440],"f":"a","t":"g8"}}}"#;
+const MACHINE_SHARD_COMPACT: &str = r#"{"m":[["",0,"b","g8",0,[["host-",6,"3e.0.0.0"]]],["bay-1",4000000000,"a","g8",1,[["host-",6,"3d.f.1.1O"]]],["bay-1",4000000000,"r","g8",0,[["host-",6,"3g.1x.3.48"]]],["bay-1",4000000000,"g","g8",0,[["host-",6,"3h.2a.4.5W"]]],["bay-2",4000000000,"a","g8",0,[["gpu-box",0,"0.3s.6.8G"],["host-",6,"3i.3D.5.6u"]]],["bay-2",4000000000,"d","g8",0,[["host-",6,"3f.1I.2.2m"]]]]}"#;
 const FRAME: &[u8] = b"\x00\x00\x00,\x05bay-1\xfc\x00(k\xee\x01\xfb\xe2\x04\xfb,\x01\x07\x00\x00\x00\x00\x00\x00)@\x02\x09g8/a/spot\x05g16/b";
-const EARLY_FRAME: &[u8] =
+const FRAME_BEFORE_FIRST_BARRIER: &[u8] =
     b"\x00\x00\x00\x19\x05bay-1\xfc\x00(k\xee\x00\xfb,\x01\x07\x00\x00\x00\x00\x00\x00)@\x00";
 
 #[test]
-fn jobs_are_stored_byte_for_byte() {
-    job_texts(&waiting_job(), WAITING_JOB, WAITING_JOB);
-    job_texts(&dependent_job(), DEPENDENT_JOB, DEPENDENT_JOB);
-    job_texts(&running_job(), RUNNING_JOB, RUNNING_JOB_SHORT);
-    job_texts(&cancelled_job(), CANCELLED_JOB, CANCELLED_JOB_SHORT);
-    job_texts(&final_job(JobStatus::Done), DONE_JOB, DONE_JOB);
-    job_texts(&final_job(JobStatus::Cancelled), ABORTED_JOB, ABORTED_JOB);
+fn job_encodings_are_unchanged() {
+    assert_job_encodings(&waiting_job(), WAITING_JOB, WAITING_JOB);
+    assert_job_encodings(&dependent_job(), DEPENDENT_JOB, DEPENDENT_JOB);
+    assert_job_encodings(&running_job(), RUNNING_JOB, RUNNING_JOB_COMPACT);
+    assert_job_encodings(&cancelled_job(), CANCELLED_JOB, CANCELLED_JOB_COMPACT);
+    assert_job_encodings(&final_job(JobStatus::Done), DONE_JOB, DONE_JOB);
+    assert_job_encodings(&final_job(JobStatus::Cancelled), ABORTED_JOB, ABORTED_JOB);
 }
 
-/// What may be left out has its value of old.
+/// Absent fields have the values that older versions implied, and unknown fields are ignored.
 #[test]
-fn records_are_read_without_their_optional_fields() {
+fn records_are_decoded_without_optional_fields() {
     let job = Job {
         spec: None,
         tasks: 0,
-        ..Job::new(bare_spec(JobKind::Gang, Priority::High), 0)
+        ..Job::new(minimal_spec(JobKind::Gang, Priority::High), 0)
     };
-    reads(&job, "{}");
-    reads(&job, r#"{"s":null,"field of a later version":[1]}"#);
-    reads(&ZoneShard::default(), "{}");
-    reads(&MachineShard::default(), "{}");
-    reads(&Formats::default(), "{}");
+    assert_decodes_to(&job, "{}");
+    assert_decodes_to(&job, r#"{"s":null,"field of a later version":[1]}"#);
+    assert_decodes_to(&ZoneShard::default(), "{}");
+    assert_decodes_to(&MachineShard::default(), "{}");
+    assert_decodes_to(&Formats::default(), "{}");
 }
 
 #[test]
-fn arrivals_teams_and_rentals_are_stored_byte_for_byte() {
-    same(&arrivals(), ARRIVALS);
-    same(
+fn batch_team_and_fleet_encodings_are_unchanged() {
+    assert_round_trip(&accepted_batch(), ACCEPTED_BATCH);
+    assert_round_trip(
         &TeamUsage {
-            used: room(3000, 1000, 2000),
+            used: resources(3000, 1000, 2000),
         },
-        TEAM,
+        TEAM_USAGE,
     );
-    same(&hire(true, &["host-000236", "host-000237"]), SPOT_HIRE);
-    same(&hire(false, &[]), OPEN_HIRE);
-    same(&types(), TYPES);
-    same(&fleet_leader(0), OLDER_RENTER);
-    same(&fleet_leader(2), RENTER);
-    same(&formats(), FORMATS_RECORD);
+    assert_round_trip(
+        &provisioning_request(true, &["host-000236", "host-000237"]),
+        SPOT_REQUEST,
+    );
+    assert_round_trip(&provisioning_request(false, &[]), REQUEST_WITHOUT_MACHINES);
+    assert_round_trip(&types(), TYPES);
+    assert_round_trip(&fleet_leader(0), OLDER_FLEET_LEADER);
+    assert_round_trip(&fleet_leader(2), FLEET_LEADER);
+    assert_round_trip(&formats(), FORMATS_RECORD);
 }
 
-/// Of the compact encoding what is free is left out: nobody reads it.
+/// The compact encoding omits free resources, which no version reads.
 #[test]
-fn zone_shards_are_stored_byte_for_byte() {
-    same(&shard_with_free_resources(), PART);
-    reads(&shard(), PART_SHORT);
+fn zone_shard_encodings_are_unchanged() {
+    assert_round_trip(&zone_shard_with_free_resources(), ZONE_SHARD);
+    assert_decodes_to(&zone_shard(), ZONE_SHARD_COMPACT);
     let key = "sh/zone/a/bay-1.0";
-    let (plain, short) = (replica(false), replica(true));
-    writes(
-        &plain.put_zone_shard("a/bay-1.0", &shard_with_free_resources()),
+    let (plain, compact) = (replica(false), replica(true));
+    assert_write(
+        &plain.put_zone_shard("a/bay-1.0", &zone_shard_with_free_resources()),
         key,
-        PART,
+        ZONE_SHARD,
     );
-    writes(
-        &short.put_zone_shard("a/bay-1.0", &shard_with_free_resources()),
+    assert_write(
+        &compact.put_zone_shard("a/bay-1.0", &zone_shard_with_free_resources()),
         key,
-        PART_SHORT,
+        ZONE_SHARD_COMPACT,
     );
-    writes(
-        &short.put_zone_shard("a/bay-1.0", &shard()),
+    assert_write(
+        &compact.put_zone_shard("a/bay-1.0", &zone_shard()),
         key,
-        PART_SHORT,
+        ZONE_SHARD_COMPACT,
     );
-    writes(
-        &short.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
+    assert_write(
+        &compact.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
         key,
         r#"{"m":[]}"#,
     );
-    writes(
+    assert_write(
         &plain.put_zone_shard("a/bay-1.0", &ZoneShard::default()),
         key,
         r#"{"m":{}}"#,
@@ -417,27 +422,27 @@
 }
 
 #[test]
-fn machine_shards_are_stored_byte_for_byte() {
-    same(&machine_shard(), GROUP);
-    reads(&machine_shard(), GROUP_SHORT);
+fn machine_shard_encodings_are_unchanged() {
+    assert_round_trip(&machine_shard(), MACHINE_SHARD);
+    assert_decodes_to(&machine_shard(), MACHINE_SHARD_COMPACT);
     let key = "sh/machine/a/bay-1.0";
-    for text in [GROUP, GROUP_SHORT] {
-        let machine_shard: MachineShard = serde_json::from_str(text).expect("a group");
-        writes(
+    for text in [MACHINE_SHARD, MACHINE_SHARD_COMPACT] {
+        let machine_shard: MachineShard = serde_json::from_str(text).expect("a machine shard");
+        assert_write(
             &replica(false).put_machine_shard("a/bay-1.0", &machine_shard),
             key,
-            GROUP,
+            MACHINE_SHARD,
         );
-        writes(
+        assert_write(
             &replica(true).put_machine_shard("a/bay-1.0", &machine_shard),
             key,
-            GROUP_SHORT,
+            MACHINE_SHARD_COMPACT,
         );
     }
 }
 
 #[test]
-fn keys_are_the_same() {
+fn keys_are_unchanged() {
     for (key, text) in [
         (keys::job_key("job-000412"), "sh/job/job-000412"),
         (keys::team_key("vision"), "sh/team/vision"),
@@ -460,20 +465,23 @@
 
 // --- the mesh ---------------------------------------------------------------------
 
-/// A length of four bytes, then the fields in their order.
+/// A frame consists of a length of four bytes and the fields in their order.
 #[test]
-fn mesh_frames_are_sent_byte_for_byte() {
-    let before_its_first_barrier = PeerStatus {
+fn mesh_frames_are_unchanged() {
+    let before_first_barrier = PeerStatus {
         staleness_ms: None,
         refused_offers: Vec::new(),
-        ..gossip()
+        ..peer_status()
     };
-    for (gossip, frame) in [(gossip(), FRAME), (before_its_first_barrier, EARLY_FRAME)] {
-        assert_eq!(encode(&gossip).expect("a frame"), frame);
+    for (status, frame) in [
+        (peer_status(), FRAME),
+        (before_first_barrier, FRAME_BEFORE_FIRST_BARRIER),
+    ] {
+        assert_eq!(encode(&status).expect("a frame"), frame);
         let length = u32::from_be_bytes(frame[..4].try_into().expect("a length"));
         assert_eq!(length as usize, frame.len() - 4);
-        let read = decode(&frame[4..]).expect("gossip");
-        assert_eq!(format!("{read:?}"), format!("{gossip:?}"));
+        let read = decode(&frame[4..]).expect("a status");
+        assert_eq!(format!("{read:?}"), format!("{status:?}"));
         assert_eq!(encode(&read).expect("a frame"), frame);
     }
     assert!(decode(&FRAME[4..FRAME.len() - 1]).is_err());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators write and read: policies, the command line, the texts.
+//! Tests of what operators write and read: policies, the command line and reports.
 
 use std::process::Command;
 
@@ -7,7 +7,7 @@
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
 use shelfhoist::scheduler::{preferred_controller, retry_delay};
 
-fn facts() -> JobFacts {
+fn job_facts() -> JobFacts {
     JobFacts {
         priority: 1.0,
         share: 0.6,
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn the_built_in_policy_is_a_policy() {
+fn built_in_policy_passes_the_checker() {
     let mut text = String::new();
     for rule in RULES {
         text += &format!("{} = {}\n", rule.name, rule.default);
     }
     let parsed = Policy::parse(&text).expect("the defaults pass the checker");
     let built_in = Policy::default();
-    let job = facts();
+    let job = job_facts();
     assert_eq!(parsed.queue_order(&job), built_in.queue_order(&job));
     assert_eq!(built_in.queue_order(&job), [0.0, 2.0, 2.0, 0.0, 300.0]);
     assert_eq!(built_in.rent_window_s(&job), 60.0);
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn policies_are_refused_at_the_place_that_is_wrong() {
-    let deep = format!("idle_s = {}1{}", "(".repeat(30), ")".repeat(30));
+fn invalid_policy_is_rejected_with_line_and_column() {
+    let deeply_nested = format!("idle_s = {}1{}", "(".repeat(30), ")".repeat(30));
     let long = format!("idle_s = 1{}", " + 1".repeat(600));
     let cases: &[(&str, (usize, usize), &str)] = &[
         ("idle_s", (1, 1), "expected `rule = expression`"),
@@ -71,20 +71,20 @@
         ("idle_s = 1 2", (1, 12), "not understood"),
         ("idle_s = clamp(boot_s, 9, price)", (1, 10), "may exceed"),
         ("queue_order = 1,2,3,4,5,6,7,8,9", (1, 31), "more than 8"),
-        (&deep, (1, 34), "deeper"),
+        (&deeply_nested, (1, 34), "deeper"),
         (&long, (1, 9), "longer"),
     ];
     for (text, (line, column), problem) in cases {
-        let e = Policy::parse(text).expect_err(text);
-        assert!(e.problem.contains(problem), "{text}: {e}");
-        assert_eq!((e.line, e.column), (*line, *column), "{e}");
-        assert!(e.to_string().contains('^'), "{e}");
+        let error = Policy::parse(text).expect_err(text);
+        assert!(error.problem.contains(problem), "{text}: {error}");
+        assert_eq!((error.line, error.column), (*line, *column), "{error}");
+        assert!(error.to_string().contains('^'), "{error}");
     }
 }
 
 #[test]
-fn policies_mean_what_they_say() {
-    let job = facts();
+fn policy_expressions_are_evaluated() {
+    let job = job_facts();
     let cases = [
         ("1 + 2 * 3 - 4 / 2", 5.0),
         ("-(1 - 3) * 2", 4.0),
@@ -100,23 +100,24 @@
         let policy = Policy::parse(&format!("queue_order = {text} # a comment")).expect(text);
         assert_eq!(policy.queue_order(&job), [value], "{text}");
     }
-    // A figure outside its documented range cannot undo what was checked.
+    // A value outside its documented range is clamped, so that the checked bounds still apply.
     let policy = Policy::parse("idle_s = 10 / (price + 1)").expect("policy");
-    let odd = MachineFacts {
+    let out_of_range = MachineFacts {
         price: -1.0,
         ..MachineFacts::default()
     };
-    assert_eq!(policy.idle_s(&odd), 10.0);
+    assert_eq!(policy.idle_s(&out_of_range), 10.0);
 }
 
-/// Examples in the documents are run as they stand there.
+/// The policies in the operators' page are parsed as they are printed there, and the README
+/// names every command of the continuous integration.
 #[test]
-fn examples_in_the_documents_are_right() {
+fn documented_policies_and_commands_are_valid() {
     let operations = include_str!("../docs/operations.md");
     let mut found = 0;
     for block in operations.split("```policy\n").skip(1) {
         let text = block.split("```").next().unwrap_or("");
-        Policy::parse(text).unwrap_or_else(|e| panic!("{e}"));
+        Policy::parse(text).unwrap_or_else(|error| panic!("{error}"));
         found += 1;
     }
     assert!(found >= 3, "{found} examples");
@@ -132,59 +133,64 @@
 }
 
 #[test]
-fn log_levels_are_checked() {
-    for good in [None, Some("error"), Some("info"), Some("debug")] {
-        assert!(log_level(good).is_ok(), "{good:?}");
+fn invalid_log_levels_are_rejected() {
+    for valid in [None, Some("error"), Some("info"), Some("debug")] {
+        assert!(log_level(valid).is_ok(), "{valid:?}");
     }
-    for bad in ["trace", "INFO", "1"] {
-        assert!(log_level(Some(bad)).is_err(), "{bad}");
+    for invalid in ["trace", "INFO", "1"] {
+        assert!(log_level(Some(invalid)).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn the_command_line_tells_by_its_exit_code() {
+fn command_line_reports_failures_by_exit_code() {
     let dir = std::env::temp_dir().join(format!("shelfhoist-cli-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     let file = |name: &str, text: &str| {
         let path = dir.join(name);
         std::fs::write(&path, text).expect("a file");
         path.display().to_string()
     };
-    let bad = file("bad.json", "{}");
+    let invalid_settings = file("bad.json", "{}");
     let policy = file("good.policy", "idle_s = boot_s / 2\n");
-    let wrong = file("wrong.policy", "idle_s = nothing\n");
+    let invalid_policy = file("wrong.policy", "idle_s = nothing\n");
     let cases: &[(&[&str], i32, &str)] = &[
         (&["--help"], 0, "Exit codes"),
         (&["policy"], 0, "queue_order = borrows"),
         (&["policy", &policy], 0, "idle_s = boot_s / 2"),
-        (&["policy", &wrong], 2, "line 1, column 10: unknown name"),
-        (&["check-settings", &bad], 2, "settings: "),
+        (
+            &["policy", &invalid_policy],
+            2,
+            "line 1, column 10: unknown name",
+        ),
+        (&["check-settings", &invalid_settings], 2, "settings: "),
         (&["check-settings", "nowhere.json"], 2, "cannot read"),
-        (&["--config", &bad], 2, "settings: "),
+        (&["--config", &invalid_settings], 2, "settings: "),
         (&["frobnicate"], 2, "Usage"),
         (&["report", "--node", "127.0.0.1:1"], 1, "not connected"),
     ];
-    for (args, code, says) in cases {
-        let out = Command::new(env!("CARGO_BIN_EXE_shelfhoist"))
+    for (args, code, expected_text) in cases {
+        let output = Command::new(env!("CARGO_BIN_EXE_shelfhoist"))
             .args(*args)
             .env_remove("LOG_LEVEL")
             .output()
             .expect("runs");
-        let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
-        assert_eq!(out.status.code(), Some(*code), "{args:?}: {text}");
-        assert!(text.contains(says), "{args:?}: {text}");
+        let text =
+            String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(*code), "{args:?}: {text}");
+        assert!(text.contains(expected_text), "{args:?}: {text}");
     }
-    let out = Command::new(env!("CARGO_BIN_EXE_shelfhoist"))
-        .args(["--config", &bad])
+    let output = Command::new(env!("CARGO_BIN_EXE_shelfhoist"))
+        .args(["--config", &invalid_settings])
         .env("LOG_LEVEL", "loud")
         .output()
         .expect("runs");
-    assert_eq!(out.status.code(), Some(2));
+    assert_eq!(output.status.code(), Some(2));
     std::fs::remove_dir_all(&dir).expect("cleaned");
 }
 
 #[test]
-fn texts_are_for_people() {
+fn reports_are_formatted_for_people() {
     assert_eq!(span_text(59.4), "59 s");
     assert_eq!(span_text(61.0), "1 min 1 s");
     assert_eq!(span_text(7260.0), "2 h 1 min");
@@ -197,13 +203,13 @@
     }))
     .expect("report");
     let text = report_text(&report);
-    for shard in [
+    for expected in [
         "1 jobs are unfinished, 1 of them late.",
         "LATE job-1 (board-sort of t): queued, 1 tasks left, known for 5 min 0 s; no machine has room for it (for 2 min 0 s)",
         "The cloud refuses: occhio in porto.",
         "Machines: 3 active.",
     ] {
-        assert!(text.contains(shard), "{shard}\n{text}");
+        assert!(text.contains(expected), "{expected}\n{text}");
     }
     let teams: Vec<TeamDetails> = serde_json::from_value(serde_json::json!([{
         "team": "t", "cpus_used": 12.0, "cpus_guaranteed": 8.0, "cpus_limit": 16.0,
@@ -236,30 +242,30 @@
 }
 
 #[test]
-fn jobs_move_only_from_a_lost_controller() {
+fn only_jobs_of_a_lost_controller_move() {
     let all = ["a", "b", "c"];
     let mut moved = 0;
-    let mut per_node = std::collections::BTreeMap::new();
+    let mut jobs_per_controller = std::collections::BTreeMap::new();
     for n in 0..300 {
         let job = format!("job-{n:06}");
-        let first = preferred_controller(&job, all.into_iter()).expect("one");
+        let preferred = preferred_controller(&job, all.into_iter()).expect("one");
         assert_eq!(
             preferred_controller(&job, ["c", "a", "b"].into_iter()),
-            Some(first)
+            Some(preferred)
         );
         let without_c = preferred_controller(&job, ["a", "b"].into_iter()).expect("one");
-        if first != "c" {
-            assert_eq!(first, without_c, "{job}");
+        if preferred != "c" {
+            assert_eq!(preferred, without_c, "{job}");
         } else {
             moved += 1;
         }
-        *per_node.entry(first).or_insert(0) += 1;
+        *jobs_per_controller.entry(preferred).or_insert(0) += 1;
     }
-    assert!((60..140).contains(&moved), "{per_node:?}");
+    assert!((60..140).contains(&moved), "{jobs_per_controller:?}");
 }
 
 #[test]
-fn failures_wait_longer_and_longer_up_to_a_bound() {
+fn retry_delay_grows_up_to_a_bound() {
     let base = std::time::Duration::from_secs(2);
     let waits: Vec<u64> = [0, 1, 2, 3, 6, 50]
         .map(|n| retry_delay(n, base).as_secs())
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,8 +1,8 @@
-//! Old and new versions serve side by side while controllers are replaced one
-//! after another, troubles meet the upgrade, and the state service's limits fall
-//! around the moment when records take their short form.
+//! Tests of upgrades: older and newer versions serve side by side while controllers are
+//! replaced one after another, faults occur during the upgrade, and the limits of the state
+//! service are lowered before, during or after the compaction of records.
 
-// Each file of tests uses a part of them.
+// Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -16,12 +16,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-const LIMIT: usize = 2048;
+/// The lower limit of the size of a record.
+const LIMIT_BYTES: usize = 2048;
 
-fn secs(s: u64) -> Duration {
-    Duration::from_secs(s)
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
+/// Returns a deployment with 60 machines under the present limits.
 fn deployment() -> Shape {
     Shape {
         teams: vec![("t".into(), 4000.0, 6000.0)],
@@ -32,55 +34,64 @@
     }
 }
 
-/// All controllers run the older version, and have their machines.
+/// Starts a deployment in which all controllers run the older version, and waits until they
+/// own their machines.
 async fn older_deployment(seed: u64) -> Rc<World> {
-    let w = World::of(seed, deployment()).await;
-    w.state.older.borrow_mut().extend(0..3);
+    let world = World::of(seed, deployment()).await;
+    world.state.older.borrow_mut().extend(0..3);
     sleep(secs(15)).await;
-    w
+    world
 }
 
-/// A controller's turn: it comes back with the new version.
-fn upgrade(w: &World, i: usize) {
-    w.kill(i);
-    w.state.older.borrow_mut().remove(&i);
-    *w.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
-    w.start(i);
+/// Restarts a controller with the newer version and with settings that name the upcoming
+/// limits.
+fn upgrade(world: &World, i: usize) {
+    world.kill(i);
+    world.state.older.borrow_mut().remove(&i);
+    *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
+    world.start(i);
 }
 
-fn limits_fall(w: &World) {
-    w.state.limits.set(StateLimits {
+/// Puts the lower limits into force.
+fn lower_limits(world: &World) {
+    world.state.limits.set(StateLimits {
         txn_ops: 4,
-        value_limit_bytes: LIMIT,
+        value_limit_bytes: LIMIT_BYTES,
         write_rps: 27.0,
-        ..w.state.limits.get()
+        ..world.state.limits.get()
     });
 }
 
-async fn all_upgraded(w: &World) {
-    let began = Instant::now();
-    while w.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
-        assert!(began.elapsed() < secs(60), "formats are not recorded");
+/// Waits until it is recorded that all controllers read the new formats.
+async fn wait_until_formats_recorded(world: &World) {
+    let start = Instant::now();
+    while world.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
+        assert!(
+            start.elapsed() < secs(60),
+            "the new formats are not recorded"
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn assert_within_limits(w: &World) {
-    let beyond = w.state.beyond.borrow().clone();
+/// Asserts that the state service refused no commit for its size and that no rule was broken.
+fn assert_within_limits(world: &World) {
+    let beyond = world.state.beyond.borrow().clone();
     assert_eq!(beyond, Vec::<String>::new());
-    w.assert_kept();
+    world.assert_kept();
 }
 
-// --- records that cannot be rewritten as they are --------------------------------
+// --- records that exceed the limit even in the compact encoding ------------------
 
+/// Returns the specification that the submission of this job results in.
 fn spec_of(job: &Value) -> JobSpec {
     let read = shelfhoist::api::read_submission(job.to_string().as_bytes());
     JobSpec::from(&read.expect("a submission"))
 }
 
-/// A job that the older version accepts, with a specification of almost 2 KiB.
-fn long_job(n: u32, cut: &str, tasks: u32, run_s: f64) -> Value {
-    let mut long = job(n, cut, tasks, run_s);
+/// Returns a job that the older version accepts and whose specification takes almost 2 KiB.
+fn long_job(n: u32, kind: &str, tasks: u32, run_s: f64) -> Value {
+    let mut long = job(n, kind, tasks, run_s);
     long["lot"] = json!("l".repeat(190));
     long["blueprint"] = json!("b".repeat(190));
     let mut types = vec!["big".to_string()];
@@ -91,334 +102,354 @@
     long
 }
 
-fn record_length(w: &World, id: &str) -> usize {
-    w.state
+/// Returns the length of the stored record of a job, in bytes.
+fn record_length(world: &World, id: &str) -> usize {
+    world
+        .state
         .value(&job_key(id))
         .unwrap_or_default()
         .to_string()
         .len()
 }
 
-/// Jobs whose records are near the coming limit by their specification alone
-/// run, are cancelled and have their ends recorded after the limits fell; `wait`
-/// passes between the end of the upgrade and the fall.
-fn long_records_after_the_fall(seed: u64, wait: Duration) {
+/// Runs jobs whose specifications alone bring their records near the upcoming limit. The jobs
+/// are cancelled, and their ends recorded, after the limits are lowered. `wait` is the time
+/// between the end of the upgrade and the lowering of the limits.
+fn cancel_long_records_after_lowering_limits(seed: u64, wait: Duration) {
     in_world(|| async move {
-        let w = older_deployment(seed).await;
-        let array = w.submit(long_job(1, "batch", 40, 400.0)).await;
-        let service = w.submit(long_job(2, "daemon", 8, 0.0)).await;
-        let gang = w.submit(long_job(3, "gang", 6, 300.0)).await;
-        let kept = w.submit(long_job(4, "batch", 40, 60.0)).await;
-        let kept_gang = w.submit(long_job(5, "gang", 6, 60.0)).await;
+        let world = older_deployment(seed).await;
+        let array = world.submit(long_job(1, "batch", 40, 400.0)).await;
+        let service = world.submit(long_job(2, "daemon", 8, 0.0)).await;
+        let gang = world.submit(long_job(3, "gang", 6, 300.0)).await;
+        let kept = world.submit(long_job(4, "batch", 40, 60.0)).await;
+        let kept_gang = world.submit(long_job(5, "gang", 6, 60.0)).await;
         for id in [&array, &service, &gang, &kept, &kept_gang] {
-            w.until(id, "running", 60).await;
+            world.until(id, "running", 60).await;
         }
-        // Accepted, and not yet begun: one with a record of its own, some together.
+        // Jobs that are accepted and not started: one with its own record, three in the
+        // record of a batch.
         let waiting: Vec<Value> = (10..14).map(|n| long_job(n, "batch", 3, 5.0)).collect();
-        waiting.iter().for_each(|one| w.remember(one));
-        upgrade(&w, 0);
+        waiting
+            .iter()
+            .for_each(|submission| world.remember(submission));
+        upgrade(&world, 0);
         sleep(secs(4)).await;
-        upgrade(&w, 1);
+        upgrade(&world, 1);
         sleep(secs(4)).await;
-        w.kill(2);
-        let one = Job::new(spec_of(&waiting[0]), 1);
-        let one = serde_json::to_value(&one).expect("text");
-        let together = AcceptedBatch {
+        world.kill(2);
+        let job_record = Job::new(spec_of(&waiting[0]), 1);
+        let job_record = serde_json::to_value(&job_record).expect("text");
+        let batch = AcceptedBatch {
             accepted_revision: 2,
             jobs: (11..14)
                 .map(|n| (format!("job-{n:06}"), spec_of(&waiting[n - 10])))
                 .collect(),
         };
-        let together = serde_json::to_value(&together).expect("text");
-        upgrade(&w, 2);
-        w.state.write(&job_key("job-000010"), &one);
-        w.state.write(&accepted_batch_key("n2-long"), &together);
-        for one in &waiting {
-            w.submit(one.clone()).await;
+        let batch = serde_json::to_value(&batch).expect("text");
+        upgrade(&world, 2);
+        world.state.write(&job_key("job-000010"), &job_record);
+        world.state.write(&accepted_batch_key("n2-long"), &batch);
+        for submission in &waiting {
+            world.submit(submission.clone()).await;
         }
         let long = [&array, &service, &gang, &kept, &kept_gang];
         for id in long {
             assert!(
-                record_length(&w, id) > LIMIT,
+                record_length(&world, id) > LIMIT_BYTES,
                 "{id}: {}",
-                record_length(&w, id)
+                record_length(&world, id)
             );
         }
-        all_upgraded(&w).await;
+        wait_until_formats_recorded(&world).await;
         sleep(wait).await;
-        limits_fall(&w);
+        lower_limits(&world);
         for (i, id) in [&array, &service, &gang].into_iter().enumerate() {
-            assert!(w.running(id) > 0, "{id}");
-            let stage = w.withdraw((i + 1) % 3, id).await;
+            assert!(world.running(id) > 0, "{id}");
+            let stage = world.withdraw((i + 1) % 3, id).await;
             assert_eq!(stage.as_deref(), Some("aborted"), "{id}");
         }
-        sleep(Duration::from_secs_f64(w.shape.cancel_s)).await;
+        sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
         for id in [&array, &service, &gang] {
-            assert_eq!(w.running(id), 0, "{id}");
-            let record = w.state.value(&job_key(id)).expect("a record");
+            assert_eq!(world.running(id), 0, "{id}");
+            let record = world.state.value(&job_key(id)).expect("a record");
             assert!(record["r"].is_null() && record["s"].is_null(), "{record}");
             assert_eq!(record["f"], "c", "{record}");
         }
         for id in [&kept, &kept_gang] {
-            w.until(id, "done", 300).await;
+            world.until(id, "done", 300).await;
         }
         for n in 10..14 {
-            w.until(&format!("job-{n:06}"), "done", 200).await;
+            world.until(&format!("job-{n:06}"), "done", 200).await;
         }
-        assert_within_limits(&w);
+        assert_within_limits(&world);
     });
 }
 
 #[test]
-fn long_records_are_cancelled_when_the_limits_fall_at_once() {
-    long_records_after_the_fall(61, Duration::ZERO);
+fn jobs_with_long_records_are_cancelled_when_limits_are_lowered_immediately() {
+    cancel_long_records_after_lowering_limits(61, Duration::ZERO);
 }
 
 #[test]
-fn long_records_are_cancelled_when_the_limits_fall_later() {
-    long_records_after_the_fall(62, secs(30));
+fn jobs_with_long_records_are_cancelled_when_limits_are_lowered_later() {
+    cancel_long_records_after_lowering_limits(62, secs(30));
 }
 
-// --- old and new side by side ------------------------------------------------------
+// --- older and newer versions side by side -----------------------------------------
 
-/// It ends before its turn, and comes back with the older version.
-fn restart_old(w: &World, i: usize) {
-    w.kill(i);
-    *w.next.borrow_mut() = Value::Null;
-    w.start(i);
+/// Restarts a controller with the older version, before it is upgraded.
+fn restart_with_older_version(world: &World, i: usize) {
+    world.kill(i);
+    *world.next.borrow_mut() = Value::Null;
+    world.start(i);
 }
 
-/// While `seconds` pass: nothing is stored that the older version cannot read.
-async fn pass_with_old_controllers(w: &World, seconds: u64) {
+/// Asserts for some seconds that every stored record can be read by the older version and
+/// that the new formats are not yet recorded as known to all.
+async fn check_older_version_can_read(world: &World, seconds: u64) {
     for _ in 0..seconds * 4 {
-        assert_eq!(w.state.unreadable(), Vec::<String>::new());
+        assert_eq!(world.state.unreadable(), Vec::<String>::new());
         sleep(Duration::from_millis(250)).await;
     }
-    let formats = w.state.value(FORMATS_KEY).unwrap_or_default();
+    let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
     assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
 }
 
-/// The controllers that the state says to know the newer formats.
-fn known_new(w: &World) -> Vec<String> {
-    let formats = w.state.value(FORMATS_KEY).unwrap_or_default();
+/// Returns the controllers that are recorded as reading the newer formats.
+fn controllers_with_new_formats(world: &World) -> Vec<String> {
+    let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
     let nodes = formats["n"].as_object().cloned().unwrap_or_default();
     nodes.into_iter().map(|(name, _)| name).collect()
 }
 
-async fn until_known_new(w: &World, names: &[&str]) {
-    let began = Instant::now();
-    while known_new(w) != names {
-        assert!(began.elapsed() < secs(60), "{:?}", known_new(w));
+/// Waits until just these controllers are recorded as reading the newer formats.
+async fn wait_until_new_formats_known_to(world: &World, names: &[&str]) {
+    let start = Instant::now();
+    while controllers_with_new_formats(world) != names {
+        assert!(
+            start.elapsed() < secs(60),
+            "{:?}",
+            controllers_with_new_formats(world)
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// One of each kind.
-async fn mixed_jobs(w: &World, from: u32, count: u32, run_s: f64) -> Vec<String> {
+/// Submits `count` arrays, gangs and services in turn, and waits until they run.
+async fn submit_mixed_jobs(world: &World, from: u32, count: u32, run_s: f64) -> Vec<String> {
     let mut ids = Vec::new();
     for n in from..from + count {
-        let (cut, tasks) = [("batch", 12), ("gang", 4), ("daemon", 4)][n as usize % 3];
-        ids.push(w.submit(job(n, cut, tasks, run_s)).await);
+        let (kind, tasks) = [("batch", 12), ("gang", 4), ("daemon", 4)][n as usize % 3];
+        ids.push(world.submit(job(n, kind, tasks, run_s)).await);
     }
     for id in &ids {
-        w.until(id, "running", 60).await;
+        world.until(id, "running", 60).await;
     }
     ids
 }
 
-/// Asks all controllers at once, until one confirms; its user is told for good.
-async fn cancel_everywhere(w: &Rc<World>, id: &str) -> Option<String> {
+/// Asks all controllers at the same time to cancel the job, until one of them confirms. The
+/// confirmation is final.
+async fn cancel_everywhere(world: &Rc<World>, id: &str) -> Option<String> {
     for _ in 0..30 {
-        let asked = (0..3).map(|i| {
-            let (w, id) = (w.clone(), id.to_string());
-            spawn_local(async move { w.withdraw(i, &id).await })
+        let requests = (0..3).map(|i| {
+            let (world, id) = (world.clone(), id.to_string());
+            spawn_local(async move { world.withdraw(i, &id).await })
         });
-        let asked: Vec<_> = asked.collect();
-        let mut told = None;
-        for one in asked {
-            told = told.or(one.await.expect("an answer"));
+        let requests: Vec<_> = requests.collect();
+        let mut confirmed = None;
+        for request in requests {
+            confirmed = confirmed.or(request.await.expect("an answer"));
         }
-        if told.is_some() {
-            return told;
+        if confirmed.is_some() {
+            return confirmed;
         }
         sleep(Duration::from_millis(200)).await;
     }
     None
 }
 
-/// What was not cancelled runs or is done; what was has nothing left.
-async fn all_end_well(w: &World, ids: &[String]) {
-    sleep(Duration::from_secs_f64(w.shape.cancel_s)).await;
+/// Waits until every service that was not cancelled runs and every other such job is done,
+/// and asserts that no task of a cancelled job runs.
+async fn wait_until_jobs_end(world: &World, ids: &[String]) {
+    sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
     for id in ids {
-        if w.is_cancelled(id) {
-            assert_eq!(w.running(id), 0, "{id}");
-        } else if w.is_service(id) {
-            w.until(id, "running", 120).await;
+        if world.is_cancelled(id) {
+            assert_eq!(world.running(id), 0, "{id}");
+        } else if world.is_service(id) {
+            world.until(id, "running", 120).await;
         } else {
-            w.until(id, "done", 300).await;
+            world.until(id, "done", 300).await;
         }
     }
 }
 
-/// The switch to the new formats is under way, both others are new, and the last
-/// dies before its turn, twice: it comes back old, serves for longer than a lease,
-/// and commits of its are carried out late, when it is new already.
+/// Two controllers are upgraded, and the third fails twice before its upgrade. It restarts
+/// with the older version and serves for longer than a lease. Some of its commits are
+/// applied late, when it already runs the newer version.
 #[test]
-fn a_controller_that_dies_before_its_turn_serves_old_until_then() {
+fn controller_that_fails_before_its_upgrade_serves_with_the_older_version() {
     for seed in [71, 72, 73] {
         in_world(|| async move {
-            let w = older_deployment(seed).await;
-            let mut ids = mixed_jobs(&w, 1, 9, 60.0).await;
-            upgrade(&w, 0);
-            until_known_new(&w, &["n0"]).await;
-            upgrade(&w, 1);
-            until_known_new(&w, &["n0", "n1"]).await;
-            restart_old(&w, 2);
-            pass_with_old_controllers(&w, 15).await;
-            // Both kinds cancel and accept.
-            assert_eq!(w.withdraw(2, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(w.withdraw(1, &ids[1]).await.as_deref(), Some("aborted"));
-            ids.extend(mixed_jobs(&w, 20, 3, 30.0).await);
-            restart_old(&w, 2);
-            w.state.troubles.borrow_mut().late = 0.3;
-            pass_with_old_controllers(&w, 12).await;
-            assert_eq!(known_new(&w), ["n0", "n1"]);
-            upgrade(&w, 2);
+            let world = older_deployment(seed).await;
+            let mut ids = submit_mixed_jobs(&world, 1, 9, 60.0).await;
+            upgrade(&world, 0);
+            wait_until_new_formats_known_to(&world, &["n0"]).await;
+            upgrade(&world, 1);
+            wait_until_new_formats_known_to(&world, &["n0", "n1"]).await;
+            restart_with_older_version(&world, 2);
+            check_older_version_can_read(&world, 15).await;
+            // Controllers of both versions cancel and accept jobs.
+            assert_eq!(world.withdraw(2, &ids[0]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.withdraw(1, &ids[1]).await.as_deref(), Some("aborted"));
+            ids.extend(submit_mixed_jobs(&world, 20, 3, 30.0).await);
+            restart_with_older_version(&world, 2);
+            world.state.troubles.borrow_mut().late = 0.3;
+            check_older_version_can_read(&world, 12).await;
+            assert_eq!(controllers_with_new_formats(&world), ["n0", "n1"]);
+            upgrade(&world, 2);
             sleep(secs(2)).await;
-            w.state.troubles.borrow_mut().late = 0.0;
-            all_upgraded(&w).await;
-            // What is under way still, in the long text, is carried out by then.
+            world.state.troubles.borrow_mut().late = 0.0;
+            wait_until_formats_recorded(&world).await;
+            // Commits in the plain encoding that are still in flight are applied by then.
             sleep(secs(13)).await;
-            limits_fall(&w);
-            assert!(cancel_everywhere(&w, &ids[2]).await.is_some());
-            all_end_well(&w, &ids).await;
-            assert_within_limits(&w);
+            lower_limits(&world);
+            assert!(cancel_everywhere(&world, &ids[2]).await.is_some());
+            wait_until_jobs_end(&world, &ids).await;
+            assert_within_limits(&world);
         });
     }
 }
 
-/// One is new, and the state service is down for longer than a lease: another has
-/// its turn in the outage, and the third dies in it and comes back old. What was
-/// cancelled just before ends in time.
+/// One controller is upgraded, and the state service is down for longer than a lease. During
+/// the outage a second controller is upgraded, and the third fails and restarts with the
+/// older version. Jobs that were cancelled just before the outage end in time.
 #[test]
-fn half_upgraded_while_the_state_service_is_down() {
+fn partly_upgraded_deployment_survives_a_state_service_outage() {
     for (seed, outage_s) in [(74, 14), (75, 25), (76, 40)] {
         in_world(|| async move {
-            let w = older_deployment(seed).await;
-            let mut ids = mixed_jobs(&w, 1, 9, 40.0).await;
-            upgrade(&w, 0);
-            until_known_new(&w, &["n0"]).await;
+            let world = older_deployment(seed).await;
+            let mut ids = submit_mixed_jobs(&world, 1, 9, 40.0).await;
+            upgrade(&world, 0);
+            wait_until_new_formats_known_to(&world, &["n0"]).await;
             sleep(secs(5)).await;
-            assert_eq!(w.withdraw(0, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(w.withdraw(2, &ids[1]).await.as_deref(), Some("aborted"));
-            w.state.trouble.set(Trouble::Down);
+            assert_eq!(world.withdraw(0, &ids[0]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.withdraw(2, &ids[1]).await.as_deref(), Some("aborted"));
+            world.state.trouble.set(Trouble::Down);
             sleep(secs(4)).await;
-            upgrade(&w, 1);
+            upgrade(&world, 1);
             sleep(secs(4)).await;
-            restart_old(&w, 2);
+            restart_with_older_version(&world, 2);
             for i in 0..3 {
                 let path = format!("/submissions/{}/withdraw", ids[2]);
-                let (status, _) = w.ask(i, "POST", &path, None).await;
+                let (status, _) = world.ask(i, "POST", &path, None).await;
                 assert!([0, 503].contains(&status), "n{i}: {status}");
             }
             sleep(secs(outage_s - 8)).await;
-            assert_eq!(known_new(&w), ["n0"]);
-            w.state.trouble.set(Trouble::None);
-            until_known_new(&w, &["n0", "n1"]).await;
-            pass_with_old_controllers(&w, 12).await;
-            ids.extend(mixed_jobs(&w, 20, 3, 20.0).await);
-            assert!(cancel_everywhere(&w, &ids[2]).await.is_some());
-            upgrade(&w, 2);
-            all_upgraded(&w).await;
-            limits_fall(&w);
-            all_end_well(&w, &ids).await;
-            assert_within_limits(&w);
+            assert_eq!(controllers_with_new_formats(&world), ["n0"]);
+            world.state.trouble.set(Trouble::None);
+            wait_until_new_formats_known_to(&world, &["n0", "n1"]).await;
+            check_older_version_can_read(&world, 12).await;
+            ids.extend(submit_mixed_jobs(&world, 20, 3, 20.0).await);
+            assert!(cancel_everywhere(&world, &ids[2]).await.is_some());
+            upgrade(&world, 2);
+            wait_until_formats_recorded(&world).await;
+            lower_limits(&world);
+            wait_until_jobs_end(&world, &ids).await;
+            assert_within_limits(&world);
         });
     }
 }
 
-/// How many machines each controller holds.
-fn held_by(w: &World, i: usize) -> usize {
+/// Returns the number of machines that a controller owns.
+fn owned_machine_count(world: &World, i: usize) -> usize {
     let name = format!("n{i}");
-    w.holders().iter().filter(|(_, h)| *h == name).count()
+    world
+        .holders()
+        .iter()
+        .filter(|(_, owner)| *owner == name)
+        .count()
 }
 
-/// n1 is new, the others are old. Machines go from old to new and from new to old,
-/// in each way that there is, while jobs on them are cancelled at all controllers
-/// at once, some commits are late and some answers are lost.
+/// Controller n1 runs the newer version and the others run the older one. Machines change
+/// owners between the versions in both directions, after each kind of controller fault,
+/// while their jobs are cancelled at all controllers at the same time, some commits are
+/// applied late and some responses are lost.
 #[test]
-fn old_and_new_hand_machines_over_with_cancels_in_flight() {
+fn versions_hand_over_machines_while_jobs_are_cancelled() {
     for (seed, late, unanswered) in [(77, 0.0, 0.0), (78, 0.1, 0.0), (79, 0.0, 0.2)] {
         in_world(|| async move {
-            let w = older_deployment(seed).await;
-            let ids = mixed_jobs(&w, 1, 24, 90.0).await;
-            upgrade(&w, 1);
-            until_known_new(&w, &["n1"]).await;
-            w.state.troubles.borrow_mut().late = late;
-            w.state.troubles.borrow_mut().unanswered = unanswered;
-            let mut victims = ids.iter().filter(|id| !id.ends_with('5'));
+            let world = older_deployment(seed).await;
+            let ids = submit_mixed_jobs(&world, 1, 24, 90.0).await;
+            upgrade(&world, 1);
+            wait_until_new_formats_known_to(&world, &["n1"]).await;
+            world.state.troubles.borrow_mut().late = late;
+            world.state.troubles.borrow_mut().unanswered = unanswered;
+            let mut jobs_to_cancel = ids.iter().filter(|id| !id.ends_with('5'));
             for round in 0..6 {
                 let i = [0, 1, 2, 1, 0, 1][round];
-                let before = held_by(&w, i);
+                let before = owned_machine_count(&world, i);
                 match round {
-                    0 | 1 => w.cut_workers(i, true),
-                    2 | 3 => w.kill(i),
+                    0 | 1 => world.cut_workers(i, true),
+                    2 | 3 => world.kill(i),
                     4 => {
-                        w.state.troubles.borrow_mut().refused.insert(i);
+                        world.state.troubles.borrow_mut().refused.insert(i);
                     }
-                    _ => w.freeze(i, true),
+                    _ => world.freeze(i, true),
                 }
                 for _ in 0..2 {
-                    let id = victims.next().expect("a job");
-                    cancel_everywhere(&w, id).await;
+                    let id = jobs_to_cancel.next().expect("a job");
+                    cancel_everywhere(&world, id).await;
                     sleep(Duration::from_millis(700)).await;
                 }
                 sleep(secs(16)).await;
-                let after = held_by(&w, i);
-                // Who is refused by the state service alone keeps its machines.
+                let after = owned_machine_count(&world, i);
+                // A controller that only the state service refuses keeps its machines.
                 let lost = if round == 4 { 0 } else { 1 };
                 assert!(before > 0, "{round}: nothing to hand over");
                 assert!(after + lost <= before, "{round}: {before} to {after}");
                 match round {
-                    0 | 1 => w.cut_workers(i, false),
-                    2 => restart_old(&w, i),
-                    3 => upgrade(&w, i),
+                    0 | 1 => world.cut_workers(i, false),
+                    2 => restart_with_older_version(&world, i),
+                    3 => upgrade(&world, i),
                     4 => {
-                        w.state.troubles.borrow_mut().refused.clear();
+                        world.state.troubles.borrow_mut().refused.clear();
                     }
-                    _ => w.freeze(i, false),
+                    _ => world.freeze(i, false),
                 }
-                let id = victims.next().expect("a job");
-                cancel_everywhere(&w, id).await;
-                pass_with_old_controllers(&w, 15).await;
+                let id = jobs_to_cancel.next().expect("a job");
+                cancel_everywhere(&world, id).await;
+                check_older_version_can_read(&world, 15).await;
             }
-            w.heal();
-            upgrade(&w, 0);
+            world.heal();
+            upgrade(&world, 0);
             sleep(secs(3)).await;
-            upgrade(&w, 2);
-            all_upgraded(&w).await;
-            limits_fall(&w);
-            all_end_well(&w, &ids).await;
-            assert_within_limits(&w);
+            upgrade(&world, 2);
+            wait_until_formats_recorded(&world).await;
+            lower_limits(&world);
+            wait_until_jobs_end(&world, &ids).await;
+            assert_within_limits(&world);
         });
     }
 }
 
 // --- a large pipeline --------------------------------------------------------------
 
-fn too_long(w: &World) -> Vec<(String, usize)> {
-    let mut all = w.state.sizes("sh/");
-    all.retain(|(key, length)| *length > LIMIT && !key.starts_with("sh/new/"));
-    all
+/// Returns the records above the lower limit with their lengths in bytes, without accepted
+/// batches.
+fn oversized_records(world: &World) -> Vec<(String, usize)> {
+    let mut records = world.state.sizes("sh/");
+    records.retain(|(key, length)| *length > LIMIT_BYTES && !key.starts_with("sh/new/"));
+    records
 }
 
-/// Six chains of five jobs; the last of each awaits all before it and has the
-/// chain's deadline.
-async fn chains(w: &World) -> Vec<Vec<String>> {
+/// Submits six chains of five jobs. The last job of a chain depends on all jobs before it and
+/// has the deadline of the chain.
+async fn submit_chains(world: &World) -> Vec<Vec<String>> {
     let mut chains = Vec::new();
     for chain in 0..6 {
         let mut ids: Vec<String> = Vec::new();
-        for (step, (cut, tasks, run_s)) in [
+        for (step, (kind, tasks, run_s)) in [
             ("batch", 6, 15.0),
             ("batch", 24, 12.0),
             ("gang", 3, 10.0),
@@ -428,123 +459,136 @@
         .into_iter()
         .enumerate()
         {
-            let mut one = job(100 + chain * 10 + step as u32, cut, tasks, run_s);
-            one["same_place"] = json!(cut == "gang");
-            let last = ids.last().map(String::as_str);
-            let before: Vec<&str> = match step {
+            let mut submission = job(100 + chain * 10 + step as u32, kind, tasks, run_s);
+            submission["same_place"] = json!(kind == "gang");
+            let previous = ids.last().map(String::as_str);
+            let dependencies: Vec<&str> = match step {
                 4 => ids.iter().map(String::as_str).collect(),
-                _ => last.into_iter().collect(),
+                _ => previous.into_iter().collect(),
             };
             if step == 4 {
-                one["urgency"] = json!("urgent");
-                one["due_s"] = json!(300.0);
+                submission["urgency"] = json!("urgent");
+                submission["due_s"] = json!(300.0);
             }
-            ids.push(w.submit(after(one, &before)).await);
+            ids.push(world.submit(after(submission, &dependencies)).await);
         }
         chains.push(ids);
     }
     chains
 }
 
-/// When the limits fall with regard to the shortening of records, which begins with
-/// the restart of the last controller under settings that name the coming limits.
+/// The time at which the limits are lowered, relative to the compaction of records. The
+/// compaction begins when the last controller restarts with settings that name the upcoming
+/// limits.
 #[derive(Clone, Copy, PartialEq)]
-enum Fall {
+enum LoweredAt {
     Before,
     During,
     After,
 }
 
-/// A pipeline of thirty jobs is open while the controllers are restarted, the
-/// records take their short form and the limits fall. A chain is cancelled in its
-/// middle before the fall, and one after it; the others run in order to their end.
-fn limits_fall_with_a_pipeline_open(seed: u64, fall: Fall) {
+/// Keeps a pipeline of thirty jobs unfinished while the controllers are restarted, the records
+/// are compacted and the limits are lowered. Chains are cancelled in the middle before and
+/// after the limits are lowered; the other chains complete in order.
+fn lower_limits_with_an_unfinished_pipeline(seed: u64, lowered_at: LoweredAt) {
     in_world(|| async move {
         let shape = Shape {
             machines: 160,
             ..deployment()
         };
-        let w = World::of(seed, shape).await;
-        all_upgraded(&w).await;
+        let world = World::of(seed, shape).await;
+        wait_until_formats_recorded(&world).await;
         sleep(secs(15)).await;
-        let wide = w.submit(job(1, "batch", 600, 20.0)).await;
-        let service = w.submit(job(2, "daemon", 16, 0.0)).await;
-        let chains = chains(&w).await;
-        w.until(&wide, "running", 30).await;
-        assert!(too_long(&w).len() > 3, "{:?}", too_long(&w));
-        // One after another, what a controller takes over is shortened with that;
-        // all at once, it is left to the background.
-        let pause = if fall == Fall::During { 0 } else { 2 };
+        let array = world.submit(job(1, "batch", 600, 20.0)).await;
+        let service = world.submit(job(2, "daemon", 16, 0.0)).await;
+        let chains = submit_chains(&world).await;
+        world.until(&array, "running", 30).await;
+        assert!(
+            oversized_records(&world).len() > 3,
+            "{:?}",
+            oversized_records(&world)
+        );
+        // When the controllers restart one after another, the records that a controller takes
+        // over are compacted by the takeover. When all restart together, this is left to
+        // background compaction.
+        let pause = if lowered_at == LoweredAt::During {
+            0
+        } else {
+            2
+        };
         for i in 0..3 {
-            upgrade(&w, i);
+            upgrade(&world, i);
             sleep(secs(if i < 2 { pause } else { 0 })).await;
         }
         let open = chains.iter().flatten().filter(|id| {
-            let record = w.state.value(&job_key(id)).unwrap_or_default();
+            let record = world.state.value(&job_key(id)).unwrap_or_default();
             record.is_null() || record["f"] == "o"
         });
-        assert!(open.count() > 20, "the pipeline is over too soon");
-        match fall {
-            Fall::Before => {}
-            Fall::During => {
-                let all = too_long(&w).len();
-                while too_long(&w).len() * 3 > all * 2 {
+        assert!(open.count() > 20, "the pipeline ended too early");
+        match lowered_at {
+            LoweredAt::Before => {}
+            LoweredAt::During => {
+                let before = oversized_records(&world).len();
+                while oversized_records(&world).len() * 3 > before * 2 {
                     sleep(Duration::from_millis(10)).await;
                 }
             }
-            Fall::After => {
+            LoweredAt::After => {
                 sleep(secs(4)).await;
-                while !too_long(&w).is_empty() {
+                while !oversized_records(&world).is_empty() {
                     sleep(Duration::from_millis(250)).await;
                 }
             }
         }
-        assert_eq!(too_long(&w).is_empty(), fall == Fall::After);
+        assert_eq!(
+            oversized_records(&world).is_empty(),
+            lowered_at == LoweredAt::After
+        );
         let cancel = async |chain: usize, step: usize| {
-            let told = cancel_everywhere(&w, &chains[chain][step]).await;
-            assert!(told.is_some(), "{chain} {step}");
-            told.as_deref() == Some("aborted")
+            let confirmed = cancel_everywhere(&world, &chains[chain][step]).await;
+            assert!(confirmed.is_some(), "{chain} {step}");
+            confirmed.as_deref() == Some("aborted")
         };
         let mut aborted = Vec::new();
-        if fall == Fall::After {
+        if lowered_at == LoweredAt::After {
             aborted.extend(cancel(0, 2).await.then_some((0, 2)));
         }
-        limits_fall(&w);
+        lower_limits(&world);
         aborted.extend(cancel(1, 1).await.then_some((1, 1)));
         aborted.extend(cancel(2, 3).await.then_some((2, 3)));
         assert!(aborted.len() >= 2, "{aborted:?}");
-        sleep(Duration::from_secs_f64(w.shape.cancel_s)).await;
+        sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
         for (chain, ids) in chains.iter().enumerate() {
             let from = aborted.iter().find(|(c, _)| *c == chain).map(|(_, s)| *s);
             for (step, id) in ids.iter().enumerate() {
                 if from.is_none_or(|from| step < from) {
-                    w.until(id, "done", 400).await;
+                    world.until(id, "done", 400).await;
                     continue;
                 }
                 for i in 0..3 {
-                    assert_eq!(w.stage(i, id).await.as_deref(), Some("aborted"), "{id}");
+                    assert_eq!(world.stage(i, id).await.as_deref(), Some("aborted"), "{id}");
                 }
-                assert_eq!(w.running(id), 0, "{id}");
+                assert_eq!(world.running(id), 0, "{id}");
             }
         }
-        w.until(&wide, "done", 400).await;
-        w.until(&service, "running", 60).await;
-        assert_eq!(too_long(&w), Vec::<(String, usize)>::new());
-        assert_within_limits(&w);
+        world.until(&array, "done", 400).await;
+        world.until(&service, "running", 60).await;
+        assert_eq!(oversized_records(&world), Vec::<(String, usize)>::new());
+        assert_within_limits(&world);
     });
 }
 
 #[test]
-fn limits_fall_before_shortening_with_a_pipeline_open() {
-    limits_fall_with_a_pipeline_open(81, Fall::Before);
+fn limits_are_lowered_before_compaction_with_an_unfinished_pipeline() {
+    lower_limits_with_an_unfinished_pipeline(81, LoweredAt::Before);
 }
 
 #[test]
-fn limits_fall_during_shortening_with_a_pipeline_open() {
-    limits_fall_with_a_pipeline_open(82, Fall::During);
+fn limits_are_lowered_during_compaction_with_an_unfinished_pipeline() {
+    lower_limits_with_an_unfinished_pipeline(82, LoweredAt::During);
 }
 
 #[test]
-fn limits_fall_after_shortening_with_a_pipeline_open() {
-    limits_fall_with_a_pipeline_open(83, Fall::After);
+fn limits_are_lowered_after_compaction_with_an_unfinished_pipeline() {
+    lower_limits_with_an_unfinished_pipeline(83, LoweredAt::After);
 }
