--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -16,17 +16,18 @@
 use crate::state::records::{AcceptedBatch, Job, JobSpec};
 use crate::wire::{Precondition, Write};
 
-/// The outcome of a submission that waited for its commit.
+/// Outcome of a pending submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptanceOutcome {
-    /// It has been committed.
+    /// The job has been committed.
     Committed,
-    /// Its id was accepted before.
+    /// A job with the same id was accepted before.
     AlreadyKnown,
 }
 
-/// A submission that waits for its commit, and the channel to its request. It is
-/// dropped without an outcome when acceptance is given up.
+/// A submission that waits for its commit, and the channel to its request. If the
+/// commit is abandoned, the submission is dropped without sending an outcome, and the
+/// request sees a closed channel.
 pub struct PendingSubmission {
     pub(super) id: String,
     pub(super) spec: JobSpec,
@@ -34,30 +35,34 @@
 }
 
 impl PendingSubmission {
+    /// Sends the outcome to the request.
     fn complete(self, outcome: AcceptanceOutcome) {
-        // The request may be gone.
+        // The send fails if the request has already timed out; that is harmless.
         let _ = self.outcome_sender.send(outcome);
     }
 
-    /// Whether nobody waits for the outcome any more.
+    /// Returns whether the request no longer waits for the outcome.
     fn is_abandoned(&self) -> bool {
         self.outcome_sender.is_closed()
     }
 
-    /// The bytes that it takes in the record of an accepted batch; `None` if it
-    /// cannot be serialized.
+    /// Returns the size of this submission in the record of an accepted batch, in
+    /// bytes, or `None` if its spec cannot be serialized.
     fn record_bytes(&self) -> Option<usize> {
-        // The quotes, the colon and the comma.
+        // Two quotes, a colon and a comma around each JSON map entry.
         const PUNCTUATION_BYTES: usize = 4;
         let spec = serde_json::to_vec(&self.spec).ok()?;
         Some(spec.len() + self.id.len() + PUNCTUATION_BYTES)
     }
 }
 
-/// Accepts submissions, as many at once as have gathered while the budget or
-/// the last commit was waited for: a burst costs few writes.
+/// Runs the acceptance loop, which commits pending submissions in batches.
+///
+/// Submissions that arrive while the loop waits for the request budget or for the
+/// previous commit share the next commit, so that a burst costs few writes.
 pub async fn run_acceptance(controller: Rc<Controller>) {
-    // The first does not wait; those behind it gather for this long.
+    // The first submission is committed without delay; later ones are collected into
+    // a batch for this long.
     let batch_interval = controller.request_interval() * 4;
     loop {
         controller.admissions.wait_for_submission().await;
@@ -66,19 +71,21 @@
                 .state_client
                 .wait_for_budget(RequestClass::Accept, 1)
                 .await;
-            let began = Instant::now();
+            let started_at = Instant::now();
             let batch = take_batch(&controller);
             if !batch.is_empty() {
                 commit_batch(&controller, batch).await;
             }
-            sleep(batch_interval.saturating_sub(began.elapsed())).await;
+            sleep(batch_interval.saturating_sub(started_at.elapsed())).await;
         }
     }
 }
 
-/// Takes as many pending submissions as one record and one commit hold.
+/// Dequeues as many pending submissions as fit into one record and one commit.
+///
+/// Abandoned submissions are dropped, and those of known jobs are completed.
 fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
-    // Each job is a precondition, and the record of all of them one more.
+    // The commit has one precondition for each job, and one for the batch's record.
     let max_jobs = controller.settings.txn_ops() * 2;
     let max_bytes = controller.settings.value_limit_bytes() * 9 / 10;
     let mut batch: Vec<PendingSubmission> = Vec::new();
@@ -87,7 +94,7 @@
         let Some(next) = controller.admissions.dequeue() else {
             break;
         };
-        // Its user has gone, or asks again.
+        // The request has timed out, or the user has disconnected and will retry.
         if next.is_abandoned() {
             continue;
         }
@@ -106,7 +113,9 @@
     batch
 }
 
-/// Commits a batch, and completes its submissions.
+/// Commits a batch and completes its submissions.
+///
+/// After an error that a retry may resolve, the batch goes back to the queue.
 async fn commit_batch(controller: &Controller, batch: Vec<PendingSubmission>) {
     let BatchCommit {
         preconditions,
@@ -130,8 +139,8 @@
         }
         Err(error) => {
             tracing::debug!(%error, "acceptance failed: the batch is retried");
-            // It may have happened. Trying again is harmless: jobs that two
-            // such records name are one job.
+            // The commit may have been executed. A retry is harmless: if two
+            // batch records contain the same job id, they describe one job.
             controller.admissions.requeue(batch.into_iter());
             sleep(
                 controller
@@ -143,14 +152,16 @@
     }
 }
 
-/// The commit that accepts a batch.
+/// Precondition list and write of the commit that accepts a batch.
 struct BatchCommit {
     preconditions: Vec<Precondition>,
     write: Write,
 }
 
-/// A single job gets a record of its own, several share the record of an accepted
-/// batch.
+/// Builds the commit that accepts a batch.
+///
+/// A single job gets its own job record; several jobs share one [`AcceptedBatch`]
+/// record.
 fn batch_commit(controller: &Controller, batch: &[PendingSubmission]) -> BatchCommit {
     let accepted_revision = controller.replica.borrow().revision;
     let mut preconditions: Vec<Precondition> = batch
@@ -181,18 +192,21 @@
     }
 }
 
-/// Completes the submissions whose keys exist by now, written by another controller
-/// or by a commit of our own that got no response; the rest go into the next commit.
+/// Completes the submissions whose job keys exist already, and requeues the others for
+/// the next commit.
+///
+/// An existing key was written by another controller, or by an earlier commit of this
+/// controller whose response was lost.
 fn resolve_conflict(
     controller: &Controller,
     batch: Vec<PendingSubmission>,
     conflicting_keys: &[String],
 ) {
-    let (known, rest): (Vec<PendingSubmission>, Vec<PendingSubmission>) = batch
+    let (known, remaining): (Vec<PendingSubmission>, Vec<PendingSubmission>) = batch
         .into_iter()
         .partition(|pending| conflicting_keys.contains(&job_key(&pending.id)));
     for pending in known {
         pending.complete(AcceptanceOutcome::AlreadyKnown);
     }
-    controller.admissions.requeue(rest.into_iter());
+    controller.admissions.requeue(remaining.into_iter());
 }
--- a/src/api/admissions.rs
+++ b/src/api/admissions.rs
@@ -1,5 +1,5 @@
-//! The state of the users' interface: the queue of submissions that wait for their
-//! commit, and when queries were last answered, for load shedding.
+//! State of the user API: the queue of submissions that wait for their commit, and the
+//! time of the latest answer to a query about each job, for load shedding.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -10,19 +10,20 @@
 
 use super::PendingSubmission;
 
-/// The queue of pending submissions, and the times of the latest query responses.
+/// Queue of pending submissions, and the times of the latest query responses.
 #[derive(Default)]
 pub struct Admissions {
-    /// Submissions that wait to be committed, in the order of their arrival.
+    /// Submissions that wait to be committed, in order of arrival.
     queue: RefCell<VecDeque<PendingSubmission>>,
-    /// Wakes the acceptance loop.
+    /// Notification that wakes the acceptance loop.
     queue_notify: Notify,
-    /// When this controller last answered a query about an open job.
+    /// Time at which this controller last answered a query about each open job, by job
+    /// id.
     last_answered: RefCell<HashMap<String, Instant>>,
 }
 
 impl Admissions {
-    /// Appends a submission to the queue, and wakes the acceptance loop.
+    /// Appends a submission to the queue and wakes the acceptance loop.
     pub(super) fn enqueue(&self, submission: PendingSubmission) {
         self.queue.borrow_mut().push_back(submission);
         self.queue_notify.notify_one();
@@ -33,17 +34,17 @@
         self.queue_notify.notified().await;
     }
 
-    /// Whether no submission waits.
+    /// Returns whether no submission is pending.
     pub(super) fn is_queue_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// Takes the first submission from the queue.
+    /// Removes and returns the first submission of the queue.
     pub(super) fn dequeue(&self) -> Option<PendingSubmission> {
         self.queue.borrow_mut().pop_front()
     }
 
-    /// Puts submissions back at the head of the queue, in their order.
+    /// Puts submissions back at the head of the queue, keeping their order.
     pub(super) fn requeue(&self, batch: impl DoubleEndedIterator<Item = PendingSubmission>) {
         let mut queue = self.queue.borrow_mut();
         for submission in batch.rev() {
@@ -51,25 +52,25 @@
         }
     }
 
-    /// Drops all submissions of the queue; their users are told to come back.
+    /// Drops all pending submissions. Their users get 503 with `Retry-After`.
     pub(super) fn reject_all(&self) {
         self.queue.borrow_mut().clear();
     }
 
-    /// The time since a query about this job was last answered here.
+    /// Returns the time since this controller last answered a query about the job.
     pub(super) fn time_since_answer(&self, id: &str) -> Option<Duration> {
         let last_answered = self.last_answered.borrow();
         last_answered.get(id).map(Instant::elapsed)
     }
 
-    /// Records that a query about this job has just been answered.
+    /// Records that a query about the job has just been answered.
     pub(super) fn record_answer(&self, id: &str) {
         let mut last_answered = self.last_answered.borrow_mut();
         last_answered.insert(id.to_string(), Instant::now());
     }
 
-    /// Drops the times of answers that were given at least `max_age` ago, which
-    /// bounds the memory that they take.
+    /// Drops the times of answers that are at least `max_age` old, to bound the memory
+    /// of the table.
     pub(crate) fn prune_answers(&self, max_age: Duration) {
         let mut last_answered = self.last_answered.borrow_mut();
         last_answered.retain(|_, answered_at| answered_at.elapsed() < max_age);
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,4 +1,5 @@
-//! `POST /submissions/{id}/withdraw`: cancels a job. The response follows the commit.
+//! `POST /submissions/{id}/withdraw`: cancels a job. The response is sent after the
+//! commit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,20 +19,20 @@
 use crate::state::replica::Versioned;
 use crate::wire::{JobStage, JobState};
 
-/// The longest that a cancellation takes; its user waits 5 s.
+/// Maximum duration of a cancellation. Users wait 5 s for the response.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// `POST /submissions/{id}/withdraw`.
+/// Handles `POST /submissions/{id}/withdraw`.
 pub(super) async fn withdraw(controller: &Rc<Controller>, id: &str) -> Response {
     if !is_job_id(id) {
         return no_such_job();
     }
-    // All waits together, that for the write budget included.
+    // The timeout covers all waits, including the wait for the write budget.
     let response = timeout(CANCEL_TIMEOUT, cancel(controller, id)).await;
     response.unwrap_or_else(|_| state_unavailable())
 }
 
-/// Tries until the job is over, or another try is futile.
+/// Tries to cancel a job until it is done or cancelled, or until a retry is futile.
 async fn cancel(controller: &Controller, id: &str) -> Response {
     let mut has_passed_barrier = false;
     loop {
@@ -44,19 +45,20 @@
         if controller.replica.borrow().is_unreadable_job(id) {
             return record_unreadable();
         }
-        let known = controller.replica.borrow().jobs.get(id).cloned();
-        match known {
+        let versioned_job = controller.replica.borrow().jobs.get(id).cloned();
+        match versioned_job {
             Some(job) => match commit_cancellation(controller, id, &job).await {
                 Ok(response) => return response,
-                // Surely not executed: the same may be tried again.
+                // 429: the commit was certainly not executed, so the same commit can be
+                // retried.
                 Err(StateClientError::Refused(429)) => {
                     back_off(controller).await;
                     continue;
                 }
-                // It changed meanwhile: look again.
+                // The job has changed meanwhile: read it again after a barrier.
                 Err(StateClientError::Conflict(_)) => {}
                 Err(error) if is_retry_futile(controller, &error) => return state_unavailable(),
-                // It may have changed.
+                // The commit may have been executed: read the job again after a barrier.
                 Err(_) => back_off(controller).await,
             },
             None if has_passed_barrier => return no_such_job(),
@@ -71,7 +73,7 @@
     }
 }
 
-/// Waits before the next try.
+/// Waits for a jittered interval before the next try.
 async fn back_off(controller: &Controller) {
     sleep(
         controller
@@ -81,15 +83,15 @@
     .await;
 }
 
-/// Commits the cancellation of an open job, and returns the response to its user.
+/// Commits the cancellation of an open job and returns the response to its user.
 async fn commit_cancellation(
     controller: &Controller,
     id: &str,
-    known: &Versioned<Job>,
+    versioned_job: &Versioned<Job>,
 ) -> Result<Response, StateClientError> {
-    let mut job = known.value.clone();
+    let mut job = versioned_job.value.clone();
     job.cancel();
-    let preconditions = vec![precondition(job_key(id), known.version)];
+    let preconditions = vec![precondition(job_key(id), versioned_job.version)];
     let writes = vec![controller.replica.borrow().put_job(id, &job)];
     controller
         .commit(RequestClass::Accept, preconditions, writes)
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -1,21 +1,23 @@
-//! `GET /up`: the response to the load balancer's health checks.
+//! `GET /up`: responds to the health checks of the load balancer.
 
 use tokio::time::Instant;
 
 use crate::controller::Controller;
 use crate::http::Response;
 
-/// Healthy means able to take requests. When no controller reaches the state
-/// service, leaving the balancer would only delay the return: all stay, and
-/// requests are answered with when to come back.
+/// Returns 200 if this controller can serve requests, and 503 otherwise.
+///
+/// If no controller can reach the state service, all controllers report healthy:
+/// removing them from the load balancer would only delay the recovery. They answer
+/// requests with 503 and `Retry-After` until then.
 pub(super) fn health(controller: &Controller) -> Response {
-    let state_serves_another = controller
+    let is_reachable_by_peer = controller
         .peers
         .borrow()
         .is_state_service_reachable_by_peer(controller, Instant::now());
     let is_loaded =
         controller.replica.borrow().loaded && controller.state_sync.last_barrier().is_some();
-    if is_loaded && (controller.is_state_service_reachable() || !state_serves_another) {
+    if is_loaded && (controller.is_state_service_reachable() || !is_reachable_by_peer) {
         Response::empty(200)
     } else {
         Response::unavailable("no contact with the state service", 1)
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,12 +1,11 @@
-//! The HTTP interface: what users, workers, probes and operators ask of a
-//! controller.
+//! HTTP API of a controller for users, workers, health checks and operators.
 //!
 //! - [`submission`], [`query`] and [`cancellation`] of jobs, for users.
-//! - [`validation`]: whether a submission is well formed, and can ever run.
+//! - [`validation`]: checks that a submission is well formed, and that its job can run.
 //! - [`acceptance`]: the loop that commits accepted submissions in batches.
 //! - [`admissions`]: the queue of pending submissions.
-//! - [`responses`]: the responses to users that several requests share.
-//! - [`health`]: the response to the load balancer's health checks.
+//! - [`responses`]: responses to users that several request handlers share.
+//! - [`health`]: the response to health checks of the load balancer.
 
 pub mod acceptance;
 pub mod admissions;
@@ -38,10 +37,10 @@
 pub use query::{job_state, should_shed_query};
 pub use validation::{SubmissionError, check_submission, read_submission};
 
-/// How long a request may take to arrive in full.
+/// Time within which a request must arrive in full, and its response must be sent.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The path of workers' heartbeats.
+/// Path of the workers' heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
 
 /// Serves users, workers, health checks and operators until dropped. Must run inside
@@ -51,7 +50,8 @@
         connections: controller.settings.served_connections(),
         idle: controller.settings.worker_lease() * 4,
         arrive: REQUEST_TIMEOUT,
-        // One connection for each machine, while there are connections for all.
+        // Workers' connections are kept open longest: one for each machine, as long as
+        // the connection limit allows it.
         stays: |request| request.path == HEARTBEAT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::ResponseFuture {
@@ -61,9 +61,10 @@
     crate::http::serve(listener, limits, handler).await;
 }
 
+/// Routes a request to its handler.
 async fn route(controller: &Rc<Controller>, request: Request) -> Response {
-    if let Some(rest) = request.path.strip_prefix("/submissions/") {
-        return route_job(controller, &request.method, rest).await;
+    if let Some(subpath) = request.path.strip_prefix("/submissions/") {
+        return route_job(controller, &request.method, subpath).await;
     }
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/up") => health(controller),
@@ -90,20 +91,21 @@
     }
 }
 
-/// Routes a request about one job; `rest` is the path after `/submissions/`.
-async fn route_job(controller: &Rc<Controller>, method: &str, rest: &str) -> Response {
-    match (method, rest.strip_suffix("/withdraw")) {
+/// Routes a request about one job. `subpath` is the path after `/submissions/`.
+async fn route_job(controller: &Rc<Controller>, method: &str, subpath: &str) -> Response {
+    match (method, subpath.strip_suffix("/withdraw")) {
         ("POST", Some(id)) => withdraw(controller, id).await,
-        ("GET", None) => query(controller, rest).await,
+        ("GET", None) => query(controller, subpath).await,
         _ => method_not_allowed(),
     }
 }
 
+/// Returns 405 for a known path with another method.
 fn method_not_allowed() -> Response {
     Response::error(405, "method not allowed")
 }
 
-/// `POST /agent/beat`: a worker's heartbeat.
+/// Handles `POST /agent/beat`, a worker's heartbeat.
 async fn heartbeat(controller: &Rc<Controller>, body: &[u8]) -> Response {
     match serde_json::from_slice::<WorkerStatus>(body) {
         Ok(status) => controller.heartbeat(status).await,
@@ -111,8 +113,8 @@
     }
 }
 
-/// Whether retrying a user's commit is futile for now: the state service serves
-/// nothing here, or would refuse the same again.
+/// Returns whether retrying a user's commit is futile for now, because the state
+/// service is unreachable from this controller or would refuse the same commit again.
 fn is_retry_futile(controller: &Controller, error: &StateClientError) -> bool {
     let exceeds_limits = matches!(
         error,
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -1,7 +1,8 @@
-//! `GET /submissions/{id}`: the state of a job.
+//! `GET /submissions/{id}`: returns the state of a job.
 //!
-//! A response that is not final, and 404, waits for a barrier, so that it is not
-//! older than what another controller has answered.
+//! Before a response that can still change (an unfinished job, or 404), the controller
+//! waits for a barrier, so that the response is not older than one that another
+//! controller has already given.
 
 use std::time::Duration;
 
@@ -13,10 +14,11 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobStage, JobState};
 
-/// The longest that a query takes; its user waits 2 s.
+/// Maximum duration of a query. Users wait 2 s for the response.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The state of a job, for users and operators; `None` for one that is not known.
+/// Returns the state of a job, for users and operators, or `None` if the replica does
+/// not contain the job.
 pub fn job_state<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
     let booked = job.booked_count() as u32;
@@ -34,17 +36,20 @@
     })
 }
 
-/// The state of a job that is over. It never changes, so it needs no barrier.
+/// Returns the response for a job that is done or cancelled, or `None` for any other.
+/// Such a state never changes again, so the response needs no barrier.
 pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Response> {
     let replica = controller.replica.borrow();
     let state = job_state(&replica, id).filter(JobState::is_final)?;
     Some(Response::json(200, &state))
 }
 
-/// Whether a query is shed: users ask more than can be answered, and the same job
-/// was answered here a short while ago, the time `since_answer`. Heartbeats, claims
-/// and submissions need the processor more; but every controller still answers
-/// about each job now and then, or the job would look forgotten.
+/// Returns whether a query is rejected to shed load.
+///
+/// A query is shed if this controller is overloaded, as its timer `lag` shows, and if
+/// it answered a query about the same job recently, `since_answer` ago. Heartbeats,
+/// claims and submissions have precedence for the CPU. Every controller still answers
+/// about each job at intervals: otherwise users would take the job for lost.
 pub fn should_shed_query(
     lag: Duration,
     since_answer: Option<Duration>,
@@ -55,7 +60,7 @@
     is_overloaded && since_answer.is_some_and(|age| age < min_interval)
 }
 
-/// `GET /submissions/{id}`.
+/// Handles `GET /submissions/{id}`.
 pub(super) async fn query(controller: &Controller, id: &str) -> Response {
     let admissions = &controller.admissions;
     let since_answer = admissions.time_since_answer(id);
@@ -70,7 +75,7 @@
     response
 }
 
-/// The state of a job, after a barrier that takes at most `limit`.
+/// Returns the response to a query. The barrier before it may take at most `limit`.
 pub(super) async fn query_within(controller: &Controller, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
         return no_such_job();
@@ -78,9 +83,9 @@
     if let Some(response) = final_state(controller, id) {
         return response;
     }
-    // Safety 1: anything else must not be older than what another controller
-    // has told; 404 included. Without the state service that is not to be had,
-    // and nobody is kept waiting for it.
+    // Safety 1: any other response, including 404, must not be older than one that
+    // another controller has given. This takes a barrier, which is impossible without
+    // the state service; the request then fails immediately instead of waiting.
     if !controller.is_state_service_reachable()
         || !controller.wait_for_barrier_unless_refused(limit).await
     {
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,32 +1,34 @@
-//! The responses to users that several requests share.
+//! Responses to users that several request handlers share.
 
 use super::validation::SubmissionError;
 use crate::http::Response;
 
-/// `Retry-After` in seconds: as soon as the protocol allows.
+/// Shortest `Retry-After` that the protocol allows, in seconds.
 pub(super) const RETRY_SOON: u32 = 1;
 
-/// `Retry-After` in seconds for a query that is shed.
+/// `Retry-After` for a query that is shed, in seconds.
 pub(super) const RETRY_SHED: u32 = 2;
 
-/// `Retry-After` in seconds where an operator has to step in: the maximum that
-/// users follow.
+/// `Retry-After` for a failure that an operator has to resolve, in seconds; the maximum
+/// that users follow.
 pub(super) const RETRY_LATE: u32 = 30;
 
+/// Returns 503 for a request that needs the state service while it is unreachable.
 pub(super) fn state_unavailable() -> Response {
     Response::unavailable("the state service does not answer", RETRY_SOON)
 }
 
-/// The job was accepted, but its record cannot be read.
+/// Returns 503 for a job that was accepted, but whose record cannot be read.
 pub(super) fn record_unreadable() -> Response {
     Response::unavailable("the job's record cannot be read", RETRY_LATE)
 }
 
+/// Returns 404 for a job that was never accepted.
 pub(super) fn no_such_job() -> Response {
     Response::error(404, "no such job")
 }
 
-/// The response to a submission that is not accepted.
+/// Converts a rejection into the response to its submission.
 impl From<SubmissionError> for Response {
     fn from(error: SubmissionError) -> Self {
         match error {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,7 +1,7 @@
 //! `POST /submissions`: validates a job and waits until it is committed.
 //!
-//! The response follows the commit. A request that cannot be served gets 503 with
-//! `Retry-After` at once.
+//! The response is sent after the commit. A request that cannot be served now gets 503
+//! with `Retry-After` immediately.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::state::records::JobSpec;
 use crate::wire::{JobStage, JobState, Submission};
 
-/// The longest that a submission takes; its user waits 5 s.
+/// Maximum duration of a submission. Users wait 5 s for the response.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// `POST /submissions`.
+/// Handles `POST /submissions`.
 pub(super) async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let submission = match read_submission(body) {
         Ok(submission) => submission,
         Err(error) => return error.into(),
@@ -34,7 +34,7 @@
     if let Some(response) = cannot_accept_now(controller, &submission) {
         return response;
     }
-    let remaining = || SUBMIT_TIMEOUT.saturating_sub(began.elapsed());
+    let remaining = || SUBMIT_TIMEOUT.saturating_sub(started_at.elapsed());
     let spec = match validate(controller, &submission, remaining()).await {
         Ok(spec) => spec,
         Err(response) => return response,
@@ -42,8 +42,8 @@
     accept(controller, &submission.id, spec, remaining()).await
 }
 
-/// The state of a job that is known already, whatever the repeated body says;
-/// `None` for a new job.
+/// Returns the response for a job that was accepted before, or `None` for a new job. The
+/// rest of a repeated submission is not compared with the accepted job.
 async fn query_known_job(controller: &Controller, id: &str, limit: Duration) -> Option<Response> {
     if controller.replica.borrow().is_unreadable_job(id) {
         return Some(record_unreadable());
@@ -55,15 +55,16 @@
     }
 }
 
-/// The response to a submission that cannot be taken now: refused at once, with
-/// the time after which to come back.
+/// Returns 503 with `Retry-After` for a submission that this controller cannot accept at
+/// present, and `None` for any other.
 fn cannot_accept_now(controller: &Controller, submission: &Submission) -> Option<Response> {
     let replica = controller.replica.borrow();
     if !replica.loaded || !controller.is_state_service_reachable() {
         return Some(state_unavailable());
     }
-    // Safety 8: a program that does not know `awaits` would start the job at
-    // once, and write its record back without.
+    // Safety 8: a controller of an earlier version that does not support `awaits` would
+    // start the job without waiting, and would drop the field when it rewrites the
+    // job's record.
     let has_dependencies = submission
         .dependencies
         .as_ref()
@@ -75,10 +76,12 @@
     None
 }
 
-/// The spec to record if the job can be accepted, and the response to its user if
-/// not. A permanent rejection is decided on a replica that has passed a barrier: it
-/// may else lag behind the acceptance of this very id, by a controller that knew
-/// other machine types, or behind that of a job that it depends on.
+/// Returns the spec to record if the job can be accepted, and the response to its user
+/// otherwise.
+///
+/// Before a permanent rejection the replica has to pass a barrier. Otherwise it might
+/// not contain yet that another controller, which has read other machine types, has
+/// accepted a job with the same id, or that a dependency has been accepted.
 async fn validate(
     controller: &Controller,
     submission: &Submission,
@@ -102,8 +105,11 @@
     }
 }
 
-/// Safety 1: accepted means committed. The commit's precondition makes a repeat,
-/// here or at another controller, find the first one.
+/// Enqueues a submission and waits for its outcome.
+///
+/// Safety 1: a job counts as accepted only after its commit. If the submission is
+/// repeated, here or at another controller, the commit's precondition fails, and the
+/// response describes the job that was accepted first.
 async fn accept(controller: &Controller, id: &str, spec: JobSpec, limit: Duration) -> Response {
     let (outcome_sender, outcome) = oneshot::channel();
     controller.admissions.enqueue(PendingSubmission {
@@ -116,14 +122,16 @@
         Ok(Ok(AcceptanceOutcome::AlreadyKnown)) => {
             query_within(controller, id, QUERY_TIMEOUT).await
         }
-        // The acceptance loop has given it up, or takes too long.
+        // The acceptance loop has dropped the submission, or the time limit has passed.
         Ok(Err(_)) | Err(_) => state_unavailable(),
     }
 }
 
-/// The response to a submission that has been committed. The commit's response may
-/// have taken long: whoever found the job meanwhile may have cancelled it, and been
-/// told so; or it depends on one that is cancelled, and is cancelled from the start.
+/// Returns the response to a submission that has been committed.
+///
+/// The job may be cancelled by now. The commit's response may have been delayed, and
+/// another request may have cancelled the job and been answered in the meantime. Or the
+/// job depends on a cancelled job, and counts as cancelled from the start.
 fn accepted(controller: &Controller, id: &str) -> Response {
     if let Some(response) = final_state(controller, id) {
         return response;
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,4 +1,5 @@
-//! Checks of a submission: first of its form, then of whether the job can ever run.
+//! Validation of submissions: first the form, then the question whether the job can
+//! ever run.
 
 use std::collections::BTreeSet;
 
@@ -8,35 +9,34 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, Submission};
 
-/// The maximum number of tasks of a job.
+/// Maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
 
-/// The maximum of any amount: of CPUs, gigabytes or seconds.
+/// Maximum of any amount, in CPUs, accelerators, gigabytes or seconds.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// The maximum length of the name of a class, team, image, machine type or zone, in
-/// bytes.
+/// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// The maximum number of machine types that a submission may name.
+/// Maximum number of machine types that a submission may name.
 const MAX_TYPES: usize = 64;
 
-/// What a job's record takes beside its spec before any task is booked, in bytes.
+/// Size of a job's record in addition to its spec before any task is booked, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 150;
 
-/// How many characters of a malformed id the error repeats.
+/// Maximum number of characters of a malformed id that an error quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// Why a submission is not accepted.
+/// Reason why a submission is not accepted.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// 400: its form is wrong, or no record can hold it.
+    /// 400: the submission is malformed, or too long for a record.
     #[error("malformed submission: {0}")]
     Malformed(String),
     /// 422: the job can never run.
     #[error("the job can never run: {0}")]
     Unsatisfiable(String),
-    /// 503: not decidable yet.
+    /// 503: this controller lacks the data to decide yet.
     #[error("not decidable yet")]
     Undecidable,
 }
@@ -49,7 +49,9 @@
     SubmissionError::Unsatisfiable(problem.into())
 }
 
-/// Deserializes a submission and checks its form; 400 on failure.
+/// Deserializes a submission and checks its form.
+///
+/// Fails with [`SubmissionError::Malformed`], which users see as 400.
 pub fn read_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let submission = parse(body)?;
     check_identity(&submission)?;
@@ -127,8 +129,10 @@
     }
 }
 
-/// Whether the job can ever run: 422 if not, 503 if that is not known yet.
-/// Returns what is to be recorded of it.
+/// Checks whether a submitted job can ever run, and returns the spec to record.
+///
+/// Fails with [`SubmissionError::Unsatisfiable`] (422) if the job can never run, and
+/// with [`SubmissionError::Undecidable`] (503) if this controller cannot decide yet.
 pub fn check_submission(
     submission: &Submission,
     settings: &Settings,
@@ -142,14 +146,15 @@
     check_spread(&spec, zones)?;
     check_team_quota(&spec, team)?;
     check_dependencies(&spec, replica)?;
-    // A job that is done stays done: the record does not need the dependency.
+    // A done job stays done, so the record does not need the dependency on it.
     spec.dependencies
         .retain(|id| replica.effective_status(id) != Some(JobStatus::Done));
     check_record_size(&spec, settings, replica)?;
     Ok(spec)
 }
 
-/// The number of zones in which the cloud offers machines that a task fits on.
+/// Returns the number of allowed zones in which the cloud offers a machine type that a
+/// task fits on.
 fn usable_zones(
     spec: &JobSpec,
     settings: &Settings,
@@ -160,14 +165,20 @@
         return Err(SubmissionError::Undecidable);
     }
     let configured = &settings.deployment.zones;
-    if spec.zone.as_ref().is_some_and(|z| !configured.contains(z)) {
+    if spec
+        .zone
+        .as_ref()
+        .is_some_and(|zone| !configured.contains(zone))
+    {
         return Err(unsatisfiable("yard: unknown zone"));
     }
     let zones: BTreeSet<&str> = types
         .iter()
-        .filter(|t| spec.allows_type(&t.name) && t.resources().fits(&spec.need))
-        .flat_map(|t| t.zones.iter().map(String::as_str))
-        .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
+        .filter(|machine_type| {
+            spec.allows_type(&machine_type.name) && machine_type.resources().fits(&spec.need)
+        })
+        .flat_map(|machine_type| machine_type.zones.iter().map(String::as_str))
+        .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == zone))
         .collect();
     match zones.len() {
         0 => Err(unsatisfiable("a task fits no allowed machine type")),
@@ -175,8 +186,8 @@
     }
 }
 
-/// A gang runs all of its tasks or none: one that has to be spread over more zones
-/// than it may use never runs.
+/// Rejects a gang that has to be spread over more zones than it may use. Such a gang
+/// could never run, because all its tasks have to run at the same time.
 fn check_spread(spec: &JobSpec, zones: usize) -> Result<(), SubmissionError> {
     let zones_at_once = if spec.one_zone { 1 } else { zones };
     let max_per_zone = spec.tasks.div_ceil(2) as usize;
@@ -187,6 +198,8 @@
     Ok(())
 }
 
+/// Rejects a job that exceeds its team's limit with the tasks that have to run at the
+/// same time.
 fn check_team_quota(spec: &JobSpec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
         JobKind::Array => 1,
@@ -198,8 +211,8 @@
     }
 }
 
-/// All dependencies have to be accepted jobs. A job that depends on itself is
-/// rejected, too: its own id is not known yet.
+/// Rejects a job with a dependency on a job that has not been accepted. This includes a
+/// job that depends on itself, because its own id has not been accepted yet.
 fn check_dependencies(spec: &JobSpec, replica: &Replica) -> Result<(), SubmissionError> {
     if spec
         .dependencies
@@ -218,8 +231,10 @@
     }
 }
 
-/// Whether records can hold the job while it waits, and while tasks of it run. The
-/// dependencies leave the record before the first task is booked.
+/// Rejects a job that is too long for a record, while it waits or while its tasks run.
+///
+/// Dependencies count only for the waiting job: they are removed from the record before
+/// the first task is booked.
 fn check_record_size(
     spec: &JobSpec,
     settings: &Settings,
@@ -229,8 +244,8 @@
     let dependency_bytes = spec.dependencies_bytes();
     let max_bytes = settings.value_limit_bytes();
     let exceeds_limit = if settings.limits_will_fall() {
-        // Record sizes are limited: reject a job that could not be written, or not run
-        // within one record.
+        // The state service will lower its limits: reject a job whose record could then
+        // not be written, or not hold even one running task or gang.
         let waiting = bytes + RECORD_OVERHEAD_BYTES;
         let running =
             min_running_record_bytes(spec, settings, replica).saturating_sub(dependency_bytes);
@@ -244,13 +259,14 @@
     }
 }
 
-/// The bytes of the smallest record in which one task or one gang runs.
+/// Returns the size of the smallest record in which one task or one gang runs, in bytes.
 fn min_running_record_bytes(spec: &JobSpec, settings: &Settings, replica: &Replica) -> usize {
     let machine = longest_name(replica.machines.keys());
     let zone = longest_name(settings.deployment.zones.iter());
     scheduler::min_record_bytes(spec, machine, zone)
 }
 
+/// Returns the longest of some names, or an empty string if there are none.
 fn longest_name<'a>(names: impl Iterator<Item = &'a String>) -> &'a str {
     names
         .max_by_key(|name| name.len())
