--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -47,12 +47,12 @@
 /// a `LocalSet`.
 pub async fn serve(controller: Rc<Controller>, listener: Listener) {
     let limits = ServerLimits {
-        connections: controller.settings.served_connections(),
-        idle: controller.settings.worker_lease() * 4,
-        arrive: REQUEST_TIMEOUT,
+        max_connections: controller.settings.served_connections(),
+        idle_timeout: controller.settings.worker_lease() * 4,
+        request_timeout: REQUEST_TIMEOUT,
         // Workers' connections are kept open longest: one for each machine, as long as
         // the connection limit allows it.
-        stays: |request| request.path == HEARTBEAT_PATH,
+        is_preferred: |request| request.path == HEARTBEAT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::ResponseFuture {
         let controller = controller.clone();
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::error::{CliError, EXIT_UNDONE};
+use super::error::{CliError, EXIT_UNFINISHED};
 use super::render::{job_text, report_text, teams_text};
-use super::{EXIT_DONE, runtime};
+use super::{EXIT_SUCCESS, runtime};
 use crate::http::{CallError, Client, Response};
 use crate::introspection::{FleetReport, JobDetails, TeamDetails};
 use crate::net::Net;
@@ -32,22 +32,22 @@
     pub(super) fn show_job(&self, id: &str) -> Result<u8, CliError> {
         let details: JobDetails = self.get(&format!("/ops/job/{id}"))?;
         self.print(&details, job_text)?;
-        Ok(EXIT_DONE)
+        Ok(EXIT_SUCCESS)
     }
 
     pub(super) fn show_teams(&self) -> Result<u8, CliError> {
         let teams: Vec<TeamDetails> = self.get("/ops/teams")?;
         self.print(&teams, |teams| teams_text(teams))?;
-        Ok(EXIT_DONE)
+        Ok(EXIT_SUCCESS)
     }
 
     pub(super) fn show_report(&self) -> Result<u8, CliError> {
         let report = self.get_report()?;
         self.print(&report, report_text)?;
         Ok(if report.unfinished > 0 {
-            EXIT_UNDONE
+            EXIT_UNFINISHED
         } else {
-            EXIT_DONE
+            EXIT_SUCCESS
         })
     }
 
@@ -77,7 +77,7 @@
     ) -> Result<T, CliError> {
         let response = self.call(method, path, body)?;
         match response.status {
-            400..=499 => Err(CliError::WrongArguments(error_reason(&response))),
+            400..=499 => Err(CliError::InvalidArguments(error_reason(&response))),
             _ => self.read(&response),
         }
     }
@@ -104,7 +104,7 @@
     }
 
     fn refused(&self, response: &Response) -> CliError {
-        CliError::Refused {
+        CliError::Rejected {
             controller: self.node,
             reason: error_reason(response),
         }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -11,9 +11,9 @@
 /// The exit code when a command could not be carried out.
 pub const EXIT_FAILED: u8 = 1;
 /// The exit code when arguments, settings or a policy are wrong.
-pub const EXIT_WRONG: u8 = 2;
+pub const EXIT_INVALID: u8 = 2;
 /// The exit code when `report` found unfinished work.
-pub const EXIT_UNDONE: u8 = 3;
+pub const EXIT_UNFINISHED: u8 = 3;
 
 /// A value of the environment variable `LOG_LEVEL` that is not known.
 #[derive(Debug, thiserror::Error)]
@@ -24,7 +24,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CliError {
     #[error("--config FILE is needed to run")]
-    NoConfig,
+    MissingConfig,
     #[error(transparent)]
     LogLevel(#[from] LogLevelError),
     #[error(transparent)]
@@ -39,10 +39,10 @@
     Features(#[from] FeaturesError),
     /// An amount of a move that no controller would take.
     #[error("an amount is negative, too large or not a number")]
-    Amount,
+    InvalidAmount,
     /// A running controller says that the arguments are wrong.
     #[error("{0}")]
-    WrongArguments(String),
+    InvalidArguments(String),
     #[error("{0}")]
     Runtime(std::io::Error),
     #[error("{0}")]
@@ -55,7 +55,7 @@
     },
     /// A running controller has refused what it was asked.
     #[error("{controller}: {reason}")]
-    Refused {
+    Rejected {
         controller: SocketAddrV4,
         reason: String,
     },
@@ -66,19 +66,19 @@
 impl CliError {
     pub(super) fn exit_code(&self) -> u8 {
         match self {
-            CliError::NoConfig
+            CliError::MissingConfig
             | CliError::LogLevel(_)
             | CliError::Settings(_)
             | CliError::PolicyFile { .. }
             | CliError::Policy(_)
             | CliError::FeaturesFile { .. }
             | CliError::Features(_)
-            | CliError::Amount
-            | CliError::WrongArguments(_) => EXIT_WRONG,
+            | CliError::InvalidAmount
+            | CliError::InvalidArguments(_) => EXIT_INVALID,
             CliError::Runtime(_)
             | CliError::Controller(_)
             | CliError::Call { .. }
-            | CliError::Refused { .. }
+            | CliError::Rejected { .. }
             | CliError::Json(_) => EXIT_FAILED,
         }
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -25,12 +25,12 @@
 use crate::policy::Policy;
 use crate::settings::{Features, Settings};
 
-pub use error::{EXIT_FAILED, EXIT_UNDONE, EXIT_WRONG, LogLevelError};
-pub use render::{explain, job_text, report_text, span_text, teams_text};
+pub use error::{EXIT_FAILED, EXIT_INVALID, EXIT_UNFINISHED, LogLevelError};
+pub use render::{job_text, policy_text, report_text, span_text, teams_text};
 pub use share::{moves_text, shares_text};
 
 /// The exit code of a command that was carried out.
-const EXIT_DONE: u8 = 0;
+const EXIT_SUCCESS: u8 = 0;
 
 /// A small cluster scheduler that admits gangs whole, by zone.
 #[derive(Debug, Parser)]
@@ -103,7 +103,7 @@
         (None, Some(config)) => {
             run_controller(&config, cli.policy.as_deref(), cli.features_file.as_deref())
         }
-        (None, None) => Err(CliError::NoConfig),
+        (None, None) => Err(CliError::MissingConfig),
     };
     match outcome {
         Ok(code) => ExitCode::from(code),
@@ -153,7 +153,7 @@
             daemon::run(Controller::new(settings, Net::System, seed)).await
         })
         .map_err(CliError::Controller)?;
-    Ok(EXIT_DONE)
+    Ok(EXIT_SUCCESS)
 }
 
 fn start_logging(level: LevelFilter) {
@@ -175,15 +175,15 @@
         settings.deployment.zones.len(),
         settings.deployment.teams.len()
     );
-    Ok(EXIT_DONE)
+    Ok(EXIT_SUCCESS)
 }
 
 fn check_policy(file: Option<&Path>, quiet: bool) -> Result<u8, CliError> {
     let policy = read_policy(file)?;
     if !quiet {
-        print!("{}", explain(&policy));
+        print!("{}", policy_text(&policy));
     }
-    Ok(EXIT_DONE)
+    Ok(EXIT_SUCCESS)
 }
 
 fn read_policy(file: Option<&Path>) -> Result<Policy, CliError> {
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -176,7 +176,7 @@
 }
 
 /// The rules of a policy, and the variables that rules may use.
-pub fn explain(policy: &Policy) -> String {
+pub fn policy_text(policy: &Policy) -> String {
     let mut text = String::new();
     for expression in policy.rules() {
         let rule = expression.rule;
--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use shares::MoveState;
 
-use super::EXIT_DONE;
+use super::EXIT_SUCCESS;
 use super::client::ControllerArgs;
 use super::error::CliError;
 use crate::accounting::{
@@ -95,7 +95,7 @@
                     gpus,
                     memory_gb,
                 };
-                amount.resources().ok_or(CliError::Amount)?;
+                amount.resources().ok_or(CliError::InvalidAmount)?;
                 let request = MoveRequest {
                     id: id.unwrap_or_else(random_id),
                     team,
@@ -107,7 +107,7 @@
                 request_move(&controller, &request)?;
             }
         }
-        Ok(EXIT_DONE)
+        Ok(EXIT_SUCCESS)
     }
 }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -162,13 +162,13 @@
 /// Creates the client for the state service and the cloud.
 fn new_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
-    client.bounded(usize::MAX, settings.max_response_bytes())
+    client.with_limits(usize::MAX, settings.max_response_bytes())
 }
 
 /// Creates the client for direct commands to workers.
 fn new_worker_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
-    client.bounded(
+    client.with_limits(
         settings.command_connections(),
         BODY_LIMIT * MAX_WORKER_RESPONSE_BODIES,
     )
--- a/src/gossip/sender.rs
+++ b/src/gossip/sender.rs
@@ -26,7 +26,7 @@
     loop {
         sleep(interval).await;
         if stream.is_none() {
-            let dial = controller.net.dial(addr);
+            let dial = controller.net.connect(addr);
             stream = timeout(interval, dial).await.ok().and_then(Result::ok);
         }
         let Some(conn) = &mut stream else { continue };
--- a/src/http/client/mod.rs
+++ b/src/http/client/mod.rs
@@ -1,7 +1,8 @@
-//! The client, which sends one request at a time on each connection and reuses idle
+//! HTTP client that sends one request at a time on each connection and reuses idle
 //! connections.
 //!
-//! `pool` keeps the connections, `response` reads responses.
+//! - `pool`: open connections.
+//! - `response`: reading and parsing of responses.
 
 mod pool;
 mod response;
@@ -21,41 +22,42 @@
 
 pub(super) use pool::OpenConnection;
 
-/// Why a call has no response.
+/// Reason why a call failed without a response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing left this process: surely not executed.
+    /// No byte of the request has been sent, so the server has certainly not executed it.
     #[error("not connected: {0}")]
     NotSent(String),
-    /// Sent, at least in part: executed or not, now or later.
-    #[error("no answer: {0}")]
-    NoAnswer(String),
-    /// The response is not what was expected.
-    #[error("malformed answer: {0}")]
+    /// At least a part of the request was sent, but no response arrived. The server may
+    /// have executed the request, or may still execute it.
+    #[error("no response: {0}")]
+    NoResponse(String),
+    /// The body of the response is not the expected JSON.
+    #[error("malformed response: {0}")]
     Malformed(String),
-    /// The response is longer than the client reads.
-    #[error("answer too large")]
+    /// The response exceeds the client's maximum size.
+    #[error("response too large")]
     TooLarge,
 }
 
-/// The deadlines of a call: for sending its request, and for its response.
+/// Deadlines of a call, for sending its request and for its response.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// A request that has not been sent by then is not sent any more.
+    /// Time from which on the request may no longer be sent.
     pub send: Instant,
-    /// A request without a response by then counts as unanswered.
-    pub answer: Instant,
+    /// Time at which a missing response becomes [`CallError::NoResponse`].
+    pub response: Instant,
 }
 
-/// An HTTP client that keeps connections to each address open.
+/// HTTP client that keeps connections to each address open.
 pub struct Client {
     pool: ConnectionPool,
-    /// The maximum bytes of a response.
+    /// Maximum size of a response, in bytes.
     max_response_bytes: usize,
 }
 
 impl Client {
-    /// A client that reuses connections if they were idle for less than `max_idle`.
+    /// Returns a client that reuses connections that were idle for less than `max_idle`.
     pub fn new(net: Net, max_idle: Duration) -> Self {
         Client {
             pool: ConnectionPool::new(net, max_idle),
@@ -63,42 +65,44 @@
         }
     }
 
-    /// The same client with other limits on open connections and on a response's
-    /// bytes.
+    /// Returns this client with the given limits on the number of open connections and
+    /// on the size of a response in bytes.
     #[must_use]
-    pub fn bounded(self, max_connections: usize, max_response_bytes: usize) -> Self {
+    pub fn with_limits(self, max_connections: usize, max_response_bytes: usize) -> Self {
         Client {
-            pool: self.pool.bounded(max_connections),
+            pool: self.pool.with_max_open(max_connections),
             max_response_bytes,
         }
     }
 
-    /// How many connections are open, in use or idle.
+    /// Returns the number of open connections, in use or idle.
     pub fn connections(&self) -> usize {
         self.pool.open_connections()
     }
 
-    /// Sends a request and reads its response, both within `limit`.
+    /// Sends a request and reads its response, both within `timeout`.
     pub async fn call(
         &self,
         addr: SocketAddrV4,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, CallError> {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let deadlines = Deadlines {
             send: deadline,
-            answer: deadline,
+            response: deadline,
         };
-        self.call_within(addr, method, path, body, deadlines).await
+        self.call_with_deadlines(addr, method, path, body, deadlines)
+            .await
     }
 
-    /// The same for a call that was decided on earlier. A request that has not been
-    /// sent by its deadline is not sent any more: a process that was paused would
-    /// else act on a decision that is out of date.
-    pub async fn call_within(
+    /// Sends a request before one deadline and reads its response before another.
+    ///
+    /// The request is not sent after `deadlines.send`. Otherwise a process that was
+    /// paused after the decision to send the request would act on outdated state.
+    pub async fn call_with_deadlines(
         &self,
         addr: SocketAddrV4,
         method: &str,
@@ -108,20 +112,21 @@
     ) -> Result<Response, CallError> {
         let mut connection = self.pool.acquire(addr, deadlines.send).await?;
         let request = request_bytes(addr, method, path, &body.unwrap_or_default());
-        // A timeout alone looks at the clock only after its future has run.
+        // A timeout polls its future before it checks the clock, so it would not prevent
+        // a late send.
         if Instant::now() >= deadlines.send {
-            return Err(CallError::NotSent("too late to send".into()));
+            return Err(CallError::NotSent("send deadline passed".into()));
         }
         let exchange = async {
             connection.stream.write_all(&request).await?;
             read_response(&mut connection.stream, self.max_response_bytes).await
         };
-        match timeout_at(deadlines.answer, exchange).await {
-            Err(_) => Err(CallError::NoAnswer("timed out".into())),
+        match timeout_at(deadlines.response, exchange).await {
+            Err(_) => Err(CallError::NoResponse("timed out".into())),
             Ok(Err(error)) if error.kind() == io::ErrorKind::FileTooLarge => {
                 Err(CallError::TooLarge)
             }
-            Ok(Err(error)) => Err(CallError::NoAnswer(error.to_string())),
+            Ok(Err(error)) => Err(CallError::NoResponse(error.to_string())),
             Ok(Ok(ReceivedResponse {
                 response,
                 keep_alive,
@@ -134,12 +139,13 @@
         }
     }
 
-    /// Closes connections that have been idle too long.
-    pub fn sweep(&self) {
+    /// Closes connections that have been idle for too long to be reused.
+    pub fn close_expired_connections(&self) {
         self.pool.close_expired();
     }
 }
 
+/// Encodes a request with a JSON body.
 fn request_bytes(addr: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
--- a/src/http/client/pool.rs
+++ b/src/http/client/pool.rs
@@ -1,5 +1,5 @@
-//! The client's connections: those that are idle are kept for each address, and the
-//! number of open ones is limited.
+//! Connection pool of the client. Idle connections are kept for each address, and the
+//! number of open connections is limited.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,19 +13,20 @@
 use super::CallError;
 use crate::net::{Net, Stream};
 
-/// How many idle connections are kept for each address.
+/// Maximum number of idle connections that are kept for each address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// Counts one open connection for as long as it lives.
+/// Guard that counts one open connection until it is dropped.
 pub(in crate::http) struct OpenConnection(Rc<Cell<usize>>);
 
 impl OpenConnection {
+    /// Increments the shared counter `open`.
     pub(in crate::http) fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         OpenConnection(open.clone())
     }
 
-    /// How many connections are open.
+    /// Returns the shared counter of open connections.
     pub(in crate::http) fn count(&self) -> &Cell<usize> {
         &self.0
     }
@@ -37,31 +38,34 @@
     }
 }
 
-/// An open connection.
+/// Open connection.
 pub(super) struct Connection {
     pub(super) stream: Stream,
     _open: OpenConnection,
 }
 
-/// An open connection that no request uses.
+/// Open connection that no request uses.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-/// Keeps connections open for each address.
+/// Pool of open connections to each address.
 pub(super) struct ConnectionPool {
     net: Net,
-    /// The idle connections of each address, the one that became idle last at the end.
+    /// Idle connections of each address; the most recently used connection is the last.
     idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
-    /// A connection that was idle for longer is not reused: it may be closed.
+    /// Maximum idle time of a connection that is reused. After a longer time the server
+    /// may have closed it.
     max_idle: Duration,
-    /// How many connections are open, in use or idle.
+    /// Number of open connections, in use or idle.
     open: Rc<Cell<usize>>,
+    /// Maximum number of open connections.
     max_open: usize,
 }
 
 impl ConnectionPool {
+    /// Returns an empty pool without a limit on open connections.
     pub(super) fn new(net: Net, max_idle: Duration) -> Self {
         ConnectionPool {
             net,
@@ -72,18 +76,18 @@
         }
     }
 
-    /// The same pool with another limit on open connections.
+    /// Returns this pool with the given limit on open connections.
     #[must_use]
-    pub(super) fn bounded(self, max_open: usize) -> Self {
+    pub(super) fn with_max_open(self, max_open: usize) -> Self {
         ConnectionPool { max_open, ..self }
     }
 
-    /// How many connections are open, in use or idle.
+    /// Returns the number of open connections, in use or idle.
     pub(super) fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes the connection to `addr` that became idle last, or opens a new one by
+    /// Returns the most recently used idle connection to `addr`, or opens a new one before
     /// the deadline.
     pub(super) async fn acquire(
         &self,
@@ -97,7 +101,8 @@
         }
     }
 
-    /// Keeps a connection for the next request to its address.
+    /// Returns a connection to the pool for the next request to its address, or closes it
+    /// if enough connections to the address are idle.
     pub(super) fn release(&self, addr: SocketAddrV4, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(addr).or_default();
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Closes connections that have been idle for `max_idle`.
+    /// Closes connections that have been idle for at least `max_idle`.
     pub(super) fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
@@ -118,10 +123,12 @@
         idle.retain(|_, list| !list.is_empty());
     }
 
+    /// Removes the most recently used idle connection to an address from the pool.
     fn take_idle(&self, addr: SocketAddrV4) -> Option<IdleConnection> {
         self.idle.borrow_mut().get_mut(&addr)?.pop()
     }
 
+    /// Opens a connection before the deadline.
     async fn connect_until(
         &self,
         addr: SocketAddrV4,
@@ -130,24 +137,27 @@
         match timeout_at(deadline, self.connect(addr)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) => Err(CallError::NotSent(error.to_string())),
-            Err(_) => Err(CallError::NotSent("connecting took too long".into())),
+            Err(_) => Err(CallError::NotSent("connect timed out".into())),
         }
     }
 
+    /// Opens a connection. At the limit, closes an idle one first.
     async fn connect(&self, addr: SocketAddrV4) -> io::Result<Connection> {
         if self.open.get() >= self.max_open {
             self.close_longest_idle()?;
         }
-        // Counted from here on, as several may connect at once.
+        // Counted before the connection is established, because several tasks may be
+        // connecting at the same time.
         let open = OpenConnection::new(&self.open);
-        let stream = self.net.dial(addr).await?;
+        let stream = self.net.connect(addr).await?;
         Ok(Connection {
             stream,
             _open: open,
         })
     }
 
-    /// Closes the connection that has been idle longest; fails when all are in use.
+    /// Closes the connection that has been idle for the longest time. Fails if all
+    /// connections are in use.
     fn close_longest_idle(&self) -> io::Result<()> {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
--- a/src/http/client/response.rs
+++ b/src/http/client/response.rs
@@ -1,4 +1,4 @@
-//! Reading a response from a connection.
+//! Reads and parses a response from a connection.
 
 use std::io;
 
@@ -7,7 +7,7 @@
 use crate::http::{MAX_HEADERS, Response};
 use crate::net::Stream;
 
-/// The capacity that is reserved for each read, in bytes.
+/// Free buffer capacity that is reserved for each read, in bytes.
 const READ_BYTES: usize = 4096;
 
 fn malformed(problem: &str) -> io::Error {
@@ -18,8 +18,8 @@
     io::Error::from(io::ErrorKind::FileTooLarge)
 }
 
-/// Reads further bytes into the buffer; fails at the end of the stream, and when the
-/// buffer holds more than `limit` already.
+/// Reads further bytes into the buffer. Fails at the end of the stream, and if the buffer
+/// already contains more than `limit` bytes.
 async fn read_more(stream: &mut Stream, buffer: &mut Vec<u8>, limit: usize) -> io::Result<()> {
     if buffer.len() > limit {
         return Err(too_large());
@@ -31,45 +31,51 @@
     }
 }
 
-/// The head of a response.
+/// Status and relevant headers of a response.
 struct ResponseHead {
     status: u16,
-    /// The bytes that it takes.
+    /// Length of the head, in bytes.
     len: usize,
-    /// What marks the end of the body.
-    body: BodyEnd,
+    /// Framing of the body that follows.
+    body: BodyFraming,
     /// `Retry-After`, in seconds.
     retry_after: Option<u32>,
+    /// True if the connection can be used for another request.
     keep_alive: bool,
 }
 
-/// What marks the end of a body.
+/// Framing of a body, which determines its end.
 #[derive(Clone, Copy)]
-enum BodyEnd {
+enum BodyFraming {
+    /// Chunked transfer encoding.
     Chunked,
+    /// `Content-Length`, in bytes.
     Length(usize),
-    /// The end of the connection.
+    /// Body that ends when the server closes the connection.
     Close,
 }
 
-/// The headers of a response that the client acts on.
+/// Headers of a response that the client evaluates.
 #[derive(Default)]
 struct HeaderFields {
     content_length: Option<usize>,
     is_chunked: bool,
-    /// The server closes the connection.
+    /// True if the server closes the connection after the response.
     closes: bool,
     /// `Retry-After`, in seconds.
     retry_after: Option<u32>,
 }
 
 impl HeaderFields {
+    /// Extracts the relevant headers.
     fn read(headers: &[httparse::Header]) -> io::Result<Self> {
         let mut fields = HeaderFields::default();
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                let length = value.parse().map_err(|_| malformed("content-length"))?;
+                let length = value
+                    .parse()
+                    .map_err(|_| malformed("invalid content-length"))?;
                 fields.content_length = Some(length);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 fields.is_chunked = value.eq_ignore_ascii_case("chunked");
@@ -82,16 +88,17 @@
         Ok(fields)
     }
 
-    fn body_end(&self) -> BodyEnd {
+    /// Returns the framing of the body that the headers announce.
+    fn body_framing(&self) -> BodyFraming {
         match self.content_length {
-            _ if self.is_chunked => BodyEnd::Chunked,
-            Some(length) => BodyEnd::Length(length),
-            None => BodyEnd::Close,
+            _ if self.is_chunked => BodyFraming::Chunked,
+            Some(length) => BodyFraming::Length(length),
+            None => BodyFraming::Close,
         }
     }
 }
 
-/// Parses the head at the start of `buffer`; `None` if more bytes are needed.
+/// Parses the head at the start of `buffer`. Returns `None` if more bytes are needed.
 fn parse_head(buffer: &[u8]) -> io::Result<Option<ResponseHead>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -101,25 +108,25 @@
         Err(error) => return Err(malformed(&error.to_string())),
     };
     let fields = HeaderFields::read(head.headers)?;
-    let body = fields.body_end();
+    let body = fields.body_framing();
     let keeps_alive = head.version == Some(1) && !fields.closes;
     Ok(Some(ResponseHead {
         status: head.code.unwrap_or(0),
         len,
         body,
         retry_after: fields.retry_after,
-        keep_alive: keeps_alive && !matches!(body, BodyEnd::Close),
+        keep_alive: keeps_alive && !matches!(body, BodyFraming::Close),
     }))
 }
 
-/// A response, as the client has received it.
+/// Response that the client has received, with the state of its connection.
 pub(super) struct ReceivedResponse {
     pub(super) response: Response,
-    /// Whether the connection may be used again.
+    /// True if the connection can be used for another request.
     pub(super) keep_alive: bool,
 }
 
-/// Reads a response of at most `limit` bytes.
+/// Reads a response whose head and body have at most `limit` bytes each.
 pub(super) async fn read_response(
     stream: &mut Stream,
     limit: usize,
@@ -144,16 +151,16 @@
     })
 }
 
-/// Reads the rest of a body, whose start has arrived with the head.
+/// Reads the rest of a body. `body` contains the bytes that arrived with the head.
 async fn read_body(
     stream: &mut Stream,
     mut body: Vec<u8>,
-    end: BodyEnd,
+    framing: BodyFraming,
     limit: usize,
 ) -> io::Result<Vec<u8>> {
-    match end {
-        BodyEnd::Chunked => return read_chunks(stream, body, limit).await,
-        BodyEnd::Length(length) => {
+    match framing {
+        BodyFraming::Chunked => return read_chunks(stream, body, limit).await,
+        BodyFraming::Length(length) => {
             if length > limit {
                 return Err(too_large());
             }
@@ -163,12 +170,13 @@
             }
             body.truncate(length);
         }
-        BodyEnd::Close => while read_more(stream, &mut body, limit).await.is_ok() {},
+        BodyFraming::Close => while read_more(stream, &mut body, limit).await.is_ok() {},
     }
     Ok(body)
 }
 
-/// Reads a body in the chunked transfer encoding.
+/// Reads a body in chunked transfer encoding. `buffer` contains the bytes that arrived
+/// with the head.
 async fn read_chunks(
     stream: &mut Stream,
     mut buffer: Vec<u8>,
@@ -177,10 +185,10 @@
     let mut body = Vec::new();
     loop {
         match httparse::parse_chunk_size(&buffer) {
-            Err(_) => return Err(malformed("chunk size")),
+            Err(_) => return Err(malformed("invalid chunk size")),
             Ok(httparse::Status::Partial) => read_more(stream, &mut buffer, limit).await?,
             Ok(httparse::Status::Complete((used, size))) => {
-                let size = usize::try_from(size).map_err(|_| malformed("chunk size"))?;
+                let size = usize::try_from(size).map_err(|_| malformed("invalid chunk size"))?;
                 if body.len().saturating_add(size) > limit {
                     return Err(too_large());
                 }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,38 +1,38 @@
-//! Requests and responses, and their encoding on a connection.
+//! HTTP requests and responses: parsing of requests, and encoding of responses.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::{BODY_LIMIT, CallError, HEAD_LIMIT, MAX_HEADERS};
 
-/// A request, as the server has received it.
+/// Request that the server has received.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The method, as it was sent.
+    /// Method, such as `GET`.
     pub method: String,
-    /// The target up to the `?`.
+    /// Request target up to the `?`.
     pub path: String,
-    /// What follows the `?`; empty if there is none.
+    /// Query string after the `?`; empty if there is none.
     pub query: String,
-    /// The body.
+    /// Body, without transfer encoding.
     pub body: Vec<u8>,
 }
 
-/// A response, to be sent by the server or read by the client.
+/// Response that the server sends or the client has received.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body: JSON, unless `text` is set.
+    /// Body: JSON, unless `text` is set.
     pub body: Vec<u8>,
     /// `Retry-After`, in whole seconds.
     pub retry_after: Option<u32>,
-    /// The body is plain text.
+    /// True if the body is plain text.
     pub text: bool,
 }
 
 impl Response {
-    /// An empty JSON object.
+    /// Returns a response with an empty JSON object.
     pub fn empty(status: u16) -> Self {
         Response {
             status,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A value as JSON.
+    /// Returns a response with a value as JSON.
     pub fn json<T: Serialize>(status: u16, value: &T) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Response {
@@ -53,12 +53,12 @@
         }
     }
 
-    /// An object that names the problem.
+    /// Returns an error response, `{"error": problem}`.
     pub fn error(status: u16, problem: &str) -> Self {
         Response::json(status, &serde_json::json!({ "error": problem }))
     }
 
-    /// 503, and after how many seconds the client may come back.
+    /// Returns a 503 response. The client may retry after `retry_after` seconds.
     pub fn unavailable(problem: &str, retry_after: u32) -> Self {
         Response {
             retry_after: Some(retry_after),
@@ -66,13 +66,13 @@
         }
     }
 
-    /// The body as a value.
+    /// Deserializes the body from JSON.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|error| CallError::Malformed(error.to_string()))
     }
 }
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -93,24 +93,24 @@
     }
 }
 
-/// A request that has arrived in full.
+/// Request that has arrived in full.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// The request.
+    /// Parsed request.
     pub request: Request,
-    /// The bytes that it took.
+    /// Length of the request in the buffer, in bytes.
     pub len: usize,
-    /// Whether the client keeps the connection open.
+    /// True if the client keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
-/// Why a request is refused before it reaches the handler.
+/// Reason why a request is rejected before it reaches the handler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{status}: {problem}")]
 pub struct RequestError {
-    /// The status of the response.
+    /// Status code of the response.
     pub status: u16,
-    /// The problem, as the client is told.
+    /// Problem, as it appears in the response.
     pub problem: &'static str,
 }
 
@@ -122,7 +122,7 @@
 
 const HEAD_TOO_LARGE: RequestError = RequestError::new(431, "head too large");
 
-/// Parses one request at the start of `buffer`; `None` if more bytes are needed.
+/// Parses one request at the start of `buffer`. Returns `None` if more bytes are needed.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<ParsedRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -161,13 +161,16 @@
     }))
 }
 
-/// The length of a request's body, and what is to become of the connection.
+/// Message framing that the headers of a request announce.
 struct Framing {
+    /// Length of the body, in bytes.
     length: usize,
+    /// True if the client keeps the connection open after the response.
     keep_alive: bool,
 }
 
 impl Framing {
+    /// Extracts the framing from the headers.
     fn read(head: &httparse::Request) -> Result<Self, RequestError> {
         let mut length = None;
         let mut keep_alive = head.version == Some(1);
@@ -192,7 +195,8 @@
     }
 }
 
-/// Parses a `Content-Length`; a repeated one has to agree with the `earlier` one.
+/// Parses a `Content-Length` header. A repeated header has to agree with the `earlier`
+/// value.
 fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, RequestError> {
     let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     match value.parse::<usize>() {
@@ -202,7 +206,8 @@
     }
 }
 
-/// A response as it is sent; one that does not keep the connection says so.
+/// Encodes a response. Without `keep_alive`, the response announces that the server
+/// closes the connection.
 pub(super) fn encode(response: &Response, keep_alive: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(160 + response.body.len());
     let content_type = if response.text {
@@ -228,7 +233,10 @@
     out
 }
 
-/// The value of `name` in a query string; no escapes are needed by PROTOCOL.
+/// Returns the value of the parameter `name` in a query string.
+///
+/// The value is not percent-decoded: no parameter of PROTOCOL contains characters that
+/// have to be encoded.
 pub fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 over `httparse`: a small server and a small keep-alive client.
+//! Small HTTP/1.1 server and keep-alive client, based on `httparse`.
 //!
-//! Time and memory are bounded for every connection: a head and a body have maximum
-//! sizes, and have to arrive within a timeout.
+//! The time and memory of every connection are bounded: head and body have maximum
+//! sizes and have to arrive within a timeout.
 
 mod client;
 mod message;
@@ -11,15 +11,15 @@
 pub use message::{ParsedRequest, Request, RequestError, Response, parse_request, query_value};
 pub use server::{Handler, ResponseFuture, ServerLimits, serve};
 
-/// PROTOCOL: a request body can be at most 64 KiB.
+/// Maximum size of a request body, in bytes. PROTOCOL sets it to 64 KiB.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// The maximum bytes of a request's head.
+/// Maximum size of the head of a request, in bytes.
 const HEAD_LIMIT: usize = 8 * 1024;
 
-/// The maximum number of headers of a request or a response.
+/// Maximum number of headers of a request or a response.
 const MAX_HEADERS: usize = 48;
 
-/// The maximum bytes of a response, unless the client sets another limit: it bounds
-/// the memory that a broken peer can take here.
+/// Default maximum size of a response that a client reads, in bytes. It bounds the memory
+/// that a faulty server can make the client allocate.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: one task for each connection.
+//! HTTP server, with one task for each connection.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -15,68 +15,76 @@
 use super::{ParsedRequest, Request, Response, parse_request};
 use crate::net::{Listener, Stream};
 
-/// The response that a handler will give.
+/// Future that resolves to the response of a handler.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
-/// Handles the server's requests.
+/// Function that handles the requests of a server.
 pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
-/// How long to wait when no connection can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The capacity that is reserved for each read, in bytes.
+/// Free buffer capacity that is reserved for each read, in bytes.
 const READ_BYTES: usize = 2048;
 
-/// Limits on the server's connections.
+/// Limits on the connections of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// The most connections that are open at once.
-    pub connections: usize,
-    /// An idle connection may wait this long for its next request.
-    pub idle: Duration,
-    /// A request, once begun, must have arrived after this long; so must the
-    /// client have taken its answer.
-    pub arrive: Duration,
-    /// Whose connections are kept longest when connections run short.
-    pub stays: fn(&Request) -> bool,
+    /// Maximum number of open connections. The server closes further connections
+    /// immediately.
+    pub max_connections: usize,
+    /// Time after which an idle connection without a new request is closed.
+    pub idle_timeout: Duration,
+    /// Time within which a request must arrive in full after its first byte, and within
+    /// which the client must read the response.
+    pub request_timeout: Duration,
+    /// Predicate for requests whose connections are kept open in preference to others
+    /// when the server approaches the connection limit.
+    pub is_preferred: fn(&Request) -> bool,
 }
 
-/// Connections are counted in eighths of those that a server may have.
+/// Denominator of the fractions of `max_connections` below.
 const EIGHTHS: usize = 8;
 
-/// With more than so many eighths taken, only those that stay are kept open.
-const CROWDED_EIGHTHS: usize = 6;
+/// Fraction of `max_connections`, in eighths, above which only preferred connections are
+/// kept open after a response.
+const MAX_KEPT_OPEN_EIGHTHS: usize = 6;
 
-/// With more than so many eighths taken, no connection is kept open.
-const NEARLY_FULL_EIGHTHS: usize = 7;
+/// Fraction of `max_connections`, in eighths, above which no connection is kept open
+/// after a response.
+const MAX_KEPT_OPEN_EIGHTHS_PREFERRED: usize = 7;
 
 impl ServerLimits {
-    /// Whether a connection is kept open after the answer, with so many open. The
-    /// others come back on new connections: those that idle must not shut out the
-    /// rest, and there may be more workers than connections.
-    fn keeps_open(&self, stays: bool, open: usize) -> bool {
-        let eighths = match stays {
-            true => NEARLY_FULL_EIGHTHS,
-            false => CROWDED_EIGHTHS,
+    /// Returns whether a connection is kept open after its response while the server has
+    /// `open` connections.
+    ///
+    /// Clients whose connections are closed reconnect for their next request. Otherwise
+    /// idle connections could use up the limit and shut out other clients. This applies to
+    /// preferred clients too, because there may be more workers than connections.
+    fn should_keep_open(&self, is_preferred: bool, open: usize) -> bool {
+        let eighths = match is_preferred {
+            true => MAX_KEPT_OPEN_EIGHTHS_PREFERRED,
+            false => MAX_KEPT_OPEN_EIGHTHS,
         };
-        open * EIGHTHS <= self.connections * eighths
+        open * EIGHTHS <= self.max_connections * eighths
     }
 }
 
-/// Serves until dropped. Must run inside a `LocalSet`.
+/// Serves requests until the future is dropped. Must run inside a `LocalSet`.
 pub async fn serve(mut listener: Listener, limits: ServerLimits, handler: Handler) {
     let open = Rc::new(Cell::new(0usize));
     loop {
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                // Out of sockets, most likely: wait for some to close.
+                // The process has most likely reached its limit on open sockets: wait
+                // until some are closed.
                 tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if open.get() >= limits.connections {
+        if open.get() >= limits.max_connections {
             drop(stream);
             continue;
         }
@@ -88,15 +96,16 @@
     }
 }
 
-/// The outcome of waiting for a request.
-enum Received {
+/// Outcome of waiting for a request.
+enum ReceiveOutcome {
+    /// Complete request.
     Request(ParsedRequest),
-    /// The connection is to be closed.
+    /// Connection that has to be closed, after a timeout, an error or its end.
     Closed,
 }
 
-/// Serves the requests of one connection in turn. `open` counts the server's
-/// connections.
+/// Serves the requests of one connection one after another. `open` is the number of open
+/// connections of the server.
 async fn serve_connection(
     mut stream: Stream,
     limits: ServerLimits,
@@ -106,7 +115,7 @@
     let mut buffer: Vec<u8> = Vec::new();
     loop {
         let received = receive(&mut stream, &limits, &mut buffer).await?;
-        let Received::Request(ParsedRequest {
+        let ReceiveOutcome::Request(ParsedRequest {
             request,
             keep_alive,
             ..
@@ -114,55 +123,55 @@
         else {
             return Ok(());
         };
-        let stays = (limits.stays)(&request);
+        let is_preferred = (limits.is_preferred)(&request);
         let response = handler(request).await;
-        let keep_alive = keep_alive && limits.keeps_open(stays, open.get());
+        let keep_alive = keep_alive && limits.should_keep_open(is_preferred, open.get());
         let bytes = encode(&response, keep_alive);
-        match timeout(limits.arrive, stream.write_all(&bytes)).await {
+        match timeout(limits.request_timeout, stream.write_all(&bytes)).await {
             Ok(done) => done?,
             Err(_) => return Ok(()),
         }
         if !keep_alive {
-            let _ = timeout(limits.arrive, stream.shutdown()).await;
+            let _ = timeout(limits.request_timeout, stream.shutdown()).await;
             return Ok(());
         }
     }
 }
 
-/// Reads until `buffer` holds a request, and removes it from there. A malformed one
-/// gets its response at once.
+/// Reads until `buffer` contains a complete request, and removes the request from the
+/// buffer. Responds to a malformed request with an error, without calling the handler.
 async fn receive(
     stream: &mut Stream,
     limits: &ServerLimits,
     buffer: &mut Vec<u8>,
-) -> io::Result<Received> {
-    let mut begun: Option<Instant> = (!buffer.is_empty()).then(Instant::now);
+) -> io::Result<ReceiveOutcome> {
+    let mut started_at: Option<Instant> = (!buffer.is_empty()).then(Instant::now);
     loop {
         match parse_request(buffer) {
             Ok(Some(parsed)) => {
                 buffer.drain(..parsed.len);
                 if buffer.is_empty() {
-                    // Idle connections hold no buffer: there may be many.
+                    // Free the buffer, because the server may have many idle connections.
                     *buffer = Vec::new();
                 }
-                return Ok(Received::Request(parsed));
+                return Ok(ReceiveOutcome::Request(parsed));
             }
             Ok(None) => {}
             Err(error) => {
                 let bytes = encode(&Response::error(error.status, error.problem), false);
-                let _ = timeout(limits.arrive, stream.write_all(&bytes)).await;
-                let _ = timeout(limits.arrive, stream.shutdown()).await;
-                return Ok(Received::Closed);
+                let _ = timeout(limits.request_timeout, stream.write_all(&bytes)).await;
+                let _ = timeout(limits.request_timeout, stream.shutdown()).await;
+                return Ok(ReceiveOutcome::Closed);
             }
         }
-        let wait = match begun {
-            None => limits.idle,
-            Some(since) => limits.arrive.saturating_sub(since.elapsed()),
+        let wait = match started_at {
+            None => limits.idle_timeout,
+            Some(since) => limits.request_timeout.saturating_sub(since.elapsed()),
         };
         buffer.reserve(READ_BYTES);
         match timeout(wait, stream.read_buf(buffer)).await {
-            Ok(Ok(0)) | Err(_) => return Ok(Received::Closed),
-            Ok(Ok(_)) => begun = begun.or(Some(Instant::now())),
+            Ok(Ok(0)) | Err(_) => return Ok(ReceiveOutcome::Closed),
+            Ok(Ok(_)) => started_at = started_at.or(Some(Instant::now())),
             Ok(Err(error)) => return Err(error),
         }
     }
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -26,7 +26,7 @@
     }
 
     /// The reason of a job that is not over at `now`.
-    pub(super) fn of(controller: &Controller, id: &str, job: &Job, now: Instant) -> Self {
+    pub(super) fn for_job(controller: &Controller, id: &str, job: &Job, now: Instant) -> Self {
         if !controller.is_state_service_reachable() {
             let age = controller
                 .replica_staleness()
@@ -37,7 +37,7 @@
             return PendingReason::new(dependencies, 0.0);
         }
         if job.waiting_count() > 0 {
-            return PendingReason::of_waiting_tasks(controller, id, now);
+            return PendingReason::for_waiting_tasks(controller, id, now);
         }
         if job.runs.iter().any(|run| run.stop) {
             return PendingReason::new("it is being stopped to make room or to move", 0.0);
@@ -45,7 +45,7 @@
         PendingReason::new("it is running", 0.0)
     }
 
-    fn of_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
+    fn for_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
         match controller.placement.wait_state(id) {
             Some(wait) => {
                 let seconds = now.saturating_duration_since(wait.since).as_secs_f64();
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -217,7 +217,7 @@
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
-        PendingReason::of(self.controller, id, job, self.now)
+        PendingReason::for_job(self.controller, id, job, self.now)
     }
 }
 
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,5 +1,7 @@
-//! The network: the system's sockets, or a simulated network inside one process (a
-//! fabric), on which tests run whole services in simulated time.
+//! Network abstraction over the sockets of the operating system and a simulated network.
+//!
+//! The simulated network connects components inside one process, so that tests can run
+//! whole services in simulated time.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -13,24 +15,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// A bidirectional byte stream.
-pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
-impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
+/// Bidirectional byte stream.
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
+impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// An open connection.
-pub type Stream = Box<dyn Duplex>;
+/// Open connection.
+pub type Stream = Box<dyn ByteStream>;
 
-/// The bytes that a stream on a fabric buffers in each direction.
-const FABRIC_BUFFER_BYTES: usize = 64 * 1024;
+/// Buffer size of a simulated stream in each direction, in bytes.
+const SIMULATED_STREAM_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A simulated network inside one process, which can be partitioned.
+/// Simulated network inside one process, which can be partitioned.
 #[derive(Default)]
 pub struct Fabric {
+    /// Listening addresses, with the channel that passes new streams to the listener.
     listeners: RefCell<HashMap<SocketAddrV4, mpsc::UnboundedSender<DuplexStream>>>,
-    cut: RefCell<HashSet<Route>>,
+    /// Routes that are partitioned.
+    partitions: RefCell<HashSet<Route>>,
 }
 
-/// The two ends of a stream: who opened it, and to which address.
+/// Address of the client that opened a stream, and address that it connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Route {
     from: SocketAddrV4,
@@ -38,61 +42,64 @@
 }
 
 impl Fabric {
-    /// Partitions `from` from `to`: new connections hang, and so do streams that are
-    /// open already.
+    /// Partitions the route from `from` to `to`: connecting blocks, and so do reads and
+    /// writes of the client on open streams.
     pub fn cut(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.cut.borrow_mut().insert(Route { from, to });
+        self.partitions.borrow_mut().insert(Route { from, to });
     }
 
-    /// Heals a partition: connecting and open streams go on.
+    /// Removes a partition: new connections succeed again, and open streams continue when
+    /// they are next polled.
     pub fn repair(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.cut.borrow_mut().remove(&Route { from, to });
+        self.partitions.borrow_mut().remove(&Route { from, to });
     }
 
-    /// Removes the listener at `addr`, as when its process has ended.
-    pub fn close(&self, addr: SocketAddrV4) {
+    /// Removes the listener at `addr`, which simulates the end of its process.
+    pub fn remove_listener(&self, addr: SocketAddrV4) {
         self.listeners.borrow_mut().remove(&addr);
     }
 
-    fn is_cut(&self, route: Route) -> bool {
-        self.cut.borrow().contains(&route)
+    /// Returns whether a route is partitioned.
+    fn is_partitioned(&self, route: Route) -> bool {
+        self.partitions.borrow().contains(&route)
     }
 }
 
-/// The client's end of a stream on a fabric.
-struct FabricStream {
+/// Client side of a stream on the simulated network.
+struct SimulatedStream {
     inner: DuplexStream,
-    fabric: Rc<Fabric>,
+    network: Rc<Fabric>,
     route: Route,
 }
 
-impl FabricStream {
-    /// Whether the stream crosses a partition: its user is woken by a timeout only.
-    fn is_cut(&self) -> bool {
-        self.fabric.is_cut(self.route)
+impl SimulatedStream {
+    /// Returns whether the stream crosses a partition. Its reads and writes then return
+    /// `Pending` without registering a waker, so only a timeout of the caller ends the wait.
+    fn is_partitioned(&self) -> bool {
+        self.network.is_partitioned(self.route)
     }
 }
 
-impl AsyncRead for FabricStream {
+impl AsyncRead for SimulatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_cut() {
+        if self.is_partitioned() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for FabricStream {
+impl AsyncWrite for SimulatedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.is_cut() {
+        if self.is_partitioned() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_write(cx, buf)
@@ -107,64 +114,64 @@
     }
 }
 
-/// The network as one process sees it.
+/// Network that a process uses.
 #[derive(Clone)]
 pub enum Net {
-    /// By the system's sockets.
+    /// Sockets of the operating system.
     System,
-    /// On a fabric, as the process at this address.
-    Fabric(Rc<Fabric>, SocketAddrV4),
+    /// Simulated network, used by the process at this address.
+    Simulated(Rc<Fabric>, SocketAddrV4),
 }
 
-/// Accepts incoming streams.
+/// Listener for incoming streams.
 pub enum Listener {
-    /// On a socket of the system.
+    /// Listening socket of the operating system.
     System(TcpListener),
-    /// On a fabric.
-    Fabric(mpsc::UnboundedReceiver<DuplexStream>),
+    /// Channel of new streams on the simulated network.
+    Simulated(mpsc::UnboundedReceiver<DuplexStream>),
 }
 
 impl Net {
     /// Opens a stream to `addr`.
-    pub async fn dial(&self, addr: SocketAddrV4) -> io::Result<Stream> {
+    pub async fn connect(&self, addr: SocketAddrV4) -> io::Result<Stream> {
         match self {
             Net::System => {
                 let stream = TcpStream::connect(SocketAddr::V4(addr)).await?;
                 stream.set_nodelay(true)?;
                 Ok(Box::new(stream))
             }
-            Net::Fabric(fabric, from) => {
+            Net::Simulated(network, from) => {
                 let route = Route {
                     from: *from,
                     to: addr,
                 };
-                if fabric.is_cut(route) {
+                if network.is_partitioned(route) {
                     std::future::pending::<()>().await;
                 }
-                let (ours, theirs) = tokio::io::duplex(FABRIC_BUFFER_BYTES);
-                let listeners = fabric.listeners.borrow();
+                let (ours, theirs) = tokio::io::duplex(SIMULATED_STREAM_BUFFER_BYTES);
+                let listeners = network.listeners.borrow();
                 let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
                 let listener = listeners.get(&addr).ok_or_else(refused)?;
                 listener.send(theirs).map_err(|_| refused())?;
-                Ok(Box::new(FabricStream {
+                Ok(Box::new(SimulatedStream {
                     inner: ours,
-                    fabric: fabric.clone(),
+                    network: network.clone(),
                     route,
                 }))
             }
         }
     }
 
-    /// Starts to accept streams at `addr`.
+    /// Starts to listen at `addr`.
     pub async fn listen(&self, addr: SocketAddrV4) -> io::Result<Listener> {
         match self {
             Net::System => Ok(Listener::System(
                 TcpListener::bind(SocketAddr::V4(addr)).await?,
             )),
-            Net::Fabric(fabric, _) => {
+            Net::Simulated(network, _) => {
                 let (sender, receiver) = mpsc::unbounded_channel();
-                fabric.listeners.borrow_mut().insert(addr, sender);
-                Ok(Listener::Fabric(receiver))
+                network.listeners.borrow_mut().insert(addr, sender);
+                Ok(Listener::Simulated(receiver))
             }
         }
     }
@@ -179,7 +186,7 @@
                 stream.set_nodelay(true)?;
                 Ok(Box::new(stream))
             }
-            Listener::Fabric(receiver) => match receiver.recv().await {
+            Listener::Simulated(receiver) => match receiver.recv().await {
                 Some(stream) => Ok(Box::new(stream)),
                 None => std::future::pending().await,
             },
--- a/src/workers/command_call.rs
+++ b/src/workers/command_call.rs
@@ -104,7 +104,7 @@
     };
     let workers = &controller.worker_client;
     workers
-        .call_within(addr, "POST", "/orders", Some(body), call.deadlines)
+        .call_with_deadlines(addr, "POST", "/orders", Some(body), call.deadlines)
         .await
 }
 
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -200,6 +200,6 @@
     let launch_deadline = last_barrier.map(|sent| sent + controller.settings.launch_limit());
     Deadlines {
         send: launch_deadline.map_or(answer_deadline, |launch| launch.min(answer_deadline)),
-        answer: answer_deadline,
+        response: answer_deadline,
     }
 }
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -75,12 +75,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let fabric = Rc::new(Fabric::default());
         let at = |n: usize| -> SocketAddrV4 { format!("10.1.0.{n}:1").parse().expect("address") };
-        let net = |n| Net::Fabric(fabric.clone(), at(n));
+        let net = |n| Net::Simulated(fabric.clone(), at(n));
         let limits = ServerLimits {
-            connections: 8,
-            idle: Duration::from_secs(60),
-            arrive: Duration::from_secs(5),
-            stays: |r| r.path == "/worker",
+            max_connections: 8,
+            idle_timeout: Duration::from_secs(60),
+            request_timeout: Duration::from_secs(5),
+            is_preferred: |r| r.path == "/worker",
         };
         let handler: shelfhoist::http::Handler = Rc::new(|r| {
             Box::pin(async move {
@@ -98,7 +98,7 @@
             let listener = net(n).listen(at(n)).await.expect("listen");
             tokio::task::spawn_local(serve(listener, limits, handler.clone()));
         }
-        let client = Rc::new(Client::new(net(9), Duration::from_secs(30)).bounded(3, 4096));
+        let client = Rc::new(Client::new(net(9), Duration::from_secs(30)).with_limits(3, 4096));
         let limit = Duration::from_secs(4);
         for n in [1, 2, 3, 4, 5, 1] {
             let answer = client.call(at(n), "GET", "/worker", None, limit).await;
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -129,23 +129,23 @@
             })
         });
         let limits = ServerLimits {
-            connections: 4,
-            idle: secs(60.0),
-            arrive: secs(5.0),
-            stays: |_| true,
+            max_connections: 4,
+            idle_timeout: secs(60.0),
+            request_timeout: secs(5.0),
+            is_preferred: |_| true,
         };
-        let net = Net::Fabric(fabric.clone(), worker);
+        let net = Net::Simulated(fabric.clone(), worker);
         let listener = net.listen(worker).await.expect("listen");
         tokio::task::spawn_local(serve(listener, limits, handler));
-        let client = Client::new(Net::Fabric(fabric, addr("10.1.0.2:1")), secs(30.0));
+        let client = Client::new(Net::Simulated(fabric, addr("10.1.0.2:1")), secs(30.0));
         for (name, send_s, answer_s, expected) in cases {
             arrived.set(0);
             let now = Instant::now();
             let deadlines = Deadlines {
                 send: now + secs(send_s),
-                answer: now + secs(answer_s),
+                response: now + secs(answer_s),
             };
-            let call = client.call_within(worker, "POST", "/orders", None, deadlines);
+            let call = client.call_with_deadlines(worker, "POST", "/orders", None, deadlines);
             match call.await {
                 Ok(answer) => assert!(expected && answer.status == 200, "{name}"),
                 Err(CallError::NotSent(_)) => assert!(!expected, "{name}"),
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -36,7 +36,7 @@
     /// Sends it to a controller; returns the answer and how long it took. What is
     /// submitted is new; queries and withdrawals concern `open`.
     async fn send(self, w: &World, i: usize, open: &str) -> (Response, Duration) {
-        let user = Net::Fabric(w.fabric.clone(), addr("10.3.0.9:1"));
+        let user = Net::Simulated(w.fabric.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
         let (method, path, body) = match self {
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -116,7 +116,7 @@
 #[test]
 fn a_wait_for_the_budget_follows_the_share() {
     in_world(|| async {
-        let net = Net::Fabric(Rc::new(Fabric::default()), controller(0));
+        let net = Net::Simulated(Rc::new(Fabric::default()), controller(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
         let nowhere = controller(9);
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -23,9 +23,9 @@
 
 impl Caller {
     fn new(world: &World) -> Self {
-        let net = Net::Fabric(world.fabric.clone(), addr(CALLER));
+        let net = Net::Simulated(world.fabric.clone(), addr(CALLER));
         let client = Client::new(net, Duration::from_secs(30));
-        Caller(client.bounded(usize::MAX, 4 << 20))
+        Caller(client.with_limits(usize::MAX, 4 << 20))
     }
 
     /// The status and body of the answer.
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -157,7 +157,7 @@
     pub fn lose(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
-            self.fabric.close(worker.port);
+            self.fabric.remove_listener(worker.port);
             tasks.iter().for_each(JoinHandle::abort);
         }
     }
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -68,8 +68,8 @@
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
         }
-        self.fabric.close(controller(i));
-        self.fabric.close(addr(&mesh(i)));
+        self.fabric.remove_listener(controller(i));
+        self.fabric.remove_listener(addr(&mesh(i)));
     }
 
     /// Each machine's home and owner, as the state has them.
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -157,7 +157,7 @@
     fn net(&self, fabric: &Rc<Fabric>, address: SocketAddrV4) -> Net {
         match self.loopback {
             true => Net::System,
-            false => Net::Fabric(fabric.clone(), address),
+            false => Net::Simulated(fabric.clone(), address),
         }
     }
 
@@ -214,10 +214,10 @@
 }
 
 pub(super) const LIMITS: ServerLimits = ServerLimits {
-    connections: 1000,
-    idle: Duration::from_secs(600),
-    arrive: Duration::from_secs(60),
-    stays: |_| true,
+    max_connections: 1000,
+    idle_timeout: Duration::from_secs(600),
+    request_timeout: Duration::from_secs(60),
+    is_preferred: |_| true,
 };
 
 impl World {
