--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a running controller, and the output of its responses.
+//! Requests to a running controller, and output of its responses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,33 +14,36 @@
 use crate::introspection::{FleetReport, JobDetails, TeamDetails};
 use crate::net::Net;
 
-/// The time after which a controller that has not responded is given up.
+/// Time within which a controller must respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Which controller to ask, and how to print its response.
+/// Arguments that select the controller and the output format.
 #[derive(Debug, Args)]
 pub(super) struct ControllerArgs {
-    /// A running controller, as address:port.
+    /// Address of a running controller, as address:port.
     #[arg(long, value_name = "ADDR", env = "SHELFHOIST_NODE")]
     node: SocketAddrV4,
-    /// Answer in JSON, for programs.
+    /// Print JSON instead of text.
     #[arg(long)]
     json: bool,
 }
 
 impl ControllerArgs {
+    /// Prints the state of a job.
     pub(super) fn show_job(&self, id: &str) -> Result<u8, CliError> {
         let details: JobDetails = self.get(&format!("/ops/job/{id}"))?;
         self.print(&details, job_text)?;
         Ok(EXIT_SUCCESS)
     }
 
+    /// Prints the usage of all teams.
     pub(super) fn show_teams(&self) -> Result<u8, CliError> {
         let teams: Vec<TeamDetails> = self.get("/ops/teams")?;
         self.print(&teams, |teams| teams_text(teams))?;
         Ok(EXIT_SUCCESS)
     }
 
+    /// Prints the unfinished jobs, and returns [`EXIT_UNFINISHED`] if there are any.
     pub(super) fn show_report(&self) -> Result<u8, CliError> {
         let report = self.get_report()?;
         self.print(&report, report_text)?;
@@ -51,7 +54,7 @@
         })
     }
 
-    /// The report with the jobs of all its pages.
+    /// Returns the report with the jobs of all pages.
     fn get_report(&self) -> Result<FleetReport, CliError> {
         let mut report: FleetReport = self.get("/ops/report")?;
         while let Some(after) = report.next.take() {
@@ -62,13 +65,14 @@
         Ok(report)
     }
 
+    /// Sends a `GET` request and deserializes its response.
     fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         let response = self.call("GET", path, None)?;
         self.read(&response)
     }
 
-    /// Makes a request that depends on the command's arguments: a client error of the
-    /// response is reported as wrong arguments.
+    /// Sends a request that depends on the arguments of the command, and deserializes its
+    /// response. A 4xx status is reported as [`CliError::InvalidArguments`].
     pub(super) fn request<T: DeserializeOwned>(
         &self,
         method: &str,
@@ -82,20 +86,23 @@
         }
     }
 
+    /// Sends a request to the controller.
     fn call(&self, method: &str, path: &str, body: Option<Vec<u8>>) -> Result<Response, CliError> {
         let client = Client::new(Net::System, RESPONSE_TIMEOUT);
         let call = client.call(self.node, method, path, body, RESPONSE_TIMEOUT);
-        let called = runtime()?.block_on(call);
-        called.map_err(|cause| self.call_error(cause))
+        let result = runtime()?.block_on(call);
+        result.map_err(|cause| self.call_error(cause))
     }
 
+    /// Deserializes a response with status 200, and returns an error for any other.
     fn read<T: DeserializeOwned>(&self, response: &Response) -> Result<T, CliError> {
         if response.status != 200 {
-            return Err(self.refused(response));
+            return Err(self.rejected(response));
         }
         response.parse().map_err(|cause| self.call_error(cause))
     }
 
+    /// Adds the address of the controller to the error of a call.
     fn call_error(&self, cause: CallError) -> CliError {
         CliError::Call {
             controller: self.node,
@@ -103,13 +110,15 @@
         }
     }
 
-    fn refused(&self, response: &Response) -> CliError {
+    /// Returns the error for a response with an unexpected status.
+    fn rejected(&self, response: &Response) -> CliError {
         CliError::Rejected {
             controller: self.node,
             reason: error_reason(response),
         }
     }
 
+    /// Prints a value as JSON or as the text that `text` returns.
     pub(super) fn print<T: Serialize>(
         &self,
         value: &T,
@@ -125,7 +134,7 @@
     }
 }
 
-/// The reason that a controller gives for refusing a request.
+/// Returns the reason that a controller gives for rejecting a request.
 fn error_reason(response: &Response) -> String {
     let body: serde_json::Value = response.parse().unwrap_or_default();
     let reason = body["error"].as_str().unwrap_or("no reason given");
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out, and the exit codes.
+//! Errors and exit codes of the command line.
 
 use std::net::SocketAddrV4;
 
@@ -8,22 +8,22 @@
 use crate::policy::PolicyError;
 use crate::settings::SettingsError;
 
-/// The exit code when a command could not be carried out.
+/// Exit code if a command failed.
 pub const EXIT_FAILED: u8 = 1;
-/// The exit code when arguments, settings or a policy are wrong.
+/// Exit code if arguments, settings, features or a policy are invalid.
 pub const EXIT_INVALID: u8 = 2;
-/// The exit code when `report` found unfinished work.
+/// Exit code if `report` found unfinished jobs.
 pub const EXIT_UNFINISHED: u8 = 3;
 
-/// A value of the environment variable `LOG_LEVEL` that is not known.
+/// Error for an unknown value of the environment variable `LOG_LEVEL`.
 #[derive(Debug, thiserror::Error)]
-#[error("LOG_LEVEL: {0:?} is none of error, info, debug")]
+#[error("LOG_LEVEL: {0:?} is not one of error, info, debug")]
 pub struct LogLevelError(pub(super) String);
 
-/// Why a command could not be carried out.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CliError {
-    #[error("--config FILE is needed to run")]
+    #[error("--config FILE is required to run a controller")]
     MissingConfig,
     #[error(transparent)]
     LogLevel(#[from] LogLevelError),
@@ -37,33 +37,34 @@
     FeaturesFile { path: String, cause: std::io::Error },
     #[error(transparent)]
     Features(#[from] FeaturesError),
-    /// An amount of a move that no controller would take.
+    /// Amount of a move that every controller would reject.
     #[error("an amount is negative, too large or not a number")]
     InvalidAmount,
-    /// A running controller says that the arguments are wrong.
+    /// Arguments that a running controller has rejected with a 4xx status.
     #[error("{0}")]
     InvalidArguments(String),
-    #[error("{0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
-    #[error("{0}")]
+    #[error("cannot listen: {0}")]
     Controller(std::io::Error),
-    /// A running controller could not be asked, or its response not be read.
+    /// Call to a running controller that failed, or whose response could not be read.
     #[error("{controller}: {cause}")]
     Call {
         controller: SocketAddrV4,
         cause: CallError,
     },
-    /// A running controller has refused what it was asked.
+    /// Request that a running controller has rejected.
     #[error("{controller}: {reason}")]
     Rejected {
         controller: SocketAddrV4,
         reason: String,
     },
-    #[error("{0}")]
+    #[error("cannot write JSON: {0}")]
     Json(serde_json::Error),
 }
 
 impl CliError {
+    /// Returns the exit code for the error.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             CliError::MissingConfig
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,8 +1,10 @@
-//! The command line: runs a controller, checks its settings and policy, and makes
-//! requests to a running one.
+//! Command line that runs a controller, checks its settings and policy, and sends requests
+//! to a running controller.
 //!
-//! `error` holds the errors and the exit codes, `client` the requests to a running
-//! controller, `share` the commands about shares, `render` the texts for people.
+//! - `client`: requests to a running controller.
+//! - `error`: errors and exit codes.
+//! - `render`: text output.
+//! - `share`: commands about shares.
 
 mod client;
 mod error;
@@ -29,27 +31,27 @@
 pub use render::{job_text, policy_text, report_text, span_text, teams_text};
 pub use share::{moves_text, shares_text};
 
-/// The exit code of a command that was carried out.
+/// Exit code of a command that succeeded.
 const EXIT_SUCCESS: u8 = 0;
 
-/// A small cluster scheduler that admits gangs whole, by zone.
+/// A small cluster scheduler that starts all tasks of a gang together, by zone.
 #[derive(Debug, Parser)]
 #[command(
     name = "shelfhoist",
     version,
     args_conflicts_with_subcommands = true,
     arg_required_else_help = true,
-    after_help = "Exit codes: 0 done, 1 failed, 2 wrong arguments, settings or policy, \
-                  3 work was left undone (report)."
+    after_help = "Exit codes: 0 success, 1 failure, 2 invalid arguments, settings or policy, \
+                  3 unfinished jobs (report)."
 )]
 pub struct Cli {
     /// Run a controller with this settings file (JSON).
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
-    /// Run it with the operators' policy in this file.
+    /// Use the policy in this file instead of the built-in policy.
     #[arg(long, value_name = "FILE", env = "SHELFHOIST_POLICY")]
     policy: Option<PathBuf>,
-    /// Run it with the subsystems on that this file turns on (TOML).
+    /// Enable the optional subsystems that this file enables (TOML).
     #[arg(long, value_name = "FILE")]
     features_file: Option<PathBuf>,
     #[command(subcommand)]
@@ -63,32 +65,32 @@
         /// The settings file (JSON).
         file: PathBuf,
     },
-    /// Check a policy file, and explain what its rules decide.
+    /// Check a policy file and explain its rules.
     Policy {
-        /// The policy file; the built-in policy if none is named.
+        /// The policy file; the built-in policy if none is given.
         file: Option<PathBuf>,
-        /// Say nothing when the policy is right.
+        /// Print nothing if the policy is valid.
         #[arg(long)]
         quiet: bool,
     },
-    /// Tell a job's story.
+    /// Show the state of a job, and why it is unfinished.
     Job {
         /// The job's id, such as job-000412.
         id: String,
         #[command(flatten)]
         controller: ControllerArgs,
     },
-    /// List the teams: guarantee, limit, use, what is borrowed, what waits.
+    /// List the teams: usage, guarantee, limit, borrowed resources and waiting jobs.
     Teams {
         #[command(flatten)]
         controller: ControllerArgs,
     },
-    /// Show how the room of teams is split over the controllers, and move parts of it.
+    /// Show the controllers' shares of the teams' limits, and move capacity between them.
     Share {
         #[command(subcommand)]
         command: ShareCommand,
     },
-    /// Report what is unfinished or late, and why.
+    /// List unfinished and late jobs, and why they are unfinished.
     Report {
         #[command(flatten)]
         controller: ControllerArgs,
@@ -114,7 +116,8 @@
     }
 }
 
-/// The level that the environment variable `LOG_LEVEL` sets, `info` without it.
+/// Returns the log level for a value of the environment variable `LOG_LEVEL`, by default
+/// `info`.
 pub fn log_level(value: Option<&str>) -> Result<LevelFilter, LogLevelError> {
     match value {
         None | Some("" | "info") => Ok(LevelFilter::INFO),
@@ -124,6 +127,7 @@
     }
 }
 
+/// Runs a subcommand and returns its exit code.
 fn run_command(command: Command) -> Result<u8, CliError> {
     match command {
         Command::CheckSettings { file } => check_settings(&file),
@@ -135,6 +139,7 @@
     }
 }
 
+/// Runs a controller in this process.
 fn run_controller(
     config: &Path,
     policy: Option<&Path>,
@@ -156,6 +161,7 @@
     Ok(EXIT_SUCCESS)
 }
 
+/// Starts to write log events of at least this severity to standard error.
 fn start_logging(level: LevelFilter) {
     tracing_subscriber::fmt()
         .with_max_level(level)
@@ -166,10 +172,11 @@
         .init();
 }
 
+/// Checks a settings file and prints a summary.
 fn check_settings(file: &Path) -> Result<u8, CliError> {
     let settings = Settings::load(file)?;
     println!(
-        "settings are right: {} of {} controllers, {} zones, {} teams",
+        "settings are valid: {} of {} controllers, {} zones, {} teams",
         settings.controller_name,
         settings.deployment.count,
         settings.deployment.zones.len(),
@@ -178,6 +185,7 @@
     Ok(EXIT_SUCCESS)
 }
 
+/// Checks a policy file and prints its rules.
 fn check_policy(file: Option<&Path>, quiet: bool) -> Result<u8, CliError> {
     let policy = read_policy(file)?;
     if !quiet {
@@ -186,6 +194,7 @@
     Ok(EXIT_SUCCESS)
 }
 
+/// Reads a policy file. Returns the built-in policy without a file.
 fn read_policy(file: Option<&Path>) -> Result<Policy, CliError> {
     let Some(file) = file else {
         return Ok(Policy::default());
@@ -194,6 +203,7 @@
     Ok(Policy::parse(&text)?)
 }
 
+/// Reads a features file. Returns the default features without a file.
 fn read_features(file: Option<&Path>) -> Result<Features, CliError> {
     let Some(file) = file else {
         return Ok(Features::default());
@@ -202,6 +212,7 @@
     Ok(Features::parse(&text)?)
 }
 
+/// Reads a file as text, and converts a failure with `error`.
 fn read_file(
     file: &Path,
     error: impl FnOnce(String, std::io::Error) -> CliError,
@@ -209,8 +220,9 @@
     std::fs::read_to_string(file).map_err(|cause| error(file.display().to_string(), cause))
 }
 
+/// Builds the async runtime.
 fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
-    // One thread: a controller has a small part of one core.
+    // One thread is enough, because a controller may use only a fraction of one core.
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,19 +1,19 @@
-//! What the command line prints for people to read.
+//! Text output of the command line.
 
 use crate::introspection::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
 use crate::wire::JobStage;
 
-/// State older than this many seconds is pointed out.
+/// Age of the state above which the report mentions it, in seconds.
 const STALE_STATE_S: f64 = 10.0;
 
-/// A reason that has lasted so many seconds is printed with its duration.
+/// Minimum duration of a reason that is printed with its duration, in seconds.
 const LASTING_REASON_S: f64 = 1.0;
 
 const SECONDS_PER_MINUTE: u64 = 60;
 const SECONDS_PER_HOUR: u64 = 3600;
 
-/// A duration in the two largest units that it needs.
+/// Formats a duration in its two largest units, such as `2 h 1 min`.
 pub fn span_text(seconds: f64) -> String {
     let seconds = seconds.max(0.0).round() as u64;
     let minutes = seconds % SECONDS_PER_HOUR / SECONDS_PER_MINUTE;
@@ -26,6 +26,7 @@
     }
 }
 
+/// Returns the name of a job's stage.
 fn stage_text(stage: JobStage) -> &'static str {
     match stage {
         JobStage::Queued => "queued",
@@ -35,7 +36,7 @@
     }
 }
 
-/// The state of a job, a line for each part.
+/// Formats the state of a job on several lines.
 pub fn job_text(details: &JobDetails) -> String {
     let mut text = format!("{}: {}", details.job, stage_text(details.stage));
     if let (Some(class), Some(team)) = (&details.class, &details.team) {
@@ -59,6 +60,7 @@
     text
 }
 
+/// Formats the tasks of a job on one machine.
 fn run_text(run: &RunDetails) -> String {
     let stopping = if run.stopping { ", being stopped" } else { "" };
     format!(
@@ -67,11 +69,12 @@
     )
 }
 
-/// The teams, each with what it uses and, if any does, what waits.
+/// Formats the usage of each team, followed by its waiting jobs if there are any.
 pub fn teams_text(teams: &[TeamDetails]) -> String {
     teams.iter().map(team_text).collect()
 }
 
+/// Formats the usage and the waiting jobs of one team.
 fn team_text(team: &TeamDetails) -> String {
     let mut text = format!(
         "{}: {} CPUs used, {} guaranteed, limit {}, {} borrowed",
@@ -92,7 +95,7 @@
     }
     text.push('\n');
     if team.waiting_jobs > 0 {
-        let reason = team.why.as_deref().unwrap_or("not known here");
+        let reason = team.why.as_deref().unwrap_or("unknown");
         text += &format!(
             "  {} jobs with {} tasks wait; the first: {reason}\n",
             team.waiting_jobs, team.waiting_tasks
@@ -101,6 +104,7 @@
     text
 }
 
+/// Formats a limit, where 0 stands for no limit.
 fn limit_text(limit: f64) -> String {
     if limit > 0.0 {
         limit.to_string()
@@ -109,7 +113,7 @@
     }
 }
 
-/// What is unfinished or late, with the state of the machines.
+/// Formats the unfinished jobs, with totals and the machine counts.
 pub fn report_text(report: &FleetReport) -> String {
     let mut text = state_age_text(report.state_age_s);
     text += &totals_text(report);
@@ -129,22 +133,22 @@
     text
 }
 
+/// Returns a warning if the report is based on missing or old state.
 fn state_age_text(age_s: Option<f64>) -> String {
     match age_s {
-        None => {
-            "This controller has not read the state service yet: nothing is known.\n".to_string()
-        }
+        None => "This controller has not read its state from the state service yet.\n".to_string(),
         Some(age_s) if age_s > STALE_STATE_S => format!(
-            "The state service has not answered for {}: what follows is as old.\n",
+            "The state service has not answered for {}: this report may be out of date.\n",
             span_text(age_s)
         ),
         Some(_) => String::new(),
     }
 }
 
+/// Formats the number of unfinished jobs.
 fn totals_text(report: &FleetReport) -> String {
     if report.unfinished == 0 {
-        return "Nothing is left undone.\n".to_string();
+        return "No jobs are unfinished.\n".to_string();
     }
     let services = match report.services_short {
         0 => String::new(),
@@ -156,6 +160,7 @@
     )
 }
 
+/// Formats one unfinished job.
 fn unfinished_job_text(job: &UnfinishedJob) -> String {
     let late = if job.late { "LATE " } else { "" };
     let lasting = if job.reason_s >= LASTING_REASON_S {
@@ -175,7 +180,7 @@
     )
 }
 
-/// The rules of a policy, and the variables that rules may use.
+/// Formats the rules of a policy, and the variables that rules may use.
 pub fn policy_text(policy: &Policy) -> String {
     let mut text = String::new();
     for expression in policy.rules() {
@@ -194,6 +199,7 @@
     text
 }
 
+/// Formats the range of the values that a rule may have.
 fn rule_values_text(rule: &Rule) -> String {
     let subject = match rule.subject {
         Subject::Job => "job",
@@ -208,6 +214,7 @@
     }
 }
 
+/// Formats the variables of a subject.
 fn variables_text(subject: &str, variables: &[Variable]) -> String {
     let mut text = format!("variables of a {subject}:\n");
     for variable in variables {
--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -1,5 +1,5 @@
-//! The commands about shares: showing each controller's share of a team's quota, moving
-//! a part of it, and the status of moves.
+//! Commands about shares: show each controller's share of a team's limit, move capacity
+//! between shares, and show the status of moves.
 
 use clap::Subcommand;
 use rand::rngs::SmallRng;
@@ -15,24 +15,25 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum ShareCommand {
-    /// Show the split of a team's room, or of all.
+    /// Show the controllers' shares of one team's limit, or of all teams' limits.
     Show {
         /// The team.
         team: Option<String>,
         #[command(flatten)]
         controller: ControllerArgs,
     },
-    /// Move a part of a team's room from one controller to another; jobs run on.
+    /// Move capacity from one controller's share of a team's limit to another's; running
+    /// jobs are not interrupted.
     Move {
         /// The team.
         team: String,
-        /// The controller that gives.
+        /// The controller whose share shrinks.
         #[arg(long, value_name = "CONTROLLER")]
         from: String,
-        /// The controller that receives.
+        /// The controller whose share grows.
         #[arg(long, value_name = "CONTROLLER")]
         to: String,
-        /// CPUs.
+        /// CPUs to move.
         #[arg(
             long,
             value_name = "N",
@@ -40,7 +41,7 @@
             allow_negative_numbers = true
         )]
         cpus: f64,
-        /// Accelerators.
+        /// Accelerators to move.
         #[arg(
             long,
             value_name = "N",
@@ -48,7 +49,7 @@
             allow_negative_numbers = true
         )]
         gpus: f64,
-        /// Memory, in GB.
+        /// Memory to move, in GB.
         #[arg(
             long,
             value_name = "N",
@@ -56,18 +57,19 @@
             allow_negative_numbers = true
         )]
         memory_gb: f64,
-        /// The operation's id, for repeating it: it takes effect once.
+        /// The id of the move, random by default; a move repeated with its id takes effect
+        /// once.
         #[arg(long)]
         id: Option<String>,
-        /// Only say what would be done.
+        /// Show the outcome of the move without making it.
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
         controller: ControllerArgs,
     },
-    /// Tell how far a move has come, or the latest ones.
+    /// Show the status of a move, or of the latest moves.
     Status {
-        /// The operation's id.
+        /// The id of the move.
         id: Option<String>,
         #[command(flatten)]
         controller: ControllerArgs,
@@ -75,6 +77,7 @@
 }
 
 impl ShareCommand {
+    /// Runs the command.
     pub(super) fn run(self) -> Result<u8, CliError> {
         match self {
             ShareCommand::Show { team, controller } => show(&controller, team.as_deref())?,
@@ -111,30 +114,34 @@
     }
 }
 
+/// Prints the shares of one team or of all teams.
 fn show(controller: &ControllerArgs, team: Option<&str>) -> Result<(), CliError> {
     let path = with_query("/ops/shares", "team", team);
     let report: ShareReport = controller.request("GET", &path, None)?;
     controller.print(&report, shares_text)
 }
 
+/// Prints the status of one move or of the latest moves.
 fn status(controller: &ControllerArgs, id: Option<&str>) -> Result<(), CliError> {
     let path = with_query("/ops/shares/moves", "id", id);
     let answer: MoveAnswer = controller.request("GET", &path, None)?;
     controller.print(&answer, moves_text)
 }
 
+/// Requests a move and prints its status.
 fn request_move(controller: &ControllerArgs, request: &MoveRequest) -> Result<(), CliError> {
     let body = serde_json::to_vec(request).map_err(CliError::Json)?;
     let answer: MoveAnswer = controller.request("POST", "/ops/shares/move", Some(body))?;
     controller.print(&answer, moves_text)
 }
 
-/// A random id, which makes the operation idempotent.
+/// Returns a random move id. A controller applies several requests with the same id once.
 fn random_id() -> String {
     let mut rng = SmallRng::from_os_rng();
     format!("move-{:016x}", rng.random::<u64>())
 }
 
+/// Appends a query parameter to a path if it has a value.
 fn with_query(path: &str, name: &str, value: Option<&str>) -> String {
     match value {
         Some(value) => format!("{path}?{name}={value}"),
@@ -142,7 +149,7 @@
     }
 }
 
-/// The shares of each team's quota, a line for each controller.
+/// Formats the shares of each team's limit, with one line for each controller.
 pub fn shares_text(report: &ShareReport) -> String {
     let mut text = format!(
         "At revision {}: shares hold {} of {}.\n",
@@ -154,6 +161,7 @@
     text
 }
 
+/// Formats the shares of one team.
 fn team_text(team: &TeamShares) -> String {
     let mut text = match team.split {
         true => format!(
@@ -164,11 +172,12 @@
     };
     text.extend(team.controllers.iter().map(controller_text));
     if let Some(obstacle) = &team.obstacle {
-        text += &format!("  left to move: {obstacle}\n");
+        text += &format!("  move pending: {obstacle}\n");
     }
     text
 }
 
+/// Formats the share of one controller.
 fn controller_text(share: &ControllerShare) -> String {
     let mut text = format!(
         "  {}: has {}, {} used",
@@ -177,12 +186,12 @@
         amounts_text(&share.used)
     );
     if share.wanted != share.granted {
-        text += &format!(", is to have {}", amounts_text(&share.wanted));
+        text += &format!(", target {}", amounts_text(&share.wanted));
     }
     text + "\n"
 }
 
-/// The moves of shares, a line for each.
+/// Formats moves, with one line for each.
 pub fn moves_text(answer: &MoveAnswer) -> String {
     let mut text = format!("At revision {}:\n", answer.revision);
     text.extend(answer.moves.iter().map(move_text));
@@ -192,10 +201,11 @@
     text
 }
 
+/// Formats one move.
 fn move_text(report: &MoveReport) -> String {
     let state = match report.state {
         MoveState::Pending => "pending",
-        MoveState::Superseded => "superseded by a later move, and part of it",
+        MoveState::Superseded => "superseded by a later move, which includes it",
         MoveState::Done => "done",
     };
     let mut text = format!(
@@ -212,6 +222,7 @@
     text
 }
 
+/// Formats amounts of resources.
 fn amounts_text(amounts: &Amounts) -> String {
     format!(
         "{} CPUs, {} accelerators, {} GB",
--- a/src/introspection/messages.rs
+++ b/src/introspection/messages.rs
@@ -1,4 +1,4 @@
-//! The responses to operators, as JSON has them.
+//! JSON messages in the responses to operators.
 
 use std::collections::BTreeMap;
 
@@ -6,129 +6,133 @@
 
 use crate::wire::JobStage;
 
-/// Tasks of one attempt of a job on one machine.
+/// Tasks of one attempt of a job that are booked on one machine.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunDetails {
-    /// The machine.
+    /// Id of the machine.
     pub machine: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// How many tasks of it the machine has.
+    /// Number of tasks of the attempt on the machine.
     pub tasks: usize,
-    /// Whether they are being stopped.
+    /// True if the tasks are being stopped.
     pub stopping: bool,
 }
 
-/// The state of one job.
+/// State of one job.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobDetails {
-    /// The job's id.
+    /// Id of the job.
     pub job: String,
-    /// How far it has come.
+    /// Stage of the job.
     pub stage: JobStage,
-    /// Its class; `None` once a job that is over has left all machines.
+    /// Class of the job; `None` for a done or cancelled job without tasks on machines.
     pub class: Option<String>,
-    /// Its team; `None` as with the class.
+    /// Team of the job; `None` in the same case as the class.
     pub team: Option<String>,
-    /// The number of its tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// How many of them are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How many of them wait for a machine.
+    /// Number of tasks that wait for a machine.
     pub waiting: usize,
-    /// How many of them are on machines.
+    /// Number of tasks that are booked on machines.
     pub running: usize,
-    /// How many attempts have failed since the last success.
+    /// Number of attempts that have failed since the last success.
     pub failures: u32,
-    /// The machines that it failed on since it last succeeded anywhere.
+    /// Machines on which the job has failed since a task of it last succeeded on any
+    /// machine.
     #[serde(default)]
     pub failed_on: Vec<String>,
-    /// How long this controller has known it, in seconds; `None` once it is over.
+    /// Time since this controller first saw the job, in seconds; `None` for a done or
+    /// cancelled job.
     pub known_s: Option<f64>,
-    /// Whether it is past its deadline, or too late for every objective.
+    /// True if the job is past its deadline, or too late for every objective.
     pub late: bool,
-    /// Why it is not over; `None` once it is.
+    /// Reason why the job is unfinished; `None` for a done or cancelled job.
     pub reason: Option<String>,
-    /// For how many seconds that has been the reason.
+    /// Time for which the reason has been the same, in seconds.
     pub reason_s: Option<f64>,
-    /// Its tasks on machines, a hundred entries at most.
+    /// Tasks of the job on machines, at most 100 entries.
     pub runs: Vec<RunDetails>,
 }
 
-/// What a team uses and what it waits for.
+/// Resource usage and waiting jobs of a team.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TeamDetails {
-    /// The team's name.
+    /// Name of the team.
     pub team: String,
-    /// CPUs that its tasks take.
+    /// CPUs that the team's tasks use.
     pub cpus_used: f64,
-    /// CPUs that are guaranteed to it.
+    /// CPUs that are guaranteed to the team.
     pub cpus_guaranteed: f64,
-    /// The most CPUs that it may use; 0 for no limit.
+    /// Maximum CPUs that the team may use; 0 for no limit.
     pub cpus_limit: f64,
-    /// CPUs that it uses beyond its guarantee.
+    /// CPUs that the team uses beyond its guarantee.
     pub cpus_borrowed: f64,
-    /// Accelerators that its tasks take.
+    /// Accelerators that the team's tasks use.
     pub gpus_used: f64,
-    /// Accelerators that are guaranteed to it.
+    /// Accelerators that are guaranteed to the team.
     pub gpus_guaranteed: f64,
-    /// The most accelerators that it may use; 0 for no limit.
+    /// Maximum accelerators that the team may use; 0 for no limit.
     pub gpus_limit: f64,
-    /// Accelerators that it uses beyond its guarantee.
+    /// Accelerators that the team uses beyond its guarantee.
     pub gpus_borrowed: f64,
-    /// How many of its jobs have tasks that wait.
+    /// Number of the team's jobs that have waiting tasks.
     pub waiting_jobs: usize,
-    /// How many of its tasks wait.
+    /// Number of the team's waiting tasks.
     pub waiting_tasks: usize,
-    /// Why the first of its waiting jobs waits.
+    /// Reason why the first waiting job of the team waits; `None` if no job waits.
     pub why: Option<String>,
 }
 
-/// A job that is neither done nor cancelled.
+/// Job that is neither done nor cancelled.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct UnfinishedJob {
-    /// The job's id.
+    /// Id of the job.
     pub job: String,
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team of the job.
     pub team: String,
-    /// How far it has come.
+    /// Stage of the job.
     pub stage: JobStage,
-    /// How many of its tasks are not done.
+    /// Number of tasks that are not done.
     pub left: u32,
-    /// Whether it is past its deadline, or too late for every objective.
+    /// True if the job is past its deadline, or too late for every objective.
     pub late: bool,
-    /// How long this controller has known it, in seconds.
+    /// Time since this controller first saw the job, in seconds.
     pub known_s: f64,
-    /// Why it is not over.
+    /// Reason why the job is unfinished.
     pub reason: String,
-    /// For how many seconds that has been the reason.
+    /// Time for which the reason has been the same, in seconds.
     pub reason_s: f64,
 }
 
-/// What is unfinished or late, one page of the jobs.
+/// One page of the unfinished jobs, with totals and machine counts.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FleetReport {
-    /// The name of the controller that reports.
+    /// Name of the controller that sends the report.
     #[serde(rename = "node")]
     pub controller: String,
-    /// The age of what this controller knows, in seconds.
+    /// Age of the controller's replica of the state, in seconds; `None` before the
+    /// controller has completed its first barrier.
     pub state_age_s: Option<f64>,
-    /// How many jobs are unfinished; services that lack no replica are not.
+    /// Number of unfinished jobs. A service that lacks no replicas does not count.
     pub unfinished: usize,
-    /// How many of them are late.
+    /// Number of unfinished jobs that are late.
     pub late: usize,
-    /// How many of them are services that lack replicas.
+    /// Number of unfinished jobs that are services and lack replicas.
     pub services_short: usize,
-    /// How many machines are in each state.
+    /// Number of machines in each state.
     pub machines: BTreeMap<String, usize>,
-    /// Offers that the cloud has refused of late.
+    /// Offers that the cloud has recently refused.
     pub refused_by_cloud: Vec<String>,
-    /// Unfinished jobs in the order of their ids, a hundred at most.
+    /// Unfinished jobs in the order of their ids, at most 100.
     pub jobs: Vec<UnfinishedJob>,
-    /// Where the next page goes on.
+    /// Last job id on this page, which is the `after` parameter of the request for the next
+    /// page; `None` on the last page.
     pub next: Option<String>,
 }
--- a/src/introspection/mod.rs
+++ b/src/introspection/mod.rs
@@ -1,9 +1,13 @@
-//! Introspection of a running controller for operators: the state of a job, the
-//! teams, and what is unfinished or late, each with the one reason.
+//! Introspection of a running controller for operators: the state of a job, the usage of
+//! the teams, and the unfinished and late jobs, with one reason for each.
 //!
-//! Read-only, answered from this controller's replica alone, and bounded in
-//! size: such a request costs the state service nothing and cannot slow acceptance. `messages` holds the responses, `reason` why a job is not over,
-//! `snapshot` puts the responses together.
+//! Responses are read-only, based on this controller's replica alone, and bounded in size.
+//! The requests therefore put no load on the state service and cannot slow down the
+//! acceptance of jobs.
+//!
+//! - `messages`: responses as JSON messages.
+//! - `reason`: reason why a job is unfinished.
+//! - `snapshot`: builds the responses.
 
 mod messages;
 mod reason;
@@ -16,7 +20,7 @@
 
 pub use messages::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 
-/// The response to `GET /ops/job/{id}`: a [`JobDetails`].
+/// Returns the response to `GET /ops/job/{id}`: a [`JobDetails`].
 pub fn job(controller: &Controller, id: &str) -> Response {
     match Snapshot::new(controller).job(id) {
         Some(details) => Response::json(200, &details),
@@ -24,13 +28,13 @@
     }
 }
 
-/// The response to `GET /ops/teams`: a [`TeamDetails`] for each team.
+/// Returns the response to `GET /ops/teams`: a [`TeamDetails`] for each team.
 pub fn teams(controller: &Controller) -> Response {
     Response::json(200, &Snapshot::new(controller).teams())
 }
 
-/// The response to `GET /ops/report`: a page of the [`FleetReport`], with jobs in
-/// the order of their ids, beginning after the one that the query names.
+/// Returns the response to `GET /ops/report`: a [`FleetReport`] with one page of jobs in the
+/// order of their ids, after the id in the query parameter `after`.
 pub fn report(controller: &Controller, query: &str) -> Response {
     let after = query_value(query, "after").unwrap_or("");
     Response::json(200, &Snapshot::new(controller).report(after))
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -1,4 +1,4 @@
-//! The one reason why a job is not over, in words for operators.
+//! Reason why a job is unfinished, as a text for operators.
 
 use tokio::time::Instant;
 
@@ -7,13 +7,15 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// How many of a job's dependencies its reason names.
+/// Maximum number of dependencies that a reason names.
 const MAX_NAMED_DEPENDENCIES: usize = 3;
 
-/// Why a job is not over.
+/// Reason why a job is unfinished.
 pub(super) struct PendingReason {
+    /// Text for operators.
     pub(super) text: String,
-    /// For how many seconds this has been the reason; 0 where that is not tracked.
+    /// Time for which the reason has been the same, in seconds; 0 for reasons without
+    /// tracking.
     pub(super) seconds: f64,
 }
 
@@ -25,7 +27,7 @@
         }
     }
 
-    /// The reason of a job that is not over at `now`.
+    /// Returns the reason why an open job is unfinished at `now`.
     pub(super) fn for_job(controller: &Controller, id: &str, job: &Job, now: Instant) -> Self {
         if !controller.is_state_service_reachable() {
             let age = controller
@@ -40,39 +42,45 @@
             return PendingReason::for_waiting_tasks(controller, id, now);
         }
         if job.runs.iter().any(|run| run.stop) {
-            return PendingReason::new("it is being stopped to make room or to move", 0.0);
+            return PendingReason::new("it is being stopped, to be preempted or moved", 0.0);
         }
         PendingReason::new("it is running", 0.0)
     }
 
+    /// Returns the reason why a job has waiting tasks.
     fn for_waiting_tasks(controller: &Controller, id: &str, now: Instant) -> Self {
         match controller.placement.wait_state(id) {
             Some(wait) => {
                 let seconds = now.saturating_duration_since(wait.since).as_secs_f64();
                 PendingReason::new(wait_text(wait.reason), seconds)
             }
-            None => PendingReason::new("its turn has not come yet", 0.0),
+            None => PendingReason::new("it has not been considered for placement yet", 0.0),
         }
     }
 }
 
-/// Why the last placement round has left tasks waiting.
-fn wait_text(wait: WaitReason) -> &'static str {
-    match wait {
-        WaitReason::NoCapacity => "no machine has room for it",
-        WaitReason::NoZone => "no single zone has room for all of it",
+/// Returns the text for a wait reason of the last placement round.
+fn wait_text(reason: WaitReason) -> &'static str {
+    match reason {
+        WaitReason::NoCapacity => "no machine has enough free capacity",
+        WaitReason::NoZone => "no single zone has enough free capacity for all of its tasks",
         WaitReason::TeamLimit => "its team is at its limit",
-        WaitReason::OldAttempt => "its earlier attempt is not surely gone yet",
-        WaitReason::BackOff => "its tasks fail; it is tried again later",
-        WaitReason::SuspectedFaulty => "its tasks fail on every machine; one is tried now and then",
-        WaitReason::ZoneCapReached => "the zones that have room hold their share of it",
-        WaitReason::RecordFull => "as many of its tasks run as one record can hold",
-        WaitReason::CommitFull => "other work goes first",
-        WaitReason::RefusedByCloud => "the cloud refuses the machines it needs",
+        WaitReason::OldAttempt => "its earlier attempt may still be running",
+        WaitReason::BackOff => "its tasks fail; it is retried after a back-off",
+        WaitReason::SuspectedFaulty => {
+            "its tasks fail on several machines; only a few are retried, at intervals"
+        }
+        WaitReason::ZoneCapReached => {
+            "the zones with free capacity have reached the limit on its tasks"
+        }
+        WaitReason::RecordFull => "its record has no space for more running tasks",
+        WaitReason::CommitFull => "other jobs filled the last placement round",
+        WaitReason::RefusedByCloud => "the cloud refuses to create the machines that it needs",
     }
 }
 
-/// The jobs that have to be done before this one starts; `None` without any.
+/// Returns a text that names the jobs that have to be done before this job can start, or
+/// `None` if there are none.
 fn dependencies_text(replica: &Replica, id: &str) -> Option<String> {
     let dependencies = replica.pending_dependencies(id);
     if dependencies.is_empty() {
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -1,4 +1,4 @@
-//! Builds the responses to operators from the controller's state at one moment.
+//! Builds the responses to operators from the controller's state at one point in time.
 
 use std::cell::Ref;
 use std::collections::BTreeMap;
@@ -16,20 +16,20 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, JobStage};
 
-/// The maximum number of jobs on a page of the report, and of runs of one job.
+/// Maximum number of jobs on a page of the report, and of runs in the details of a job.
 const PAGE_SIZE: usize = 100;
 
-/// The key of the machine counts for machines that tasks are booked on.
+/// Key in the machine counts for machines on which tasks are booked.
 const MACHINES_WITH_WORK: &str = "with-work";
 
-/// The state of a controller at one moment.
+/// State of a controller at one point in time.
 pub(super) struct Snapshot<'a> {
     controller: &'a Controller,
     replica: Ref<'a, Replica>,
     now: Instant,
 }
 
-/// A job that is neither done nor cancelled.
+/// Job that is neither done nor cancelled.
 struct Unfinished<'a> {
     id: &'a str,
     job: &'a Job,
@@ -39,6 +39,7 @@
 }
 
 impl<'a> Snapshot<'a> {
+    /// Returns a snapshot of the current state.
     pub(super) fn new(controller: &'a Controller) -> Self {
         Snapshot {
             controller,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// One job; `None` for one that was never accepted.
+    /// Returns the details of a job, or `None` if the replica does not contain it.
     pub(super) fn job(&self, id: &str) -> Option<JobDetails> {
         let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
@@ -74,7 +75,7 @@
         })
     }
 
-    /// All teams, in the order of the settings.
+    /// Returns the details of all teams, in the order of the settings.
     pub(super) fn teams(&self) -> Vec<TeamDetails> {
         let settings = &self.controller.settings;
         let plan = Plan::from_replica(&self.replica);
@@ -84,13 +85,19 @@
         teams.map(|quota| self.team(quota, &queue)).collect()
     }
 
+    /// Returns the details of one team. `queue` contains the waiting jobs in scheduling
+    /// order.
     fn team(&self, quota: &TeamQuota, queue: &[&str]) -> TeamDetails {
         let used = self.replica.team_used(&quota.name);
         let (cpus, gpus) = (used.cpus.units(), used.gpus.units());
         let waiting: Vec<(&str, &Job)> = queue
             .iter()
             .filter_map(|id| Some((*id, &self.replica.jobs.get(*id)?.value)))
-            .filter(|(_, job)| job.spec.as_ref().is_some_and(|s| s.team == quota.name))
+            .filter(|(_, job)| {
+                job.spec
+                    .as_ref()
+                    .is_some_and(|spec| spec.team == quota.name)
+            })
             .collect();
         TeamDetails {
             team: quota.name.clone(),
@@ -108,7 +115,7 @@
         }
     }
 
-    /// The page of unfinished jobs after the id `after`, with totals over all.
+    /// Returns the page of unfinished jobs after the id `after`, with totals over all pages.
     pub(super) fn report(&self, after: &str) -> FleetReport {
         let unfinished: Vec<Unfinished> = self.unfinished().collect();
         let mut jobs: Vec<UnfinishedJob> = unfinished
@@ -138,8 +145,8 @@
         }
     }
 
-    /// Jobs that are not over. A service that lacks no replica is not
-    /// unfinished work.
+    /// Returns the jobs that are neither done nor cancelled, without the services that lack
+    /// no replicas.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
         let ready = self.replica.open_jobs.iter().map(|(_, id)| id.as_str());
         let blocked = self.replica.blocked_jobs().map(|(id, _)| id);
@@ -159,6 +166,7 @@
         })
     }
 
+    /// Returns the report entry of an unfinished job.
     fn unfinished_job(&self, entry: &Unfinished) -> UnfinishedJob {
         let reason = self.reason(entry.id, entry.job);
         let done = entry.job.done_count();
@@ -175,7 +183,7 @@
         }
     }
 
-    /// How many machines are in each state, and how many have tasks booked on them.
+    /// Returns the number of machines in each state, and of those with booked tasks.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
         let mut counts: BTreeMap<String, usize> = cloud::count_machines_by_lifecycle(&self.replica)
             .into_iter()
@@ -190,7 +198,7 @@
         counts
     }
 
-    /// The offers that the cloud has recently refused to any controller.
+    /// Returns the offers that the cloud has recently refused to any controller.
     fn refused_offers(&self) -> Vec<String> {
         let mut refused = self.controller.fleet.borrow().refused_offers(self.now);
         let peers = self.controller.peers.borrow();
@@ -200,13 +208,13 @@
         refused
     }
 
-    /// How long this controller has known a job, in seconds.
+    /// Returns the time since this controller first saw a job, in seconds.
     fn age_s(&self, id: &str) -> f64 {
         self.controller.placement.age_s(id, self.now)
     }
 
-    /// Whether a job is past its own deadline, or has waiting tasks and is too late
-    /// for every SLO of its class.
+    /// Returns whether a job is past its own deadline, or has waiting tasks and is too late
+    /// for every objective of its class.
     fn is_late(&self, id: &str, job: &Job, spec: &JobSpec) -> bool {
         let urgency = self.replica.effective_urgency(id, spec, self.now);
         if urgency.time_left_s.is_some_and(|left| left < 0.0) {
@@ -216,11 +224,13 @@
         job.waiting_count() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
     }
 
+    /// Returns the reason why an open job is unfinished.
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
         PendingReason::for_job(self.controller, id, job, self.now)
     }
 }
 
+/// Returns the details of a run. All tasks of a job that is not open are being stopped.
 fn run_details(run: &Run, is_open: bool) -> RunDetails {
     RunDetails {
         machine: run.machine.clone(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! shelfhoist: a small cluster scheduler.
 //!
-//! Controllers keep all their state in a key-value service, admit gangs whole
-//! by zone with one conditional write, and drive the workers that report to
-//! them. `docs/design.md` says what rests on which published design.
+//! Controllers keep all state in a key-value service. They place all tasks of a gang, zone
+//! by zone, in one conditional write, and control the workers that send heartbeats to
+//! them. `docs/design.md` names the published designs that this scheduler is based on.
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `shelfhoist`; `shelfhoist::cli` has all of it.
+//! Program `shelfhoist`. See `shelfhoist::cli` for the command line.
 
 fn main() -> std::process::ExitCode {
     shelfhoist::cli::main()
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -193,13 +193,13 @@
         "machines": {"active": 3}, "refused_by_cloud": ["occhio in porto"], "next": null,
         "jobs": [{"job": "job-1", "class": "board-sort", "team": "t", "stage": "queued",
                   "left": 1, "late": true, "known_s": 300.0,
-                  "reason": "no machine has room for it", "reason_s": 120.0}]
+                  "reason": "no machine has enough free capacity", "reason_s": 120.0}]
     }))
     .expect("report");
     let text = report_text(&report);
     for shard in [
         "1 jobs are unfinished, 1 of them late.",
-        "LATE job-1 (board-sort of t): queued, 1 tasks left, known for 5 min 0 s; no machine has room for it (for 2 min 0 s)",
+        "LATE job-1 (board-sort of t): queued, 1 tasks left, known for 5 min 0 s; no machine has enough free capacity (for 2 min 0 s)",
         "The cloud refuses: occhio in porto.",
         "Machines: 3 active.",
     ] {
@@ -208,7 +208,7 @@
     let teams: Vec<TeamDetails> = serde_json::from_value(serde_json::json!([{
         "team": "t", "cpus_used": 12.0, "cpus_guaranteed": 8.0, "cpus_limit": 16.0,
         "cpus_borrowed": 4.0, "gpus_used": 0.0, "gpus_guaranteed": 0.0, "gpus_limit": 0.0,
-        "gpus_borrowed": 0.0, "waiting_jobs": 2, "waiting_tasks": 9, "why": "other work goes first"
+        "gpus_borrowed": 0.0, "waiting_jobs": 2, "waiting_tasks": 9, "why": "other jobs filled the last placement round"
     }]))
     .expect("teams");
     let text = teams_text(&teams);
@@ -217,7 +217,9 @@
         "{text}"
     );
     assert!(
-        text.contains("2 jobs with 9 tasks wait; the first: other work goes first"),
+        text.contains(
+            "2 jobs with 9 tasks wait; the first: other jobs filled the last placement round"
+        ),
         "{text}"
     );
     let job: JobDetails = serde_json::from_value(serde_json::json!({
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -155,8 +155,8 @@
     let lines = [
         "At revision 7: shares hold 48 CPUs, 0 accelerators, 0.5 GB of 80 CPUs, 0 accelerators, 0.5 GB.",
         "t: move 2 of 3 settled",
-        "  n0: has 8 CPUs, 0 accelerators, 0.5 GB, 8 CPUs, 0 accelerators, 0.5 GB used, is to have 6 CPUs, 0 accelerators, 0.5 GB",
-        "  left to move: why",
+        "  n0: has 8 CPUs, 0 accelerators, 0.5 GB, 8 CPUs, 0 accelerators, 0.5 GB used, target 6 CPUs, 0 accelerators, 0.5 GB",
+        "  move pending: why",
         "u: not split",
     ];
     assert_eq!(shares_text(&report).lines().collect::<Vec<_>>(), lines);
