--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -51,7 +51,7 @@
     /// Use the policy in this file instead of the built-in policy.
     #[arg(long, value_name = "FILE", env = "SHELFHOIST_POLICY")]
     policy: Option<PathBuf>,
-    /// Enable the optional subsystems that this file enables (TOML).
+    /// Read from this file which optional subsystems to enable (TOML).
     #[arg(long, value_name = "FILE")]
     features_file: Option<PathBuf>,
     #[command(subcommand)]
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -3,11 +3,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type as the cloud offers it; also kept in the state service, so
-/// that a controller started during a cloud outage knows the types.
+/// Machine type that the cloud offers. Machine types are also stored in the state service,
+/// so that a controller that starts during a cloud outage has them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// The name of the type; PROTOCOL's `label`.
+    /// Name of the type; PROTOCOL's `label`.
     #[serde(rename = "label")]
     pub name: String,
     /// CPUs; PROTOCOL's `vcpus`.
@@ -19,28 +19,27 @@
     /// Memory, in GB; PROTOCOL's `ram_gb`.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Space for images, in GB; PROTOCOL's `local_gb`.
+    /// Local storage for images, in GB; PROTOCOL's `local_gb`.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// The rate at which images are fetched, in GB a second; PROTOCOL's
-    /// `pull_gb_per_s`.
+    /// Rate at which images are fetched, in GB per second; PROTOCOL's `pull_gb_per_s`.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
-    /// The hourly price of an on-demand machine; PROTOCOL's `hourly`.
+    /// Hourly price of an on-demand machine; PROTOCOL's `hourly`.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// The current hourly price of a spot machine.
+    /// Current hourly price of a spot machine.
     #[serde(rename = "spot_price", default)]
     pub spot_price: f64,
-    /// The usual time to boot, in seconds; PROTOCOL's `ready_s`.
+    /// Usual boot time, in seconds; PROTOCOL's `ready_s`.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
-    /// The zones in which it is offered; PROTOCOL's `yards`.
+    /// Zones in which the type is offered; PROTOCOL's `yards`.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
 
-/// The cloud's offer, the response to `GET /flavors`.
+/// Machine types that the cloud offers; the response to `GET /flavors`.
 #[derive(Debug, Deserialize)]
 pub struct MachineTypes {
     /// All machine types; PROTOCOL's `grades`.
@@ -48,79 +47,80 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request to create machines, the body of `POST /rentals`.
+/// Request to create machines; the body of `POST /rentals`.
 #[derive(Debug, Serialize)]
 pub struct CreateMachinesRequest<'a> {
-    /// Makes the request idempotent: a repetition creates no further machines.
+    /// Idempotency key: a repeated request with the same key creates no further machines.
     /// PROTOCOL's `hire`.
     #[serde(rename = "hire")]
     pub idempotency_key: &'a str,
-    /// The machine type; PROTOCOL's `grade`.
+    /// Machine type; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
     pub machine_type: &'a str,
-    /// The zone; PROTOCOL's `yard`.
+    /// Zone; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: &'a str,
-    /// Whether to create spot machines; PROTOCOL's `loaners`.
+    /// True to create spot machines instead of on-demand machines; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The maximum number of machines to create; PROTOCOL's `number`.
+    /// Maximum number of machines to create; PROTOCOL's `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// The machines that were created, or are to be deleted.
+/// Machines that were created, or that are to be deleted.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineIds {
-    /// Their ids; PROTOCOL's `bays`.
+    /// Ids of the machines; PROTOCOL's `bays`.
     #[serde(rename = "bays")]
     pub machines: Vec<String>,
 }
 
-/// The stage of a machine in the cloud's list.
+/// Stage of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedMachineStage {
-    /// Created and charged, but not known to be up.
+    /// Booting machine: created and charged, but not yet known to be up.
     #[serde(rename = "booting")]
     Booting,
-    /// Up.
+    /// Running machine.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself; listed until it is deleted.
+    /// Failed machine, which is listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// Machine in the cloud's list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
-    /// Its id; PROTOCOL's `name_id`.
+    /// Id of the machine; PROTOCOL's `name_id`.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Its type; PROTOCOL's `grade`.
+    /// Type of the machine; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
     pub machine_type: String,
-    /// Its zone; PROTOCOL's `yard`.
+    /// Zone of the machine; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine; PROTOCOL's `loaners`.
+    /// True if the machine is a spot machine; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its stage.
+    /// Stage of the machine.
     #[serde(rename = "stage")]
     pub stage: ListedMachineStage,
-    /// Seconds since it was created, at the time that the list describes.
+    /// Time since the machine was created, in seconds, as of the time that the list
+    /// describes.
     #[serde(rename = "age_s", default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list, the response to `GET /rentals`.
+/// Page of the cloud's list of machines; the response to `GET /rentals`.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
     /// Machines in the order of their ids; PROTOCOL's `bays`.
     #[serde(rename = "bays")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are further pages; PROTOCOL's `truncated`.
+    /// True if there are further pages; PROTOCOL's `truncated`.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,10 +1,10 @@
-//! The messages of PROTOCOL, one module for each counterpart of a controller.
+//! Messages of PROTOCOL, with one module for each peer of a controller.
 //!
-//! The names on the wire are PROTOCOL's own; the names here are the field's
-//! terms. `serde` renames tie them together, and none of them may change.
+//! The Rust names are the usual terms of cluster scheduling. `serde` renames map them to
+//! the names that PROTOCOL defines, which must not change.
 //!
-//! - [`users`]: submissions, and the state of a job.
-//! - [`workers`]: heartbeats, and the commands to a worker.
+//! - [`users`]: submissions and job states.
+//! - [`workers`]: heartbeats of workers, and commands to them.
 //! - [`cloud`]: machine types, and the creation, listing and deletion of machines.
 //! - [`state_service`]: records, transactions, watches and state leases.
 
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -4,79 +4,79 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A record's value as unparsed JSON, which is deserialized once, into the
-/// record's own type. A tree of JSON values would take many times the memory,
-/// and a watch that was interrupted for a while returns megabytes.
+/// Value of a record as unparsed JSON.
+///
+/// The value is deserialized once, into the record's own type. A tree of JSON values would
+/// take many times the memory, and a watch that was interrupted for a while returns
+/// megabytes.
 pub type RawJson = Box<RawValue>;
 
-/// Serializes a record's value. Records are plain data, so this cannot fail.
+/// Serializes the value of a record. Records are plain data, so this cannot fail.
 pub fn to_raw_json<T: Serialize>(value: &T) -> RawJson {
     serde_json::value::to_raw_value(value).unwrap_or_default()
 }
 
-/// A record of the state service.
+/// Record of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value.
+    /// Value of the record.
     pub value: RawJson,
-    /// The revision of its last change; PROTOCOL's `stamp`.
+    /// Revision of the record's last change; PROTOCOL's `stamp`.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of records, the response to `GET /store?prefix=`.
+/// Page of records; the response to `GET /store?prefix=`.
 #[derive(Debug, Deserialize)]
 pub struct StoredRecordPage {
-    /// The records in the order of their keys; PROTOCOL's `pairs`.
+    /// Records in the order of their keys; PROTOCOL's `pairs`.
     #[serde(rename = "pairs")]
     pub records: Vec<StoredRecord>,
-    /// Whether there are further pages; PROTOCOL's `truncated`.
+    /// True if there are further pages; PROTOCOL's `truncated`.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
-    /// The service's revision when it read the page; PROTOCOL's `ledger_rev`.
+    /// Revision of the state service at which it read the page; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// A precondition of a commit, as in compare-and-swap: the key still has this
-/// version.
+/// Precondition of a commit, as in compare-and-swap: a key must have a certain version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// Key that is checked.
     pub key: String,
-    /// The version that it must have, 0 if it must not exist; PROTOCOL's
-    /// `stamp`.
+    /// Version that the key must have, or 0 if the key must not exist; PROTOCOL's `stamp`.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A write of a commit.
+/// Write of a commit.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Sets a key to a value.
+    /// Assignment of a value to a key.
     Put {
-        /// The key; PROTOCOL's `set`.
+        /// Key; PROTOCOL's `set`.
         #[serde(rename = "set")]
         key: String,
-        /// The new value.
+        /// New value.
         value: RawJson,
-        /// The state lease with which the key expires; PROTOCOL's `permit`.
+        /// State lease with which the key expires; PROTOCOL's `permit`.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Removal of a key.
     Delete {
-        /// The key; PROTOCOL's `remove`.
+        /// Key; PROTOCOL's `remove`.
         #[serde(rename = "remove")]
         key: String,
     },
 }
 
 impl Write {
-    /// The key that is changed.
+    /// Returns the key that is written or removed.
     pub fn key(&self) -> &str {
         match self {
             Write::Put { key, .. } | Write::Delete { key } => key,
@@ -84,55 +84,55 @@
     }
 }
 
-/// A transaction, the body of `POST /commit`: all writes are made if every
-/// precondition holds, and none otherwise.
+/// Transaction; the body of `POST /commit`. The state service makes all writes if every
+/// precondition is met, and none otherwise.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Commit {
-    /// The preconditions; PROTOCOL's `guards`.
+    /// Preconditions; PROTOCOL's `guards`.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// The writes.
+    /// Writes.
     pub writes: Vec<Write>,
 }
 
-/// The response to a commit, or to reading a key that does not exist.
+/// Response to a commit, or to a read of a key that does not exist.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Revision {
-    /// The service's revision; PROTOCOL's `ledger_rev`.
+    /// Current revision of the state service; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// The response to a commit whose preconditions do not all hold.
+/// Response to a commit with a precondition that is not met.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommitConflict {
-    /// The keys whose versions differ.
+    /// Keys whose versions differ from the preconditions.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// The service's revision; PROTOCOL's `ledger_rev`.
+    /// Current revision of the state service; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
 }
 
-/// A change of one record: its key was set to a value, or removed.
+/// Change of one record, whose key was set to a value or removed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Event {
-    /// The key that was set, if one was.
+    /// Key that was set; `None` if a key was removed.
     #[serde(default)]
     pub set: Option<String>,
-    /// The key that was removed, if one was.
+    /// Key that was removed; `None` if a key was set.
     #[serde(default)]
     pub remove: Option<String>,
-    /// The new value of a key that was set.
+    /// New value of a key that was set; `None` if a key was removed.
     #[serde(default)]
     pub value: Option<RawJson>,
-    /// The revision of the change; PROTOCOL's `stamp`.
+    /// Revision of the change; PROTOCOL's `stamp`.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Event {
-    /// The event of a key that was set to a value.
+    /// Returns the event for a key that was set to a value.
     pub fn put<T: Serialize>(key: String, value: &T, version: u64) -> Self {
         Event {
             set: Some(key),
@@ -143,29 +143,29 @@
     }
 }
 
-/// The response to `GET /watch`.
+/// Response to `GET /watch`.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The revision up to which the events are complete; PROTOCOL's `ledger_rev`.
+    /// Revision up to which the events are complete; PROTOCOL's `ledger_rev`.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// The changes after the revision that the request named.
+    /// Changes after the revision that the request specified.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// A request for a state lease, the body of `POST /holds`. Keys that are written
-/// with the lease are removed when it expires.
+/// Request for a state lease; the body of `POST /holds`. Keys that are written with the
+/// lease are removed when it expires.
 #[derive(Debug, Serialize)]
 pub struct StateLeaseRequest {
-    /// The lease's duration unless it is renewed, in milliseconds.
+    /// Time after which the lease expires unless it is renewed, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A state lease, as the state service has granted it.
+/// State lease that the state service has granted.
 #[derive(Debug, Deserialize)]
 pub struct StateLease {
-    /// The id of the lease; PROTOCOL's `permit`.
+    /// Id of the lease; PROTOCOL's `permit`.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,178 +1,180 @@
-//! Messages between workers and a controller: heartbeats, which carry the status
-//! of every task, and commands.
+//! Messages between workers and a controller: heartbeats, which contain the status of
+//! every task of a worker, and commands.
 
 use serde::{Deserialize, Serialize};
 
-/// The stage of a task, as its worker reports it.
+/// Stage of a task, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Waits for its image; PROTOCOL's `pulling`.
+    /// Task that waits until its image has been fetched; PROTOCOL's `pulling`.
     #[serde(rename = "pulling")]
     Fetching,
-    /// A gang task that waits for the other tasks of its attempt.
+    /// Task of a gang that waits for the other tasks of its attempt.
     #[serde(rename = "waiting")]
     Waiting,
-    /// Runs, or has not yet noticed that its gang has ended.
+    /// Task that runs, or that has not yet detected the end of its gang.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves a checkpoint; PROTOCOL's `flushing`.
+    /// Task that saves a checkpoint after a stop command; PROTOCOL's `flushing`.
     #[serde(rename = "flushing")]
     Saving,
-    /// Exited, for the reason reported with it.
+    /// Task that has ended, for the reason in [`TaskStatus::exit_reason`].
     #[serde(rename = "ended")]
     Ended,
 }
 
-/// Why a task has ended; PROTOCOL's `cause`.
+/// Reason why a task has ended; PROTOCOL's `cause`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// It is complete, and its result is kept.
+    /// Completion of the task; its result is stored.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by a command.
+    /// Stop command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone; PROTOCOL's `peers`.
+    /// Loss of another task of the gang; PROTOCOL's `peers`.
     #[serde(rename = "peers")]
     PeerLost,
-    /// The other tasks of its gang did not start in time; PROTOCOL's `incomplete`.
+    /// Timeout before all other tasks of the gang had started; PROTOCOL's `incomplete`.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// It failed by itself.
+    /// Failure of the task itself.
     #[serde(rename = "error")]
     Error,
-    /// Not started: too few free resources on the machine; PROTOCOL's `full`.
+    /// Rejected start: the machine has too few free resources; PROTOCOL's `full`.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Not started: the machine has another attempt of this task.
+    /// Rejected start: the machine still has another attempt of the task.
     #[serde(rename = "busy")]
     Busy,
-    /// Not started: the worker knows no such job or task; PROTOCOL's `no_such`.
+    /// Rejected start: the job or the task does not exist; PROTOCOL's `no_such`.
     #[serde(rename = "no_such")]
     Unknown,
 }
 
-/// The status of one task in a worker's heartbeat.
+/// Status of one task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task, such as `job-000412/3`; PROTOCOL's `board`.
+    /// Id of the task, such as `job-000412/3`; PROTOCOL's `board`.
     #[serde(rename = "board")]
     pub task: String,
-    /// The attempt that was started; PROTOCOL's `try`.
+    /// Number of the attempt that was started; PROTOCOL's `try`.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its stage.
+    /// Stage of the task.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why it has ended, once it has; PROTOCOL's `cause`.
+    /// Reason why the task has ended; `None` before its end. PROTOCOL's `cause`.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a stopped task's progress was saved; PROTOCOL's `kept`.
+    /// True if the progress of a stopped task was saved; PROTOCOL's `kept`.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat, the body of `POST /agent/beat`; also its response to
+/// Status of a worker; the body of its heartbeat `POST /agent/beat`, and its response to
 /// direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerStatus {
-    /// The machine's id; PROTOCOL's `bay`.
+    /// Id of the machine; PROTOCOL's `bay`.
     #[serde(rename = "bay")]
     pub machine: String,
-    /// The address for direct commands; PROTOCOL's `endpoint`.
+    /// Address of the worker for direct commands; PROTOCOL's `endpoint`.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// The machine's type; PROTOCOL's `grade`.
+    /// Type of the machine; PROTOCOL's `grade`.
     #[serde(rename = "grade")]
     pub machine_type: String,
-    /// The machine's zone; PROTOCOL's `yard`.
+    /// Zone of the machine; PROTOCOL's `yard`.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine; PROTOCOL's `loaners`.
+    /// True if the machine is a spot machine; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Starts at 1 and grows whenever the worker's lease expires; PROTOCOL's
-    /// `shift`.
+    /// Epoch of the worker, which starts at 1 and increases whenever the worker's lease
+    /// expires; PROTOCOL's `shift`.
     #[serde(rename = "shift")]
     pub epoch: u64,
-    /// Grows with every message of the worker; PROTOCOL's `tally`. Of two
-    /// messages the one with the larger epoch and number is newer.
+    /// Sequence number, which increases with every message of the worker; PROTOCOL's
+    /// `tally`. Of two messages, the one with the larger epoch and sequence number, compared
+    /// in this order, is newer.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen; PROTOCOL's `baton`.
+    /// Highest fencing token that the worker has received; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud preempts the machine, if it has given notice;
-    /// PROTOCOL's `recall_s`.
+    /// Time until the cloud preempts the machine, in seconds, if the cloud has given
+    /// notice; PROTOCOL's `recall_s`.
     #[serde(rename = "recall_s", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine, ended ones until they are forgotten;
+    /// All tasks on the machine, including ended tasks until a [`CommandAction::Forget`];
     /// PROTOCOL's `boards`.
     #[serde(rename = "boards", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is to do with a task.
+/// Action that a command makes a worker apply to a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
-    /// Start an attempt of a task; PROTOCOL's `launch`.
+    /// Start of an attempt of the task; PROTOCOL's `launch`.
     #[serde(rename = "launch")]
     Start,
-    /// Stop a task, after it has saved if the grace period allows.
+    /// Stop of the task, after it has saved a checkpoint if the grace period is long enough.
     #[serde(rename = "stop")]
     Stop,
-    /// Leave an ended task out of later reports.
+    /// Removal of an ended task from later heartbeats.
     #[serde(rename = "forget")]
     Forget,
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommand {
-    /// What to do with the task; PROTOCOL's `verb`.
+    /// Action that the worker applies to the task; PROTOCOL's `verb`.
     #[serde(rename = "verb")]
     pub action: CommandAction,
-    /// The task, such as `job-000412/3`; PROTOCOL's `board`.
+    /// Id of the task, such as `job-000412/3`; PROTOCOL's `board`.
     #[serde(rename = "board")]
     pub task: String,
-    /// The attempt that the command applies to; PROTOCOL's `try`.
+    /// Number of the attempt that the command applies to; PROTOCOL's `try`.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Seconds that a stopped task has to save a checkpoint; PROTOCOL's `easing_s`.
+    /// Grace period in which a stopped task may save a checkpoint, in seconds; PROTOCOL's
+    /// `easing_s`.
     #[serde(rename = "easing_s", default, skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
 
-/// The response to a heartbeat, which renews the worker's lease.
+/// Response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token; a worker ignores commands under a lower one than it has
-    /// seen. PROTOCOL's `baton`.
+    /// Fencing token; PROTOCOL's `baton`. A worker ignores commands with a lower token than
+    /// the highest that it has received.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Commands, executed in their order; PROTOCOL's `orders`.
+    /// Commands, which the worker executes in this order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Direct commands, the body of `POST /orders`.
+/// Direct commands to a worker; the body of `POST /orders`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WorkerCommands {
-    /// The fencing token; PROTOCOL's `baton`.
+    /// Fencing token; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The worker's epoch that the commands apply to; PROTOCOL's `shift`.
+    /// Epoch of the worker in which the commands are valid; PROTOCOL's `shift`.
     #[serde(rename = "shift")]
     pub epoch: u64,
-    /// Commands, executed in their order; PROTOCOL's `orders`.
+    /// Commands, which the worker executes in this order; PROTOCOL's `orders`.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The body of a 421 response to a heartbeat.
+/// Body of a 421 response to a heartbeat, which redirects the worker to its owner.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller that owns the worker, if one is known; PROTOCOL's `foreman`.
+    /// Controller that owns the worker, if the responding controller can name it; PROTOCOL's `foreman`.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
