--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,4 +1,4 @@
-//! The acceptance loop: commits pending submissions in batches.
+//! Acceptance loop, which commits pending submissions in batches.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,13 +19,13 @@
 /// Outcome of a pending submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptanceOutcome {
-    /// The job has been committed.
+    /// Commit of the job.
     Committed,
-    /// A job with the same id was accepted before.
+    /// Existence of a job with the same id, which was accepted before.
     AlreadyKnown,
 }
 
-/// A submission that waits for its commit, and the channel to its request. If the
+/// Submission that waits for its commit, and the channel to its request. If the
 /// commit is abandoned, the submission is dropped without sending an outcome, and the
 /// request sees a closed channel.
 pub struct PendingSubmission {
@@ -115,7 +115,7 @@
 
 /// Commits a batch and completes its submissions.
 ///
-/// After an error that a retry may resolve, the batch goes back to the queue.
+/// After an error that a retry may resolve, the batch is requeued.
 async fn commit_batch(controller: &Controller, batch: Vec<PendingSubmission>) {
     let BatchCommit {
         preconditions,
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -55,7 +55,7 @@
                     back_off(controller).await;
                     continue;
                 }
-                // The job has changed meanwhile: read it again after a barrier.
+                // The job has changed in the meantime: read it again after a barrier.
                 Err(StateClientError::Conflict(_)) => {}
                 Err(error) if is_retry_futile(controller, &error) => return state_unavailable(),
                 // The commit may have been executed: read the job again after a barrier.
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::responses::{RETRY_SHED, no_such_job, record_unreadable, state_unavailable};
+use super::responses::{SHED_RETRY_AFTER_S, no_such_job, record_unreadable, state_unavailable};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::settings::Settings;
@@ -46,16 +46,16 @@
 
 /// Returns whether a query is rejected to shed load.
 ///
-/// A query is shed if this controller is overloaded, as its timer `lag` shows, and if
+/// A query is shed if this controller is overloaded, as `timer_lag` shows, and if
 /// it answered a query about the same job recently, `since_answer` ago. Heartbeats,
 /// claims and submissions have precedence for the CPU. Every controller still answers
 /// about each job at intervals: otherwise users would take the job for lost.
 pub fn should_shed_query(
-    lag: Duration,
+    timer_lag: Duration,
     since_answer: Option<Duration>,
     settings: &Settings,
 ) -> bool {
-    let is_overloaded = lag > settings.heartbeat_interval() / 8;
+    let is_overloaded = timer_lag > settings.heartbeat_interval() / 8;
     let min_interval = settings.worker_lease() / 2;
     is_overloaded && since_answer.is_some_and(|age| age < min_interval)
 }
@@ -66,7 +66,7 @@
     let since_answer = admissions.time_since_answer(id);
     let is_open = controller.replica.borrow().effective_status(id) == Some(JobStatus::Open);
     if is_open && should_shed_query(controller.timer_lag(), since_answer, &controller.settings) {
-        return Response::unavailable("asked more often than can be answered", RETRY_SHED);
+        return Response::unavailable("asked more often than can be answered", SHED_RETRY_AFTER_S);
     }
     let response = query_within(controller, id, QUERY_TIMEOUT).await;
     if is_open && response.status == 200 {
@@ -75,7 +75,7 @@
     response
 }
 
-/// Returns the response to a query. The barrier before it may take at most `limit`.
+/// Returns the response to a query. Waits for the barrier before it for at most `limit`.
 pub(super) async fn query_within(controller: &Controller, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
         return no_such_job();
@@ -84,8 +84,8 @@
         return response;
     }
     // Safety 1: any other response, including 404, must not be older than one that
-    // another controller has given. This takes a barrier, which is impossible without
-    // the state service; the request then fails immediately instead of waiting.
+    // another controller has given. This requires a barrier. While the state service is
+    // unreachable, no barrier can complete, and the request fails without waiting.
     if !controller.is_state_service_reachable()
         || !controller.wait_for_barrier_unless_refused(limit).await
     {
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -4,23 +4,23 @@
 use crate::http::Response;
 
 /// Shortest `Retry-After` that the protocol allows, in seconds.
-pub(super) const RETRY_SOON: u32 = 1;
+pub(super) const MIN_RETRY_AFTER_S: u32 = 1;
 
 /// `Retry-After` for a query that is shed, in seconds.
-pub(super) const RETRY_SHED: u32 = 2;
+pub(super) const SHED_RETRY_AFTER_S: u32 = 2;
 
 /// `Retry-After` for a failure that an operator has to resolve, in seconds; the maximum
 /// that users follow.
-pub(super) const RETRY_LATE: u32 = 30;
+pub(super) const MAX_RETRY_AFTER_S: u32 = 30;
 
 /// Returns 503 for a request that needs the state service while it is unreachable.
 pub(super) fn state_unavailable() -> Response {
-    Response::unavailable("the state service does not answer", RETRY_SOON)
+    Response::unavailable("the state service does not answer", MIN_RETRY_AFTER_S)
 }
 
 /// Returns 503 for a job that was accepted, but whose record cannot be read.
 pub(super) fn record_unreadable() -> Response {
-    Response::unavailable("the job's record cannot be read", RETRY_LATE)
+    Response::unavailable("the job's record cannot be read", MAX_RETRY_AFTER_S)
 }
 
 /// Returns 404 for a job that was never accepted.
@@ -34,7 +34,9 @@
         match error {
             SubmissionError::Malformed(problem) => Response::error(400, &problem),
             SubmissionError::Unsatisfiable(problem) => Response::error(422, &problem),
-            SubmissionError::Undecidable => Response::unavailable("not decidable yet", RETRY_SOON),
+            SubmissionError::Undecidable => {
+                Response::unavailable("not decidable yet", MIN_RETRY_AFTER_S)
+            }
         }
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -11,7 +11,7 @@
 
 use super::acceptance::{AcceptanceOutcome, PendingSubmission};
 use super::query::{QUERY_TIMEOUT, final_state, query_within};
-use super::responses::{RETRY_SOON, record_unreadable, state_unavailable};
+use super::responses::{MIN_RETRY_AFTER_S, record_unreadable, state_unavailable};
 use super::validation::{SubmissionError, check_submission, read_submission};
 use crate::controller::Controller;
 use crate::http::Response;
@@ -71,7 +71,7 @@
         .is_some_and(|dependencies| !dependencies.is_empty());
     if has_dependencies && !replica.all_read_compact_encodings() {
         let problem = "not every controller knows awaits yet";
-        return Some(Response::unavailable(problem, RETRY_SOON));
+        return Some(Response::unavailable(problem, MIN_RETRY_AFTER_S));
     }
     None
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -30,13 +30,13 @@
 /// Reason why a submission is not accepted.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// 400: the submission is malformed, or too long for a record.
+    /// Malformed submission, or one that is too long for a record; status 400.
     #[error("malformed submission: {0}")]
     Malformed(String),
-    /// 422: the job can never run.
+    /// Job that can never run; status 422.
     #[error("the job can never run: {0}")]
     Unsatisfiable(String),
-    /// 503: this controller lacks the data to decide yet.
+    /// Submission that this controller lacks the data to decide about; status 503.
     #[error("not decidable yet")]
     Undecidable,
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -62,12 +62,12 @@
 enum Command {
     /// Check a settings file.
     CheckSettings {
-        /// The settings file (JSON).
+        /// Settings file (JSON).
         file: PathBuf,
     },
     /// Check a policy file and explain its rules.
     Policy {
-        /// The policy file; the built-in policy if none is given.
+        /// Policy file; the built-in policy if none is given.
         file: Option<PathBuf>,
         /// Print nothing if the policy is valid.
         #[arg(long)]
@@ -75,7 +75,7 @@
     },
     /// Show the state of a job, and why it is unfinished.
     Job {
-        /// The job's id, such as job-000412.
+        /// Id of the job, such as job-000412.
         id: String,
         #[command(flatten)]
         controller: ControllerArgs,
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -104,7 +104,7 @@
     text
 }
 
-/// Formats a limit, where 0 stands for no limit.
+/// Formats a limit, where 0 means no limit.
 fn limit_text(limit: f64) -> String {
     if limit > 0.0 {
         limit.to_string()
--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -17,7 +17,7 @@
 pub(super) enum ShareCommand {
     /// Show the controllers' shares of one team's limit, or of all teams' limits.
     Show {
-        /// The team.
+        /// Name of the team.
         team: Option<String>,
         #[command(flatten)]
         controller: ControllerArgs,
@@ -25,12 +25,12 @@
     /// Move capacity from one controller's share of a team's limit to another's; running
     /// jobs are not interrupted.
     Move {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The controller whose share shrinks.
+        /// Controller whose share shrinks.
         #[arg(long, value_name = "CONTROLLER")]
         from: String,
-        /// The controller whose share grows.
+        /// Controller whose share grows.
         #[arg(long, value_name = "CONTROLLER")]
         to: String,
         /// CPUs to move.
@@ -57,7 +57,7 @@
             allow_negative_numbers = true
         )]
         memory_gb: f64,
-        /// The id of the move, random by default; a move repeated with its id takes effect
+        /// Id of the move, random by default; a move repeated with its id takes effect
         /// once.
         #[arg(long)]
         id: Option<String>,
@@ -69,7 +69,7 @@
     },
     /// Show the status of a move, or of the latest moves.
     Status {
-        /// The id of the move.
+        /// Id of the move.
         id: Option<String>,
         #[command(flatten)]
         controller: ControllerArgs,
--- a/src/http/client/mod.rs
+++ b/src/http/client/mod.rs
@@ -20,22 +20,22 @@
 use pool::ConnectionPool;
 use response::{ReceivedResponse, read_response};
 
-pub(super) use pool::OpenConnection;
+pub(super) use pool::ConnectionCountGuard;
 
 /// Reason why a call failed without a response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No byte of the request has been sent, so the server has certainly not executed it.
+    /// Request of which nothing was sent, so the server has certainly not executed it.
     #[error("not connected: {0}")]
     NotSent(String),
-    /// At least a part of the request was sent, but no response arrived. The server may
-    /// have executed the request, or may still execute it.
+    /// Request that was sent, at least in part, and got no response. The server may have
+    /// executed it, or may still execute it.
     #[error("no response: {0}")]
     NoResponse(String),
-    /// The body of the response is not the expected JSON.
+    /// Response whose body is not the expected JSON.
     #[error("malformed response: {0}")]
     Malformed(String),
-    /// The response exceeds the client's maximum size.
+    /// Response that exceeds the client's maximum size.
     #[error("response too large")]
     TooLarge,
 }
--- a/src/http/client/pool.rs
+++ b/src/http/client/pool.rs
@@ -17,13 +17,13 @@
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 
 /// Guard that counts one open connection until it is dropped.
-pub(in crate::http) struct OpenConnection(Rc<Cell<usize>>);
+pub(in crate::http) struct ConnectionCountGuard(Rc<Cell<usize>>);
 
-impl OpenConnection {
+impl ConnectionCountGuard {
     /// Increments the shared counter `open`.
     pub(in crate::http) fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        OpenConnection(open.clone())
+        ConnectionCountGuard(open.clone())
     }
 
     /// Returns the shared counter of open connections.
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionCountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -41,7 +41,7 @@
 /// Open connection.
 pub(super) struct Connection {
     pub(super) stream: Stream,
-    _open: OpenConnection,
+    _open: ConnectionCountGuard,
 }
 
 /// Open connection that no request uses.
@@ -148,7 +148,7 @@
         }
         // Counted before the connection is established, because several tasks may be
         // connecting at the same time.
-        let open = OpenConnection::new(&self.open);
+        let open = ConnectionCountGuard::new(&self.open);
         let stream = self.net.connect(addr).await?;
         Ok(Connection {
             stream,
--- a/src/http/client/response.rs
+++ b/src/http/client/response.rs
@@ -8,7 +8,7 @@
 use crate::net::Stream;
 
 /// Free buffer capacity that is reserved for each read, in bytes.
-const READ_BYTES: usize = 4096;
+const READ_CAPACITY_BYTES: usize = 4096;
 
 fn malformed(problem: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, problem.to_string())
@@ -24,7 +24,7 @@
     if buffer.len() > limit {
         return Err(too_large());
     }
-    buffer.reserve(READ_BYTES);
+    buffer.reserve(READ_CAPACITY_BYTES);
     match stream.read_buf(buffer).await? {
         0 => Err(io::Error::from(io::ErrorKind::UnexpectedEof)),
         _ => Ok(()),
@@ -61,7 +61,7 @@
     content_length: Option<usize>,
     is_chunked: bool,
     /// True if the server closes the connection after the response.
-    closes: bool,
+    closes_connection: bool,
     /// `Retry-After`, in seconds.
     retry_after: Option<u32>,
 }
@@ -80,7 +80,7 @@
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 fields.is_chunked = value.eq_ignore_ascii_case("chunked");
             } else if header.name.eq_ignore_ascii_case("connection") {
-                fields.closes |= value.eq_ignore_ascii_case("close");
+                fields.closes_connection |= value.eq_ignore_ascii_case("close");
             } else if header.name.eq_ignore_ascii_case("retry-after") {
                 fields.retry_after = value.parse().ok();
             }
@@ -109,7 +109,7 @@
     };
     let fields = HeaderFields::read(head.headers)?;
     let body = fields.body_framing();
-    let keeps_alive = head.version == Some(1) && !fields.closes;
+    let keeps_alive = head.version == Some(1) && !fields.closes_connection;
     Ok(Some(ResponseHead {
         status: head.code.unwrap_or(0),
         len,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 
-use super::client::OpenConnection;
+use super::client::ConnectionCountGuard;
 use super::message::encode;
 use super::{ParsedRequest, Request, Response, parse_request};
 use crate::net::{Listener, Stream};
@@ -25,7 +25,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Free buffer capacity that is reserved for each read, in bytes.
-const READ_BYTES: usize = 2048;
+const READ_CAPACITY_BYTES: usize = 2048;
 
 /// Limits on the connections of a server.
 #[derive(Debug, Clone, Copy)]
@@ -88,7 +88,7 @@
             drop(stream);
             continue;
         }
-        let connection = OpenConnection::new(&open);
+        let connection = ConnectionCountGuard::new(&open);
         let handler = handler.clone();
         tokio::task::spawn_local(async move {
             let _ = serve_connection(stream, limits, handler, connection.count()).await;
@@ -168,7 +168,7 @@
             None => limits.idle_timeout,
             Some(since) => limits.request_timeout.saturating_sub(since.elapsed()),
         };
-        buffer.reserve(READ_BYTES);
+        buffer.reserve(READ_CAPACITY_BYTES);
         match timeout(wait, stream.read_buf(buffer)).await {
             Ok(Ok(0)) | Err(_) => return Ok(ReceiveOutcome::Closed),
             Ok(Ok(_)) => started_at = started_at.or(Some(Instant::now())),
--- a/src/net.rs
+++ b/src/net.rs
@@ -148,13 +148,13 @@
                 if network.is_partitioned(route) {
                     std::future::pending::<()>().await;
                 }
-                let (ours, theirs) = tokio::io::duplex(SIMULATED_STREAM_BUFFER_BYTES);
+                let (client_end, server_end) = tokio::io::duplex(SIMULATED_STREAM_BUFFER_BYTES);
                 let listeners = network.listeners.borrow();
                 let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
                 let listener = listeners.get(&addr).ok_or_else(refused)?;
-                listener.send(theirs).map_err(|_| refused())?;
+                listener.send(server_end).map_err(|_| refused())?;
                 Ok(Box::new(SimulatedStream {
-                    inner: ours,
+                    inner: client_end,
                     network: network.clone(),
                     route,
                 }))
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -174,7 +174,8 @@
 /// Body of a 421 response to a heartbeat, which redirects the worker to its owner.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Controller that owns the worker, if the responding controller can name it; PROTOCOL's `foreman`.
+    /// Controller that owns the worker, if the responding controller can name it;
+    /// PROTOCOL's `foreman`.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
