--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -38,7 +38,7 @@
     /// Sends the request to a controller; returns the answer and the response time. A
     /// submission is of a new job; queries and cancellations concern the job `existing`.
     async fn send(self, world: &World, i: usize, existing: &str) -> (Response, Duration) {
-        let user = Net::Fabric(world.fabric.clone(), addr("10.3.0.9:1"));
+        let user = Net::Simulated(world.fabric.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
         let (method, path, body) = match self {
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -123,7 +123,7 @@
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
     in_world(|| async {
-        let net = Net::Fabric(Rc::new(Fabric::default()), controller(0));
+        let net = Net::Simulated(Rc::new(Fabric::default()), controller(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
         let unreachable = controller(9);
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -25,9 +25,9 @@
 
 impl UnthrottledClient {
     fn new(world: &World) -> Self {
-        let net = Net::Fabric(world.fabric.clone(), addr(CLIENT));
+        let net = Net::Simulated(world.fabric.clone(), addr(CLIENT));
         let client = Client::new(net, Duration::from_secs(30));
-        UnthrottledClient(client.bounded(usize::MAX, 4 << 20))
+        UnthrottledClient(client.with_limits(usize::MAX, 4 << 20))
     }
 
     /// Sends a request, and returns the status and body of the response.
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -174,7 +174,7 @@
     pub fn lose(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
-            self.fabric.close(worker.address);
+            self.fabric.remove_listener(worker.address);
             tasks.iter().for_each(JoinHandle::abort);
         }
     }
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -71,8 +71,8 @@
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
         }
-        self.fabric.close(controller(i));
-        self.fabric.close(addr(&mesh_address(i)));
+        self.fabric.remove_listener(controller(i));
+        self.fabric.remove_listener(addr(&mesh_address(i)));
     }
 
     /// Returns the home controller and the owner of each machine, as the stored records
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -170,7 +170,7 @@
     fn net(&self, fabric: &Rc<Fabric>, address: SocketAddrV4) -> Net {
         match self.loopback {
             true => Net::System,
-            false => Net::Fabric(fabric.clone(), address),
+            false => Net::Simulated(fabric.clone(), address),
         }
     }
 
@@ -245,10 +245,10 @@
 
 /// The HTTP server limits of the stand-ins.
 pub(super) const SERVER_LIMITS: ServerLimits = ServerLimits {
-    connections: 1000,
-    idle: Duration::from_secs(600),
-    arrive: Duration::from_secs(60),
-    stays: |_| true,
+    max_connections: 1000,
+    idle_timeout: Duration::from_secs(600),
+    request_timeout: Duration::from_secs(60),
+    is_preferred: |_| true,
 };
 
 impl World {
