--- a/src/policy/check/calls.rs
+++ b/src/policy/check/calls.rs
@@ -1,4 +1,4 @@
-//! Checks of function calls.
+//! Checks the arguments of function calls and determines the types of the results.
 
 use super::{Checker, Typed};
 use crate::policy::error::{LocatedProblem, Problem};
@@ -79,7 +79,7 @@
     })
 }
 
-/// The range of `min` or `max` over arguments of these ranges.
+/// Returns the range of `min` or `max` for arguments with the given ranges.
 fn reduce(intervals: &[Interval], function: fn(f64, f64) -> f64) -> Interval {
     intervals
         .iter()
@@ -88,7 +88,7 @@
         .unwrap_or(Interval::point(0.0))
 }
 
-/// The range of `clamp(value, lowest, highest)`.
+/// Returns the range of `clamp(value, lowest, highest)`.
 fn clamp(intervals: &[Interval], range: &SourceRange) -> Result<Interval, LocatedProblem> {
     let (value, lowest, highest) = (intervals[0], intervals[1], intervals[2]);
     if lowest.max > highest.min {
--- a/src/policy/check/mod.rs
+++ b/src/policy/check/mod.rs
@@ -1,19 +1,19 @@
-//! The checker: resolves names, and proves by interval arithmetic that an
-//! expression is always defined and stays in the range of its rule.
+//! Checks parsed expressions: resolves names, and proves by interval arithmetic that an
+//! expression is always defined and that its value stays in the range of its rule.
 //!
-//! `operators` checks operators, `calls` checks function calls.
+//! `operators` checks operators, and `calls` checks function calls.
 
 mod calls;
 mod operators;
 
-use super::error::{LocatedProblem, Problem, SORT_KEYS_LIMIT};
+use super::error::{LocatedProblem, MAX_SORT_KEYS, Problem};
 use super::eval::{Expression, boolean_value};
 use super::parser::parse_expressions;
 use super::rules::{CONSTANTS, Rule, Subject};
 use super::syntax::{SourceRange, SyntaxKind, SyntaxNode};
 use super::types::{Interval, Type};
 
-/// A checked expression with its type.
+/// Checked expression with its type.
 struct Typed {
     expression: Expression,
     value_type: Type,
@@ -35,13 +35,13 @@
     }
 }
 
-/// A checked expression of numbers with its range.
+/// Checked numeric expression with the range of its value.
 struct Numeric {
     expression: Expression,
     interval: Interval,
 }
 
-/// Parses and checks the text of a rule.
+/// Parses and checks the text of a rule. Returns its single expression, or its sort keys.
 pub(super) fn compile(rule: &Rule, text: &str) -> Result<Vec<Expression>, LocatedProblem> {
     let nodes = parse_expressions(text)?;
     match rule.range {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Checks a rule that has a single number.
+/// Checks a rule whose value is a single number in the range `allowed`.
 fn single_value(
     rule: &Rule,
     allowed: Interval,
@@ -72,9 +72,9 @@
     Ok(value.expression)
 }
 
-/// Checks a rule that has a list of sort keys.
+/// Checks a rule whose value is a list of sort keys.
 fn sort_keys(rule: &Rule, nodes: &[SyntaxNode]) -> Result<Vec<Expression>, LocatedProblem> {
-    if let Some(excess) = nodes.get(SORT_KEYS_LIMIT) {
+    if let Some(excess) = nodes.get(MAX_SORT_KEYS) {
         return Err(Problem::TooManySortKeys.at(&excess.range));
     }
     let checker = Checker::new(rule.subject);
@@ -84,7 +84,7 @@
         .collect()
 }
 
-/// Checks expressions over the variables of one subject.
+/// Checker of expressions that use the variables of one subject.
 struct Checker {
     subject: Subject,
 }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Checks an expression that has to be a number.
+    /// Checks an expression that must be a number.
     fn number(&self, node: &SyntaxNode) -> Result<Numeric, LocatedProblem> {
         let typed = self.typed(node)?;
         match typed.value_type {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Checks an expression that has to be a boolean.
+    /// Checks an expression that must be a boolean.
     fn boolean(&self, node: &SyntaxNode) -> Result<Expression, LocatedProblem> {
         let typed = self.typed(node)?;
         match typed.value_type {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Resolves the name of a constant or a variable.
+    /// Resolves the name of a constant or of a variable of the subject.
     fn name(&self, name: &str, range: &SourceRange) -> Result<Typed, LocatedProblem> {
         if let Some(constant) = CONSTANTS.iter().find(|constant| constant.name == name) {
             let expression = Expression::Number(constant.value);
--- a/src/policy/check/operators.rs
+++ b/src/policy/check/operators.rs
@@ -1,4 +1,4 @@
-//! Checks of operators.
+//! Checks the operands of operators and determines the types of the results.
 
 use super::{Checker, Typed};
 use crate::policy::error::{LocatedProblem, Problem};
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -1,16 +1,16 @@
-//! Why a policy is refused.
+//! Errors of a policy file.
 
 use super::syntax::SourceRange;
 use super::types::Interval;
 
-/// The maximum length of an expression, in bytes.
-pub(super) const EXPRESSION_LENGTH_LIMIT: usize = 2000;
-/// The maximum nesting depth of brackets.
-pub(super) const NESTING_LIMIT: usize = 24;
-/// The maximum number of sort keys of one rule.
-pub(super) const SORT_KEYS_LIMIT: usize = 8;
+/// Maximum length of an expression, in bytes.
+pub(super) const MAX_EXPRESSION_BYTES: usize = 2000;
+/// Maximum nesting depth of parentheses.
+pub(super) const MAX_NESTING_DEPTH: usize = 24;
+/// Maximum number of sort keys of a rule.
+pub(super) const MAX_SORT_KEYS: usize = 8;
 
-/// Why a policy is refused, with the place in its file.
+/// Error in a policy, with its location in the file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "policy: line {line}, column {column}: {problem}\n    {text}\n    {}{}",
@@ -18,59 +18,59 @@
     "^".repeat(*.width.max(&1))
 )]
 pub struct PolicyError {
-    /// The line in the file, from 1.
+    /// Line number in the file, from 1.
     pub line: usize,
-    /// The column in the line, in characters from 1.
+    /// Column in the line, in characters from 1.
     pub column: usize,
-    /// The text of the line.
+    /// Text of the line.
     pub text: String,
-    /// How many bytes of the line are wrong.
+    /// Length of the erroneous part of the line, in bytes.
     pub width: usize,
-    /// What is wrong, in words.
+    /// Description of the problem.
     pub problem: String,
 }
 
-/// What is wrong with a line of a policy.
+/// Problem in a line of a policy.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum Problem {
     #[error("expected `rule = expression`")]
     ExpectedAssignment,
-    #[error("unknown rule; known: {known}")]
+    #[error("unknown rule; known rules: {known}")]
     UnknownRule { known: String },
     #[error("the rule is set twice")]
     DuplicateRule,
-    #[error("longer than {} bytes", EXPRESSION_LENGTH_LIMIT)]
+    #[error("the expression is longer than {} bytes", MAX_EXPRESSION_BYTES)]
     TooLong,
-    #[error("brackets deeper than {}", NESTING_LIMIT)]
+    #[error("parentheses are nested more than {} deep", MAX_NESTING_DEPTH)]
     NestedTooDeep,
-    #[error("the expression ends too soon")]
+    #[error("unexpected end of the expression")]
     UnexpectedEnd,
-    #[error("not understood from here")]
+    #[error("unexpected text")]
     UnexpectedText,
-    #[error("one value only")]
+    #[error("the rule takes a single value")]
     MultipleValues,
-    #[error("more than {} keys", SORT_KEYS_LIMIT)]
+    #[error("more than {} sort keys", MAX_SORT_KEYS)]
     TooManySortKeys,
-    #[error("unknown name; known here: {known}")]
+    #[error("unknown name; variables of this rule: {known}")]
     UnknownName { known: String },
-    #[error("unknown function; known: {known}")]
+    #[error("unknown function; known functions: {known}")]
     UnknownFunction { known: String },
-    #[error("takes {min} to {max} values")]
+    #[error("the function takes {min} to {max} arguments")]
     ArgumentCount { min: usize, max: usize },
-    #[error("is true or false where a number is needed")]
+    #[error("expected a number, found a boolean")]
     ExpectedNumber,
-    #[error("is a number where true or false is needed")]
+    #[error("expected a boolean, found a number")]
     ExpectedBoolean,
-    #[error("both branches must be of one type")]
+    #[error("the branches of `if` have different types")]
     BranchTypesDiffer,
-    #[error("may be zero: dividing by it is not defined")]
+    #[error("the divisor may be zero")]
     DivisorMayBeZero,
-    #[error("clamp: the least may exceed the most")]
+    #[error("the lower bound of `clamp` may exceed its upper bound")]
     ClampBoundsMayCross,
-    #[error("may grow beyond all numbers")]
+    #[error("the value may overflow")]
     Overflow,
     #[error(
-        "may be from {} to {}, but {rule} must stay from {} to {}: use clamp()",
+        "the value may be from {} to {}, but {rule} must stay within {} to {}: use clamp()",
         .found.min, .found.max, .allowed.min, .allowed.max
     )]
     OutOfRange {
@@ -80,7 +80,7 @@
     },
 }
 
-/// A problem with its place in the text of an expression or a line.
+/// Problem with its location in the text of an expression or of a line.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{problem}")]
 pub(super) struct LocatedProblem {
@@ -89,6 +89,7 @@
 }
 
 impl Problem {
+    /// Adds the location of the problem.
     pub(super) fn at(self, range: &SourceRange) -> LocatedProblem {
         LocatedProblem {
             problem: self,
--- a/src/policy/eval.rs
+++ b/src/policy/eval.rs
@@ -1,8 +1,8 @@
-//! Checked expressions and their values.
+//! Evaluates checked expressions.
 
 use super::syntax::{ArithmeticOperator, ComparisonOperator, LogicalOperator, UnaryOperator};
 
-/// A function of the language.
+/// Function of the policy language.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Function {
     Min,
@@ -12,7 +12,7 @@
     If,
 }
 
-/// The name of a function and the number of arguments that it takes.
+/// Name of a function with the smallest and the largest number of its arguments.
 pub(super) struct Signature {
     pub(super) name: &'static str,
     pub(super) function: Function,
@@ -34,23 +34,23 @@
     }
 }
 
-/// The maximum number of arguments of `min` and `max`.
-const ARGUMENTS_LIMIT: usize = 8;
+/// Maximum number of arguments of `min` and `max`.
+const MAX_ARGUMENTS: usize = 8;
 
-/// All functions of the language.
+/// All functions of the policy language.
 pub(super) const FUNCTIONS: &[Signature] = &[
-    signature("min", Function::Min, 2, ARGUMENTS_LIMIT),
-    signature("max", Function::Max, 2, ARGUMENTS_LIMIT),
+    signature("min", Function::Min, 2, MAX_ARGUMENTS),
+    signature("max", Function::Max, 2, MAX_ARGUMENTS),
     signature("clamp", Function::Clamp, 3, 3),
     signature("floor", Function::Floor, 1, 1),
     signature("if", Function::If, 3, 3),
 ];
 
-/// A checked expression: names are resolved, and its value is always defined.
+/// Checked expression: its names are resolved, and its value is always defined.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Expression {
     Number(f64),
-    /// A variable, by its position among those of its subject.
+    /// Position of a variable in the list of its subject's variables.
     Variable(usize),
     Unary(UnaryOperator, Box<Expression>),
     Logical(LogicalOperator, Box<Expression>, Box<Expression>),
@@ -59,13 +59,14 @@
     Call(Function, Vec<Expression>),
 }
 
-/// Booleans are computed as the numbers 1 and 0.
+/// Returns the number that represents a boolean in the evaluation: 1 for true, 0 for false.
 pub(super) fn boolean_value(value: bool) -> f64 {
     f64::from(u8::from(value))
 }
 
 impl Expression {
-    /// The value for these variables. Total: the checker has seen to that.
+    /// Evaluates the expression with the given values of its subject's variables. The
+    /// checker has proven that the result is defined for all values in their ranges.
     pub(super) fn value(&self, variables: &[f64]) -> f64 {
         match self {
             Expression::Number(number) => *number,
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,4 +1,4 @@
-//! The values of a policy's variables for one job or one machine.
+//! Values of the policy variables for one job or one machine.
 
 use super::eval::boolean_value;
 use super::rules::{JOB_VARIABLES, MACHINE_VARIABLES, Variable};
@@ -6,39 +6,42 @@
 const JOB_VARIABLE_COUNT: usize = JOB_VARIABLES.len();
 const MACHINE_VARIABLE_COUNT: usize = MACHINE_VARIABLES.len();
 
-/// What a policy may know of a job.
+/// Attributes of a job that the rules of a policy can use.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct JobFacts {
-    /// It does not fit its team's guarantee.
+    /// True if the team would exceed its guarantee with this job.
     pub borrows: bool,
-    /// From 0 (low) to 3 (production), of it and of the jobs that need it.
+    /// Highest priority of the job and of the jobs that depend on it, from 0 (low) to 3
+    /// (production).
     pub priority: f64,
-    /// Its team's use over its guarantee.
+    /// Resources that the team uses, as a fraction of its guarantee.
     pub share: f64,
-    /// It is too late for every objective of its class.
+    /// True if the job, started now, would miss every objective of its class and the
+    /// deadline of its dependents.
     pub late: bool,
-    /// The estimate of its waiting tasks times what they take of a machine.
+    /// Estimated work of the waiting tasks, in CPU seconds, or in accelerator seconds if
+    /// the job needs accelerators.
     pub work: f64,
-    /// For how many seconds this controller has known it to be ready.
+    /// Time since this controller first saw that the job is ready to start, in seconds.
     pub age_s: f64,
-    /// Its number of tasks.
+    /// Number of the job's tasks.
     pub tasks: f64,
-    /// Its tasks that wait for a machine.
+    /// Number of the job's tasks that wait for a machine.
     pub waiting: f64,
-    /// Its owner's estimate of the seconds that a task takes.
+    /// Run time of a task as estimated by the job's owner, in seconds.
     pub estimate_s: f64,
-    /// An array is 0, a gang 1, a service 2.
+    /// Kind of the job: 0 for an array, 1 for a gang, 2 for a service.
     pub kind: f64,
-    /// It, or a job that needs it, has a deadline.
+    /// True if the job, or a job that depends on it, has a deadline.
     pub has_deadline: bool,
-    /// The shortest boot time of all machine types, in seconds.
+    /// Shortest boot time of all machine types, in seconds.
     pub boot_s: f64,
-    /// An objective names its class.
+    /// True if an objective is configured for the job's class.
     pub aimed: bool,
 }
 
 impl JobFacts {
-    /// The values in the order of [`JOB_VARIABLES`].
+    /// Returns the values in the order of [`JOB_VARIABLES`].
     pub(super) fn values(&self) -> [f64; JOB_VARIABLE_COUNT] {
         let values = [
             boolean_value(self.borrows),
@@ -55,27 +58,27 @@
             self.boot_s,
             boolean_value(self.aimed),
         ];
-        bounded(values, JOB_VARIABLES)
+        clamp_to_ranges(values, JOB_VARIABLES)
     }
 }
 
-/// What a policy may know of a machine.
+/// Attributes of a machine that the rules of a policy can use.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MachineFacts {
-    /// The boot time of its type, in seconds.
+    /// Boot time of the machine's type, in seconds.
     pub boot_s: f64,
-    /// Its price an hour.
+    /// Price per hour.
     pub price: f64,
-    /// Its CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Its accelerators.
+    /// Number of accelerators.
     pub gpus: f64,
-    /// It is a spot machine, which the cloud may take back.
+    /// True for a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
 impl MachineFacts {
-    /// The values in the order of [`MACHINE_VARIABLES`].
+    /// Returns the values in the order of [`MACHINE_VARIABLES`].
     pub(super) fn values(&self) -> [f64; MACHINE_VARIABLE_COUNT] {
         let values = [
             self.boot_s,
@@ -84,12 +87,13 @@
             self.gpus,
             boolean_value(self.spot),
         ];
-        bounded(values, MACHINE_VARIABLES)
+        clamp_to_ranges(values, MACHINE_VARIABLES)
     }
 }
 
-/// The checker relies on the ranges: a figure from outside is held to them.
-fn bounded<const N: usize>(mut values: [f64; N], variables: &[Variable]) -> [f64; N] {
+/// Clamps values to the ranges of their variables. The checker relies on these ranges, and
+/// values that the cloud or users provide may be outside them.
+fn clamp_to_ranges<const N: usize>(mut values: [f64; N], variables: &[Variable]) -> [f64; N] {
     for (value, variable) in values.iter_mut().zip(variables) {
         if let Some(range) = variable.range {
             *value = value.max(range.min).min(range.max);
--- a/src/policy/file.rs
+++ b/src/policy/file.rs
@@ -1,32 +1,33 @@
-//! Policy files: lines of `rule = expression`, and the places of their errors.
+//! Splits policy files into lines of the form `rule = expression`, and locates errors in
+//! them.
 
 use super::error::{LocatedProblem, PolicyError, Problem};
 use super::rules::RULES;
 use super::syntax::SourceRange;
 
-/// A line that sets a rule.
+/// Line that sets a rule.
 pub(super) struct Assignment<'a> {
-    /// The position of the rule in [`RULES`].
+    /// Position of the rule in [`RULES`].
     pub(super) rule: usize,
-    /// The place of the rule's name in the line.
+    /// Range of the rule's name in the line.
     pub(super) name_range: SourceRange,
-    /// The text behind the `=`, up to a comment.
+    /// Text after the `=`, without a comment.
     pub(super) expression: &'a str,
     line: Line<'a>,
 }
 
-/// A line of a policy file.
+/// Line of a policy file.
 #[derive(Clone, Copy)]
 struct Line<'a> {
-    /// Its number, from 1.
+    /// Line number, from 1.
     number: usize,
-    /// Its text with a comment, if there is one.
+    /// Text of the line, with its comment if it has one.
     text: &'a str,
-    /// Its text up to a comment.
+    /// Text of the line without a comment.
     code: &'a str,
 }
 
-/// The assignments of a file in their order; blank lines are passed over.
+/// Returns the assignments of a file in their order. Lines without code are skipped.
 pub(super) fn assignments(text: &str) -> impl Iterator<Item = Result<Assignment<'_>, PolicyError>> {
     text.lines()
         .enumerate()
@@ -61,12 +62,13 @@
 }
 
 impl Assignment<'_> {
-    /// An error at the name of the rule.
+    /// Creates an error that is located at the name of the rule.
     pub(super) fn name_error(&self, problem: Problem) -> PolicyError {
         self.line.error(problem.at(&self.name_range))
     }
 
-    /// An error within the expression.
+    /// Creates an error that is located within the expression. The range of `located` is
+    /// relative to the expression's text.
     pub(super) fn expression_error(&self, located: LocatedProblem) -> PolicyError {
         let offset = self.line.code.len() - self.expression.len();
         let range = located.range.start + offset..located.range.end + offset;
@@ -75,6 +77,7 @@
 }
 
 impl Line<'_> {
+    /// Creates an error that is located within the line.
     fn error(&self, located: LocatedProblem) -> PolicyError {
         let LocatedProblem { problem, range } = located;
         let before = self.text.get(..range.start);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,20 +1,20 @@
-//! The operators' policy, in a small typed expression language.
+//! The scheduling policy that operators configure, in a small typed expression language.
 //!
-//! A policy file holds lines `rule = expression`; `#` begins a comment. An
-//! expression is total: there are no loops, nesting and length are bounded,
-//! and the checker refuses what could divide by zero or leave the range of
-//! its rule. No policy can break a rule of the protocol or a team's limit:
-//! policies order and time what is allowed anyway.
+//! Each line of a policy file has the form `rule = expression`; `#` begins a comment.
+//! Every accepted expression can be evaluated: the language has no loops, nesting and
+//! length are bounded, and the checker rejects an expression that could divide by zero or
+//! leave the range of its rule. A policy cannot violate the protocol or exceed a team's
+//! limit: it only determines the order and the timing of actions that are allowed anyway.
 //!
-//! A line passes through these modules in turn:
+//! A line is processed by these modules:
 //!
-//! * [`rules`] lists the rules, and the variables each may use;
+//! * [`rules`] defines the rules and the variables that each may use;
 //! * `file` splits a policy file into rules and locates errors in it;
-//! * `parser` turns the text of an expression into the tree of `syntax`;
+//! * `parser` parses the text of an expression into the syntax tree of `syntax`;
 //! * `check` resolves names and proves ranges by interval arithmetic, with the
 //!   types of [`types`];
-//! * `eval` computes a checked expression;
-//! * `facts` holds the values of the variables for one job or machine.
+//! * `eval` evaluates a checked expression;
+//! * `facts` contains the values of the variables for one job or machine.
 
 mod check;
 mod error;
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -1,7 +1,8 @@
-//! The parser of expressions: text into a syntax tree.
+//! Parses the text of an expression into a syntax tree.
 //!
-//! From the loosest to the tightest: `||`, `&&`, comparisons, sums, products,
-//! signs and `!`, then numbers, names, calls and brackets.
+//! The operators in order of increasing precedence are `||`, `&&`, comparisons, `+` and
+//! `-`, `*` and `/`, and the prefix operators `-` and `!`. Their operands are numbers,
+//! names, calls and expressions in parentheses.
 
 use winnow::ascii::multispace0;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated};
@@ -9,7 +10,7 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{one_of, take_while};
 
-use super::error::{EXPRESSION_LENGTH_LIMIT, LocatedProblem, NESTING_LIMIT, Problem};
+use super::error::{LocatedProblem, MAX_EXPRESSION_BYTES, MAX_NESTING_DEPTH, Problem};
 use super::syntax::{
     ArithmeticOperator, BinaryOperator, ComparisonOperator, LogicalOperator, SourceRange,
     SyntaxKind, SyntaxNode, UnaryOperator,
@@ -20,7 +21,7 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// Reads one or more expressions, separated by commas.
+/// Parses one or more expressions, separated by commas.
 pub(super) fn parse_expressions(text: &str) -> Result<Vec<SyntaxNode>, LocatedProblem> {
     check_length(text)?;
     check_nesting(text)?;
@@ -36,7 +37,7 @@
 }
 
 fn check_length(text: &str) -> Result<(), LocatedProblem> {
-    if text.len() > EXPRESSION_LENGTH_LIMIT {
+    if text.len() > MAX_EXPRESSION_BYTES {
         return Err(Problem::TooLong.at(&(0..text.len())));
     }
     Ok(())
@@ -50,7 +51,7 @@
             ')' => depth -= 1,
             _ => {}
         }
-        if depth > NESTING_LIMIT as i32 {
+        if depth > MAX_NESTING_DEPTH as i32 {
             return Err(Problem::NestedTooDeep.at(&(position..position + 1)));
         }
     }
@@ -112,7 +113,7 @@
     })
 }
 
-/// Operands with operators of one precedence between them.
+/// Parses operands that are separated by left-associative operators of one precedence.
 fn left_associative<'a>(
     input: &mut Input<'a>,
     mut operand: impl FnMut(&mut Input<'a>) -> ParseResult<SyntaxNode>,
@@ -136,7 +137,8 @@
     }
 }
 
-/// Signs before an atom; a loop, so that a long row of them is not deep.
+/// Parses an atom with its prefix operators. A loop, not recursion, reads the operators,
+/// so that a long sequence of them cannot overflow the stack.
 fn unary(input: &mut Input<'_>) -> ParseResult<SyntaxNode> {
     let operator = alt((
         '-'.value(UnaryOperator::Negate),
@@ -155,12 +157,12 @@
 
 fn atom(input: &mut Input<'_>) -> ParseResult<SyntaxNode> {
     let closing = cut_err(')').context(StrContext::Label("`)`"));
-    let brackets = delimited('(', expression, closing);
+    let parenthesized = delimited('(', expression, closing);
     let kind = alt((number.map(SyntaxKind::Number), call, name));
     let node = kind
         .with_span()
         .map(|(kind, range)| SyntaxNode { kind, range });
-    spaced(alt((brackets, node))).parse_next(input)
+    spaced(alt((parenthesized, node))).parse_next(input)
 }
 
 fn call(input: &mut Input<'_>) -> ParseResult<SyntaxKind> {
@@ -202,6 +204,7 @@
         .parse_next(input)
 }
 
+/// Allows white space before and after `inner`.
 fn spaced<'a, T>(
     inner: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
 ) -> impl Parser<Input<'a>, T, ErrMode<ContextError>> {
--- a/src/policy/rule_set.rs
+++ b/src/policy/rule_set.rs
@@ -1,4 +1,4 @@
-//! A checked policy: the expression of every rule.
+//! Checked policy, which evaluates the rules for the scheduler.
 
 use super::check::compile;
 use super::error::{PolicyError, Problem};
@@ -10,15 +10,16 @@
     RULES, Rule,
 };
 
-/// A checked policy: every rule's expression, the built-in one where the
-/// operators set none.
+/// Checked policy: an expression for every rule. A rule that the policy file does not set
+/// has its built-in expression.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// In the order of [`RULES`].
+    /// Compiled rules, in the order of [`RULES`].
     rules: Vec<CompiledRule>,
 }
 
-/// The text of a rule with its checked expressions: one, or the sort keys.
+/// Text of a rule's expression with the checked form: a single expression, or one for each
+/// sort key.
 #[derive(Debug, Clone)]
 struct CompiledRule {
     text: String,
@@ -29,23 +30,23 @@
     fn built_in(rule: &Rule) -> Self {
         CompiledRule {
             text: rule.default.to_string(),
-            // The defaults are checked by a test like any operators' policy.
+            // A test checks that the defaults compile.
             expressions: compile(rule, rule.default).unwrap_or_default(),
         }
     }
 }
 
-/// A rule with the expression that a policy has for it.
+/// Rule with its expression in a policy.
 #[derive(Clone, Copy)]
 pub struct RuleExpression<'a> {
-    /// The rule.
+    /// Definition of the rule.
     pub rule: &'static Rule,
-    /// The text of the expression.
+    /// Text of the expression.
     pub text: &'a str,
 }
 
 impl RuleExpression<'_> {
-    /// Whether the expression is the built-in one.
+    /// Returns whether the expression is the built-in one.
     pub fn is_built_in(&self) -> bool {
         self.text == self.rule.default
     }
@@ -59,8 +60,8 @@
 }
 
 impl Policy {
-    /// Reads a policy file's text; rules that it does not set keep their
-    /// defaults.
+    /// Parses and checks the text of a policy file. Rules that the file does not set keep
+    /// their defaults.
     pub fn parse(text: &str) -> Result<Self, PolicyError> {
         let mut policy = Policy::default();
         let mut assigned = Vec::new();
@@ -80,7 +81,7 @@
         Ok(policy)
     }
 
-    /// The expression of each rule, in the order of [`RULES`].
+    /// Returns each rule with its expression, in the order of [`RULES`].
     pub fn rules(&self) -> impl Iterator<Item = RuleExpression<'_>> {
         let rules = RULES.iter().zip(&self.rules);
         rules.map(|(rule, compiled)| RuleExpression {
@@ -89,42 +90,48 @@
         })
     }
 
-    /// The sort keys of a waiting job; the job with the lowest goes first.
+    /// Returns the sort keys of a waiting job. The job with the lowest keys is placed first.
     pub fn queue_order(&self, job: &JobFacts) -> Vec<f64> {
         self.values(QUEUE_ORDER, &job.values())
     }
 
-    /// For how many seconds array tasks may follow one another on rented
-    /// machines.
+    /// Returns the time, in seconds, within which the waiting tasks of an array run one
+    /// after another on rented machines. The longer it is, the fewer machines are rented.
     pub fn rent_window_s(&self, job: &JobFacts) -> f64 {
         self.value(RENT_WINDOW, &job.values())
     }
 
-    /// The part, from 0 to 1, of running array work that counts as free soon.
+    /// Returns the fraction, from 0 to 1, of the CPUs in use by running array tasks that is
+    /// expected to become free for waiting array tasks.
     pub fn rent_turnover(&self, job: &JobFacts) -> f64 {
         self.value(RENT_TURNOVER, &job.values())
     }
 
-    /// The dearest offer to rent, over the cheapest type's price for a task.
+    /// Returns the highest acceptable price for a task, as a multiple of the price on the
+    /// cheapest machine type.
     pub fn rent_price_ratio(&self, job: &JobFacts) -> f64 {
         self.value(RENT_PRICE_RATIO, &job.values())
     }
 
-    /// For how many more jobs like the latest on accelerators room is kept.
+    /// Returns the number of jobs like the latest accelerator job for which free capacity is
+    /// kept.
     pub fn headroom(&self, job: &JobFacts) -> f64 {
         self.value(HEADROOM, &job.values())
     }
 
-    /// After how many seconds without work a machine is returned.
+    /// Returns the time without work after which a machine is returned to the cloud, in
+    /// seconds.
     pub fn idle_s(&self, machine: &MachineFacts) -> f64 {
         self.value(IDLE_TIME, &machine.values())
     }
 
-    /// After how many seconds a machine that has not come up is returned.
+    /// Returns the time after which a machine that has not booted is returned to the cloud,
+    /// in seconds.
     pub fn boot_limit_s(&self, machine: &MachineFacts) -> f64 {
         self.value(BOOT_LIMIT, &machine.values())
     }
 
+    /// Evaluates all expressions of a rule.
     fn values(&self, rule_name: &str, variables: &[f64]) -> Vec<f64> {
         let position = RULES.iter().position(|rule| rule.name == rule_name);
         position
@@ -138,6 +145,7 @@
             .unwrap_or_default()
     }
 
+    /// Evaluates a rule with a single expression.
     fn value(&self, rule_name: &str, variables: &[f64]) -> f64 {
         self.values(rule_name, variables)
             .first()
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,19 +1,20 @@
-//! The rules that operators may set, and the variables and constants that
-//! their expressions may use.
+//! Defines the rules that operators can set, and the variables and constants that the
+//! rules' expressions can use.
 
 use super::types::Interval;
 
-/// What a rule decides on: the variables that its expression may use.
+/// Kind of object that a rule is evaluated for. It determines the variables that the
+/// rule's expression may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
-    /// A job that waits for machines.
+    /// Job that waits for machines.
     Job,
-    /// A provisioned machine.
+    /// Provisioned machine.
     Machine,
 }
 
 impl Subject {
-    /// The variables of a rule that decides on this.
+    /// Returns the variables of rules that are evaluated for this kind of object.
     pub fn variables(self) -> &'static [Variable] {
         match self {
             Subject::Job => JOB_VARIABLES,
@@ -22,13 +23,13 @@
     }
 }
 
-/// A variable of the policy language.
+/// Variable of the policy language.
 pub struct Variable {
-    /// Its name in expressions.
+    /// Name in expressions.
     pub name: &'static str,
-    /// The range of a number; `None` for a boolean.
+    /// Range of a number; `None` for a boolean.
     pub range: Option<Interval>,
-    /// What it tells, for operators to read.
+    /// Explanation for operators.
     pub meaning: &'static str,
 }
 
@@ -48,59 +49,88 @@
     }
 }
 
-/// The most work of a job, in seconds times CPUs or accelerators.
-const WORK_LIMIT: f64 = 1e12;
+/// Maximum work of a job, in CPU seconds or accelerator seconds.
+const MAX_WORK: f64 = 1e12;
 
-/// Variables of a job, in the order in which [`super::JobFacts`] gives them.
+/// Variables of a job, in the order of the values of [`super::JobFacts`].
 pub const JOB_VARIABLES: &[Variable] = &[
-    boolean("borrows", "it does not fit its team's guarantee"),
+    boolean(
+        "borrows",
+        "the team would exceed its guarantee with this job",
+    ),
     number(
         "priority",
         0.0,
         3.0,
-        "low 0, normal 1, urgent 2, prod 3; the highest of it and of what needs it",
+        "low 0, normal 1, urgent 2, prod 3; the highest of the job and of the jobs that depend on it",
+    ),
+    number(
+        "share",
+        0.0,
+        1e9,
+        "resources that the team uses, as a fraction of its guarantee",
+    ),
+    boolean(
+        "late",
+        "the job, started now, would miss every objective of its class and the deadline of its dependents",
     ),
-    number("share", 0.0, 1e9, "its team's use over its guarantee"),
-    boolean("late", "too late for every objective of its class"),
     number(
         "work",
         0.0,
-        WORK_LIMIT,
-        "its waiting tasks: estimate times amount",
+        MAX_WORK,
+        "estimated work of the waiting tasks, in CPU seconds or accelerator seconds",
     ),
     number(
         "age_s",
         0.0,
         1e9,
-        "how long this controller has known it to be ready",
+        "seconds since this controller first saw that the job is ready to start",
+    ),
+    number("tasks", 1.0, 1e5, "number of tasks"),
+    number(
+        "waiting",
+        0.0,
+        1e5,
+        "number of tasks that wait for a machine",
+    ),
+    number(
+        "estimate_s",
+        0.0,
+        1e9,
+        "run time of a task as estimated by the job's owner, in seconds",
     ),
-    number("tasks", 1.0, 1e5, "its number of tasks"),
-    number("waiting", 0.0, 1e5, "its tasks that wait for a place"),
-    number("estimate_s", 0.0, 1e9, "its owner's estimate of a task"),
     number("kind", 0.0, 2.0, "array 0, gang 1, service 2"),
     boolean(
         "has_deadline",
-        "its owner, or that of what needs it, set a deadline",
+        "the job, or a job that depends on it, has a deadline",
     ),
     number(
         "boot_s",
         0.0,
         1e5,
-        "the shortest boot time of all machine types",
+        "shortest boot time of all machine types, in seconds",
     ),
-    boolean("aimed", "an objective speaks of its class"),
+    boolean("aimed", "an objective is configured for the job's class"),
 ];
 
-/// Variables of a machine, in the order of [`super::MachineFacts`].
+/// Variables of a machine, in the order of the values of [`super::MachineFacts`].
 pub const MACHINE_VARIABLES: &[Variable] = &[
-    number("boot_s", 0.0, 1e5, "the boot time of its type"),
-    number("price", 0.0, 1e6, "its price an hour"),
-    number("cpus", 0.0, 1e6, "its CPUs"),
-    number("gpus", 0.0, 1e6, "its accelerators"),
-    boolean("spot", "it may be taken back"),
+    number(
+        "boot_s",
+        0.0,
+        1e5,
+        "boot time of the machine's type, in seconds",
+    ),
+    number("price", 0.0, 1e6, "price per hour"),
+    number("cpus", 0.0, 1e6, "number of CPUs"),
+    number("gpus", 0.0, 1e6, "number of accelerators"),
+    boolean(
+        "spot",
+        "the machine is a spot machine, which the cloud may reclaim",
+    ),
 ];
 
-/// A named number of the policy language.
+/// Named number of the policy language.
 pub(super) struct Constant {
     pub(super) name: &'static str,
     pub(super) value: f64,
@@ -110,7 +140,7 @@
     Constant { name, value }
 }
 
-/// Priorities and kinds of jobs by their names.
+/// Constants for the priorities and the kinds of jobs.
 pub(super) const CONSTANTS: &[Constant] = &[
     constant("low", 0.0),
     constant("normal", 1.0),
@@ -121,17 +151,17 @@
     constant("service", 2.0),
 ];
 
-/// One rule that a policy may set.
+/// Rule that a policy can set.
 pub struct Rule {
-    /// Its name in policy files.
+    /// Name in policy files.
     pub name: &'static str,
-    /// What it decides on.
+    /// Kind of object that the rule is evaluated for.
     pub subject: Subject,
-    /// The range of a single number; `None`: a list of sort keys.
+    /// Range of the rule's value; `None` for a rule with a list of sort keys.
     pub range: Option<Interval>,
-    /// The expression that stands where a policy sets none.
+    /// Expression that is used if a policy sets none.
     pub default: &'static str,
-    /// What it decides, for operators to read.
+    /// Explanation for operators.
     pub meaning: &'static str,
 }
 
@@ -143,55 +173,55 @@
 pub(super) const IDLE_TIME: &str = "idle_s";
 pub(super) const BOOT_LIMIT: &str = "boot_limit_s";
 
-/// All rules, in the order in which the command line explains them.
+/// All rules, in the order in which the command line prints them.
 pub const RULES: &[Rule] = &[
     Rule {
         name: QUEUE_ORDER,
         subject: Subject::Job,
         range: None,
         default: "borrows, 3 - priority, floor(share * 4), late, work",
-        meaning: "sort keys, compared one by one, the lowest first; ties go by acceptance",
+        meaning: "sort keys of waiting jobs, compared in order, lowest first; jobs with equal keys are placed in the order of their acceptance",
     },
     Rule {
         name: RENT_WINDOW,
         subject: Subject::Job,
         range: Some(Interval::new(1.0, 1e9)),
         default: "max(3 * boot_s, estimate_s, 1)",
-        meaning: "array tasks may follow one another this long in rented room",
+        meaning: "seconds within which the waiting tasks of an array run one after another on rented machines",
     },
     Rule {
         name: RENT_TURNOVER,
         subject: Subject::Job,
         range: Some(Interval::new(0.0, 1.0)),
         default: "0.5",
-        meaning: "the part of running array work that counts as room soon",
+        meaning: "fraction of the CPUs in use by running array tasks that is expected to become free for waiting array tasks",
     },
     Rule {
         name: RENT_PRICE_RATIO,
         subject: Subject::Job,
         range: Some(Interval::new(1.0, 1e6)),
         default: "if(kind == array, if(has_deadline, 20, if(aimed || priority > low, 7, 2)), 1000000)",
-        meaning: "the dearest offer to rent, over the cheapest type's price for a task",
+        meaning: "highest acceptable price for a task, as a multiple of the price on the cheapest machine type",
     },
     Rule {
         name: HEADROOM,
         subject: Subject::Job,
         range: Some(Interval::new(0.0, 100.0)),
         default: "1",
-        meaning: "places kept for so many more jobs like the latest on accelerators, while such jobs are open",
+        meaning: "number of jobs like the latest accelerator job for which free capacity is kept, while any accelerator job is open",
     },
     Rule {
         name: IDLE_TIME,
         subject: Subject::Machine,
         range: Some(Interval::new(0.0, 1e6)),
         default: "boot_s",
-        meaning: "a machine with no work goes back after this long",
+        meaning: "seconds without work after which a machine is returned to the cloud",
     },
     Rule {
         name: BOOT_LIMIT,
         subject: Subject::Machine,
         range: Some(Interval::new(1.0, 1e7)),
         default: "max(4 * boot_s, 40)",
-        meaning: "a machine that has not come up after this long goes back",
+        meaning: "seconds after which a machine that has not booted is returned to the cloud",
     },
 ];
--- a/src/policy/syntax.rs
+++ b/src/policy/syntax.rs
@@ -1,11 +1,11 @@
-//! The syntax tree of an expression, as the parser reads it.
+//! Syntax tree of an expression, before names are resolved and types are checked.
 
 use std::ops::Range;
 
-/// A range of bytes in the text of an expression.
+/// Range of bytes in the text of an expression.
 pub(super) type SourceRange = Range<usize>;
 
-/// An operator between two operands.
+/// Operator with two operands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BinaryOperator {
     Logical(LogicalOperator),
@@ -13,14 +13,14 @@
     Arithmetic(ArithmeticOperator),
 }
 
-/// Takes two booleans and gives one.
+/// Operator on two booleans with a boolean result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogicalOperator {
     Or,
     And,
 }
 
-/// Takes two numbers and gives a boolean.
+/// Operator on two numbers with a boolean result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ComparisonOperator {
     Equal,
@@ -31,7 +31,7 @@
     GreaterOrEqual,
 }
 
-/// Takes two numbers and gives one.
+/// Operator on two numbers with a number as its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ArithmeticOperator {
     Add,
@@ -51,26 +51,26 @@
     }
 }
 
-/// An operator before its only operand.
+/// Prefix operator with one operand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum UnaryOperator {
     Negate,
     Not,
 }
 
-/// A node of the syntax tree, with its place in the text.
+/// Node of the syntax tree, with its location in the text.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct SyntaxNode {
     pub(super) kind: SyntaxKind,
     pub(super) range: SourceRange,
 }
 
-/// What a node of the syntax tree is. Names are not resolved yet.
+/// Kind of a node of the syntax tree. Names are not resolved yet.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum SyntaxKind {
     Number(f64),
     Boolean(bool),
-    /// A variable or a named constant.
+    /// Name of a variable or of a constant.
     Name(String),
     Unary(UnaryOperator, Box<SyntaxNode>),
     Binary(BinaryOperator, Box<SyntaxNode>, Box<SyntaxNode>),
--- a/src/policy/types.rs
+++ b/src/policy/types.rs
@@ -1,21 +1,21 @@
-//! The types of expressions, with the interval arithmetic of their ranges.
+//! Types of expressions, and interval arithmetic on the ranges of their values.
 
-/// A closed range of numbers.
+/// Closed range of numbers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interval {
-    /// The smallest number of the range.
+    /// Smallest number of the range.
     pub min: f64,
-    /// The largest number of the range.
+    /// Largest number of the range.
     pub max: f64,
 }
 
 impl Interval {
-    /// The range from `min` to `max`, both included.
+    /// Creates the range from `min` to `max`, both included.
     pub const fn new(min: f64, max: f64) -> Self {
         Interval { min, max }
     }
 
-    /// The range of a single number.
+    /// Creates the range that contains a single number.
     pub(super) const fn point(value: f64) -> Self {
         Interval::new(value, value)
     }
@@ -28,12 +28,12 @@
         self.min <= value && self.max >= value
     }
 
-    /// Whether every number of `self` is also one of `outer`.
+    /// Returns whether `outer` contains every number of `self`.
     pub(super) fn is_within(&self, outer: &Interval) -> bool {
         !(self.min < outer.min || self.max > outer.max)
     }
 
-    /// The smallest range that holds both.
+    /// Returns the smallest range that contains both ranges.
     pub(super) fn hull(&self, other: &Interval) -> Self {
         Interval::new(self.min.min(other.min), self.max.max(other.max))
     }
@@ -42,8 +42,8 @@
         Interval::new(-self.max, -self.min)
     }
 
-    /// The range of `function` over both arguments, where it takes its extremes
-    /// at the ends of their ranges.
+    /// Returns the range of a function of two arguments whose extremes are at the ends of
+    /// the arguments' ranges.
     pub(super) fn combine(&self, other: &Interval, function: impl Fn(f64, f64) -> f64) -> Self {
         let corners = [
             function(self.min, other.min),
@@ -57,12 +57,13 @@
         )
     }
 
-    /// The range of a function that never decreases when an argument grows.
+    /// Returns the range of a function that never decreases when its argument grows.
     pub(super) fn map_monotonic(&self, function: impl Fn(f64) -> f64) -> Self {
         Interval::new(function(self.min), function(self.max))
     }
 
-    /// As [`Interval::map_monotonic`], for a function of two arguments.
+    /// Returns the range of a function of two arguments that never decreases when either
+    /// of them grows.
     pub(super) fn combine_monotonic(
         &self,
         other: &Interval,
@@ -72,7 +73,7 @@
     }
 }
 
-/// The type of an expression, with what is known of its value.
+/// Type of an expression, with the range of a number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Type {
     Number(Interval),
