--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,96 +1,101 @@
-//! The checks of the settings, in the order in which they are made: the first
-//! field that is wrong is the one that is reported.
+//! Validates the settings. Only the first invalid field is reported, in the order of the
+//! checks.
 
 use std::collections::HashSet;
 
 use super::{NextStateServiceLimits, Settings, SettingsError, TeamQuota};
 
-/// The longest name, in bytes.
-const NAME_LIMIT: usize = 100;
-/// The largest rate, size or time.
-const FIGURE_LIMIT: f64 = 1e6;
-/// The largest guarantee or limit of a team.
-const TEAM_FIGURE_LIMIT: f64 = 1e9;
-/// The smallest transaction that the scheduler can work with, in writes.
-const MIN_TXN_OPS: usize = 4;
-/// The smallest record limit that the scheduler can work with, in KiB.
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 100;
+/// Maximum of a rate, size or time, in the unit of its field.
+const MAX_VALUE: f64 = 1e6;
+/// Maximum guarantee or limit of a team, in CPUs or accelerators.
+const MAX_TEAM_AMOUNT: f64 = 1e9;
+/// Minimum number of writes per commit that the scheduler needs.
+const MIN_COMMIT_WRITES: usize = 4;
+/// Minimum size limit on values that the scheduler needs, in KiB.
 const MIN_VALUE_KB: f64 = 2.0;
-/// The longest name of a team or a controller with shares on, in bytes.
-const SHARE_NAME_LIMIT: usize = 90;
-/// What a team's split takes for a controller beside its name: three amounts of up to
-/// thirteen digits, quotes and marks.
-const SHARE_BYTES: usize = 64;
-/// The fewest sockets that a controller can work with.
+/// Maximum length of the name of a team or a controller if shares are enabled, in bytes.
+const MAX_NAME_BYTES_WITH_SHARES: usize = 90;
+/// Maximum size of a controller's entry in the record of a team's shares, without the
+/// controller's name, in bytes: three amounts of up to thirteen digits, with quotes and
+/// punctuation.
+const MAX_SHARE_ENTRY_BYTES: usize = 64;
+/// Minimum number of sockets that a controller needs.
 const MIN_SOCKETS: usize = 50;
-/// How many report intervals a lease has to exceed.
-const REPORTS_PER_LEASE: f64 = 2.0;
-/// How many times the lease the time to cancel has to exceed.
+/// Number of heartbeat intervals that a lease must exceed.
+const HEARTBEAT_INTERVALS_PER_LEASE: f64 = 2.0;
+/// Multiple of the lease that the time to cancel must exceed.
 const LEASES_PER_CANCEL: f64 = 1.1;
 
-/// What is wrong with the value of a field.
+/// Problem with the value of a field.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum FieldProblem {
-    /// The name of a controller or zone is empty, too long or has spaces.
+    /// Name of a controller or zone that is empty, too long or contains spaces.
     #[error("must be 1 to 100 characters with no spaces")]
     NameFormat,
-    /// A team's name is empty or too long.
+    /// Name of a team that is empty or too long.
     #[error("must be 1 to 100 characters")]
     NameLength,
-    /// A team's name has spaces or control characters.
-    #[error("must hold no spaces")]
+    /// Name of a team that contains spaces or control characters.
+    #[error("must not contain spaces or control characters")]
     NameSpaces,
-    /// Another entry of the list has the same name.
-    #[error("is named twice")]
+    /// Name that another entry of the list has too.
+    #[error("is a duplicate name")]
     Duplicate,
-    /// The port of an address is 0.
-    #[error("needs a port")]
+    /// Address with port 0.
+    #[error("must have a port other than 0")]
     NoPort,
-    /// The gossip and the HTTP listener cannot share an address.
-    #[error("is the same as serve_on")]
+    /// Gossip address that is also the address of the HTTP server.
+    #[error("must differ from serve_on")]
     SameAsServeOn,
-    /// The deployment's count is not that of the controllers listed.
-    #[error("is {count} but others names {others}")]
+    /// Number of controllers that differs from the number of listed ones.
+    #[error("is {count}, but others lists {others} other controllers")]
     ControllerCount {
-        /// The deployment's count.
+        /// Number of controllers in `deployment.count`.
         count: usize,
-        /// How many other controllers are listed.
+        /// Number of controllers listed in `others`.
         others: usize,
     },
-    /// The list of zones is empty.
-    #[error("names no zone")]
+    /// Empty list of zones.
+    #[error("must list at least one zone")]
     NoZones,
-    /// The controller's own zone is not listed.
+    /// Zone of the controller that is not listed in the deployment's zones.
     #[error("is not one of deployment.zones")]
     UnknownZone,
-    /// A rate, size or time is not above 0, or is too large.
-    #[error("must be a number above 0, a million at most")]
+    /// Rate, size or time that is not above 0 or is too large.
+    #[error("must be a number above 0 and at most 1000000")]
     NotPositive,
-    /// A time is below 0.
+    /// Time that is below 0.
     #[error("must be 0 or more")]
     Negative,
-    /// A team's guarantee or limit is below 0 or too large.
-    #[error("must be a number from 0 to a billion")]
-    TeamFigure,
-    /// A team's limit is below its guarantee.
-    #[error("is below the guarantee")]
+    /// Guarantee or limit of a team that is below 0 or too large.
+    #[error("must be a number from 0 to 1000000000")]
+    TeamAmount,
+    /// Limit of a team that is below its guarantee.
+    #[error("is below the team's guarantee")]
     BelowGuarantee,
-    /// A lease has to outlast two report intervals.
-    #[error("must be more than two report intervals")]
+    /// Lease that does not exceed two heartbeat intervals.
+    #[error("must be more than twice report_s")]
     LeaseTooShort,
-    /// Cancelling has to take longer than a lease, with a margin.
-    #[error("must exceed lease_s by a tenth at least")]
+    /// Time to cancel that does not exceed the lease by a margin.
+    #[error("must be more than 1.1 times lease_s")]
     CancelTooShort,
-    /// An amount is below the given one, with which the scheduler can work.
-    #[error("must be {0} at least")]
+    /// Amount below the minimum that the scheduler needs, which is given.
+    #[error("must be at least {0}")]
     TooSmall(usize),
-    /// A record limit to come is too small or too large.
-    #[error("must be 2 at least, a million at most")]
+    /// Next size limit on values that is too small or too large.
+    #[error("must be from 2 to 1000000")]
     ValueSize,
-    /// With shares on, the names of a team and a controller make a key together.
-    #[error("with shares on, needs no slash and 90 bytes at most")]
+    /// Name of a team or controller that is unsuitable if shares are enabled: then both names
+    /// together form a key of the state service.
+    #[error("with shares enabled, must have at most 90 bytes and no slash")]
     ShareName,
-    /// With shares on, a team's split names every controller.
-    #[error("too many controllers or too long names for a record of a team's shares")]
+    /// Record of a team's shares that would exceed the size limit on values: it contains the
+    /// name of every controller.
+    #[error(
+        "with shares enabled, there are too many controllers, or their names are too long, for the record of a team's shares"
+    )]
     ShareRecord,
 }
 
@@ -98,7 +103,7 @@
 
 type CheckResult = Result<(), SettingsError>;
 
-/// Reports `problem` of a field unless `condition` holds.
+/// Returns an error with the field and the problem unless `condition` is true.
 fn require(condition: bool, field: impl Into<String>, problem: FieldProblem) -> CheckResult {
     if condition {
         return Ok(());
@@ -110,13 +115,14 @@
 }
 
 impl Settings {
+    /// Checks all fields of the settings file.
     pub(super) fn check(&self) -> CheckResult {
         self.check_controllers()?;
         self.check_addresses()?;
         self.check_controller_count()?;
         self.check_zones()?;
         self.check_teams()?;
-        self.check_figures()?;
+        self.check_positive_values()?;
         self.check_worker_timing()?;
         self.check_state_limits()?;
         if let Some(next) = &self.deployment.state.next {
@@ -127,26 +133,29 @@
         self.check_clock_offset()
     }
 
-    /// Checks what the features that are on ask of the settings.
+    /// Checks the settings against the requirements of the enabled features.
     pub fn check_features(&self) -> CheckResult {
         if !self.features.shares.enabled {
             return Ok(());
         }
-        let is_fit = |name: &str| name.len() <= SHARE_NAME_LIMIT && !name.contains('/');
+        let is_valid_name =
+            |name: &str| name.len() <= MAX_NAME_BYTES_WITH_SHARES && !name.contains('/');
         let controllers = self.controllers();
         for name in &controllers {
-            require(is_fit(name), *name, Problem::ShareName)?;
+            require(is_valid_name(name), *name, Problem::ShareName)?;
         }
         for (i, team) in self.deployment.teams.iter().enumerate() {
             let field = format!("deployment.teams[{i}].name");
-            require(is_fit(&team.name), field, Problem::ShareName)?;
+            require(is_valid_name(&team.name), field, Problem::ShareName)?;
         }
-        let split: usize = controllers
+        let shares_bytes: usize = controllers
             .iter()
-            .map(|name| name.len() + SHARE_BYTES)
+            .map(|name| name.len() + MAX_SHARE_ENTRY_BYTES)
             .sum();
-        // What is granted, and what is left to move.
-        let fits = SHARE_BYTES + self.max_name_length() + split * 2 <= self.value_limit_bytes();
+        // The record contains the granted amounts and the amounts that remain to be moved,
+        // each with an entry for every controller.
+        let fits = MAX_SHARE_ENTRY_BYTES + self.max_name_length() + shares_bytes * 2
+            <= self.value_limit_bytes();
         require(fits, "deployment.count", Problem::ShareRecord)
     }
 
@@ -197,17 +206,17 @@
             let name_field = format!("{prefix}.name");
             check_team_name(&name_field, &team.name)?;
             require(names.insert(&team.name), name_field, Problem::Duplicate)?;
-            check_team_figures(&prefix, team)?;
+            check_team_amounts(&prefix, team)?;
         }
         Ok(())
     }
 
-    fn check_figures(&self) -> CheckResult {
+    fn check_positive_values(&self) -> CheckResult {
         let workers = &self.deployment.workers;
         let state = &self.deployment.state;
         let cloud = &self.deployment.cloud;
         let limits = &self.deployment.machine_limits;
-        for (field, figure) in [
+        for (field, value) in [
             ("workers.report_s", workers.report_s),
             ("workers.lease_s", workers.lease_s),
             ("workers.gang_wait_s", workers.gang_wait_s),
@@ -222,7 +231,7 @@
             ("machine_limits.memory_mb", limits.memory_mb),
         ] {
             let field = format!("deployment.{field}");
-            require(is_positive(figure), field, Problem::NotPositive)?;
+            require(is_positive(value), field, Problem::NotPositive)?;
         }
         Ok(())
     }
@@ -230,7 +239,7 @@
     fn check_worker_timing(&self) -> CheckResult {
         let workers = &self.deployment.workers;
         require(
-            workers.lease_s > REPORTS_PER_LEASE * workers.report_s,
+            workers.lease_s > HEARTBEAT_INTERVALS_PER_LEASE * workers.report_s,
             "deployment.workers.lease_s",
             Problem::LeaseTooShort,
         )?;
@@ -244,9 +253,9 @@
     fn check_state_limits(&self) -> CheckResult {
         let state = &self.deployment.state;
         require(
-            state.txn_ops >= MIN_TXN_OPS,
+            state.txn_ops >= MIN_COMMIT_WRITES,
             "deployment.state.txn_ops",
-            Problem::TooSmall(MIN_TXN_OPS),
+            Problem::TooSmall(MIN_COMMIT_WRITES),
         )?;
         require(
             state.value_kb >= MIN_VALUE_KB,
@@ -265,48 +274,49 @@
 
     fn check_objectives(&self) -> CheckResult {
         for (i, objective) in self.deployment.objectives.iter().enumerate() {
-            let is_right = objective.within_s.is_none_or(is_zero_or_more);
+            let is_valid = objective.within_s.is_none_or(is_zero_or_more);
             let field = format!("deployment.objectives[{i}].within_s");
-            require(is_right, field, Problem::Negative)?;
+            require(is_valid, field, Problem::Negative)?;
         }
         Ok(())
     }
 
     fn check_clock_offset(&self) -> CheckResult {
-        let is_right = is_zero_or_more(self.deployment.clock_off_ms);
-        require(is_right, "deployment.clock_off_ms", Problem::Negative)
+        let is_valid = is_zero_or_more(self.deployment.clock_off_ms);
+        require(is_valid, "deployment.clock_off_ms", Problem::Negative)
     }
 }
 
 fn check_name(field: &str, name: &str) -> CheckResult {
-    let is_right = (1..=NAME_LIMIT).contains(&name.len()) && !name.contains(char::is_whitespace);
-    require(is_right, field, Problem::NameFormat)
+    let is_valid =
+        (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_whitespace);
+    require(is_valid, field, Problem::NameFormat)
 }
 
 fn check_team_name(field: &str, name: &str) -> CheckResult {
-    let has_length = (1..=NAME_LIMIT).contains(&name.len());
-    require(has_length, field, Problem::NameLength)?;
+    let has_valid_length = (1..=MAX_NAME_BYTES).contains(&name.len());
+    require(has_valid_length, field, Problem::NameLength)?;
     let is_forbidden = |c: char| c.is_whitespace() || c.is_control();
     require(!name.contains(is_forbidden), field, Problem::NameSpaces)
 }
 
-fn check_team_figures(prefix: &str, team: &TeamQuota) -> CheckResult {
-    for (part, figure) in [
+fn check_team_amounts(prefix: &str, team: &TeamQuota) -> CheckResult {
+    for (part, value) in [
         ("cpus", team.cpus),
         ("cpus_max", team.cpus_max),
         ("gpus", team.gpus),
         ("gpus_max", team.gpus_max),
     ] {
-        let is_right = (0.0..=TEAM_FIGURE_LIMIT).contains(&figure);
-        require(is_right, format!("{prefix}.{part}"), Problem::TeamFigure)?;
+        let is_valid = (0.0..=MAX_TEAM_AMOUNT).contains(&value);
+        require(is_valid, format!("{prefix}.{part}"), Problem::TeamAmount)?;
     }
     for (part, guarantee, limit) in [
         ("cpus_max", team.cpus, team.cpus_max),
         ("gpus_max", team.gpus, team.gpus_max),
     ] {
-        let is_right = limit <= 0.0 || limit >= guarantee;
+        let is_valid = limit <= 0.0 || limit >= guarantee;
         require(
-            is_right,
+            is_valid,
             format!("{prefix}.{part}"),
             Problem::BelowGuarantee,
         )?;
@@ -320,11 +330,12 @@
         require(rate.is_none_or(is_positive), field, Problem::NotPositive)?;
     }
     require(
-        next.txn_ops.is_none_or(|writes| writes >= MIN_TXN_OPS),
+        next.txn_ops
+            .is_none_or(|writes| writes >= MIN_COMMIT_WRITES),
         "deployment.state.next.txn_ops",
-        Problem::TooSmall(MIN_TXN_OPS),
+        Problem::TooSmall(MIN_COMMIT_WRITES),
     )?;
-    let is_value_size = |size: f64| (MIN_VALUE_KB..=FIGURE_LIMIT).contains(&size);
+    let is_value_size = |size: f64| (MIN_VALUE_KB..=MAX_VALUE).contains(&size);
     require(
         next.value_kb.is_none_or(is_value_size),
         "deployment.state.next.value_kb",
@@ -332,10 +343,10 @@
     )
 }
 
-fn is_positive(figure: f64) -> bool {
-    figure > 0.0 && figure <= FIGURE_LIMIT
+fn is_positive(value: f64) -> bool {
+    value > 0.0 && value <= MAX_VALUE
 }
 
-fn is_zero_or_more(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_zero_or_more(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! The platform's settings file: read, then checked field by field.
+//! Reads and validates the settings file that the platform provides.
 //!
-//! Unknown fields are ignored, as the platform may add some. Every field that
-//! is used is checked, and the first one that is wrong ends the start with a
-//! line that names it. `check` holds the checks, `derived` the limits that
-//! follow from the settings, `teams` what a team may use.
+//! Unknown fields are ignored, as the platform may add some. Every field that is used is
+//! checked. The program does not start with an invalid field, and prints one line that
+//! names the first such field. `check` validates the fields, `derived` computes limits
+//! from them, and `teams` defines the guarantees and limits of teams.
 
 mod check;
 mod derived;
@@ -21,184 +21,186 @@
 pub use features::Features;
 pub use teams::TeamQuota;
 
-/// Why a settings file cannot be used.
+/// Error in a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// File that cannot be read.
     #[error("settings: cannot read {path}: {cause}")]
     Read {
-        /// The path of the file.
+        /// Path of the file.
         path: String,
-        /// What the system reports.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not JSON, or a field is missing or of another type.
-    #[error("settings: not the JSON expected: {0}")]
+    /// Text that is not valid JSON, or in which a field is missing or has a wrong type.
+    #[error("settings: cannot parse the JSON: {0}")]
     Parse(#[from] serde_json::Error),
-    /// The value of a field cannot be used.
+    /// Field with an invalid value.
     #[error("settings: {field}: {problem}")]
     Field {
-        /// The path of the field in the file.
+        /// Path of the field in the file.
         field: String,
-        /// What is wrong with its value.
+        /// Problem with the field's value.
         problem: FieldProblem,
     },
 }
 
-/// One controller as the others reach it.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller; `node` in the file.
     #[serde(rename = "node")]
     pub name: String,
-    /// The zone in which it runs; the file's `location`.
+    /// Zone in which the controller runs; `location` in the file.
     #[serde(rename = "location")]
     pub zone: String,
-    /// The address at which it accepts gossip connections.
+    /// Address at which the controller accepts gossip connections.
     pub addr: SocketAddrV4,
 }
 
-/// The addresses of the services that the scheduler uses.
+/// Addresses of the services that the scheduler uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// The cloud that rents out machines.
+    /// Address of the cloud that provides machines.
     pub cloud: SocketAddrV4,
-    /// The key-value service that keeps the state.
+    /// Address of the key-value service that stores the state.
     pub state: SocketAddrV4,
 }
 
 /// Timing of workers and their tasks, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTiming {
-    /// The interval between a worker's heartbeats.
+    /// Interval between a worker's heartbeats.
     pub report_s: f64,
-    /// How long a worker keeps its tasks after an answered heartbeat.
+    /// Duration of a worker's lease: the time for which it keeps its tasks running after an
+    /// answered heartbeat.
     pub lease_s: f64,
-    /// How long the first tasks of a gang wait for the others to start.
+    /// Time for which the first tasks of a gang wait for the others to start.
     pub gang_wait_s: f64,
-    /// How long a gang's tasks run on after one of them is lost.
+    /// Time for which a gang's tasks keep running after one of them is lost.
     pub gang_peer_s: f64,
-    /// How long after its user was told a cancelled task may still run.
+    /// Time for which a task may keep running after its cancellation was confirmed to the
+    /// user.
     pub cancel_s: f64,
 }
 
-/// The state service's limits. What bounds a commit and what may be sent a
-/// second is told by [`Settings`] alone, from these and those to come.
+/// Limits of the state service. The limits that apply to commits and request rates are
+/// returned by the methods of [`Settings`], which combine these limits with the next ones.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateServiceLimits {
-    /// Requests a second, from all controllers together.
+    /// Maximum number of requests per second, from all controllers together.
     pub rps: f64,
-    /// Written keys a second, from all controllers together.
+    /// Maximum number of written keys per second, from all controllers together.
     pub write_rps: f64,
-    /// The longest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// The most writes of one commit.
+    /// Maximum number of writes in one commit.
     pub txn_ops: usize,
-    /// Limits that come into force at some moment, without notice.
+    /// Limits that come into force at an unknown time, without notice.
     #[serde(default)]
     pub next: Option<NextStateServiceLimits>,
 }
 
-/// Limits to come; one that is not named stays as it is.
+/// Next limits of the state service. A limit that is `None` does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextStateServiceLimits {
-    /// Requests a second, from all controllers together.
+    /// Maximum number of requests per second, from all controllers together.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Written keys a second, from all controllers together.
+    /// Maximum number of written keys per second, from all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// The longest value, in KiB.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// The most writes of one commit.
+    /// Maximum number of writes in one commit.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
-/// The cloud's limits.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second, from all controllers together.
+    /// Maximum number of requests per second, from all controllers together.
     pub rps: f64,
-    /// How many seconds the list of machines may be behind.
+    /// Maximum delay until the cloud's list of machines shows a change, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What all controllers of a deployment share.
+/// Settings that all controllers of a deployment have in common.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// The number of controllers.
+    /// Number of controllers.
     pub count: usize,
-    /// The zones in which machines can be provisioned.
+    /// Zones in which machines can be provisioned.
     pub zones: Vec<String>,
-    /// The teams that submit jobs.
+    /// Teams that submit jobs.
     pub teams: Vec<TeamQuota>,
-    /// Aims for classes of jobs.
+    /// Service level objectives for classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of workers and their tasks.
     pub workers: WorkerTiming,
-    /// The state service's limits.
+    /// Limits of the state service.
     pub state: StateServiceLimits,
-    /// The cloud's limits.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What a controller's own machine allows it.
+    /// Resources that a controller may use on its own host.
     pub machine_limits: MachineLimits,
-    /// The largest difference between wall clocks, in milliseconds.
+    /// Maximum difference between the wall clocks of two controllers, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
 }
 
-/// An aim at starting or finishing a class of jobs. A hint for the queue;
-/// kinds that are not known are passed over.
+/// Service level objective for starting or finishing jobs of a class. It only affects the
+/// order of the queue. Objectives of unknown kinds are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is to happen in time.
+    /// Kind of the objective, such as `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// The class of jobs that it is about; `None` for all.
+    /// Class of the jobs that the objective applies to; `None` for all jobs.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time limit, in seconds.
+    /// Time limit, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// What a controller's own machine allows it.
+/// Resources that a controller may use on its own host.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// The part of a CPU.
+    /// Number of CPUs; may be a fraction.
     pub cpu: f64,
     /// Memory, in MiB.
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// The settings of one controller.
+/// Settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name; the file's `node`.
+    /// Name of this controller; `node` in the file.
     #[serde(rename = "node")]
     pub controller_name: String,
-    /// The zone in which it runs; the file's `location`.
+    /// Zone in which this controller runs; `location` in the file.
     #[serde(rename = "location")]
     pub zone: String,
-    /// The address at which it serves users, workers and operators.
+    /// Address at which this controller serves users, workers and operators.
     pub serve_on: SocketAddrV4,
-    /// The address at which it accepts gossip connections.
+    /// Address at which this controller accepts gossip connections.
     #[serde(rename = "mesh_addr")]
     pub gossip_addr: SocketAddrV4,
-    /// The other controllers.
+    /// Other controllers of the deployment.
     pub others: Vec<Peer>,
-    /// The services that it uses.
+    /// Addresses of the services that the scheduler uses.
     pub external: External,
-    /// What all controllers share.
+    /// Settings that all controllers of the deployment have in common.
     pub deployment: Deployment,
-    /// The operators' own settings; not part of the platform's file.
+    /// Scheduling policy that the operators configure; read from the policy file.
     #[serde(skip)]
     pub policy: Policy,
-    /// What of the newer subsystems is on; from a file of its own.
+    /// Optional features that the operators enable; read from the features file.
     #[serde(skip)]
     pub features: Features,
 }
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -1,37 +1,37 @@
-//! What a team may use, and what of it is its own.
+//! Resource guarantees and limits of teams.
 
 use serde::Deserialize;
 
 use crate::state::records::{Amount, Resources};
 
-/// A team's guarantee and limit. A figure of 0 means none.
+/// Guarantee and limit of a team. An amount of 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamQuota {
-    /// The team's name.
+    /// Name of the team.
     pub name: String,
-    /// The CPUs that are guaranteed to it.
+    /// Number of CPUs that are guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// The most CPUs that it may use at any time.
+    /// Maximum number of CPUs that the team may use at any time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// The accelerators that are guaranteed to it.
+    /// Number of accelerators that are guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// The most accelerators that it may use at any time.
+    /// Maximum number of accelerators that the team may use at any time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl TeamQuota {
-    /// The most CPUs and accelerators that the team may use at any time;
-    /// `None` where there is no limit.
+    /// Returns the maximum amounts of CPUs and accelerators that the team may use at any
+    /// time, with `None` for a resource without a limit.
     pub fn limit(&self) -> (Option<Amount>, Option<Amount>) {
-        let limit = |figure: f64| (figure > 0.0).then(|| Amount::rounded_down(figure));
+        let limit = |amount: f64| (amount > 0.0).then(|| Amount::rounded_down(amount));
         (limit(self.cpus_max), limit(self.gpus_max))
     }
 
-    /// What is guaranteed to the team. Memory is not part of a guarantee.
+    /// Returns the resources that are guaranteed to the team. Memory is not guaranteed.
     pub fn guarantee(&self) -> Resources {
         Resources {
             cpus: Amount::rounded_down(self.cpus),
@@ -40,23 +40,24 @@
         }
     }
 
-    /// True when `used` stays within the team's limit.
+    /// Returns whether `used` is within the team's limit.
     pub fn allows(&self, used: &Resources) -> bool {
         let (cpus, gpus) = self.limit();
         cpus.is_none_or(|limit| used.cpus <= limit) && gpus.is_none_or(|limit| used.gpus <= limit)
     }
 
-    /// True when the team is beyond its guarantee by as much as `part`, so that
-    /// it still has all of it when that part is taken away.
-    pub fn can_lend(&self, used: &Resources, part: &Resources) -> bool {
+    /// Returns whether the team would still use its whole guarantee if `reclaimed` were
+    /// taken from the resources in use. The guarantee is met in CPUs, or in accelerators if
+    /// accelerators are guaranteed and reclaimed.
+    pub fn can_lend(&self, used: &Resources, reclaimed: &Resources) -> bool {
         let guarantee = self.guarantee();
-        let rest = *used - *part;
-        let counts_gpus = part.gpus.0 > 0 && guarantee.gpus.0 > 0;
-        rest.cpus >= guarantee.cpus || (counts_gpus && rest.gpus >= guarantee.gpus)
+        let remaining = *used - *reclaimed;
+        let counts_gpus = reclaimed.gpus.0 > 0 && guarantee.gpus.0 > 0;
+        remaining.cpus >= guarantee.cpus || (counts_gpus && remaining.gpus >= guarantee.gpus)
     }
 
-    /// True when `used` stays within the team's guarantee. Work that uses
-    /// no accelerator is not held against a missing accelerator guarantee.
+    /// Returns whether `used` is within the team's guarantee. Work that uses no
+    /// accelerators does not need an accelerator guarantee.
     pub fn guarantee_covers(&self, used: &Resources) -> bool {
         let guarantee = self.guarantee();
         used.cpus <= guarantee.cpus && used.gpus <= guarantee.gpus
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -103,7 +103,11 @@
             &settings,
             "features: shares.growth: lower than 1",
         ),
-        (on.path(), &slash, "with shares on, needs no slash"),
+        (
+            on.path(),
+            &slash,
+            "with shares enabled, must have at most 90 bytes and no slash",
+        ),
     ] {
         let output = run(&["--features-file", features, "--config", settings.path()]);
         let message = String::from_utf8_lossy(&output.stderr).to_string();
