--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -228,7 +228,7 @@
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let dependency_bytes = spec.dependencies_bytes();
     let max_bytes = settings.value_limit_bytes();
-    let exceeds_limit = if settings.limits_will_fall() {
+    let exceeds_limit = if settings.limits_will_decrease() {
         // Record sizes are limited: reject a job that could not be written, or not run
         // within one record.
         let waiting = bytes + RECORD_OVERHEAD_BYTES;
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -146,7 +146,7 @@
             own_record: ControllerRecord {
                 controller: controller.name().to_string(),
                 incarnation: controller.incarnation,
-                formats: controller.settings.formats(),
+                formats: controller.settings.announced_formats(),
             },
             preconditions: Vec::new(),
             writes: Vec::new(),
--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::Controller;
-use crate::settings::BARRIER_GAP_REQUESTS;
+use crate::settings::REQUESTS_PER_BARRIER;
 use crate::state::client::StateClientError;
 use crate::state::keys::BARRIER_KEY;
 
@@ -78,8 +78,8 @@
 
     /// Issues read barriers: one per idle interval, and earlier when one is requested.
     pub async fn run_barriers(self: Rc<Self>) {
-        let idle = self.settings.barrier_pause();
-        let min_interval = self.request_interval() * BARRIER_GAP_REQUESTS;
+        let idle = self.settings.idle_barrier_interval();
+        let min_interval = self.request_interval() * REQUESTS_PER_BARRIER;
         let barriers = &self.state_sync.barriers;
         loop {
             // The leases of a newly started controller's workers are already running out,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -195,7 +195,7 @@
 
 /// Creates an empty replica for these settings.
 fn new_replica(settings: &Settings) -> Replica {
-    let will_compact = settings.limits_will_fall();
+    let will_compact = settings.limits_will_decrease();
     let compact_limit = will_compact.then(|| settings.value_limit_bytes());
     let mut replica = Replica::with_compact_limit(compact_limit);
     let objectives = settings.deployment.objectives.iter();
--- a/src/policy/check/calls.rs
+++ b/src/policy/check/calls.rs
@@ -1,6 +1,6 @@
 //! Checks the arguments of function calls and determines the types of the results.
 
-use super::{Checker, Typed};
+use super::{Checker, TypedExpression};
 use crate::policy::error::{LocatedProblem, Problem};
 use crate::policy::eval::{Expression, FUNCTIONS, Function, Signature};
 use crate::policy::syntax::{SourceRange, SyntaxNode};
@@ -12,7 +12,7 @@
         name: &str,
         arguments: &[SyntaxNode],
         range: &SourceRange,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         let signature = find_function(name, range)?;
         let (min, max) = (signature.min_arguments, signature.max_arguments);
         if !(min..=max).contains(&arguments.len()) {
@@ -28,7 +28,7 @@
         &self,
         arguments: &[SyntaxNode],
         range: &SourceRange,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         let condition = self.boolean(&arguments[0])?;
         let positive = self.typed(&arguments[1])?;
         let negative = self.typed(&arguments[2])?;
@@ -40,7 +40,7 @@
             _ => return Err(Problem::BranchTypesDiffer.at(range)),
         };
         let arguments = vec![condition, positive.expression, negative.expression];
-        Ok(Typed {
+        Ok(TypedExpression {
             expression: Expression::Call(Function::If, arguments),
             value_type,
         })
@@ -51,7 +51,7 @@
         function: Function,
         arguments: &[SyntaxNode],
         range: &SourceRange,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         let mut expressions = Vec::with_capacity(arguments.len());
         let mut intervals = Vec::with_capacity(arguments.len());
         for argument in arguments {
@@ -66,7 +66,7 @@
             Function::Clamp | Function::If => clamp(&intervals, range)?,
         };
         let expression = Expression::Call(function, expressions);
-        Ok(Typed::number(expression, interval))
+        Ok(TypedExpression::number(expression, interval))
     }
 }
 
--- a/src/policy/check/mod.rs
+++ b/src/policy/check/mod.rs
@@ -14,21 +14,21 @@
 use super::types::{Interval, Type};
 
 /// Checked expression with its type.
-struct Typed {
+struct TypedExpression {
     expression: Expression,
     value_type: Type,
 }
 
-impl Typed {
+impl TypedExpression {
     fn number(expression: Expression, interval: Interval) -> Self {
-        Typed {
+        TypedExpression {
             expression,
             value_type: Type::Number(interval),
         }
     }
 
     fn boolean(expression: Expression) -> Self {
-        Typed {
+        TypedExpression {
             expression,
             value_type: Type::Boolean,
         }
@@ -36,7 +36,7 @@
 }
 
 /// Checked numeric expression with the range of its value.
-struct Numeric {
+struct NumericExpression {
     expression: Expression,
     interval: Interval,
 }
@@ -95,12 +95,14 @@
     }
 
     /// Checks an expression of any type.
-    fn typed(&self, node: &SyntaxNode) -> Result<Typed, LocatedProblem> {
+    fn typed(&self, node: &SyntaxNode) -> Result<TypedExpression, LocatedProblem> {
         let typed = match &node.kind {
             SyntaxKind::Number(number) => {
-                Typed::number(Expression::Number(*number), Interval::point(*number))
+                TypedExpression::number(Expression::Number(*number), Interval::point(*number))
+            }
+            SyntaxKind::Boolean(value) => {
+                TypedExpression::boolean(Expression::Number(boolean_value(*value)))
             }
-            SyntaxKind::Boolean(value) => Typed::boolean(Expression::Number(boolean_value(*value))),
             SyntaxKind::Name(name) => self.name(name, &node.range)?,
             SyntaxKind::Unary(operator, operand) => self.unary(*operator, operand)?,
             SyntaxKind::Binary(operator, left, right) => self.binary(*operator, left, right)?,
@@ -118,10 +120,10 @@
     }
 
     /// Checks an expression that must be a number.
-    fn number(&self, node: &SyntaxNode) -> Result<Numeric, LocatedProblem> {
+    fn number(&self, node: &SyntaxNode) -> Result<NumericExpression, LocatedProblem> {
         let typed = self.typed(node)?;
         match typed.value_type {
-            Type::Number(interval) => Ok(Numeric {
+            Type::Number(interval) => Ok(NumericExpression {
                 expression: typed.expression,
                 interval,
             }),
@@ -139,10 +141,13 @@
     }
 
     /// Resolves the name of a constant or of a variable of the subject.
-    fn name(&self, name: &str, range: &SourceRange) -> Result<Typed, LocatedProblem> {
+    fn name(&self, name: &str, range: &SourceRange) -> Result<TypedExpression, LocatedProblem> {
         if let Some(constant) = CONSTANTS.iter().find(|constant| constant.name == name) {
             let expression = Expression::Number(constant.value);
-            return Ok(Typed::number(expression, Interval::point(constant.value)));
+            return Ok(TypedExpression::number(
+                expression,
+                Interval::point(constant.value),
+            ));
         }
         let variables = self.subject.variables();
         let Some(position) = variables.iter().position(|variable| variable.name == name) else {
@@ -152,8 +157,8 @@
         };
         let expression = Expression::Variable(position);
         Ok(match variables[position].range {
-            Some(interval) => Typed::number(expression, interval),
-            None => Typed::boolean(expression),
+            Some(interval) => TypedExpression::number(expression, interval),
+            None => TypedExpression::boolean(expression),
         })
     }
 }
--- a/src/policy/check/operators.rs
+++ b/src/policy/check/operators.rs
@@ -1,6 +1,6 @@
 //! Checks the operands of operators and determines the types of the results.
 
-use super::{Checker, Typed};
+use super::{Checker, TypedExpression};
 use crate::policy::error::{LocatedProblem, Problem};
 use crate::policy::eval::Expression;
 use crate::policy::syntax::{ArithmeticOperator, BinaryOperator, SyntaxNode, UnaryOperator};
@@ -10,16 +10,19 @@
         &self,
         operator: UnaryOperator,
         operand: &SyntaxNode,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         match operator {
             UnaryOperator::Negate => {
                 let operand = self.number(operand)?;
                 let expression = Expression::Unary(operator, Box::new(operand.expression));
-                Ok(Typed::number(expression, operand.interval.negated()))
+                Ok(TypedExpression::number(
+                    expression,
+                    operand.interval.negated(),
+                ))
             }
             UnaryOperator::Not => {
                 let operand = self.boolean(operand)?;
-                Ok(Typed::boolean(Expression::Unary(
+                Ok(TypedExpression::boolean(Expression::Unary(
                     operator,
                     Box::new(operand),
                 )))
@@ -32,17 +35,19 @@
         operator: BinaryOperator,
         left: &SyntaxNode,
         right: &SyntaxNode,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         match operator {
             BinaryOperator::Logical(operator) => {
                 let left = Box::new(self.boolean(left)?);
                 let right = Box::new(self.boolean(right)?);
-                Ok(Typed::boolean(Expression::Logical(operator, left, right)))
+                Ok(TypedExpression::boolean(Expression::Logical(
+                    operator, left, right,
+                )))
             }
             BinaryOperator::Comparison(operator) => {
                 let left = Box::new(self.number(left)?.expression);
                 let right = Box::new(self.number(right)?.expression);
-                Ok(Typed::boolean(Expression::Comparison(
+                Ok(TypedExpression::boolean(Expression::Comparison(
                     operator, left, right,
                 )))
             }
@@ -55,7 +60,7 @@
         operator: ArithmeticOperator,
         left: &SyntaxNode,
         right: &SyntaxNode,
-    ) -> Result<Typed, LocatedProblem> {
+    ) -> Result<TypedExpression, LocatedProblem> {
         let left_value = self.number(left)?;
         let right_value = self.number(right)?;
         if operator == ArithmeticOperator::Divide && right_value.interval.contains(0.0) {
@@ -69,6 +74,6 @@
             Box::new(left_value.expression),
             Box::new(right_value.expression),
         );
-        Ok(Typed::number(expression, interval))
+        Ok(TypedExpression::number(expression, interval))
     }
 }
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -197,7 +197,7 @@
         self.guarded.extend(guarded);
         let sizes = ShardRecordSizes {
             compact: self.replica.uses_compact_encoding(),
-            max_name_length: settings.max_name_length(),
+            max_name_length: settings.max_controller_name_length(),
         };
         let added_bytes = sizes.machine_bytes(name, kind);
         let with_capacity = candidates.numbers().find(|number| {
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -154,7 +154,7 @@
             .sum();
         // The record contains the granted amounts and the amounts that remain to be moved,
         // each with an entry for every controller.
-        let fits = MAX_SHARE_ENTRY_BYTES + self.max_name_length() + shares_bytes * 2
+        let fits = MAX_SHARE_ENTRY_BYTES + self.max_controller_name_length() + shares_bytes * 2
             <= self.value_limit_bytes();
         require(fits, "deployment.count", Problem::ShareRecord)
     }
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -11,7 +11,7 @@
 
 /// Minimum number of a controller's requests for each read barrier: at most one request in
 /// this many is a read barrier.
-pub const BARRIER_GAP_REQUESTS: u32 = 4;
+pub const REQUESTS_PER_BARRIER: u32 = 4;
 
 /// Number of read barriers that are sent within the staleness limit while none is requested.
 const BARRIERS_PER_STALENESS_LIMIT: u32 = 20;
@@ -71,7 +71,7 @@
 
     /// Returns the version of the newest record formats that this controller announces to the
     /// others.
-    pub fn formats(&self) -> u32 {
+    pub fn announced_formats(&self) -> u32 {
         match self.features.shares.enabled {
             true => FORMATS_SHARES,
             false => FORMATS,
@@ -86,14 +86,14 @@
     }
 
     /// Returns the length of the longest controller name, in bytes.
-    pub fn max_name_length(&self) -> usize {
+    pub fn max_controller_name_length(&self) -> usize {
         let names = self.controllers_with_zones();
         names.map(|(name, _)| name.len()).max().unwrap_or(0)
     }
 
     /// Returns the margin by which every safety interval is shortened, for the drift between
     /// clocks and for the time that handling a message takes.
-    pub fn margin(&self) -> Duration {
+    pub fn timing_margin(&self) -> Duration {
         let cancel_s = self.deployment.workers.cancel_s;
         Duration::from_secs_f64(cancel_s * HANDLING_MARGIN_FRACTION + cancel_s * 2.0 * CLOCK_DRIFT)
     }
@@ -104,21 +104,22 @@
     /// `lease_s`.
     pub fn staleness_limit(&self) -> Duration {
         let workers = &self.deployment.workers;
-        Duration::from_secs_f64(workers.cancel_s - workers.lease_s).saturating_sub(self.margin())
+        Duration::from_secs_f64(workers.cancel_s - workers.lease_s)
+            .saturating_sub(self.timing_margin())
     }
 
     /// Returns the interval between read barriers while none is requested.
-    pub fn barrier_pause(&self) -> Duration {
+    pub fn idle_barrier_interval(&self) -> Duration {
         self.staleness_limit().min(self.worker_lease()) / BARRIERS_PER_STALENESS_LIMIT
     }
 
     /// Returns the maximum staleness of the replica at which a launch may be commanded:
     /// another controller may have confirmed the job's cancellation since. It is twice the
     /// usual interval between two read barriers, so that one slow answer delays no launch.
-    pub fn launch_limit(&self) -> Duration {
+    pub fn max_launch_staleness(&self) -> Duration {
         let requests_per_s = self.rps(true) / self.deployment.count as f64;
-        let gap = Duration::from_secs_f64(BARRIER_GAP_REQUESTS as f64 / requests_per_s);
-        let interval = self.barrier_pause() + gap;
+        let gap = Duration::from_secs_f64(REQUESTS_PER_BARRIER as f64 / requests_per_s);
+        let interval = self.idle_barrier_interval() + gap;
         (interval * 2).clamp(self.worker_lease() / 16, self.worker_lease() / 4)
     }
 
@@ -193,7 +194,7 @@
     /// Returns whether the next limit on values or on the writes of a commit is lower than
     /// the present one. In this case records are written in the compact encoding once all
     /// controllers can read it.
-    pub fn limits_will_fall(&self) -> bool {
+    pub fn limits_will_decrease(&self) -> bool {
         let txn_ops = self.deployment.state.txn_ops;
         self.value_limit_bytes() < self.current_value_limit_bytes() || self.txn_ops() < txn_ops
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -17,7 +17,7 @@
 use crate::policy::Policy;
 
 pub use check::FieldProblem;
-pub use derived::{BARRIER_GAP_REQUESTS, CLOCK_DRIFT};
+pub use derived::{CLOCK_DRIFT, REQUESTS_PER_BARRIER};
 pub use features::Features;
 pub use teams::TeamQuota;
 
@@ -60,7 +60,7 @@
 
 /// Addresses of the services that the scheduler uses.
 #[derive(Debug, Clone, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// Address of the cloud that provides machines.
     pub cloud: SocketAddrV4,
     /// Address of the key-value service that stores the state.
@@ -146,7 +146,7 @@
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Resources that a controller may use on its own host.
-    pub machine_limits: MachineLimits,
+    pub machine_limits: HostLimits,
     /// Maximum difference between the wall clocks of two controllers, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
@@ -168,7 +168,7 @@
 
 /// Resources that a controller may use on its own host.
 #[derive(Debug, Clone, Deserialize)]
-pub struct MachineLimits {
+pub struct HostLimits {
     /// Number of CPUs; may be a fraction.
     pub cpu: f64,
     /// Memory, in MiB.
@@ -194,7 +194,7 @@
     /// Other controllers of the deployment.
     pub others: Vec<Peer>,
     /// Addresses of the services that the scheduler uses.
-    pub external: External,
+    pub external: ExternalServices,
     /// Settings that all controllers of the deployment have in common.
     pub deployment: Deployment,
     /// Scheduling policy that the operators configure; read from the policy file.
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -52,7 +52,7 @@
     /// Removes the launches from a plan if the replica is too old for them, and requests
     /// the read barrier after which they are planned again.
     pub(super) fn defer_stale_launches(&self, id: &str, plan: &mut WorkerPlan) {
-        let limit = self.settings.launch_limit();
+        let limit = self.settings.max_launch_staleness();
         if plan.defer_launches(self.replica_staleness(), limit) {
             self.defer_launches_until_barrier(id);
         }
@@ -197,7 +197,8 @@
         .state_sync
         .last_barrier()
         .filter(|_| includes_launch);
-    let launch_deadline = last_barrier.map(|sent| sent + controller.settings.launch_limit());
+    let launch_deadline =
+        last_barrier.map(|sent| sent + controller.settings.max_launch_staleness());
     Deadlines {
         send: launch_deadline.map_or(answer_deadline, |launch| launch.min(answer_deadline)),
         answer: answer_deadline,
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -101,7 +101,7 @@
 pub fn queue_terminations_of_expired_leases(controller: &Controller) {
     let now = controller.now_excluding_pauses();
     let lease = controller.settings.worker_lease();
-    let margin = controller.settings.margin();
+    let margin = controller.settings.timing_margin();
     let lost = expire_leases(controller, lease, margin, now);
     controller.queue_terminations(lost);
 }
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -94,15 +94,15 @@
         };
         shape.state["rps"] = json!(rps);
         let settings: Settings = shape.settings(0);
-        let (limit, lease) = (settings.launch_limit(), settings.worker_lease());
+        let (limit, lease) = (settings.max_launch_staleness(), settings.worker_lease());
         let gap = secs(4.0 * shape.controllers as f64 / rps);
-        let interval = settings.barrier_pause() + gap;
+        let interval = settings.idle_barrier_interval() + gap;
         let name = format!("{lease_s} {cancel_s} {rps}: {limit:?}");
         assert!(limit <= lease / 4, "{name}");
         assert!(limit >= lease / 16, "{name}");
         assert!(limit >= (interval * 2).min(lease / 4), "{name}");
         assert!(limit <= (interval * 2).max(lease / 16), "{name}");
-        assert!(settings.barrier_pause() <= settings.staleness_limit() / 20);
+        assert!(settings.idle_barrier_interval() <= settings.staleness_limit() / 20);
     }
 }
 
@@ -210,7 +210,7 @@
             let case = come_back(u64::from(k), cancelled_s + 0.1, cancelled_s).await;
             let world = case.world;
             sleep(secs(12.0)).await;
-            let limit = world.shape.settings(0).launch_limit();
+            let limit = world.shape.settings(0).max_launch_staleness();
             let late: Vec<_> = world.late_starts.borrow().clone();
             let too_late: Vec<_> = late.iter().filter(|(_, after)| *after > limit).collect();
             assert!(too_late.is_empty(), "{cancelled_s}: {too_late:?}");
--- a/tests/limits/falls.rs
+++ b/tests/limits/falls.rs
@@ -92,7 +92,7 @@
             s.value_limit_bytes(),
             s.txn_ops(),
             rates,
-            s.limits_will_fall(),
+            s.limits_will_decrease(),
         )
     };
     let now = (8192, 12, (90.0, 90.0, 200.0), false);
