--- a/tests/decisions/pipelines.rs
+++ b/tests/decisions/dependencies.rs
@@ -4,8 +4,8 @@
 use tokio::time::Instant;
 
 use super::setup::{
-    after, ended, hints, jobs_of, may_preempt, settings, settings_json, spec, view_with,
-    view_with_types,
+    closed_job, job_spec, job_specs, job_with_dependencies, may_preempt, placement_hints,
+    replica_with_machine_types, replica_with_machines, settings, settings_json,
 };
 use shelfhoist::dependencies::EffectiveUrgency;
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction};
@@ -19,17 +19,26 @@
 /// A job has the highest priority and the tightest deadline of the open jobs
 /// that need it, less the expected work between; each change counts at once.
 #[test]
-fn what_needs_a_job_passes_its_priority_and_deadline_on() {
+fn job_inherits_priority_and_deadline_of_its_dependents() {
     use Priority::*;
-    let mut replica = view_with_types();
+    let mut replica = replica_with_machine_types();
     let jobs = [
         // A diamond with a tail, and one that nothing needs.
-        ("job-1", after(&[], Low, 15.0, None)),
-        ("job-2", after(&["job-1"], Low, 25.0, None)),
-        ("job-3", after(&["job-1"], Normal, 20.0, Some(500.0))),
-        ("job-4", after(&["job-2", "job-3"], High, 8.0, Some(100.0))),
-        ("job-5", after(&["job-4"], Low, 1.0, Some(60.0))),
-        ("job-6", after(&[], Normal, 5.0, Some(30.0))),
+        ("job-1", job_with_dependencies(&[], Low, 15.0, None)),
+        ("job-2", job_with_dependencies(&["job-1"], Low, 25.0, None)),
+        (
+            "job-3",
+            job_with_dependencies(&["job-1"], Normal, 20.0, Some(500.0)),
+        ),
+        (
+            "job-4",
+            job_with_dependencies(&["job-2", "job-3"], High, 8.0, Some(100.0)),
+        ),
+        (
+            "job-5",
+            job_with_dependencies(&["job-4"], Low, 1.0, Some(60.0)),
+        ),
+        ("job-6", job_with_dependencies(&[], Normal, 5.0, Some(30.0))),
     ];
     let mut at = 10;
     let mut set = |replica: &mut Replica, id: &str, job: &Job| {
@@ -69,7 +78,7 @@
             ("job-6", Normal, Some(30.0)),
         ],
     );
-    set(&mut replica, "job-5", &ended(JobStatus::Cancelled));
+    set(&mut replica, "job-5", &closed_job(JobStatus::Cancelled));
     check(
         &replica,
         "the tail cancelled",
@@ -80,7 +89,7 @@
             ("job-4", High, Some(100.0)),
         ],
     );
-    set(&mut replica, "job-4", &ended(JobStatus::Cancelled));
+    set(&mut replica, "job-4", &closed_job(JobStatus::Cancelled));
     check(
         &replica,
         "the join cancelled",
@@ -91,14 +100,14 @@
         ],
     );
     assert_eq!(replica.open_jobs.len(), 2, "job-1 and job-6");
-    set(&mut replica, "job-1", &ended(JobStatus::Done));
+    set(&mut replica, "job-1", &closed_job(JobStatus::Done));
     assert_eq!(replica.open_jobs.len(), 3, "job-2, job-3 and job-6");
     assert_eq!(replica.blocked_jobs().count(), 0);
 }
 
 /// Lateness goes by the deadline of what needs a job, too.
 #[test]
-fn a_job_is_late_for_what_needs_it() {
+fn lateness_considers_the_deadline_of_dependents() {
     let mut set = settings_json();
     set["deployment"]["objectives"] = json!([
         {"kind": "wait", "class": "w", "within_s": 40.0, "target": 0.9},
@@ -126,7 +135,7 @@
         let spec = JobSpec {
             class: class.into(),
             deadline_s,
-            ..spec(JobKind::Array, 1, 1.0)
+            ..job_spec(JobKind::Array, 1, 1.0)
         };
         let urgency = EffectiveUrgency {
             priority: Priority::Low,
@@ -140,9 +149,9 @@
 
 /// Work is preempted by the effective priority, on both sides.
 #[test]
-fn preemption_goes_by_the_effective_priority() {
+fn preemption_uses_effective_priorities() {
     use Priority::*;
-    let low = spec(JobKind::Array, 1, 1.0);
+    let low = job_spec(JobKind::Array, 1, 1.0);
     let low = JobSpec {
         priority: Low,
         ..low
@@ -161,20 +170,26 @@
 /// What a job's state is follows from the records, however they come in: one
 /// by one in any order, in arrivals, or all at once.
 #[test]
-fn states_follow_from_the_records_in_any_order() {
+fn effective_status_does_not_depend_on_the_order_of_records() {
     use Priority::Low;
     let first = |status: JobStatus| match status {
-        JobStatus::Open => after(&[], Low, 5.0, None),
-        status => ended(status),
+        JobStatus::Open => job_with_dependencies(&[], Low, 5.0, None),
+        status => closed_job(status),
     };
     let jobs = |status: JobStatus, other: JobStatus| {
         vec![
             ("job-1", first(status)),
             ("job-2", first(other)),
-            ("job-3", after(&["job-1"], Low, 5.0, Some(50.0))),
-            ("job-4", after(&["job-2", "job-3"], Low, 5.0, None)),
-            ("job-5", after(&["job-4"], Low, 5.0, None)),
-            ("job-6", after(&["job-2"], Low, 5.0, None)),
+            (
+                "job-3",
+                job_with_dependencies(&["job-1"], Low, 5.0, Some(50.0)),
+            ),
+            (
+                "job-4",
+                job_with_dependencies(&["job-2", "job-3"], Low, 5.0, None),
+            ),
+            ("job-5", job_with_dependencies(&["job-4"], Low, 5.0, None)),
+            ("job-6", job_with_dependencies(&["job-2"], Low, 5.0, None)),
         ]
     };
     use JobStatus::*;
@@ -253,7 +268,7 @@
             check(&replica, &format!("{order:?}"));
         }
         // All open at first, in one arrival; then the first two change.
-        let specs = jobs_of(&jobs);
+        let specs = job_specs(&jobs);
         let mut replica = Replica::default();
         let key = shelfhoist::state::keys::accepted_batch_key("x");
         let arrivals = AcceptedBatch {
@@ -282,18 +297,18 @@
 /// Safety 7: what waits is not booked, whoever found placements for it; and once it
 /// is, its record no longer names what was awaited.
 #[test]
-fn what_waits_is_not_booked() {
+fn job_with_open_dependencies_is_not_booked() {
     let set = settings();
     for (status, booked) in [
         (JobStatus::Open, 0),
         (JobStatus::Cancelled, 0),
         (JobStatus::Done, 2),
     ] {
-        let mut replica = view_with(&[("a", "m", 8.0)]);
-        let second = after(&["job-1"], Priority::Low, 5.0, None);
+        let mut replica = replica_with_machines(&[("a", "m", 8.0)]);
+        let second = job_with_dependencies(&["job-1"], Priority::Low, 5.0, None);
         replica.apply_events(
             vec![
-                Event::put(job_key("job-1"), &ended(status), 4),
+                Event::put(job_key("job-1"), &closed_job(status), 4),
                 Event::put(job_key("job-2"), &second, 4),
             ],
             4,
@@ -304,7 +319,7 @@
             &second,
             &spec,
             &plan,
-            &hints(&replica),
+            &placement_hints(&replica),
             &set,
             AcceleratorProtection::Lax,
         );
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server and client within their bounds.
+//! Limits of the HTTP parser, server and client.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -10,9 +10,9 @@
 use shelfhoist::net::{Fabric, Net};
 
 #[test]
-fn http_requests_are_read_within_bounds() {
-    let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(9000));
-    let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(60));
+fn request_parser_enforces_limits() {
+    let long_header = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(9000));
+    let many_headers = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(60));
     let refused: &[(&str, u16)] = &[
         ("\u{1}\u{2}\r\n\r\n", 400),
         ("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
@@ -27,8 +27,8 @@
             400,
         ),
         ("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 411),
-        (&long, 431),
-        (&many, 431),
+        (&long_header, 431),
+        (&many_headers, 431),
     ];
     for (text, status) in refused {
         match parse_request(text.as_bytes()) {
@@ -37,10 +37,10 @@
         }
     }
     let text = "POST /a?b=c HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhiGET";
-    for cut in 0..text.len() - 3 {
+    for length in 0..text.len() - 3 {
         assert!(
-            matches!(parse_request(&text.as_bytes()[..cut]), Ok(None)),
-            "{cut}"
+            matches!(parse_request(&text.as_bytes()[..length]), Ok(None)),
+            "{length} bytes"
         );
     }
     match parse_request(text.as_bytes()) {
@@ -63,10 +63,10 @@
     }
 }
 
-/// One controller may be left with every worker: connections for orders are
-/// bounded, the longest idle goes first, and one in use is never closed.
+/// A single remaining controller may own all workers, so its connections for direct commands
+/// are limited: the one that has been idle longest is closed first, and one in use never is.
 #[test]
-fn order_connections_are_bounded() {
+fn clients_and_servers_limit_open_connections() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -74,80 +74,108 @@
         .expect("runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let fabric = Rc::new(Fabric::default());
-        let at = |n: usize| -> SocketAddrV4 { format!("10.1.0.{n}:1").parse().expect("address") };
-        let net = |n| Net::Fabric(fabric.clone(), at(n));
+        let address =
+            |n: usize| -> SocketAddrV4 { format!("10.1.0.{n}:1").parse().expect("address") };
+        let network = |n| Net::Fabric(fabric.clone(), address(n));
         let limits = ServerLimits {
             connections: 8,
             idle: Duration::from_secs(60),
             arrive: Duration::from_secs(5),
-            stays: |r| r.path == "/worker",
+            stays: |request| request.path == "/worker",
         };
-        let handler: shelfhoist::http::Handler = Rc::new(|r| {
+        let handler: shelfhoist::http::Handler = Rc::new(|request| {
             Box::pin(async move {
-                if r.path == "/slow" {
+                if request.path == "/slow" {
                     tokio::time::sleep(Duration::from_secs(2)).await;
                 }
                 let mut answer = Response::empty(200);
-                if r.path == "/long" {
+                if request.path == "/long" {
                     answer.body.resize(5000, b' ');
                 }
                 answer
             })
         });
         for n in 1..=5 {
-            let listener = net(n).listen(at(n)).await.expect("listen");
+            let listener = network(n).listen(address(n)).await.expect("listen");
             tokio::task::spawn_local(serve(listener, limits, handler.clone()));
         }
-        let client = Rc::new(Client::new(net(9), Duration::from_secs(30)).bounded(3, 4096));
-        let limit = Duration::from_secs(4);
+        let client = Rc::new(Client::new(network(9), Duration::from_secs(30)).bounded(3, 4096));
+        let timeout = Duration::from_secs(4);
         for n in [1, 2, 3, 4, 5, 1] {
-            let answer = client.call(at(n), "GET", "/worker", None, limit).await;
+            let answer = client
+                .call(address(n), "GET", "/worker", None, timeout)
+                .await;
             assert_eq!(answer.expect("answer").status, 200);
             assert!(client.connections() <= 3);
         }
         assert_eq!(client.connections(), 3);
-        // All in use: the next is not sent, and says so.
-        let slow: Vec<_> = (1..=3)
+        // All connections are in use: the next request fails with `NotSent`.
+        let slow_calls: Vec<_> = (1..=3)
             .map(|n| {
                 let client = client.clone();
                 tokio::task::spawn_local(async move {
-                    client.call(at(n), "GET", "/slow", None, limit).await
+                    client.call(address(n), "GET", "/slow", None, timeout).await
                 })
             })
             .collect();
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let refused = client.call(at(4), "GET", "/worker", None, limit).await;
+        let refused = client
+            .call(address(4), "GET", "/worker", None, timeout)
+            .await;
         assert!(matches!(refused, Err(CallError::NotSent(_))), "{refused:?}");
-        for call in slow {
+        for call in slow_calls {
             assert_eq!(call.await.expect("task").expect("answer").status, 200);
         }
-        // An answer beyond the bound is told from one that never came.
-        let long = client.call(at(1), "GET", "/long", None, limit).await;
-        assert!(matches!(long, Err(CallError::TooLarge)), "{long:?}");
-        // A crowded server lets go of those that may come back, not of workers; one
-        // that is nearly full lets go of workers, too, which may be more than it has
-        // connections.
-        let workers = Client::new(net(9), Duration::from_secs(30));
-        let users = Client::new(net(9), Duration::from_secs(30));
-        let mut held = Vec::new();
+        // A response that is too large is distinguished from a missing one.
+        let too_large = client.call(address(1), "GET", "/long", None, timeout).await;
+        assert!(
+            matches!(too_large, Err(CallError::TooLarge)),
+            "{too_large:?}"
+        );
+        // A crowded server closes users' connections after each answer, but keeps those of
+        // workers. A nearly full server closes workers' connections too, as there may be more
+        // workers than connections.
+        let worker_client = Client::new(network(9), Duration::from_secs(30));
+        let user_client = Client::new(network(9), Duration::from_secs(30));
+        let mut clients = Vec::new();
         for _ in 0..6 {
-            let client = Client::new(net(9), Duration::from_secs(30));
-            let answer = client.call(at(5), "GET", "/worker", None, limit).await;
+            let client = Client::new(network(9), Duration::from_secs(30));
+            let answer = client
+                .call(address(5), "GET", "/worker", None, timeout)
+                .await;
             assert_eq!(answer.expect("answer").status, 200);
             assert_eq!(client.connections(), 1);
-            held.push(client);
+            clients.push(client);
         }
-        let user = users.call(at(5), "GET", "/user", None, limit).await;
+        let user = user_client
+            .call(address(5), "GET", "/user", None, timeout)
+            .await;
         assert_eq!(user.expect("answer").status, 200);
-        assert_eq!(users.connections(), 0, "kept by a crowded server");
-        let worker = workers.call(at(5), "GET", "/worker", None, limit).await;
+        assert_eq!(
+            user_client.connections(),
+            0,
+            "a crowded server kept the connection open"
+        );
+        let worker = worker_client
+            .call(address(5), "GET", "/worker", None, timeout)
+            .await;
         assert_eq!(worker.expect("answer").status, 200);
-        assert_eq!(workers.connections(), 1);
-        let late = Client::new(net(9), Duration::from_secs(30));
+        assert_eq!(worker_client.connections(), 1);
+        let late_worker = Client::new(network(9), Duration::from_secs(30));
         for _ in 0..3 {
-            let answer = late.call(at(5), "GET", "/worker", None, limit).await;
-            assert_eq!(answer.expect("answer").status, 200, "shut out");
-            assert_eq!(late.connections(), 0, "kept by a nearly full server");
+            let answer = late_worker
+                .call(address(5), "GET", "/worker", None, timeout)
+                .await;
+            assert_eq!(
+                answer.expect("answer").status,
+                200,
+                "a nearly full server refused a worker"
+            );
+            assert_eq!(
+                late_worker.connections(),
+                0,
+                "a nearly full server kept the connection open"
+            );
         }
     });
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,8 +1,8 @@
-//! Decisions as tables of cases: no clock but the given one, no network but a
-//! fabric inside the process.
+//! Tests of single decisions, mostly as tables of cases. They use a given time instead of a
+//! clock, and a network inside the process.
 
+mod dependencies;
 mod http;
-mod pipelines;
 mod records;
 mod requests;
 mod scheduling;
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -1,10 +1,12 @@
-//! Submissions, queries and settings: what is taken, refused or shed.
+//! Validation of settings and submissions, and shedding of queries.
 
 use std::time::Duration;
 
 use serde_json::json;
 
-use super::setup::{settings, settings_json, spec, submission, view_with_types};
+use super::setup::{
+    job_spec, replica_with_machine_types, settings, settings_json, submission_json,
+};
 use shelfhoist::api::{SubmissionError, check_submission, read_submission, should_shed_query};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::job_key;
@@ -14,7 +16,7 @@
 use shelfhoist::wire::*;
 
 #[test]
-fn settings_name_the_wrong_field() {
+fn settings_error_names_the_invalid_field() {
     let cases = [
         ("/node", json!("a b"), "node"),
         ("/location", json!("c"), "location"),
@@ -56,21 +58,23 @@
         ("/mesh_addr", json!("127.0.0.1:1"), "mesh_addr"),
     ];
     for (path, value, field) in cases {
-        let mut s = settings_json();
-        *s.pointer_mut(path).expect(path) = value;
-        let problem = Settings::parse(&s.to_string()).expect_err(path).to_string();
-        assert!(problem.contains(&format!("{field}:")), "{path}: {problem}");
+        let mut settings = settings_json();
+        *settings.pointer_mut(path).expect(path) = value;
+        let error = Settings::parse(&settings.to_string())
+            .expect_err(path)
+            .to_string();
+        assert!(error.contains(&format!("{field}:")), "{path}: {error}");
     }
-    let mut s = settings_json();
-    s["surprise"] = json!({"x": 1});
+    let mut settings = settings_json();
+    settings["surprise"] = json!({"x": 1});
     assert!(
-        Settings::parse(&s.to_string()).is_ok(),
-        "unknown fields pass"
+        Settings::parse(&settings.to_string()).is_ok(),
+        "an unknown field is rejected"
     );
 }
 
 #[test]
-fn submissions_are_refused_by_their_form() {
+fn malformed_submissions_are_rejected() {
     for body in ["", "nonsense", "[]", "7", "null", "{}"] {
         assert!(
             matches!(
@@ -80,7 +84,7 @@
             "{body}"
         );
     }
-    let bad = [
+    let invalid_values = [
         ("name_id", json!("job-")),
         ("name_id", json!("task-1")),
         ("name_id", json!(5)),
@@ -97,45 +101,45 @@
         ("grades", json!("small")),
         ("due_s", json!(-1)),
     ];
-    for (field, value) in bad {
-        let mut s = submission();
-        s[field] = value.clone();
-        let got = read_submission(s.to_string().as_bytes());
+    for (field, value) in invalid_values {
+        let mut submission = submission_json();
+        submission[field] = value.clone();
+        let result = read_submission(submission.to_string().as_bytes());
         assert!(
-            matches!(got, Err(SubmissionError::Malformed(_))),
+            matches!(result, Err(SubmissionError::Malformed(_))),
             "{field} {value}"
         );
     }
     for field in ["crew", "vcpus", "notch_s", "scatter"] {
-        let mut s = submission();
-        s.as_object_mut().expect("object").remove(field);
-        let got = read_submission(s.to_string().as_bytes());
+        let mut submission = submission_json();
+        submission.as_object_mut().expect("object").remove(field);
+        let result = read_submission(submission.to_string().as_bytes());
         assert!(
-            matches!(got, Err(SubmissionError::Malformed(_))),
-            "no {field}"
+            matches!(result, Err(SubmissionError::Malformed(_))),
+            "without {field}"
         );
     }
 }
 
 #[test]
-fn submissions_that_can_never_run_are_told_from_those_not_decidable() {
-    let set = settings();
+fn malformed_unsatisfiable_and_undecidable_submissions_are_distinguished() {
+    let settings = settings();
     let check = |edit: &[(&str, serde_json::Value)], replica: &Replica| {
-        let mut s = submission();
-        for (k, v) in edit {
-            s[*k] = v.clone();
+        let mut submission = submission_json();
+        for (field, value) in edit {
+            submission[*field] = value.clone();
         }
-        let Ok(s) = read_submission(s.to_string().as_bytes()) else {
+        let Ok(submission) = read_submission(submission.to_string().as_bytes()) else {
             return 400;
         };
-        match check_submission(&s, &set, replica) {
+        match check_submission(&submission, &settings, replica) {
             Ok(_) => 201,
             Err(SubmissionError::Malformed(_)) => 400,
             Err(SubmissionError::Unsatisfiable(_)) => 422,
             Err(SubmissionError::Undecidable) => 503,
         }
     };
-    let replica = view_with_types();
+    let replica = replica_with_machine_types();
     let cases: &[(&[(&str, serde_json::Value)], u16)] = &[
         (&[], 201),
         (&[("crew", json!("nobody"))], 422),
@@ -145,12 +149,13 @@
         (&[("grades", json!(["small"])), ("vcpus", json!(5.0))], 422),
         (&[("grades", json!([]))], 422),
         (&[("yard", json!("c"))], 422),
-        // 9 x 2 CPUs exceed the limit of 16 at once, but not for an array.
+        // 9 tasks with 2 CPUs each exceed the team's limit of 16 CPUs if they must run at
+        // the same time, which an array's tasks need not.
         (&[("boards", json!(9))], 422),
         (&[("boards", json!(9)), ("cut", json!("batch"))], 201),
         (&[("boards", json!(9)), ("cut", json!("daemon"))], 422),
-        // At the bounds: as many tasks as there may be, and one more; a gang
-        // and a service that fill the team's limit, in one zone or spread.
+        // Boundary values: the maximum number of tasks and one more; a gang and a service
+        // that use the whole limit of the team, in one zone or spread.
         (&[("boards", json!(100_000)), ("cut", json!("batch"))], 201),
         (&[("boards", json!(100_001)), ("cut", json!("batch"))], 400),
         (&[("boards", json!(0))], 400),
@@ -165,8 +170,8 @@
             ],
             201,
         ),
-        // Spread over two zones, a gang's two tasks need both; one task does not,
-        // and an array's run one after the other.
+        // Two tasks of a gang that is spread over zones need both zones. A single task does
+        // not, and neither do an array's tasks, which may run one after another.
         (
             &[("same_place", json!(false)), ("scatter", json!(true))],
             201,
@@ -212,62 +217,73 @@
     for (edit, status) in cases {
         assert_eq!(check(edit, &replica), *status, "{edit:?}");
     }
-    assert_eq!(check(&[], &Replica::default()), 503, "types not known yet");
+    assert_eq!(
+        check(&[], &Replica::default()),
+        503,
+        "the machine types are not known yet"
+    );
     assert_eq!(
         check(&[("crew", json!("nobody"))], &Replica::default()),
         422
     );
 }
 
-/// Users who ask too often are turned away first, yet every job is answered for
-/// now and then: unanswered for 75 s it would count as forgotten.
+/// An overloaded controller sheds queries before other requests, but still answers for each
+/// job from time to time: a job without an answer for 75 s would count as forgotten.
 #[test]
-fn questions_are_shed_only_when_answered_just_now() {
+fn queries_are_shed_only_if_answered_recently() {
     let settings = settings();
-    let ms = Duration::from_millis;
-    let (report, lease) = (settings.heartbeat_interval(), settings.worker_lease());
-    for (lag, answered, shed) in [
-        (ms(0), Some(ms(100)), false),
-        (report / 10, Some(ms(100)), false),
-        (report / 2, Some(ms(100)), true),
-        (report * 9, Some(lease / 3), true),
-        (report * 9, Some(lease), false),
-        (report * 9, None, false),
+    let millis = Duration::from_millis;
+    let (heartbeat_interval, lease) = (settings.heartbeat_interval(), settings.worker_lease());
+    for (lag, since_answer, is_shed) in [
+        (millis(0), Some(millis(100)), false),
+        (heartbeat_interval / 10, Some(millis(100)), false),
+        (heartbeat_interval / 2, Some(millis(100)), true),
+        (heartbeat_interval * 9, Some(lease / 3), true),
+        (heartbeat_interval * 9, Some(lease), false),
+        (heartbeat_interval * 9, None, false),
     ] {
         assert_eq!(
-            should_shed_query(lag, answered, &settings),
-            shed,
-            "{lag:?} {answered:?}"
+            should_shed_query(lag, since_answer, &settings),
+            is_shed,
+            "{lag:?} {since_answer:?}"
         );
     }
 }
 
-/// Jobs accepted together stand in one record until each has its own, which
-/// counts from then on, whatever comes later or twice.
+/// Jobs that are accepted together are stored in one batch record until each has its own
+/// record. From then on the job's own record is authoritative, even if the batch is written
+/// again later.
 #[test]
-fn arrivals_stand_for_their_jobs() {
-    let mut replica = view_with_types();
-    let mut cancelled = Job::new(spec(JobKind::Array, 1, 1.0), 1);
+fn accepted_batch_represents_jobs_without_their_own_record() {
+    let mut replica = replica_with_machine_types();
+    let mut cancelled = Job::new(job_spec(JobKind::Array, 1, 1.0), 1);
     cancelled.cancel();
-    let new = |ids: &[&str]| AcceptedBatch {
+    let batch = |ids: &[&str]| AcceptedBatch {
         accepted_revision: 1,
         jobs: ids
             .iter()
-            .map(|id| (id.to_string(), spec(JobKind::Array, 2, 1.0)))
+            .map(|id| (id.to_string(), job_spec(JobKind::Array, 2, 1.0)))
             .collect(),
     };
     let key = shelfhoist::state::keys::accepted_batch_key;
-    replica.apply_events(vec![Event::put(key("x"), &new(&["job-1", "job-2"]), 5)], 5);
+    replica.apply_events(
+        vec![Event::put(key("x"), &batch(&["job-1", "job-2"]), 5)],
+        5,
+    );
     assert_eq!(
         (replica.job_version("job-1"), replica.open_jobs.len()),
         (0, 2)
     );
     replica.apply_events(vec![Event::put(job_key("job-1"), &cancelled, 6)], 6);
-    // A commit without an answer that was carried out late.
-    replica.apply_events(vec![Event::put(key("y"), &new(&["job-1", "job-2"]), 7)], 7);
+    // An unanswered commit of the same batch is executed late.
+    replica.apply_events(
+        vec![Event::put(key("y"), &batch(&["job-1", "job-2"]), 7)],
+        7,
+    );
     assert!(
         !replica.jobs["job-1"].value.is_open(),
-        "a final state changed"
+        "the batch changed a final status"
     );
     assert_eq!(
         (replica.job_version("job-1"), replica.open_jobs.len()),
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -6,7 +6,10 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::setup::{hints, may_preempt, settings, settings_json, spec, view_with, view_with_types};
+use super::setup::{
+    job_spec, may_preempt, placement_hints, replica_with_machine_types, replica_with_machines,
+    settings, settings_json,
+};
 use shelfhoist::scheduler::{self, AcceleratorProtection, Plan, Transaction, WaitReason};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{job_key, shard_id, zone_shard_key};
@@ -17,10 +20,10 @@
 
 /// KEP-2724, "Computing the assignment": required waits, preferred relaxes.
 #[test]
-fn gangs_fit_one_zone_or_relax() {
+fn required_zone_waits_and_preferred_zone_relaxes() {
     let set = settings();
-    let split = view_with(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
-    let whole = view_with(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
+    let split = replica_with_machines(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
+    let whole = replica_with_machines(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
     let fit = |spec: &JobSpec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::from_replica(replica);
@@ -28,7 +31,7 @@
             &job,
             spec,
             &plan,
-            &hints(replica),
+            &placement_hints(replica),
             &set,
             AcceleratorProtection::Lax,
         )
@@ -44,7 +47,7 @@
         one_zone: true,
         ..s
     };
-    let gang = spec(JobKind::Gang, 3, 2.0);
+    let gang = job_spec(JobKind::Gang, 3, 2.0);
     assert_eq!(
         fit(&required(gang.clone()), &split),
         Err(WaitReason::NoZone)
@@ -60,28 +63,28 @@
     // Preferred, too, stays in one zone where it can.
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
     assert_eq!(
-        fit(&spec(JobKind::Gang, 5, 2.0), &split),
+        fit(&job_spec(JobKind::Gang, 5, 2.0), &split),
         Err(WaitReason::NoCapacity)
     );
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
-        fit(&spec(JobKind::Array, 8, 2.0), &split),
+        fit(&job_spec(JobKind::Array, 8, 2.0), &split),
         Ok(vec![("a".into(), 2), ("b".into(), 2)])
     );
     let spread = JobSpec {
         spread: true,
-        ..spec(JobKind::Service, 3, 2.0)
+        ..job_spec(JobKind::Service, 3, 2.0)
     };
-    let one = view_with(&[("a", "m1", 8.0)]);
+    let one = replica_with_machines(&[("a", "m1", 8.0)]);
     assert_eq!(fit(&spread, &one), Ok(vec![("a".into(), 2)]));
     // 16 CPUs are the team's limit, whatever the free capacity.
-    let wide = view_with(&[("a", "m1", 40.0)]);
+    let wide = replica_with_machines(&[("a", "m1", 40.0)]);
     assert_eq!(
-        fit(&spec(JobKind::Array, 20, 2.0), &wide),
+        fit(&job_spec(JobKind::Array, 20, 2.0), &wide),
         Ok(vec![("a".into(), 8)])
     );
     assert_eq!(
-        fit(&spec(JobKind::Gang, 9, 2.0), &wide),
+        fit(&job_spec(JobKind::Gang, 9, 2.0), &wide),
         Err(WaitReason::TeamLimit)
     );
 }
@@ -89,14 +92,14 @@
 /// Rule `wrong_place`: tasks that are still somewhere bind the others, those
 /// of an old attempt too.
 #[test]
-fn old_attempts_count_for_the_place() {
+fn old_attempts_restrict_placement() {
     let set = settings();
-    let replica = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
-    let hints = hints(&replica);
+    let replica = replica_with_machines(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
+    let hints = placement_hints(&replica);
     let plan = Plan::from_replica(&replica);
     let s = JobSpec {
         one_zone: true,
-        ..spec(JobKind::Array, 3, 2.0)
+        ..job_spec(JobKind::Array, 3, 2.0)
     };
     let mut job = Job::new(s.clone(), 1);
     let task = job.take_unstarted_task().expect("one");
@@ -105,7 +108,7 @@
         scheduler::find_placements(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax)
             .expect("fits");
     assert!(placements.iter().all(|p| &*p.zone == "b"), "{placements:?}");
-    let gang = spec(JobKind::Gang, 2, 2.0);
+    let gang = job_spec(JobKind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
@@ -116,12 +119,12 @@
 
 /// Work that only fills idle time is told from work that somebody waits for.
 #[test]
-fn fillers_are_known() {
+fn opportunistic_jobs_are_recognized() {
     let mut json = settings_json();
     json["deployment"]["objectives"] =
         json!([{"kind": "finished", "class": "aimed", "within_s": 9.0}]);
     let settings = Settings::parse(&json.to_string()).expect("settings");
-    let mut work = spec(JobKind::Array, 4, 1.0);
+    let mut work = job_spec(JobKind::Array, 4, 1.0);
     work.priority = Priority::Low;
     type Case = (&'static str, fn(&mut JobSpec), bool);
     let cases: [Case; 6] = [
@@ -147,10 +150,10 @@
 /// An array may have its placements in more zone shards than a commit writes, a gang goes
 /// whole or not at all.
 #[test]
-fn what_a_commit_cannot_hold_is_booked_by_several() {
+fn array_that_exceeds_a_commit_is_booked_in_part() {
     let set = settings();
     for (kind, want) in [(JobKind::Array, 4), (JobKind::Gang, 0)] {
-        let mut replica = view_with(&[]);
+        let mut replica = replica_with_machines(&[]);
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
             let shard = json!({"m": {format!("m{n}"): slot}});
@@ -159,7 +162,7 @@
                 3,
             );
         }
-        let mut wide = spec(kind, 9, 4.0);
+        let mut wide = job_spec(kind, 9, 4.0);
         wide.need.ram = Amount(0);
         replica.jobs.insert(
             "job-1".into(),
@@ -176,7 +179,7 @@
             &job,
             &wide,
             &plan,
-            &hints(&replica),
+            &placement_hints(&replica),
             &unlimited,
             AcceleratorProtection::Lax,
         );
@@ -197,7 +200,7 @@
     let with = |team: &str, priority| JobSpec {
         team: team.into(),
         priority,
-        ..spec(JobKind::Array, 1, 1.0)
+        ..job_spec(JobKind::Array, 1, 1.0)
     };
     use Priority::*;
     // (job, within guarantee, running work, it borrows) -> may be preempted
@@ -235,7 +238,7 @@
 /// What is stopped for a guarantee must not be within its own team's: the two
 /// would stop one another for ever (13 stops a gang on a measured day).
 #[test]
-fn a_team_lends_only_what_it_would_not_have_back() {
+fn team_lends_only_above_its_guarantee() {
     let set = settings();
     let team = set.team("t").expect("team");
     let room = |cpus: f64| Resources {
@@ -261,11 +264,11 @@
 /// A job that has never begun goes first after a bound, however the policy
 /// ranks it; one that was stopped does not push back in that way.
 #[test]
-fn nothing_waits_beyond_the_bound() {
+fn starving_job_is_placed_first() {
     let set = settings();
-    let mut replica = view_with(&[("a", "m1", 8.0)]);
-    let small = Job::new(spec(JobKind::Gang, 1, 1.0), 5);
-    let large = Job::new(spec(JobKind::Gang, 8, 2.0), 6);
+    let mut replica = replica_with_machines(&[("a", "m1", 8.0)]);
+    let small = Job::new(job_spec(JobKind::Gang, 1, 1.0), 5);
+    let large = Job::new(job_spec(JobKind::Gang, 8, 2.0), 6);
     let mut stopped = large.clone();
     stopped.attempt = 1;
     let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
@@ -296,8 +299,8 @@
 /// The first large gang in line has capacity reserved from what comes behind it,
 /// in the zone that has the most of it, and there only.
 #[test]
-fn room_is_held_for_a_large_gang() {
-    let replica = view_with(&[
+fn capacity_is_reserved_for_a_large_gang() {
+    let replica = replica_with_machines(&[
         ("a", "m1", 4.0),
         ("a", "m2", 4.0),
         ("b", "m3", 4.0),
@@ -305,10 +308,10 @@
     ]);
     let gang = JobSpec {
         one_zone: true,
-        ..spec(JobKind::Gang, 3, 4.0)
+        ..job_spec(JobKind::Gang, 3, 4.0)
     };
     let mut plan = Plan::from_replica(&replica);
-    scheduler::reserve_capacity(&gang, &mut plan, &hints(&replica));
+    scheduler::reserve_capacity(&gang, &mut plan, &placement_hints(&replica));
     let free = |m: &str| {
         plan.plan_slots[plan.slot_index_of(&replica, m).expect("a plan slot")]
             .free
@@ -322,9 +325,9 @@
 /// in one of its home's; two controllers that take up the same new machine at
 /// once cannot both succeed.
 #[test]
-fn a_large_zone_stands_in_several_shards() {
+fn large_zone_is_recorded_in_several_shards() {
     let set = settings();
-    let mut replica = view_with_types();
+    let mut replica = replica_with_machine_types();
     let mut version = 10;
     for n in 0..800 {
         let name = format!("host-{n:06}");
@@ -411,7 +414,7 @@
 
 /// The writes that all controllers may make are shared by what each would.
 #[test]
-fn writes_are_shared_by_demand() {
+fn write_rate_is_allocated_by_demand() {
     let share = shelfhoist::state::budget::write_rate_allocation;
     let even = share(30.0, 5.0, &[Some(5.0); 4]);
     assert!((even - 6.0).abs() < 0.01, "{even}");
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -1,4 +1,4 @@
-//! What the tables of decisions are set up with.
+//! Settings, jobs, machines and replicas for the tests of decisions.
 
 use std::collections::BTreeMap;
 
@@ -12,6 +12,7 @@
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
 
+/// Returns valid settings of controller `n0`, with two controllers, zones and teams.
 pub fn settings_json() -> serde_json::Value {
     json!({
         "node": "n0", "location": "a", "serve_on": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
@@ -32,10 +33,11 @@
 }
 
 pub fn settings() -> Settings {
-    Settings::parse(&settings_json().to_string()).expect("good settings")
+    Settings::parse(&settings_json().to_string()).expect("valid settings")
 }
 
-pub fn submission() -> serde_json::Value {
+/// Returns a valid submission of a gang with two tasks.
+pub fn submission_json() -> serde_json::Value {
     json!({"name_id":"job-000412","lot":"x","crew":"t","cut":"gang","urgency":"normal","boards":2,
         "vcpus":2.0,"cards":0.0,"ram_gb":4.0,"blueprint":"i","pull_gb":1.0,"grades":null,
         "yard":null,"same_place":true,"scatter":false,"loaners":false,
@@ -57,7 +59,8 @@
     }
 }
 
-pub fn view_with_types() -> Replica {
+/// Returns a loaded replica with two machine types and no machines.
+pub fn replica_with_machine_types() -> Replica {
     let mut replica = Replica::default();
     replica.types.value.types = vec![
         machine_type("small", 4.0, 0.0),
@@ -67,23 +70,25 @@
     replica
 }
 
-pub fn spec(kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
-    let mut s = submission();
-    s["cut"] = serde_json::to_value(kind).expect("kind");
-    s["boards"] = json!(tasks);
-    s["vcpus"] = json!(cpus);
-    let s: Submission = serde_json::from_value(s).expect("submission");
+/// Returns the spec of a job that may span zones.
+pub fn job_spec(kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
+    let mut submission = submission_json();
+    submission["cut"] = serde_json::to_value(kind).expect("kind");
+    submission["boards"] = json!(tasks);
+    submission["vcpus"] = json!(cpus);
+    let submission: Submission = serde_json::from_value(submission).expect("submission");
     JobSpec {
         one_zone: false,
-        ..JobSpec::from(&s)
+        ..JobSpec::from(&submission)
     }
 }
 
-/// A replica whose zone shards have these rooms: zone, machine, CPUs.
-pub fn view_with(rooms: &[(&str, &str, f64)]) -> Replica {
-    let mut replica = view_with_types();
+/// Returns a replica whose zone shards contain the given free machines, each as zone, name
+/// and CPUs.
+pub fn replica_with_machines(machines: &[(&str, &str, f64)]) -> Replica {
+    let mut replica = replica_with_machine_types();
     let mut zone_shards: BTreeMap<&str, ZoneShard> = BTreeMap::new();
-    for (zone, machine, cpus) in rooms {
+    for (zone, machine, cpus) in machines {
         let kind = format!("of-{cpus}");
         if replica.machine_type(&kind).is_none() {
             replica
@@ -109,17 +114,18 @@
     replica
 }
 
-pub fn hints(replica: &Replica) -> PlacementHints<'_> {
+pub fn placement_hints(replica: &Replica) -> PlacementHints<'_> {
     PlacementHints::new(replica, "n0")
 }
 
-/// A machine `m` under our token 5 with one booking of job-1/0, attempt 1.
-pub fn held(kind: JobKind, edit: impl FnOnce(&mut Job)) -> Replica {
-    let mut replica = view_with_types();
-    let mut job = Job::new(spec(kind, 1, 1.0), 1);
+/// Returns a replica with the machine `m`, which controller `n0` has claimed with fencing
+/// token 5, and with a booking of task `job-1/0`, attempt 1, on it.
+pub fn replica_with_booking(kind: JobKind, edit_job: impl FnOnce(&mut Job)) -> Replica {
+    let mut replica = replica_with_machine_types();
+    let mut job = Job::new(job_spec(kind, 1, 1.0), 1);
     job.take_unstarted_task();
     job.book("m", "a", 1, 0);
-    edit(&mut job);
+    edit_job(&mut job);
     let machine = Machine {
         owner: "n0".into(),
         incarnation: 1,
@@ -131,31 +137,32 @@
         spot: false,
         shard: "n0.0".into(),
     };
-    let set = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
+    let put = |key: String, value: serde_json::Value| Event::put(key, &value, 9);
     replica.apply_events(
         vec![
-            set(job_key("job-1"), serde_json::to_value(&job).expect("job")),
-            set(
+            put(job_key("job-1"), serde_json::to_value(&job).expect("job")),
+            put(
                 machine_shard_key("a/n0.0"),
                 json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}}),
             ),
-            set(zone_shard_key("a/n0.0"), json!({"m": {}})),
+            put(zone_shard_key("a/n0.0"), json!({"m": {}})),
         ],
         10,
     );
     replica
 }
 
-pub fn report(sequence: u64, fencing_token: u64, tasks: serde_json::Value) -> WorkerStatus {
+/// Returns the status of the worker of machine `m` with the given heartbeat sequence number.
+pub fn worker_status(sequence: u64, fencing_token: u64, tasks: serde_json::Value) -> WorkerStatus {
     serde_json::from_value(
         json!({"bay":"m","endpoint":"127.0.0.1:5","grade":"small","yard":"a",
         "loaners":false,"shift":1,"tally":sequence,"baton":fencing_token,"boards":tasks}),
     )
-    .expect("report")
+    .expect("worker status")
 }
 
-/// A job after others, as its record has it.
-pub fn after(
+/// Returns an array of two tasks that depends on the given jobs.
+pub fn job_with_dependencies(
     dependencies: &[&str],
     priority: Priority,
     estimate_s: f64,
@@ -166,29 +173,36 @@
         estimate_s,
         deadline_s,
         dependencies: dependencies.iter().map(|id| id.to_string()).collect(),
-        ..spec(JobKind::Array, 2, 1.0)
+        ..job_spec(JobKind::Array, 2, 1.0)
     };
     Job::new(spec, 7)
 }
 
-pub fn ended(status: JobStatus) -> Job {
+/// Returns a job with a final status, which has no spec.
+pub fn closed_job(status: JobStatus) -> Job {
     Job {
         status,
         spec: None,
-        ..after(&[], Priority::Low, 0.0, None)
+        ..job_with_dependencies(&[], Priority::Low, 0.0, None)
     }
 }
 
-pub fn jobs_of(jobs: &[(&str, Job)]) -> BTreeMap<String, JobSpec> {
-    let open = |job: &Job| job.spec.clone();
-    let none = after(&[], Priority::Low, 5.0, None);
+/// Returns the spec of each job, with a default spec for closed jobs.
+pub fn job_specs(jobs: &[(&str, Job)]) -> BTreeMap<String, JobSpec> {
+    let spec = |job: &Job| job.spec.clone();
+    let default_job = job_with_dependencies(&[], Priority::Low, 5.0, None);
     jobs.iter()
-        .map(|(id, job)| (id.to_string(), open(job).or(open(&none)).expect("a spec")))
+        .map(|(id, job)| {
+            (
+                id.to_string(),
+                spec(job).or(spec(&default_job)).expect("a spec"),
+            )
+        })
         .collect()
 }
 
-/// Whether work with a spec and effective priority may be preempted for a job with
-/// others.
+/// Returns whether running work may be preempted for a job, given the spec and the effective
+/// priority of both.
 pub fn may_preempt(
     (job, job_priority): (&JobSpec, Priority),
     within_guarantee: bool,
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -20,7 +20,7 @@
     /// Every shard is in one group, none is larger than it may be, and machines of one
     /// rental are in the same group.
     #[test]
-    fn groups_cover_all_shards(shards in 0usize..400, most in 1usize..16, block in 0u32..9000) {
+    fn shard_groups_are_disjoint_and_bounded(shards in 0usize..400, most in 1usize..16, block in 0u32..9000) {
         let machines = (0..64).map(|n| format!("host-{:06}", block * 64 + n));
         let first = ShardCandidates::select(&format!("host-{:06}", block * 64), shards, most);
         for machine in machines {
@@ -150,7 +150,7 @@
 /// Two controllers take up the same machine on different views of the state: one does
 /// so after the other has, after shards were filled, emptied or created, or before.
 #[test]
-fn a_new_machine_is_put_into_one_shard() {
+fn concurrent_commits_put_a_new_machine_into_one_shard() {
     type Change = fn(&mut Home);
     let changes: [(&str, Change); 5] = [
         ("nothing", |_| ()),
@@ -185,7 +185,7 @@
 /// Before all controllers know of groups, and before a shard of the home was written
 /// after that, every shard is a condition: an older program relies on it.
 #[test]
-fn all_shards_are_conditions_until_older_commits_are_void() {
+fn all_shards_are_preconditions_until_older_commits_are_void() {
     let mut home = Home::new(10);
     let machine = machine_of_home(&home);
     let grouped = home.take_up(&machine).0.len();
@@ -204,7 +204,7 @@
 /// A zone shard that would be too long once machines leave it is split in one commit,
 /// and the halves are not merged again.
 #[test]
-fn a_zone_shard_that_may_outgrow_its_record_is_split() {
+fn zone_shard_that_may_exceed_its_record_is_split() {
     let mut replica = Replica::with_compact_limit(Some(2048));
     let slot = MachineSlot {
         kind: "big".into(),
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::setup::{held, report, settings, spec};
+use super::setup::{job_spec, replica_with_booking, settings, worker_status};
 use shelfhoist::cloud::{FailureAttribution, attribute_failure};
 use shelfhoist::scheduler::{ReleaseOutcome, Transaction};
 use shelfhoist::state::keys::machine_shard_key;
@@ -20,7 +20,7 @@
 /// A job that fails on several machines is to blame itself, until it succeeds
 /// anywhere; a machine is, where what failed on it succeeds elsewhere.
 #[test]
-fn failures_are_blamed_on_the_job_or_on_the_machine() {
+fn failures_are_attributed_to_the_job_or_the_machine() {
     use TaskOutcome::{Done, Failed, Lost};
     type Ends = &'static [(&'static str, u64, TaskOutcome)];
     let cases: [(Ends, u32, FailureAttribution); 8] = [
@@ -68,7 +68,7 @@
         ),
     ];
     for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
-        let mut job = Job::new(spec(JobKind::Array, 9, 1.0), 1);
+        let mut job = Job::new(job_spec(JobKind::Array, 9, 1.0), 1);
         for (machine, attempt, outcome) in ends {
             let task = job.take_unstarted_task().expect("waiting");
             job.book(machine, "a", *attempt, task);
@@ -91,7 +91,7 @@
 
 /// Safety 2 and 3: what a report proves, and what it does not.
 #[test]
-fn only_a_newer_report_under_our_token_proves_an_end() {
+fn only_a_newer_status_with_the_fencing_token_proves_a_termination() {
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let none = json!([]);
@@ -205,10 +205,10 @@
         ),
     ];
     for (name, kind, fencing_token, tasks, edit, expected) in cases {
-        let replica = held(*kind, |_| {});
+        let replica = replica_with_booking(*kind, |_| {});
         let now = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 9, now);
-        owned_worker.accept_status(report(7, *fencing_token, (*tasks).clone()), true);
+        owned_worker.accept_status(worker_status(7, *fencing_token, (*tasks).clone()), true);
         edit(&mut owned_worker);
         let plan = reconcile(
             "m",
@@ -239,12 +239,12 @@
 }
 
 #[test]
-fn an_ended_task_is_forgotten_only_once_recorded() {
+fn ended_task_is_forgotten_only_once_recorded() {
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
-    owned_worker.accept_status(report(7, 5, done), true);
-    let recorded = held(JobKind::Array, |j| {
+    owned_worker.accept_status(worker_status(7, 5, done), true);
+    let recorded = replica_with_booking(JobKind::Array, |j| {
         j.release("m", 1, 0, TaskOutcome::Done);
     });
     let plan = |owned_worker: &OwnedWorker| {
@@ -269,30 +269,30 @@
 }
 
 #[test]
-fn older_reports_are_passed_over() {
+fn older_statuses_are_ignored() {
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
-    assert!(owned_worker.accept_status(report(7, 5, json!([])), true));
+    assert!(owned_worker.accept_status(worker_status(7, 5, json!([])), true));
     assert!(
-        !owned_worker.accept_status(report(7, 5, json!([])), true),
+        !owned_worker.accept_status(worker_status(7, 5, json!([])), true),
         "the same again"
     );
     assert!(
-        !owned_worker.accept_status(report(6, 5, json!([])), true),
+        !owned_worker.accept_status(worker_status(6, 5, json!([])), true),
         "late"
     );
     assert!(
-        !owned_worker.accept_status(report(8, 4, json!([])), true),
+        !owned_worker.accept_status(worker_status(8, 4, json!([])), true),
         "another token"
     );
-    assert!(owned_worker.accept_status(report(8, 5, json!([])), false));
+    assert!(owned_worker.accept_status(worker_status(8, 5, json!([])), false));
 }
 
 /// A machine that was lost and claimed again: another controller may have
 /// launched the same attempt there in between, so that an end which waited in
 /// the queue since before proves nothing any more.
 #[test]
-fn an_end_is_released_only_under_the_claim_that_proved_it() {
+fn termination_is_recorded_only_under_the_claim_that_proved_it() {
     let cases: &[(&str, u64, MachineLifecycle, u64, ReleaseOutcome)] = &[
         (
             "the claim that stands",
@@ -324,7 +324,7 @@
         ),
     ];
     for (name, fencing_token, lifecycle, incarnation, want) in cases {
-        let mut replica = held(JobKind::Array, |_| {});
+        let mut replica = replica_with_booking(JobKind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
         machine.lifecycle = *lifecycle;
         let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn a_silent_lease_is_over_only_for_its_holder_throughout() {
+fn silent_lease_expires_only_for_its_continuous_owner() {
     let lease = Duration::from_secs(10);
     let margin = Duration::from_secs(1);
     let start = Instant::now();
@@ -370,7 +370,7 @@
         !owned_worker.has_lease_expired(lease, margin, late),
         "the token was never shown"
     );
-    owned_worker.accept_status(report(7, 5, json!([])), true);
+    owned_worker.accept_status(worker_status(7, 5, json!([])), true);
     assert!(owned_worker.has_lease_expired(lease, margin, late));
     assert!(
         !owned_worker.has_lease_expired(lease, margin, start + Duration::from_secs(11)),
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn the_horizon_leaves_time_for_the_lease() {
+fn staleness_limit_leaves_time_for_the_lease() {
     let s = settings();
     let w = &s.deployment.workers;
     let total = s.staleness_limit().as_secs_f64() + w.lease_s * 1.0005;
@@ -400,12 +400,12 @@
 /// An owner that cannot give commands yet renews no lease where something has
 /// to end: a cancelled task would live on.
 #[test]
-fn leases_are_not_renewed_by_who_cannot_stop() {
+fn lease_is_not_renewed_while_a_task_must_be_stopped() {
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let other = json!([{"board":"job-9/0","try":1,"stage":"running"}]);
     let ended = json!([{"board":"job-9/0","try":1,"stage":"ended","cause":"done"}]);
-    let open = held(JobKind::Service, |_| {});
-    let over = held(JobKind::Service, Job::cancel);
+    let open = replica_with_booking(JobKind::Service, |_| {});
+    let over = replica_with_booking(JobKind::Service, Job::cancel);
     for (replica, tasks, must_stop) in [
         (&open, &running, false),
         (&over, &running, true),
@@ -413,7 +413,7 @@
         (&open, &other, true),
         (&open, &ended, false),
     ] {
-        let report = report(3, 5, tasks.clone());
+        let report = worker_status(3, 5, tasks.clone());
         assert_eq!(
             shelfhoist::workers::must_stop(&report, replica),
             must_stop,
@@ -425,7 +425,7 @@
 /// What renews a lease ends what is cancelled, by that very report: whatever was
 /// told before, under whatever token the report was made.
 #[test]
-fn every_answer_stops_what_the_report_shows_as_cancelled() {
+fn every_heartbeat_answer_stops_cancelled_tasks() {
     let tasks = json!([
         {"board":"job-1/0","try":1,"stage":"running"},
         {"board":"job-1/1","try":1,"stage":"pulling"},
@@ -433,11 +433,11 @@
         {"board":"job-1/3","try":2,"stage":"ended","cause":"stopped"},
         {"board":"job-9/0","try":1,"stage":"running"},
     ]);
-    let open = held(JobKind::Service, |_| {});
-    let done = held(JobKind::Gang, |j| j.status = JobStatus::Done);
-    let over = held(JobKind::Service, Job::cancel);
+    let open = replica_with_booking(JobKind::Service, |_| {});
+    let done = replica_with_booking(JobKind::Gang, |j| j.status = JobStatus::Done);
+    let over = replica_with_booking(JobKind::Service, Job::cancel);
     for fencing_token in [0, 5, 9] {
-        let report = report(3, fencing_token, tasks.clone());
+        let report = worker_status(3, fencing_token, tasks.clone());
         for replica in [&open, &done] {
             assert_eq!(workers::stops_of_cancelled_tasks(&report, replica), vec![]);
         }
@@ -455,7 +455,7 @@
 /// Heartbeats that arrive while answers do not: an epoch that rises although its
 /// heartbeats were answered, or a fencing token that is not shown.
 #[test]
-fn a_worker_that_hears_nothing_is_found_out() {
+fn worker_that_receives_no_answers_is_detected() {
     let lease = Duration::from_secs(10);
     let at = |start: Instant, s: f64| start + Duration::from_secs_f64(s);
     // (seconds, epoch, sequence, fencing token) and whether it is unreachable after that.
@@ -496,7 +496,7 @@
             let now = at(start, *s);
             let heartbeat = WorkerStatus {
                 epoch: *epoch,
-                ..report(*sequence, *fencing_token, json!([]))
+                ..worker_status(*sequence, *fencing_token, json!([]))
             };
             assert!(
                 owned_worker.record_heartbeat(&heartbeat, lease, now),
@@ -524,7 +524,7 @@
 /// A worker that answers commands but sends no heartbeat has no lease: its epoch
 /// rises again and again, and what is started there ends each time.
 #[test]
-fn a_worker_that_cannot_report_is_found_out() {
+fn worker_that_sends_no_heartbeats_is_detected() {
     let lease = Duration::from_secs(10);
     let start = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 1, start);
@@ -545,7 +545,7 @@
         let now = start + Duration::from_secs_f64(s);
         let report = WorkerStatus {
             epoch,
-            ..report(sequence, 5, json!([]))
+            ..worker_status(sequence, 5, json!([]))
         };
         match is_heartbeat {
             true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
