--- a/tests/decisions/dependencies.rs
+++ b/tests/decisions/dependencies.rs
@@ -1,4 +1,4 @@
-//! What follows from jobs that await others.
+//! Jobs that depend on other jobs: effective priorities and deadlines, statuses, bookings.
 
 use serde_json::json;
 use tokio::time::Instant;
@@ -16,14 +16,15 @@
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
 
-/// A job has the highest priority and the tightest deadline of the open jobs
-/// that need it, less the expected work between; each change counts at once.
+/// A job has the highest priority of itself and its open dependents, and the earliest of their
+/// deadlines, reduced by the estimated run times of the jobs in between. Every change of a
+/// record takes effect immediately.
 #[test]
 fn job_inherits_priority_and_deadline_of_its_dependents() {
     use Priority::*;
     let mut replica = replica_with_machine_types();
     let jobs = [
-        // A diamond with a tail, and one that nothing needs.
+        // A diamond (1 to 4) with a tail (5), and a job without dependents (6).
         ("job-1", job_with_dependencies(&[], Low, 15.0, None)),
         ("job-2", job_with_dependencies(&["job-1"], Low, 25.0, None)),
         (
@@ -40,14 +41,14 @@
         ),
         ("job-6", job_with_dependencies(&[], Normal, 5.0, Some(30.0))),
     ];
-    let mut at = 10;
-    let mut set = |replica: &mut Replica, id: &str, job: &Job| {
-        at += 1;
-        replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
+    let mut version = 10;
+    let mut put = |replica: &mut Replica, id: &str, job: &Job| {
+        version += 1;
+        replica.apply_events(vec![Event::put(job_key(id), job, version)], version);
     };
-    // In no order of theirs: the last first.
+    // Dependents are applied before their dependencies.
     for (id, job) in jobs.iter().rev() {
-        set(&mut replica, id, job);
+        put(&mut replica, id, job);
     }
     let check = |replica: &Replica, step: &str, expected: &[(&str, Priority, Option<f64>)]| {
         let now = Instant::now();
@@ -55,12 +56,12 @@
             let spec = replica.jobs[*id].value.spec.as_ref().expect("open");
             let urgency = replica.effective_urgency(id, spec, now);
             assert_eq!(urgency.priority, *priority, "{step}: {id}");
-            let near = match (urgency.time_left_s, time_left_s) {
+            let is_close = match (urgency.time_left_s, time_left_s) {
                 (Some(a), Some(b)) => (a - b).abs() < 5.0,
                 (a, b) => a.is_none() && b.is_none(),
             };
             assert!(
-                near,
+                is_close,
                 "{step}: {id}: {:?}, not {time_left_s:?}",
                 urgency.time_left_s
             );
@@ -78,10 +79,10 @@
             ("job-6", Normal, Some(30.0)),
         ],
     );
-    set(&mut replica, "job-5", &closed_job(JobStatus::Cancelled));
+    put(&mut replica, "job-5", &closed_job(JobStatus::Cancelled));
     check(
         &replica,
-        "the tail cancelled",
+        "job-5 cancelled",
         &[
             ("job-1", High, Some(67.0)),
             ("job-2", High, Some(92.0)),
@@ -89,10 +90,10 @@
             ("job-4", High, Some(100.0)),
         ],
     );
-    set(&mut replica, "job-4", &closed_job(JobStatus::Cancelled));
+    put(&mut replica, "job-4", &closed_job(JobStatus::Cancelled));
     check(
         &replica,
-        "the join cancelled",
+        "job-4 and job-5 cancelled",
         &[
             ("job-1", Normal, Some(480.0)),
             ("job-2", Low, None),
@@ -100,22 +101,22 @@
         ],
     );
     assert_eq!(replica.open_jobs.len(), 2, "job-1 and job-6");
-    set(&mut replica, "job-1", &closed_job(JobStatus::Done));
+    put(&mut replica, "job-1", &closed_job(JobStatus::Done));
     assert_eq!(replica.open_jobs.len(), 3, "job-2, job-3 and job-6");
     assert_eq!(replica.blocked_jobs().count(), 0);
 }
 
-/// Lateness goes by the deadline of what needs a job, too.
+/// A job can also be late because of the deadline of its dependents.
 #[test]
 fn lateness_considers_the_deadline_of_dependents() {
-    let mut set = settings_json();
-    set["deployment"]["objectives"] = json!([
+    let mut settings = settings_json();
+    settings["deployment"]["objectives"] = json!([
         {"kind": "wait", "class": "w", "within_s": 40.0, "target": 0.9},
         {"kind": "deadline", "class": "d", "target": 0.9},
     ]);
-    let set = Settings::parse(&set.to_string()).expect("settings");
-    // Class, own deadline, time left, whether dependents have a deadline, age -> late.
-    // The estimate is 10 s.
+    let settings = Settings::parse(&settings.to_string()).expect("settings");
+    // Class, own deadline, time left, whether dependents have a deadline, age, whether the job
+    // is late. The estimated run time is 10 s.
     let cases = [
         ("x", None, None, false, 999.0, false),
         ("x", None, Some(20.0), true, 999.0, false),
@@ -142,12 +143,12 @@
             time_left_s,
             dependents_have_deadline,
         };
-        let got = scheduler::is_late(&spec, &set, age, &urgency);
+        let got = scheduler::is_late(&spec, &settings, age, &urgency);
         assert_eq!(got, expected, "{case:?}");
     }
 }
 
-/// Work is preempted by the effective priority, on both sides.
+/// Preemption compares the effective priorities of the waiting job and of the running work.
 #[test]
 fn preemption_uses_effective_priorities() {
     use Priority::*;
@@ -156,30 +157,30 @@
         priority: Low,
         ..low
     };
-    for (ours, theirs, expected) in [
+    for (job_priority, running_priority, expected) in [
         (Low, Low, false),
         (High, Low, true),
         (High, High, false),
         (Low, High, false),
     ] {
-        let got = may_preempt((&low, ours), false, (&low, theirs), false);
-        assert_eq!(got, expected, "{ours:?} {theirs:?}");
+        let got = may_preempt((&low, job_priority), false, (&low, running_priority), false);
+        assert_eq!(got, expected, "{job_priority:?} {running_priority:?}");
     }
 }
 
-/// What a job's state is follows from the records, however they come in: one
-/// by one in any order, in arrivals, or all at once.
+/// The effective status of a job depends only on the records, whether they are applied one by
+/// one in any order, in a batch of accepted jobs, or in a reload.
 #[test]
 fn effective_status_does_not_depend_on_the_order_of_records() {
     use Priority::Low;
-    let first = |status: JobStatus| match status {
+    let job_with_status = |status: JobStatus| match status {
         JobStatus::Open => job_with_dependencies(&[], Low, 5.0, None),
         status => closed_job(status),
     };
-    let jobs = |status: JobStatus, other: JobStatus| {
+    let jobs = |first: JobStatus, second: JobStatus| {
         vec![
-            ("job-1", first(status)),
-            ("job-2", first(other)),
+            ("job-1", job_with_status(first)),
+            ("job-2", job_with_status(second)),
             (
                 "job-3",
                 job_with_dependencies(&["job-1"], Low, 5.0, Some(50.0)),
@@ -193,7 +194,7 @@
         ]
     };
     use JobStatus::*;
-    // What the first two are -> states of all, and the open ones.
+    // Statuses of the first two jobs, effective statuses of all jobs, jobs that can start.
     let cases = [
         ((Open, Open), [Open; 6], vec!["job-1", "job-2"]),
         (
@@ -217,28 +218,28 @@
             vec!["job-3", "job-6"],
         ),
     ];
-    for ((status, other), states, open) in cases {
-        let jobs = jobs(status, other);
-        // Every order in which six records can come in.
+    for ((first, second), statuses, startable) in cases {
+        let jobs = jobs(first, second);
+        // Every order in which the six records can be applied.
         let mut orders = vec![vec![]];
         for n in 0..jobs.len() {
             orders = orders
                 .into_iter()
-                .flat_map(|o: Vec<usize>| {
-                    (0..=o.len()).map(move |at| {
-                        let mut o = o.clone();
-                        o.insert(at, n);
-                        o
+                .flat_map(|order: Vec<usize>| {
+                    (0..=order.len()).map(move |position| {
+                        let mut order = order.clone();
+                        order.insert(position, n);
+                        order
                     })
                 })
                 .collect();
         }
         let check = |replica: &Replica, how: &str| {
-            for ((id, _), state) in jobs.iter().zip(states) {
+            for ((id, _), status) in jobs.iter().zip(statuses) {
                 assert_eq!(
                     replica.effective_status(id),
-                    Some(state),
-                    "{status:?} {other:?} {how}: {id}"
+                    Some(status),
+                    "{first:?} {second:?} {how}: {id}"
                 );
             }
             let got: Vec<&str> = replica
@@ -246,8 +247,8 @@
                 .iter()
                 .map(|(_, id)| id.as_str())
                 .collect();
-            assert_eq!(got, open, "{status:?} {other:?} {how}");
-            let cancelled_with_dependency = states.iter().zip(&jobs);
+            assert_eq!(got, startable, "{first:?} {second:?} {how}");
+            let cancelled_with_dependency = statuses.iter().zip(&jobs);
             let cancelled_with_dependency =
                 cancelled_with_dependency.filter(|(s, (_, job))| **s == Cancelled && job.is_open());
             assert_eq!(
@@ -255,79 +256,79 @@
                 cancelled_with_dependency.count(),
                 "{how}"
             );
-            let held = 6 - open.len() - states.iter().filter(|s| **s != Open).count();
-            assert_eq!(replica.blocked_jobs().count(), held, "{how}");
+            let blocked = 6 - startable.len() - statuses.iter().filter(|s| **s != Open).count();
+            assert_eq!(replica.blocked_jobs().count(), blocked, "{how}");
         };
         for order in &orders {
             let mut replica = Replica::default();
             for (step, n) in order.iter().enumerate() {
                 let (id, job) = &jobs[*n];
-                let at = step as u64 + 1;
-                replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
+                let version = step as u64 + 1;
+                replica.apply_events(vec![Event::put(job_key(id), job, version)], version);
             }
             check(&replica, &format!("{order:?}"));
         }
-        // All open at first, in one arrival; then the first two change.
+        // All jobs are open at first, in one batch; then the records of the first two change.
         let specs = job_specs(&jobs);
         let mut replica = Replica::default();
         let key = shelfhoist::state::keys::accepted_batch_key("x");
-        let arrivals = AcceptedBatch {
+        let batch = AcceptedBatch {
             accepted_revision: 7,
             jobs: specs,
         };
-        replica.apply_events(vec![Event::put(key, &arrivals, 1)], 1);
+        replica.apply_events(vec![Event::put(key, &batch, 1)], 1);
         for (n, (id, job)) in jobs[..2].iter().enumerate() {
-            let at = n as u64 + 2;
-            replica.apply_events(vec![Event::put(job_key(id), job, at)], at);
+            let version = n as u64 + 2;
+            replica.apply_events(vec![Event::put(job_key(id), job, version)], version);
         }
-        check(&replica, "arrivals");
-        // A full read finds the same.
-        let mut pairs: Vec<StoredRecord> = Vec::new();
+        check(&replica, "batch");
+        // A reload of all records has the same result.
+        let mut records: Vec<StoredRecord> = Vec::new();
         for (id, job) in &jobs {
-            pairs.push(
+            records.push(
                 serde_json::from_value(json!({"key": job_key(id), "value": job, "stamp": 9}))
-                    .expect("pair"),
+                    .expect("record"),
             );
         }
-        replica.reload(pairs, 9);
+        replica.reload(records, 9);
         check(&replica, "reload");
     }
 }
 
-/// Safety 7: what waits is not booked, whoever found placements for it; and once it
-/// is, its record no longer names what was awaited.
+/// Safety 7: a job with open dependencies is not booked, even if placements were found for it.
+/// Once a job is booked, its record no longer contains its dependencies.
 #[test]
 fn job_with_open_dependencies_is_not_booked() {
-    let set = settings();
-    for (status, booked) in [
+    let settings = settings();
+    for (status, expected_bookings) in [
         (JobStatus::Open, 0),
         (JobStatus::Cancelled, 0),
         (JobStatus::Done, 2),
     ] {
         let mut replica = replica_with_machines(&[("a", "m", 8.0)]);
-        let second = job_with_dependencies(&["job-1"], Priority::Low, 5.0, None);
+        let dependent = job_with_dependencies(&["job-1"], Priority::Low, 5.0, None);
         replica.apply_events(
             vec![
                 Event::put(job_key("job-1"), &closed_job(status), 4),
-                Event::put(job_key("job-2"), &second, 4),
+                Event::put(job_key("job-2"), &dependent, 4),
             ],
             4,
         );
         let plan = Plan::from_replica(&replica);
-        let spec = second.spec.clone().expect("spec");
+        let spec = dependent.spec.clone().expect("spec");
         let placements = scheduler::find_placements(
-            &second,
+            &dependent,
             &spec,
             &plan,
             &placement_hints(&replica),
-            &set,
+            &settings,
             AcceleratorProtection::Lax,
         );
         let mut transaction = Transaction::new(&replica, 9);
         let got = transaction.book("job-2", &spec, &placements.expect("placements"));
-        assert_eq!(got, booked, "{status:?}");
-        let left = transaction.job("job-2").and_then(|j| j.spec.as_ref());
-        let left = left.map_or(0, |s| s.dependencies.len());
-        assert_eq!(left, usize::from(booked == 0), "{status:?}");
+        assert_eq!(got, expected_bookings, "{status:?}");
+        let spec = transaction.job("job-2").and_then(|job| job.spec.as_ref());
+        let remaining = spec.map_or(0, |spec| spec.dependencies.len());
+        assert_eq!(remaining, usize::from(expected_bookings == 0), "{status:?}");
     }
 }
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -1,4 +1,4 @@
-//! What fits where, what waits, what may be stopped for it.
+//! Placement, order of the queue, preemption, capacity reservations and machine shards.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,13 +18,15 @@
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
 
-/// KEP-2724, "Computing the assignment": required waits, preferred relaxes.
+/// KEP-2724, "Computing the assignment": a gang that requires one zone waits until one has
+/// capacity for all of its tasks; a gang that prefers one zone may use several.
 #[test]
 fn required_zone_waits_and_preferred_zone_relaxes() {
-    let set = settings();
-    let split = replica_with_machines(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
-    let whole = replica_with_machines(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
-    let fit = |spec: &JobSpec, replica: &Replica| {
+    let settings = settings();
+    let two_zones = replica_with_machines(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
+    let one_sufficient_zone =
+        replica_with_machines(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
+    let place = |spec: &JobSpec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::from_replica(replica);
         scheduler::find_placements(
@@ -32,127 +34,155 @@
             spec,
             &plan,
             &placement_hints(replica),
-            &set,
+            &settings,
             AcceleratorProtection::Lax,
         )
         .map(|placements| {
             let mut zones = BTreeMap::new();
-            for p in placements {
-                *zones.entry(p.zone.to_string()).or_insert(0) += 1;
+            for placement in placements {
+                *zones.entry(placement.zone.to_string()).or_insert(0) += 1;
             }
             zones.into_iter().collect::<Vec<_>>()
         })
     };
-    let required = |s: JobSpec| JobSpec {
+    let require_one_zone = |spec: JobSpec| JobSpec {
         one_zone: true,
-        ..s
+        ..spec
     };
     let gang = job_spec(JobKind::Gang, 3, 2.0);
     assert_eq!(
-        fit(&required(gang.clone()), &split),
+        place(&require_one_zone(gang.clone()), &two_zones),
         Err(WaitReason::NoZone)
     );
     assert_eq!(
-        fit(&gang, &split),
+        place(&gang, &two_zones),
         Ok(vec![("a".into(), 2), ("b".into(), 1)])
     );
     assert_eq!(
-        fit(&required(gang.clone()), &whole),
+        place(&require_one_zone(gang.clone()), &one_sufficient_zone),
         Ok(vec![("b".into(), 3)])
     );
-    // Preferred, too, stays in one zone where it can.
-    assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
+    // A gang that prefers one zone is placed in one if possible.
     assert_eq!(
-        fit(&job_spec(JobKind::Gang, 5, 2.0), &split),
+        place(&gang, &one_sufficient_zone),
+        Ok(vec![("b".into(), 3)])
+    );
+    assert_eq!(
+        place(&job_spec(JobKind::Gang, 5, 2.0), &two_zones),
         Err(WaitReason::NoCapacity)
     );
-    // An array takes what there is; a spread service at most half per zone.
+    // An array uses all free capacity. A spread service has at most half of its tasks in one
+    // zone, rounded up.
     assert_eq!(
-        fit(&job_spec(JobKind::Array, 8, 2.0), &split),
+        place(&job_spec(JobKind::Array, 8, 2.0), &two_zones),
         Ok(vec![("a".into(), 2), ("b".into(), 2)])
     );
     let spread = JobSpec {
         spread: true,
         ..job_spec(JobKind::Service, 3, 2.0)
     };
-    let one = replica_with_machines(&[("a", "m1", 8.0)]);
-    assert_eq!(fit(&spread, &one), Ok(vec![("a".into(), 2)]));
-    // 16 CPUs are the team's limit, whatever the free capacity.
-    let wide = replica_with_machines(&[("a", "m1", 40.0)]);
+    let single_zone = replica_with_machines(&[("a", "m1", 8.0)]);
+    assert_eq!(place(&spread, &single_zone), Ok(vec![("a".into(), 2)]));
+    // The team's limit of 16 CPUs applies whatever the free capacity is.
+    let large_machine = replica_with_machines(&[("a", "m1", 40.0)]);
     assert_eq!(
-        fit(&job_spec(JobKind::Array, 20, 2.0), &wide),
+        place(&job_spec(JobKind::Array, 20, 2.0), &large_machine),
         Ok(vec![("a".into(), 8)])
     );
     assert_eq!(
-        fit(&job_spec(JobKind::Gang, 9, 2.0), &wide),
+        place(&job_spec(JobKind::Gang, 9, 2.0), &large_machine),
         Err(WaitReason::TeamLimit)
     );
 }
 
-/// Rule `wrong_place`: tasks that are still somewhere bind the others, those
-/// of an old attempt too.
+/// Rule `wrong_place`: tasks that still run, including those of an old attempt, determine the
+/// zone in which the other tasks of the job may be placed.
 #[test]
 fn old_attempts_restrict_placement() {
-    let set = settings();
+    let settings = settings();
     let replica = replica_with_machines(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
     let hints = placement_hints(&replica);
     let plan = Plan::from_replica(&replica);
-    let s = JobSpec {
+    let spec = JobSpec {
         one_zone: true,
         ..job_spec(JobKind::Array, 3, 2.0)
     };
-    let mut job = Job::new(s.clone(), 1);
-    let task = job.take_unstarted_task().expect("one");
+    let mut job = Job::new(spec.clone(), 1);
+    let task = job.take_unstarted_task().expect("a waiting task");
     job.book("m9", "b", 1, task);
-    let placements =
-        scheduler::find_placements(&job, &s, &plan, &hints, &set, AcceleratorProtection::Lax)
-            .expect("fits");
-    assert!(placements.iter().all(|p| &*p.zone == "b"), "{placements:?}");
+    let placements = scheduler::find_placements(
+        &job,
+        &spec,
+        &plan,
+        &hints,
+        &settings,
+        AcceleratorProtection::Lax,
+    )
+    .expect("fits");
+    assert!(
+        placements.iter().all(|placement| &*placement.zone == "b"),
+        "{placements:?}"
+    );
     let gang = job_spec(JobKind::Gang, 2, 2.0);
     let mut job = Job::new(gang.clone(), 1);
     job.book("m9", "b", 1, 0);
     assert_eq!(
-        scheduler::find_placements(&job, &gang, &plan, &hints, &set, AcceleratorProtection::Lax),
+        scheduler::find_placements(
+            &job,
+            &gang,
+            &plan,
+            &hints,
+            &settings,
+            AcceleratorProtection::Lax
+        ),
         Err(WaitReason::OldAttempt)
     );
 }
 
-/// Work that only fills idle time is told from work that somebody waits for.
+/// Only a job that uses otherwise idle capacity and that nobody waits for is opportunistic.
 #[test]
 fn opportunistic_jobs_are_recognized() {
-    let mut json = settings_json();
-    json["deployment"]["objectives"] =
+    let mut settings = settings_json();
+    settings["deployment"]["objectives"] =
         json!([{"kind": "finished", "class": "aimed", "within_s": 9.0}]);
-    let settings = Settings::parse(&json.to_string()).expect("settings");
-    let mut work = job_spec(JobKind::Array, 4, 1.0);
-    work.priority = Priority::Low;
+    let settings = Settings::parse(&settings.to_string()).expect("settings");
+    let mut opportunistic = job_spec(JobKind::Array, 4, 1.0);
+    opportunistic.priority = Priority::Low;
     type Case = (&'static str, fn(&mut JobSpec), bool);
     let cases: [Case; 6] = [
-        ("plain", |_| {}, true),
-        ("cannot save", |s| s.checkpoint_s = 0.0, false),
-        ("due", |s| s.deadline_s = Some(9.0), false),
-        ("aimed at", |s| s.class = "aimed".into(), false),
-        ("normal", |s| s.priority = Priority::Normal, false),
-        ("a service", |s| s.kind = JobKind::Service, false),
+        ("unchanged", |_| {}, true),
+        ("without checkpoints", |spec| spec.checkpoint_s = 0.0, false),
+        ("with a deadline", |spec| spec.deadline_s = Some(9.0), false),
+        (
+            "with an objective",
+            |spec| spec.class = "aimed".into(),
+            false,
+        ),
+        (
+            "with normal priority",
+            |spec| spec.priority = Priority::Normal,
+            false,
+        ),
+        ("a service", |spec| spec.kind = JobKind::Service, false),
     ];
-    for (name, edit, filler) in cases {
-        let mut spec = work.clone();
+    for (name, edit, expected) in cases {
+        let mut spec = opportunistic.clone();
         spec.checkpoint_s = 30.0;
         edit(&mut spec);
         assert_eq!(
             scheduler::is_opportunistic(&spec, &settings),
-            filler,
+            expected,
             "{name}"
         );
     }
 }
 
-/// An array may have its placements in more zone shards than a commit writes, a gang goes
-/// whole or not at all.
+/// The placements of a job may be in more zone shards than a commit can write. Then the commit
+/// books some tasks of an array, but none of a gang.
 #[test]
 fn array_that_exceeds_a_commit_is_booked_in_part() {
-    let set = settings();
-    for (kind, want) in [(JobKind::Array, 4), (JobKind::Gang, 0)] {
+    let settings = settings();
+    for (kind, expected_bookings) in [(JobKind::Array, 4), (JobKind::Gang, 0)] {
         let mut replica = replica_with_machines(&[]);
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
@@ -162,22 +192,22 @@
                 3,
             );
         }
-        let mut wide = job_spec(kind, 9, 4.0);
-        wide.need.ram = Amount(0);
+        let mut spec = job_spec(kind, 9, 4.0);
+        spec.need.ram = Amount(0);
         replica.jobs.insert(
             "job-1".into(),
             shelfhoist::state::replica::Versioned {
                 version: 3,
-                value: Job::new(wide.clone(), 1),
+                value: Job::new(spec.clone(), 1),
             },
         );
         let job = replica.jobs["job-1"].value.clone();
         let plan = Plan::from_replica(&replica);
-        let mut unlimited = set.clone();
+        let mut unlimited = settings.clone();
         unlimited.deployment.teams[0].cpus_max = 1e6;
         let placements = scheduler::find_placements(
             &job,
-            &wide,
+            &spec,
             &plan,
             &placement_hints(&replica),
             &unlimited,
@@ -187,8 +217,8 @@
         assert_eq!(placements.len(), 9);
         let mut transaction = Transaction::new(&replica, 6);
         assert_eq!(
-            transaction.book("job-1", &wide, &placements),
-            want,
+            transaction.book("job-1", &spec, &placements),
+            expected_bookings,
             "{kind:?}"
         );
         assert!(transaction.len() <= 6);
@@ -197,13 +227,13 @@
 
 #[test]
 fn preemption_follows_the_protocol() {
-    let with = |team: &str, priority| JobSpec {
+    let job_of = |team: &str, priority| JobSpec {
         team: team.into(),
         priority,
         ..job_spec(JobKind::Array, 1, 1.0)
     };
     use Priority::*;
-    // (job, within guarantee, running work, it borrows) -> may be preempted
+    // (job, within guarantee, running work, running work borrows, may be preempted)
     let cases = [
         (("t", High), false, ("t", Low), false, true),
         (("t", Normal), false, ("u", Normal), true, false),
@@ -215,17 +245,22 @@
     ];
     let service = JobSpec {
         kind: JobKind::Service,
-        ..with("u", Production)
+        ..job_of("u", Production)
     };
     assert!(
-        !may_preempt((&with("t", High), High), true, (&service, Production), true),
-        "a service is not ended for a guarantee"
+        !may_preempt(
+            (&job_of("t", High), High),
+            true,
+            (&service, Production),
+            true
+        ),
+        "a service is not preempted for a guarantee"
     );
     for (job, within_guarantee, running, borrows, expected) in cases {
         let got = may_preempt(
-            (&with(job.0, job.1), job.1),
+            (&job_of(job.0, job.1), job.1),
             within_guarantee,
-            (&with(running.0, running.1), running.1),
+            (&job_of(running.0, running.1), running.1),
             borrows,
         );
         assert_eq!(
@@ -235,18 +270,19 @@
     }
 }
 
-/// What is stopped for a guarantee must not be within its own team's: the two
-/// would stop one another for ever (13 stops a gang on a measured day).
+/// Work must not be preempted for a guarantee if it is within its own team's guarantee:
+/// otherwise the two teams would preempt each other forever (13 times per gang on a measured
+/// day).
 #[test]
 fn team_lends_only_above_its_guarantee() {
-    let set = settings();
-    let team = set.team("t").expect("team");
-    let room = |cpus: f64| Resources {
+    let settings = settings();
+    let team = settings.team("t").expect("team");
+    let cpus_only = |cpus: f64| Resources {
         cpus: Amount::rounded_down(cpus),
         ..Resources::default()
     };
     // 8 CPUs are guaranteed.
-    for (used, shard, can_lend) in [
+    for (used, reclaimed, can_lend) in [
         (8.0, 2.0, false),
         (9.0, 2.0, false),
         (10.0, 2.0, true),
@@ -254,50 +290,54 @@
         (15.0, 8.0, false),
     ] {
         assert_eq!(
-            team.can_lend(&room(used), &room(shard)),
+            team.can_lend(&cpus_only(used), &cpus_only(reclaimed)),
             can_lend,
-            "{used} {shard}"
+            "{used} {reclaimed}"
         );
     }
 }
 
-/// A job that has never begun goes first after a bound, however the policy
-/// ranks it; one that was stopped does not push back in that way.
+/// A job that has never been started is placed first after a time limit, whatever the
+/// policy's order is. This does not apply to a job that was preempted.
 #[test]
 fn starving_job_is_placed_first() {
-    let set = settings();
+    let settings = settings();
     let mut replica = replica_with_machines(&[("a", "m1", 8.0)]);
-    let small = Job::new(job_spec(JobKind::Gang, 1, 1.0), 5);
-    let large = Job::new(job_spec(JobKind::Gang, 8, 2.0), 6);
-    let mut stopped = large.clone();
-    stopped.attempt = 1;
-    let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
+    let small_gang = Job::new(job_spec(JobKind::Gang, 1, 1.0), 5);
+    let large_gang = Job::new(job_spec(JobKind::Gang, 8, 2.0), 6);
+    let mut preempted = large_gang.clone();
+    preempted.attempt = 1;
+    let events = [
+        ("job-1", &small_gang),
+        ("job-2", &large_gang),
+        ("job-3", &preempted),
+    ];
     let events = events.map(|(id, job)| Event::put(job_key(id), job, 7));
     replica.apply_events(events.to_vec(), 8);
     let now = Instant::now();
-    let bound = Duration::from_secs_f64(set.starvation_threshold_s());
+    let threshold = Duration::from_secs_f64(settings.starvation_threshold_s());
     for (age, first) in [
         (Duration::ZERO, "job-1"),
-        (bound / 2, "job-1"),
-        (bound + Duration::from_secs(1), "job-2"),
+        (threshold / 2, "job-1"),
+        (threshold + Duration::from_secs(1), "job-2"),
     ] {
-        let later = now + bound * 2;
-        let first_seen = ["job-2", "job-3"].map(|id| (id.to_string(), later - age));
+        let evaluated_at = now + threshold * 2;
+        let first_seen = ["job-2", "job-3"].map(|id| (id.to_string(), evaluated_at - age));
         let mut first_seen: scheduler::FirstSeenTimes = first_seen.into_iter().collect();
-        first_seen.insert("job-1".into(), later);
+        first_seen.insert("job-1".into(), evaluated_at);
         let queue = scheduler::queue(
             &replica,
             &Plan::from_replica(&replica),
-            &set,
+            &settings,
             &first_seen,
-            later,
+            evaluated_at,
         );
         assert_eq!(queue[0], first, "{age:?}: {queue:?}");
     }
 }
 
-/// The first large gang in line has capacity reserved from what comes behind it,
-/// in the zone that has the most of it, and there only.
+/// Capacity is reserved for the first large gang of the queue, so that later jobs do not use
+/// it. It is reserved only in the zone with the most free capacity.
 #[test]
 fn capacity_is_reserved_for_a_large_gang() {
     let replica = replica_with_machines(&[
@@ -312,21 +352,24 @@
     };
     let mut plan = Plan::from_replica(&replica);
     scheduler::reserve_capacity(&gang, &mut plan, &placement_hints(&replica));
-    let free = |m: &str| {
-        plan.plan_slots[plan.slot_index_of(&replica, m).expect("a plan slot")]
+    let free_cpus = |machine: &str| {
+        plan.plan_slots[plan.slot_index_of(&replica, machine).expect("a plan slot")]
             .free
             .cpus
             .units()
     };
-    assert_eq!(["m1", "m2", "m3", "m4"].map(free), [0.0, 0.0, 4.0, 1.0]);
+    assert_eq!(
+        ["m1", "m2", "m3", "m4"].map(free_cpus),
+        [0.0, 0.0, 4.0, 1.0]
+    );
 }
 
-/// Machines of a zone stand in zone shards that stay within `value_kb`, each machine
-/// in one of its home's; two controllers that take up the same new machine at
-/// once cannot both succeed.
+/// The machines of a zone are recorded in machine shards that stay within `value_kb`, each
+/// machine in one shard of its preferred owner. The commits of two controllers that record the
+/// same new machine concurrently cannot both succeed.
 #[test]
 fn large_zone_is_recorded_in_several_shards() {
-    let set = settings();
+    let settings = settings();
     let mut replica = replica_with_machine_types();
     let mut version = 10;
     for n in 0..800 {
@@ -334,7 +377,7 @@
         let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
         let machine = Machine {
             shard: machine_shards
-                .allocate_shard(&set, &name, "grande-occhio", "a")
+                .allocate_shard(&settings, &name, "grande-occhio", "a")
                 .expect("a shard"),
             owner: "n0".into(),
             incarnation: u64::from(u32::MAX),
@@ -346,55 +389,57 @@
         machine_shards.put(&name, machine);
         let (preconditions, writes) = machine_shards.into_commit();
         version += 1;
-        for w in &writes {
-            let Write::Put { key, value, .. } = w else {
-                panic!("{w:?}");
+        for write in &writes {
+            let Write::Put { key, value, .. } = write else {
+                panic!("{write:?}");
             };
             assert!(
-                value.get().len() <= set.value_limit_bytes(),
+                value.get().len() <= settings.value_limit_bytes(),
                 "{}",
                 value.get().len()
             );
             assert!(
-                preconditions.iter().any(|g| g.key == *key),
-                "{key} is not guarded"
+                preconditions
+                    .iter()
+                    .any(|precondition| precondition.key == *key),
+                "{key} is written without a precondition"
             );
         }
-        // Every part of the home is a condition, and the next that is not yet.
-        let home = set.preferred_owner(&name, "a");
-        let zone_shards = replica
+        // Every shard of the preferred owner is a precondition, and so is the next one, which
+        // does not exist yet.
+        let preferred_owner = settings.preferred_owner(&name, "a");
+        let owner_shards = replica
             .machine_shards
             .keys()
-            .filter(|k| k.starts_with(&format!("a/{home}.")));
+            .filter(|key| key.starts_with(&format!("a/{preferred_owner}.")));
         assert!(
-            preconditions.len() > zone_shards.count().saturating_sub(1),
+            preconditions.len() > owner_shards.count().saturating_sub(1),
             "{preconditions:?}"
         );
         replica.apply_commit(&writes, version);
     }
     assert_eq!(replica.machines.len(), 800);
-    let listed: usize = replica
+    let recorded: usize = replica
         .machine_shards
         .values()
-        .map(|g| g.value.machines.len())
+        .map(|shard| shard.value.machines.len())
         .sum();
-    assert_eq!(listed, 800, "each stands in one part");
+    assert_eq!(recorded, 800, "each machine is recorded in one shard");
     assert!(
         replica.machine_shards.len() > 4,
         "{}",
         replica.machine_shards.len()
     );
-    // A takeover of all takes as many commits as it needs, each within what a
-    // request may hold.
-    let ops = set.txn_ops();
-    let mut left: Vec<String> = replica.machines.keys().cloned().collect();
+    // Claiming all machines takes several commits, each within the size limit of a request.
+    let max_writes = settings.txn_ops();
+    let mut unclaimed: Vec<String> = replica.machines.keys().cloned().collect();
     let mut commits = 0;
-    while !left.is_empty() {
+    while !unclaimed.is_empty() {
         let mut machine_shards = shelfhoist::scheduler::MachineShardEdits::new(&replica);
-        left.retain(|name| {
+        unclaimed.retain(|name| {
             let machine = &replica.machines[name].value;
             let machine_shard = shard_id(&machine.zone, &machine.shard);
-            if machine_shards.is_full(ops) && !machine_shards.contains(&machine_shard) {
+            if machine_shards.is_full(max_writes) && !machine_shards.contains(&machine_shard) {
                 return true;
             }
             machine_shards.put(name, machine.clone());
@@ -412,18 +457,18 @@
     assert!((2..10).contains(&commits), "{commits} commits");
 }
 
-/// The writes that all controllers may make are shared by what each would.
+/// The write rate of all controllers is allocated in proportion to their demands.
 #[test]
 fn write_rate_is_allocated_by_demand() {
-    let share = shelfhoist::state::budget::write_rate_allocation;
-    let even = share(30.0, 5.0, &[Some(5.0); 4]);
+    let allocation = shelfhoist::state::budget::write_rate_allocation;
+    let even = allocation(30.0, 5.0, &[Some(5.0); 4]);
     assert!((even - 6.0).abs() < 0.01, "{even}");
-    assert!(share(30.0, 9.0, &[Some(1.0); 4]) > 12.0);
-    assert!(share(30.0, 0.0, &[Some(9.0); 4]) < 2.0);
-    // Those not heard of may be writing all the same.
-    assert!(share(30.0, 9.0, &[None; 4]) < 12.0);
-    for mine in [0.0, 1.0, 30.0, 1e6] {
-        let s = share(30.0, mine, &[Some(0.0); 4]);
-        assert!((1.5..=18.0).contains(&s), "{mine}: {s}");
+    assert!(allocation(30.0, 9.0, &[Some(1.0); 4]) > 12.0);
+    assert!(allocation(30.0, 0.0, &[Some(9.0); 4]) < 2.0);
+    // Controllers whose demand is unknown may be writing too.
+    assert!(allocation(30.0, 9.0, &[None; 4]) < 12.0);
+    for demand in [0.0, 1.0, 30.0, 1e6] {
+        let allocated = allocation(30.0, demand, &[Some(0.0); 4]);
+        assert!((1.5..=18.0).contains(&allocated), "{demand}: {allocated}");
     }
 }
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -1,5 +1,5 @@
-//! Where machines of large fleets are recorded: in which machine shard a new one is
-//! put, and how long a zone shard may become.
+//! Shards in large fleets: the machine shard in which a new machine is recorded, and the size
+//! limits of zone shards.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,19 +17,19 @@
 use super::setup::settings;
 
 proptest! {
-    /// Every shard is in one group, none is larger than it may be, and machines of one
-    /// rental are in the same group.
+    /// No shard is in two groups, no group exceeds its maximum size, and machines of one
+    /// scale-out select the same group.
     #[test]
-    fn shard_groups_are_disjoint_and_bounded(shards in 0usize..400, most in 1usize..16, block in 0u32..9000) {
+    fn shard_groups_are_disjoint_and_bounded(shards in 0usize..400, max_shards in 1usize..16, block in 0u32..9000) {
         let machines = (0..64).map(|n| format!("host-{:06}", block * 64 + n));
-        let first = ShardCandidates::select(&format!("host-{:06}", block * 64), shards, most);
+        let first = ShardCandidates::select(&format!("host-{:06}", block * 64), shards, max_shards);
         for machine in machines {
-            prop_assert_eq!(&ShardCandidates::select(&machine, shards, most), &first);
+            prop_assert_eq!(&ShardCandidates::select(&machine, shards, max_shards), &first);
         }
-        prop_assert!(first.numbers().count() <= most);
+        prop_assert!(first.numbers().count() <= max_shards);
         prop_assert_eq!(first.next_number(), shards);
         let groups: BTreeSet<Vec<usize>> = (0..20_000)
-            .map(|n| ShardCandidates::select(&format!("host-{n:06}"), shards, most))
+            .map(|n| ShardCandidates::select(&format!("host-{n:06}"), shards, max_shards))
             .map(|candidates| candidates.numbers().collect())
             .collect();
         let covered: Vec<usize> = groups.iter().flatten().copied().collect();
@@ -38,12 +38,12 @@
         prop_assert!(distinct.iter().all(|number| *number < shards));
     }
 
-    /// Whichever machines leave a zone shard, its text stays within the bound that it
-    /// was filled by.
+    /// Whichever machines are removed from a zone shard, its text stays within the bound that
+    /// was computed before.
     #[test]
     fn zone_shards_stay_within_their_bound(
         numbers in proptest::collection::btree_set(0u32..5000, 1..400),
-        leaving in proptest::collection::vec(any::<bool>(), 400),
+        is_removed in proptest::collection::vec(any::<bool>(), 400),
     ) {
         let slot = |n: u32| MachineSlot {
             kind: ["big", "small"][n as usize % 2].into(),
@@ -54,37 +54,38 @@
         let machines = numbers.iter().map(|n| (format!("host-{n:06}"), slot(*n)));
         let mut shard = ZoneShard { machines: machines.collect() };
         let bound = encoding::zone_shard_bytes_bound(&shard);
-        let mut leaving = leaving.into_iter();
-        shard.machines.retain(|_, _| !leaving.next().unwrap_or(false));
+        let mut is_removed = is_removed.into_iter();
+        shard.machines.retain(|_, _| !is_removed.next().unwrap_or(false));
         let length = encoding::encode_zone_shard(&shard).expect("a text").len();
-        // The record's own brackets stand beside its classes.
+        // The bound does not include the braces and brackets around the shard's classes.
         prop_assert!(length <= bound + "{\"m\":[]}".len(), "{length} of {bound}");
     }
 }
 
-/// Shards of the only home of zone `a`, full or with capacity, under the newest formats.
-struct Home {
+/// Machine shards of the only controller of zone `a`, with a replica in which all controllers
+/// can read the newest formats.
+struct OwnerShards {
     settings: Settings,
     replica: Replica,
     version: u64,
 }
 
-impl Home {
+impl OwnerShards {
     fn new(shards: usize) -> Self {
-        let mut home = Home {
+        let mut owner = OwnerShards {
             settings: settings(),
             replica: Replica::default(),
             version: 1,
         };
         let formats = json!({"n": {}, "a": FORMATS});
-        home.apply(vec![Event::put(FORMATS_KEY.into(), &formats, 1)]);
+        owner.apply(vec![Event::put(FORMATS_KEY.into(), &formats, 1)]);
         for number in 0..shards {
-            home.put_shard(number, 70);
+            owner.put_shard(number, 70);
         }
-        home
+        owner
     }
 
-    fn name(&self) -> String {
+    fn owner_name(&self) -> String {
         self.settings
             .preferred_owner("host-000000", "a")
             .to_string()
@@ -94,10 +95,10 @@
         self.replica.apply_events(events, self.version);
     }
 
-    /// Records a shard with so many machines.
+    /// Records a shard with the given number of machines.
     fn put_shard(&mut self, number: usize, machines: usize) {
         self.version += 1;
-        let id = format!("a/{}.{number}", self.name());
+        let id = format!("a/{}.{number}", self.owner_name());
         let member = |n: usize| {
             let name = format!("known-{:06}", number * 100 + n);
             (name, Machine::new("grande-occhio", "a"))
@@ -109,8 +110,8 @@
         self.apply(vec![event]);
     }
 
-    /// The commit that takes up a new machine, as decided on the present state.
-    fn take_up(&self, machine: &str) -> (Vec<Precondition>, Vec<Write>) {
+    /// Returns the commit that records a new machine, based on the present replica.
+    fn commit_of_new_machine(&self, machine: &str) -> (Vec<Precondition>, Vec<Write>) {
         let mut shards = MachineShardEdits::new(&self.replica);
         let shard = shards
             .allocate_shard(&self.settings, machine, "grande-occhio", "a")
@@ -123,86 +124,104 @@
         shards.into_commit()
     }
 
-    /// Carries a commit out if its conditions hold.
+    /// Applies a commit if its preconditions are met. Returns whether it was applied.
     fn commit(&mut self, (preconditions, writes): (Vec<Precondition>, Vec<Write>)) -> bool {
-        let holds = |precondition: &Precondition| {
+        let is_met = |precondition: &Precondition| {
             let id = precondition.key.trim_start_matches("sh/machine/");
             self.replica.machine_shard_version(id) == precondition.version
         };
-        let held = preconditions.iter().all(holds);
-        if held {
+        let is_applied = preconditions.iter().all(is_met);
+        if is_applied {
             self.version += 1;
             self.replica.apply_commit(&writes, self.version);
         }
-        held
+        is_applied
     }
 }
 
-/// A machine whose home is the one that the shards belong to.
-fn machine_of_home(home: &Home) -> String {
-    let wanted = home.name();
+/// Returns the name of a machine whose preferred owner is the owner of the shards.
+fn machine_of_owner(owner: &OwnerShards) -> String {
+    let expected_owner = owner.owner_name();
     let mut names = (0..1000).map(|n| format!("host-{n:06}"));
     names
-        .find(|name| home.settings.preferred_owner(name, "a") == wanted)
+        .find(|name| owner.settings.preferred_owner(name, "a") == expected_owner)
         .expect("a machine")
 }
 
-/// Two controllers take up the same machine on different views of the state: one does
-/// so after the other has, after shards were filled, emptied or created, or before.
+/// Two controllers record the same machine based on different states of their replicas: shards
+/// were filled, emptied or created in between. The commit that is applied second must fail, or
+/// the machine would be recorded in two shards.
 #[test]
 fn concurrent_commits_put_a_new_machine_into_one_shard() {
-    type Change = fn(&mut Home);
+    type Change = fn(&mut OwnerShards);
     let changes: [(&str, Change); 5] = [
-        ("nothing", |_| ()),
-        ("a shard is created", |home| home.put_shard(40, 1)),
-        ("two are created", |home| {
-            home.put_shard(40, 70);
-            home.put_shard(41, 1);
+        ("no change", |_| ()),
+        ("a shard is created", |owner| owner.put_shard(40, 1)),
+        ("two shards are created", |owner| {
+            owner.put_shard(40, 70);
+            owner.put_shard(41, 1);
         }),
-        ("all have room", |home| {
+        ("all shards have capacity", |owner| {
             for number in 0..40 {
-                home.put_shard(number, 1);
+                owner.put_shard(number, 1);
             }
         }),
-        ("the first group has room", |home| home.put_shard(0, 1)),
+        ("the first group has capacity", |owner| {
+            owner.put_shard(0, 1)
+        }),
     ];
-    for (what, change) in changes {
-        let mut home = Home::new(40);
-        let machine = machine_of_home(&home);
-        let early = home.take_up(&machine);
-        let most = home.settings.txn_ops() * 4;
-        assert!(early.0.len() <= most / 2, "{} conditions", early.0.len());
-        change(&mut home);
-        let late = home.take_up(&machine);
-        let first = home.commit(late);
-        let second = home.commit(early);
-        assert!(first, "{what}: the newer view fails");
-        assert!(!second, "{what}: recorded twice");
-        assert!(home.replica.machines.contains_key(&machine));
+    for (name, change) in changes {
+        let mut owner = OwnerShards::new(40);
+        let machine = machine_of_owner(&owner);
+        let older_commit = owner.commit_of_new_machine(&machine);
+        let max_preconditions = owner.settings.txn_ops() * 4;
+        assert!(
+            older_commit.0.len() <= max_preconditions / 2,
+            "{} preconditions",
+            older_commit.0.len()
+        );
+        change(&mut owner);
+        let newer_commit = owner.commit_of_new_machine(&machine);
+        let newer_applied = owner.commit(newer_commit);
+        let older_applied = owner.commit(older_commit);
+        assert!(
+            newer_applied,
+            "{name}: the commit based on the newer replica failed"
+        );
+        assert!(!older_applied, "{name}: the machine is recorded twice");
+        assert!(owner.replica.machines.contains_key(&machine));
     }
 }
 
-/// Before all controllers know of groups, and before a shard of the home was written
-/// after that, every shard is a condition: an older program relies on it.
+/// Every shard is a precondition until all controllers support groups and a shard of the
+/// owner has been written after that: older versions of the program rely on it.
 #[test]
 fn all_shards_are_preconditions_until_older_commits_are_void() {
-    let mut home = Home::new(10);
-    let machine = machine_of_home(&home);
-    let grouped = home.take_up(&machine).0.len();
-    for (formats, conditions) in [(FORMATS_COMPACT, 11), (FORMATS, 11)] {
-        home.version += 1;
-        let known = json!({"n": {}, "a": formats});
-        let version = home.version;
-        home.apply(vec![Event::put(FORMATS_KEY.into(), &known, version)]);
-        assert_eq!(home.take_up(&machine).0.len(), conditions, "{formats}");
+    let mut owner = OwnerShards::new(10);
+    let machine = machine_of_owner(&owner);
+    let grouped_count = owner.commit_of_new_machine(&machine).0.len();
+    for (formats, precondition_count) in [(FORMATS_COMPACT, 11), (FORMATS, 11)] {
+        owner.version += 1;
+        let formats_record = json!({"n": {}, "a": formats});
+        let version = owner.version;
+        owner.apply(vec![Event::put(
+            FORMATS_KEY.into(),
+            &formats_record,
+            version,
+        )]);
+        assert_eq!(
+            owner.commit_of_new_machine(&machine).0.len(),
+            precondition_count,
+            "{formats}"
+        );
     }
-    home.put_shard(3, 70);
-    assert_eq!(home.take_up(&machine).0.len(), grouped);
-    assert!(grouped < 11, "{grouped}");
+    owner.put_shard(3, 70);
+    assert_eq!(owner.commit_of_new_machine(&machine).0.len(), grouped_count);
+    assert!(grouped_count < 11, "{grouped_count}");
 }
 
-/// A zone shard that would be too long once machines leave it is split in one commit,
-/// and the halves are not merged again.
+/// A zone shard whose record would be too large once machines are removed from it is split in
+/// one commit, and the halves are not merged again.
 #[test]
 fn zone_shard_that_may_exceed_its_record_is_split() {
     let mut replica = Replica::with_compact_limit(Some(2048));
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -1,4 +1,4 @@
-//! Worker statuses, evidence of terminations, leases and failing machines.
+//! Worker statuses, evidence of terminations, leases, and attribution of failures.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
 
-/// A job that fails on several machines is to blame itself, until it succeeds
-/// anywhere; a machine is, where what failed on it succeeds elsewhere.
+/// A failure is attributed to the job if it has failed on several machines and succeeded on
+/// none. It is attributed to the machine if a job that failed there succeeds elsewhere.
 #[test]
 fn failures_are_attributed_to_the_job_or_the_machine() {
     use TaskOutcome::{Done, Failed, Lost};
-    type Ends = &'static [(&'static str, u64, TaskOutcome)];
-    let cases: [(Ends, u32, FailureAttribution); 8] = [
+    type Terminations = &'static [(&'static str, u64, TaskOutcome)];
+    let cases: [(Terminations, u32, FailureAttribution); 8] = [
         (&[("m", 1, Failed)], 1, FailureAttribution::Unknown),
-        // However many tasks of an attempt fail, the back-off counts one.
+        // Several failed tasks of one attempt count as one failure for the back-off.
         (
             &[("m", 1, Failed), ("m", 1, Failed)],
             1,
@@ -67,16 +67,16 @@
             FailureAttribution::Machine,
         ),
     ];
-    for (n, (ends, errors, whose)) in cases.into_iter().enumerate() {
+    for (n, (terminations, failure_count, attribution)) in cases.into_iter().enumerate() {
         let mut job = Job::new(job_spec(JobKind::Array, 9, 1.0), 1);
-        for (machine, attempt, outcome) in ends {
+        for (machine, attempt, outcome) in terminations {
             let task = job.take_unstarted_task().expect("waiting");
             job.book(machine, "a", *attempt, task);
             assert!(job.release(machine, *attempt, task, *outcome));
         }
         assert_eq!(
             (job.failure_count, attribute_failure(&job, "m")),
-            (errors, whose),
+            (failure_count, attribution),
             "case {n}"
         );
         let mut cancelled = job.clone();
@@ -89,22 +89,23 @@
     }
 }
 
-/// Safety 2 and 3: what a report proves, and what it does not.
+/// Safety 2 and 3: a status proves that a task has ended only if it is newer than the launch
+/// and carries the fencing token of this controller's claim.
 #[test]
 fn only_a_newer_status_with_the_fencing_token_proves_a_termination() {
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
     let done = json!([{"board":"job-1/0","try":1,"stage":"ended","cause":"done"}]);
     let none = json!([]);
-    type Edit = fn(&mut OwnedWorker);
-    let unchanged: Edit = |_| {};
-    let launched: Edit = |worker| {
+    type EditWorker = fn(&mut OwnedWorker);
+    let unchanged: EditWorker = |_| {};
+    let launched: EditWorker = |worker| {
         worker
             .launched_attempts
             .insert(TaskAttempt::new("job-1/0", 1));
     };
-    let cases: &[(&str, JobKind, u64, &serde_json::Value, Edit, &str)] = &[
+    let cases: &[(&str, JobKind, u64, &serde_json::Value, EditWorker, &str)] = &[
         (
-            "absent: launch",
+            "absent task: launch",
             JobKind::Array,
             5,
             &none,
@@ -120,7 +121,7 @@
             "launch",
         ),
         (
-            "absent gang task that was there: gone",
+            "absent gang task that was launched: lost",
             JobKind::Gang,
             5,
             &none,
@@ -128,7 +129,7 @@
             "end lost",
         ),
         (
-            "running: nothing",
+            "running task: no command",
             JobKind::Array,
             5,
             &running,
@@ -136,7 +137,7 @@
             "",
         ),
         (
-            "done: recorded first, not forgotten",
+            "ended task: recorded first, not forgotten",
             JobKind::Array,
             5,
             &done,
@@ -144,7 +145,7 @@
             "end done",
         ),
         (
-            "an older token proves nothing",
+            "older fencing token: no conclusion",
             JobKind::Gang,
             4,
             &none,
@@ -152,7 +153,7 @@
             "",
         ),
         (
-            "a call under way: no verdict",
+            "direct call in flight: no conclusion",
             JobKind::Gang,
             5,
             &none,
@@ -165,7 +166,7 @@
             "",
         ),
         (
-            "an unanswered launch may land late",
+            "unanswered launch that may be executed late: no conclusion",
             JobKind::Gang,
             5,
             &none,
@@ -178,7 +179,7 @@
             "",
         ),
         (
-            "nor is an end released meanwhile",
+            "unanswered launch: the termination is not recorded",
             JobKind::Array,
             5,
             &done,
@@ -186,7 +187,7 @@
             "",
         ),
         (
-            "a launch in a beat answer is on its way",
+            "launch in the answer to a heartbeat: no conclusion",
             JobKind::Array,
             5,
             &none,
@@ -196,7 +197,7 @@
             "",
         ),
         (
-            "the view has not reached the claim",
+            "replica older than the claim: no command",
             JobKind::Array,
             5,
             &none,
@@ -218,23 +219,23 @@
             Duration::from_secs(2),
             now,
         );
-        let mut got: Vec<String> = plan
+        let mut planned: Vec<String> = plan
             .commands
             .iter()
-            .map(|o| {
-                serde_json::to_value(o.action)
+            .map(|command| {
+                serde_json::to_value(command.action)
                     .expect("verb")
                     .as_str()
                     .unwrap_or("")
                     .to_string()
             })
             .collect();
-        got.extend(
+        planned.extend(
             plan.terminations
                 .iter()
-                .map(|t| format!("end {:?}", t.outcome).to_lowercase()),
+                .map(|termination| format!("end {:?}", termination.outcome).to_lowercase()),
         );
-        assert_eq!(got.join(" "), *expected, "{name}");
+        assert_eq!(planned.join(" "), *expected, "{name}");
     }
 }
 
@@ -244,8 +245,8 @@
     let now = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, now);
     owned_worker.accept_status(worker_status(7, 5, done), true);
-    let recorded = replica_with_booking(JobKind::Array, |j| {
-        j.release("m", 1, 0, TaskOutcome::Done);
+    let recorded = replica_with_booking(JobKind::Array, |job| {
+        job.release("m", 1, 0, TaskOutcome::Done);
     });
     let plan = |owned_worker: &OwnedWorker| {
         reconcile(
@@ -264,7 +265,7 @@
     owned_worker.has_unanswered_launch = true;
     assert!(
         plan(&owned_worker).commands.is_empty(),
-        "a late launch would start it again"
+        "a launch that is executed late would start the task again"
     );
 }
 
@@ -275,27 +276,27 @@
     assert!(owned_worker.accept_status(worker_status(7, 5, json!([])), true));
     assert!(
         !owned_worker.accept_status(worker_status(7, 5, json!([])), true),
-        "the same again"
+        "the same sequence number"
     );
     assert!(
         !owned_worker.accept_status(worker_status(6, 5, json!([])), true),
-        "late"
+        "an older sequence number"
     );
     assert!(
         !owned_worker.accept_status(worker_status(8, 4, json!([])), true),
-        "another token"
+        "another fencing token"
     );
     assert!(owned_worker.accept_status(worker_status(8, 5, json!([])), false));
 }
 
-/// A machine that was lost and claimed again: another controller may have
-/// launched the same attempt there in between, so that an end which waited in
-/// the queue since before proves nothing any more.
+/// While a machine was lost and then claimed again, another controller may have launched the
+/// same attempt on it. Evidence of a termination that was queued before that is no longer
+/// valid.
 #[test]
 fn termination_is_recorded_only_under_the_claim_that_proved_it() {
     let cases: &[(&str, u64, MachineLifecycle, u64, ReleaseOutcome)] = &[
         (
-            "the claim that stands",
+            "the present claim",
             5,
             MachineLifecycle::Active,
             1,
@@ -309,21 +310,21 @@
             ReleaseOutcome::Stale,
         ),
         (
-            "another run's claim",
+            "a claim of another incarnation",
             5,
             MachineLifecycle::Active,
             2,
             ReleaseOutcome::Stale,
         ),
         (
-            "the cloud's word",
+            "a machine that is gone according to the cloud",
             0,
             MachineLifecycle::Gone,
             2,
             ReleaseOutcome::Recorded,
         ),
     ];
-    for (name, fencing_token, lifecycle, incarnation, want) in cases {
+    for (name, fencing_token, lifecycle, incarnation, expected) in cases {
         let mut replica = replica_with_booking(JobKind::Array, |_| {});
         let mut machine = replica.machines["m"].value.clone();
         machine.lifecycle = *lifecycle;
@@ -344,16 +345,16 @@
             fencing_token: *fencing_token,
         };
         let mut transaction = Transaction::new(&replica, 12);
-        let got = transaction.release(&key, evidence, "n0", *incarnation);
-        assert_eq!(&got, want, "{name}");
-        // The commit depends on the machine's record, too.
+        let outcome_of_release = transaction.release(&key, evidence, "n0", *incarnation);
+        assert_eq!(&outcome_of_release, expected, "{name}");
+        // The machine's record is a precondition of the commit.
         let preconditions = transaction.into_commit().0;
-        let on_machine_shard = preconditions
+        let depends_on_machine = preconditions
             .iter()
-            .any(|g| g.key == machine_shard_key("a/n0.0"));
+            .any(|precondition| precondition.key == machine_shard_key("a/n0.0"));
         assert_eq!(
-            on_machine_shard,
-            *want == ReleaseOutcome::Recorded,
+            depends_on_machine,
+            *expected == ReleaseOutcome::Recorded,
             "{name}"
         );
     }
@@ -365,65 +366,68 @@
     let margin = Duration::from_secs(1);
     let start = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 9, start);
-    let late = start + Duration::from_secs(12);
+    let after_lease = start + Duration::from_secs(12);
     assert!(
-        !owned_worker.has_lease_expired(lease, margin, late),
-        "the token was never shown"
+        !owned_worker.has_lease_expired(lease, margin, after_lease),
+        "the worker has never shown the fencing token"
     );
     owned_worker.accept_status(worker_status(7, 5, json!([])), true);
-    assert!(owned_worker.has_lease_expired(lease, margin, late));
+    assert!(owned_worker.has_lease_expired(lease, margin, after_lease));
     assert!(
         !owned_worker.has_lease_expired(lease, margin, start + Duration::from_secs(11)),
-        "margin"
+        "the margin has not elapsed"
     );
     owned_worker.has_unanswered_launch = true;
     assert!(
-        !owned_worker.has_lease_expired(lease, margin, late),
-        "a launch may land late"
+        !owned_worker.has_lease_expired(lease, margin, after_lease),
+        "a launch may be executed late"
     );
     owned_worker.has_unanswered_launch = false;
     owned_worker.last_answered_at = start + Duration::from_secs(5);
     assert!(
-        !owned_worker.has_lease_expired(lease, margin, late),
-        "renewed since"
+        !owned_worker.has_lease_expired(lease, margin, after_lease),
+        "the lease has been renewed"
     );
 }
 
 #[test]
 fn staleness_limit_leaves_time_for_the_lease() {
-    let s = settings();
-    let w = &s.deployment.workers;
-    let total = s.staleness_limit().as_secs_f64() + w.lease_s * 1.0005;
-    assert!(total < w.cancel_s && total > w.cancel_s * 0.95, "{total}");
+    let settings = settings();
+    let workers = &settings.deployment.workers;
+    let total = settings.staleness_limit().as_secs_f64() + workers.lease_s * 1.0005;
+    assert!(
+        total < workers.cancel_s && total > workers.cancel_s * 0.95,
+        "{total}"
+    );
 }
 
-/// An owner that cannot give commands yet renews no lease where something has
-/// to end: a cancelled task would live on.
+/// An owner that cannot send commands yet does not renew the lease of a worker with a task
+/// that must be stopped: otherwise a cancelled task would keep running.
 #[test]
 fn lease_is_not_renewed_while_a_task_must_be_stopped() {
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
-    let other = json!([{"board":"job-9/0","try":1,"stage":"running"}]);
+    let unknown_task = json!([{"board":"job-9/0","try":1,"stage":"running"}]);
     let ended = json!([{"board":"job-9/0","try":1,"stage":"ended","cause":"done"}]);
-    let open = replica_with_booking(JobKind::Service, |_| {});
-    let over = replica_with_booking(JobKind::Service, Job::cancel);
+    let open_job = replica_with_booking(JobKind::Service, |_| {});
+    let cancelled_job = replica_with_booking(JobKind::Service, Job::cancel);
     for (replica, tasks, must_stop) in [
-        (&open, &running, false),
-        (&over, &running, true),
-        (&over, &json!([]), true),
-        (&open, &other, true),
-        (&open, &ended, false),
+        (&open_job, &running, false),
+        (&cancelled_job, &running, true),
+        (&cancelled_job, &json!([]), true),
+        (&open_job, &unknown_task, true),
+        (&open_job, &ended, false),
     ] {
-        let report = worker_status(3, 5, tasks.clone());
+        let status = worker_status(3, 5, tasks.clone());
         assert_eq!(
-            shelfhoist::workers::must_stop(&report, replica),
+            shelfhoist::workers::must_stop(&status, replica),
             must_stop,
             "{tasks}"
         );
     }
 }
 
-/// What renews a lease ends what is cancelled, by that very report: whatever was
-/// told before, under whatever token the report was made.
+/// An answer that renews a lease stops all cancelled tasks in the heartbeat's status, whatever
+/// was commanded before and whatever the status's fencing token is.
 #[test]
 fn every_heartbeat_answer_stops_cancelled_tasks() {
     let tasks = json!([
@@ -433,37 +437,41 @@
         {"board":"job-1/3","try":2,"stage":"ended","cause":"stopped"},
         {"board":"job-9/0","try":1,"stage":"running"},
     ]);
-    let open = replica_with_booking(JobKind::Service, |_| {});
-    let done = replica_with_booking(JobKind::Gang, |j| j.status = JobStatus::Done);
-    let over = replica_with_booking(JobKind::Service, Job::cancel);
+    let open_job = replica_with_booking(JobKind::Service, |_| {});
+    let done_job = replica_with_booking(JobKind::Gang, |job| job.status = JobStatus::Done);
+    let cancelled_job = replica_with_booking(JobKind::Service, Job::cancel);
     for fencing_token in [0, 5, 9] {
-        let report = worker_status(3, fencing_token, tasks.clone());
-        for replica in [&open, &done] {
-            assert_eq!(workers::stops_of_cancelled_tasks(&report, replica), vec![]);
+        let status = worker_status(3, fencing_token, tasks.clone());
+        for replica in [&open_job, &done_job] {
+            assert_eq!(workers::stops_of_cancelled_tasks(&status, replica), vec![]);
         }
-        let stops = workers::stops_of_cancelled_tasks(&report, &over);
-        let told: Vec<_> = stops
+        let stops = workers::stops_of_cancelled_tasks(&status, &cancelled_job);
+        let stopped: Vec<_> = stops
             .iter()
-            .map(|o| (o.action, &*o.task, o.attempt))
+            .map(|stop| (stop.action, &*stop.task, stop.attempt))
             .collect();
-        let all = ["job-1/0", "job-1/1", "job-1/2"].map(|t| (CommandAction::Stop, t, 1));
-        assert_eq!(told, all);
-        assert!(stops.iter().all(|o| o.grace_s == Some(0.0)));
+        let expected = ["job-1/0", "job-1/1", "job-1/2"].map(|task| (CommandAction::Stop, task, 1));
+        assert_eq!(stopped, expected);
+        assert!(stops.iter().all(|stop| stop.grace_s == Some(0.0)));
     }
 }
 
-/// Heartbeats that arrive while answers do not: an epoch that rises although its
-/// heartbeats were answered, or a fencing token that is not shown.
+/// A worker's heartbeats arrive but it receives no answers. This is detected by an epoch that
+/// increases although its heartbeats were answered, or by a fencing token that the worker
+/// does not show.
 #[test]
 fn worker_that_receives_no_answers_is_detected() {
     let lease = Duration::from_secs(10);
-    let at = |start: Instant, s: f64| start + Duration::from_secs_f64(s);
-    // (seconds, epoch, sequence, fencing token) and whether it is unreachable after that.
+    let time_after = |start: Instant, seconds: f64| start + Duration::from_secs_f64(seconds);
+    // Seconds, epoch, sequence, fencing token, whether the worker counts as unreachable.
     type HeartbeatCase = (f64, u64, u64, u64, bool);
     let cases: &[(&str, &[HeartbeatCase])] = &[
-        ("well", &[(1.0, 1, 1, 5, false), (12.0, 1, 12, 5, false)]),
         (
-            "deaf",
+            "reachable",
+            &[(1.0, 1, 1, 5, false), (12.0, 1, 12, 5, false)],
+        ),
+        (
+            "receives no answers",
             &[
                 (1.0, 1, 1, 5, false),
                 (9.0, 1, 9, 5, false),
@@ -471,11 +479,11 @@
             ],
         ),
         (
-            "silent, then back",
+            "silent for a time",
             &[(1.0, 1, 1, 5, false), (40.0, 2, 2, 5, false)],
         ),
         (
-            "hears again",
+            "receives answers again",
             &[
                 (1.0, 1, 1, 5, false),
                 (9.0, 1, 9, 5, false),
@@ -485,15 +493,17 @@
             ],
         ),
         (
-            "token not taken up",
+            "fencing token not accepted",
             &[(1.0, 1, 1, 4, false), (11.0, 1, 11, 4, true)],
         ),
     ];
-    for (name, beats) in cases {
+    for (name, heartbeats) in cases {
         let start = Instant::now();
         let mut owned_worker = OwnedWorker::new(5, 1, start);
-        for (n, (s, epoch, sequence, fencing_token, unreachable)) in beats.iter().enumerate() {
-            let now = at(start, *s);
+        for (n, (seconds, epoch, sequence, fencing_token, is_unreachable)) in
+            heartbeats.iter().enumerate()
+        {
+            let now = time_after(start, *seconds);
             let heartbeat = WorkerStatus {
                 epoch: *epoch,
                 ..worker_status(*sequence, *fencing_token, json!([]))
@@ -505,24 +515,28 @@
             owned_worker.last_answered_at = now;
             assert_eq!(
                 owned_worker.unreachable_since.is_some(),
-                *unreachable,
+                *is_unreachable,
                 "{name} {n}"
             );
-            // The same again, or an older one, is a late copy.
+            // A heartbeat with the same sequence number is a late copy.
             assert!(
-                !owned_worker.record_heartbeat(&heartbeat, lease, at(start, s + 500.0)),
+                !owned_worker.record_heartbeat(
+                    &heartbeat,
+                    lease,
+                    time_after(start, seconds + 500.0)
+                ),
                 "{name} {n}"
             );
             assert_eq!(
                 owned_worker.last_message_at, now,
-                "{name} {n}: a copy kept it alive"
+                "{name} {n}: a late copy counted as a message"
             );
         }
     }
 }
 
-/// A worker that answers commands but sends no heartbeat has no lease: its epoch
-/// rises again and again, and what is started there ends each time.
+/// A worker that answers direct calls but whose heartbeats do not arrive has no lease: its
+/// epoch increases repeatedly, and tasks that are launched on it are ended each time.
 #[test]
 fn worker_that_sends_no_heartbeats_is_detected() {
     let lease = Duration::from_secs(10);
@@ -530,32 +544,40 @@
     let mut owned_worker = OwnedWorker::new(5, 1, start);
     // Seconds, epoch, sequence, whether it is a heartbeat, whether the worker counts as
     // unreachable.
-    for (s, epoch, sequence, is_heartbeat, unreachable) in [
+    for (seconds, epoch, sequence, is_heartbeat, is_unreachable) in [
         (1.0, 1, 1, true, false),
         (5.0, 1, 2, false, false),
         (9.0, 1, 3, false, false),
         (11.5, 2, 4, false, true),
         (16.0, 2, 5, false, true),
         (22.0, 3, 6, false, true),
-        // It reaches us again; one whole lease has to pass in one epoch.
+        // Heartbeats arrive again. The worker counts as reachable once it has stayed in one
+        // epoch for a whole lease.
         (25.0, 4, 7, true, true),
         (31.0, 4, 8, true, true),
         (38.0, 4, 9, true, false),
     ] {
-        let now = start + Duration::from_secs_f64(s);
-        let report = WorkerStatus {
+        let now = start + Duration::from_secs_f64(seconds);
+        let status = WorkerStatus {
             epoch,
             ..worker_status(sequence, 5, json!([]))
         };
         match is_heartbeat {
-            true => assert!(owned_worker.record_heartbeat(&report, lease, now), "{s}"),
-            false => owned_worker.observe_status(&report, lease, now),
+            true => assert!(
+                owned_worker.record_heartbeat(&status, lease, now),
+                "{seconds}"
+            ),
+            false => owned_worker.observe_status(&status, lease, now),
         }
         owned_worker.last_answered_at = if is_heartbeat {
             now
         } else {
             owned_worker.last_answered_at
         };
-        assert_eq!(owned_worker.unreachable_since.is_some(), unreachable, "{s}");
+        assert_eq!(
+            owned_worker.unreachable_since.is_some(),
+            is_unreachable,
+            "{seconds}"
+        );
     }
 }
