--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -243,7 +243,7 @@
     let bytes = serde_json::to_vec(spec).map_or(0, |text| text.len());
     let dependency_bytes = spec.dependencies_bytes();
     let max_bytes = settings.value_limit_bytes();
-    let exceeds_limit = if settings.limits_will_fall() {
+    let exceeds_limit = if settings.limits_will_decrease() {
         // The state service will lower its limits: reject a job whose record could then
         // not be written, or not hold even one running task or gang.
         let waiting = bytes + RECORD_OVERHEAD_BYTES;
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -97,15 +97,15 @@
         };
         shape.state["rps"] = json!(rps);
         let settings: Settings = shape.settings(0);
-        let (limit, lease) = (settings.launch_limit(), settings.worker_lease());
+        let (limit, lease) = (settings.max_launch_staleness(), settings.worker_lease());
         let gap = secs(4.0 * shape.controllers as f64 / rps);
-        let interval = settings.barrier_pause() + gap;
+        let interval = settings.idle_barrier_interval() + gap;
         let case = format!("{lease_s} {cancel_s} {rps}: {limit:?}");
         assert!(limit <= lease / 4, "{case}");
         assert!(limit >= lease / 16, "{case}");
         assert!(limit >= (interval * 2).min(lease / 4), "{case}");
         assert!(limit <= (interval * 2).max(lease / 16), "{case}");
-        assert!(settings.barrier_pause() <= settings.staleness_limit() / 20);
+        assert!(settings.idle_barrier_interval() <= settings.staleness_limit() / 20);
     }
 }
 
@@ -229,7 +229,7 @@
             .await;
             let world = case.world;
             sleep(secs(12.0)).await;
-            let limit = world.shape.settings(0).launch_limit();
+            let limit = world.shape.settings(0).max_launch_staleness();
             let late_starts: Vec<_> = world.starts_after_cancel.borrow().clone();
             let too_late: Vec<_> = late_starts
                 .iter()
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -113,7 +113,7 @@
             settings.value_limit_bytes(),
             settings.txn_ops(),
             rates,
-            settings.limits_will_fall(),
+            settings.limits_will_decrease(),
         )
     };
     let present = (8192, 12, (90.0, 90.0, 200.0), false);
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -115,7 +115,7 @@
         (
             enabled.path(),
             &slash_in_team,
-            "with shares on, needs no slash",
+            "with shares enabled, must have at most 90 bytes and no slash",
         ),
     ] {
         let output = run(&["--features-file", features, "--config", settings.path()]);
