--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -202,7 +202,8 @@
 fn is_logged(key: &str) -> bool {
     let bytes = LOGGED.with_borrow(Clone::clone);
     let text = String::from_utf8_lossy(&bytes);
-    let is_unreadable_record = |line: &str| line.contains("record cannot be decoded") && line.contains(key);
+    let is_unreadable_record =
+        |line: &str| line.contains("record cannot be decoded") && line.contains(key);
     text.lines().any(is_unreadable_record)
 }
 
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -124,18 +124,20 @@
 /// again within seconds, so their machines must be kept.
 #[test]
 fn single_controller_keeps_its_machines_after_a_freeze() {
-    Scenario::new(50).single_controller().run(|world| async move {
-        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-        world.until(&service, "running", 100).await;
-        sleep(Duration::from_secs(20)).await;
-        let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
-        world.freeze(0, true);
-        sleep(Duration::from_secs(26)).await;
-        world.freeze(0, false);
-        sleep(Duration::from_secs(20)).await;
-        let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
-        assert_eq!(before, after);
-        assert_eq!(world.running(&service), 4);
-        world.assert_kept();
-    });
+    Scenario::new(50)
+        .single_controller()
+        .run(|world| async move {
+            let service = world.submit(job(1, "daemon", 4, 0.0)).await;
+            world.until(&service, "running", 100).await;
+            sleep(Duration::from_secs(20)).await;
+            let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
+            world.freeze(0, true);
+            sleep(Duration::from_secs(26)).await;
+            world.freeze(0, false);
+            sleep(Duration::from_secs(20)).await;
+            let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
+            assert_eq!(before, after);
+            assert_eq!(world.running(&service), 4);
+            world.assert_kept();
+        });
 }
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -12,7 +12,7 @@
 use crate::checker::Checker;
 use crate::program::{Controller, TemporaryFile, run};
 use crate::setup::{granted_cpus, secs, shape};
-use crate::stand_ins::{Shape, World, controller, run_in_real_time, job};
+use crate::stand_ins::{Shape, World, controller, job, run_in_real_time};
 
 /// Time limit of each wait, long enough on a machine that is busy with other work.
 const WAIT_LIMIT: Duration = Duration::from_secs(240);
