--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -14,32 +14,32 @@
 /// A controller that can be paused while its clocks keep running, like a suspended
 /// process.
 struct PausableController {
-    set: LocalSet,
-    frozen: watch::Sender<bool>,
+    task_set: LocalSet,
+    paused: watch::Sender<bool>,
 }
 
 impl Future for PausableController {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if *self.frozen.borrow() {
+        if *self.paused.borrow() {
             // The sender that ends the pause wakes this future.
-            let mut pause = self.frozen.subscribe();
+            let mut pause = self.paused.subscribe();
             let waker = cx.waker().clone();
             spawn_local(async move {
-                let _ = pause.wait_for(|is_frozen| !is_frozen).await;
+                let _ = pause.wait_for(|is_paused| !is_paused).await;
                 waker.wake();
             });
             return Poll::Pending;
         }
-        Pin::new(&mut self.set).poll(cx)
+        Pin::new(&mut self.task_set).poll(cx)
     }
 }
 
 impl World {
-    /// Pauses a controller while its clocks keep running, or resumes it if `frozen` is
+    /// Pauses a controller while its clocks keep running, or resumes it if `paused` is
     /// false.
-    pub fn freeze(&self, i: usize, frozen: bool) {
-        self.frozen[i].send_replace(frozen);
+    pub fn freeze(&self, i: usize, paused: bool) {
+        self.paused[i].send_replace(paused);
     }
 
     /// Starts a controller as a new process would start: without any state in memory.
@@ -58,12 +58,13 @@
         let controller = Controller::new(shape.settings(i), net, seed);
         // The controller has a task set of its own, so that every task that it spawns ends
         // with it.
-        let set = LocalSet::new();
-        set.spawn_local(async move {
+        let task_set = LocalSet::new();
+        task_set.spawn_local(async move {
             let _ = shelfhoist::daemon::run(controller).await;
         });
-        let frozen = self.frozen[i].clone();
-        self.controllers.borrow_mut()[i] = Some(spawn_local(PausableController { set, frozen }));
+        let paused = self.paused[i].clone();
+        self.controllers.borrow_mut()[i] =
+            Some(spawn_local(PausableController { task_set, paused }));
     }
 
     /// Ends a controller without a shutdown; connections to it are refused afterwards.
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -102,12 +102,12 @@
 /// A recorder of frames. It records nothing until [`begin`](Self::begin) is called, since
 /// most tests do not read the frames.
 #[derive(Debug, Default)]
-pub struct FrameRecord {
+pub struct FrameRecorder {
     began: Cell<Option<Instant>>,
     frames: RefCell<Vec<Frame>>,
 }
 
-impl FrameRecord {
+impl FrameRecorder {
     /// Starts the recording.
     pub fn begin(&self) {
         self.began.set(Some(Instant::now()));
@@ -149,26 +149,30 @@
     /// recorded.
     pub(super) fn recorded_handler(
         &self,
-        at: SocketAddrV4,
+        stand_in: SocketAddrV4,
         handler: impl Fn(Request) -> ResponseFuture + 'static,
     ) -> impl Fn(Request) -> ResponseFuture + 'static {
         let frames = self.frames.clone();
         move |request| {
             let request_line = format!("{} {}?{}", request.method, request.path, request.query);
-            frames.push(at, &format!("request {request_line}"), &request.body);
+            frames.push(stand_in, &format!("request {request_line}"), &request.body);
             let (frames, pending) = (frames.clone(), handler(request));
             Box::pin(async move {
                 let response = pending.await;
-                frames.record_response(at, &request_line, &response);
+                frames.record_response(stand_in, &request_line, &response);
                 response
             })
         }
     }
 
-    /// Returns an HTTP client for the stand-in with address `at` that records its calls.
-    pub(super) fn recorded_client(&self, at: SocketAddrV4, max_idle: Duration) -> RecordedClient {
-        let client = Client::new(self.net(at), max_idle);
-        RecordedClient::new(client, at, self.frames.clone())
+    /// Returns an HTTP client for the stand-in with address `stand_in` that records its calls.
+    pub(super) fn recorded_client(
+        &self,
+        stand_in: SocketAddrV4,
+        max_idle: Duration,
+    ) -> RecordedClient {
+        let client = Client::new(self.net(stand_in), max_idle);
+        RecordedClient::new(client, stand_in, self.frames.clone())
     }
 }
 
@@ -176,14 +180,18 @@
 /// responses.
 pub(super) struct RecordedClient {
     client: Client,
-    at: SocketAddrV4,
-    frames: Rc<FrameRecord>,
+    stand_in: SocketAddrV4,
+    frames: Rc<FrameRecorder>,
 }
 
 impl RecordedClient {
-    /// Returns a client that records its calls in `frames`, at the address `at`.
-    pub(super) fn new(client: Client, at: SocketAddrV4, frames: Rc<FrameRecord>) -> Self {
-        RecordedClient { client, at, frames }
+    /// Returns a client that records its calls in `frames`, at the address `stand_in`.
+    pub(super) fn new(client: Client, stand_in: SocketAddrV4, frames: Rc<FrameRecorder>) -> Self {
+        RecordedClient {
+            client,
+            stand_in,
+            frames,
+        }
     }
 
     /// Sends a request like [`Client::call`], and records it with its response.
@@ -198,15 +206,15 @@
         let request_line = format!("{method} {path} of {to}");
         let sent = body.as_deref().unwrap_or_default();
         self.frames
-            .push(self.at, &format!("request {request_line}"), sent);
+            .push(self.stand_in, &format!("request {request_line}"), sent);
         let result = self.client.call(to, method, path, body, limit).await;
         match &result {
             Ok(response) => self
                 .frames
-                .record_response(self.at, &request_line, response),
+                .record_response(self.stand_in, &request_line, response),
             Err(_) => {
                 let head = format!("no answer to {request_line}");
-                self.frames.push(self.at, &head, &[]);
+                self.frames.push(self.stand_in, &head, &[]);
             }
         }
         result
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::cloud::CloudRateLimit;
-use super::frames::{FrameRecord, RecordedClient};
+use super::frames::{FrameRecorder, RecordedClient};
 use super::rules::{JobPolls, JobResponses};
 use super::state_service::{State, StateLimits};
 use super::worker::Worker;
@@ -230,11 +230,11 @@
     /// Task of each controller, none after it was killed.
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
     /// Pause flag of each controller.
-    pub(super) frozen: Vec<watch::Sender<bool>>,
+    pub(super) paused: Vec<watch::Sender<bool>>,
     /// HTTP client of the users.
     pub(super) client: RecordedClient,
     /// Recorder of the frames between the controllers and the stand-ins.
-    pub frames: Rc<FrameRecord>,
+    pub frames: Rc<FrameRecorder>,
     pub(super) seed: u64,
     /// Values of the feature flag `shares` that replace the deployment's value, by the index
     /// of the controller.
@@ -280,7 +280,7 @@
     /// Returns a deployment none of whose parts is started.
     fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
         let fabric = Rc::new(Fabric::default());
-        let frames = Rc::new(FrameRecord::default());
+        let frames = Rc::new(FrameRecorder::default());
         let users = Client::new(shape.net(&fabric, addr(USERS)), Duration::from_secs(1));
         Rc::new(World {
             fabric,
@@ -304,7 +304,7 @@
             failed_boot_zone: Cell::new(None),
             next: RefCell::default(),
             controllers: RefCell::new((0..shape.controllers).map(|_| None).collect()),
-            frozen: (0..shape.controllers)
+            paused: (0..shape.controllers)
                 .map(|_| watch::Sender::new(false))
                 .collect(),
             shape,
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Serves a watch: waits for events under a prefix and returns them.
+    /// Serves a watch: waits for a revision after `after`, up to `block_ms`, and returns all
+    /// events since, regardless of the prefix.
     pub(super) async fn watch(&self, i: usize, query: &str) -> Response {
         let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
         let after = number("after").unwrap_or(0);
