--- a/tests/fleet/deployments.rs
+++ b/tests/fleet/deployments.rs
@@ -2,11 +2,11 @@
 
 use serde_json::json;
 
-use crate::stand_ins::Shape;
+use crate::stand_ins::DeploymentOptions;
 
 /// Returns a deployment with five controllers in three zones and 1,905 machines.
-pub fn five_controller_deployment() -> Shape {
-    Shape {
+pub fn five_controller_deployment() -> DeploymentOptions {
+    DeploymentOptions {
         controllers: 5,
         locations: vec!["a", "b", "c", "a", "b"],
         zones: vec!["a", "b", "c"],
@@ -27,8 +27,8 @@
 }
 
 /// Returns a deployment with three controllers in two zones and 1,295 machines.
-pub fn three_controller_deployment() -> Shape {
-    Shape {
+pub fn three_controller_deployment() -> DeploymentOptions {
+    DeploymentOptions {
         controllers: 3,
         locations: vec!["a", "a", "b"],
         zones: vec!["a", "b"],
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::deployments::{five_controller_deployment, teams, three_controller_deployment};
-use crate::stand_ins::{Shape, StateLimits, World, in_world, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, StateLimits, in_world, job};
 
 const MACHINES: usize = 4000;
 
@@ -27,22 +27,22 @@
 
 /// Returns a deployment with 4,000 machines and the limits of `five_controller_deployment`,
 /// which has fewer sockets than there are workers.
-fn five_controllers_with_layout(layout: Layout) -> Shape {
+fn five_controllers_with_layout(layout: Layout) -> DeploymentOptions {
     with_layout(five_controller_deployment(), layout)
 }
 
 /// Returns a deployment with 4,000 machines, the limits of `three_controller_deployment` and
 /// the smallest number of sockets of any deployment.
-fn three_controllers_with_layout(layout: Layout) -> Shape {
-    Shape {
+fn three_controllers_with_layout(layout: Layout) -> DeploymentOptions {
+    DeploymentOptions {
         sockets: 900,
         ..with_layout(three_controller_deployment(), layout)
     }
 }
 
 /// Returns the deployment with 4,000 machines in this layout.
-fn with_layout(deployment: Shape, layout: Layout) -> Shape {
-    Shape {
+fn with_layout(deployment: DeploymentOptions, layout: Layout) -> DeploymentOptions {
+    DeploymentOptions {
         controllers: layout.locations.len(),
         locations: layout.locations,
         zones: vec!["a", "b", "c"],
@@ -62,7 +62,7 @@
 }
 
 /// Reads the machines from the stored records.
-fn read_recorded_machines(world: &World) -> RecordedMachines {
+fn read_recorded_machines(world: &Simulation) -> RecordedMachines {
     let mut recorded = RecordedMachines {
         claimed: BTreeSet::new(),
         listed: BTreeSet::new(),
@@ -83,7 +83,7 @@
 }
 
 /// Waits until every machine is claimed and listed.
-async fn wait_until_all_claimed_and_listed(world: &World, limit_s: f64, after: &str) {
+async fn wait_until_all_claimed_and_listed(world: &Simulation, limit_s: f64, after: &str) {
     let start = Instant::now();
     loop {
         let names: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
@@ -105,7 +105,12 @@
 
 /// Submits one task for each machine, waits until every machine has run a task, and returns
 /// the ids of the jobs.
-async fn submit_work_for_all(world: &World, wave: u32, limit_s: f64, after: &str) -> Vec<String> {
+async fn submit_work_for_all(
+    world: &Simulation,
+    wave: u32,
+    limit_s: f64,
+    after: &str,
+) -> Vec<String> {
     let machines = world.workers.borrow().len();
     let mut ids = Vec::new();
     for number in 0..machines.div_ceil(TASKS_PER_JOB) {
@@ -138,7 +143,7 @@
 }
 
 /// Waits until every job is done. The jobs are queried at the controllers in turn.
-async fn wait_until_all_done(world: &World, ids: &[String], limit_s: f64) {
+async fn wait_until_all_done(world: &Simulation, ids: &[String], limit_s: f64) {
     let start = Instant::now();
     for (number, id) in ids.iter().enumerate() {
         let controller = number % world.shape.controllers;
@@ -151,7 +156,7 @@
 
 /// Asserts that the state service and the cloud refused nothing for its size: values, commits,
 /// keys and requests to the cloud.
-fn assert_within_limits(world: &World) {
+fn assert_within_limits(world: &Simulation) {
     let beyond = world.state.beyond.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
     let refused = world.refused_cloud_requests.borrow().clone();
@@ -160,18 +165,18 @@
 
 /// Starts the deployment, lets one controller take over all machines, loses a fifth of the
 /// machines and restarts all controllers.
-fn run_all_stages(shape: Shape) {
+fn run_all_stages(shape: DeploymentOptions) {
     run_all_stages_with_limits(shape, None);
 }
 
 /// Does the same, and puts `reduced_limits` into force once all machines are claimed and
 /// listed.
-fn run_all_stages_with_limits(shape: Shape, reduced_limits: Option<StateLimits>) {
+fn run_all_stages_with_limits(shape: DeploymentOptions, reduced_limits: Option<StateLimits>) {
     in_world(|| async move {
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
-        let world = World::of(31, shape).await;
+        let world = Simulation::of(31, shape).await;
         wait_until_all_claimed_and_listed(&world, lease_s * 3.0, "a start").await;
         if let Some(limits) = reduced_limits {
             world.state.limits.set(limits);
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -7,10 +7,10 @@
 use tokio::time::{Instant, sleep};
 
 use crate::deployments::{five_controller_deployment, three_controller_deployment};
-use crate::stand_ins::{Shape, Trouble, World, in_world, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, StateFault, in_world, job};
 
 /// Submits jobs of each kind. The number of the wave keeps their ids distinct.
-async fn submit(world: &World, wave: u32) -> Vec<String> {
+async fn submit(world: &Simulation, wave: u32) -> Vec<String> {
     let teams = world.shape.teams.len() as u32;
     let mut ids = Vec::new();
     for number in 0..12 {
@@ -27,7 +27,7 @@
 
 /// Waits until every controller reports that each accepted service runs with all its replicas
 /// and that every other job is done.
-async fn wait_until_running_or_done(world: &World, ids: &[String], limit_s: f64, after: &str) {
+async fn wait_until_running_or_done(world: &Simulation, ids: &[String], limit_s: f64, after: &str) {
     let start = Instant::now();
     let mut unfinished: Vec<(usize, &String)> = Vec::new();
     for controller in 0..world.shape.controllers {
@@ -59,12 +59,12 @@
 
 /// Starts the deployment, causes failures of controllers, machines, zones and the state
 /// service one after another, and then cancels every service twice.
-fn run_mass_failures(shape: Shape) {
+fn run_mass_failures(shape: DeploymentOptions) {
     in_world(|| async move {
         let lease_s = shape.lease_s;
         let controllers = shape.controllers;
         let seconds = Duration::from_secs_f64;
-        let world = World::of(21, shape).await;
+        let world = Simulation::of(21, shape).await;
         let mut ids = submit(&world, 1).await;
         wait_until_running_or_done(&world, &ids, lease_s * 4.0, "a start").await;
 
@@ -123,13 +123,13 @@
 
         // The state service is down for longer than a lease. In the middle of the outage one
         // controller freezes and another restarts immediately.
-        world.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(StateFault::Outage);
         sleep(seconds(lease_s * 0.6)).await;
         world.freeze(0, true);
         world.kill(1);
         world.start(1);
         sleep(seconds(lease_s * 0.6)).await;
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
         sleep(seconds(lease_s * 0.6)).await;
         world.freeze(0, false);
         ids.extend(submit(&world, 5).await);
@@ -165,7 +165,7 @@
 }
 
 /// Submits one job to this controller and returns its id.
-async fn submit_to(world: &World, controller: usize, wave: u32) -> Vec<String> {
+async fn submit_to(world: &Simulation, controller: usize, wave: u32) -> Vec<String> {
     let mut request = job(wave * 100, "batch", 60, 10.0);
     request["crew"] = json!("t1");
     world.remember(&request);
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -25,7 +25,9 @@
 use std::time::Duration;
 
 use serde_json::json;
-use stand_ins::{CONTROLLERS, Frames, Shape, Trouble, World, after, in_world, job};
+use stand_ins::{
+    CONTROLLERS, DeploymentOptions, Frames, Simulation, StateFault, after, in_world, job,
+};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -42,7 +44,7 @@
 
 /// Submits batch and gang jobs of both teams, some of which depend on earlier ones, and
 /// cancels every seventh.
-async fn submit_jobs(world: Rc<World>) {
+async fn submit_jobs(world: Rc<Simulation>) {
     let mut ids: Vec<String> = Vec::new();
     for number in 1..=JOB_COUNT {
         let kind = ["batch", "gang"][number as usize % 2];
@@ -62,7 +64,7 @@
 }
 
 /// Polls a job at one controller after another, every 5 s as users do.
-async fn poll_job(world: Rc<World>, id: String) {
+async fn poll_job(world: Rc<Simulation>, id: String) {
     for i in (0..CONTROLLERS).cycle() {
         world.stage(i, &id).await;
         sleep(seconds(5.0)).await;
@@ -70,7 +72,7 @@
 }
 
 /// Injects one fault after another, and removes each.
-async fn inject_faults(world: &Rc<World>) {
+async fn inject_faults(world: &Rc<Simulation>) {
     sleep(seconds(15.0)).await;
     inject_state_faults(world).await;
     restart_controllers(world).await;
@@ -79,16 +81,16 @@
 }
 
 /// Makes the state service lose responses, apply commits late, be unavailable and slow.
-async fn inject_state_faults(world: &Rc<World>) {
-    for trouble in [Trouble::LoseAnswers, Trouble::Late] {
+async fn inject_state_faults(world: &Rc<Simulation>) {
+    for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
         world.state.trouble.set(trouble);
         world.state.troubled.set(4);
         sleep(seconds(6.0)).await;
         world.state.troubled.set(0);
     }
-    world.state.trouble.set(Trouble::Down);
+    world.state.trouble.set(StateFault::Outage);
     sleep(seconds(15.0)).await;
-    world.state.trouble.set(Trouble::None);
+    world.state.trouble.set(StateFault::None);
     world.state.troubles.borrow_mut().late = 0.2;
     world.state.troubles.borrow_mut().unanswered = 0.2;
     world.state.troubles.borrow_mut().slow = seconds(0.2);
@@ -99,7 +101,7 @@
 
 /// Kills and restarts each controller in turn. The first is down for longer than the worker
 /// leases last.
-async fn restart_controllers(world: &Rc<World>) {
+async fn restart_controllers(world: &Rc<Simulation>) {
     for i in 0..CONTROLLERS {
         world.kill(i);
         let downtime_s = if i == 0 { 1.5 } else { 0.5 } * world.shape.lease_s;
@@ -111,7 +113,7 @@
 
 /// Cuts one controller off from its peers and then another from everything, and delivers
 /// duplicate heartbeats late.
-async fn inject_network_faults(world: &Rc<World>) {
+async fn inject_network_faults(world: &Rc<Simulation>) {
     world.copied.set(0.3);
     world.cut_peers(1, true);
     sleep(seconds(8.0)).await;
@@ -125,7 +127,7 @@
 }
 
 /// Loses one busy machine, and makes another hang for longer than its lease lasts.
-async fn inject_worker_faults(world: &Rc<World>) {
+async fn inject_worker_faults(world: &Rc<Simulation>) {
     let busy = world.busy();
     if let Some(worker) = busy.first() {
         world.lose(worker.name());
@@ -140,7 +142,7 @@
 fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
     in_world(|| async {
-        let world = World::of(seed, Shape::default()).await;
+        let world = Simulation::of(seed, DeploymentOptions::default()).await;
         world.frames.begin();
         spawn_local(submit_jobs(world.clone()));
         inject_faults(&world).await;
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -14,7 +14,7 @@
 use shelfhoist::settings::Settings;
 use shelfhoist::wire::{CommandAction, WorkerCommand};
 use shelfhoist::workers::WorkerPlan;
-use stand_ins::{Shape, World, addr, in_world, job};
+use stand_ins::{DeploymentOptions, Simulation, addr, in_world, job};
 use tokio::time::{Instant, sleep};
 
 fn secs(s: f64) -> Duration {
@@ -90,10 +90,10 @@
         (10.0, 11.5, 150.0),
         (10.0, 30.0, 10.0),
     ] {
-        let mut shape = Shape {
+        let mut shape = DeploymentOptions {
             lease_s,
             cancel_s,
-            ..Shape::default()
+            ..DeploymentOptions::default()
         };
         shape.state["rps"] = json!(rps);
         let settings: Settings = shape.settings(0);
@@ -164,7 +164,7 @@
 /// again. Shortly before, the state service refuses only the owner, and some jobs are
 /// cancelled at another controller.
 struct RefusedOwner {
-    world: Rc<World>,
+    world: Rc<Simulation>,
     owner: usize,
     /// Jobs that were cancelled at another controller.
     cancelled: Vec<String>,
@@ -183,7 +183,7 @@
     // Longer than the lease, but shorter than the time after which the owner may treat
     // the lease as expired.
     const HANG_S: f64 = 10.3;
-    let world = World::new(seed).await;
+    let world = Simulation::new(seed).await;
     let mut ids = Vec::new();
     for number in 0..4 {
         ids.push(world.submit(job(number + 1, "batch", 1, 300.0)).await);
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -9,7 +9,7 @@
     LIMIT_BYTES, deployment, lower_limits, oversized_records, restart_with_upcoming_limits,
     submit_largest_jobs, upcoming_limits, wait_until_formats_recorded, wait_until_jobs_progress,
 };
-use crate::stand_ins::{StateLimits, Trouble, World, in_world, job};
+use crate::stand_ins::{Simulation, StateFault, StateLimits, in_world, job};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{FORMATS_KEY, job_key};
 
@@ -20,9 +20,9 @@
 /// continue, further jobs start and end, and nothing is sent that the state service would
 /// refuse. With `trouble`, some commits of the compaction are applied late, or their
 /// responses are lost.
-fn lower_limits_around_compaction(delay: Option<Duration>, trouble: Trouble) {
+fn lower_limits_around_compaction(delay: Option<Duration>, trouble: StateFault) {
     in_world(|| async move {
-        let world = World::of(31, deployment()).await;
+        let world = Simulation::of(31, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
         let cancelled_job = world.submit(job(5, "batch", 300, 500.0)).await;
@@ -79,17 +79,17 @@
 
 #[test]
 fn limits_are_lowered_before_compaction() {
-    lower_limits_around_compaction(None, Trouble::None);
+    lower_limits_around_compaction(None, StateFault::None);
 }
 
 #[test]
 fn limits_are_lowered_during_compaction() {
-    lower_limits_around_compaction(Some(Duration::from_secs(2)), Trouble::None);
+    lower_limits_around_compaction(Some(Duration::from_secs(2)), StateFault::None);
 }
 
 #[test]
 fn limits_are_lowered_after_compaction() {
-    lower_limits_around_compaction(Some(Duration::from_secs(40)), Trouble::None);
+    lower_limits_around_compaction(Some(Duration::from_secs(40)), StateFault::None);
 }
 
 /// The upcoming limits may be absent or partial. An upcoming limit of a size applies from the
@@ -160,7 +160,7 @@
 #[test]
 fn one_controller_takes_over_every_machine_at_the_lower_rate() {
     in_world(|| async move {
-        let world = World::of(32, deployment()).await;
+        let world = Simulation::of(32, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         restart_with_upcoming_limits(&world).await;
         wait_until_formats_recorded(&world).await;
@@ -193,7 +193,7 @@
     in_world(|| async move {
         let mut shape = deployment();
         shape.machines = 45;
-        let world = World::of(33, shape).await;
+        let world = Simulation::of(33, shape).await;
         sleep(Duration::from_secs(15)).await;
         let mut request = job(1, "batch", 1800, 15.0);
         for field in ["blueprint", "lot"] {
@@ -229,12 +229,12 @@
 
 #[test]
 fn limits_are_lowered_after_late_compaction_commits() {
-    lower_limits_around_compaction(Some(Duration::from_secs(30)), Trouble::Late);
+    lower_limits_around_compaction(Some(Duration::from_secs(30)), StateFault::LateCommits);
 }
 
 #[test]
 fn limits_are_lowered_after_lost_compaction_responses() {
-    lower_limits_around_compaction(Some(Duration::from_secs(30)), Trouble::LoseAnswers);
+    lower_limits_around_compaction(Some(Duration::from_secs(30)), StateFault::LostResponses);
 }
 
 /// Controllers write at the present rate until refusals show that the lower rate is in force.
@@ -246,7 +246,7 @@
         let mut shape = deployment();
         shape.machines = 60;
         shape.state["next"] = json!({"write_rps": 12.0});
-        let world = World::of(34, shape).await;
+        let world = Simulation::of(34, shape).await;
         sleep(Duration::from_secs(15)).await;
         world.state.limits.set(StateLimits {
             write_rps: 12.0,
@@ -286,7 +286,7 @@
 fn controllers_are_upgraded_one_after_another() {
     for seed in [51, 52] {
         in_world(|| async move {
-            let world = World::of(seed, deployment()).await;
+            let world = Simulation::of(seed, deployment()).await;
             world.state.older.borrow_mut().extend(0..3);
             sleep(Duration::from_secs(15)).await;
             let first_jobs = submit_largest_jobs(&world, 1, 600).await;
@@ -355,7 +355,7 @@
 #[test]
 fn oversized_accepted_batch_is_completed_and_deleted() {
     in_world(|| async {
-        let world = World::of(53, deployment()).await;
+        let world = Simulation::of(53, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let mut batch = AcceptedBatch {
             accepted_revision: 1,
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{Shape, StateLimits, World, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, StateLimits, job};
 use shelfhoist::scheduler::TaskPlacement;
 use shelfhoist::state::keys::{FORMATS_KEY, machine_shard_key, zone_shard_key};
 use shelfhoist::state::replica::Replica;
@@ -159,13 +159,13 @@
 // --- a deployment ------------------------------------------------------------------
 
 /// Returns a deployment with 160 machines under the present limits, 8 KiB for each record.
-pub fn deployment() -> Shape {
-    Shape {
+pub fn deployment() -> DeploymentOptions {
+    DeploymentOptions {
         teams: vec![("t".into(), 4000.0, 6000.0)],
         state: json!({"rps": 200.0, "write_rps": 90.0, "value_kb": 8.0, "txn_ops": 12}),
         machines: 160,
         ready_s: 3600.0,
-        ..Shape::default()
+        ..DeploymentOptions::default()
     }
 }
 
@@ -175,7 +175,7 @@
 }
 
 /// Puts the lower limits into force.
-pub fn lower_limits(world: &World) {
+pub fn lower_limits(world: &Simulation) {
     world.state.limits.set(StateLimits {
         txn_ops: 4,
         value_limit_bytes: LIMIT_BYTES,
@@ -187,7 +187,7 @@
 /// Stops all controllers, resets the record of formats, and starts the controllers one after
 /// another with settings that name the upcoming limits. Only after the last start is it
 /// recorded that all controllers read the new formats.
-pub async fn restart_with_upcoming_limits(world: &Rc<World>) {
+pub async fn restart_with_upcoming_limits(world: &Rc<Simulation>) {
     for i in 0..world.shape.controllers {
         world.kill(i);
     }
@@ -200,7 +200,7 @@
 }
 
 /// Waits until it is recorded that all controllers read the new formats.
-pub async fn wait_until_formats_recorded(world: &World) {
+pub async fn wait_until_formats_recorded(world: &Simulation) {
     let start = Instant::now();
     loop {
         let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
@@ -214,7 +214,7 @@
 
 /// Submits a gang, a service and an array of the largest sizes and returns their ids in this
 /// order.
-pub async fn submit_largest_jobs(world: &World, wave: u32, array: u32) -> [String; 3] {
+pub async fn submit_largest_jobs(world: &Simulation, wave: u32, array: u32) -> [String; 3] {
     let mut gang = job(wave * 10, "gang", 8, 20.0);
     gang["same_place"] = json!(true);
     gang["vcpus"] = json!(6.0);
@@ -229,7 +229,7 @@
 }
 
 /// Waits until the gang and the array are done and all 16 replicas of the service run.
-pub async fn wait_until_jobs_progress(world: &World, [gang, service, array]: &[String; 3]) {
+pub async fn wait_until_jobs_progress(world: &Simulation, [gang, service, array]: &[String; 3]) {
     world.until(gang, "done", 200).await;
     world.until(array, "done", 400).await;
     let start = Instant::now();
@@ -241,7 +241,7 @@
 
 /// Returns the records above the lower limit with their sizes in bytes, without accepted
 /// batches.
-pub fn oversized_records(world: &World) -> Vec<(String, usize)> {
+pub fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
     let mut records = world.state.sizes("sh/");
     records.retain(|(key, n)| *n > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -4,7 +4,7 @@
 use tokio::time::sleep;
 
 use crate::scenario::{cancel, heal_and_check, secs, start_long_jobs};
-use crate::stand_ins::{Scenario, Trouble, job};
+use crate::stand_ins::{Scenario, StateFault, job};
 
 /// Checks that no rule is broken when all controllers are down for about a lease or
 /// longer. They then start one by one, copies of old reports arrive, and a user cancels a
@@ -100,9 +100,9 @@
                 sleep(secs(1.0)).await;
             }
             if outage {
-                world.state.trouble.set(Trouble::Down);
+                world.state.trouble.set(StateFault::Outage);
                 sleep(secs(world.shape.cancel_s + 5.0)).await;
-                world.state.trouble.set(Trouble::None);
+                world.state.trouble.set(StateFault::None);
             }
             sleep(secs(partition_s)).await;
             for id in &ids {
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::scenario::{cancel, heal_and_check, job_with_run_times, secs};
-use crate::stand_ins::{Scenario, StateTroubles, Trouble, Worker, World, job};
+use crate::stand_ins::{Scenario, Simulation, StateFault, StateFaultOptions, Worker, job};
 
 /// A fault that a test injects. The leader is the controller that owns the most
 /// machines.
@@ -65,7 +65,7 @@
 /// One injection of a fault: the controller and the workers that it affects, and
 /// its duration.
 struct Injection {
-    world: Rc<World>,
+    world: Rc<Simulation>,
     leader: usize,
     /// Workers that run at least one task.
     busy_workers: Vec<Rc<Worker>>,
@@ -77,7 +77,7 @@
 }
 
 impl Injection {
-    fn new(world: Rc<World>, duration: Duration, variant: usize) -> Self {
+    fn new(world: Rc<Simulation>, duration: Duration, variant: usize) -> Self {
         let busy_workers = world.busy();
         let affected = busy_workers
             .iter()
@@ -166,14 +166,14 @@
 
 // Faults of the state service.
 impl Injection {
-    fn modify_state_faults(&self, change: impl Fn(&mut StateTroubles)) {
+    fn modify_state_faults(&self, change: impl Fn(&mut StateFaultOptions)) {
         change(&mut self.world.state.troubles.borrow_mut());
     }
 
     async fn interrupt_state_service(&self) {
-        self.world.state.trouble.set(Trouble::Down);
+        self.world.state.trouble.set(StateFault::Outage);
         sleep(self.duration.mul_f64([1.0, 3.0][self.variant % 2])).await;
-        self.world.state.trouble.set(Trouble::None);
+        self.world.state.trouble.set(StateFault::None);
     }
 }
 
@@ -304,7 +304,7 @@
             .to_string()
     }
 
-    async fn send_requests(self, world: Rc<World>) {
+    async fn send_requests(self, world: Rc<Simulation>) {
         let id = world.submit(self.job).await;
         if self.queries_immediately {
             world.look_closely(&id).await;
@@ -318,7 +318,7 @@
 }
 
 /// Starts both faults, the second up to four seconds after the first.
-fn start_both(world: &Rc<World>, rng: &mut SmallRng, faults: [Fault; 2]) {
+fn start_both(world: &Rc<Simulation>, rng: &mut SmallRng, faults: [Fault; 2]) {
     for (fault, after) in faults.into_iter().zip([0.0, rng.random_range(0.0..4.0)]) {
         let duration = secs(rng.random_range(1.0..14.0));
         let (world, variant) = (world.clone(), rng.random_range(0..6));
@@ -332,7 +332,7 @@
 
 /// Injects the two faults twice while users submit, cancel and query jobs, with
 /// teams at their limits.
-async fn run_fault_pair(world: Rc<World>, seed: u64, faults: [Fault; 2]) {
+async fn run_fault_pair(world: Rc<Simulation>, seed: u64, faults: [Fault; 2]) {
     let mut rng = SmallRng::seed_from_u64(seed);
     world.copied.set(0.05);
     let mut ids = Vec::new();
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 use crate::scenario::{cancel, heal_and_check, job_with_run_times, secs, start_long_jobs};
-use crate::stand_ins::{Scenario, StateTroubles, Trouble, World, job};
+use crate::stand_ins::{Scenario, Simulation, StateFault, StateFaultOptions, job};
 
 /// Faults that accompany the changes of the leader.
 #[derive(Clone, Copy, Default)]
@@ -105,17 +105,17 @@
     }
 }
 
-async fn run_leader_changes(world: &Rc<World>, case: FaultCase, name: &str) {
+async fn run_leader_changes(world: &Rc<Simulation>, case: FaultCase, name: &str) {
     let mut ids = start_long_jobs(world, 1, 6).await;
     let mut uncancelled: Vec<String> = ids.clone();
     world
         .copied
         .set(if case.late_report_copies { 0.2 } else { 0.0 });
-    world.state.troubles.replace(StateTroubles {
+    world.state.troubles.replace(StateFaultOptions {
         late: case.late_commits,
         unanswered: case.unanswered,
         slow: secs(case.slow_s),
-        ..StateTroubles::default()
+        ..StateFaultOptions::default()
     });
     for change in 0..10u32 {
         let leader = world.busiest();
@@ -144,7 +144,7 @@
 
 /// Delays the commands to all busy workers; one of them also hangs, or its messages
 /// are blocked in one direction.
-fn disturb_workers(world: &Rc<World>, case: FaultCase, change: u32) {
+fn disturb_workers(world: &Rc<Simulation>, case: FaultCase, change: u32) {
     let busy_workers = world.busy();
     for worker in &busy_workers {
         worker.orders_held.set(secs(case.commands_delayed_s));
@@ -162,7 +162,7 @@
     }
 }
 
-async fn submit_job(world: &Rc<World>, case: FaultCase, change: u32) -> String {
+async fn submit_job(world: &Rc<Simulation>, case: FaultCase, change: u32) -> String {
     let kind = ["batch", "gang", "daemon"][change as usize % 3];
     let id = world.submit(job(20 + change, kind, 2, 12.0)).await;
     if case.queries_immediately {
@@ -173,10 +173,10 @@
 
 /// Restarts the leader, kills it, freezes it, or lets the state service refuse it, in
 /// turn; some of the changes happen during an outage of the state service.
-async fn stop_leader(world: &Rc<World>, case: FaultCase, change: u32, leader: usize) {
+async fn stop_leader(world: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
-        world.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(StateFault::Outage);
     }
     match change % 4 {
         0 => {
@@ -191,11 +191,11 @@
     }
     if outage {
         sleep(secs(3.0)).await;
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
     }
 }
 
-fn restore_leader(world: &Rc<World>, change: u32, leader: usize) {
+fn restore_leader(world: &Rc<Simulation>, change: u32, leader: usize) {
     world.state.troubles.borrow_mut().refused.clear();
     match change % 4 {
         1 => world.start(leader),
@@ -204,7 +204,7 @@
     }
 }
 
-async fn cancel_all(world: &Rc<World>, case: FaultCase, leader: usize, ids: &[String]) {
+async fn cancel_all(world: &Rc<Simulation>, case: FaultCase, leader: usize, ids: &[String]) {
     for id in ids {
         cancel(world, Some(leader), id).await;
         if case.queries_immediately && world.is_cancelled(id) {
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -5,7 +5,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::scenario::{cancel, heal_and_check, secs, start_long_jobs};
-use crate::stand_ins::{Scenario, StateTroubles, Trouble, World};
+use crate::stand_ins::{Scenario, Simulation, StateFault, StateFaultOptions};
 
 /// Faults that accompany the refusal and the outage.
 #[derive(Clone, Copy, Default)]
@@ -174,7 +174,7 @@
 
 /// Lets the state service refuse the leader, cancels jobs at another controller, and
 /// then makes the state service unavailable to all.
-async fn refuse_leader_before_outage(world: &Rc<World>, case: FaultCase, ids: &[String]) {
+async fn refuse_leader_before_outage(world: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
     let leader = world.busiest();
     let busy_workers = world.busy();
     for worker in busy_workers.iter().take(case.unreachable_workers) {
@@ -203,20 +203,20 @@
     }
 }
 
-async fn begin_refusal(world: &Rc<World>, leader: usize, case: FaultCase) {
+async fn begin_refusal(world: &Rc<Simulation>, leader: usize, case: FaultCase) {
     if case.slow_leader_s > 0.0 {
-        world.state.troubles.replace(StateTroubles {
+        world.state.troubles.replace(StateFaultOptions {
             slow: secs(case.slow_leader_s),
             slow_to: [leader].into(),
-            ..StateTroubles::default()
+            ..StateFaultOptions::default()
         });
         sleep(secs(4.0)).await;
     }
-    world.state.troubles.replace(StateTroubles {
+    world.state.troubles.replace(StateFaultOptions {
         refused: [leader].into(),
         late: case.late_commits,
         slow: secs(case.slow_s),
-        ..StateTroubles::default()
+        ..StateFaultOptions::default()
     });
     if case.peers_partitioned {
         world.cut_peers(leader, true);
@@ -225,7 +225,7 @@
 }
 
 async fn cancel_at_other_controllers(
-    world: &Rc<World>,
+    world: &Rc<Simulation>,
     leader: usize,
     case: FaultCase,
     ids: &[String],
@@ -243,8 +243,8 @@
 
 /// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
 /// freezes the leader meanwhile if the case includes that.
-async fn run_outage(world: &Rc<World>, leader: usize, case: FaultCase) {
-    world.state.trouble.set(Trouble::Down);
+async fn run_outage(world: &Rc<Simulation>, leader: usize, case: FaultCase) {
+    world.state.trouble.set(StateFault::Outage);
     let start = Instant::now();
     if let Some(after) = case.leader_restarts_s {
         sleep(secs(after)).await;
@@ -258,9 +258,9 @@
     }
     if case.short_recovery {
         sleep(secs(5.0)).await;
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
         sleep(secs(0.4)).await;
-        world.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(StateFault::Outage);
     }
     let total = secs(world.shape.cancel_s * 2.0 + 4.0);
     sleep(total.saturating_sub(start.elapsed())).await;
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::scenario::{cancel, heal_and_check, secs};
-use crate::stand_ins::{Scenario, StateTroubles, Worker, World, job};
+use crate::stand_ins::{Scenario, Simulation, StateFaultOptions, Worker, job};
 
 /// Checks that no team exceeds its limit. Every team is at its limit and has more jobs in
 /// the queue; jobs are cancelled while their machines hang or are unreachable, and the
@@ -32,7 +32,7 @@
     }
 }
 
-async fn run_at_limits(world: &Rc<World>, fault: &str, variant: u64) {
+async fn run_at_limits(world: &Rc<Simulation>, fault: &str, variant: u64) {
     let mut ids = Vec::new();
     for n in 0..16u32 {
         let kind = ["batch", "gang", "daemon", "batch"][n as usize % 4];
@@ -115,11 +115,11 @@
             let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + variant);
             scenario.boot_s(0.8).run(|world| async move {
                 let mut ids = vec![world.submit(job(1, "batch", 1, 1.0)).await];
-                world.state.troubles.replace(StateTroubles {
+                world.state.troubles.replace(StateFaultOptions {
                     late,
                     unanswered,
                     slow: secs(slow_s),
-                    ..StateTroubles::default()
+                    ..StateFaultOptions::default()
                 });
                 for round in 0..4u32 {
                     for n in 0..3 {
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use crate::scenario::{cancel, heal_and_check, secs};
-use crate::stand_ins::{Scenario, StateTroubles, World, job};
+use crate::stand_ins::{Scenario, Simulation, StateFaultOptions, job};
 
 /// Checks that no answer is older than an earlier one. Users query all controllers and
 /// repeat the submission within milliseconds after a job was accepted, completed or
@@ -32,11 +32,11 @@
             Scenario::with_large_teams(800 + 10 * n as u64 + variant).run(|world| async move {
                 let mut ids = vec![world.submit(job(1, "batch", 2, 1.0)).await];
                 world.until(&ids[0], "done", 60).await;
-                world.state.troubles.replace(StateTroubles {
+                world.state.troubles.replace(StateFaultOptions {
                     unanswered,
                     late,
                     slow: secs(slow_s),
-                    ..StateTroubles::default()
+                    ..StateFaultOptions::default()
                 });
                 for n in 0..12u32 {
                     let kind = ["batch", "gang", "daemon"][n as usize % 3];
@@ -131,7 +131,7 @@
 }
 
 /// Returns the status of a submission, which is retried while it is 503.
-async fn submission_status(world: &Rc<World>, i: usize, body: &Value) -> u16 {
+async fn submission_status(world: &Rc<Simulation>, i: usize, body: &Value) -> u16 {
     for _ in 0..20 {
         let (status, _) = world.ask(i, "POST", "/submissions", Some(body)).await;
         if status != 503 {
@@ -144,7 +144,7 @@
 
 /// Asserts that a query and a cancellation of jobs that nobody submitted are answered
 /// 404, or 503 while the controller cannot determine whether the job exists.
-async fn assert_unknown_jobs_are_not_found(world: &Rc<World>, i: usize) {
+async fn assert_unknown_jobs_are_not_found(world: &Rc<Simulation>, i: usize) {
     let (status, _) = world.ask(i, "GET", "/submissions/job-000050", None).await;
     assert!([404, 503].contains(&status), "{status}");
     let path = "/submissions/job-000051/withdraw";
@@ -172,11 +172,11 @@
             world.until(&finished, "done", 60).await;
             let running = world.submit(job(2, "batch", 2, 300.0)).await;
             world.until(&running, "running", 60).await;
-            world.state.troubles.replace(StateTroubles {
+            world.state.troubles.replace(StateFaultOptions {
                 slow: secs(slow_s),
                 unanswered,
                 refused: refused.then_some(1).into_iter().collect(),
-                ..StateTroubles::default()
+                ..StateFaultOptions::default()
             });
             for (body, expected) in rejected_submissions() {
                 for i in 0..world.shape.controllers {
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{World, job};
+use crate::stand_ins::{Simulation, job};
 
 pub fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
@@ -15,7 +15,7 @@
 
 /// Sends the cancellation to one controller after another, except `excluded`, until
 /// one of them answers it; returns the job's stage in that answer.
-pub async fn cancel(world: &Rc<World>, excluded: Option<usize>, id: &str) -> Option<String> {
+pub async fn cancel(world: &Rc<Simulation>, excluded: Option<usize>, id: &str) -> Option<String> {
     for attempt in 0..30 {
         let i = attempt % world.shape.controllers;
         if Some(i) == excluded {
@@ -32,7 +32,7 @@
 /// Ends all faults, then asserts that each job that was not cancelled runs or is done
 /// within 90 s, that every controller answers queries for all jobs, and that no rule
 /// was broken.
-pub async fn heal_and_check(world: &Rc<World>, case: &str, ids: &[String]) {
+pub async fn heal_and_check(world: &Rc<Simulation>, case: &str, ids: &[String]) {
     world.heal();
     let start = Instant::now();
     loop {
@@ -74,7 +74,7 @@
 }
 
 /// Submits long-running jobs of all kinds and waits until they run.
-pub async fn start_long_jobs(world: &Rc<World>, first_number: u32, count: u32) -> Vec<String> {
+pub async fn start_long_jobs(world: &Rc<Simulation>, first_number: u32, count: u32) -> Vec<String> {
     let mut ids = Vec::new();
     for number in first_number..first_number + count {
         let (kind, tasks) = [("daemon", 2), ("batch", 3), ("gang", 2)][number as usize % 3];
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -11,11 +11,14 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, controller, in_world, job, state_addr};
+use stand_ins::{
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, after, controller, in_world, job,
+    state_addr,
+};
 use tokio::time::{Instant, sleep};
 
 /// Sends a submission to one controller, without a retry.
-async fn submit_once(world: &World, i: usize, body: &Value) -> (u16, Value) {
+async fn submit_once(world: &Simulation, i: usize, body: &Value) -> (u16, Value) {
     world.ask(i, "POST", "/submissions", Some(body)).await
 }
 
@@ -41,7 +44,7 @@
 
 /// Waits until the controllers accept jobs with dependencies, which they do once every
 /// controller is known to read the newer formats.
-async fn wait_for_upgrade(world: &World) {
+async fn wait_for_upgrade(world: &Simulation) {
     let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = after(job(900_001, "batch", 1, 0.5), &[&first]);
     world.submit(probe).await;
@@ -50,12 +53,12 @@
 #[test]
 fn chains_and_diamonds_of_jobs_run_in_order() {
     for (seed, trouble) in [
-        (1, Trouble::None),
-        (2, Trouble::LoseAnswers),
-        (3, Trouble::Late),
+        (1, StateFault::None),
+        (2, StateFault::LostResponses),
+        (3, StateFault::LateCommits),
     ] {
         in_world(|| async move {
-            let world = World::new(seed).await;
+            let world = Simulation::new(seed).await;
             wait_for_upgrade(&world).await;
             world.state.trouble.set(trouble);
             let disturb_next_commits = || world.state.troubled.set(3);
@@ -93,7 +96,7 @@
 #[test]
 fn dependent_may_be_submitted_at_another_controller_immediately() {
     in_world(|| async {
-        let world = World::new(4).await;
+        let world = Simulation::new(4).await;
         wait_for_upgrade(&world).await;
         for n in 0..12u32 {
             let (first_controller, second_controller) =
@@ -123,7 +126,7 @@
 #[test]
 fn unknown_and_malformed_dependencies_are_rejected() {
     in_world(|| async {
-        let world = World::new(5).await;
+        let world = Simulation::new(5).await;
         wait_for_upgrade(&world).await;
         let known = world.submit(job(1, "batch", 1, 1.0)).await;
         let cases = [
@@ -162,7 +165,7 @@
 #[test]
 fn long_dependency_lists_are_rejected_or_run() {
     in_world(|| async {
-        let world = World::new(6).await;
+        let world = Simulation::new(6).await;
         wait_for_upgrade(&world).await;
         // This job uses all of the team's limit, so that no other job runs meanwhile.
         let first = world.submit(job(1, "gang", 6, 60.0)).await;
@@ -216,7 +219,7 @@
         (24, 3, true),
     ] {
         in_world(|| async move {
-            let world = World::new(seed).await;
+            let world = Simulation::new(seed).await;
             wait_for_upgrade(&world).await;
             let mut ids: Vec<String> = Vec::new();
             for n in 0..5 {
@@ -292,7 +295,7 @@
 fn cancellation_races_with_the_last_task() {
     for n in 0..10u64 {
         in_world(|| async move {
-            let world = World::new(40 + n).await;
+            let world = Simulation::new(40 + n).await;
             wait_for_upgrade(&world).await;
             let first = world.submit(job(1, "batch", 1, 5.0)).await;
             let second = world
@@ -330,7 +333,7 @@
 #[test]
 fn finished_jobs_may_be_dependencies() {
     in_world(|| async {
-        let world = World::new(60).await;
+        let world = Simulation::new(60).await;
         wait_for_upgrade(&world).await;
         let done = world.submit(job(1, "batch", 1, 1.0)).await;
         let cancelled = world.submit(job(2, "batch", 1, 300.0)).await;
@@ -370,7 +373,7 @@
 #[test]
 fn waiting_job_uses_no_resources() {
     in_world(|| async {
-        let world = World::new(61).await;
+        let world = Simulation::new(61).await;
         wait_for_upgrade(&world).await;
         let first = world.submit(job(1, "batch", 1, 90.0)).await;
         // This job needs all of the team's limit, and waits.
@@ -402,12 +405,12 @@
 #[test]
 fn machines_are_rented_shortly_before_a_job_becomes_ready() {
     in_world(|| async {
-        let mut shape = Shape {
+        let mut shape = DeploymentOptions {
             ready_s: 20.0,
-            ..Shape::default()
+            ..DeploymentOptions::default()
         };
         shape.teams[0] = ("t".into(), 40.0, 80.0);
-        let world = World::of(63, shape).await;
+        let world = Simulation::of(63, shape).await;
         wait_for_upgrade(&world).await;
         let long = world.submit(job(1, "batch", 1, 60.0)).await;
         let short = world
@@ -442,7 +445,7 @@
 #[test]
 fn dependencies_are_refused_until_all_controllers_are_upgraded() {
     in_world(|| async {
-        let world = World::new(62).await;
+        let world = Simulation::new(62).await;
         world.kill(2);
         world.state.write("sh/node/n2", &json!({"h": "n2", "i": 5}));
         let first = world.submit(job(1, "batch", 1, 200.0)).await;
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -13,7 +13,9 @@
 use serde_json::{Value, json};
 use shelfhoist::http::{Client, Response};
 use shelfhoist::net::Net;
-use stand_ins::{CONTROLLERS, Shape, Trouble, World, addr, after, controller, in_world, job};
+use stand_ins::{
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, addr, after, controller, in_world, job,
+};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -37,7 +39,7 @@
 impl Request {
     /// Sends the request to a controller; returns the answer and the response time. A
     /// submission is of a new job; queries and cancellations concern the job `existing`.
-    async fn send(self, world: &World, i: usize, existing: &str) -> (Response, Duration) {
+    async fn send(self, world: &Simulation, i: usize, existing: &str) -> (Response, Duration) {
         let user = Net::Simulated(world.fabric.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
@@ -66,10 +68,10 @@
 }
 
 impl Refusal {
-    fn begin(self, world: &World) {
+    fn begin(self, world: &Simulation) {
         match self {
-            Refusal::Outage => world.state.trouble.set(Trouble::Down),
-            Refusal::Commits => world.state.trouble.set(Trouble::NoCommits),
+            Refusal::Outage => world.state.trouble.set(StateFault::Outage),
+            Refusal::Commits => world.state.trouble.set(StateFault::CommitsRefused),
             Refusal::OneController => {
                 world.state.troubles.borrow_mut().refused.insert(0);
             }
@@ -86,7 +88,7 @@
         for request in REQUESTS {
             for later_s in [0.0, 1.0, 20.0] {
                 in_world(|| async move {
-                    let world = World::new(300 + n as u64).await;
+                    let world = Simulation::new(300 + n as u64).await;
                     let existing = world.submit(job(1, "batch", 1, 300.0)).await;
                     world.until(&existing, "running", 60).await;
                     refusal.begin(&world);
@@ -115,14 +117,22 @@
 #[test]
 fn wait_for_an_unanswered_commit_is_limited() {
     let cases = [
-        (Trouble::LoseAnswers, Request::Submission, &[200, 201][..]),
-        (Trouble::LoseAnswers, Request::Cancellation, &[200]),
-        (Trouble::Late, Request::Submission, &[200, 201, 503]),
-        (Trouble::Late, Request::Cancellation, &[200, 503]),
+        (
+            StateFault::LostResponses,
+            Request::Submission,
+            &[200, 201][..],
+        ),
+        (StateFault::LostResponses, Request::Cancellation, &[200]),
+        (
+            StateFault::LateCommits,
+            Request::Submission,
+            &[200, 201, 503],
+        ),
+        (StateFault::LateCommits, Request::Cancellation, &[200, 503]),
     ];
     for (n, (trouble, request, expected)) in cases.into_iter().enumerate() {
         in_world(|| async move {
-            let world = World::new(320 + n as u64).await;
+            let world = Simulation::new(320 + n as u64).await;
             let existing = world.submit(job(1, "batch", 1, 300.0)).await;
             world.until(&existing, "running", 60).await;
             world.state.trouble.set(trouble);
@@ -145,7 +155,7 @@
     for request in REQUESTS {
         for slow_s in [0.9, 1.2, 5.0] {
             in_world(|| async move {
-                let world = World::new(340).await;
+                let world = Simulation::new(340).await;
                 let existing = world.submit(job(1, "batch", 1, 300.0)).await;
                 world.until(&existing, "running", 60).await;
                 world.state.troubles.borrow_mut().slow = Duration::from_secs_f64(slow_s);
@@ -208,7 +218,7 @@
 }
 
 /// Asserts that new jobs run until they are done, and that every controller reports so.
-async fn assert_new_jobs_complete(world: &Rc<World>, first_number: u32, case: &str) {
+async fn assert_new_jobs_complete(world: &Rc<Simulation>, first_number: u32, case: &str) {
     let mut ids = Vec::new();
     for n in first_number..first_number + CONTROLLERS as u32 {
         let mut submission = job(n, ["batch", "gang"][n as usize % 2], 2, 2.0);
@@ -257,7 +267,7 @@
             .clone();
         start_log();
         in_world(|| async move {
-            let world = World::new(360 + n as u64).await;
+            let world = Simulation::new(360 + n as u64).await;
             assert_new_jobs_complete(&world, 100, key).await;
             let long = world.submit(job(1, "batch", 1, 600.0)).await;
             world.until(&long, "running", 60).await;
@@ -296,7 +306,7 @@
 #[test]
 fn unreadable_job_is_reported_neither_as_unknown_nor_in_a_stage() {
     in_world(|| async {
-        let world = World::new(400).await;
+        let world = Simulation::new(400).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let first = world.submit(job(1, "batch", 1, 300.0)).await;
         let dependent = world
@@ -362,7 +372,7 @@
 #[test]
 fn one_unreadable_new_job_does_not_affect_the_others() {
     in_world(|| async {
-        let world = World::new(410).await;
+        let world = Simulation::new(410).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let (readable, unreadable) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
         let spec = shelfhoist::api::read_submission(readable.to_string().as_bytes());
@@ -397,7 +407,7 @@
 #[test]
 fn dependency_lists_are_parsed_as_the_protocol_defines() {
     in_world(|| async {
-        let world = World::new(420).await;
+        let world = Simulation::new(420).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let mut other = job(1, "gang", 1, 300.0);
         other["crew"] = json!("u");
@@ -469,7 +479,7 @@
     .enumerate()
     {
         in_world(|| async move {
-            let world = World::new(430 + n as u64).await;
+            let world = Simulation::new(430 + n as u64).await;
             assert_new_jobs_complete(&world, 100, "before the fault").await;
             {
                 let mut troubles = world.state.troubles.borrow_mut();
@@ -524,7 +534,7 @@
 #[test]
 fn dependency_lists_must_fit_the_next_record_limits() {
     in_world(|| async {
-        let world = World::new(440).await;
+        let world = Simulation::new(440).await;
         *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
         for i in 0..CONTROLLERS {
             world.kill(i);
@@ -572,11 +582,11 @@
 #[test]
 fn wait_for_the_write_budget_is_limited() {
     in_world(|| async {
-        let shape = Shape {
+        let shape = DeploymentOptions {
             state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
-            ..Shape::default()
+            ..DeploymentOptions::default()
         };
-        let world = World::of(450, shape).await;
+        let world = Simulation::of(450, shape).await;
         let mut ids = Vec::new();
         for n in 0..40 {
             ids.push(world.submit(job(1 + n, "batch", 1, 900.0)).await);
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -15,7 +15,7 @@
 use shelfhoist::state::records::{Job, JobSpec, JobStatus};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::Event;
-use stand_ins::{CONTROLLERS, Shape, Trouble, World, after, in_world, job};
+use stand_ins::{CONTROLLERS, DeploymentOptions, Simulation, StateFault, after, in_world, job};
 use tokio::time::{Instant, sleep};
 
 fn secs(s: f64) -> Duration {
@@ -23,17 +23,17 @@
 }
 
 /// Returns a deployment whose teams have large limits.
-fn large_teams() -> Shape {
+fn large_teams() -> DeploymentOptions {
     let teams = [("t", 64.0), ("u", 64.0)];
-    Shape {
+    DeploymentOptions {
         teams: teams.map(|(name, cpus)| (name.into(), cpus, cpus)).to_vec(),
-        ..Shape::default()
+        ..DeploymentOptions::default()
     }
 }
 
 /// Waits until the controllers accept jobs with dependencies, which they do once every
 /// controller is known to read the newer formats.
-async fn wait_for_upgrade(world: &World) {
+async fn wait_for_upgrade(world: &Simulation) {
     let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = after(job(900_001, "batch", 1, 0.5), &[&first]);
     world.submit(probe).await;
@@ -41,7 +41,7 @@
 
 /// Submits a chain of four jobs of both kinds and teams, and a fifth job that depends on
 /// the second and the third; the first job runs for `first_s` seconds. Returns their ids.
-async fn submit_pipeline(world: &World, first_s: f64) -> Vec<String> {
+async fn submit_pipeline(world: &Simulation, first_s: f64) -> Vec<String> {
     let mut ids = vec![world.submit(job(1, "batch", 3, first_s)).await];
     for (n, kind) in [(2, "gang"), (3, "batch"), (4, "gang")] {
         let mut submission = after(job(n, kind, 2, 2.0), &[&ids[ids.len() - 1]]);
@@ -84,20 +84,20 @@
 
 impl Fault {
     /// Injects the fault and waits until it is over.
-    async fn inject(self, world: &Rc<World>, refused_controller: usize) {
+    async fn inject(self, world: &Rc<Simulation>, refused_controller: usize) {
         let longer_than_cancel = secs(world.shape.cancel_s * 1.3);
         match self {
             Fault::LostAnswers | Fault::LateCommits => {
                 world.state.trouble.set(match self {
-                    Fault::LostAnswers => Trouble::LoseAnswers,
-                    _ => Trouble::Late,
+                    Fault::LostAnswers => StateFault::LostResponses,
+                    _ => StateFault::LateCommits,
                 });
                 for _ in 0..5 {
                     world.state.troubled.set(2);
                     sleep(secs(2.0)).await;
                 }
                 world.state.troubled.set(0);
-                world.state.trouble.set(Trouble::None);
+                world.state.trouble.set(StateFault::None);
             }
             Fault::MixedAnswers => {
                 world.state.troubles.borrow_mut().late = 0.2;
@@ -120,9 +120,9 @@
                 }
             }
             Fault::LongOutage => {
-                world.state.trouble.set(Trouble::Down);
+                world.state.trouble.set(StateFault::Outage);
                 sleep(longer_than_cancel).await;
-                world.state.trouble.set(Trouble::None);
+                world.state.trouble.set(StateFault::None);
             }
             Fault::OneRefused => {
                 world
@@ -140,7 +140,7 @@
 
 /// Polls every job at every controller, as users do, until the task is aborted. The
 /// stand-ins check the answers.
-async fn keep_polling(world: Rc<World>, ids: Vec<String>) {
+async fn keep_polling(world: Rc<Simulation>, ids: Vec<String>) {
     loop {
         for id in &ids {
             for i in 0..CONTROLLERS {
@@ -156,7 +156,7 @@
     for (n, fault) in FAULTS.into_iter().enumerate() {
         for delay_s in [0.5, 4.0] {
             in_world(|| async move {
-                let world = World::of(500 + n as u64, large_teams()).await;
+                let world = Simulation::of(500 + n as u64, large_teams()).await;
                 wait_for_upgrade(&world).await;
                 world.copied.set(0.3);
                 let ids = submit_pipeline(&world, 5.0).await;
@@ -188,7 +188,7 @@
         for depth in 0..4 {
             in_world(|| async move {
                 let case = format!("{fault:?}, depth {depth}");
-                let world = World::of(540 + (n * 4 + depth) as u64, large_teams()).await;
+                let world = Simulation::of(540 + (n * 4 + depth) as u64, large_teams()).await;
                 wait_for_upgrade(&world).await;
                 world.copied.set(0.3);
                 let ids = submit_pipeline(&world, 40.0).await;
@@ -257,7 +257,7 @@
         .enumerate()
     {
         in_world(|| async move {
-            let world = World::of(600 + n as u64, large_teams()).await;
+            let world = Simulation::of(600 + n as u64, large_teams()).await;
             wait_for_upgrade(&world).await;
             let first = world.submit(job(1, "batch", 1, 2.0)).await;
             let next = world.submit(after(job(2, "gang", 2, 8.0), &[&first])).await;
@@ -288,7 +288,7 @@
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     in_world(|| async {
-        let world = World::of(620, large_teams()).await;
+        let world = Simulation::of(620, large_teams()).await;
         wait_for_upgrade(&world).await;
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
         world.until(&service, "running", 60).await;
@@ -321,11 +321,11 @@
 #[test]
 fn waiting_job_preempts_no_other_job() {
     in_world(|| async {
-        let shape = Shape {
+        let shape = DeploymentOptions {
             teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 8.0, 64.0)],
-            ..Shape::default()
+            ..DeploymentOptions::default()
         };
-        let world = World::of(630, shape).await;
+        let world = Simulation::of(630, shape).await;
         wait_for_upgrade(&world).await;
         let mut first = job(1, "batch", 1, 60.0);
         first["crew"] = json!("u");
@@ -364,11 +364,11 @@
 fn waiting_time_counts_from_readiness() {
     for restarts in [false, true] {
         in_world(|| async move {
-            let shape = Shape {
+            let shape = DeploymentOptions {
                 teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 2.0, 2.0)],
-                ..Shape::default()
+                ..DeploymentOptions::default()
             };
-            let world = World::of(640, shape).await;
+            let world = Simulation::of(640, shape).await;
             wait_for_upgrade(&world).await;
             let mut blocker = job(1, "batch", 1, 160.0);
             blocker["crew"] = json!("u");
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::stand_ins::{Rule, ScriptedController, Shape, World, in_world, job};
+use crate::stand_ins::{DeploymentOptions, Rule, ScriptedController, Simulation, in_world, job};
 
 /// ID of the first job.
 pub const FIRST: &str = "job-000001";
@@ -67,7 +67,7 @@
 }
 
 /// Performs the steps of a history in their order.
-pub async fn run_steps(world: &Rc<World>, controller: &ScriptedController, steps: Vec<Step>) {
+pub async fn run_steps(world: &Rc<Simulation>, controller: &ScriptedController, steps: Vec<Step>) {
     for step in steps {
         match step {
             Submit(job) => submit(world, controller, &job, 201).await,
@@ -96,7 +96,12 @@
 }
 
 /// Submits a job, which gets a response with this status.
-pub async fn submit(world: &Rc<World>, controller: &ScriptedController, job: &Value, status: u16) {
+pub async fn submit(
+    world: &Rc<Simulation>,
+    controller: &ScriptedController,
+    job: &Value,
+    status: u16,
+) {
     world.remember(job);
     controller.queue_response(status, "queued");
     world.ask(0, "POST", "/submissions", Some(job)).await;
@@ -104,7 +109,7 @@
 
 /// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
 pub async fn poll_repeatedly(
-    world: &Rc<World>,
+    world: &Rc<Simulation>,
     controller: &ScriptedController,
     seconds: f64,
     jobs: &[(&str, u16)],
@@ -121,13 +126,13 @@
 
 /// Runs the two parts of a history, and returns the violations that the checker reports.
 pub async fn reported_violations(parts: [Vec<Step>; 2]) -> Vec<String> {
-    let shape = Shape {
+    let shape = DeploymentOptions {
         controllers: 1,
         locations: vec!["a"],
         machines: MACHINE_COUNT,
-        ..Shape::default()
+        ..DeploymentOptions::default()
     };
-    let world = World::without_controllers(1, shape).await;
+    let world = Simulation::without_controllers(1, shape).await;
     let controller = ScriptedController::serve(&world).await;
     // Waits until the machines have booted and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{CONTROLLERS, Scenario, Trouble, job};
+use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, job};
 
 /// Checks that old heartbeats which arrive again, at every controller and at one that has
 /// just restarted, neither end, release nor launch a task, and do not make a lost machine
@@ -57,7 +57,7 @@
         world.until(&first, "done", 100).await;
         let name = world.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        world.state.trouble.set(Trouble::NoCommits);
+        world.state.trouble.set(StateFault::CommitsRefused);
         // The worker's owner answers as usual; the others cannot claim the worker.
         let mut retaining_controllers = 0;
         for i in 0..CONTROLLERS {
@@ -86,7 +86,7 @@
             );
         }
         assert_eq!(retaining_controllers, CONTROLLERS - 1);
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
         world.assert_kept();
     });
 }
@@ -100,7 +100,7 @@
         world.until(&first, "done", 100).await;
         let name = world.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        world.state.trouble.set(Trouble::NoCommits);
+        world.state.trouble.set(StateFault::CommitsRefused);
         let mut unclaimed_answers = 0;
         for i in 0..CONTROLLERS {
             for sequence in 100..104 {
@@ -120,7 +120,7 @@
             }
         }
         assert!(unclaimed_answers >= CONTROLLERS - 1, "{unclaimed_answers}");
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
         world.assert_kept();
     });
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -12,7 +12,7 @@
 use shelfhoist::wire::{Commit, Write};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{CONTROLLERS, Scenario, Trouble, controller, in_world, job};
+use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, controller, in_world, job};
 
 #[test]
 fn jobs_survive_a_restart_of_all_controllers() {
@@ -44,7 +44,7 @@
 /// or may still be applied later.
 #[test]
 fn jobs_complete_despite_lost_and_late_commit_answers() {
-    for (seed, trouble) in [(4, Trouble::LoseAnswers), (5, Trouble::Late)] {
+    for (seed, trouble) in [(4, StateFault::LostResponses), (5, StateFault::LateCommits)] {
         Scenario::new(seed).run(|world| async move {
             let first = world.submit(job(1, "batch", 12, 4.0)).await;
             world.state.trouble.set(trouble);
@@ -72,7 +72,7 @@
         world.until(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         let before = world.starts.get();
-        world.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(StateFault::Outage);
         sleep(Duration::from_secs(12)).await;
         assert_eq!(
             world
@@ -89,7 +89,7 @@
                 .0,
             503
         );
-        world.state.trouble.set(Trouble::None);
+        world.state.trouble.set(StateFault::None);
         sleep(Duration::from_secs(10)).await;
         assert_eq!((world.running(&service), world.starts.get()), (3, before));
         world.assert_kept();
@@ -104,7 +104,7 @@
     Scenario::new(17).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
         world.until(&service, "running", 60).await;
-        world.state.trouble.set(Trouble::FatWatch);
+        world.state.trouble.set(StateFault::OversizedWatchResponses);
         let start = tokio::time::Instant::now();
         for n in 2..6 {
             let array = world.submit(job(n, "batch", 2, 1.0)).await;
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -12,7 +12,7 @@
 
 use tokio::time::Instant;
 
-use crate::stand_ins::{Shape, World};
+use crate::stand_ins::{DeploymentOptions, Simulation};
 
 /// An invariant that can be violated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -93,7 +93,7 @@
 
 impl Checker {
     /// Returns a checker that observes every commit of the deployment from now on.
-    pub fn watch(world: &World) -> Rc<Self> {
+    pub fn watch(world: &Simulation) -> Rc<Self> {
         let checker = Rc::new(Checker::new(&world.shape));
         let observer = checker.clone();
         let observe = move |pairs: &BTreeMap<String, (Value, u64)>, keys: &[&str], revision| {
@@ -107,7 +107,7 @@
     }
 
     /// Returns a checker for the limits of this deployment, which is given commits by `observe`.
-    pub fn new(shape: &Shape) -> Self {
+    pub fn new(shape: &DeploymentOptions) -> Self {
         let limits = shape.teams.iter();
         Checker {
             limits: limits
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -13,7 +13,7 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{Trouble, World, in_world, job};
+use crate::stand_ins::{Simulation, StateFault, in_world, job};
 
 /// A fault that is caused while a move is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
 
 /// The state of one run of the test.
 struct ChurnTest {
-    world: Rc<World>,
+    world: Rc<Simulation>,
     checker: Rc<Checker>,
     rng: RefCell<SmallRng>,
     /// Requests of accepted moves, which are repeated at random.
@@ -192,7 +192,7 @@
                 self.request_moves_for(duration).await;
             }
             Fault::StateServiceDown => {
-                world.state.trouble.set(Trouble::Down);
+                world.state.trouble.set(StateFault::Outage);
                 sleep(duration).await;
             }
             Fault::CommitsLate => {
@@ -259,7 +259,7 @@
 /// state.
 fn run_churn(seed: u64, controllers: usize, moves: usize) {
     in_world(|| async move {
-        let world = World::of(seed, shape(controllers)).await;
+        let world = Simulation::of(seed, shape(controllers)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         let test = ChurnTest {
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -10,13 +10,13 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{World, in_world, job};
+use crate::stand_ins::{Simulation, in_world, job};
 
 /// The prefixes of the records that only the accounting by shares writes.
 const SHARE_PREFIXES: [&str; 3] = ["sh/share/", "sh/use/", "sh/pool"];
 
 /// Restarts a controller with shares enabled or disabled.
-async fn restart(world: &World, controller: usize, enabled: bool) {
+async fn restart(world: &Simulation, controller: usize, enabled: bool) {
     world.kill(controller);
     world.shares.borrow_mut().insert(controller, enabled);
     sleep(secs(2.0)).await;
@@ -26,7 +26,10 @@
 
 /// Submits arrays and gangs at intervals until the returned flag is set. The task returns the
 /// ids of the jobs.
-fn start_load(world: &Rc<World>, first_number: u32) -> (Rc<Cell<bool>>, JoinHandle<Vec<String>>) {
+fn start_load(
+    world: &Rc<Simulation>,
+    first_number: u32,
+) -> (Rc<Cell<bool>>, JoinHandle<Vec<String>>) {
     let stopped = Rc::new(Cell::new(false));
     let (world, is_stopped) = (world.clone(), stopped.clone());
     let task = spawn_local(async move {
@@ -45,7 +48,7 @@
 
 /// Lets the state service accept the change of the first team's accounting and refuse those of
 /// other teams.
-fn refuse_changes_after_the_first(world: &World) {
+fn refuse_changes_after_the_first(world: &Simulation) {
     let has_changed = Cell::new(false);
     let gate = move |_: usize, body: &Value| {
         let writes = body["writes"].as_array().cloned().unwrap_or_default();
@@ -62,7 +65,7 @@
 }
 
 /// Requests a move at the controllers in turn until one of them accepts it.
-async fn request_until_accepted(world: &World, body: &Value) {
+async fn request_until_accepted(world: &Simulation, body: &Value) {
     for attempt in 0..30 {
         if request_move(world, attempt % world.shape.controllers, body)
             .await
@@ -77,7 +80,7 @@
 }
 
 /// Returns whether share records or the pool are stored.
-fn has_shares(world: &World) -> bool {
+fn has_shares(world: &Simulation) -> bool {
     // Usage records remain stored after shares are disabled and no longer count.
     ["sh/share/", "sh/pool"]
         .iter()
@@ -99,7 +102,7 @@
     in_world(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
-        let world = World::of(61, disabled).await;
+        let world = Simulation::of(61, disabled).await;
         let checker = Checker::watch(&world);
         let ids = start_services(&world, 1, 6, "t").await;
         sleep(secs(5.0)).await;
@@ -174,7 +177,7 @@
 #[test]
 fn shares_are_not_written_while_older_versions_run() {
     in_world(|| async {
-        let world = World::of(62, shape(3)).await;
+        let world = Simulation::of(62, shape(3)).await;
         world.state.older.borrow_mut().extend(0..3);
         let checker = Checker::watch(&world);
         let ids = start_services(&world, 1, 4, "t").await;
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -12,15 +12,15 @@
 use crate::checker::Checker;
 use crate::program::{Controller, TemporaryFile, run};
 use crate::setup::{granted_cpus, secs, shape};
-use crate::stand_ins::{Shape, World, controller, job, run_in_real_time};
+use crate::stand_ins::{DeploymentOptions, Simulation, controller, job, run_in_real_time};
 
 /// Time limit of each wait, long enough on a machine that is busy with other work.
 const WAIT_LIMIT: Duration = Duration::from_secs(240);
 
 const SERVICES: u32 = 10;
 
-fn loopback_shape() -> Shape {
-    Shape {
+fn loopback_shape() -> DeploymentOptions {
+    DeploymentOptions {
         loopback: true,
         boot_s: 0.2,
         lease_s: 60.0,
@@ -39,7 +39,7 @@
 }
 
 impl Deployment {
-    fn start(shape: &Shape) -> Self {
+    fn start(shape: &DeploymentOptions) -> Self {
         let settings = (0..shape.controllers)
             .map(|i| TemporaryFile::new(&format!("loopback-{i}.json"), &shape.settings_text(i)));
         let deployment = Deployment {
@@ -96,7 +96,9 @@
 /// Lets the state service accept the first transfer that reassigns jobs and refuse the later
 /// ones. Returns the flag that enables the refusals, and the controller that sent the first
 /// transfer.
-fn refuse_transfers_after_the_first(world: &World) -> (Rc<Cell<bool>>, Rc<Cell<Option<usize>>>) {
+fn refuse_transfers_after_the_first(
+    world: &Simulation,
+) -> (Rc<Cell<bool>>, Rc<Cell<Option<usize>>>) {
     let refusing = Rc::new(Cell::new(true));
     let first_sender = Rc::new(Cell::new(None));
     let (is_refusing, sent_by) = (refusing.clone(), first_sender.clone());
@@ -126,7 +128,7 @@
 #[test]
 fn overlapping_moves_complete_after_a_controller_is_killed() {
     run_in_real_time(|| async {
-        let world = World::without_controllers(51, loopback_shape()).await;
+        let world = Simulation::without_controllers(51, loopback_shape()).await;
         let checker = Checker::watch(&world);
         let deployment = Deployment::start(&world.shape);
         wait_until("shares are enabled", async || {
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -10,7 +10,7 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{World, in_world, job};
+use crate::stand_ins::{Simulation, in_world, job};
 
 /// Number of jobs that are submitted at short intervals, half of them by each team.
 const JOBS: u32 = 120;
@@ -25,7 +25,7 @@
 }
 
 /// Counts bookings, and the records written by the commits that contain bookings.
-fn count_bookings(world: &World) -> Rc<Cell<(usize, usize)>> {
+fn count_bookings(world: &Simulation) -> Rc<Cell<(usize, usize)>> {
     let counts = Rc::new(Cell::new((0, 0)));
     let counter = counts.clone();
     let observe = move |_: &_, keys: &[&str], _| {
@@ -49,7 +49,7 @@
     in_world(|| async move {
         let mut deployment = shape(controllers);
         deployment.shares = shares;
-        let world = World::of(seed, deployment).await;
+        let world = Simulation::of(seed, deployment).await;
         let checker = Checker::watch(&world);
         match shares {
             true => wait_until_shares_enabled(&checker).await,
@@ -117,7 +117,7 @@
 #[test]
 fn moves_complete_within_two_report_intervals() {
     in_world(|| async {
-        let world = World::of(77, shape(5)).await;
+        let world = Simulation::of(77, shape(5)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 10, "t").await;
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -5,14 +5,14 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{World, in_world};
+use crate::stand_ins::{Simulation, in_world};
 
 /// All capacity of a controller's share moves to another share while services run in it. No
 /// job changes its attempt or machine, and every controller reports the move as done.
 #[test]
 fn booked_capacity_moves_with_its_jobs() {
     in_world(|| async {
-        let world = World::of(1, shape(3)).await;
+        let world = Simulation::of(1, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 6, "t").await;
@@ -43,7 +43,7 @@
 }
 
 /// Waits until a controller reports the move as done.
-async fn wait_until_done(world: &World, i: usize, path: &str) {
+async fn wait_until_done(world: &Simulation, i: usize, path: &str) {
     for _ in 0..40 {
         let (status, answer) = world.ask(i, "GET", path, None).await;
         assert_eq!(status, 200);
@@ -60,7 +60,7 @@
 #[test]
 fn overlapping_and_repeated_moves_take_effect_once() {
     in_world(|| async {
-        let world = World::of(2, shape(3)).await;
+        let world = Simulation::of(2, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 8, "t").await;
@@ -95,7 +95,7 @@
 #[test]
 fn invalid_moves_are_refused() {
     in_world(|| async {
-        let world = World::of(3, shape(3)).await;
+        let world = Simulation::of(3, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 2, "t").await;
@@ -157,7 +157,7 @@
     in_world(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
-        let world = World::of(4, disabled).await;
+        let world = Simulation::of(4, disabled).await;
         let checker = Checker::watch(&world);
         start_services(&world, 1, 3, "t").await;
         sleep(secs(10.0)).await;
@@ -180,7 +180,7 @@
 #[test]
 fn team_can_use_its_whole_limit() {
     in_world(|| async {
-        let world = World::of(5, shape(3)).await;
+        let world = Simulation::of(5, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         // Twelve services of four CPUs each fill the limit of 48 CPUs.
@@ -203,7 +203,7 @@
 }
 
 /// Decodes the record at this key.
-fn record<T: serde::de::DeserializeOwned>(world: &World, key: &str) -> T {
+fn record<T: serde::de::DeserializeOwned>(world: &Simulation, key: &str) -> T {
     let value = world.state.value(key).expect("a record");
     serde_json::from_value(value).expect("a readable record")
 }
@@ -213,7 +213,7 @@
 #[test]
 fn unreadable_share_record_is_rebuilt() {
     in_world(|| async {
-        let world = World::of(6, shape(3)).await;
+        let world = Simulation::of(6, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         let ids = start_services(&world, 1, 4, "t").await;
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -9,13 +9,13 @@
 use crate::checker::Checker;
 use crate::program::{TemporaryFile, run};
 use crate::setup::*;
-use crate::stand_ins::{Trouble, World, in_world};
+use crate::stand_ins::{Simulation, StateFault, in_world};
 
 /// Every controller gives the same response at the same revision, also while another is down.
 #[test]
 fn every_controller_gives_the_same_response() {
     in_world(|| async {
-        let world = World::of(41, shape(3)).await;
+        let world = Simulation::of(41, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 4, "t").await;
@@ -50,7 +50,7 @@
 
 /// Queries two controllers until their responses are of the same revision, and returns the
 /// responses.
-async fn responses_of_same_revision(world: &World, path: &str) -> [Value; 2] {
+async fn responses_of_same_revision(world: &Simulation, path: &str) -> [Value; 2] {
     for _ in 0..200 {
         let (_, first) = world.ask(0, "GET", path, None).await;
         let (_, second) = world.ask(1, "GET", path, None).await;
@@ -66,11 +66,11 @@
 #[test]
 fn controller_that_cannot_commit_refuses_immediately() {
     in_world(|| async {
-        let world = World::of(42, shape(3)).await;
+        let world = Simulation::of(42, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
         start_services(&world, 1, 4, "t").await;
-        world.state.trouble.set(Trouble::Down);
+        world.state.trouble.set(StateFault::Outage);
         sleep(secs(world.shape.lease_s)).await;
         let source = (0..3).find(|i| granted_cpus(&checker, "t", *i) >= 1.0);
         let source = source.expect("a source");
--- a/tests/shares/setup.rs
+++ b/tests/shares/setup.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::checker::Checker;
-use crate::stand_ins::{Shape, World, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, job};
 
 /// The teams of the deployment.
 pub const TEAMS: [&str; 2] = ["t", "u"];
@@ -17,9 +17,9 @@
 }
 
 /// Returns a deployment with shares enabled, two teams and ten machines.
-pub fn shape(controllers: usize) -> Shape {
+pub fn shape(controllers: usize) -> DeploymentOptions {
     let teams = [("t", 20.0, 48.0), ("u", 20.0, 40.0)];
-    Shape {
+    DeploymentOptions {
         controllers,
         locations: (0..controllers).map(|i| ["a", "a", "b"][i % 3]).collect(),
         teams: teams
@@ -27,7 +27,7 @@
             .to_vec(),
         machines: 10,
         shares: true,
-        ..Shape::default()
+        ..DeploymentOptions::default()
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Requests a move at one controller, once, and returns the status and the response.
-pub async fn request_move(world: &World, controller: usize, body: &Value) -> (u16, Value) {
+pub async fn request_move(world: &Simulation, controller: usize, body: &Value) -> (u16, Value) {
     world
         .ask(controller, "POST", "/ops/shares/move", Some(body))
         .await
@@ -73,7 +73,7 @@
 /// Submits services of two tasks, which run until they are cancelled, and waits until they
 /// run.
 pub async fn start_services(
-    world: &Rc<World>,
+    world: &Rc<Simulation>,
     first_number: u32,
     count: u32,
     team: &str,
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use shelfhoist::http::Client;
 use shelfhoist::net::Net;
-use stand_ins::{Shape, StateLimits, World, addr, in_world, state_addr};
+use stand_ins::{DeploymentOptions, Simulation, StateLimits, addr, in_world, state_addr};
 use tokio::time::sleep;
 
 /// Address of the cloud.
@@ -24,7 +24,7 @@
 struct UnthrottledClient(Client);
 
 impl UnthrottledClient {
-    fn new(world: &World) -> Self {
+    fn new(world: &Simulation) -> Self {
         let net = Net::Simulated(world.fabric.clone(), addr(CLIENT));
         let client = Client::new(net, Duration::from_secs(30));
         UnthrottledClient(client.with_limits(usize::MAX, 4 << 20))
@@ -59,8 +59,8 @@
 
 /// Starts a deployment without controllers whose state service has these limits, with a
 /// client.
-async fn world_with_limits(limits: StateLimits) -> (Rc<World>, UnthrottledClient) {
-    let world = World::without_controllers(7, Shape::default()).await;
+async fn world_with_limits(limits: StateLimits) -> (Rc<Simulation>, UnthrottledClient) {
+    let world = Simulation::without_controllers(7, DeploymentOptions::default()).await;
     world.state.limits.set(limits);
     let client = UnthrottledClient::new(&world);
     (world, client)
--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -4,28 +4,28 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use super::scenario::{Shape, World, in_world};
+use super::scenario::{DeploymentOptions, Simulation, in_world};
 
 /// A builder for a deployment in simulated time that runs one test.
 pub struct Scenario {
     seed: u64,
-    shape: Shape,
+    shape: DeploymentOptions,
 }
 
 impl Scenario {
     /// Returns a scenario with the default deployment: three controllers in two zones and
     /// two teams with small quotas.
     pub fn new(seed: u64) -> Self {
-        let shape = Shape::default();
+        let shape = DeploymentOptions::default();
         Scenario { seed, shape }
     }
 
     /// Returns a scenario whose teams have quotas above anything that a test submits.
     pub fn with_large_teams(seed: u64) -> Self {
         let teams = [("t", 64.0), ("u", 64.0)];
-        let shape = Shape {
+        let shape = DeploymentOptions {
             teams: teams.map(|(name, cpus)| (name.into(), cpus, cpus)).to_vec(),
-            ..Shape::default()
+            ..DeploymentOptions::default()
         };
         Scenario { seed, shape }
     }
@@ -59,9 +59,9 @@
     }
 
     /// Starts the deployment and runs `test` in it.
-    pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<World>) -> F) {
+    pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<Simulation>) -> F) {
         in_world(|| async move {
-            let world = World::of(self.seed, self.shape).await;
+            let world = Simulation::of(self.seed, self.shape).await;
             test(world).await;
         });
     }
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -10,7 +10,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-use super::scenario::{CLOUD_RPS, World, addr};
+use super::scenario::{CLOUD_RPS, Simulation, addr};
 use super::worker::Worker;
 
 /// Maximum number of machines in one rental request.
@@ -64,7 +64,7 @@
     })
 }
 
-impl World {
+impl Simulation {
     /// Serves one request to the cloud.
     pub(super) fn handle_cloud_request(
         self: Rc<Self>,
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-use super::scenario::{World, addr, controller, mesh_address};
+use super::scenario::{Simulation, addr, controller, mesh_address};
 
 /// A controller that can be paused while its clocks keep running, like a suspended
 /// process.
@@ -35,7 +35,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Pauses a controller while its clocks keep running, or resumes it if `paused` is
     /// false.
     pub fn freeze(&self, i: usize, paused: bool) {
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -6,10 +6,10 @@
 
 use tokio::task::spawn_local;
 
-use super::scenario::{CLOUD, USERS, World, addr, controller, mesh_address, state_addr};
-use super::state_service::{StateTroubles, Trouble};
+use super::scenario::{CLOUD, Simulation, USERS, addr, controller, mesh_address, state_addr};
+use super::state_service::{StateFault, StateFaultOptions};
 
-impl World {
+impl Simulation {
     /// Cuts the connections between workers and the controllers of other zones. Connections
     /// among controllers, and to the state service and the cloud, stay.
     pub fn partition_zones(&self) {
@@ -114,8 +114,8 @@
     /// Removes the faults of the state service and the workers, resumes paused controllers
     /// and restarts those that were killed. Cut connections are not repaired.
     pub fn heal(&self) {
-        self.state.trouble.set(Trouble::None);
-        self.state.troubles.replace(StateTroubles::default());
+        self.state.trouble.set(StateFault::None);
+        self.state.troubles.replace(StateFaultOptions::default());
         self.copied.set(0.0);
         for (w, _) in self.workers.borrow().values() {
             w.deaf.set(false);
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -12,7 +12,7 @@
 use shelfhoist::http::{CallError, Client, Request, Response, ResponseFuture};
 use tokio::time::Instant;
 
-use super::scenario::World;
+use super::scenario::Simulation;
 
 /// The state of a 64-bit FNV-1a hash over a sequence of fields.
 struct Fnv1a(u64);
@@ -144,7 +144,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Wraps the request handler of a stand-in so that its requests and responses are
     /// recorded.
     pub(super) fn recorded_handler(
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -24,11 +24,12 @@
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
-    CONTROLLERS, Shape, World, addr, after, controller, in_world, job, run_in_real_time, state_addr,
+    CONTROLLERS, DeploymentOptions, Simulation, addr, after, controller, in_world, job,
+    run_in_real_time, state_addr,
 };
 #[allow(unused_imports)]
 pub use scripted::ScriptedController;
 #[allow(unused_imports)]
-pub use state_service::{State, StateLimits, StateTroubles, Trouble};
+pub use state_service::{StateFault, StateFaultOptions, StateLimits, StateService};
 #[allow(unused_imports)]
 pub use worker::Worker;
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::scenario::World;
+use super::scenario::Simulation;
 use super::worker::Worker;
 
 /// Time for which every poll for a job may fail while most polls for other jobs succeed.
@@ -120,7 +120,7 @@
 }
 
 // The actual states of jobs, as opposed to the responses about them.
-impl World {
+impl Simulation {
     /// Returns the number of completed tasks of a job.
     fn completed_task_count(&self, id: &str) -> u64 {
         let completed = self.done_tasks.borrow();
@@ -189,7 +189,7 @@
 }
 
 // Reports.
-impl World {
+impl Simulation {
     /// Reports a violation, once for each distinct text.
     fn report_violation(&self, rule: Rule, details: &str) {
         let text = format!("{}: {details}", rule.name());
@@ -220,7 +220,7 @@
 }
 
 // Starts of tasks.
-impl World {
+impl Simulation {
     /// Checks the start of a task that its worker has already accepted.
     pub(super) fn check_start(&self, task: &str, worker: &Worker) {
         self.starts.set(self.starts.get() + 1);
@@ -299,7 +299,7 @@
 }
 
 // Tasks on machines.
-impl World {
+impl Simulation {
     /// Checks all tasks that are on machines at present.
     pub(super) fn check_machines(&self) {
         self.advance_tasks();
@@ -338,7 +338,7 @@
 }
 
 // Responses to users.
-impl World {
+impl Simulation {
     /// Checks a response against the responses that users had received when its request was
     /// sent (`known`), and against the actual state of the job. Concurrent requests have no
     /// order among each other, but if they return two final stages these must be equal.
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -19,7 +19,7 @@
 use super::cloud::CloudRateLimit;
 use super::frames::{FrameRecorder, RecordedClient};
 use super::rules::{JobPolls, JobResponses};
-use super::state_service::{State, StateLimits};
+use super::state_service::{StateLimits, StateService};
 use super::worker::Worker;
 
 /// Number of controllers in the default deployment.
@@ -54,7 +54,7 @@
 
 /// The options of a simulated deployment.
 #[derive(Clone)]
-pub struct Shape {
+pub struct DeploymentOptions {
     pub controllers: usize,
     /// Zone of each controller.
     pub locations: Vec<&'static str>,
@@ -91,11 +91,11 @@
     pub loopback: bool,
 }
 
-impl Default for Shape {
+impl Default for DeploymentOptions {
     /// Returns the options of the default deployment, with two controllers in zone a and
     /// one in zone b.
     fn default() -> Self {
-        Shape {
+        DeploymentOptions {
             controllers: CONTROLLERS,
             locations: vec!["a", "a", "b"],
             zones: vec!["a", "b"],
@@ -116,7 +116,7 @@
     }
 }
 
-impl Shape {
+impl DeploymentOptions {
     /// Returns the settings of a controller.
     pub fn settings(&self, i: usize) -> Settings {
         let mut settings = Settings::parse(&self.settings_text(i)).expect("settings");
@@ -185,9 +185,9 @@
 
 /// A running simulated deployment: the controllers, their simulated counterparts, and the
 /// state of the rule checker.
-pub struct World {
+pub struct Simulation {
     pub fabric: Rc<Fabric>,
-    pub state: Rc<State>,
+    pub state: Rc<StateService>,
     /// Running workers, by machine name.
     pub workers: RefCell<BTreeMap<String, RunningWorker>>,
     /// Submissions of the known jobs, by job ID.
@@ -202,7 +202,7 @@
     pub refused_cloud_requests: RefCell<Vec<String>>,
     /// Violations that the rule checker has reported.
     pub broken: RefCell<Vec<String>>,
-    pub shape: Shape,
+    pub shape: DeploymentOptions,
     /// Number of machines that have ever been rented.
     pub rented: Cell<usize>,
     /// Zone in which the workers of newly rented machines never start.
@@ -251,14 +251,14 @@
     is_preferred: |_| true,
 };
 
-impl World {
+impl Simulation {
     /// Starts the default deployment.
     pub async fn new(seed: u64) -> Rc<Self> {
-        Self::of(seed, Shape::default()).await
+        Self::of(seed, DeploymentOptions::default()).await
     }
 
     /// Starts a deployment with all of its controllers.
-    pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
+    pub async fn of(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
         world.serve_stand_ins().await;
         for i in 0..world.shape.controllers {
@@ -270,7 +270,7 @@
 
     /// Starts a deployment without controllers, for a test that acts as the controllers
     /// itself.
-    pub async fn without_controllers(seed: u64, shape: Shape) -> Rc<Self> {
+    pub async fn without_controllers(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
         let world = Self::unstarted(seed, shape);
         world.serve_stand_ins().await;
         world.spawn_rule_checks();
@@ -278,13 +278,13 @@
     }
 
     /// Returns a deployment none of whose parts is started.
-    fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
+    fn unstarted(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
         let fabric = Rc::new(Fabric::default());
         let frames = Rc::new(FrameRecorder::default());
         let users = Client::new(shape.net(&fabric, addr(USERS)), Duration::from_secs(1));
-        Rc::new(World {
+        Rc::new(Simulation {
             fabric,
-            state: Rc::new(State::new(seed)),
+            state: Rc::new(StateService::new(seed)),
             workers: RefCell::default(),
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use shelfhoist::http::Response;
 
-use super::scenario::{World, controller};
+use super::scenario::{Simulation, controller};
 
 /// Fencing token in every command and in every response to a heartbeat.
 const FENCING_TOKEN: u64 = 1;
@@ -22,13 +22,13 @@
 
 /// A scripted stand-in for controller 0, in a deployment without controllers.
 pub struct ScriptedController {
-    world: Rc<World>,
+    world: Rc<Simulation>,
     responses: RefCell<VecDeque<UserResponse>>,
 }
 
 impl ScriptedController {
     /// Starts to serve at the address of controller 0.
-    pub async fn serve(world: &Rc<World>) -> Rc<Self> {
+    pub async fn serve(world: &Rc<Simulation>) -> Rc<Self> {
         let scripted = Rc::new(ScriptedController {
             world: world.clone(),
             responses: RefCell::default(),
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::{State, Trouble};
+use super::{StateFault, StateService};
 use crate::stand_ins::production::commit_of_production_version;
 
 /// Returns the key that a write sets or removes.
@@ -18,7 +18,7 @@
     key.expect("set or remove")
 }
 
-impl State {
+impl StateService {
     /// Serves a commit as the state service would receive it from the production version:
     /// translated, or with a conflict on `sh/formats` if that version would not send it.
     pub(super) async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
@@ -34,17 +34,17 @@
 
     /// Serves a commit, subject to the injected faults.
     pub(super) async fn commit(self: &Rc<Self>, body: Value) -> Response {
-        if self.trouble.get() == Trouble::NoCommits {
+        if self.trouble.get() == StateFault::CommitsRefused {
             return Response::empty(503);
         }
         if self.troubled.get() > 0 {
             self.troubled.set(self.troubled.get() - 1);
             match self.trouble.get() {
-                Trouble::LoseAnswers => {
+                StateFault::LostResponses => {
                     self.apply(&body);
                     std::future::pending::<()>().await;
                 }
-                Trouble::Late => {
+                StateFault::LateCommits => {
                     sleep(Duration::from_secs(3)).await;
                     self.apply(&body);
                     std::future::pending::<()>().await;
--- a/tests/stand_ins/state_service/faults.rs
+++ b/tests/stand_ins/state_service/faults.rs
@@ -5,12 +5,12 @@
 
 use rand::Rng;
 
-use super::State;
+use super::StateService;
 
 /// Faults of the state service with probabilities, delays and targets. They last until they
 /// are reset.
 #[derive(Debug, Clone, Default)]
-pub struct StateTroubles {
+pub struct StateFaultOptions {
     /// Indexes of the controllers whose requests are refused.
     pub refused: BTreeSet<usize>,
     /// Probability with which a commit is applied 2 to 12 s later and gets no response.
@@ -28,22 +28,22 @@
 
 /// Fault mode of the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Trouble {
+pub enum StateFault {
     #[default]
     None,
     /// Commits that are applied, but whose response is lost.
-    LoseAnswers,
+    LostResponses,
     /// Commits that are applied some seconds later and get no response.
-    Late,
+    LateCommits,
     /// Outage: all requests are refused.
-    Down,
+    Outage,
     /// Refusal of commits, while reads are served.
-    NoCommits,
+    CommitsRefused,
     /// Watch responses that are larger than a controller accepts.
-    FatWatch,
+    OversizedWatchResponses,
 }
 
-impl State {
+impl StateService {
     /// Returns the delays before and after the execution of a request.
     pub(super) fn delays(&self, i: usize) -> (Duration, Duration) {
         let troubles = self.troubles.borrow();
--- a/tests/stand_ins/state_service/leases.rs
+++ b/tests/stand_ins/state_service/leases.rs
@@ -8,7 +8,7 @@
 use shelfhoist::http::Response;
 use tokio::time::{Instant, sleep};
 
-use super::State;
+use super::StateService;
 use super::commits::written_key;
 
 /// A state lease and the keys that are removed when it ends, in the order of removal.
@@ -19,7 +19,7 @@
     keys: BTreeSet<String>,
 }
 
-impl State {
+impl StateService {
     /// Removes expired leases and their keys periodically. No lease expires during an outage,
     /// after which each lease has its full TTL again.
     pub(in crate::stand_ins) async fn run_lease_expiry(self: Rc<Self>) {
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-use super::State;
+use super::StateService;
 use super::commits::written_key;
 
 /// Maximum length of a key, in bytes.
@@ -69,7 +69,7 @@
     (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
-impl State {
+impl StateService {
     /// Returns a description of the first limit that a commit exceeds, if any.
     pub(super) fn limit_violation(&self, body: &Value) -> Option<String> {
         let limits = self.limits.get();
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -23,11 +23,11 @@
 use leases::StateLease;
 use limits::RateLimit;
 
-pub use faults::{StateTroubles, Trouble};
+pub use faults::{StateFault, StateFaultOptions};
 pub use limits::StateLimits;
 
 /// The simulated state service of a deployment.
-pub struct State {
+pub struct StateService {
     /// Values by key, each with the revision of its last write.
     pub(in crate::stand_ins) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
     /// Events of all revisions, in their order.
@@ -37,12 +37,12 @@
     /// of tokio would wake them in random order, so that no two runs would be the same.
     revision_changed: Notify,
     /// Current fault mode.
-    pub trouble: Cell<Trouble>,
+    pub trouble: Cell<StateFault>,
     /// Number of further commits that the fault modes [`Trouble::LoseAnswers`] and
     /// [`Trouble::Late`] affect.
     pub troubled: Cell<usize>,
     /// Faults with probabilities, delays and targets.
-    pub troubles: RefCell<StateTroubles>,
+    pub troubles: RefCell<StateFaultOptions>,
     leases: RefCell<BTreeMap<u64, StateLease>>,
     next_lease: Cell<u64>,
     rng: RefCell<SmallRng>,
@@ -82,7 +82,7 @@
 /// revision.
 pub type CommitObserver = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
 
-impl State {
+impl StateService {
     /// Returns the keys of the records that the production version could not read, or would
     /// write back incompletely.
     pub fn unreadable(&self) -> Vec<String> {
@@ -95,7 +95,7 @@
 
     /// Returns an empty state service without faults or limits.
     pub(in crate::stand_ins) fn new(seed: u64) -> Self {
-        State {
+        StateService {
             pairs: RefCell::default(),
             change_log: RefCell::default(),
             revision: Cell::default(),
@@ -123,7 +123,7 @@
 
     /// Returns whether the service is unavailable to all controllers.
     fn is_in_outage(&self) -> bool {
-        self.trouble.get() == Trouble::Down
+        self.trouble.get() == StateFault::Outage
     }
 
     /// Returns whether the service refuses all requests of a controller.
--- a/tests/stand_ins/state_service/places.rs
+++ b/tests/stand_ins/state_service/places.rs
@@ -5,9 +5,9 @@
 use serde_json::Value;
 use shelfhoist::state::records::{MachineShard, ZoneShard};
 
-use super::State;
+use super::StateService;
 
-impl State {
+impl StateService {
     /// Checks the tables of machines that a transaction wrote to.
     pub(super) fn check_changed_places(&self, writes: &[Value], revision: u64) {
         for table in ["sh/zone/", "sh/machine/"] {
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -6,7 +6,7 @@
 use shelfhoist::http::{Response, query_value};
 use tokio::time::{sleep, timeout};
 
-use super::{State, Trouble};
+use super::{StateFault, StateService};
 
 /// Maximum number of records in a page.
 const MAX_PAGE_RECORDS: usize = 1000;
@@ -17,7 +17,7 @@
 /// fails with status 410.
 const MAX_KEPT_CHANGES: usize = 10_000;
 
-impl State {
+impl StateService {
     /// Serves one page of the records under a prefix.
     pub(super) fn list(&self, query: &str) -> Response {
         let prefix = query_value(query, "prefix").unwrap_or("");
@@ -74,7 +74,7 @@
         let events: Vec<&Value> = new_events.collect();
         let revision = self.revision.get();
         let mut response = Response::json(200, &json!({"ledger_rev": revision, "events": events}));
-        if self.trouble.get() == Trouble::FatWatch && !events.is_empty() {
+        if self.trouble.get() == StateFault::OversizedWatchResponses && !events.is_empty() {
             response.body.resize(16 << 20, b' ');
         }
         response
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -7,9 +7,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::scenario::{World, controller};
+use super::scenario::{Simulation, controller};
 
-impl World {
+impl Simulation {
     /// Returns whether a user has received a response that the job is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.borrow().contains_key(id)
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::rules::job_of;
-use super::scenario::{SERVER_LIMITS, World, controller};
+use super::scenario::{SERVER_LIMITS, Simulation, controller};
 
 /// A task that a worker has started.
 #[derive(Debug, Clone)]
@@ -92,7 +92,7 @@
     }
 
     /// Executes commands in their order.
-    fn execute(&self, world: &World, commands: &[WorkerCommand]) {
+    fn execute(&self, world: &Simulation, commands: &[WorkerCommand]) {
         self.record_completed_tasks(&world.done_tasks);
         for command in commands {
             let mut tasks = self.tasks.borrow_mut();
@@ -222,7 +222,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Returns the time that a task takes, or `None` for a service.
     fn task_run_time(&self, task: &str) -> Option<Duration> {
         let jobs = self.jobs.borrow();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use shelfhoist::state::keys::{FORMATS_KEY, accepted_batch_key, job_key};
 use shelfhoist::state::records::{AcceptedBatch, FORMATS, Job, JobSpec};
-use stand_ins::{Shape, StateLimits, Trouble, World, after, in_world, job};
+use stand_ins::{DeploymentOptions, Simulation, StateFault, StateLimits, after, in_world, job};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -24,20 +24,20 @@
 }
 
 /// Returns a deployment with 60 machines under the present limits.
-fn deployment() -> Shape {
-    Shape {
+fn deployment() -> DeploymentOptions {
+    DeploymentOptions {
         teams: vec![("t".into(), 4000.0, 6000.0)],
         state: json!({"rps": 200.0, "write_rps": 90.0, "value_kb": 8.0, "txn_ops": 12}),
         machines: 60,
         ready_s: 3600.0,
-        ..Shape::default()
+        ..DeploymentOptions::default()
     }
 }
 
 /// Starts a deployment in which all controllers run the older version, and waits until they
 /// own their machines.
-async fn older_deployment(seed: u64) -> Rc<World> {
-    let world = World::of(seed, deployment()).await;
+async fn older_deployment(seed: u64) -> Rc<Simulation> {
+    let world = Simulation::of(seed, deployment()).await;
     world.state.older.borrow_mut().extend(0..3);
     sleep(secs(15)).await;
     world
@@ -45,7 +45,7 @@
 
 /// Restarts a controller with the newer version and with settings that name the upcoming
 /// limits.
-fn upgrade(world: &World, i: usize) {
+fn upgrade(world: &Simulation, i: usize) {
     world.kill(i);
     world.state.older.borrow_mut().remove(&i);
     *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
@@ -53,7 +53,7 @@
 }
 
 /// Puts the lower limits into force.
-fn lower_limits(world: &World) {
+fn lower_limits(world: &Simulation) {
     world.state.limits.set(StateLimits {
         txn_ops: 4,
         value_limit_bytes: LIMIT_BYTES,
@@ -63,7 +63,7 @@
 }
 
 /// Waits until it is recorded that all controllers read the new formats.
-async fn wait_until_formats_recorded(world: &World) {
+async fn wait_until_formats_recorded(world: &Simulation) {
     let start = Instant::now();
     while world.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
         assert!(
@@ -75,7 +75,7 @@
 }
 
 /// Asserts that the state service refused no commit for its size and that no rule was broken.
-fn assert_within_limits(world: &World) {
+fn assert_within_limits(world: &Simulation) {
     let beyond = world.state.beyond.borrow().clone();
     assert_eq!(beyond, Vec::<String>::new());
     world.assert_kept();
@@ -103,7 +103,7 @@
 }
 
 /// Returns the length of the stored record of a job, in bytes.
-fn record_length(world: &World, id: &str) -> usize {
+fn record_length(world: &Simulation, id: &str) -> usize {
     world
         .state
         .value(&job_key(id))
@@ -198,7 +198,7 @@
 // --- older and newer versions side by side -----------------------------------------
 
 /// Restarts a controller with the older version, before it is upgraded.
-fn restart_with_older_version(world: &World, i: usize) {
+fn restart_with_older_version(world: &Simulation, i: usize) {
     world.kill(i);
     *world.next.borrow_mut() = Value::Null;
     world.start(i);
@@ -206,7 +206,7 @@
 
 /// Asserts for some seconds that every stored record can be read by the older version and
 /// that the new formats are not yet recorded as known to all.
-async fn check_older_version_can_read(world: &World, seconds: u64) {
+async fn check_older_version_can_read(world: &Simulation, seconds: u64) {
     for _ in 0..seconds * 4 {
         assert_eq!(world.state.unreadable(), Vec::<String>::new());
         sleep(Duration::from_millis(250)).await;
@@ -216,14 +216,14 @@
 }
 
 /// Returns the controllers that are recorded as reading the newer formats.
-fn controllers_with_new_formats(world: &World) -> Vec<String> {
+fn controllers_with_new_formats(world: &Simulation) -> Vec<String> {
     let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
     let nodes = formats["n"].as_object().cloned().unwrap_or_default();
     nodes.into_iter().map(|(name, _)| name).collect()
 }
 
 /// Waits until just these controllers are recorded as reading the newer formats.
-async fn wait_until_new_formats_known_to(world: &World, names: &[&str]) {
+async fn wait_until_new_formats_known_to(world: &Simulation, names: &[&str]) {
     let start = Instant::now();
     while controllers_with_new_formats(world) != names {
         assert!(
@@ -236,7 +236,7 @@
 }
 
 /// Submits `count` arrays, gangs and services in turn, and waits until they run.
-async fn submit_mixed_jobs(world: &World, from: u32, count: u32, run_s: f64) -> Vec<String> {
+async fn submit_mixed_jobs(world: &Simulation, from: u32, count: u32, run_s: f64) -> Vec<String> {
     let mut ids = Vec::new();
     for n in from..from + count {
         let (kind, tasks) = [("batch", 12), ("gang", 4), ("daemon", 4)][n as usize % 3];
@@ -250,7 +250,7 @@
 
 /// Asks all controllers at the same time to cancel the job, until one of them confirms. The
 /// confirmation is final.
-async fn cancel_everywhere(world: &Rc<World>, id: &str) -> Option<String> {
+async fn cancel_everywhere(world: &Rc<Simulation>, id: &str) -> Option<String> {
     for _ in 0..30 {
         let requests = (0..3).map(|i| {
             let (world, id) = (world.clone(), id.to_string());
@@ -271,7 +271,7 @@
 
 /// Waits until every service that was not cancelled runs and every other such job is done,
 /// and asserts that no task of a cancelled job runs.
-async fn wait_until_jobs_end(world: &World, ids: &[String]) {
+async fn wait_until_jobs_end(world: &Simulation, ids: &[String]) {
     sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
     for id in ids {
         if world.is_cancelled(id) {
@@ -335,7 +335,7 @@
             sleep(secs(5)).await;
             assert_eq!(world.withdraw(0, &ids[0]).await.as_deref(), Some("aborted"));
             assert_eq!(world.withdraw(2, &ids[1]).await.as_deref(), Some("aborted"));
-            world.state.trouble.set(Trouble::Down);
+            world.state.trouble.set(StateFault::Outage);
             sleep(secs(4)).await;
             upgrade(&world, 1);
             sleep(secs(4)).await;
@@ -347,7 +347,7 @@
             }
             sleep(secs(outage_s - 8)).await;
             assert_eq!(controllers_with_new_formats(&world), ["n0"]);
-            world.state.trouble.set(Trouble::None);
+            world.state.trouble.set(StateFault::None);
             wait_until_new_formats_known_to(&world, &["n0", "n1"]).await;
             check_older_version_can_read(&world, 12).await;
             ids.extend(submit_mixed_jobs(&world, 20, 3, 20.0).await);
@@ -362,7 +362,7 @@
 }
 
 /// Returns the number of machines that a controller owns.
-fn owned_machine_count(world: &World, i: usize) -> usize {
+fn owned_machine_count(world: &Simulation, i: usize) -> usize {
     let name = format!("n{i}");
     world
         .holders()
@@ -437,7 +437,7 @@
 
 /// Returns the records above the lower limit with their lengths in bytes, without accepted
 /// batches.
-fn oversized_records(world: &World) -> Vec<(String, usize)> {
+fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
     let mut records = world.state.sizes("sh/");
     records.retain(|(key, length)| *length > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
@@ -445,7 +445,7 @@
 
 /// Submits six chains of five jobs. The last job of a chain depends on all jobs before it and
 /// has the deadline of the chain.
-async fn submit_chains(world: &World) -> Vec<Vec<String>> {
+async fn submit_chains(world: &Simulation) -> Vec<Vec<String>> {
     let mut chains = Vec::new();
     for chain in 0..6 {
         let mut ids: Vec<String> = Vec::new();
@@ -492,11 +492,11 @@
 /// after the limits are lowered; the other chains complete in order.
 fn lower_limits_with_an_unfinished_pipeline(seed: u64, lowered_at: LoweredAt) {
     in_world(|| async move {
-        let shape = Shape {
+        let shape = DeploymentOptions {
             machines: 160,
             ..deployment()
         };
-        let world = World::of(seed, shape).await;
+        let world = Simulation::of(seed, shape).await;
         wait_until_formats_recorded(&world).await;
         sleep(secs(15)).await;
         let array = world.submit(job(1, "batch", 600, 20.0)).await;
