--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::deployments::{five_controller_deployment, teams, three_controller_deployment};
-use crate::stand_ins::{DeploymentOptions, Simulation, StateLimits, in_world, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, StateLimits, job, run_in_simulated_time};
 
 const MACHINES: usize = 4000;
 
@@ -157,7 +157,7 @@
 /// Asserts that the state service and the cloud refused nothing for its size: values, commits,
 /// keys and requests to the cloud.
 fn assert_within_limits(world: &Simulation) {
-    let beyond = world.state.beyond.borrow().clone();
+    let beyond = world.state.rejected_commits.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
     let refused = world.refused_cloud_requests.borrow().clone();
     assert!(refused.is_empty(), "{refused:?}");
@@ -172,7 +172,7 @@
 /// Does the same, and puts `reduced_limits` into force once all machines are claimed and
 /// listed.
 fn run_all_stages_with_limits(shape: DeploymentOptions, reduced_limits: Option<StateLimits>) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
@@ -182,18 +182,22 @@
             world.state.limits.set(limits);
         }
         let ids = submit_work_for_all(&world, 1, lease_s * 6.0, "a start").await;
-        assert_eq!(world.lapsed(), 0, "leases expired at the start");
+        assert_eq!(
+            world.expired_lease_count(),
+            0,
+            "leases expired at the start"
+        );
 
         for controller in 1..controllers {
             world.kill(controller);
         }
         sleep(lease * 2).await;
-        let expired = world.lapsed() as usize;
+        let expired = world.expired_lease_count() as usize;
         assert_eq!(
             expired, 0,
             "leases expired during the takeover by one controller"
         );
-        let claimed = world.holders();
+        let claimed = world.machine_owners();
         let of_remaining = claimed.iter().filter(|(_, owner)| owner == "n0").count();
         assert_eq!(
             of_remaining, MACHINES,
@@ -219,7 +223,7 @@
         wait_until_all_claimed_and_listed(&world, lease_s * 6.0, "a restart of all").await;
         wait_until_all_done(&world, &ids, lease_s * 16.0).await;
         assert_within_limits(&world);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::deployments::{five_controller_deployment, three_controller_deployment};
-use crate::stand_ins::{DeploymentOptions, Simulation, StateFault, in_world, job};
+use crate::stand_ins::{DeploymentOptions, Simulation, StateFault, job, run_in_simulated_time};
 
 /// Submits jobs of each kind. The number of the wave keeps their ids distinct.
 async fn submit(world: &Simulation, wave: u32) -> Vec<String> {
@@ -60,7 +60,7 @@
 /// Starts the deployment, causes failures of controllers, machines, zones and the state
 /// service one after another, and then cancels every service twice.
 fn run_mass_failures(shape: DeploymentOptions) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let lease_s = shape.lease_s;
         let controllers = shape.controllers;
         let seconds = Duration::from_secs_f64;
@@ -75,7 +75,7 @@
         sleep(seconds(lease_s * 1.2)).await;
         assert!(world.workers.borrow().len() >= world.shape.machines);
         assert_eq!(
-            world.lapsed(),
+            world.expired_lease_count(),
             0,
             "leases expired during the takeover by one controller"
         );
@@ -89,12 +89,12 @@
         // connections to them hang. A worker that tries a controller that is cut off loses
         // seconds of its lease.
         for controller in 1..controllers {
-            world.cut_controller(controller, true);
+            world.set_controller_partition(controller, true);
         }
         sleep(seconds(lease_s * 1.5)).await;
-        let lapsed = world.lapsed() as usize;
+        let lapsed = world.expired_lease_count() as usize;
         for controller in 1..controllers {
-            world.cut_controller(controller, false);
+            world.set_controller_partition(controller, false);
         }
         assert!(
             lapsed * 20 < world.shape.machines,
@@ -115,9 +115,9 @@
         wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a fifth gone").await;
 
         // A zone is cut off for longer than a lease and then reconnected.
-        world.cut_zone("b", true);
+        world.set_zone_partition("b", true);
         sleep(seconds(lease_s * 2.0)).await;
-        world.cut_zone("b", false);
+        world.set_zone_partition("b", false);
         ids.extend(submit(&world, 4).await);
         wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a zone cut").await;
 
@@ -125,13 +125,13 @@
         // controller freezes and another restarts immediately.
         world.state.trouble.set(StateFault::Outage);
         sleep(seconds(lease_s * 0.6)).await;
-        world.freeze(0, true);
+        world.set_paused(0, true);
         world.kill(1);
         world.start(1);
         sleep(seconds(lease_s * 0.6)).await;
         world.state.trouble.set(StateFault::None);
         sleep(seconds(lease_s * 0.6)).await;
-        world.freeze(0, false);
+        world.set_paused(0, false);
         ids.extend(submit(&world, 5).await);
         wait_until_running_or_done(&world, &ids, lease_s * 10.0, "an outage").await;
 
@@ -140,12 +140,12 @@
         for id in &ids {
             if world.is_service(id) {
                 assert_eq!(
-                    world.withdraw(0, id).await.as_deref(),
+                    world.cancel(0, id).await.as_deref(),
                     Some("aborted"),
                     "{id}"
                 );
                 assert_eq!(
-                    world.withdraw(1, id).await.as_deref(),
+                    world.cancel(1, id).await.as_deref(),
                     Some("aborted"),
                     "{id}"
                 );
@@ -160,7 +160,7 @@
         }
         sleep(seconds(lease_s)).await;
         assert!(world.workers.borrow().len() * 2 > world.shape.machines);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -168,9 +168,9 @@
 async fn submit_to(world: &Simulation, controller: usize, wave: u32) -> Vec<String> {
     let mut request = job(wave * 100, "batch", 60, 10.0);
     request["crew"] = json!("t1");
-    world.remember(&request);
+    world.register_job(&request);
     let (status, answer) = world
-        .ask(controller, "POST", "/submissions", Some(&request))
+        .send_request(controller, "POST", "/submissions", Some(&request))
         .await;
     assert_eq!(status, 201, "{answer}");
     vec![format!("job-{:06}", wave * 100)]
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -26,7 +26,8 @@
 
 use serde_json::json;
 use stand_ins::{
-    CONTROLLERS, DeploymentOptions, Frames, Simulation, StateFault, after, in_world, job,
+    CONTROLLERS, DeploymentOptions, Frames, Simulation, StateFault, job, run_in_simulated_time,
+    with_dependencies,
 };
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -51,12 +52,12 @@
         let mut submission = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
         submission["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
         if number % 4 == 0 {
-            submission = after(submission, &[&ids[ids.len() - 2]]);
+            submission = with_dependencies(submission, &[&ids[ids.len() - 2]]);
         }
         let id = world.submit(submission).await;
         spawn_local(poll_job(world.clone(), id.clone()));
         if number % 7 == 0 {
-            world.withdraw(number as usize % CONTROLLERS, &id).await;
+            world.cancel(number as usize % CONTROLLERS, &id).await;
         }
         ids.push(id);
         sleep(seconds(4.0)).await;
@@ -84,18 +85,18 @@
 async fn inject_state_faults(world: &Rc<Simulation>) {
     for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
         world.state.trouble.set(trouble);
-        world.state.troubled.set(4);
+        world.state.faulty_commits_left.set(4);
         sleep(seconds(6.0)).await;
-        world.state.troubled.set(0);
+        world.state.faulty_commits_left.set(0);
     }
     world.state.trouble.set(StateFault::Outage);
     sleep(seconds(15.0)).await;
     world.state.trouble.set(StateFault::None);
-    world.state.troubles.borrow_mut().late = 0.2;
-    world.state.troubles.borrow_mut().unanswered = 0.2;
-    world.state.troubles.borrow_mut().slow = seconds(0.2);
+    world.state.fault_options.borrow_mut().late = 0.2;
+    world.state.fault_options.borrow_mut().unanswered = 0.2;
+    world.state.fault_options.borrow_mut().response_delay = seconds(0.2);
     sleep(seconds(10.0)).await;
-    world.heal();
+    world.clear_faults();
     sleep(seconds(5.0)).await;
 }
 
@@ -115,14 +116,14 @@
 /// duplicate heartbeats late.
 async fn inject_network_faults(world: &Rc<Simulation>) {
     world.copied.set(0.3);
-    world.cut_peers(1, true);
+    world.set_peer_partition(1, true);
     sleep(seconds(8.0)).await;
-    world.cut_peers(1, false);
-    world.deliver_copies();
-    world.cut_controller(2, true);
+    world.set_peer_partition(1, false);
+    world.send_recorded_copies();
+    world.set_controller_partition(2, true);
     sleep(seconds(12.0)).await;
-    world.cut_controller(2, false);
-    world.deliver_copies();
+    world.set_controller_partition(2, false);
+    world.send_recorded_copies();
     sleep(seconds(5.0)).await;
 }
 
@@ -141,7 +142,7 @@
 /// Runs the deployment with faults, and returns its frames.
 fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(seed, DeploymentOptions::default()).await;
         world.frames.begin();
         spawn_local(submit_jobs(world.clone()));
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -14,7 +14,7 @@
 use shelfhoist::settings::Settings;
 use shelfhoist::wire::{CommandAction, WorkerCommand};
 use shelfhoist::workers::WorkerPlan;
-use stand_ins::{DeploymentOptions, Simulation, addr, in_world, job};
+use stand_ins::{DeploymentOptions, Simulation, addr, job, run_in_simulated_time};
 use tokio::time::{Instant, sleep};
 
 fn secs(s: f64) -> Duration {
@@ -119,7 +119,7 @@
         ("send deadline passed", 0.0, 4.0, false),
         ("both deadlines passed", 0.0, 0.0, false),
     ];
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let fabric = Rc::new(Fabric::default());
         let worker = addr("10.1.0.1:1");
         let arrived = Rc::new(Cell::new(0));
@@ -189,20 +189,20 @@
         ids.push(world.submit(job(number + 1, "batch", 1, 300.0)).await);
     }
     for id in &ids {
-        world.until(id, "running", 60).await;
+        world.wait_for_stage(id, "running", 60).await;
     }
     sleep(secs(5.0)).await;
-    let owner = world.busiest();
+    let owner = world.controller_with_most_machines();
     world
         .busy()
         .iter()
         .for_each(|worker| worker.hang(secs(HANG_S)));
     sleep(secs(HANG_S - refused_s)).await;
-    world.state.troubles.borrow_mut().refused.insert(owner);
+    world.state.fault_options.borrow_mut().refused.insert(owner);
     sleep(secs(refused_s - cancelled_s)).await;
     let uncancelled = ids.split_off(2);
     for id in &ids {
-        let stage = world.withdraw((owner + 1) % 3, id).await;
+        let stage = world.cancel((owner + 1) % 3, id).await;
         assert_eq!(stage.as_deref(), Some("aborted"));
     }
     RefusedOwner {
@@ -220,7 +220,7 @@
 fn no_task_is_launched_long_after_its_cancellation_elsewhere() {
     for variant in 0..12u32 {
         let cancelled_s = 0.3 + 0.15 * f64::from(variant);
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let case = refuse_owner_before_machines_return(
                 u64::from(variant),
                 cancelled_s + 0.1,
@@ -236,7 +236,7 @@
                 .filter(|(_, after)| *after > limit)
                 .collect();
             assert!(too_late.is_empty(), "{cancelled_s}: {too_late:?}");
-            world.heal();
+            world.clear_faults();
             sleep(secs(20.0)).await;
             for id in &case.cancelled {
                 assert_eq!(world.running(id), 0, "{id}");
@@ -244,7 +244,7 @@
             for id in &case.uncancelled {
                 assert_eq!(world.running(id), 1, "{id}");
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -252,18 +252,23 @@
 /// Checks that deferred launches are sent as soon as the state service answers again.
 #[test]
 fn deferred_launches_are_sent_after_the_next_barrier() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let case = refuse_owner_before_machines_return(50, 2.4, 2.0).await;
         let (world, owner) = (case.world, case.owner);
         let starts = world.starts.get();
         sleep(secs(2.0 + 1.0)).await;
         assert_eq!(world.starts.get(), starts, "launched from an old view");
-        world.state.troubles.borrow_mut().refused.remove(&owner);
+        world
+            .state
+            .fault_options
+            .borrow_mut()
+            .refused
+            .remove(&owner);
         sleep(secs(1.0)).await;
         for id in &case.uncancelled {
             assert_eq!(world.running(id), 1, "{id}");
         }
         assert_eq!(world.starts_after_cancel.borrow().len(), 0);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -9,7 +9,7 @@
     LIMIT_BYTES, deployment, lower_limits, oversized_records, restart_with_upcoming_limits,
     submit_largest_jobs, upcoming_limits, wait_until_formats_recorded, wait_until_jobs_progress,
 };
-use crate::stand_ins::{Simulation, StateFault, StateLimits, in_world, job};
+use crate::stand_ins::{Simulation, StateFault, StateLimits, job, run_in_simulated_time};
 use shelfhoist::settings::Settings;
 use shelfhoist::state::keys::{FORMATS_KEY, job_key};
 
@@ -21,7 +21,7 @@
 /// refuse. With `trouble`, some commits of the compaction are applied late, or their
 /// responses are lost.
 fn lower_limits_around_compaction(delay: Option<Duration>, trouble: StateFault) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let world = Simulation::of(31, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
@@ -38,7 +38,7 @@
         restart_with_upcoming_limits(&world).await;
         wait_until_formats_recorded(&world).await;
         world.state.trouble.set(trouble);
-        world.state.troubled.set(12);
+        world.state.faulty_commits_left.set(12);
         // Without a delay, the limits are lowered as soon as the new formats are recorded.
         sleep(delay.unwrap_or_default()).await;
         if delay.is_some_and(|t| t > Duration::from_secs(20)) {
@@ -57,7 +57,7 @@
         }
         let second_jobs = submit_largest_jobs(&world, 2, 1800).await;
         assert_eq!(
-            world.withdraw(1, &cancelled_job).await.as_deref(),
+            world.cancel(1, &cancelled_job).await.as_deref(),
             Some("aborted")
         );
         wait_until_jobs_progress(&world, &first_jobs).await;
@@ -71,9 +71,9 @@
             "{:?}",
             oversized_records(&world)
         );
-        let beyond = world.state.beyond.borrow().clone();
+        let beyond = world.state.rejected_commits.borrow().clone();
         assert!(beyond.is_empty(), "{beyond:?}");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -159,7 +159,7 @@
 /// One controller takes over every machine at the lower write rate before a lease expires.
 #[test]
 fn one_controller_takes_over_every_machine_at_the_lower_rate() {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let world = Simulation::of(32, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         restart_with_upcoming_limits(&world).await;
@@ -168,21 +168,21 @@
         lower_limits(&world);
         let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
         sleep(Duration::from_secs(5)).await;
-        let lapsed = world.lapsed();
+        let lapsed = world.expired_lease_count();
         world.kill(0);
         world.kill(1);
         sleep(Duration::from_secs(25)).await;
-        assert_eq!(world.lapsed(), lapsed, "leases ran out");
-        let holders = world.holders();
+        assert_eq!(world.expired_lease_count(), lapsed, "leases ran out");
+        let holders = world.machine_owners();
         assert_eq!(holders.len(), 160);
         assert!(
             holders.iter().all(|(_, owner)| owner == "n2"),
             "{holders:?}"
         );
         wait_until_jobs_progress(&world, &first_jobs).await;
-        let beyond = world.state.beyond.borrow().clone();
+        let beyond = world.state.rejected_commits.borrow().clone();
         assert!(beyond.is_empty(), "{beyond:?}");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -190,7 +190,7 @@
 /// doesn't stop the loop that sent it and is not repeated endlessly, and other jobs continue.
 #[test]
 fn oversized_write_does_not_block_other_jobs() {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let mut shape = deployment();
         shape.machines = 45;
         let world = Simulation::of(33, shape).await;
@@ -212,18 +212,18 @@
             small_jobs.push(world.submit(job(10 + n, "gang", 2, 5.0)).await);
         }
         for id in &small_jobs {
-            world.until(id, "done", 120).await;
+            world.wait_for_stage(id, "done", 120).await;
         }
         sleep(Duration::from_secs(20)).await;
         let stage = world.stage(0, &oversized_job).await;
         assert!(stage.is_some(), "{stage:?}");
-        let beyond = world.state.beyond.borrow().clone();
+        let beyond = world.state.rejected_commits.borrow().clone();
         let of_oversized_job = beyond
             .iter()
             .filter(|b| b.contains(&job_key(&oversized_job)));
         assert_eq!(of_oversized_job.count(), beyond.len(), "{beyond:?}");
         assert!((1..60).contains(&beyond.len()), "{beyond:?}");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -242,7 +242,7 @@
 /// and all jobs complete.
 #[test]
 fn lower_write_rate_is_kept_after_refusals_show_it() {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let mut shape = deployment();
         shape.machines = 60;
         shape.state["next"] = json!({"write_rps": 12.0});
@@ -265,7 +265,7 @@
             refused_before = refused_total;
         }
         for id in &ids {
-            world.until(id, "done", 120).await;
+            world.wait_for_stage(id, "done", 120).await;
         }
         assert!(refused_before > 0, "no write was refused for the rate");
         // Detecting the lower rate costs some refusals: 64 in all here, against 25 under the
@@ -273,7 +273,7 @@
         assert!(refused_before < 90, "{refused:?}");
         let late_refusals: usize = refused[20..].iter().sum();
         assert!(late_refusals < 40, "{refused:?}");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -285,25 +285,33 @@
 #[test]
 fn controllers_are_upgraded_one_after_another() {
     for seed in [51, 52] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::of(seed, deployment()).await;
-            world.state.older.borrow_mut().extend(0..3);
+            world
+                .state
+                .previous_version_controllers
+                .borrow_mut()
+                .extend(0..3);
             sleep(Duration::from_secs(15)).await;
             let first_jobs = submit_largest_jobs(&world, 1, 600).await;
             let long_job = world.submit(job(5, "batch", 40, 120.0)).await;
-            world.until(&long_job, "running", 60).await;
-            let dependent_job = crate::stand_ins::after(job(6, "batch", 2, 1.0), &[&long_job]);
-            world.remember(&dependent_job);
+            world.wait_for_stage(&long_job, "running", 60).await;
+            let dependent_job =
+                crate::stand_ins::with_dependencies(job(6, "batch", 2, 1.0), &[&long_job]);
+            world.register_job(&dependent_job);
             // Checks the stored formats and that dependencies are refused, while `seconds`
             // pass.
             let check_while_old = async |seconds: u32| {
                 for _ in 0..seconds * 4 {
-                    assert_eq!(world.state.unreadable(), Vec::<String>::new());
+                    assert_eq!(
+                        world.state.keys_unreadable_by_production(),
+                        Vec::<String>::new()
+                    );
                     sleep(Duration::from_millis(250)).await;
                 }
                 for i in 0..3 {
                     let response = world
-                        .ask(i, "POST", "/submissions", Some(&dependent_job))
+                        .send_request(i, "POST", "/submissions", Some(&dependent_job))
                         .await;
                     assert_eq!(response.0, 503, "n{i}: {}", response.1);
                 }
@@ -312,7 +320,11 @@
             };
             let upgrade = |i: usize| {
                 world.kill(i);
-                world.state.older.borrow_mut().remove(&i);
+                world
+                    .state
+                    .previous_version_controllers
+                    .borrow_mut()
+                    .remove(&i);
                 *world.next.borrow_mut() = upcoming_limits();
                 world.start(i);
             };
@@ -339,13 +351,13 @@
             for jobs in [&first_jobs, &second_jobs] {
                 wait_until_jobs_progress(&world, jobs).await;
             }
-            world.until("job-000006", "done", 300).await;
+            world.wait_for_stage("job-000006", "done", 300).await;
             assert_eq!(world.state.misplaced_machines.borrow().len(), 0);
             assert!(
-                !world.state.unreadable().is_empty(),
+                !world.state.keys_unreadable_by_production().is_empty(),
                 "no compact encoding was written"
             );
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -354,7 +366,7 @@
 /// under its own record. The oversized record is deleted and never rewritten.
 #[test]
 fn oversized_accepted_batch_is_completed_and_deleted() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(53, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let mut batch = AcceptedBatch {
@@ -363,7 +375,7 @@
         };
         let jobs: Vec<Value> = (700..716).map(|n| job(n, "batch", 2, 2.0)).collect();
         for (submission, n) in jobs.iter().zip(700..) {
-            world.remember(submission);
+            world.register_job(submission);
             let read = shelfhoist::api::read_submission(submission.to_string().as_bytes());
             let spec = JobSpec::from(&read.expect("a submission"));
             batch.jobs.insert(format!("job-{n:06}"), spec);
@@ -389,11 +401,14 @@
             world.start(i);
         }
         for id in batch.jobs.keys() {
-            world.until(id, "done", 200).await;
+            world.wait_for_stage(id, "done", 200).await;
         }
         sleep(Duration::from_secs(10)).await;
         assert_eq!(world.state.value("sh/new/n0-long"), None);
-        assert_eq!(world.state.beyond.borrow().clone(), Vec::<String>::new());
-        world.assert_kept();
+        assert_eq!(
+            world.state.rejected_commits.borrow().clone(),
+            Vec::<String>::new()
+        );
+        world.assert_no_violations();
     });
 }
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -230,8 +230,8 @@
 
 /// Waits until the gang and the array are done and all 16 replicas of the service run.
 pub async fn wait_until_jobs_progress(world: &Simulation, [gang, service, array]: &[String; 3]) {
-    world.until(gang, "done", 200).await;
-    world.until(array, "done", 400).await;
+    world.wait_for_stage(gang, "done", 200).await;
+    world.wait_for_stage(array, "done", 400).await;
     let start = Instant::now();
     while world.running(service) < 16 {
         assert!(start.elapsed() < Duration::from_secs(200), "{service}");
@@ -242,7 +242,7 @@
 /// Returns the records above the lower limit with their sizes in bytes, without accepted
 /// batches.
 pub fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
-    let mut records = world.state.sizes("sh/");
+    let mut records = world.state.value_sizes("sh/");
     records.retain(|(key, n)| *n > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
 }
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -26,7 +26,7 @@
             sleep(secs([8.0, 11.0, 14.0, 40.0][variant as usize])).await;
             for i in 0..world.shape.controllers {
                 world.start(i);
-                world.deliver_copies();
+                world.send_recorded_copies();
                 sleep(secs(0.5)).await;
             }
             cancel(&world, None, &ids[1]).await;
@@ -53,16 +53,16 @@
                 ids.push(world.submit(submission).await);
             }
             for id in &ids {
-                world.until(id, "running", 100).await;
+                world.wait_for_stage(id, "running", 100).await;
             }
             sleep(secs(4.0)).await;
-            world.cut_zone(zone, true);
+            world.set_zone_partition(zone, true);
             let controller_in_zone = (0..3).find(|i| world.shape.locations[*i] == zone);
             for id in [&ids[0], &ids[1], &ids[4], &ids[5]] {
                 cancel(&world, controller_in_zone, id).await;
             }
             sleep(secs(partition_s)).await;
-            world.cut_zone(zone, false);
+            world.set_zone_partition(zone, false);
             sleep(secs(15.0)).await;
             heal_and_check(&world, &format!("{zone}, {partition_s}"), &ids).await;
         });
@@ -86,12 +86,17 @@
         Scenario::with_large_teams(1300 + n as u64).run(|world| async move {
             let ids = start_long_jobs(&world, 1, 6).await;
             sleep(secs(4.0)).await;
-            let leader = world.busiest();
-            world.state.troubles.borrow_mut().refused.insert(leader);
-            world.cut_peers(leader, true);
+            let leader = world.controller_with_most_machines();
+            world
+                .state
+                .fault_options
+                .borrow_mut()
+                .refused
+                .insert(leader);
+            world.set_peer_partition(leader, true);
             for (index, id) in ids[..4].iter().enumerate() {
                 cancel(&world, Some(leader), id).await;
-                world.look_closely(id).await;
+                world.query_concurrently(id).await;
                 if let Some(worker) = world.busy().get(index)
                     && hang_s > 0.0
                 {
@@ -106,9 +111,9 @@
             }
             sleep(secs(partition_s)).await;
             for id in &ids {
-                world.look_closely(id).await;
+                world.query_concurrently(id).await;
             }
-            world.cut_peers(leader, false);
+            world.set_peer_partition(leader, false);
             heal_and_check(&world, &format!("{partition_s}, {hang_s}, {outage}"), &ids).await;
         });
     }
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -86,7 +86,7 @@
             .cloned()
             .collect();
         Injection {
-            leader: world.busiest(),
+            leader: world.controller_with_most_machines(),
             busy_workers,
             affected,
             duration,
@@ -117,9 +117,9 @@
                 self.modify_state_faults(|faults| faults.unanswered = 0.0);
             }
             Fault::SlowState => {
-                self.modify_state_faults(|faults| faults.slow = secs(1.2));
+                self.modify_state_faults(|faults| faults.response_delay = secs(1.2));
                 sleep(self.duration).await;
-                self.modify_state_faults(|faults| faults.slow = Duration::ZERO);
+                self.modify_state_faults(|faults| faults.response_delay = Duration::ZERO);
             }
             Fault::MessagesToWorkersBlocked => self.block_messages_to_workers().await,
             Fault::MessagesFromWorkersBlocked => self.block_messages_from_workers().await,
@@ -127,7 +127,7 @@
             Fault::DelayedCommands => self.delay_commands().await,
             Fault::LateReportCopies => {
                 sleep(self.duration).await;
-                self.world.deliver_copies();
+                self.world.send_recorded_copies();
             }
             Fault::LeaderPartitionedFromWorkers => self.partition_leader_from_workers().await,
             Fault::ZonePartitioned => self.partition_zone().await,
@@ -158,16 +158,16 @@
     }
 
     async fn freeze_leader(&self) {
-        self.world.freeze(self.leader, true);
+        self.world.set_paused(self.leader, true);
         sleep(self.duration).await;
-        self.world.freeze(self.leader, false);
+        self.world.set_paused(self.leader, false);
     }
 }
 
 // Faults of the state service.
 impl Injection {
     fn modify_state_faults(&self, change: impl Fn(&mut StateFaultOptions)) {
-        change(&mut self.world.state.troubles.borrow_mut());
+        change(&mut self.world.state.fault_options.borrow_mut());
     }
 
     async fn interrupt_state_service(&self) {
@@ -182,25 +182,29 @@
     async fn block_messages_to_workers(&self) {
         self.affected
             .iter()
-            .for_each(|worker| worker.deaf.set(true));
+            .for_each(|worker| worker.inbound_blocked.set(true));
         sleep(self.duration).await;
         self.affected
             .iter()
-            .for_each(|worker| worker.deaf.set(false));
+            .for_each(|worker| worker.inbound_blocked.set(false));
     }
 
     async fn block_messages_from_workers(&self) {
         self.affected
             .iter()
-            .for_each(|worker| worker.mute.set(true));
+            .for_each(|worker| worker.heartbeats_blocked.set(true));
         sleep(self.duration).await;
         self.affected
             .iter()
-            .for_each(|worker| worker.mute.set(false));
+            .for_each(|worker| worker.heartbeats_blocked.set(false));
     }
 
     async fn delay_commands(&self) {
-        let delay = |by: Duration| self.busy_workers.iter().for_each(|w| w.orders_held.set(by));
+        let delay = |by: Duration| {
+            self.busy_workers
+                .iter()
+                .for_each(|w| w.command_delay.set(by))
+        };
         delay(self.duration.div_f64(2.0));
         sleep(self.duration).await;
         delay(Duration::ZERO);
@@ -216,23 +220,23 @@
 // Network partitions.
 impl Injection {
     async fn partition_leader_from_workers(&self) {
-        self.world.cut_workers(self.leader, true);
+        self.world.set_worker_partition(self.leader, true);
         sleep(self.duration).await;
-        self.world.cut_workers(self.leader, false);
+        self.world.set_worker_partition(self.leader, false);
     }
 
     async fn partition_zone(&self) {
         let zone = self.world.shape.zones[self.variant % 2];
-        self.world.cut_zone(zone, true);
+        self.world.set_zone_partition(zone, true);
         sleep(self.duration).await;
-        self.world.cut_zone(zone, false);
+        self.world.set_zone_partition(zone, false);
     }
 
     async fn partition_leader_from_state_and_peers(&self) {
-        self.world.cut_peers(self.leader, true);
+        self.world.set_peer_partition(self.leader, true);
         self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
         sleep(self.duration).await;
-        self.world.cut_peers(self.leader, false);
+        self.world.set_peer_partition(self.leader, false);
         self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
     }
 }
@@ -307,12 +311,12 @@
     async fn send_requests(self, world: Rc<Simulation>) {
         let id = world.submit(self.job).await;
         if self.queries_immediately {
-            world.look_closely(&id).await;
+            world.query_concurrently(&id).await;
         }
         if let Some(after) = self.cancel_after_s {
             sleep(secs(after)).await;
             cancel(&world, None, &id).await;
-            world.look_closely(&id).await;
+            world.query_concurrently(&id).await;
         }
     }
 }
@@ -352,7 +356,7 @@
         user.await.expect("the task of a user");
     }
     for id in ids.iter().filter(|id| world.is_service(id)) {
-        world.heal();
+        world.clear_faults();
         cancel(&world, None, id).await;
     }
     heal_and_check(&world, &format!("{faults:?}, {seed}"), &ids).await;
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -111,14 +111,14 @@
     world
         .copied
         .set(if case.late_report_copies { 0.2 } else { 0.0 });
-    world.state.troubles.replace(StateFaultOptions {
+    world.state.fault_options.replace(StateFaultOptions {
         late: case.late_commits,
         unanswered: case.unanswered,
-        slow: secs(case.slow_s),
+        response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
     for change in 0..10u32 {
-        let leader = world.busiest();
+        let leader = world.controller_with_most_machines();
         disturb_workers(world, case, change);
         // The new job is being scheduled when the leader stops.
         let new_id = submit_job(world, case, change).await;
@@ -129,12 +129,12 @@
         stop_leader(world, case, change, leader).await;
         cancel_all(world, case, leader, &cancelled).await;
         if case.late_report_copies {
-            world.deliver_copies();
+            world.send_recorded_copies();
         }
         sleep(secs([2.0, 5.0, 3.0][change as usize % 3])).await;
         restore_leader(world, change, leader);
         if case.late_report_copies {
-            world.deliver_copies();
+            world.send_recorded_copies();
         }
         sleep(secs(4.0)).await;
     }
@@ -147,17 +147,17 @@
 fn disturb_workers(world: &Rc<Simulation>, case: FaultCase, change: u32) {
     let busy_workers = world.busy();
     for worker in &busy_workers {
-        worker.orders_held.set(secs(case.commands_delayed_s));
+        worker.command_delay.set(secs(case.commands_delayed_s));
     }
     if let Some(worker) = busy_workers.get(change as usize % busy_workers.len().max(1)) {
         if case.hang_s > 0.0 {
             worker.hang(secs(case.hang_s));
         }
         worker
-            .deaf
+            .inbound_blocked
             .set(case.blocks_messages_to_workers && change % 3 == 0);
         worker
-            .mute
+            .heartbeats_blocked
             .set(case.blocks_messages_from_workers && change % 2 == 0);
     }
 }
@@ -166,7 +166,7 @@
     let kind = ["batch", "gang", "daemon"][change as usize % 3];
     let id = world.submit(job(20 + change, kind, 2, 12.0)).await;
     if case.queries_immediately {
-        world.look_closely(&id).await;
+        world.query_concurrently(&id).await;
     }
     id
 }
@@ -184,9 +184,14 @@
             world.start(leader);
         }
         1 => world.kill(leader),
-        2 => world.freeze(leader, true),
+        2 => world.set_paused(leader, true),
         _ => {
-            world.state.troubles.borrow_mut().refused.insert(leader);
+            world
+                .state
+                .fault_options
+                .borrow_mut()
+                .refused
+                .insert(leader);
         }
     }
     if outage {
@@ -196,10 +201,10 @@
 }
 
 fn restore_leader(world: &Rc<Simulation>, change: u32, leader: usize) {
-    world.state.troubles.borrow_mut().refused.clear();
+    world.state.fault_options.borrow_mut().refused.clear();
     match change % 4 {
         1 => world.start(leader),
-        2 => world.freeze(leader, false),
+        2 => world.set_paused(leader, false),
         _ => {}
     }
 }
@@ -208,7 +213,7 @@
     for id in ids {
         cancel(world, Some(leader), id).await;
         if case.queries_immediately && world.is_cancelled(id) {
-            world.look_closely(id).await;
+            world.query_concurrently(id).await;
         }
     }
 }
@@ -237,7 +242,7 @@
             }
             sleep(secs(6.0)).await;
             for change in 0..6u64 {
-                let leader = world.busiest();
+                let leader = world.controller_with_most_machines();
                 let busy_workers = world.busy();
                 if let Some(worker) = busy_workers.first()
                     && (change + variant) % 2 == 0
@@ -247,17 +252,17 @@
                 world.kill(leader);
                 sleep(secs((change + variant) as f64 % 3.0)).await;
                 world.start(leader);
-                world.deliver_copies();
+                world.send_recorded_copies();
                 for id in &ids {
-                    world.look_closely(id).await;
+                    world.query_concurrently(id).await;
                 }
                 sleep(secs(3.0)).await;
             }
             heal_and_check(&world, &format!("{variant}"), &ids).await;
             for id in &ids {
-                world.until(id, "done", 90).await;
+                world.wait_for_stage(id, "done", 90).await;
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -175,13 +175,13 @@
 /// Lets the state service refuse the leader, cancels jobs at another controller, and
 /// then makes the state service unavailable to all.
 async fn refuse_leader_before_outage(world: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
-    let leader = world.busiest();
+    let leader = world.controller_with_most_machines();
     let busy_workers = world.busy();
     for worker in busy_workers.iter().take(case.unreachable_workers) {
-        worker.deaf.set(true);
+        worker.inbound_blocked.set(true);
     }
     for worker in &busy_workers {
-        worker.orders_held.set(secs(case.commands_delayed_s));
+        worker.command_delay.set(secs(case.commands_delayed_s));
     }
     begin_refusal(world, leader, case).await;
     cancel_at_other_controllers(world, leader, case, &ids[..4]).await;
@@ -199,27 +199,27 @@
     sleep(secs(case.outage_after_s)).await;
     run_outage(world, leader, case).await;
     if case.peers_partitioned {
-        world.cut_peers(leader, false);
+        world.set_peer_partition(leader, false);
     }
 }
 
 async fn begin_refusal(world: &Rc<Simulation>, leader: usize, case: FaultCase) {
     if case.slow_leader_s > 0.0 {
-        world.state.troubles.replace(StateFaultOptions {
-            slow: secs(case.slow_leader_s),
-            slow_to: [leader].into(),
+        world.state.fault_options.replace(StateFaultOptions {
+            response_delay: secs(case.slow_leader_s),
+            delayed_controllers: [leader].into(),
             ..StateFaultOptions::default()
         });
         sleep(secs(4.0)).await;
     }
-    world.state.troubles.replace(StateFaultOptions {
+    world.state.fault_options.replace(StateFaultOptions {
         refused: [leader].into(),
         late: case.late_commits,
-        slow: secs(case.slow_s),
+        response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
     if case.peers_partitioned {
-        world.cut_peers(leader, true);
+        world.set_peer_partition(leader, true);
     }
     sleep(secs(case.leader_refused_s)).await;
 }
@@ -252,9 +252,9 @@
         world.start(leader);
     }
     if case.leader_frozen_s > 0.0 {
-        world.freeze(leader, true);
+        world.set_paused(leader, true);
         sleep(secs(case.leader_frozen_s)).await;
-        world.freeze(leader, false);
+        world.set_paused(leader, false);
     }
     if case.short_recovery {
         sleep(secs(5.0)).await;
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -44,13 +44,13 @@
     }
     sleep(secs(18.0)).await;
     for round in 0..3 {
-        let leader = world.busiest();
+        let leader = world.controller_with_most_machines();
         let busy_workers = world.busy();
         for worker in busy_workers.iter().take(3) {
             inject_fault(worker, fault);
         }
         if fault == "leader partitioned" {
-            world.cut_workers(leader, true);
+            world.set_worker_partition(leader, true);
         }
         sleep(secs(0.4 * variant as f64)).await;
         let running: Vec<&String> = ids.iter().filter(|id| world.running(id) > 0).collect();
@@ -62,12 +62,17 @@
             sleep(secs(variant as f64)).await;
             world.start(leader);
         } else {
-            world.state.troubles.borrow_mut().refused.insert(leader);
+            world
+                .state
+                .fault_options
+                .borrow_mut()
+                .refused
+                .insert(leader);
         }
         sleep(secs(8.0)).await;
-        world.state.troubles.borrow_mut().refused.clear();
+        world.state.fault_options.borrow_mut().refused.clear();
         busy_workers.iter().for_each(|worker| clear_faults(worker));
-        world.cut_workers(leader, false);
+        world.set_worker_partition(leader, false);
         sleep(secs(12.0)).await;
     }
     for id in ids.iter().filter(|id| world.is_service(id)) {
@@ -80,11 +85,11 @@
     match fault {
         "hang" => worker.hang(secs(7.0)),
         "hang past the lease" => worker.hang(secs(13.0)),
-        "messages to worker blocked" => worker.deaf.set(true),
-        "messages from worker blocked" => worker.mute.set(true),
-        "delayed commands" => worker.orders_held.set(secs(6.0)),
+        "messages to worker blocked" => worker.inbound_blocked.set(true),
+        "messages from worker blocked" => worker.heartbeats_blocked.set(true),
+        "delayed commands" => worker.command_delay.set(secs(6.0)),
         "hang, delayed commands" => {
-            worker.orders_held.set(secs(3.0));
+            worker.command_delay.set(secs(3.0));
             worker.hang(secs(8.0));
         }
         _ => {}
@@ -93,9 +98,9 @@
 
 /// Ends the faults of a worker, except a hang, which lasts for the time it was given.
 fn clear_faults(worker: &Worker) {
-    worker.deaf.set(false);
-    worker.mute.set(false);
-    worker.orders_held.set(Duration::ZERO);
+    worker.inbound_blocked.set(false);
+    worker.heartbeats_blocked.set(false);
+    worker.command_delay.set(Duration::ZERO);
 }
 
 /// Checks that no rule is broken when new machines boot within a second and receive work
@@ -115,10 +120,10 @@
             let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + variant);
             scenario.boot_s(0.8).run(|world| async move {
                 let mut ids = vec![world.submit(job(1, "batch", 1, 1.0)).await];
-                world.state.troubles.replace(StateFaultOptions {
+                world.state.fault_options.replace(StateFaultOptions {
                     late,
                     unanswered,
-                    slow: secs(slow_s),
+                    response_delay: secs(slow_s),
                     ..StateFaultOptions::default()
                 });
                 for round in 0..4u32 {
@@ -128,7 +133,7 @@
                         ids.push(world.submit(submission).await);
                     }
                     sleep(secs(1.0 + 0.5 * f64::from(round))).await;
-                    let leader = world.busiest();
+                    let leader = world.controller_with_most_machines();
                     world.kill(leader);
                     cancel(&world, Some(leader), &ids[ids.len() - 1]).await;
                     sleep(secs(2.0)).await;
@@ -155,7 +160,7 @@
         .enumerate()
     {
         Scenario::with_large_teams(900 + n as u64).run(|world| async move {
-            world.state.troubles.borrow_mut().late = late;
+            world.state.fault_options.borrow_mut().late = late;
             world.copied.set(copied);
             let mut users = Vec::new();
             for number in 0..240u32 {
@@ -173,17 +178,17 @@
                 }));
                 sleep(secs(0.25)).await;
                 if number % 80 == 40 {
-                    let leader = world.busiest();
+                    let leader = world.controller_with_most_machines();
                     world.kill(leader);
                     world.start(leader);
-                    world.deliver_copies();
+                    world.send_recorded_copies();
                 }
             }
             let mut ids = Vec::new();
             for user in users {
                 ids.push(user.await.expect("the task of a user"));
             }
-            world.deliver_copies();
+            world.send_recorded_copies();
             sleep(secs(10.0)).await;
             heal_and_check(
                 &world,
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -31,22 +31,22 @@
         for variant in 0..2u64 {
             Scenario::with_large_teams(800 + 10 * n as u64 + variant).run(|world| async move {
                 let mut ids = vec![world.submit(job(1, "batch", 2, 1.0)).await];
-                world.until(&ids[0], "done", 60).await;
-                world.state.troubles.replace(StateFaultOptions {
+                world.wait_for_stage(&ids[0], "done", 60).await;
+                world.state.fault_options.replace(StateFaultOptions {
                     unanswered,
                     late,
-                    slow: secs(slow_s),
+                    response_delay: secs(slow_s),
                     ..StateFaultOptions::default()
                 });
                 for n in 0..12u32 {
                     let kind = ["batch", "gang", "daemon"][n as usize % 3];
                     let run_s = 2.0 + f64::from(n % 4) * 0.3;
-                    let leader = world.busiest();
+                    let leader = world.controller_with_most_machines();
                     if refused_s > 0.0 {
-                        world.state.troubles.borrow_mut().refused = [(n as usize) % 3].into();
+                        world.state.fault_options.borrow_mut().refused = [(n as usize) % 3].into();
                     }
                     let id = world.submit(job(10 + n, kind, 2, run_s)).await;
-                    world.look_closely(&id).await;
+                    world.query_concurrently(&id).await;
                     match n % 4 {
                         // Cancelled immediately.
                         0 => {
@@ -57,18 +57,18 @@
                             sleep(secs(run_s + 0.3 * f64::from(n % 3))).await;
                             let (a, b) = ((leader + 1) % 3, (leader + 2) % 3);
                             tokio::join!(
-                                world.withdraw(a, &id),
-                                world.withdraw(b, &id),
-                                world.look_closely(&id)
+                                world.cancel(a, &id),
+                                world.cancel(b, &id),
+                                world.query_concurrently(&id)
                             );
                             cancel(&world, None, &id).await;
                         }
                         _ if kind == "daemon" => {}
-                        _ => world.until(&id, "done", 60).await,
+                        _ => world.wait_for_stage(&id, "done", 60).await,
                     }
-                    world.look_closely(&id).await;
+                    world.query_concurrently(&id).await;
                     sleep(secs(0.3)).await;
-                    world.look_closely(&id).await;
+                    world.query_concurrently(&id).await;
                     ids.push(id);
                 }
                 heal_and_check(&world, &format!("{name}, {variant}"), &ids).await;
@@ -133,7 +133,9 @@
 /// Returns the status of a submission, which is retried while it is 503.
 async fn submission_status(world: &Rc<Simulation>, i: usize, body: &Value) -> u16 {
     for _ in 0..20 {
-        let (status, _) = world.ask(i, "POST", "/submissions", Some(body)).await;
+        let (status, _) = world
+            .send_request(i, "POST", "/submissions", Some(body))
+            .await;
         if status != 503 {
             return status;
         }
@@ -145,10 +147,12 @@
 /// Asserts that a query and a cancellation of jobs that nobody submitted are answered
 /// 404, or 503 while the controller cannot determine whether the job exists.
 async fn assert_unknown_jobs_are_not_found(world: &Rc<Simulation>, i: usize) {
-    let (status, _) = world.ask(i, "GET", "/submissions/job-000050", None).await;
+    let (status, _) = world
+        .send_request(i, "GET", "/submissions/job-000050", None)
+        .await;
     assert!([404, 503].contains(&status), "{status}");
     let path = "/submissions/job-000051/withdraw";
-    let (status, _) = world.ask(i, "POST", path, None).await;
+    let (status, _) = world.send_request(i, "POST", path, None).await;
     assert!([404, 503].contains(&status), "{status}");
 }
 
@@ -169,11 +173,11 @@
     {
         Scenario::with_large_teams(1400 + n as u64).run(|world| async move {
             let finished = world.submit(job(1, "batch", 1, 1.0)).await;
-            world.until(&finished, "done", 60).await;
+            world.wait_for_stage(&finished, "done", 60).await;
             let running = world.submit(job(2, "batch", 2, 300.0)).await;
-            world.until(&running, "running", 60).await;
-            world.state.troubles.replace(StateFaultOptions {
-                slow: secs(slow_s),
+            world.wait_for_stage(&running, "running", 60).await;
+            world.state.fault_options.replace(StateFaultOptions {
+                response_delay: secs(slow_s),
                 unanswered,
                 refused: refused.then_some(1).into_iter().collect(),
                 ..StateFaultOptions::default()
@@ -190,8 +194,8 @@
             }
             for i in 0..world.shape.controllers {
                 // Repeats the submission of a running job, and cancels a finished job.
-                world.look_closely(&running).await;
-                let stage = world.withdraw(i, &finished).await;
+                world.query_concurrently(&running).await;
+                let stage = world.cancel(i, &finished).await;
                 assert_eq!(stage.as_deref(), Some("done"), "case {n}, n{i}");
                 assert_unknown_jobs_are_not_found(&world, i).await;
             }
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -21,7 +21,7 @@
         if Some(i) == excluded {
             continue;
         }
-        if let Some(stage) = world.withdraw(i, id).await {
+        if let Some(stage) = world.cancel(i, id).await {
             return Some(stage);
         }
         sleep(secs(0.2)).await;
@@ -33,7 +33,7 @@
 /// within 90 s, that every controller answers queries for all jobs, and that no rule
 /// was broken.
 pub async fn heal_and_check(world: &Rc<Simulation>, case: &str, ids: &[String]) {
-    world.heal();
+    world.clear_faults();
     let start = Instant::now();
     loop {
         let mut unfinished = Vec::new();
@@ -48,7 +48,7 @@
         assert!(
             start.elapsed() < secs(90.0),
             "{case}: neither running nor done: {unfinished:?}; broken rules: {:?}",
-            world.broken.borrow()
+            world.reported_violations.borrow()
         );
         sleep(secs(1.0)).await;
     }
@@ -68,9 +68,9 @@
             );
         }
     }
-    let broken = world.broken.borrow().clone();
+    let broken = world.reported_violations.borrow().clone();
     assert!(broken.is_empty(), "{case}: {broken:#?}");
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// Submits long-running jobs of all kinds and waits until they run.
@@ -83,7 +83,7 @@
         ids.push(world.submit(submission).await);
     }
     for id in &ids {
-        world.until(id, "running", 100).await;
+        world.wait_for_stage(id, "running", 100).await;
     }
     ids
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -12,14 +12,16 @@
 
 use serde_json::{Value, json};
 use stand_ins::{
-    CONTROLLERS, DeploymentOptions, Simulation, StateFault, after, controller, in_world, job,
-    state_addr,
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, controller, job, run_in_simulated_time,
+    state_addr, with_dependencies,
 };
 use tokio::time::{Instant, sleep};
 
 /// Sends a submission to one controller, without a retry.
 async fn submit_once(world: &Simulation, i: usize, body: &Value) -> (u16, Value) {
-    world.ask(i, "POST", "/submissions", Some(body)).await
+    world
+        .send_request(i, "POST", "/submissions", Some(body))
+        .await
 }
 
 /// Runs the futures concurrently on this thread, and returns their results in order.
@@ -46,7 +48,7 @@
 /// controller is known to read the newer formats.
 async fn wait_for_upgrade(world: &Simulation) {
     let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
-    let probe = after(job(900_001, "batch", 1, 0.5), &[&first]);
+    let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
     world.submit(probe).await;
 }
 
@@ -57,21 +59,25 @@
         (2, StateFault::LostResponses),
         (3, StateFault::LateCommits),
     ] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(seed).await;
             wait_for_upgrade(&world).await;
             world.state.trouble.set(trouble);
-            let disturb_next_commits = || world.state.troubled.set(3);
+            let disturb_next_commits = || world.state.faulty_commits_left.set(3);
             let top = world.submit(job(1, "batch", 5, 3.0)).await;
             disturb_next_commits();
-            let left = world.submit(after(job(2, "gang", 2, 4.0), &[&top])).await;
-            let right = world.submit(after(job(3, "batch", 3, 2.0), &[&top])).await;
+            let left = world
+                .submit(with_dependencies(job(2, "gang", 2, 4.0), &[&top]))
+                .await;
+            let right = world
+                .submit(with_dependencies(job(3, "batch", 3, 2.0), &[&top]))
+                .await;
             disturb_next_commits();
             let bottom = world
-                .submit(after(job(4, "batch", 2, 1.0), &[&left, &right]))
+                .submit(with_dependencies(job(4, "batch", 2, 1.0), &[&left, &right]))
                 .await;
             let last = world
-                .submit(after(job(5, "gang", 2, 1.0), &[&bottom]))
+                .submit(with_dependencies(job(5, "gang", 2, 1.0), &[&bottom]))
                 .await;
             assert_eq!(world.stage(0, &last).await.as_deref(), Some("queued"));
             // Restarts each controller in turn.
@@ -82,11 +88,11 @@
                 world.start(i);
                 sleep(Duration::from_secs(3)).await;
             }
-            world.until(&last, "done", 400).await;
+            world.wait_for_stage(&last, "done", 400).await;
             for id in [&top, &left, &right, &bottom] {
-                world.until(id, "done", 10).await;
+                world.wait_for_stage(id, "done", 10).await;
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -95,7 +101,7 @@
 /// controller, which has not seen the commit of the dependency yet.
 #[test]
 fn dependent_may_be_submitted_at_another_controller_immediately() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(4).await;
         wait_for_upgrade(&world).await;
         for n in 0..12u32 {
@@ -103,29 +109,29 @@
                 (n as usize % CONTROLLERS, (n as usize + 1) % CONTROLLERS);
             let first = job(10 + n, "batch", 1, 1.0);
             let id = first["name_id"].as_str().expect("id").to_string();
-            world.remember(&first);
-            let second = after(job(100 + n, "batch", 1, 1.0), &[&id]);
-            world.remember(&second);
+            world.register_job(&first);
+            let second = with_dependencies(job(100 + n, "batch", 1, 1.0), &[&id]);
+            world.register_job(&second);
             assert_eq!(submit_once(&world, first_controller, &first).await.0, 201);
             let (status, body) = submit_once(&world, second_controller, &second).await;
             assert_eq!((status, &body["stage"]), (201, &json!("queued")));
             // The repeated submission of a known id returns the job's stage, whatever
             // it awaits.
-            let other = after(job(100 + n, "batch", 1, 1.0), &["job-777777"]);
+            let other = with_dependencies(job(100 + n, "batch", 1, 1.0), &["job-777777"]);
             assert_eq!(submit_once(&world, first_controller, &other).await.0, 200);
         }
         for n in 0..12 {
             world
-                .until(&format!("job-{:06}", 100 + n), "done", 200)
+                .wait_for_stage(&format!("job-{:06}", 100 + n), "done", 200)
                 .await;
         }
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
 #[test]
 fn unknown_and_malformed_dependencies_are_rejected() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(5).await;
         wait_for_upgrade(&world).await;
         let known = world.submit(job(1, "batch", 1, 1.0)).await;
@@ -143,7 +149,7 @@
         for (dependencies, expected) in cases {
             let mut body = job(2, "batch", 1, 1.0);
             body["awaits"] = dependencies.clone();
-            world.remember(&body);
+            world.register_job(&body);
             assert_eq!(
                 submit_once(&world, 1, &body).await.0,
                 expected,
@@ -152,10 +158,10 @@
         }
         // A controller that gets no barrier cannot tell whether an id is unknown.
         world.fabric.cut(controller(0), state_addr(0));
-        let body = after(job(3, "batch", 1, 1.0), &["job-000777"]);
+        let body = with_dependencies(job(3, "batch", 1, 1.0), &["job-000777"]);
         assert_eq!(submit_once(&world, 0, &body).await.0, 503);
-        world.until("job-000002", "done", 100).await;
-        world.assert_kept();
+        world.wait_for_stage("job-000002", "done", 100).await;
+        world.assert_no_violations();
     });
 }
 
@@ -164,17 +170,17 @@
 /// space left for the state of its tasks.
 #[test]
 fn long_dependency_lists_are_rejected_or_run() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(6).await;
         wait_for_upgrade(&world).await;
         // This job uses all of the team's limit, so that no other job runs meanwhile.
         let first = world.submit(job(1, "gang", 6, 60.0)).await;
-        world.until(&first, "running", 60).await;
+        world.wait_for_stage(&first, "running", 60).await;
         let mut ids = Vec::new();
         for n in 0..320 {
             let mut submission = job(1000 + n, "batch", 1, 0.5);
             submission["vcpus"] = json!(0.1);
-            world.remember(&submission);
+            world.register_job(&submission);
             ids.push(submission);
         }
         for chunk in ids.chunks(20) {
@@ -194,17 +200,17 @@
             (3, fitting, 201),
             (4, &repeated[..], 201),
         ] {
-            let submission = after(job(n, "batch", 9, 1.0), list);
-            world.remember(&submission);
+            let submission = with_dependencies(job(n, "batch", 9, 1.0), list);
+            world.register_job(&submission);
             assert_eq!(submit_once(&world, 1, &submission).await.0, expected, "{n}");
         }
-        world.until("job-000003", "done", 300).await;
-        world.until("job-000004", "done", 300).await;
+        world.wait_for_stage("job-000003", "done", 300).await;
+        world.wait_for_stage("job-000004", "done", 300).await;
         // Dependencies that are done by now take no space in the record.
-        let done = after(job(2, "batch", 9, 1.0), too_long);
+        let done = with_dependencies(job(2, "batch", 9, 1.0), too_long);
         assert_eq!(submit_once(&world, 1, &done).await.0, 201);
-        world.until("job-000002", "done", 100).await;
-        world.assert_kept();
+        world.wait_for_stage("job-000002", "done", 100).await;
+        world.assert_no_violations();
     });
 }
 
@@ -218,22 +224,22 @@
         (23, 2, true),
         (24, 3, true),
     ] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(seed).await;
             wait_for_upgrade(&world).await;
             let mut ids: Vec<String> = Vec::new();
             for n in 0..5 {
                 let mut submission = job(1 + n, "batch", 2, 60.0);
                 if let Some(previous) = ids.last() {
-                    submission = after(submission, &[previous]);
+                    submission = with_dependencies(submission, &[previous]);
                 }
                 ids.push(world.submit(submission).await);
             }
             if first_runs {
-                world.until(&ids[0], "running", 60).await;
+                world.wait_for_stage(&ids[0], "running", 60).await;
             }
             let stage = world
-                .withdraw(seed as usize % CONTROLLERS, &ids[cancelled_index])
+                .cancel(seed as usize % CONTROLLERS, &ids[cancelled_index])
                 .await;
             assert_eq!(stage.as_deref(), Some("aborted"));
             // The dependents are cancelled with the same revision, at every controller,
@@ -246,15 +252,15 @@
                         "{id} at {i}"
                     );
                 }
-                let repeated_stage = world.withdraw(0, id).await;
+                let repeated_stage = world.cancel(0, id).await;
                 assert_eq!(repeated_stage.as_deref(), Some("aborted"));
             }
             for id in &ids[..cancelled_index] {
                 assert_ne!(world.stage(0, id).await.as_deref(), Some("aborted"), "{id}");
             }
             // A job that awaits a cancelled job is accepted, and is cancelled.
-            let late_dependent = after(job(50, "batch", 1, 1.0), &[&ids[4]]);
-            world.remember(&late_dependent);
+            let late_dependent = with_dependencies(job(50, "batch", 1, 1.0), &[&ids[4]]);
+            world.register_job(&late_dependent);
             let (status, body) = submit_once(&world, 1, &late_dependent).await;
             assert!([200, 201].contains(&status));
             assert_eq!(body["stage"], "aborted");
@@ -282,9 +288,9 @@
                 }
             }
             for id in &ids[..cancelled_index] {
-                world.until(id, "done", 400).await;
+                world.wait_for_stage(id, "done", 400).await;
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -294,20 +300,20 @@
 #[test]
 fn cancellation_races_with_the_last_task() {
     for n in 0..10u64 {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(40 + n).await;
             wait_for_upgrade(&world).await;
             let first = world.submit(job(1, "batch", 1, 5.0)).await;
             let second = world
-                .submit(after(job(2, "batch", 1, 1.0), &[&first]))
+                .submit(with_dependencies(job(2, "batch", 1, 1.0), &[&first]))
                 .await;
-            world.until(&first, "running", 60).await;
+            world.wait_for_stage(&first, "running", 60).await;
             sleep(Duration::from_millis(4000 + n * 350)).await;
             let (first_answer, second_answer) =
-                tokio::join!(world.withdraw(0, &first), world.withdraw(1, &first));
+                tokio::join!(world.cancel(0, &first), world.cancel(1, &first));
             let final_stage = first_answer.or(second_answer).expect("an answer");
             match final_stage.as_str() {
-                "done" => world.until(&second, "done", 100).await,
+                "done" => world.wait_for_stage(&second, "done", 100).await,
                 _ => {
                     for i in 0..CONTROLLERS {
                         assert_eq!(world.stage(i, &second).await.as_deref(), Some("aborted"));
@@ -325,14 +331,14 @@
                     Some(final_stage.as_str())
                 );
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
 
 #[test]
 fn finished_jobs_may_be_dependencies() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(60).await;
         wait_for_upgrade(&world).await;
         let done = world.submit(job(1, "batch", 1, 1.0)).await;
@@ -340,9 +346,9 @@
         let mut running = job(3, "gang", 2, 30.0);
         running["crew"] = json!("u");
         let running = world.submit(running).await;
-        world.until(&done, "done", 100).await;
+        world.wait_for_stage(&done, "done", 100).await;
         assert_eq!(
-            world.withdraw(0, &cancelled).await.as_deref(),
+            world.cancel(0, &cancelled).await.as_deref(),
             Some("aborted")
         );
         // By then, the records contain only the final stage.
@@ -350,21 +356,27 @@
         let record = world.state.value("sh/job/job-000001").expect("a record");
         assert_eq!((&record["f"], &record["s"]), (&json!("d"), &Value::Null));
         let after_done = world
-            .submit(after(job(11, "batch", 1, 1.0), &[&done]))
+            .submit(with_dependencies(job(11, "batch", 1, 1.0), &[&done]))
             .await;
         let after_cancelled = world
-            .submit(after(job(12, "batch", 1, 1.0), &[&done, &cancelled]))
+            .submit(with_dependencies(
+                job(12, "batch", 1, 1.0),
+                &[&done, &cancelled],
+            ))
             .await;
         let after_running = world
-            .submit(after(job(13, "batch", 1, 1.0), &[&done, &running]))
+            .submit(with_dependencies(
+                job(13, "batch", 1, 1.0),
+                &[&done, &running],
+            ))
             .await;
         assert_eq!(
             world.stage(2, &after_cancelled).await.as_deref(),
             Some("aborted")
         );
-        world.until(&after_done, "done", 100).await;
-        world.until(&after_running, "done", 200).await;
-        world.assert_kept();
+        world.wait_for_stage(&after_done, "done", 100).await;
+        world.wait_for_stage(&after_running, "done", 200).await;
+        world.assert_no_violations();
     });
 }
 
@@ -372,16 +384,18 @@
 /// kept idle for it.
 #[test]
 fn waiting_job_uses_no_resources() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(61).await;
         wait_for_upgrade(&world).await;
         let first = world.submit(job(1, "batch", 1, 90.0)).await;
         // This job needs all of the team's limit, and waits.
-        let wide = world.submit(after(job(2, "gang", 6, 5.0), &[&first])).await;
-        world.until(&first, "running", 60).await;
+        let wide = world
+            .submit(with_dependencies(job(2, "gang", 6, 5.0), &[&first]))
+            .await;
+        world.wait_for_stage(&first, "running", 60).await;
         let start = Instant::now();
         let other = world.submit(job(3, "gang", 4, 5.0)).await;
-        world.until(&other, "done", 60).await;
+        world.wait_for_stage(&other, "done", 60).await;
         assert!(
             start.elapsed() < Duration::from_secs(30),
             "{:?}",
@@ -389,14 +403,16 @@
         );
         sleep(Duration::from_secs(30)).await;
         assert!(world.workers.borrow().len() <= 1, "machines are kept idle");
-        let (_, teams) = world.ask(0, "GET", "/ops/teams", None).await;
+        let (_, teams) = world.send_request(0, "GET", "/ops/teams", None).await;
         assert_eq!(teams[0]["waiting_tasks"], 0, "{teams}");
-        let (_, details) = world.ask(1, "GET", &format!("/ops/job/{wide}"), None).await;
+        let (_, details) = world
+            .send_request(1, "GET", &format!("/ops/job/{wide}"), None)
+            .await;
         assert_eq!(details["reason"], format!("it awaits {first}"));
-        let (_, report) = world.ask(1, "GET", "/ops/report", None).await;
+        let (_, report) = world.send_request(1, "GET", "/ops/report", None).await;
         assert!(report["jobs"].to_string().contains("it awaits"), "{report}");
-        world.until(&wide, "done", 200).await;
-        world.assert_kept();
+        world.wait_for_stage(&wide, "done", 200).await;
+        world.assert_no_violations();
     });
 }
 
@@ -404,7 +420,7 @@
 /// job that it awaits is close to its end, but not long before that.
 #[test]
 fn machines_are_rented_shortly_before_a_job_becomes_ready() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let mut shape = DeploymentOptions {
             ready_s: 20.0,
             ..DeploymentOptions::default()
@@ -414,28 +430,30 @@
         wait_for_upgrade(&world).await;
         let long = world.submit(job(1, "batch", 1, 60.0)).await;
         let short = world
-            .submit(after(job(2, "batch", 1, 15.0), &[&long]))
+            .submit(with_dependencies(job(2, "batch", 1, 15.0), &[&long]))
+            .await;
+        let wide = world
+            .submit(with_dependencies(job(3, "gang", 8, 5.0), &[&short]))
             .await;
-        let wide = world.submit(after(job(3, "gang", 8, 5.0), &[&short])).await;
-        world.until(&long, "running", 60).await;
+        world.wait_for_stage(&long, "running", 60).await;
         sleep(Duration::from_secs(50)).await;
         assert!(world.workers.borrow().len() <= 1, "rented too early");
-        world.until(&short, "running", 60).await;
+        world.wait_for_stage(&short, "running", 60).await;
         sleep(Duration::from_secs(10)).await;
         assert!(
             world.workers.borrow().len() > 1,
             "not rented before the job became ready"
         );
-        world.until(&short, "done", 60).await;
+        world.wait_for_stage(&short, "done", 60).await;
         let start = Instant::now();
-        world.until(&wide, "running", 60).await;
+        world.wait_for_stage(&wide, "running", 60).await;
         assert!(
             start.elapsed() < Duration::from_secs(4),
             "{:?}",
             start.elapsed()
         );
-        world.until(&wide, "done", 60).await;
-        world.assert_kept();
+        world.wait_for_stage(&wide, "done", 60).await;
+        world.assert_no_violations();
     });
 }
 
@@ -444,19 +462,19 @@
 /// `awaits`.
 #[test]
 fn dependencies_are_refused_until_all_controllers_are_upgraded() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(62).await;
         world.kill(2);
         world.state.write("sh/node/n2", &json!({"h": "n2", "i": 5}));
         let first = world.submit(job(1, "batch", 1, 200.0)).await;
         sleep(Duration::from_secs(20)).await;
-        let second = after(job(2, "batch", 1, 1.0), &[&first]);
-        world.remember(&second);
+        let second = with_dependencies(job(2, "batch", 1, 1.0), &[&first]);
+        world.register_job(&second);
         for i in 0..2 {
             assert_eq!(submit_once(&world, i, &second).await.0, 503);
             let mut independent = job(3 + i as u32, "batch", 1, 1.0);
             independent["awaits"] = json!([]);
-            world.remember(&independent);
+            world.register_job(&independent);
             assert_eq!(submit_once(&world, i, &independent).await.0, 201);
         }
         assert_eq!(world.state.value("sh/job/job-000002"), None);
@@ -466,9 +484,9 @@
         // The result is permanent: a controller that is down later does not change it.
         world.kill(1);
         world
-            .submit(after(job(9, "batch", 1, 1.0), &[&second]))
+            .submit(with_dependencies(job(9, "batch", 1, 1.0), &[&second]))
             .await;
-        world.until("job-000009", "done", 400).await;
-        world.assert_kept();
+        world.wait_for_stage("job-000009", "done", 400).await;
+        world.assert_no_violations();
     });
 }
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -14,7 +14,8 @@
 use shelfhoist::http::{Client, Response};
 use shelfhoist::net::Net;
 use stand_ins::{
-    CONTROLLERS, DeploymentOptions, Simulation, StateFault, addr, after, controller, in_world, job,
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, addr, controller, job,
+    run_in_simulated_time, with_dependencies,
 };
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -73,7 +74,7 @@
             Refusal::Outage => world.state.trouble.set(StateFault::Outage),
             Refusal::Commits => world.state.trouble.set(StateFault::CommitsRefused),
             Refusal::OneController => {
-                world.state.troubles.borrow_mut().refused.insert(0);
+                world.state.fault_options.borrow_mut().refused.insert(0);
             }
         }
     }
@@ -87,10 +88,10 @@
     for (n, refusal) in refusals.into_iter().enumerate() {
         for request in REQUESTS {
             for later_s in [0.0, 1.0, 20.0] {
-                in_world(|| async move {
+                run_in_simulated_time(|| async move {
                     let world = Simulation::new(300 + n as u64).await;
                     let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-                    world.until(&existing, "running", 60).await;
+                    world.wait_for_stage(&existing, "running", 60).await;
                     refusal.begin(&world);
                     sleep(Duration::from_secs_f64(later_s)).await;
                     let (answer, response_time) = request.send(&world, 0, &existing).await;
@@ -131,12 +132,12 @@
         (StateFault::LateCommits, Request::Cancellation, &[200, 503]),
     ];
     for (n, (trouble, request, expected)) in cases.into_iter().enumerate() {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(320 + n as u64).await;
             let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-            world.until(&existing, "running", 60).await;
+            world.wait_for_stage(&existing, "running", 60).await;
             world.state.trouble.set(trouble);
-            world.state.troubled.set(1);
+            world.state.faulty_commits_left.set(1);
             let (answer, response_time) = request.send(&world, 0, &existing).await;
             let case = format!(
                 "{trouble:?}, {request:?}: {}, {response_time:?}",
@@ -154,12 +155,18 @@
 fn response_time_is_limited_when_the_state_service_is_slow() {
     for request in REQUESTS {
         for slow_s in [0.9, 1.2, 5.0] {
-            in_world(|| async move {
+            run_in_simulated_time(|| async move {
                 let world = Simulation::new(340).await;
                 let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-                world.until(&existing, "running", 60).await;
-                world.state.troubles.borrow_mut().slow = Duration::from_secs_f64(slow_s);
-                world.state.troubles.borrow_mut().slow_to.insert(0);
+                world.wait_for_stage(&existing, "running", 60).await;
+                world.state.fault_options.borrow_mut().response_delay =
+                    Duration::from_secs_f64(slow_s);
+                world
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .delayed_controllers
+                    .insert(0);
                 let (answer, response_time) = request.send(&world, 0, &existing).await;
                 let case = format!(
                     "{request:?}, {slow_s}: {}, {response_time:?}",
@@ -225,10 +232,10 @@
         submission["crew"] = json!(["t", "u"][n as usize % 2]);
         ids.push(world.submit(submission).await);
     }
-    let dependent = after(job(first_number + 20, "batch", 1, 1.0), &[&ids[0], &ids[1]]);
+    let dependent = with_dependencies(job(first_number + 20, "batch", 1, 1.0), &[&ids[0], &ids[1]]);
     ids.push(world.submit(dependent).await);
     for id in &ids {
-        world.until(id, "done", 120).await;
+        world.wait_for_stage(id, "done", 120).await;
         for i in 0..CONTROLLERS {
             let stage = world.stage(i, id).await;
             assert_eq!(stage.as_deref(), Some("done"), "{case}: {id} at n{i}");
@@ -266,16 +273,21 @@
         ][n % 2]
             .clone();
         start_log();
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(360 + n as u64).await;
             assert_new_jobs_complete(&world, 100, key).await;
             let long = world.submit(job(1, "batch", 1, 600.0)).await;
-            world.until(&long, "running", 60).await;
+            world.wait_for_stage(&long, "running", 60).await;
             let short = world.submit(job(2, "batch", 1, 3.0)).await;
-            world.until(&short, "done", 60).await;
+            world.wait_for_stage(&short, "done", 60).await;
             // A key that ends with a slash selects all keys with this prefix.
             let keys = match key.ends_with('/') {
-                true => world.state.sizes(key).into_iter().map(|(k, _)| k).collect(),
+                true => world
+                    .state
+                    .value_sizes(key)
+                    .into_iter()
+                    .map(|(k, _)| k)
+                    .collect(),
                 false => vec![key.to_string()],
             };
             assert!(!keys.is_empty(), "{key}");
@@ -294,7 +306,7 @@
                 world.start(i);
             }
             assert_new_jobs_complete(&world, 300, &case).await;
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -305,16 +317,16 @@
 /// the same stage as before.
 #[test]
 fn unreadable_job_is_reported_neither_as_unknown_nor_in_a_stage() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(400).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let first = world.submit(job(1, "batch", 1, 300.0)).await;
         let dependent = world
-            .submit(after(job(2, "batch", 1, 1.0), &[&first]))
+            .submit(with_dependencies(job(2, "batch", 1, 1.0), &[&first]))
             .await;
         let finished = world.submit(job(3, "batch", 1, 1.0)).await;
-        world.until(&finished, "done", 60).await;
-        world.until(&first, "running", 60).await;
+        world.wait_for_stage(&finished, "done", 60).await;
+        world.wait_for_stage(&first, "running", 60).await;
         let keys = [&first, &finished].map(|id| format!("sh/job/{id}"));
         let records = keys
             .each_ref()
@@ -331,17 +343,19 @@
             for i in 0..CONTROLLERS {
                 let ask = |method, path: String| {
                     let world = world.clone();
-                    async move { world.ask(i, method, &path, None).await.0 }
+                    async move { world.send_request(i, method, &path, None).await.0 }
                 };
                 let query = format!("/submissions/{first}");
                 assert_eq!(ask("GET", query.clone()).await, 503, "{restarted}, n{i}");
                 assert_eq!(ask("POST", format!("{query}/withdraw")).await, 503);
                 let repeated = job(1, "batch", 1, 300.0);
-                let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
+                let (status, _) = world
+                    .send_request(i, "POST", "/submissions", Some(&repeated))
+                    .await;
                 assert_eq!(status, 503);
-                let new_dependent = after(job(60, "batch", 1, 1.0), &[&first]);
+                let new_dependent = with_dependencies(job(60, "batch", 1, 1.0), &[&first]);
                 let (status, _) = world
-                    .ask(i, "POST", "/submissions", Some(&new_dependent))
+                    .send_request(i, "POST", "/submissions", Some(&new_dependent))
                     .await;
                 assert_eq!(status, 503, "a dependency on an unreadable job was decided");
                 assert_eq!(world.stage(i, &dependent).await.as_deref(), Some("queued"));
@@ -361,9 +375,9 @@
             let stage: Option<String> = world.stage(i, &first).await;
             assert!(["queued", "running"].map(Some).contains(&stage.as_deref()));
         }
-        assert_eq!(world.withdraw(0, &first).await.as_deref(), Some("aborted"));
+        assert_eq!(world.cancel(0, &first).await.as_deref(), Some("aborted"));
         assert_eq!(world.stage(1, &dependent).await.as_deref(), Some("aborted"));
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -371,26 +385,28 @@
 /// does not keep the others from running, and is not accepted again with other content.
 #[test]
 fn one_unreadable_new_job_does_not_affect_the_others() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(410).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let (readable, unreadable) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
         let spec = shelfhoist::api::read_submission(readable.to_string().as_bytes());
         let spec = shelfhoist::state::records::JobSpec::from(&spec.expect("a submission"));
         let spec: Value = serde_json::to_value(&spec).expect("text");
-        world.remember(&readable);
-        world.remember(&unreadable);
+        world.register_job(&readable);
+        world.register_job(&unreadable);
         let new_jobs = json!({"b": 1, "j": {"job-000001": spec, "job-000002": 5}});
         world.state.write("sh/new/n0-1", &new_jobs);
         sleep(Duration::from_secs(1)).await;
         world.submit(readable).await;
-        world.until("job-000001", "done", 60).await;
+        world.wait_for_stage("job-000001", "done", 60).await;
         for i in 0..CONTROLLERS {
             let (status, _) = world
-                .ask(i, "POST", "/submissions", Some(&unreadable))
+                .send_request(i, "POST", "/submissions", Some(&unreadable))
                 .await;
             assert_eq!(status, 503);
-            let (status, _) = world.ask(i, "GET", "/submissions/job-000002", None).await;
+            let (status, _) = world
+                .send_request(i, "GET", "/submissions/job-000002", None)
+                .await;
             assert_eq!(status, 503);
         }
         sleep(Duration::from_secs(20)).await;
@@ -398,7 +414,7 @@
             world.state.value("sh/new/n0-1").is_some(),
             "the record was deleted with a job"
         );
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -406,14 +422,14 @@
 /// defines, at every controller.
 #[test]
 fn dependency_lists_are_parsed_as_the_protocol_defines() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(420).await;
         assert_new_jobs_complete(&world, 100, "before the fault").await;
         let mut other = job(1, "gang", 1, 300.0);
         other["crew"] = json!("u");
         let running = world.submit(other).await;
         let service = world.submit(job(2, "daemon", 1, 0.0)).await;
-        world.until(&running, "running", 60).await;
+        world.wait_for_stage(&running, "running", 60).await;
         let cases = [
             (Value::Null, 201),
             (json!([]), 201),
@@ -436,9 +452,9 @@
             for i in 0..CONTROLLERS {
                 let mut submission = job(n, "batch", 1, 1.0);
                 submission["awaits"] = dependencies.clone();
-                world.remember(&submission);
+                world.register_job(&submission);
                 let (status, answer) = world
-                    .ask(i, "POST", "/submissions", Some(&submission))
+                    .send_request(i, "POST", "/submissions", Some(&submission))
                     .await;
                 // The first controller accepts the job; the others return its stage.
                 let is_known = expected == 201 && i > 0;
@@ -455,12 +471,14 @@
             let mut repeated = job(10, "batch", 1, 1.0);
             repeated["awaits"] = dependencies.clone();
             for i in 0..CONTROLLERS {
-                let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
+                let (status, _) = world
+                    .send_request(i, "POST", "/submissions", Some(&repeated))
+                    .await;
                 assert_eq!(status, 200, "{dependencies}");
             }
         }
-        world.until("job-000010", "done", 60).await;
-        world.assert_kept();
+        world.wait_for_stage("job-000010", "done", 60).await;
+        world.assert_no_violations();
     });
 }
 
@@ -478,16 +496,16 @@
     .into_iter()
     .enumerate()
     {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::new(430 + n as u64).await;
             assert_new_jobs_complete(&world, 100, "before the fault").await;
             {
-                let mut troubles = world.state.troubles.borrow_mut();
+                let mut troubles = world.state.fault_options.borrow_mut();
                 match trouble {
-                    "slow" => troubles.slow = Duration::from_millis(600),
+                    "slow" => troubles.response_delay = Duration::from_millis(600),
                     "slow for one controller" => {
-                        troubles.slow = Duration::from_millis(600);
-                        troubles.slow_to.insert(1);
+                        troubles.response_delay = Duration::from_millis(600);
+                        troubles.delayed_controllers.insert(1);
                     }
                     "unanswered commits" => troubles.unanswered = 0.3,
                     _ => {
@@ -497,17 +515,19 @@
             }
             for round in 0..8 {
                 let first = world.submit(job(1000 + round, "batch", 1, 1.0)).await;
-                let dependent = after(job(1100 + round, "batch", 1, 1.0), &[&first]);
-                world.remember(&dependent);
-                let (status, answer) = world.ask(1, "POST", "/submissions", Some(&dependent)).await;
+                let dependent = with_dependencies(job(1100 + round, "batch", 1, 1.0), &[&first]);
+                world.register_job(&dependent);
+                let (status, answer) = world
+                    .send_request(1, "POST", "/submissions", Some(&dependent))
+                    .await;
                 assert!(
                     [200, 201, 503].contains(&status),
                     "{trouble}: {status} {answer}"
                 );
                 let dependent_of_unknown =
-                    after(job(1200 + round, "batch", 1, 1.0), &["job-000777"]);
+                    with_dependencies(job(1200 + round, "batch", 1, 1.0), &["job-000777"]);
                 let (status, answer) = world
-                    .ask(1, "POST", "/submissions", Some(&dependent_of_unknown))
+                    .send_request(1, "POST", "/submissions", Some(&dependent_of_unknown))
                     .await;
                 let expected = match trouble {
                     "one controller refused" => &[503][..],
@@ -516,13 +536,13 @@
                 assert!(expected.contains(&status), "{trouble}: {status} {answer}");
                 world.submit(dependent).await;
             }
-            world.state.troubles.replace(Default::default());
+            world.state.fault_options.replace(Default::default());
             for round in 0..8 {
                 world
-                    .until(&format!("job-{:06}", 1100 + round), "done", 100)
+                    .wait_for_stage(&format!("job-{:06}", 1100 + round), "done", 100)
                     .await;
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -533,7 +553,7 @@
 /// submission of an accepted job returns its stage whatever it awaits.
 #[test]
 fn dependency_lists_must_fit_the_next_record_limits() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::new(440).await;
         *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
         for i in 0..CONTROLLERS {
@@ -544,7 +564,8 @@
         let running = world.submit(job(1, "batch", 1, 60.0)).await;
         let mut dependencies = vec![running];
         for n in 0..160 {
-            let mut submission = after(job(2000 + n, "batch", 1, 0.2), &[&dependencies[0]]);
+            let mut submission =
+                with_dependencies(job(2000 + n, "batch", 1, 0.2), &[&dependencies[0]]);
             submission["vcpus"] = json!(0.1);
             dependencies.push(world.submit(submission).await);
         }
@@ -555,25 +576,30 @@
                 .collect::<Vec<_>>()
         };
         for (n, count, expected) in [(2, 161, 400), (3, 90, 201)] {
-            let submission = after(job(n, "batch", 2, 1.0), &list(count));
-            world.remember(&submission);
+            let submission = with_dependencies(job(n, "batch", 2, 1.0), &list(count));
+            world.register_job(&submission);
             let (status, answer) = world
-                .ask(1, "POST", "/submissions", Some(&submission))
+                .send_request(1, "POST", "/submissions", Some(&submission))
                 .await;
             assert_eq!(status, expected, "{count} names: {answer}");
         }
-        let repeated = after(job(3, "batch", 2, 1.0), &list(161));
+        let repeated = with_dependencies(job(3, "batch", 2, 1.0), &list(161));
         for i in 0..CONTROLLERS {
-            let (status, _) = world.ask(i, "POST", "/submissions", Some(&repeated)).await;
+            let (status, _) = world
+                .send_request(i, "POST", "/submissions", Some(&repeated))
+                .await;
             assert_eq!(status, 200);
         }
         let mut limits = world.state.limits.get();
         limits.value_limit_bytes = 2048;
         limits.txn_ops = 4;
         world.state.limits.set(limits);
-        world.until("job-000003", "done", 300).await;
-        assert_eq!(world.state.beyond.borrow().clone(), Vec::<String>::new());
-        world.assert_kept();
+        world.wait_for_stage("job-000003", "done", 300).await;
+        assert_eq!(
+            world.state.rejected_commits.borrow().clone(),
+            Vec::<String>::new()
+        );
+        world.assert_no_violations();
     });
 }
 
@@ -581,7 +607,7 @@
 /// even at a low write rate.
 #[test]
 fn wait_for_the_write_budget_is_limited() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let shape = DeploymentOptions {
             state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
             ..DeploymentOptions::default()
@@ -597,7 +623,7 @@
                 let world = world.clone();
                 spawn_local(async move {
                     let start = Instant::now();
-                    let confirmed = world.withdraw(0, &id).await;
+                    let confirmed = world.cancel(0, &id).await;
                     (confirmed, start.elapsed())
                 })
             })
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -15,7 +15,10 @@
 use shelfhoist::state::records::{Job, JobSpec, JobStatus};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::Event;
-use stand_ins::{CONTROLLERS, DeploymentOptions, Simulation, StateFault, after, in_world, job};
+use stand_ins::{
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, job, run_in_simulated_time,
+    with_dependencies,
+};
 use tokio::time::{Instant, sleep};
 
 fn secs(s: f64) -> Duration {
@@ -35,7 +38,7 @@
 /// controller is known to read the newer formats.
 async fn wait_for_upgrade(world: &Simulation) {
     let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
-    let probe = after(job(900_001, "batch", 1, 0.5), &[&first]);
+    let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
     world.submit(probe).await;
 }
 
@@ -44,11 +47,11 @@
 async fn submit_pipeline(world: &Simulation, first_s: f64) -> Vec<String> {
     let mut ids = vec![world.submit(job(1, "batch", 3, first_s)).await];
     for (n, kind) in [(2, "gang"), (3, "batch"), (4, "gang")] {
-        let mut submission = after(job(n, kind, 2, 2.0), &[&ids[ids.len() - 1]]);
+        let mut submission = with_dependencies(job(n, kind, 2, 2.0), &[&ids[ids.len() - 1]]);
         submission["crew"] = json!(["t", "u"][n as usize % 2]);
         ids.push(world.submit(submission).await);
     }
-    let fifth = after(job(5, "batch", 2, 1.0), &[&ids[1], &ids[2]]);
+    let fifth = with_dependencies(job(5, "batch", 2, 1.0), &[&ids[1], &ids[2]]);
     ids.push(world.submit(fifth).await);
     ids
 }
@@ -93,22 +96,22 @@
                     _ => StateFault::LateCommits,
                 });
                 for _ in 0..5 {
-                    world.state.troubled.set(2);
+                    world.state.faulty_commits_left.set(2);
                     sleep(secs(2.0)).await;
                 }
-                world.state.troubled.set(0);
+                world.state.faulty_commits_left.set(0);
                 world.state.trouble.set(StateFault::None);
             }
             Fault::MixedAnswers => {
-                world.state.troubles.borrow_mut().late = 0.2;
-                world.state.troubles.borrow_mut().unanswered = 0.2;
+                world.state.fault_options.borrow_mut().late = 0.2;
+                world.state.fault_options.borrow_mut().unanswered = 0.2;
                 sleep(secs(12.0)).await;
-                world.heal();
+                world.clear_faults();
             }
             Fault::LateReportCopies => {
                 for _ in 0..6 {
                     sleep(secs(2.0)).await;
-                    world.deliver_copies();
+                    world.send_recorded_copies();
                 }
             }
             Fault::Restarts => {
@@ -127,12 +130,12 @@
             Fault::OneRefused => {
                 world
                     .state
-                    .troubles
+                    .fault_options
                     .borrow_mut()
                     .refused
                     .insert(refused_controller);
                 sleep(longer_than_cancel).await;
-                world.state.troubles.borrow_mut().refused.clear();
+                world.state.fault_options.borrow_mut().refused.clear();
             }
         }
     }
@@ -155,7 +158,7 @@
 fn no_task_starts_before_its_dependencies_are_done() {
     for (n, fault) in FAULTS.into_iter().enumerate() {
         for delay_s in [0.5, 4.0] {
-            in_world(|| async move {
+            run_in_simulated_time(|| async move {
                 let world = Simulation::of(500 + n as u64, large_teams()).await;
                 wait_for_upgrade(&world).await;
                 world.copied.set(0.3);
@@ -164,15 +167,15 @@
                 sleep(secs(delay_s)).await;
                 fault.inject(&world, n % CONTROLLERS).await;
                 for id in &ids {
-                    world.until(id, "done", 200).await;
+                    world.wait_for_stage(id, "done", 200).await;
                 }
                 polling.abort();
-                let broken = world.broken.borrow().clone();
+                let broken = world.reported_violations.borrow().clone();
                 assert!(
                     broken.is_empty(),
                     "{fault:?} after {delay_s} s: {broken:#?}"
                 );
-                world.assert_kept();
+                world.assert_no_violations();
             });
         }
     }
@@ -186,13 +189,13 @@
 fn cancellation_at_each_depth_is_final_during_faults() {
     for (n, fault) in FAULTS.into_iter().enumerate() {
         for depth in 0..4 {
-            in_world(|| async move {
+            run_in_simulated_time(|| async move {
                 let case = format!("{fault:?}, depth {depth}");
                 let world = Simulation::of(540 + (n * 4 + depth) as u64, large_teams()).await;
                 wait_for_upgrade(&world).await;
                 world.copied.set(0.3);
                 let ids = submit_pipeline(&world, 40.0).await;
-                world.until(&ids[0], "running", 60).await;
+                world.wait_for_stage(&ids[0], "running", 60).await;
                 let polling = tokio::task::spawn_local(keep_polling(world.clone(), ids.clone()));
                 let injection = {
                     let world = world.clone();
@@ -205,14 +208,14 @@
                 while stage.is_none() && start.elapsed() < secs(90.0) {
                     let id = &ids[depth];
                     let (answer_0, answer_1, answer_2) = tokio::join!(
-                        world.withdraw(0, id),
-                        world.withdraw(1, id),
-                        world.withdraw(2, id)
+                        world.cancel(0, id),
+                        world.cancel(1, id),
+                        world.cancel(2, id)
                     );
                     stage = answer_0.or(answer_1).or(answer_2);
                     if stage.is_some() {
-                        world.look_closely(id).await;
-                        world.look_closely(&ids[4]).await;
+                        world.query_concurrently(id).await;
+                        world.query_concurrently(&ids[4]).await;
                     }
                     sleep(secs(1.0)).await;
                 }
@@ -220,7 +223,7 @@
                 injection.await.expect("the task that injects the fault");
                 // A job that awaits a cancelled job is accepted, and is cancelled.
                 let late_dependent = world
-                    .submit(after(job(50, "batch", 1, 1.0), &[&ids[depth]]))
+                    .submit(with_dependencies(job(50, "batch", 1, 1.0), &[&ids[depth]]))
                     .await;
                 sleep(secs(world.shape.cancel_s)).await;
                 // The fifth job depends on the second and the third, but not on the fourth.
@@ -236,12 +239,12 @@
                     }
                 }
                 for id in ids.iter().filter(|id| !dependents.contains(id)) {
-                    world.until(id, "done", 200).await;
+                    world.wait_for_stage(id, "done", 200).await;
                 }
                 polling.abort();
-                let broken = world.broken.borrow().clone();
+                let broken = world.reported_violations.borrow().clone();
                 assert!(broken.is_empty(), "{case}: {broken:#?}");
-                world.assert_kept();
+                world.assert_no_violations();
             });
         }
     }
@@ -256,28 +259,32 @@
         .into_iter()
         .enumerate()
     {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::of(600 + n as u64, large_teams()).await;
             wait_for_upgrade(&world).await;
             let first = world.submit(job(1, "batch", 1, 2.0)).await;
-            let next = world.submit(after(job(2, "gang", 2, 8.0), &[&first])).await;
-            let last = world.submit(after(job(3, "batch", 1, 1.0), &[&next])).await;
-            world.until(&first, "done", 60).await;
+            let next = world
+                .submit(with_dependencies(job(2, "gang", 2, 8.0), &[&first]))
+                .await;
+            let last = world
+                .submit(with_dependencies(job(3, "batch", 1, 1.0), &[&next]))
+                .await;
+            world.wait_for_stage(&first, "done", 60).await;
             let injection = {
                 let world = world.clone();
                 tokio::task::spawn_local(async move { fault.inject(&world, n).await })
             };
             for i in 0..CONTROLLERS {
-                let stage = world.withdraw(i, &first).await;
+                let stage = world.cancel(i, &first).await;
                 assert!(
                     stage.as_deref().is_none_or(|stage| stage == "done"),
                     "{stage:?}"
                 );
             }
             injection.await.expect("the task that injects the fault");
-            assert_eq!(world.withdraw(0, &first).await.as_deref(), Some("done"));
-            world.until(&last, "done", 120).await;
-            world.assert_kept();
+            assert_eq!(world.cancel(0, &first).await.as_deref(), Some("done"));
+            world.wait_for_stage(&last, "done", 120).await;
+            world.assert_no_violations();
         });
     }
 }
@@ -287,32 +294,29 @@
 /// submit such jobs.
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(620, large_teams()).await;
         wait_for_upgrade(&world).await;
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.until(&service, "running", 60).await;
+        world.wait_for_stage(&service, "running", 60).await;
         sleep(secs(30.0)).await;
         let machines = world.workers.borrow().len();
         let wide = world
-            .submit(after(job(2, "gang", 12, 5.0), &[&service]))
+            .submit(with_dependencies(job(2, "gang", 12, 5.0), &[&service]))
             .await;
         let other = world.submit(job(3, "batch", 2, 2.0)).await;
-        world.until(&other, "done", 60).await;
+        world.wait_for_stage(&other, "done", 60).await;
         sleep(secs(60.0)).await;
         assert_eq!(world.stage(1, &wide).await.as_deref(), Some("queued"));
         assert!(
             world.workers.borrow().len() <= machines,
             "idle machines are kept"
         );
-        assert_eq!(
-            world.withdraw(0, &service).await.as_deref(),
-            Some("aborted")
-        );
+        assert_eq!(world.cancel(0, &service).await.as_deref(), Some("aborted"));
         for i in 0..CONTROLLERS {
             assert_eq!(world.stage(i, &wide).await.as_deref(), Some("aborted"));
         }
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -320,7 +324,7 @@
 /// although its team uses less than its guarantee. Once the job is ready, it does.
 #[test]
 fn waiting_job_preempts_no_other_job() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let shape = DeploymentOptions {
             teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 8.0, 64.0)],
             ..DeploymentOptions::default()
@@ -330,15 +334,15 @@
         let mut first = job(1, "batch", 1, 60.0);
         first["crew"] = json!("u");
         let first = world.submit(first).await;
-        world.until(&first, "running", 60).await;
+        world.wait_for_stage(&first, "running", 60).await;
         let mut low_priority = job(2, "batch", 8, 500.0);
         low_priority["urgency"] = json!("low");
         let low_priority = world.submit(low_priority).await;
-        let mut urgent = after(job(3, "gang", 3, 2.0), &[&first]);
+        let mut urgent = with_dependencies(job(3, "gang", 3, 2.0), &[&first]);
         urgent["urgency"] = json!("urgent");
         urgent["crew"] = json!("u");
         let urgent = world.submit(urgent).await;
-        world.until(&low_priority, "running", 60).await;
+        world.wait_for_stage(&low_priority, "running", 60).await;
         sleep(secs(10.0)).await;
         let (running, starts) = (world.running(&low_priority), world.starts.get());
         while world.stage(0, &first).await.as_deref() != Some("done") {
@@ -352,8 +356,8 @@
             );
             sleep(secs(1.0)).await;
         }
-        world.until(&urgent, "done", 60).await;
-        world.assert_kept();
+        world.wait_for_stage(&urgent, "done", 60).await;
+        world.assert_no_violations();
     });
 }
 
@@ -363,7 +367,7 @@
 #[test]
 fn waiting_time_counts_from_readiness() {
     for restarts in [false, true] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let shape = DeploymentOptions {
                 teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 2.0, 2.0)],
                 ..DeploymentOptions::default()
@@ -373,13 +377,13 @@
             let mut blocker = job(1, "batch", 1, 160.0);
             blocker["crew"] = json!("u");
             let blocker = world.submit(blocker).await;
-            world.until(&blocker, "running", 60).await;
+            world.wait_for_stage(&blocker, "running", 60).await;
             let first = world.submit(job(2, "batch", 1, 90.0)).await;
             // The blocker uses all of the limit of this job's team.
-            let mut next = after(job(3, "batch", 1, 1.0), &[&first]);
+            let mut next = with_dependencies(job(3, "batch", 1, 1.0), &[&first]);
             next["crew"] = json!("u");
             let next = world.submit(next).await;
-            world.until(&first, "done", 150).await;
+            world.wait_for_stage(&first, "done", 150).await;
             let ready_at = Instant::now();
             if restarts {
                 for i in 0..CONTROLLERS {
@@ -389,7 +393,9 @@
             }
             sleep(secs(10.0)).await;
             for i in 0..CONTROLLERS {
-                let (_, details) = world.ask(i, "GET", &format!("/ops/job/{next}"), None).await;
+                let (_, details) = world
+                    .send_request(i, "GET", &format!("/ops/job/{next}"), None)
+                    .await;
                 let waiting_s = details["known_s"].as_f64().expect("known_s");
                 let limit_s = ready_at.elapsed().as_secs_f64() + 4.0;
                 assert!(
@@ -397,8 +403,8 @@
                     "n{i}: {waiting_s} of {limit_s}: {details}"
                 );
             }
-            world.until(&next, "done", 200).await;
-            world.assert_kept();
+            world.wait_for_stage(&next, "done", 200).await;
+            world.assert_no_violations();
         });
     }
 }
@@ -407,9 +413,9 @@
 /// job waits for its dependencies and once it is ready.
 #[test]
 fn deadline_counts_from_the_submission() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let job_record = |n: u32, dependencies: &[&str]| {
-            let mut body = after(job(n, "batch", 1, 5.0), dependencies);
+            let mut body = with_dependencies(job(n, "batch", 1, 5.0), dependencies);
             body["due_s"] = json!(100.0);
             let submission = read_submission(body.to_string().as_bytes()).expect("a submission");
             Job::new(JobSpec::from(&submission), 1)
--- a/tests/rule_checker/derived_rules.rs
+++ b/tests/rule_checker/derived_rules.rs
@@ -6,7 +6,7 @@
     Cancel, Case, Elapse, FIRST, FIRST_TASK, Poll, SECOND, StartTask, Submit, WriteRecord,
     after_unrelated_start, long_batch, short_batch,
 };
-use crate::stand_ins::{Rule, after, job};
+use crate::stand_ins::{Rule, job, with_dependencies};
 
 /// Returns the cases of the rules that follow from the protocol's text.
 pub fn derived_rules() -> Vec<Case> {
@@ -17,7 +17,7 @@
             setup: || {
                 vec![
                     Submit(short_batch(1)),
-                    Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
+                    Submit(with_dependencies(job(2, "batch", 1, 1.0), &[FIRST])),
                     StartTask(0, FIRST_TASK),
                     Elapse(4.0),
                 ]
@@ -31,7 +31,7 @@
             setup: || {
                 after_unrelated_start(vec![
                     Submit(long_batch(1)),
-                    Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
+                    Submit(with_dependencies(job(2, "batch", 1, 1.0), &[FIRST])),
                     Cancel(FIRST, 200, "aborted"),
                     Elapse(29.0),
                     Poll(SECOND, 200, "queued"),
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -7,7 +7,9 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::stand_ins::{DeploymentOptions, Rule, ScriptedController, Simulation, in_world, job};
+use crate::stand_ins::{
+    DeploymentOptions, Rule, ScriptedController, Simulation, job, run_in_simulated_time,
+};
 
 /// ID of the first job.
 pub const FIRST: &str = "job-000001";
@@ -78,7 +80,7 @@
             }
             Cancel(id, status, stage) => {
                 controller.queue_response(status, stage);
-                world.withdraw(0, id).await;
+                world.cancel(0, id).await;
             }
             StartTask(machine, task) => controller.send_command(machine, "launch", task).await,
             StopTask(machine, task) => controller.send_command(machine, "stop", task).await,
@@ -102,9 +104,11 @@
     job: &Value,
     status: u16,
 ) {
-    world.remember(job);
+    world.register_job(job);
     controller.queue_response(status, "queued");
-    world.ask(0, "POST", "/submissions", Some(job)).await;
+    world
+        .send_request(0, "POST", "/submissions", Some(job))
+        .await;
 }
 
 /// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
@@ -146,7 +150,7 @@
 /// violation only.
 pub fn check_cases(cases: Vec<Case>) {
     for case in cases {
-        in_world(|| async {
+        run_in_simulated_time(|| async {
             let lawful = reported_violations([(case.setup)(), (case.compliant)()]).await;
             assert_eq!(lawful, Vec::<String>::new(), "{}: lawful", case.name);
             let reported = reported_violations([(case.setup)(), (case.violation)()]).await;
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -19,7 +19,7 @@
     reported_violations,
 };
 use responses::{forgotten, invented, not_done, went_back};
-use stand_ins::{Rule, in_world};
+use stand_ins::{Rule, run_in_simulated_time};
 use tasks::{quota, ran_cancelled, ran_twice, wrong_place};
 
 #[test]
@@ -90,7 +90,7 @@
 /// reported, too.
 #[test]
 fn second_violation_is_reported() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let unknown_job = vec![StartTask(0, "job-000002/0"), Elapse(1.0)];
         let late_task = followed_by(
             long_task_started(),
--- a/tests/rule_checker/responses.rs
+++ b/tests/rule_checker/responses.rs
@@ -6,7 +6,7 @@
     SubmitWithStatus, after_unrelated_start, followed_by, long_batch, short_batch,
     short_task_started, unrelated_start,
 };
-use crate::stand_ins::{Rule, after, job};
+use crate::stand_ins::{Rule, job, with_dependencies};
 
 /// Returns cases in which an accepted job is no longer known.
 pub fn forgotten() -> Vec<Case> {
@@ -211,8 +211,8 @@
             setup: || {
                 after_unrelated_start(vec![
                     Submit(long_batch(1)),
-                    Submit(after(job(2, "batch", 1, 1.0), &[FIRST])),
-                    Submit(after(job(3, "batch", 1, 1.0), &[SECOND])),
+                    Submit(with_dependencies(job(2, "batch", 1, 1.0), &[FIRST])),
+                    Submit(with_dependencies(job(3, "batch", 1, 1.0), &[SECOND])),
                 ])
             },
             compliant: || {
--- a/tests/rule_checker/tasks.rs
+++ b/tests/rule_checker/tasks.rs
@@ -7,7 +7,7 @@
     Cancel, Case, Elapse, FIRST, FIRST_TASK, HangMachine, LoseMachine, StartTask, StopTask, Submit,
     followed_by, long_batch, long_task_started, short_batch, short_task_started, with_field,
 };
-use crate::stand_ins::{Rule, after, job};
+use crate::stand_ins::{Rule, job, with_dependencies};
 
 /// Returns cases in which a task runs on two machines.
 pub fn ran_twice() -> Vec<Case> {
@@ -201,7 +201,7 @@
             setup: || {
                 vec![
                     Submit(short_batch(1)),
-                    Submit(after(job(2, "daemon", 1, 0.0), &[FIRST])),
+                    Submit(with_dependencies(job(2, "daemon", 1, 0.0), &[FIRST])),
                     StartTask(0, FIRST_TASK),
                     Elapse(6.0),
                     StartTask(1, "job-000002/0"),
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -16,7 +16,7 @@
     Scenario::new(14).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
         let array = world.submit(job(2, "batch", 6, 4.0)).await;
-        world.until(&array, "done", 100).await;
+        world.wait_for_stage(&array, "done", 100).await;
         sleep(Duration::from_secs(3)).await;
         let name = world.machine_of(&service);
         let heartbeats = world.workers.borrow()[&name].0.sent.borrow().clone();
@@ -42,7 +42,7 @@
             2,
             "the replicas of the lost machine were not replaced"
         );
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -54,7 +54,7 @@
 fn worker_with_a_slow_claim_stays_for_a_limited_time() {
     Scenario::new(19).run(|world| async move {
         let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.until(&first, "done", 100).await;
+        world.wait_for_stage(&first, "done", 100).await;
         let name = world.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
         world.state.trouble.set(StateFault::CommitsRefused);
@@ -66,7 +66,9 @@
                 let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
                     "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
-                let (status, body) = world.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
+                let (status, body) = world
+                    .send_request(i, "POST", "/agent/beat", Some(&heartbeat))
+                    .await;
                 answers.push((status, body["baton"].as_u64()));
                 // The interval at which a worker sends heartbeats; no answer delays the
                 // next one.
@@ -87,7 +89,7 @@
         }
         assert_eq!(retaining_controllers, CONTROLLERS - 1);
         world.state.trouble.set(StateFault::None);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -97,7 +99,7 @@
 fn heartbeat_does_not_wait_for_a_refused_claim() {
     Scenario::new(23).run(|world| async move {
         let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.until(&first, "done", 100).await;
+        world.wait_for_stage(&first, "done", 100).await;
         let name = world.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
         world.state.trouble.set(StateFault::CommitsRefused);
@@ -108,7 +110,9 @@
                     "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
                 let sent_at = Instant::now();
-                let (status, body) = world.ask(i, "POST", "/agent/beat", Some(&heartbeat)).await;
+                let (status, body) = world
+                    .send_request(i, "POST", "/agent/beat", Some(&heartbeat))
+                    .await;
                 let response_time = sent_at.elapsed();
                 assert!(
                     response_time < Duration::from_secs(1),
@@ -121,7 +125,7 @@
         }
         assert!(unclaimed_answers >= CONTROLLERS - 1, "{unclaimed_answers}");
         world.state.trouble.set(StateFault::None);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -142,7 +146,7 @@
         sleep(Duration::from_secs(40)).await;
         let owned_count = |name: &str| {
             world
-                .holders()
+                .machine_owners()
                 .iter()
                 .filter(|(_, owner)| owner == name)
                 .count()
@@ -150,26 +154,29 @@
         let partitioned = (0..CONTROLLERS).max_by_key(|i| owned_count(&format!("n{i}")));
         let partitioned = partitioned.expect("a controller");
         let name = format!("n{partitioned}");
-        assert!(owned_count(&name) > 1, "{:?}", world.holders());
-        world.cut_workers(partitioned, true);
+        assert!(owned_count(&name) > 1, "{:?}", world.machine_owners());
+        world.set_worker_partition(partitioned, true);
         sleep(Duration::from_secs(14)).await;
         // Its last worker may be the one that is unreachable, so that worker is
         // redirected back to it once.
         assert!(
             owned_count(&name) <= 1,
             "workers were not claimed by another controller: {:?}",
-            world.holders()
+            world.machine_owners()
         );
-        let expired_leases = world.lapsed();
+        let expired_leases = world.expired_lease_count();
         assert!(expired_leases <= 1, "leases have expired");
-        world.cut_workers(partitioned, false);
+        world.set_worker_partition(partitioned, false);
         sleep(Duration::from_secs(60)).await;
         let not_returned = world
-            .holders()
+            .machine_owners()
             .into_iter()
             .find(|(preferred, owner)| preferred != owner);
         assert_eq!(not_returned, None, "a worker is not at its preferred owner");
-        assert!(world.lapsed() <= expired_leases, "leases have expired");
-        world.assert_kept();
+        assert!(
+            world.expired_lease_count() <= expired_leases,
+            "leases have expired"
+        );
+        world.assert_no_violations();
     });
 }
--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -13,26 +13,23 @@
         let array = world.submit(job(1, "batch", 20, 5.0)).await;
         let gang = world.submit(job(2, "gang", 2, 8.0)).await;
         let service = world.submit(job(3, "daemon", 2, 0.0)).await;
-        world.until(&array, "done", 200).await;
-        world.until(&gang, "done", 200).await;
-        world.until(&service, "running", 60).await;
+        world.wait_for_stage(&array, "done", 200).await;
+        world.wait_for_stage(&gang, "done", 200).await;
+        world.wait_for_stage(&service, "running", 60).await;
         sleep(Duration::from_secs(5)).await;
         assert_eq!(world.running(&service), 2);
-        assert_eq!(
-            world.withdraw(1, &service).await.as_deref(),
-            Some("aborted")
-        );
+        assert_eq!(world.cancel(1, &service).await.as_deref(), Some("aborted"));
         sleep(Duration::from_secs(5)).await;
         assert_eq!(world.running(&service), 0);
         for i in 0..CONTROLLERS {
             assert_eq!(world.stage(i, &array).await.as_deref(), Some("done"));
             assert_eq!(world.stage(i, &service).await.as_deref(), Some("aborted"));
-            assert_eq!(world.withdraw(i, &array).await.as_deref(), Some("done"));
+            assert_eq!(world.cancel(i, &array).await.as_deref(), Some("done"));
         }
         // No job is left, so all machines are returned.
         sleep(Duration::from_secs(60)).await;
         assert_eq!(world.workers.borrow().len(), 0);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -42,9 +39,9 @@
         world.submit(job(1, "batch", 1, 1.0)).await;
         let submission = job(7, "batch", 2, 3.0);
         let (a, b, c) = tokio::join!(
-            world.ask(0, "POST", "/submissions", Some(&submission)),
-            world.ask(1, "POST", "/submissions", Some(&submission)),
-            world.ask(2, "POST", "/submissions", Some(&submission)),
+            world.send_request(0, "POST", "/submissions", Some(&submission)),
+            world.send_request(1, "POST", "/submissions", Some(&submission)),
+            world.send_request(2, "POST", "/submissions", Some(&submission)),
         );
         let mut statuses = [a.0, b.0, c.0];
         statuses.sort_unstable();
@@ -54,25 +51,37 @@
         let mut changed = submission.clone();
         changed["crew"] = json!("nobody");
         assert_eq!(
-            world.ask(0, "POST", "/submissions", Some(&changed)).await.0,
+            world
+                .send_request(0, "POST", "/submissions", Some(&changed))
+                .await
+                .0,
             200
         );
         assert_eq!(
             world
-                .ask(0, "POST", "/submissions", Some(&json!([])))
+                .send_request(0, "POST", "/submissions", Some(&json!([])))
                 .await
                 .0,
             400
         );
         assert_eq!(
-            world.ask(0, "GET", "/submissions/job-999999", None).await.0,
+            world
+                .send_request(0, "GET", "/submissions/job-999999", None)
+                .await
+                .0,
             404
         );
-        assert_eq!(world.ask(0, "GET", "/nowhere", None).await.0, 404);
-        assert_eq!(world.ask(0, "PUT", "/submissions", None).await.0, 405);
+        assert_eq!(world.send_request(0, "GET", "/nowhere", None).await.0, 404);
+        assert_eq!(
+            world.send_request(0, "PUT", "/submissions", None).await.0,
+            405
+        );
         changed["name_id"] = json!("job-000008");
         assert_eq!(
-            world.ask(0, "POST", "/submissions", Some(&changed)).await.0,
+            world
+                .send_request(0, "POST", "/submissions", Some(&changed))
+                .await
+                .0,
             422
         );
     });
@@ -88,7 +97,7 @@
         low_priority["urgency"] = json!("low");
         low_priority["crew"] = json!("u");
         let array = world.submit(low_priority).await;
-        world.until(&array, "running", 60).await;
+        world.wait_for_stage(&array, "running", 60).await;
         sleep(Duration::from_secs(30)).await;
         assert_eq!(world.running(&array), 4);
         let mut service = job(2, "daemon", 4, 0.0);
@@ -96,7 +105,7 @@
         let service = world.submit(service).await;
         sleep(Duration::from_millis(3500)).await;
         assert_eq!((world.running(&service), world.running(&array)), (4, 0));
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -104,11 +113,11 @@
 fn operators_see_unfinished_jobs_and_their_reasons() {
     Scenario::new(10).run(|world| async move {
         let first = world.submit(job(1, "gang", 6, 300.0)).await;
-        world.until(&first, "running", 100).await;
+        world.wait_for_stage(&first, "running", 100).await;
         let second = world.submit(job(2, "gang", 2, 5.0)).await;
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
-            let (status, report) = world.ask(i, "GET", "/ops/report", None).await;
+            let (status, report) = world.send_request(i, "GET", "/ops/report", None).await;
             assert_eq!(
                 (status, &report["unfinished"]),
                 (200, &json!(2)),
@@ -120,18 +129,18 @@
                 .find(|j| j["job"] == second.as_str())
                 .expect("the second job");
             assert_eq!(reported["reason"], "its team is at its limit", "{reported}");
-            let (_, teams) = world.ask(i, "GET", "/ops/teams", None).await;
+            let (_, teams) = world.send_request(i, "GET", "/ops/teams", None).await;
             assert_eq!(teams[0]["cpus_used"], 12.0);
             assert_eq!(teams[0]["cpus_borrowed"], 4.0);
             assert_eq!(teams[0]["why"], "its team is at its limit");
         }
         let (_, details) = world
-            .ask(0, "GET", &format!("/ops/job/{first}"), None)
+            .send_request(0, "GET", &format!("/ops/job/{first}"), None)
             .await;
         assert_eq!(
             (&details["running"], &details["stage"]),
             (&json!(6), &json!("running"))
         );
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -12,15 +12,15 @@
     Scenario::new(6).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
         let gang = world.submit(job(2, "gang", 2, 20.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(12)).await;
         let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
         for name in names {
             world.lose(&name);
         }
-        world.until(&gang, "done", 200).await;
+        world.wait_for_stage(&gang, "done", 200).await;
         assert_eq!(world.running(&service), 2);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -28,7 +28,7 @@
 fn machine_that_rejects_tasks_is_returned_and_its_jobs_run_elsewhere() {
     Scenario::new(9).run(|world| async move {
         let first = world.submit(job(1, "batch", 4, 2.0)).await;
-        world.until(&first, "done", 100).await;
+        world.wait_for_stage(&first, "done", 100).await;
         let name = world
             .workers
             .borrow()
@@ -41,13 +41,15 @@
             world.submit(job(n, "batch", 4, 2.0)).await;
         }
         for n in 2..6 {
-            world.until(&format!("job-{n:06}"), "done", 300).await;
+            world
+                .wait_for_stage(&format!("job-{n:06}"), "done", 300)
+                .await;
         }
         assert!(
             !world.workers.borrow().contains_key(&name),
             "the machine is still rented"
         );
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -58,7 +60,7 @@
 fn failures_of_a_faulty_job_are_not_attributed_to_machines() {
     Scenario::new(23).run(|world| async move {
         let service = world.submit(job(1, "daemon", 3, 0.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         let kinds = ["batch", "gang", "daemon", "batch", "gang", "batch"];
         for (n, kind) in (10..).zip(kinds) {
             let mut submission = job(n, kind, if kind == "batch" { 6 } else { 2 }, 3.0);
@@ -86,10 +88,15 @@
             machines.iter().all(|m| rented.contains(m)),
             "healthy machines were returned"
         );
-        assert_eq!((world.running(&service), world.lapsed()), (3, 0));
+        assert_eq!(
+            (world.running(&service), world.expired_lease_count()),
+            (3, 0)
+        );
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            let (status, details) = world.ask(0, "GET", &format!("/ops/job/{id}"), None).await;
+            let (status, details) = world
+                .send_request(0, "GET", &format!("/ops/job/{id}"), None)
+                .await;
             assert_eq!(status, 200);
             assert!(
                 !details["failed_on"]
@@ -100,12 +107,12 @@
             assert_eq!(world.stage(1, &id).await.as_deref(), Some("queued"), "{id}");
         }
         let good = world.submit(job(30, "gang", 2, 2.0)).await;
-        world.until(&good, "done", 40).await;
+        world.wait_for_stage(&good, "done", 40).await;
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            assert_eq!(world.withdraw(1, &id).await.as_deref(), Some("aborted"));
+            assert_eq!(world.cancel(1, &id).await.as_deref(), Some("aborted"));
         }
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -116,22 +123,22 @@
 fn machine_that_receives_no_messages_is_replaced() {
     Scenario::new(12).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         let name = world.machine_of(&service);
         let worker = world.workers.borrow()[&name].0.clone();
-        worker.deaf.set(true);
+        worker.inbound_blocked.set(true);
         sleep(Duration::from_secs(25)).await;
         let running = world.running(&service);
         assert_eq!(running, 2, "the replica was not started elsewhere");
         let array = world.submit(job(2, "batch", 4, 3.0)).await;
-        world.until(&array, "done", 100).await;
+        world.wait_for_stage(&array, "done", 100).await;
         sleep(Duration::from_secs(10)).await;
         assert!(
             !world.workers.borrow().contains_key(&name),
             "the machine is still rented"
         );
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -141,13 +148,13 @@
 fn machine_that_receives_messages_again_is_used_again() {
     Scenario::new(13).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         let name = world.machine_of(&service);
         let worker = world.workers.borrow()[&name].0.clone();
-        worker.deaf.set(true);
+        worker.inbound_blocked.set(true);
         sleep(Duration::from_secs(3)).await;
-        worker.deaf.set(false);
+        worker.inbound_blocked.set(false);
         sleep(Duration::from_secs(5)).await;
         assert_eq!(world.running(&service), 2);
         assert_eq!(
@@ -156,15 +163,12 @@
             "the service was moved needlessly"
         );
         // Other jobs use its capacity once the service is cancelled.
-        assert_eq!(
-            world.withdraw(0, &service).await.as_deref(),
-            Some("aborted")
-        );
+        assert_eq!(world.cancel(0, &service).await.as_deref(), Some("aborted"));
         let array = world.submit(job(2, "batch", 2, 20.0)).await;
-        world.until(&array, "running", 60).await;
+        world.wait_for_stage(&array, "running", 60).await;
         sleep(Duration::from_secs(3)).await;
         assert_eq!(world.machine_of(&array), name);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -179,9 +183,9 @@
         for (n, (kind, tasks)) in (1..).zip(jobs) {
             world.submit(job(n, kind, tasks, 3.0)).await;
         }
-        world.until("job-000001", "done", 40).await;
-        world.until("job-000002", "done", 40).await;
-        world.until("job-000003", "running", 20).await;
+        world.wait_for_stage("job-000001", "done", 40).await;
+        world.wait_for_stage("job-000002", "done", 40).await;
+        world.wait_for_stage("job-000003", "running", 20).await;
         assert!(world.rented.get() <= 9, "{}", world.rented.get());
         let mut bound = job(4, "batch", 2, 3.0);
         bound["yard"] = json!("a");
@@ -192,11 +196,11 @@
         assert!(world.rented.get() <= 9 + 12, "{}", world.rented.get());
         assert_eq!(world.stage(0, &bound).await.as_deref(), Some("queued"));
         world.failed_boot_zone.set(None);
-        world.until(&bound, "done", 400).await;
+        world.wait_for_stage(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
         let rented = world.workers.borrow().len();
         assert!(rented <= 3, "{rented} machines");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -206,7 +210,7 @@
 fn restarted_fleet_leader_continues_its_rentals() {
     Scenario::new(15).run(|world| async move {
         let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.until(&first, "done", 100).await;
+        world.wait_for_stage(&first, "done", 100).await;
         // In the middle of a rental: the intent to rent is committed in the state, and
         // the cloud's answer gets lost.
         let gang = world.submit(job(2, "gang", 5, 5.0)).await;
@@ -215,9 +219,9 @@
             world.kill(i);
             world.start(i);
         }
-        world.until(&gang, "done", 60).await;
+        world.wait_for_stage(&gang, "done", 60).await;
         let rented = world.workers.borrow().len();
         assert!(rented <= 5, "{rented} machines for five tasks");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -13,7 +13,7 @@
 fn controller_without_state_service_keeps_no_cancelled_task() {
     Scenario::new(7).run(|world| async move {
         let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         assert_eq!(world.running(&service), 4);
         // All controllers but one lose the state service; their workers stay with
@@ -25,7 +25,7 @@
         let last = CONTROLLERS - 1;
         let mut stage = None;
         for _ in 0..10 {
-            stage = world.withdraw(last, &service).await;
+            stage = world.cancel(last, &service).await;
             if stage.is_some() {
                 break;
             }
@@ -33,7 +33,7 @@
         assert_eq!(stage.as_deref(), Some("aborted"));
         sleep(Duration::from_secs(40)).await;
         assert_eq!(world.running(&service), 0);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -45,14 +45,14 @@
         let mut spread = job(1, "daemon", 4, 0.0);
         spread["scatter"] = json!(true);
         let service = world.submit(spread).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
         assert_eq!(world.running(&service), 4);
         let before = world.starts.get();
         world.partition_zones();
         sleep(Duration::from_secs(30)).await;
         assert_eq!((world.running(&service), world.starts.get()), (4, before));
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -76,21 +76,21 @@
         Scenario::new(40 + n as u64).run(|world| async move {
             let service = world.submit(job(1, "daemon", 4, 0.0)).await;
             let finished = world.submit(job(2, "batch", 4, 2.0)).await;
-            world.until(&service, "running", 100).await;
-            world.until(&finished, "done", 100).await;
+            world.wait_for_stage(&service, "running", 100).await;
+            world.wait_for_stage(&finished, "done", 100).await;
             let gang = world.submit(job(3, "gang", 2, 60.0)).await;
-            world.until(&gang, "running", 100).await;
+            world.wait_for_stage(&gang, "running", 100).await;
             sleep(Duration::from_secs(5)).await;
             let used_machines: Vec<String> = [&service, &gang].map(|j| world.machine_of(j)).into();
             let array = world.submit(job(4, "batch", 8, 4.0)).await;
-            frozen.iter().for_each(|i| world.freeze(*i, true));
+            frozen.iter().for_each(|i| world.set_paused(*i, true));
             sleep(Duration::from_secs_f64(seconds)).await;
             // A controller that is not frozen confirms a cancellation meanwhile.
             if let Some(i) = (0..CONTROLLERS).find(|i| !frozen.contains(i)) {
-                assert_eq!(world.withdraw(i, &array).await.as_deref(), Some("aborted"));
+                assert_eq!(world.cancel(i, &array).await.as_deref(), Some("aborted"));
             }
             let starts = world.starts.get();
-            frozen.iter().for_each(|i| world.freeze(*i, false));
+            frozen.iter().for_each(|i| world.set_paused(*i, false));
             sleep(Duration::from_secs(3)).await;
             if frozen.len() < CONTROLLERS {
                 assert_eq!(world.running(&array), 0, "case {n}: a cancelled task runs");
@@ -100,21 +100,21 @@
                 );
             }
             // Freezes one of them again while it recovers.
-            world.freeze(frozen[0], true);
+            world.set_paused(frozen[0], true);
             sleep(Duration::from_secs(5)).await;
-            world.freeze(frozen[0], false);
+            world.set_paused(frozen[0], false);
             sleep(Duration::from_secs(40)).await;
             for name in used_machines.iter().filter(|_| allowed_expiries == 0) {
                 let is_rented = world.workers.borrow().contains_key(name);
                 assert!(is_rented, "case {n}: {name} was returned");
             }
             assert!(
-                world.lapsed() <= allowed_expiries,
+                world.expired_lease_count() <= allowed_expiries,
                 "case {n}: leases have expired"
             );
             assert_eq!(world.running(&service), 4, "case {n}");
-            world.until(&gang, "done", 200).await;
-            world.assert_kept();
+            world.wait_for_stage(&gang, "done", 200).await;
+            world.assert_no_violations();
         });
     }
 }
@@ -128,16 +128,16 @@
         .single_controller()
         .run(|world| async move {
             let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-            world.until(&service, "running", 100).await;
+            world.wait_for_stage(&service, "running", 100).await;
             sleep(Duration::from_secs(20)).await;
             let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
-            world.freeze(0, true);
+            world.set_paused(0, true);
             sleep(Duration::from_secs(26)).await;
-            world.freeze(0, false);
+            world.set_paused(0, false);
             sleep(Duration::from_secs(20)).await;
             let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
             assert_eq!(before, after);
             assert_eq!(world.running(&service), 4);
-            world.assert_kept();
+            world.assert_no_violations();
         });
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -12,7 +12,7 @@
 use shelfhoist::wire::{Commit, Write};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, controller, in_world, job};
+use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, controller, job, run_in_simulated_time};
 
 #[test]
 fn jobs_survive_a_restart_of_all_controllers() {
@@ -20,8 +20,8 @@
         let array = world.submit(job(1, "batch", 30, 6.0)).await;
         let service = world.submit(job(2, "daemon", 1, 0.0)).await;
         let finished = world.submit(job(3, "batch", 1, 1.0)).await;
-        world.until(&finished, "done", 100).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&finished, "done", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(3)).await;
         for i in 0..CONTROLLERS {
             world.kill(i);
@@ -35,8 +35,8 @@
         // still runs.
         assert_eq!(world.running(&service), 1);
         assert_eq!(world.stage(0, &finished).await.as_deref(), Some("done"));
-        world.until(&array, "done", 300).await;
-        world.assert_kept();
+        world.wait_for_stage(&array, "done", 300).await;
+        world.assert_no_violations();
     });
 }
 
@@ -49,18 +49,20 @@
             let first = world.submit(job(1, "batch", 12, 4.0)).await;
             world.state.trouble.set(trouble);
             for n in 2..6 {
-                world.state.troubled.set(3);
+                world.state.faulty_commits_left.set(3);
                 world
                     .submit(job(n, if n % 2 == 0 { "gang" } else { "batch" }, 3, 4.0))
                     .await;
                 sleep(Duration::from_secs(6)).await;
             }
-            world.state.troubled.set(0);
-            world.until(&first, "done", 300).await;
+            world.state.faulty_commits_left.set(0);
+            world.wait_for_stage(&first, "done", 300).await;
             for n in 2..6 {
-                world.until(&format!("job-{n:06}"), "done", 300).await;
+                world
+                    .wait_for_stage(&format!("job-{n:06}"), "done", 300)
+                    .await;
             }
-            world.assert_kept();
+            world.assert_no_violations();
         });
     }
 }
@@ -69,14 +71,14 @@
 fn tasks_keep_running_during_an_outage_of_the_state_service() {
     Scenario::new(8).run(|world| async move {
         let service = world.submit(job(1, "daemon", 3, 0.0)).await;
-        world.until(&service, "running", 100).await;
+        world.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         let before = world.starts.get();
         world.state.trouble.set(StateFault::Outage);
         sleep(Duration::from_secs(12)).await;
         assert_eq!(
             world
-                .ask(0, "POST", "/submissions", Some(&job(2, "batch", 1, 1.0)))
+                .send_request(0, "POST", "/submissions", Some(&job(2, "batch", 1, 1.0)))
                 .await
                 .0,
             503
@@ -84,7 +86,7 @@
         // The stage of an unfinished job must not be answered from an old view.
         assert_eq!(
             world
-                .ask(0, "GET", &format!("/submissions/{service}"), None)
+                .send_request(0, "GET", &format!("/submissions/{service}"), None)
                 .await
                 .0,
             503
@@ -92,7 +94,7 @@
         world.state.trouble.set(StateFault::None);
         sleep(Duration::from_secs(10)).await;
         assert_eq!((world.running(&service), world.starts.get()), (3, before));
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -103,17 +105,17 @@
 fn oversized_watch_answer_is_replaced_by_paged_reads() {
     Scenario::new(17).run(|world| async move {
         let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.until(&service, "running", 60).await;
+        world.wait_for_stage(&service, "running", 60).await;
         world.state.trouble.set(StateFault::OversizedWatchResponses);
         let start = tokio::time::Instant::now();
         for n in 2..6 {
             let array = world.submit(job(n, "batch", 2, 1.0)).await;
-            world.until(&array, "done", 30).await;
+            world.wait_for_stage(&array, "done", 30).await;
         }
         let elapsed = start.elapsed();
         assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
         assert_eq!(world.running(&service), 2);
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -122,7 +124,7 @@
 /// wait.
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let net = Net::Simulated(Rc::new(Fabric::default()), controller(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -13,7 +13,7 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{Simulation, StateFault, in_world, job};
+use crate::stand_ins::{Simulation, StateFault, job, run_in_simulated_time};
 
 /// A fault that is caused while a move is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -132,7 +132,7 @@
         for attempt in 0..30 {
             if self
                 .world
-                .withdraw(attempt % self.world.shape.controllers, id)
+                .cancel(attempt % self.world.shape.controllers, id)
                 .await
                 .is_some()
             {
@@ -173,22 +173,27 @@
                 self.request_moves_for(duration).await;
             }
             Fault::ControllerCutOff => {
-                world.cut_controller(controller, true);
+                world.set_controller_partition(controller, true);
                 self.request_moves_for(duration).await;
-                world.cut_controller(controller, false);
+                world.set_controller_partition(controller, false);
             }
             Fault::ControllerLosesPeers => {
-                world.cut_peers(controller, true);
+                world.set_peer_partition(controller, true);
                 self.request_moves_for(duration).await;
-                world.cut_peers(controller, false);
+                world.set_peer_partition(controller, false);
             }
             Fault::ControllerFreezes => {
-                world.freeze(controller, true);
+                world.set_paused(controller, true);
                 self.request_moves_for(duration).await;
-                world.freeze(controller, false);
+                world.set_paused(controller, false);
             }
             Fault::StateServiceRefusesController => {
-                world.state.troubles.borrow_mut().refused.insert(controller);
+                world
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .refused
+                    .insert(controller);
                 self.request_moves_for(duration).await;
             }
             Fault::StateServiceDown => {
@@ -196,11 +201,11 @@
                 sleep(duration).await;
             }
             Fault::CommitsLate => {
-                world.state.troubles.borrow_mut().late = 0.3;
+                world.state.fault_options.borrow_mut().late = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::CommitsUnanswered => {
-                world.state.troubles.borrow_mut().unanswered = 0.3;
+                world.state.fault_options.borrow_mut().unanswered = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::MachineLost => {
@@ -210,7 +215,7 @@
                 }
             }
         }
-        world.heal();
+        world.clear_faults();
     }
 
     /// Requests moves during a fault, for this time.
@@ -235,7 +240,7 @@
     /// Ends all faults, cancels the services, and waits until no move is pending and every other
     /// job is done.
     async fn wait_until_settled(&self) {
-        self.world.heal();
+        self.world.clear_faults();
         for id in self.services.take() {
             if !self.world.is_cancelled(&id) {
                 self.cancel(&id).await;
@@ -249,7 +254,7 @@
         }
         for id in self.open_jobs.take() {
             if !self.world.is_cancelled(&id) {
-                self.world.until(&id, "done", 150).await;
+                self.world.wait_for_stage(&id, "done", 150).await;
             }
         }
     }
@@ -258,7 +263,7 @@
 /// Runs jobs, moves and faults until this number of moves is accepted, and checks the end
 /// state.
 fn run_churn(seed: u64, controllers: usize, moves: usize) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let world = Simulation::of(seed, shape(controllers)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -315,8 +320,8 @@
             assert!(count > 0, "{counts:?}");
         }
         checker.assert_no_violations(&format!("seed {seed}"));
-        assert_eq!(*world.state.beyond.borrow(), Vec::<String>::new());
-        world.assert_kept();
+        assert_eq!(*world.state.rejected_commits.borrow(), Vec::<String>::new());
+        world.assert_no_violations();
     });
 }
 
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -10,7 +10,7 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{Simulation, in_world, job};
+use crate::stand_ins::{Simulation, job, run_in_simulated_time};
 
 /// The prefixes of the records that only the accounting by shares writes.
 const SHARE_PREFIXES: [&str; 3] = ["sh/share/", "sh/use/", "sh/pool"];
@@ -61,7 +61,7 @@
             });
         is_change && has_changed.replace(true)
     };
-    *world.state.gate.borrow_mut() = Some(Box::new(gate));
+    *world.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
 }
 
 /// Requests a move at the controllers in turn until one of them accepts it.
@@ -99,7 +99,7 @@
 /// never exceeded.
 #[test]
 fn shares_are_enabled_and_disabled_under_load_while_controllers_fail() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
         let world = Simulation::of(61, disabled).await;
@@ -135,7 +135,7 @@
             world.kill(round);
             sleep(secs(1.0)).await;
             world.start(round);
-            *world.state.gate.borrow_mut() = None;
+            *world.state.commit_refusal.borrow_mut() = None;
             wait_until("all teams have changed", 90.0, || match enabled {
                 true => changed_teams() == 2,
                 false => !has_shares(&world),
@@ -159,7 +159,7 @@
         }
         stopped.set(true);
         for id in arrays.await.expect("the load") {
-            world.until(&id, "done", 120).await;
+            world.wait_for_stage(&id, "done", 120).await;
         }
         // No booking was lost in the accounting: a job beyond the filled limit doesn't run.
         start_services(&world, 20, 6, "t").await;
@@ -167,7 +167,7 @@
         sleep(secs(20.0)).await;
         assert_eq!(world.running(&job_beyond_limit), 0);
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -176,9 +176,13 @@
 /// prepared before then fails.
 #[test]
 fn shares_are_not_written_while_older_versions_run() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(62, shape(3)).await;
-        world.state.older.borrow_mut().extend(0..3);
+        world
+            .state
+            .previous_version_controllers
+            .borrow_mut()
+            .extend(0..3);
         let checker = Checker::watch(&world);
         let ids = start_services(&world, 1, 4, "t").await;
         sleep(secs(5.0)).await;
@@ -191,9 +195,16 @@
                     "{table} before n{controller}"
                 );
             }
-            assert_eq!(world.state.unreadable(), Vec::<String>::new());
+            assert_eq!(
+                world.state.keys_unreadable_by_production(),
+                Vec::<String>::new()
+            );
             world.kill(controller);
-            world.state.older.borrow_mut().remove(&controller);
+            world
+                .state
+                .previous_version_controllers
+                .borrow_mut()
+                .remove(&controller);
             world.start(controller);
         }
         wait_until_shares_enabled(&checker).await;
@@ -202,6 +213,6 @@
         assert_eq!(runs_of(&checker, &ids), before);
         start_services(&world, 10, 4, "t").await;
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -118,7 +118,7 @@
         }
         is_refusing.get()
     };
-    *world.state.gate.borrow_mut() = Some(Box::new(gate));
+    *world.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
     (refusing, first_sender)
 }
 
@@ -205,6 +205,6 @@
         assert!(ids.iter().all(|id| world.running(id) == 2));
         assert!(checker.counts().jobs_reassigned >= SERVICES as usize);
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -10,7 +10,7 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{Simulation, in_world, job};
+use crate::stand_ins::{Simulation, job, run_in_simulated_time};
 
 /// Number of jobs that are submitted at short intervals, half of them by each team.
 const JOBS: u32 = 120;
@@ -46,7 +46,7 @@
 fn figures(seed: u64, controllers: usize, shares: bool) -> Figures {
     let figures = Rc::new(Cell::new(Figures::default()));
     let result = figures.clone();
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let mut deployment = shape(controllers);
         deployment.shares = shares;
         let world = Simulation::of(seed, deployment).await;
@@ -66,7 +66,7 @@
             sleep(secs(0.1)).await;
         }
         for id in &ids {
-            world.until(id, "done", 200).await;
+            world.wait_for_stage(id, "done", 200).await;
         }
         let (bookings, writes) = counts.get();
         result.set(Figures {
@@ -76,7 +76,7 @@
             seconds: start.elapsed().as_secs_f64(),
         });
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
     figures.get()
 }
@@ -116,7 +116,7 @@
 /// faults.
 #[test]
 fn moves_complete_within_two_report_intervals() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(77, shape(5)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -5,13 +5,13 @@
 
 use crate::checker::Checker;
 use crate::setup::*;
-use crate::stand_ins::{Simulation, in_world};
+use crate::stand_ins::{Simulation, run_in_simulated_time};
 
 /// All capacity of a controller's share moves to another share while services run in it. No
 /// job changes its attempt or machine, and every controller reports the move as done.
 #[test]
 fn booked_capacity_moves_with_its_jobs() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(1, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -38,14 +38,14 @@
             wait_until_done(&world, i, path).await;
         }
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
 /// Waits until a controller reports the move as done.
 async fn wait_until_done(world: &Simulation, i: usize, path: &str) {
     for _ in 0..40 {
-        let (status, answer) = world.ask(i, "GET", path, None).await;
+        let (status, answer) = world.send_request(i, "GET", path, None).await;
         assert_eq!(status, 200);
         if answer["moves"][0]["state"] == "done" {
             return;
@@ -59,7 +59,7 @@
 /// often and at whichever controllers its request is repeated.
 #[test]
 fn overlapping_and_repeated_moves_take_effect_once() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(2, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -87,14 +87,14 @@
         assert!(after[1] >= before[1] + 3.0, "{before:?} {after:?}");
         assert_eq!(checker.counts().moves, 2);
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
 /// Invalid requests are refused with one message and change nothing.
 #[test]
 fn invalid_moves_are_refused() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(3, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -154,7 +154,7 @@
 /// reason.
 #[test]
 fn disabled_shares_write_no_records() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
         let world = Simulation::of(4, disabled).await;
@@ -171,7 +171,7 @@
             (422, Some("shares are disabled"))
         );
         assert!(!checker.has_pool());
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -179,7 +179,7 @@
 /// work that fills the limit runs, and no work beyond it does.
 #[test]
 fn team_can_use_its_whole_limit() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(5, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -192,13 +192,13 @@
         assert_eq!(world.running(&job_beyond_limit), 0);
         assert_eq!(checker.counts().max_booked, 48_000);
         // Capacity that one job releases is immediately available to the next.
-        world.withdraw(0, &ids[0]).await;
+        world.cancel(0, &ids[0]).await;
         wait_until("the job beyond the limit runs", 30.0, || {
             world.running(&job_beyond_limit) == 1
         })
         .await;
         checker.assert_no_violations("");
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
 
@@ -212,7 +212,7 @@
 /// work continues.
 #[test]
 fn unreadable_share_record_is_rebuilt() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(6, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -242,6 +242,6 @@
         let pool: shares::Pool = record(&world, "sh/pool");
         let shares = ["sh/share/t", "sh/share/u"].map(|key| record::<shares::Share>(&world, key));
         assert_eq!(pool.granted, shares.iter().map(shares::Share::total).sum());
-        world.assert_kept();
+        world.assert_no_violations();
     });
 }
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -9,12 +9,12 @@
 use crate::checker::Checker;
 use crate::program::{TemporaryFile, run};
 use crate::setup::*;
-use crate::stand_ins::{Simulation, StateFault, in_world};
+use crate::stand_ins::{Simulation, StateFault, run_in_simulated_time};
 
 /// Every controller gives the same response at the same revision, also while another is down.
 #[test]
 fn every_controller_gives_the_same_response() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(41, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -29,7 +29,9 @@
             let responses = responses_of_same_revision(&world, path).await;
             assert_eq!(responses[0], responses[1], "{path}");
         }
-        let (_, report) = world.ask(0, "GET", "/ops/shares?team=t", None).await;
+        let (_, report) = world
+            .send_request(0, "GET", "/ops/shares?team=t", None)
+            .await;
         let report: ShareReport = serde_json::from_value(report).expect("a report");
         assert_eq!(report.teams.len(), 1);
         assert_eq!(
@@ -43,7 +45,7 @@
             .sum();
         assert_eq!(used, 16.0);
         for path in ["/ops/shares?team=x", "/ops/shares/moves?id=x"] {
-            assert_eq!(world.ask(0, "GET", path, None).await.0, 404);
+            assert_eq!(world.send_request(0, "GET", path, None).await.0, 404);
         }
     });
 }
@@ -52,8 +54,8 @@
 /// responses.
 async fn responses_of_same_revision(world: &Simulation, path: &str) -> [Value; 2] {
     for _ in 0..200 {
-        let (_, first) = world.ask(0, "GET", path, None).await;
-        let (_, second) = world.ask(1, "GET", path, None).await;
+        let (_, first) = world.send_request(0, "GET", path, None).await;
+        let (_, second) = world.send_request(1, "GET", path, None).await;
         if first["revision"] == second["revision"] {
             return [first, second];
         }
@@ -65,7 +67,7 @@
 /// A controller that cannot commit refuses a move immediately and does not carry it out later.
 #[test]
 fn controller_that_cannot_commit_refuses_immediately() {
-    in_world(|| async {
+    run_in_simulated_time(|| async {
         let world = Simulation::of(42, shape(3)).await;
         let checker = Checker::watch(&world);
         wait_until_shares_enabled(&checker).await;
@@ -83,7 +85,7 @@
             "{:?}",
             request_time.elapsed()
         );
-        world.heal();
+        world.clear_faults();
         sleep(secs(5.0)).await;
         assert_eq!(checker.counts().moves, 0);
         assert_eq!(request_move(&world, 0, &request).await.0, 200);
--- a/tests/shares/setup.rs
+++ b/tests/shares/setup.rs
@@ -60,7 +60,7 @@
 /// Requests a move at one controller, once, and returns the status and the response.
 pub async fn request_move(world: &Simulation, controller: usize, body: &Value) -> (u16, Value) {
     world
-        .ask(controller, "POST", "/ops/shares/move", Some(body))
+        .send_request(controller, "POST", "/ops/shares/move", Some(body))
         .await
 }
 
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -12,7 +12,9 @@
 use serde_json::{Value, json};
 use shelfhoist::http::Client;
 use shelfhoist::net::Net;
-use stand_ins::{DeploymentOptions, Simulation, StateLimits, addr, in_world, state_addr};
+use stand_ins::{
+    DeploymentOptions, Simulation, StateLimits, addr, run_in_simulated_time, state_addr,
+};
 use tokio::time::sleep;
 
 /// Address of the cloud.
@@ -119,13 +121,13 @@
         ),
         ("space", commit_of_key("c/1"), commit_of_key("c 1")),
     ];
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (limit, within, over) in cases {
             assert_eq!(client.commit(within).await, 200, "{limit}");
             assert_eq!(client.commit(over).await, 400, "{limit}");
         }
-        assert_eq!(world.state.beyond.borrow().len(), 5);
+        assert_eq!(world.state.rejected_commits.borrow().len(), 5);
         // Seven values of the maximum size fit into one request, eight do not.
         assert_eq!(
             client
@@ -153,7 +155,7 @@
 
 #[test]
 fn requests_and_writes_over_rate_limits_are_refused() {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let (world, client) = world_with_limits(StateLimits {
             write_rps: 24.0,
             rps: 40.0,
@@ -179,7 +181,7 @@
 
 #[test]
 fn lists_are_paged_and_old_watch_revisions_fail() {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let (world, client) = world_with_limits(StateLimits {
             txn_ops: 2000,
             ..SIZE_LIMITS_ONLY
@@ -246,7 +248,7 @@
             "/rentals?limit=501",
         ),
     ];
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (method, path, within, over, over_path) in cases {
             let (status, _) = client.ask(addr(CLOUD), method, path, within).await;
--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -4,7 +4,7 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use super::scenario::{DeploymentOptions, Simulation, in_world};
+use super::scenario::{DeploymentOptions, Simulation, run_in_simulated_time};
 
 /// A builder for a deployment in simulated time that runs one test.
 pub struct Scenario {
@@ -60,7 +60,7 @@
 
     /// Starts the deployment and runs `test` in it.
     pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<Simulation>) -> F) {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = Simulation::of(self.seed, self.shape).await;
             test(world).await;
         });
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -150,10 +150,10 @@
             lease_renewed_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
             fails_all_tasks: Cell::new(false),
-            deaf: Cell::new(false),
-            mute: Cell::new(false),
+            inbound_blocked: Cell::new(false),
+            heartbeats_blocked: Cell::new(false),
             hung_until: Cell::new(None),
-            orders_held: Cell::new(Duration::ZERO),
+            command_delay: Cell::new(Duration::ZERO),
             clock_rate: [1.0, 0.9995, 1.0005][number % 3],
             sent: RefCell::default(),
         });
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -38,7 +38,7 @@
 impl Simulation {
     /// Pauses a controller while its clocks keep running, or resumes it if `paused` is
     /// false.
-    pub fn freeze(&self, i: usize, paused: bool) {
+    pub fn set_paused(&self, i: usize, paused: bool) {
         self.paused[i].send_replace(paused);
     }
 
@@ -78,7 +78,7 @@
 
     /// Returns the home controller and the owner of each machine, as the stored records
     /// name them.
-    pub fn holders(&self) -> Vec<(String, String)> {
+    pub fn machine_owners(&self) -> Vec<(String, String)> {
         let pairs = self.state.pairs.borrow();
         let mut owners = Vec::new();
         for (key, (machine_shard, _)) in pairs.iter() {
@@ -97,8 +97,8 @@
     }
 
     /// Returns the index of the controller that owns the most machines.
-    pub fn busiest(&self) -> usize {
-        let holders = self.holders();
+    pub fn controller_with_most_machines(&self) -> usize {
+        let holders = self.machine_owners();
         let owned_count = |i: usize| holders.iter().filter(|h| h.1 == format!("n{i}")).count();
         let controllers = 0..self.shape.controllers;
         controllers.max_by_key(|i| owned_count(*i)).unwrap_or(0)
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -23,7 +23,7 @@
 
     /// Cuts the connections between a controller and the other controllers, or repairs them
     /// if `cut` is false. Its connections to everything else stay.
-    pub fn cut_peers(&self, i: usize, cut: bool) {
+    pub fn set_peer_partition(&self, i: usize, cut: bool) {
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
             for (from, to) in [(i, j), (j, i)] {
                 match cut {
@@ -37,7 +37,7 @@
     }
 
     /// Cuts all connections of a controller, or repairs them if `cut` is false.
-    pub fn cut_controller(&self, i: usize, cut: bool) {
+    pub fn set_controller_partition(&self, i: usize, cut: bool) {
         let mut remote_addrs = vec![state_addr(i), addr(CLOUD), addr(USERS)];
         remote_addrs.extend(self.workers.borrow().values().map(|(w, _)| w.address));
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
@@ -59,7 +59,7 @@
 
     /// Cuts the connections between a controller and the present workers, or repairs them if
     /// `cut` is false. Workers that start later are not affected.
-    pub fn cut_workers(&self, i: usize, cut: bool) {
+    pub fn set_worker_partition(&self, i: usize, cut: bool) {
         for (w, _) in self.workers.borrow().values() {
             for (from, to) in [(w.address, controller(i)), (controller(i), w.address)] {
                 match cut {
@@ -72,7 +72,7 @@
 
     /// Cuts all connections of a zone's machines and controllers to the outside, or repairs
     /// them if `cut` is false.
-    pub fn cut_zone(&self, zone: &str, cut: bool) {
+    pub fn set_zone_partition(&self, zone: &str, cut: bool) {
         let set_link = |a: SocketAddrV4, b: SocketAddrV4| {
             for (from, to) in [(a, b), (b, a)] {
                 match cut {
@@ -103,7 +103,7 @@
     }
 
     /// Sends the kept copies of heartbeats to all controllers, to all of them concurrently.
-    pub fn deliver_copies(self: &Rc<Self>) {
+    pub fn send_recorded_copies(self: &Rc<Self>) {
         let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
             let (world, copies) = (self.clone(), copies.clone());
@@ -113,14 +113,16 @@
 
     /// Removes the faults of the state service and the workers, resumes paused controllers
     /// and restarts those that were killed. Cut connections are not repaired.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.state.trouble.set(StateFault::None);
-        self.state.troubles.replace(StateFaultOptions::default());
+        self.state
+            .fault_options
+            .replace(StateFaultOptions::default());
         self.copied.set(0.0);
         for (w, _) in self.workers.borrow().values() {
-            w.deaf.set(false);
-            w.mute.set(false);
-            w.orders_held.set(Duration::ZERO);
+            w.inbound_blocked.set(false);
+            w.heartbeats_blocked.set(false);
+            w.command_delay.set(Duration::ZERO);
         }
         self.restore_controllers();
     }
@@ -128,7 +130,7 @@
     /// Resumes paused controllers and restarts those that were killed.
     pub fn restore_controllers(&self) {
         for i in 0..self.shape.controllers {
-            self.freeze(i, false);
+            self.set_paused(i, false);
             if self.controllers.borrow()[i].is_none() {
                 self.start(i);
             }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -24,8 +24,8 @@
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
-    CONTROLLERS, DeploymentOptions, Simulation, addr, after, controller, in_world, job,
-    run_in_real_time, state_addr,
+    CONTROLLERS, DeploymentOptions, Simulation, addr, controller, job, run_in_real_time,
+    run_in_simulated_time, state_addr, with_dependencies,
 };
 #[allow(unused_imports)]
 pub use scripted::ScriptedController;
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -5,7 +5,7 @@
 //!
 //! - `wrong_place` is not checked for spot machines: the simulated cloud rents regular
 //!   machines only, so no task can start on a spot machine.
-//! - `nothing_ran` is checked only at the end of a test, by [`World::assert_kept`].
+//! - `nothing_ran` is checked only at the end of a test, by [`World::assert_no_violations`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -193,7 +193,7 @@
     /// Reports a violation, once for each distinct text.
     fn report_violation(&self, rule: Rule, details: &str) {
         let text = format!("{}: {details}", rule.name());
-        let mut broken = self.broken.borrow_mut();
+        let mut broken = self.reported_violations.borrow_mut();
         if !broken.contains(&text) {
             broken.push(text);
         }
@@ -202,7 +202,7 @@
     /// Returns all violations up to now, including those that are known only at the end of
     /// a test.
     pub fn violations(&self) -> Vec<String> {
-        let mut all = self.broken.borrow().clone();
+        let mut all = self.reported_violations.borrow().clone();
         if self.starts.get() == 0 {
             all.push(format!("{}: no task", Rule::NothingRan.name()));
         }
@@ -213,7 +213,7 @@
     }
 
     /// Asserts at the end of a test that no rule was violated.
-    pub fn assert_kept(&self) {
+    pub fn assert_no_violations(&self) {
         let violations = self.violations();
         assert!(violations.is_empty(), "{violations:?}");
     }
@@ -317,7 +317,7 @@
                 // Tasks on a hung machine make no progress, so a cancelled one may stay there
                 // until the machine resumes.
                 if cancelled_at.is_some_and(|t| t.elapsed() > self.cancel_limit())
-                    && !worker.hangs()
+                    && !worker.is_hung()
                 {
                     self.report_violation(Rule::RanCancelled, &format!("{task} on {name}"));
                 }
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -201,7 +201,7 @@
     /// expects none.
     pub refused_cloud_requests: RefCell<Vec<String>>,
     /// Violations that the rule checker has reported.
-    pub broken: RefCell<Vec<String>>,
+    pub reported_violations: RefCell<Vec<String>>,
     pub shape: DeploymentOptions,
     /// Number of machines that have ever been rented.
     pub rented: Cell<usize>,
@@ -291,7 +291,7 @@
             provisioning_requests: RefCell::default(),
             cloud_limit: CloudRateLimit::default(),
             refused_cloud_requests: RefCell::default(),
-            broken: RefCell::default(),
+            reported_violations: RefCell::default(),
             starts: Cell::new(0),
             starts_after_cancel: RefCell::default(),
             done_tasks: RefCell::default(),
@@ -376,7 +376,7 @@
 }
 
 /// Returns the submission with dependencies on these jobs.
-pub fn after(mut job: Value, dependencies: &[&str]) -> Value {
+pub fn with_dependencies(mut job: Value, dependencies: &[&str]) -> Value {
     job["awaits"] = json!(dependencies);
     job
 }
@@ -391,7 +391,7 @@
 }
 
 /// Runs a test in simulated time.
-pub fn in_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub fn run_in_simulated_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -37,8 +37,9 @@
         if self.trouble.get() == StateFault::CommitsRefused {
             return Response::empty(503);
         }
-        if self.troubled.get() > 0 {
-            self.troubled.set(self.troubled.get() - 1);
+        if self.faulty_commits_left.get() > 0 {
+            self.faulty_commits_left
+                .set(self.faulty_commits_left.get() - 1);
             match self.trouble.get() {
                 StateFault::LostResponses => {
                     self.apply(&body);
@@ -53,7 +54,7 @@
             }
         }
         let (late, unanswered) = {
-            let troubles = self.troubles.borrow();
+            let troubles = self.fault_options.borrow();
             (troubles.late, troubles.unanswered)
         };
         if self.draw_bool(late) {
@@ -84,7 +85,7 @@
         let failed = self.failed_guards(body);
         let revision = self.revision.get();
         if let Some(problem) = self.limit_violation(body) {
-            self.beyond.borrow_mut().push(problem.clone());
+            self.rejected_commits.borrow_mut().push(problem.clone());
             return Response::json(400, &json!({"error": problem}));
         }
         if self
--- a/tests/stand_ins/state_service/faults.rs
+++ b/tests/stand_ins/state_service/faults.rs
@@ -19,11 +19,11 @@
     pub unanswered: f64,
     /// Maximum delay of a response. A random part of the delay precedes the execution of the
     /// request, the rest follows it.
-    pub slow: Duration,
+    pub response_delay: Duration,
     /// Indexes of the only controllers with delayed responses; if empty, the responses to all
     /// are delayed at random. The responses to these controllers are delayed by the whole of
     /// `slow` after the execution of the request, so that they are outdated by as much.
-    pub slow_to: BTreeSet<usize>,
+    pub delayed_controllers: BTreeSet<usize>,
 }
 
 /// Fault mode of the state service.
@@ -46,17 +46,18 @@
 impl StateService {
     /// Returns the delays before and after the execution of a request.
     pub(super) fn delays(&self, i: usize) -> (Duration, Duration) {
-        let troubles = self.troubles.borrow();
-        if troubles.slow.is_zero()
-            || !(troubles.slow_to.is_empty() || troubles.slow_to.contains(&i))
+        let troubles = self.fault_options.borrow();
+        if troubles.response_delay.is_zero()
+            || !(troubles.delayed_controllers.is_empty()
+                || troubles.delayed_controllers.contains(&i))
         {
             return (Duration::ZERO, Duration::ZERO);
         }
-        if !troubles.slow_to.is_empty() {
-            return (Duration::ZERO, troubles.slow);
+        if !troubles.delayed_controllers.is_empty() {
+            return (Duration::ZERO, troubles.response_delay);
         }
         let mut rng = self.rng.borrow_mut();
-        let total = troubles.slow.mul_f64(rng.random_range(0.0..1.0));
+        let total = troubles.response_delay.mul_f64(rng.random_range(0.0..1.0));
         let before = total.mul_f64(rng.random_range(0.0..1.0));
         (before, total - before)
     }
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -40,9 +40,9 @@
     pub trouble: Cell<StateFault>,
     /// Number of further commits that the fault modes [`Trouble::LoseAnswers`] and
     /// [`Trouble::Late`] affect.
-    pub troubled: Cell<usize>,
+    pub faulty_commits_left: Cell<usize>,
     /// Faults with probabilities, delays and targets.
-    pub troubles: RefCell<StateFaultOptions>,
+    pub fault_options: RefCell<StateFaultOptions>,
     leases: RefCell<BTreeMap<u64, StateLease>>,
     next_lease: Cell<u64>,
     rng: RefCell<SmallRng>,
@@ -50,7 +50,7 @@
     pub limits: Cell<StateLimits>,
     /// Descriptions of the commits refused because they exceed a size limit or contain an
     /// invalid key.
-    pub beyond: RefCell<Vec<String>>,
+    pub rejected_commits: RefCell<Vec<String>>,
     /// Number of commits refused by the limit on writes per second.
     pub rate_limited_commits: Cell<usize>,
     /// Number of requests refused by the limit on requests per second.
@@ -64,11 +64,11 @@
     pub misplaced_machines: RefCell<Vec<String>>,
     /// Indexes of the controllers whose commits are translated to those of the production
     /// version, which neither announces record formats nor stores the announced ones.
-    pub older: RefCell<BTreeSet<usize>>,
+    pub previous_version_controllers: RefCell<BTreeSet<usize>>,
     /// Number of commits that failed a precondition.
     pub conflicts: Cell<usize>,
     /// Predicate that selects commits to refuse with status 503.
-    pub gate: RefCell<Option<CommitRefusal>>,
+    pub commit_refusal: RefCell<Option<CommitRefusal>>,
     /// Callbacks that are called after every applied commit.
     pub observers: RefCell<Vec<CommitObserver>>,
     /// Records that tests wrote directly. Only these may be unreadable.
@@ -85,7 +85,7 @@
 impl StateService {
     /// Returns the keys of the records that the production version could not read, or would
     /// write back incompletely.
-    pub fn unreadable(&self) -> Vec<String> {
+    pub fn keys_unreadable_by_production(&self) -> Vec<String> {
         let pairs = self.pairs.borrow();
         let unreadable = pairs
             .iter()
@@ -101,21 +101,21 @@
             revision: Cell::default(),
             revision_changed: Notify::default(),
             trouble: Cell::default(),
-            troubled: Cell::default(),
-            troubles: RefCell::default(),
+            faulty_commits_left: Cell::default(),
+            fault_options: RefCell::default(),
             leases: RefCell::default(),
             next_lease: Cell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             limits: Cell::default(),
-            beyond: RefCell::default(),
+            rejected_commits: RefCell::default(),
             rate_limited_commits: Cell::default(),
             rate_limited_requests: Cell::default(),
             writes: RateLimit::default(),
             requests: RateLimit::default(),
             misplaced_machines: RefCell::default(),
-            older: RefCell::default(),
+            previous_version_controllers: RefCell::default(),
             conflicts: Cell::default(),
-            gate: RefCell::default(),
+            commit_refusal: RefCell::default(),
             observers: RefCell::default(),
             test_writes: RefCell::default(),
         }
@@ -128,7 +128,7 @@
 
     /// Returns whether the service refuses all requests of a controller.
     fn refuses(&self, i: usize) -> bool {
-        self.is_in_outage() || self.troubles.borrow().refused.contains(&i)
+        self.is_in_outage() || self.fault_options.borrow().refused.contains(&i)
     }
 
     /// Returns true with this probability. Draws no random number if it is zero.
@@ -170,7 +170,7 @@
                 ("GET", "/watch") => self.watch(i, &request.query).await,
                 ("GET", path) => self.read(path.trim_start_matches("/store/")),
                 ("POST", "/commit") if self.is_commit_refused(i, &body) => Response::empty(503),
-                ("POST", "/commit") if self.older.borrow().contains(&i) => {
+                ("POST", "/commit") if self.previous_version_controllers.borrow().contains(&i) => {
                     self.commit_as_production(body).await
                 }
                 ("POST", "/commit") => self.commit(body).await,
@@ -186,7 +186,7 @@
 
     /// Returns whether the test's predicate refuses a commit of controller `i`.
     fn is_commit_refused(&self, i: usize, body: &Value) -> bool {
-        let predicate = self.gate.borrow();
+        let predicate = self.commit_refusal.borrow();
         predicate.as_ref().is_some_and(|refuses| refuses(i, body))
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Returns the keys under a prefix, each with the length of its value in bytes.
-    pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
+    pub fn value_sizes(&self, prefix: &str) -> Vec<(String, usize)> {
         let pairs = self.pairs.borrow();
         let matching = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
         matching
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -17,7 +17,7 @@
 
     /// Sends a user's request to a controller, checks the response against the rules, and
     /// returns its status and body. The status is 0 if there is no response.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         i: usize,
         method: &str,
@@ -53,7 +53,7 @@
 
     /// Polls the job and repeats its submission at all controllers concurrently, five times
     /// at intervals of a few milliseconds, in whatever stage the job is.
-    pub async fn look_closely(self: &Rc<Self>, id: &str) {
+    pub async fn query_concurrently(self: &Rc<Self>, id: &str) {
         let job = self.jobs.borrow()[id].clone();
         let mut requests = Vec::new();
         for _ in 0..5 {
@@ -61,7 +61,9 @@
                 let (world, job, id) = (self.clone(), job.clone(), id.to_string());
                 requests.push(spawn_local(async move {
                     world.stage(i, &id).await;
-                    world.ask(i, "POST", "/submissions", Some(&job)).await;
+                    world
+                        .send_request(i, "POST", "/submissions", Some(&job))
+                        .await;
                     world.stage(i, &id).await;
                 }));
             }
@@ -73,7 +75,7 @@
     }
 
     /// Registers a job with the rule checker, as one that workers may be commanded to run.
-    pub fn remember(&self, job: &Value) {
+    pub fn register_job(&self, job: &Value) {
         let id = job["name_id"].as_str().expect("id").to_string();
         self.jobs.borrow_mut().insert(id, job.clone());
     }
@@ -87,10 +89,10 @@
     /// ID. Panics if it is not accepted within 60 attempts.
     pub async fn submit(&self, job: Value) -> String {
         let id = job["name_id"].as_str().expect("id").to_string();
-        self.remember(&job);
+        self.register_job(&job);
         for i in 0..60 {
             let (status, _) = self
-                .ask(
+                .send_request(
                     i % self.shape.controllers,
                     "POST",
                     "/submissions",
@@ -109,13 +111,13 @@
     /// Polls a job at a controller, and returns the job's stage if the poll succeeds.
     pub async fn stage(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
-            .ask(i, "GET", &format!("/submissions/{id}"), None)
+            .send_request(i, "GET", &format!("/submissions/{id}"), None)
             .await;
         (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string())
     }
 
     /// Polls all controllers in turn until one reports `stage`. Panics after `limit` seconds.
-    pub async fn until(&self, id: &str, stage: &str, limit: u64) {
+    pub async fn wait_for_stage(&self, id: &str, stage: &str, limit: u64) {
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(limit) {
             for i in 0..self.shape.controllers {
@@ -133,9 +135,9 @@
 
     /// Requests a job's cancellation at a controller, and returns the job's stage if the
     /// request succeeds.
-    pub async fn withdraw(&self, i: usize, id: &str) -> Option<String> {
+    pub async fn cancel(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
-            .ask(i, "POST", &format!("/submissions/{id}/withdraw"), None)
+            .send_request(i, "POST", &format!("/submissions/{id}/withdraw"), None)
             .await;
         (status == 200).then(|| body["stage"].as_str().unwrap_or("").to_string())
     }
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -44,14 +44,14 @@
     pub fails_all_tasks: Cell<bool>,
     /// Fault: heartbeats arrive at controllers, but neither their responses nor commands
     /// reach the worker.
-    pub deaf: Cell<bool>,
+    pub inbound_blocked: Cell<bool>,
     /// Fault: the worker's heartbeats reach no controller, while commands that controllers
     /// send to it arrive.
-    pub mute: Cell<bool>,
+    pub heartbeats_blocked: Cell<bool>,
     /// Time until which the machine hangs: its worker executes nothing and sends no responses.
     pub(super) hung_until: Cell<Option<Instant>>,
     /// Fault: delay of the commands that controllers send to the worker.
-    pub orders_held: Cell<Duration>,
+    pub command_delay: Cell<Duration>,
     /// Bodies of the heartbeats sent so far, for duplicates that arrive late. They are kept
     /// only in a deployment without initial machines.
     pub sent: RefCell<Vec<Vec<u8>>>,
@@ -85,7 +85,8 @@
     pub(super) fn record_completed_tasks(&self, done_tasks: &RefCell<HashSet<String>>) {
         let now = Instant::now();
         for (id, task) in self.tasks.borrow().iter() {
-            if !self.hangs() && task.exit_reason.is_none() && task.ends.is_some_and(|e| e <= now) {
+            if !self.is_hung() && task.exit_reason.is_none() && task.ends.is_some_and(|e| e <= now)
+            {
                 done_tasks.borrow_mut().insert(id.clone());
             }
         }
@@ -156,7 +157,7 @@
         let now = Instant::now();
         let tasks = self.tasks.borrow();
         let found = tasks.get(task);
-        let is_stopped = self.hangs() && self.is_lease_expired(lease);
+        let is_stopped = self.is_hung() && self.is_lease_expired(lease);
         !is_stopped
             && found.is_some_and(|t| t.exit_reason.is_none() && t.ends.is_none_or(|e| e > now))
     }
@@ -176,7 +177,7 @@
     }
 
     /// Returns whether the machine hangs.
-    pub fn hangs(&self) -> bool {
+    pub fn is_hung(&self) -> bool {
         self.hung_until.get().is_some()
     }
 
@@ -214,7 +215,7 @@
     /// Removes all tasks and begins a new epoch if the lease has expired and the machine does
     /// not hang.
     pub(super) fn expire_lease(&self, lease: Duration) {
-        if !self.hangs() && self.is_lease_expired(lease) {
+        if !self.is_hung() && self.is_lease_expired(lease) {
             self.tasks.borrow_mut().clear();
             self.epoch.set(self.epoch.get() + 1);
             self.lease_renewed_at.set(Instant::now());
@@ -253,13 +254,13 @@
                 let Ok(commands) = serde_json::from_slice::<WorkerCommands>(&request.body) else {
                     return Response::empty(400);
                 };
-                if worker.deaf.get() {
+                if worker.inbound_blocked.get() {
                     std::future::pending::<()>().await;
                 }
                 // The commands are executed even if the controller no longer waits for the
                 // response.
                 let executed = spawn_local(async move {
-                    sleep(worker.orders_held.get()).await;
+                    sleep(worker.command_delay.get()).await;
                     worker.wait_while_hung(world.shape.lease()).await;
                     if commands.fencing_token < worker.fencing_token.get()
                         || commands.epoch != worker.epoch.get()
@@ -288,7 +289,7 @@
         let mut to = 0;
         loop {
             worker.wait_while_hung(lease).await;
-            if worker.mute.get() {
+            if worker.heartbeats_blocked.get() {
                 to = (to + 1) % controller_count;
                 sleep(Duration::from_secs(1)).await;
                 continue;
@@ -310,13 +311,13 @@
                 Duration::from_secs(4),
             );
             let result = call.await;
-            if worker.deaf.get() {
+            if worker.inbound_blocked.get() {
                 sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
             }
             worker.wait_while_hung(lease).await;
             let is_late = sent.elapsed() > Duration::from_secs(4);
             match result {
-                _ if worker.deaf.get() || is_late => {
+                _ if worker.inbound_blocked.get() || is_late => {
                     to = (to + 1) % controller_count;
                     sleep(Duration::from_secs(1)).await;
                 }
@@ -392,7 +393,7 @@
     }
 
     /// Returns the number of worker leases that have expired, over all present machines.
-    pub fn lapsed(&self) -> u64 {
+    pub fn expired_lease_count(&self) -> u64 {
         let workers = self.workers.borrow();
         workers.values().map(|(w, _)| w.epoch.get() - 1).sum()
     }
