--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -12,7 +12,10 @@
 use serde_json::{Value, json};
 use shelfhoist::state::keys::{FORMATS_KEY, accepted_batch_key, job_key};
 use shelfhoist::state::records::{AcceptedBatch, FORMATS, Job, JobSpec};
-use stand_ins::{DeploymentOptions, Simulation, StateFault, StateLimits, after, in_world, job};
+use stand_ins::{
+    DeploymentOptions, Simulation, StateFault, StateLimits, job, run_in_simulated_time,
+    with_dependencies,
+};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -38,7 +41,11 @@
 /// own their machines.
 async fn older_deployment(seed: u64) -> Rc<Simulation> {
     let world = Simulation::of(seed, deployment()).await;
-    world.state.older.borrow_mut().extend(0..3);
+    world
+        .state
+        .previous_version_controllers
+        .borrow_mut()
+        .extend(0..3);
     sleep(secs(15)).await;
     world
 }
@@ -47,7 +54,11 @@
 /// limits.
 fn upgrade(world: &Simulation, i: usize) {
     world.kill(i);
-    world.state.older.borrow_mut().remove(&i);
+    world
+        .state
+        .previous_version_controllers
+        .borrow_mut()
+        .remove(&i);
     *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
     world.start(i);
 }
@@ -76,9 +87,9 @@
 
 /// Asserts that the state service refused no commit for its size and that no rule was broken.
 fn assert_within_limits(world: &Simulation) {
-    let beyond = world.state.beyond.borrow().clone();
+    let beyond = world.state.rejected_commits.borrow().clone();
     assert_eq!(beyond, Vec::<String>::new());
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 // --- records that exceed the limit even in the compact encoding ------------------
@@ -116,7 +127,7 @@
 /// are cancelled, and their ends recorded, after the limits are lowered. `wait` is the time
 /// between the end of the upgrade and the lowering of the limits.
 fn cancel_long_records_after_lowering_limits(seed: u64, wait: Duration) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let world = older_deployment(seed).await;
         let array = world.submit(long_job(1, "batch", 40, 400.0)).await;
         let service = world.submit(long_job(2, "daemon", 8, 0.0)).await;
@@ -124,14 +135,14 @@
         let kept = world.submit(long_job(4, "batch", 40, 60.0)).await;
         let kept_gang = world.submit(long_job(5, "gang", 6, 60.0)).await;
         for id in [&array, &service, &gang, &kept, &kept_gang] {
-            world.until(id, "running", 60).await;
+            world.wait_for_stage(id, "running", 60).await;
         }
         // Jobs that are accepted and not started: one with its own record, three in the
         // record of a batch.
         let waiting: Vec<Value> = (10..14).map(|n| long_job(n, "batch", 3, 5.0)).collect();
         waiting
             .iter()
-            .for_each(|submission| world.remember(submission));
+            .for_each(|submission| world.register_job(submission));
         upgrade(&world, 0);
         sleep(secs(4)).await;
         upgrade(&world, 1);
@@ -165,7 +176,7 @@
         lower_limits(&world);
         for (i, id) in [&array, &service, &gang].into_iter().enumerate() {
             assert!(world.running(id) > 0, "{id}");
-            let stage = world.withdraw((i + 1) % 3, id).await;
+            let stage = world.cancel((i + 1) % 3, id).await;
             assert_eq!(stage.as_deref(), Some("aborted"), "{id}");
         }
         sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
@@ -176,10 +187,12 @@
             assert_eq!(record["f"], "c", "{record}");
         }
         for id in [&kept, &kept_gang] {
-            world.until(id, "done", 300).await;
+            world.wait_for_stage(id, "done", 300).await;
         }
         for n in 10..14 {
-            world.until(&format!("job-{n:06}"), "done", 200).await;
+            world
+                .wait_for_stage(&format!("job-{n:06}"), "done", 200)
+                .await;
         }
         assert_within_limits(&world);
     });
@@ -208,7 +221,10 @@
 /// that the new formats are not yet recorded as known to all.
 async fn check_older_version_can_read(world: &Simulation, seconds: u64) {
     for _ in 0..seconds * 4 {
-        assert_eq!(world.state.unreadable(), Vec::<String>::new());
+        assert_eq!(
+            world.state.keys_unreadable_by_production(),
+            Vec::<String>::new()
+        );
         sleep(Duration::from_millis(250)).await;
     }
     let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
@@ -243,7 +259,7 @@
         ids.push(world.submit(job(n, kind, tasks, run_s)).await);
     }
     for id in &ids {
-        world.until(id, "running", 60).await;
+        world.wait_for_stage(id, "running", 60).await;
     }
     ids
 }
@@ -254,7 +270,7 @@
     for _ in 0..30 {
         let requests = (0..3).map(|i| {
             let (world, id) = (world.clone(), id.to_string());
-            spawn_local(async move { world.withdraw(i, &id).await })
+            spawn_local(async move { world.cancel(i, &id).await })
         });
         let requests: Vec<_> = requests.collect();
         let mut confirmed = None;
@@ -277,9 +293,9 @@
         if world.is_cancelled(id) {
             assert_eq!(world.running(id), 0, "{id}");
         } else if world.is_service(id) {
-            world.until(id, "running", 120).await;
+            world.wait_for_stage(id, "running", 120).await;
         } else {
-            world.until(id, "done", 300).await;
+            world.wait_for_stage(id, "done", 300).await;
         }
     }
 }
@@ -290,7 +306,7 @@
 #[test]
 fn controller_that_fails_before_its_upgrade_serves_with_the_older_version() {
     for seed in [71, 72, 73] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = older_deployment(seed).await;
             let mut ids = submit_mixed_jobs(&world, 1, 9, 60.0).await;
             upgrade(&world, 0);
@@ -300,16 +316,16 @@
             restart_with_older_version(&world, 2);
             check_older_version_can_read(&world, 15).await;
             // Controllers of both versions cancel and accept jobs.
-            assert_eq!(world.withdraw(2, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(world.withdraw(1, &ids[1]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.cancel(2, &ids[0]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.cancel(1, &ids[1]).await.as_deref(), Some("aborted"));
             ids.extend(submit_mixed_jobs(&world, 20, 3, 30.0).await);
             restart_with_older_version(&world, 2);
-            world.state.troubles.borrow_mut().late = 0.3;
+            world.state.fault_options.borrow_mut().late = 0.3;
             check_older_version_can_read(&world, 12).await;
             assert_eq!(controllers_with_new_formats(&world), ["n0", "n1"]);
             upgrade(&world, 2);
             sleep(secs(2)).await;
-            world.state.troubles.borrow_mut().late = 0.0;
+            world.state.fault_options.borrow_mut().late = 0.0;
             wait_until_formats_recorded(&world).await;
             // Commits in the plain encoding that are still in flight are applied by then.
             sleep(secs(13)).await;
@@ -327,14 +343,14 @@
 #[test]
 fn partly_upgraded_deployment_survives_a_state_service_outage() {
     for (seed, outage_s) in [(74, 14), (75, 25), (76, 40)] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = older_deployment(seed).await;
             let mut ids = submit_mixed_jobs(&world, 1, 9, 40.0).await;
             upgrade(&world, 0);
             wait_until_new_formats_known_to(&world, &["n0"]).await;
             sleep(secs(5)).await;
-            assert_eq!(world.withdraw(0, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(world.withdraw(2, &ids[1]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.cancel(0, &ids[0]).await.as_deref(), Some("aborted"));
+            assert_eq!(world.cancel(2, &ids[1]).await.as_deref(), Some("aborted"));
             world.state.trouble.set(StateFault::Outage);
             sleep(secs(4)).await;
             upgrade(&world, 1);
@@ -342,7 +358,7 @@
             restart_with_older_version(&world, 2);
             for i in 0..3 {
                 let path = format!("/submissions/{}/withdraw", ids[2]);
-                let (status, _) = world.ask(i, "POST", &path, None).await;
+                let (status, _) = world.send_request(i, "POST", &path, None).await;
                 assert!([0, 503].contains(&status), "n{i}: {status}");
             }
             sleep(secs(outage_s - 8)).await;
@@ -365,7 +381,7 @@
 fn owned_machine_count(world: &Simulation, i: usize) -> usize {
     let name = format!("n{i}");
     world
-        .holders()
+        .machine_owners()
         .iter()
         .filter(|(_, owner)| *owner == name)
         .count()
@@ -378,24 +394,24 @@
 #[test]
 fn versions_hand_over_machines_while_jobs_are_cancelled() {
     for (seed, late, unanswered) in [(77, 0.0, 0.0), (78, 0.1, 0.0), (79, 0.0, 0.2)] {
-        in_world(|| async move {
+        run_in_simulated_time(|| async move {
             let world = older_deployment(seed).await;
             let ids = submit_mixed_jobs(&world, 1, 24, 90.0).await;
             upgrade(&world, 1);
             wait_until_new_formats_known_to(&world, &["n1"]).await;
-            world.state.troubles.borrow_mut().late = late;
-            world.state.troubles.borrow_mut().unanswered = unanswered;
+            world.state.fault_options.borrow_mut().late = late;
+            world.state.fault_options.borrow_mut().unanswered = unanswered;
             let mut jobs_to_cancel = ids.iter().filter(|id| !id.ends_with('5'));
             for round in 0..6 {
                 let i = [0, 1, 2, 1, 0, 1][round];
                 let before = owned_machine_count(&world, i);
                 match round {
-                    0 | 1 => world.cut_workers(i, true),
+                    0 | 1 => world.set_worker_partition(i, true),
                     2 | 3 => world.kill(i),
                     4 => {
-                        world.state.troubles.borrow_mut().refused.insert(i);
+                        world.state.fault_options.borrow_mut().refused.insert(i);
                     }
-                    _ => world.freeze(i, true),
+                    _ => world.set_paused(i, true),
                 }
                 for _ in 0..2 {
                     let id = jobs_to_cancel.next().expect("a job");
@@ -409,19 +425,19 @@
                 assert!(before > 0, "{round}: nothing to hand over");
                 assert!(after + lost <= before, "{round}: {before} to {after}");
                 match round {
-                    0 | 1 => world.cut_workers(i, false),
+                    0 | 1 => world.set_worker_partition(i, false),
                     2 => restart_with_older_version(&world, i),
                     3 => upgrade(&world, i),
                     4 => {
-                        world.state.troubles.borrow_mut().refused.clear();
+                        world.state.fault_options.borrow_mut().refused.clear();
                     }
-                    _ => world.freeze(i, false),
+                    _ => world.set_paused(i, false),
                 }
                 let id = jobs_to_cancel.next().expect("a job");
                 cancel_everywhere(&world, id).await;
                 check_older_version_can_read(&world, 15).await;
             }
-            world.heal();
+            world.clear_faults();
             upgrade(&world, 0);
             sleep(secs(3)).await;
             upgrade(&world, 2);
@@ -438,7 +454,7 @@
 /// Returns the records above the lower limit with their lengths in bytes, without accepted
 /// batches.
 fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
-    let mut records = world.state.sizes("sh/");
+    let mut records = world.state.value_sizes("sh/");
     records.retain(|(key, length)| *length > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
 }
@@ -470,7 +486,11 @@
                 submission["urgency"] = json!("urgent");
                 submission["due_s"] = json!(300.0);
             }
-            ids.push(world.submit(after(submission, &dependencies)).await);
+            ids.push(
+                world
+                    .submit(with_dependencies(submission, &dependencies))
+                    .await,
+            );
         }
         chains.push(ids);
     }
@@ -491,7 +511,7 @@
 /// are compacted and the limits are lowered. Chains are cancelled in the middle before and
 /// after the limits are lowered; the other chains complete in order.
 fn lower_limits_with_an_unfinished_pipeline(seed: u64, lowered_at: LoweredAt) {
-    in_world(|| async move {
+    run_in_simulated_time(|| async move {
         let shape = DeploymentOptions {
             machines: 160,
             ..deployment()
@@ -502,7 +522,7 @@
         let array = world.submit(job(1, "batch", 600, 20.0)).await;
         let service = world.submit(job(2, "daemon", 16, 0.0)).await;
         let chains = submit_chains(&world).await;
-        world.until(&array, "running", 30).await;
+        world.wait_for_stage(&array, "running", 30).await;
         assert!(
             oversized_records(&world).len() > 3,
             "{:?}",
@@ -562,7 +582,7 @@
             let from = aborted.iter().find(|(c, _)| *c == chain).map(|(_, s)| *s);
             for (step, id) in ids.iter().enumerate() {
                 if from.is_none_or(|from| step < from) {
-                    world.until(id, "done", 400).await;
+                    world.wait_for_stage(id, "done", 400).await;
                     continue;
                 }
                 for i in 0..3 {
@@ -571,8 +591,8 @@
                 assert_eq!(world.running(id), 0, "{id}");
             }
         }
-        world.until(&array, "done", 400).await;
-        world.until(&service, "running", 60).await;
+        world.wait_for_stage(&array, "done", 400).await;
+        world.wait_for_stage(&service, "running", 60).await;
         assert_eq!(oversized_records(&world), Vec::<(String, usize)>::new());
         assert_within_limits(&world);
     });
