--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -7,9 +7,9 @@
 
 /// Returns 200 if this controller can serve requests, and 503 otherwise.
 ///
-/// If no controller can reach the state service, all controllers report healthy:
-/// removing them from the load balancer would only delay the recovery. They answer
-/// requests with 503 and `Retry-After` until then.
+/// If no controller can reach the state service, all controllers that have loaded the
+/// state report healthy: removing them from the load balancer would only delay the
+/// recovery. Until then they answer requests with 503 and `Retry-After`.
 pub(super) fn health(controller: &Controller) -> Response {
     let is_reachable_by_peer = controller
         .peers
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -37,7 +37,8 @@
 pub use query::{job_state, should_shed_query};
 pub use validation::{SubmissionError, check_submission, read_submission};
 
-/// Time within which a request must arrive in full, and its response must be sent.
+/// Time within which a request must arrive in full, and within which the client must read
+/// the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Path of the workers' heartbeats.
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -49,7 +49,7 @@
 /// A query is shed if this controller is overloaded, as `timer_lag` shows, and if
 /// it answered a query about the same job recently, `since_answer` ago. Heartbeats,
 /// claims and submissions have precedence for the CPU. Every controller still answers
-/// about each job at intervals: otherwise users would take the job for lost.
+/// about each job at intervals: otherwise users would assume that the job is lost.
 pub fn should_shed_query(
     timer_lag: Duration,
     since_answer: Option<Duration>,
@@ -75,7 +75,8 @@
     response
 }
 
-/// Returns the response to a query. Waits for the barrier before it for at most `limit`.
+/// Returns the response to a query. If the response needs a barrier, waits for it for at
+/// most `limit`.
 pub(super) async fn query_within(controller: &Controller, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
         return no_such_job();
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -36,7 +36,7 @@
     /// Job that can never run; status 422.
     #[error("the job can never run: {0}")]
     Unsatisfiable(String),
-    /// Submission that this controller lacks the data to decide about; status 503.
+    /// Submission that cannot be decided yet, because this controller lacks data; status 503.
     #[error("not decidable yet")]
     Undecidable,
 }
@@ -198,8 +198,7 @@
     Ok(())
 }
 
-/// Rejects a job that exceeds its team's limit with the tasks that have to run at the
-/// same time.
+/// Rejects a job if the tasks that have to run at the same time exceed its team's limit.
 fn check_team_quota(spec: &JobSpec, team: &TeamQuota) -> Result<(), SubmissionError> {
     let tasks_at_once = match spec.kind {
         JobKind::Array => 1,
--- a/src/http/client/mod.rs
+++ b/src/http/client/mod.rs
@@ -43,7 +43,7 @@
 /// Deadlines of a call, for sending its request and for its response.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// Time from which on the request may no longer be sent.
+    /// Time after which the request is no longer sent.
     pub send: Instant,
     /// Time at which a missing response becomes [`CallError::NoResponse`].
     pub response: Instant,
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -71,7 +71,7 @@
             "its tasks fail on several machines; only a few are retried, at intervals"
         }
         WaitReason::ZoneCapReached => {
-            "the zones with free capacity have reached the limit on its tasks"
+            "the zones with free capacity already run their maximum of its tasks"
         }
         WaitReason::RecordFull => "its record has no space for more running tasks",
         WaitReason::CommitFull => "other jobs filled the last placement round",
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -47,7 +47,7 @@
     /// Rejected start: the machine still has another attempt of the task.
     #[serde(rename = "busy")]
     Busy,
-    /// Rejected start: the job or the task does not exist; PROTOCOL's `no_such`.
+    /// Rejected start: the job or task is unknown to the worker; PROTOCOL's `no_such`.
     #[serde(rename = "no_such")]
     Unknown,
 }
