--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -8,7 +8,7 @@
 /// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 100;
 /// Maximum of a rate, size or time, in the unit of its field.
-const MAX_VALUE: f64 = 1e6;
+const MAX_FIELD_VALUE: f64 = 1e6;
 /// Maximum guarantee or limit of a team, in CPUs or accelerators.
 const MAX_TEAM_AMOUNT: f64 = 1e9;
 /// Minimum number of writes per commit that the scheduler needs.
@@ -23,19 +23,19 @@
 const MAX_SHARE_ENTRY_BYTES: usize = 64;
 /// Minimum number of sockets that a controller needs.
 const MIN_SOCKETS: usize = 50;
-/// Number of heartbeat intervals that a lease must exceed.
+/// Multiple of `report_s` that `lease_s` must exceed.
 const HEARTBEAT_INTERVALS_PER_LEASE: f64 = 2.0;
-/// Multiple of the lease that the time to cancel must exceed.
+/// Multiple of `lease_s` that `cancel_s` must exceed.
 const LEASES_PER_CANCEL: f64 = 1.1;
 
 /// Problem with the value of a field.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum FieldProblem {
     /// Name of a controller or zone that is empty, too long or contains spaces.
-    #[error("must be 1 to 100 characters with no spaces")]
+    #[error("must be 1 to 100 bytes long and contain no spaces")]
     NameFormat,
     /// Name of a team that is empty or too long.
-    #[error("must be 1 to 100 characters")]
+    #[error("must be 1 to 100 bytes long")]
     NameLength,
     /// Name of a team that contains spaces or control characters.
     #[error("must not contain spaces or control characters")]
@@ -81,7 +81,7 @@
     /// Time to cancel that does not exceed the lease by a margin.
     #[error("must be more than 1.1 times lease_s")]
     CancelTooShort,
-    /// Amount below the minimum that the scheduler needs, which is given.
+    /// Amount below the given minimum, which the scheduler needs.
     #[error("must be at least {0}")]
     TooSmall(usize),
     /// Next size limit on values that is too small or too large.
@@ -215,7 +215,7 @@
         let workers = &self.deployment.workers;
         let state = &self.deployment.state;
         let cloud = &self.deployment.cloud;
-        let limits = &self.deployment.machine_limits;
+        let limits = &self.deployment.host_limits;
         for (field, value) in [
             ("workers.report_s", workers.report_s),
             ("workers.lease_s", workers.lease_s),
@@ -266,7 +266,7 @@
 
     fn check_sockets(&self) -> CheckResult {
         require(
-            self.deployment.machine_limits.sockets >= MIN_SOCKETS,
+            self.deployment.host_limits.sockets >= MIN_SOCKETS,
             "deployment.machine_limits.sockets",
             Problem::TooSmall(MIN_SOCKETS),
         )
@@ -335,7 +335,7 @@
         "deployment.state.next.txn_ops",
         Problem::TooSmall(MIN_COMMIT_WRITES),
     )?;
-    let is_value_size = |size: f64| (MIN_VALUE_KB..=MAX_VALUE).contains(&size);
+    let is_value_size = |size: f64| (MIN_VALUE_KB..=MAX_FIELD_VALUE).contains(&size);
     require(
         next.value_kb.is_none_or(is_value_size),
         "deployment.state.next.value_kb",
@@ -344,7 +344,7 @@
 }
 
 fn is_positive(value: f64) -> bool {
-    value > 0.0 && value <= MAX_VALUE
+    value > 0.0 && value <= MAX_FIELD_VALUE
 }
 
 fn is_zero_or_more(value: f64) -> bool {
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -5,18 +5,19 @@
 use super::{NextStateServiceLimits, Settings, TeamQuota};
 use crate::state::records::{FORMATS, FORMATS_SHARES};
 
-/// Maximum drift of a monotonic clock that the platform guarantees, as a fraction of the
-/// elapsed time.
+/// Maximum drift between two monotonic clocks, as a fraction of the elapsed time. The platform
+/// specifies this bound.
 pub const CLOCK_DRIFT: f64 = 0.0005;
 
 /// Minimum number of a controller's requests for each read barrier: at most one request in
 /// this many is a read barrier.
 pub const REQUESTS_PER_BARRIER: u32 = 4;
 
-/// Number of read barriers that are sent within the staleness limit while none is requested.
+/// Number of read barriers that are sent within the staleness limit, or within a worker's lease
+/// if that is shorter, while no barrier is requested.
 const BARRIERS_PER_STALENESS_LIMIT: u32 = 20;
 
-/// Fraction of the time to cancel that is reserved for handling messages.
+/// Fraction of `cancel_s` that is reserved for handling messages.
 const HANDLING_MARGIN_FRACTION: f64 = 0.02;
 
 /// Time after which a waiting job is placed before all others, in multiples of
@@ -26,11 +27,11 @@
 const BYTES_PER_KIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = BYTES_PER_KIB * 1024.0;
 
-/// Sixteenths of the sockets that are available to users, probes and workers.
+/// Share of the sockets that is available to users, probes and workers, in sixteenths.
 const SERVED_SOCKET_SIXTEENTHS: usize = 13;
 const SIXTEENTHS: usize = 16;
 
-/// Number of sockets for each connection to a worker for direct commands.
+/// Number of sockets of which one is used for direct commands to workers.
 const SOCKETS_PER_COMMAND_CONNECTION: usize = 8;
 
 /// Ratio of the memory limit to the maximum size of a response.
@@ -118,8 +119,8 @@
     /// usual interval between two read barriers, so that one slow answer delays no launch.
     pub fn max_launch_staleness(&self) -> Duration {
         let requests_per_s = self.rps(true) / self.deployment.count as f64;
-        let gap = Duration::from_secs_f64(REQUESTS_PER_BARRIER as f64 / requests_per_s);
-        let interval = self.idle_barrier_interval() + gap;
+        let min_interval = Duration::from_secs_f64(REQUESTS_PER_BARRIER as f64 / requests_per_s);
+        let interval = self.idle_barrier_interval() + min_interval;
         (interval * 2).clamp(self.worker_lease() / 16, self.worker_lease() / 4)
     }
 
@@ -145,23 +146,23 @@
     /// open in total. The sockets that remain after these and the command connections are
     /// used for the state service, the cloud and gossip.
     pub fn served_connections(&self) -> usize {
-        self.deployment.machine_limits.sockets * SERVED_SOCKET_SIXTEENTHS / SIXTEENTHS
+        self.deployment.host_limits.sockets * SERVED_SOCKET_SIXTEENTHS / SIXTEENTHS
     }
 
     /// Returns the maximum number of connections to workers for direct commands. It is not
     /// one for each machine: each worker also has a connection for its heartbeats, so the
     /// only controller left would need twice as many connections as there are machines.
     pub fn command_connections(&self) -> usize {
-        let sockets = self.deployment.machine_limits.sockets;
+        let sockets = self.deployment.host_limits.sockets;
         (sockets / SOCKETS_PER_COMMAND_CONNECTION).max(1)
     }
 
     /// Returns the maximum size of a response that is read, in bytes. A parsed response takes
     /// about three times its size in memory, in addition to the memory of the replica.
     pub fn max_response_bytes(&self) -> usize {
-        let memory = self.deployment.machine_limits.memory_mb * BYTES_PER_MIB;
-        let page = crate::http::BODY_LIMIT * MIN_RESPONSE_BODIES;
-        ((memory / MEMORY_PER_RESPONSE_RATIO) as usize).max(page)
+        let memory = self.deployment.host_limits.memory_mb * BYTES_PER_MIB;
+        let min_bytes = crate::http::BODY_LIMIT * MIN_RESPONSE_BODIES;
+        ((memory / MEMORY_PER_RESPONSE_RATIO) as usize).max(min_bytes)
     }
 
     /// Returns the next limits of the state service, all `None` if no change is configured.
@@ -170,16 +171,16 @@
     }
 
     /// Returns the maximum size of a value, in bytes: the lower of the present limit and the
-    /// next one. Values are kept within both from the start, because the limit changes
-    /// without notice and the values that are stored then were written before.
+    /// next one. Values are kept within both from the start: the limit changes without
+    /// notice, and the values that are stored at that time must not exceed the new one.
     pub fn value_limit_bytes(&self) -> usize {
         let now = self.deployment.state.value_kb;
         let value_kb = self.next_state_limits().value_kb.unwrap_or(now).min(now);
         (value_kb * BYTES_PER_KIB) as usize
     }
 
-    /// Returns the present limit on the size of a value, in bytes. Records that already exist
-    /// may be as large.
+    /// Returns the present limit on the size of a value, in bytes. Existing records may reach
+    /// it.
     pub fn current_value_limit_bytes(&self) -> usize {
         (self.deployment.state.value_kb * BYTES_PER_KIB) as usize
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -146,19 +146,22 @@
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Resources that a controller may use on its own host.
-    pub machine_limits: HostLimits,
+    #[serde(rename = "machine_limits")]
+    pub host_limits: HostLimits,
     /// Maximum difference between the wall clocks of two controllers, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
 }
 
-/// Service level objective for starting or finishing jobs of a class. It only affects the
-/// order of the queue. Objectives of unknown kinds are ignored.
+/// Service level objective for starting or finishing jobs of a class. Objectives influence
+/// the decisions on jobs of their class, but are not guaranteed. Objectives of unknown kinds
+/// are ignored when a job's lateness is determined.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// Kind of the objective, such as `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// Class of the jobs that the objective applies to; `None` for all jobs.
+    /// Class of the jobs that the objective applies to; `None` for all jobs. Only objectives
+    /// with a class are taken into account.
     #[serde(default)]
     pub class: Option<String>,
     /// Time limit, in seconds.
