--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -62,12 +62,12 @@
 }
 
 /// Reads the machines from the stored records.
-fn read_recorded_machines(world: &Simulation) -> RecordedMachines {
+fn read_recorded_machines(simulation: &Simulation) -> RecordedMachines {
     let mut recorded = RecordedMachines {
         claimed: BTreeSet::new(),
         listed: BTreeSet::new(),
     };
-    for (key, value) in world.state.records("sh/machine/") {
+    for (key, value) in simulation.state.records("sh/machine/") {
         let shard: MachineShard = serde_json::from_str(&value.to_string()).expect(&key);
         let claimed = shard
             .machines
@@ -75,7 +75,7 @@
             .filter(|(_, machine)| machine.fencing_token > 0);
         recorded.claimed.extend(claimed.map(|(name, _)| name));
     }
-    for (key, value) in world.state.records("sh/zone/") {
+    for (key, value) in simulation.state.records("sh/zone/") {
         let shard: ZoneShard = serde_json::from_str(&value.to_string()).expect(&key);
         recorded.listed.extend(shard.machines.into_keys());
     }
@@ -83,11 +83,11 @@
 }
 
 /// Waits until every machine is claimed and listed.
-async fn wait_until_all_claimed_and_listed(world: &Simulation, limit_s: f64, after: &str) {
+async fn wait_until_all_claimed_and_listed(simulation: &Simulation, limit_s: f64, after: &str) {
     let start = Instant::now();
     loop {
-        let names: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
-        let recorded = read_recorded_machines(world);
+        let names: BTreeSet<String> = simulation.workers.borrow().keys().cloned().collect();
+        let recorded = read_recorded_machines(simulation);
         let unclaimed = names.difference(&recorded.claimed).count();
         let unlisted = names.difference(&recorded.listed).count();
         if unclaimed + unlisted == 0 {
@@ -106,12 +106,12 @@
 /// Submits one task for each machine, waits until every machine has run a task, and returns
 /// the ids of the jobs.
 async fn submit_work_for_all(
-    world: &Simulation,
+    simulation: &Simulation,
     wave: u32,
     limit_s: f64,
     after: &str,
 ) -> Vec<String> {
-    let machines = world.workers.borrow().len();
+    let machines = simulation.workers.borrow().len();
     let mut ids = Vec::new();
     for number in 0..machines.div_ceil(TASKS_PER_JOB) {
         let mut array: Value = job(
@@ -120,17 +120,17 @@
             TASKS_PER_JOB as u32,
             limit_s,
         );
-        array["crew"] = json!(format!("t{}", number % world.shape.teams.len()));
+        array["crew"] = json!(format!("t{}", number % simulation.shape.teams.len()));
         array["vcpus"] = json!(8.0);
-        ids.push(world.submit(array).await);
+        ids.push(simulation.submit(array).await);
     }
     let start = Instant::now();
-    let mut idle: BTreeSet<String> = world.workers.borrow().keys().cloned().collect();
+    let mut idle: BTreeSet<String> = simulation.workers.borrow().keys().cloned().collect();
     while !idle.is_empty() {
-        for worker in world.busy() {
+        for worker in simulation.busy() {
             idle.remove(worker.name());
         }
-        idle.retain(|name| world.workers.borrow().contains_key(name));
+        idle.retain(|name| simulation.workers.borrow().contains_key(name));
         let elapsed_s = start.elapsed().as_secs_f64();
         assert!(
             elapsed_s < limit_s,
@@ -143,11 +143,11 @@
 }
 
 /// Waits until every job is done. The jobs are queried at the controllers in turn.
-async fn wait_until_all_done(world: &Simulation, ids: &[String], limit_s: f64) {
+async fn wait_until_all_done(simulation: &Simulation, ids: &[String], limit_s: f64) {
     let start = Instant::now();
     for (number, id) in ids.iter().enumerate() {
-        let controller = number % world.shape.controllers;
-        while world.stage(controller, id).await.as_deref() != Some("done") {
+        let controller = number % simulation.shape.controllers;
+        while simulation.stage(controller, id).await.as_deref() != Some("done") {
             assert!(start.elapsed().as_secs_f64() < limit_s, "{id} is not done");
             sleep(Duration::from_secs(1)).await;
         }
@@ -156,10 +156,10 @@
 
 /// Asserts that the state service and the cloud refused nothing for its size: values, commits,
 /// keys and requests to the cloud.
-fn assert_within_limits(world: &Simulation) {
-    let beyond = world.state.rejected_commits.borrow().clone();
+fn assert_within_limits(simulation: &Simulation) {
+    let beyond = simulation.state.rejected_commits.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
-    let refused = world.refused_cloud_requests.borrow().clone();
+    let refused = simulation.refused_cloud_requests.borrow().clone();
     assert!(refused.is_empty(), "{refused:?}");
 }
 
@@ -176,54 +176,54 @@
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
-        let world = Simulation::of(31, shape).await;
-        wait_until_all_claimed_and_listed(&world, lease_s * 3.0, "a start").await;
+        let simulation = Simulation::of(31, shape).await;
+        wait_until_all_claimed_and_listed(&simulation, lease_s * 3.0, "a start").await;
         if let Some(limits) = reduced_limits {
-            world.state.limits.set(limits);
+            simulation.state.limits.set(limits);
         }
-        let ids = submit_work_for_all(&world, 1, lease_s * 6.0, "a start").await;
+        let ids = submit_work_for_all(&simulation, 1, lease_s * 6.0, "a start").await;
         assert_eq!(
-            world.expired_lease_count(),
+            simulation.expired_lease_count(),
             0,
             "leases expired at the start"
         );
 
         for controller in 1..controllers {
-            world.kill(controller);
+            simulation.kill(controller);
         }
         sleep(lease * 2).await;
-        let expired = world.expired_lease_count() as usize;
+        let expired = simulation.expired_lease_count() as usize;
         assert_eq!(
             expired, 0,
             "leases expired during the takeover by one controller"
         );
-        let claimed = world.machine_owners();
+        let claimed = simulation.machine_owners();
         let of_remaining = claimed.iter().filter(|(_, owner)| owner == "n0").count();
         assert_eq!(
             of_remaining, MACHINES,
             "machines of the remaining controller"
         );
         for controller in 1..controllers {
-            world.start(controller);
+            simulation.start(controller);
         }
-        wait_until_all_done(&world, &ids, lease_s * 12.0).await;
+        wait_until_all_done(&simulation, &ids, lease_s * 12.0).await;
 
-        let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
-            world.lose(name);
+            simulation.lose(name);
         }
-        let ids = submit_work_for_all(&world, 2, lease_s * 12.0, "the loss of a fifth").await;
+        let ids = submit_work_for_all(&simulation, 2, lease_s * 12.0, "the loss of a fifth").await;
         for controller in 0..controllers {
-            world.kill(controller);
+            simulation.kill(controller);
         }
         sleep(lease / 4).await;
         for controller in 0..controllers {
-            world.start(controller);
+            simulation.start(controller);
         }
-        wait_until_all_claimed_and_listed(&world, lease_s * 6.0, "a restart of all").await;
-        wait_until_all_done(&world, &ids, lease_s * 16.0).await;
-        assert_within_limits(&world);
-        world.assert_no_violations();
+        wait_until_all_claimed_and_listed(&simulation, lease_s * 6.0, "a restart of all").await;
+        wait_until_all_done(&simulation, &ids, lease_s * 16.0).await;
+        assert_within_limits(&simulation);
+        simulation.assert_no_violations();
     });
 }
 
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -10,8 +10,8 @@
 use crate::stand_ins::{DeploymentOptions, Simulation, StateFault, job, run_in_simulated_time};
 
 /// Submits jobs of each kind. The number of the wave keeps their ids distinct.
-async fn submit(world: &Simulation, wave: u32) -> Vec<String> {
-    let teams = world.shape.teams.len() as u32;
+async fn submit(simulation: &Simulation, wave: u32) -> Vec<String> {
+    let teams = simulation.shape.teams.len() as u32;
     let mut ids = Vec::new();
     for number in 0..12 {
         let (kind, tasks, run_s) =
@@ -20,27 +20,32 @@
         request["crew"] = json!(format!("t{}", number % teams));
         request["scatter"] = json!(kind == "daemon");
         request["same_place"] = json!(kind == "gang");
-        ids.push(world.submit(request).await);
+        ids.push(simulation.submit(request).await);
     }
     ids
 }
 
 /// Waits until every controller reports that each accepted service runs with all its replicas
 /// and that every other job is done.
-async fn wait_until_running_or_done(world: &Simulation, ids: &[String], limit_s: f64, after: &str) {
+async fn wait_until_running_or_done(
+    simulation: &Simulation,
+    ids: &[String],
+    limit_s: f64,
+    after: &str,
+) {
     let start = Instant::now();
     let mut unfinished: Vec<(usize, &String)> = Vec::new();
-    for controller in 0..world.shape.controllers {
+    for controller in 0..simulation.shape.controllers {
         unfinished.extend(ids.iter().map(|id| (controller, id)));
     }
     while !unfinished.is_empty() {
         let mut waiting = Vec::new();
         for (controller, id) in unfinished {
-            let stage = world.stage(controller, id).await;
-            let service = world.is_service(id);
+            let stage = simulation.stage(controller, id).await;
+            let service = simulation.is_service(id);
             let is_met = match stage.as_deref() {
                 Some("done") => true,
-                Some("running") => service && world.running(id) == 9,
+                Some("running") => service && simulation.running(id) == 9,
                 _ => false,
             };
             if !is_met {
@@ -53,7 +58,7 @@
             elapsed_s < limit_s,
             "after {after}: not running or done: {unfinished:?}"
         );
-        sleep(Duration::from_secs_f64(world.shape.report_s)).await;
+        sleep(Duration::from_secs_f64(simulation.shape.report_s)).await;
     }
 }
 
@@ -64,94 +69,94 @@
         let lease_s = shape.lease_s;
         let controllers = shape.controllers;
         let seconds = Duration::from_secs_f64;
-        let world = Simulation::of(21, shape).await;
-        let mut ids = submit(&world, 1).await;
-        wait_until_running_or_done(&world, &ids, lease_s * 4.0, "a start").await;
+        let simulation = Simulation::of(21, shape).await;
+        let mut ids = submit(&simulation, 1).await;
+        wait_until_running_or_done(&simulation, &ids, lease_s * 4.0, "a start").await;
 
         // One controller takes over all machines.
         for controller in 1..controllers {
-            world.kill(controller);
+            simulation.kill(controller);
         }
         sleep(seconds(lease_s * 1.2)).await;
-        assert!(world.workers.borrow().len() >= world.shape.machines);
+        assert!(simulation.workers.borrow().len() >= simulation.shape.machines);
         assert_eq!(
-            world.expired_lease_count(),
+            simulation.expired_lease_count(),
             0,
             "leases expired during the takeover by one controller"
         );
-        ids.extend(submit_to(&world, 0, 2).await);
+        ids.extend(submit_to(&simulation, 0, 2).await);
         for controller in 1..controllers {
-            world.start(controller);
+            simulation.start(controller);
         }
-        wait_until_running_or_done(&world, &ids, lease_s * 6.0, "all on one controller").await;
+        wait_until_running_or_done(&simulation, &ids, lease_s * 6.0, "all on one controller").await;
 
         // One controller takes over all machines because the network of the others is cut and
         // connections to them hang. A worker that tries a controller that is cut off loses
         // seconds of its lease.
         for controller in 1..controllers {
-            world.set_controller_partition(controller, true);
+            simulation.set_controller_partition(controller, true);
         }
         sleep(seconds(lease_s * 1.5)).await;
-        let lapsed = world.expired_lease_count() as usize;
+        let lapsed = simulation.expired_lease_count() as usize;
         for controller in 1..controllers {
-            world.set_controller_partition(controller, false);
+            simulation.set_controller_partition(controller, false);
         }
         assert!(
-            lapsed * 20 < world.shape.machines,
+            lapsed * 20 < simulation.shape.machines,
             "{lapsed} leases expired"
         );
-        wait_until_running_or_done(&world, &ids, lease_s * 6.0, "a cut of all but one").await;
+        wait_until_running_or_done(&simulation, &ids, lease_s * 6.0, "a cut of all but one").await;
 
         // A fifth of the machines is lost and all controllers restart at the same time.
-        let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
-            world.lose(name);
+            simulation.lose(name);
         }
         for controller in 0..controllers {
-            world.kill(controller);
-            world.start(controller);
+            simulation.kill(controller);
+            simulation.start(controller);
         }
-        ids.extend(submit(&world, 3).await);
-        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a fifth gone").await;
+        ids.extend(submit(&simulation, 3).await);
+        wait_until_running_or_done(&simulation, &ids, lease_s * 10.0, "a fifth gone").await;
 
         // A zone is cut off for longer than a lease and then reconnected.
-        world.set_zone_partition("b", true);
+        simulation.set_zone_partition("b", true);
         sleep(seconds(lease_s * 2.0)).await;
-        world.set_zone_partition("b", false);
-        ids.extend(submit(&world, 4).await);
-        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "a zone cut").await;
+        simulation.set_zone_partition("b", false);
+        ids.extend(submit(&simulation, 4).await);
+        wait_until_running_or_done(&simulation, &ids, lease_s * 10.0, "a zone cut").await;
 
         // The state service is down for longer than a lease. In the middle of the outage one
         // controller freezes and another restarts immediately.
-        world.state.trouble.set(StateFault::Outage);
+        simulation.state.trouble.set(StateFault::Outage);
         sleep(seconds(lease_s * 0.6)).await;
-        world.set_paused(0, true);
-        world.kill(1);
-        world.start(1);
+        simulation.set_paused(0, true);
+        simulation.kill(1);
+        simulation.start(1);
         sleep(seconds(lease_s * 0.6)).await;
-        world.state.trouble.set(StateFault::None);
+        simulation.state.trouble.set(StateFault::None);
         sleep(seconds(lease_s * 0.6)).await;
-        world.set_paused(0, false);
-        ids.extend(submit(&world, 5).await);
-        wait_until_running_or_done(&world, &ids, lease_s * 10.0, "an outage").await;
+        simulation.set_paused(0, false);
+        ids.extend(submit(&simulation, 5).await);
+        wait_until_running_or_done(&simulation, &ids, lease_s * 10.0, "an outage").await;
 
         // Every service is cancelled at two controllers, and every job is queried at a third:
         // the repeated cancellation finds the service cancelled already.
         for id in &ids {
-            if world.is_service(id) {
+            if simulation.is_service(id) {
                 assert_eq!(
-                    world.cancel(0, id).await.as_deref(),
+                    simulation.cancel(0, id).await.as_deref(),
                     Some("aborted"),
                     "{id}"
                 );
                 assert_eq!(
-                    world.cancel(1, id).await.as_deref(),
+                    simulation.cancel(1, id).await.as_deref(),
                     Some("aborted"),
                     "{id}"
                 );
             }
-            let stage = world.stage(controllers - 1, id).await;
-            let expected = if world.is_service(id) {
+            let stage = simulation.stage(controllers - 1, id).await;
+            let expected = if simulation.is_service(id) {
                 "aborted"
             } else {
                 "done"
@@ -159,17 +164,17 @@
             assert_eq!(stage.as_deref(), Some(expected), "{id}");
         }
         sleep(seconds(lease_s)).await;
-        assert!(world.workers.borrow().len() * 2 > world.shape.machines);
-        world.assert_no_violations();
+        assert!(simulation.workers.borrow().len() * 2 > simulation.shape.machines);
+        simulation.assert_no_violations();
     });
 }
 
 /// Submits one job to this controller and returns its id.
-async fn submit_to(world: &Simulation, controller: usize, wave: u32) -> Vec<String> {
+async fn submit_to(simulation: &Simulation, controller: usize, wave: u32) -> Vec<String> {
     let mut request = job(wave * 100, "batch", 60, 10.0);
     request["crew"] = json!("t1");
-    world.register_job(&request);
-    let (status, answer) = world
+    simulation.register_job(&request);
+    let (status, answer) = simulation
         .send_request(controller, "POST", "/submissions", Some(&request))
         .await;
     assert_eq!(status, 201, "{answer}");
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -45,7 +45,7 @@
 
 /// Submits batch and gang jobs of both teams, some of which depend on earlier ones, and
 /// cancels every seventh.
-async fn submit_jobs(world: Rc<Simulation>) {
+async fn submit_jobs(simulation: Rc<Simulation>) {
     let mut ids: Vec<String> = Vec::new();
     for number in 1..=JOB_COUNT {
         let kind = ["batch", "gang"][number as usize % 2];
@@ -54,10 +54,10 @@
         if number % 4 == 0 {
             submission = with_dependencies(submission, &[&ids[ids.len() - 2]]);
         }
-        let id = world.submit(submission).await;
-        spawn_local(poll_job(world.clone(), id.clone()));
+        let id = simulation.submit(submission).await;
+        spawn_local(poll_job(simulation.clone(), id.clone()));
         if number % 7 == 0 {
-            world.cancel(number as usize % CONTROLLERS, &id).await;
+            simulation.cancel(number as usize % CONTROLLERS, &id).await;
         }
         ids.push(id);
         sleep(seconds(4.0)).await;
@@ -65,76 +65,76 @@
 }
 
 /// Polls a job at one controller after another, every 5 s as users do.
-async fn poll_job(world: Rc<Simulation>, id: String) {
+async fn poll_job(simulation: Rc<Simulation>, id: String) {
     for i in (0..CONTROLLERS).cycle() {
-        world.stage(i, &id).await;
+        simulation.stage(i, &id).await;
         sleep(seconds(5.0)).await;
     }
 }
 
 /// Injects one fault after another, and removes each.
-async fn inject_faults(world: &Rc<Simulation>) {
+async fn inject_faults(simulation: &Rc<Simulation>) {
     sleep(seconds(15.0)).await;
-    inject_state_faults(world).await;
-    restart_controllers(world).await;
-    inject_network_faults(world).await;
-    inject_worker_faults(world).await;
+    inject_state_faults(simulation).await;
+    restart_controllers(simulation).await;
+    inject_network_faults(simulation).await;
+    inject_worker_faults(simulation).await;
 }
 
 /// Makes the state service lose responses, apply commits late, be unavailable and slow.
-async fn inject_state_faults(world: &Rc<Simulation>) {
+async fn inject_state_faults(simulation: &Rc<Simulation>) {
     for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
-        world.state.trouble.set(trouble);
-        world.state.faulty_commits_left.set(4);
+        simulation.state.trouble.set(trouble);
+        simulation.state.faulty_commits_left.set(4);
         sleep(seconds(6.0)).await;
-        world.state.faulty_commits_left.set(0);
+        simulation.state.faulty_commits_left.set(0);
     }
-    world.state.trouble.set(StateFault::Outage);
+    simulation.state.trouble.set(StateFault::Outage);
     sleep(seconds(15.0)).await;
-    world.state.trouble.set(StateFault::None);
-    world.state.fault_options.borrow_mut().late = 0.2;
-    world.state.fault_options.borrow_mut().unanswered = 0.2;
-    world.state.fault_options.borrow_mut().response_delay = seconds(0.2);
+    simulation.state.trouble.set(StateFault::None);
+    simulation.state.fault_options.borrow_mut().late = 0.2;
+    simulation.state.fault_options.borrow_mut().unanswered = 0.2;
+    simulation.state.fault_options.borrow_mut().response_delay = seconds(0.2);
     sleep(seconds(10.0)).await;
-    world.clear_faults();
+    simulation.clear_faults();
     sleep(seconds(5.0)).await;
 }
 
 /// Kills and restarts each controller in turn. The first is down for longer than the worker
 /// leases last.
-async fn restart_controllers(world: &Rc<Simulation>) {
+async fn restart_controllers(simulation: &Rc<Simulation>) {
     for i in 0..CONTROLLERS {
-        world.kill(i);
-        let downtime_s = if i == 0 { 1.5 } else { 0.5 } * world.shape.lease_s;
+        simulation.kill(i);
+        let downtime_s = if i == 0 { 1.5 } else { 0.5 } * simulation.shape.lease_s;
         sleep(seconds(downtime_s)).await;
-        world.start(i);
+        simulation.start(i);
         sleep(seconds(3.0)).await;
     }
 }
 
 /// Cuts one controller off from its peers and then another from everything, and delivers
 /// duplicate heartbeats late.
-async fn inject_network_faults(world: &Rc<Simulation>) {
-    world.copied.set(0.3);
-    world.set_peer_partition(1, true);
+async fn inject_network_faults(simulation: &Rc<Simulation>) {
+    simulation.copied.set(0.3);
+    simulation.set_peer_partition(1, true);
     sleep(seconds(8.0)).await;
-    world.set_peer_partition(1, false);
-    world.send_recorded_copies();
-    world.set_controller_partition(2, true);
+    simulation.set_peer_partition(1, false);
+    simulation.send_recorded_copies();
+    simulation.set_controller_partition(2, true);
     sleep(seconds(12.0)).await;
-    world.set_controller_partition(2, false);
-    world.send_recorded_copies();
+    simulation.set_controller_partition(2, false);
+    simulation.send_recorded_copies();
     sleep(seconds(5.0)).await;
 }
 
 /// Loses one busy machine, and makes another hang for longer than its lease lasts.
-async fn inject_worker_faults(world: &Rc<Simulation>) {
-    let busy = world.busy();
+async fn inject_worker_faults(simulation: &Rc<Simulation>) {
+    let busy = simulation.busy();
     if let Some(worker) = busy.first() {
-        world.lose(worker.name());
+        simulation.lose(worker.name());
     }
     if let Some(worker) = busy.last() {
-        worker.hang(seconds(1.5 * world.shape.lease_s));
+        worker.hang(seconds(1.5 * simulation.shape.lease_s));
     }
     sleep(seconds(40.0)).await;
 }
@@ -143,11 +143,11 @@
 fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
     run_in_simulated_time(|| async {
-        let world = Simulation::of(seed, DeploymentOptions::default()).await;
-        world.frames.begin();
-        spawn_local(submit_jobs(world.clone()));
-        inject_faults(&world).await;
-        frames = Some(world.frames.finish());
+        let simulation = Simulation::of(seed, DeploymentOptions::default()).await;
+        simulation.frames.begin();
+        spawn_local(submit_jobs(simulation.clone()));
+        inject_faults(&simulation).await;
+        frames = Some(simulation.frames.finish());
     });
     frames.expect("the run has ended")
 }
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -164,7 +164,7 @@
 /// again. Shortly before, the state service refuses only the owner, and some jobs are
 /// cancelled at another controller.
 struct RefusedOwner {
-    world: Rc<Simulation>,
+    simulation: Rc<Simulation>,
     owner: usize,
     /// Jobs that were cancelled at another controller.
     cancelled: Vec<String>,
@@ -183,30 +183,35 @@
     // Longer than the lease, but shorter than the time after which the owner may treat
     // the lease as expired.
     const HANG_S: f64 = 10.3;
-    let world = Simulation::new(seed).await;
+    let simulation = Simulation::new(seed).await;
     let mut ids = Vec::new();
     for number in 0..4 {
-        ids.push(world.submit(job(number + 1, "batch", 1, 300.0)).await);
+        ids.push(simulation.submit(job(number + 1, "batch", 1, 300.0)).await);
     }
     for id in &ids {
-        world.wait_for_stage(id, "running", 60).await;
+        simulation.wait_for_stage(id, "running", 60).await;
     }
     sleep(secs(5.0)).await;
-    let owner = world.controller_with_most_machines();
-    world
+    let owner = simulation.controller_with_most_machines();
+    simulation
         .busy()
         .iter()
         .for_each(|worker| worker.hang(secs(HANG_S)));
     sleep(secs(HANG_S - refused_s)).await;
-    world.state.fault_options.borrow_mut().refused.insert(owner);
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .refused
+        .insert(owner);
     sleep(secs(refused_s - cancelled_s)).await;
     let uncancelled = ids.split_off(2);
     for id in &ids {
-        let stage = world.cancel((owner + 1) % 3, id).await;
+        let stage = simulation.cancel((owner + 1) % 3, id).await;
         assert_eq!(stage.as_deref(), Some("aborted"));
     }
     RefusedOwner {
-        world,
+        simulation,
         owner,
         cancelled: ids,
         uncancelled,
@@ -227,24 +232,24 @@
                 cancelled_s,
             )
             .await;
-            let world = case.world;
+            let simulation = case.simulation;
             sleep(secs(12.0)).await;
-            let limit = world.shape.settings(0).max_launch_staleness();
-            let late_starts: Vec<_> = world.starts_after_cancel.borrow().clone();
+            let limit = simulation.shape.settings(0).max_launch_staleness();
+            let late_starts: Vec<_> = simulation.starts_after_cancel.borrow().clone();
             let too_late: Vec<_> = late_starts
                 .iter()
                 .filter(|(_, after)| *after > limit)
                 .collect();
             assert!(too_late.is_empty(), "{cancelled_s}: {too_late:?}");
-            world.clear_faults();
+            simulation.clear_faults();
             sleep(secs(20.0)).await;
             for id in &case.cancelled {
-                assert_eq!(world.running(id), 0, "{id}");
+                assert_eq!(simulation.running(id), 0, "{id}");
             }
             for id in &case.uncancelled {
-                assert_eq!(world.running(id), 1, "{id}");
+                assert_eq!(simulation.running(id), 1, "{id}");
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -254,11 +259,11 @@
 fn deferred_launches_are_sent_after_the_next_barrier() {
     run_in_simulated_time(|| async {
         let case = refuse_owner_before_machines_return(50, 2.4, 2.0).await;
-        let (world, owner) = (case.world, case.owner);
-        let starts = world.starts.get();
+        let (simulation, owner) = (case.simulation, case.owner);
+        let starts = simulation.starts.get();
         sleep(secs(2.0 + 1.0)).await;
-        assert_eq!(world.starts.get(), starts, "launched from an old view");
-        world
+        assert_eq!(simulation.starts.get(), starts, "launched from an old view");
+        simulation
             .state
             .fault_options
             .borrow_mut()
@@ -266,9 +271,9 @@
             .remove(&owner);
         sleep(secs(1.0)).await;
         for id in &case.uncancelled {
-            assert_eq!(world.running(id), 1, "{id}");
+            assert_eq!(simulation.running(id), 1, "{id}");
         }
-        assert_eq!(world.starts_after_cancel.borrow().len(), 0);
-        world.assert_no_violations();
+        assert_eq!(simulation.starts_after_cancel.borrow().len(), 0);
+        simulation.assert_no_violations();
     });
 }
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -22,12 +22,12 @@
 /// responses are lost.
 fn lower_limits_around_compaction(delay: Option<Duration>, trouble: StateFault) {
     run_in_simulated_time(|| async move {
-        let world = Simulation::of(31, deployment()).await;
+        let simulation = Simulation::of(31, deployment()).await;
         sleep(Duration::from_secs(15)).await;
-        let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
-        let cancelled_job = world.submit(job(5, "batch", 300, 500.0)).await;
+        let first_jobs = submit_largest_jobs(&simulation, 1, 1800).await;
+        let cancelled_job = simulation.submit(job(5, "batch", 300, 500.0)).await;
         sleep(Duration::from_secs(12)).await;
-        let oversized = oversized_records(&world);
+        let oversized = oversized_records(&simulation);
         for table in ["sh/zone/", "sh/machine/", "sh/job/"] {
             let has_oversized = oversized.iter().any(|(key, _)| key.starts_with(table));
             assert!(
@@ -35,45 +35,45 @@
                 "no oversized record of {table}: {has_oversized}"
             );
         }
-        restart_with_upcoming_limits(&world).await;
-        wait_until_formats_recorded(&world).await;
-        world.state.trouble.set(trouble);
-        world.state.faulty_commits_left.set(12);
+        restart_with_upcoming_limits(&simulation).await;
+        wait_until_formats_recorded(&simulation).await;
+        simulation.state.trouble.set(trouble);
+        simulation.state.faulty_commits_left.set(12);
         // Without a delay, the limits are lowered as soon as the new formats are recorded.
         sleep(delay.unwrap_or_default()).await;
         if delay.is_some_and(|t| t > Duration::from_secs(20)) {
             assert!(
-                oversized_records(&world).is_empty(),
+                oversized_records(&simulation).is_empty(),
                 "{:?}",
-                oversized_records(&world)
+                oversized_records(&simulation)
             );
         }
         for i in 0..3 {
-            world.kill(i);
+            simulation.kill(i);
         }
-        lower_limits(&world);
+        lower_limits(&simulation);
         for i in 0..3 {
-            world.start(i);
+            simulation.start(i);
         }
-        let second_jobs = submit_largest_jobs(&world, 2, 1800).await;
+        let second_jobs = submit_largest_jobs(&simulation, 2, 1800).await;
         assert_eq!(
-            world.cancel(1, &cancelled_job).await.as_deref(),
+            simulation.cancel(1, &cancelled_job).await.as_deref(),
             Some("aborted")
         );
-        wait_until_jobs_progress(&world, &first_jobs).await;
-        wait_until_jobs_progress(&world, &second_jobs).await;
+        wait_until_jobs_progress(&simulation, &first_jobs).await;
+        wait_until_jobs_progress(&simulation, &second_jobs).await;
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(world.running(&cancelled_job), 0);
-        let refused = world.state.rate_limited_commits.get();
+        assert_eq!(simulation.running(&cancelled_job), 0);
+        let refused = simulation.state.rate_limited_commits.get();
         assert!(refused < 40, "{refused} refused for the rate");
         assert!(
-            oversized_records(&world).is_empty(),
+            oversized_records(&simulation).is_empty(),
             "{:?}",
-            oversized_records(&world)
+            oversized_records(&simulation)
         );
-        let beyond = world.state.rejected_commits.borrow().clone();
+        let beyond = simulation.state.rejected_commits.borrow().clone();
         assert!(beyond.is_empty(), "{beyond:?}");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -160,29 +160,29 @@
 #[test]
 fn one_controller_takes_over_every_machine_at_the_lower_rate() {
     run_in_simulated_time(|| async move {
-        let world = Simulation::of(32, deployment()).await;
+        let simulation = Simulation::of(32, deployment()).await;
         sleep(Duration::from_secs(15)).await;
-        restart_with_upcoming_limits(&world).await;
-        wait_until_formats_recorded(&world).await;
+        restart_with_upcoming_limits(&simulation).await;
+        wait_until_formats_recorded(&simulation).await;
         sleep(Duration::from_secs(20)).await;
-        lower_limits(&world);
-        let first_jobs = submit_largest_jobs(&world, 1, 1800).await;
+        lower_limits(&simulation);
+        let first_jobs = submit_largest_jobs(&simulation, 1, 1800).await;
         sleep(Duration::from_secs(5)).await;
-        let lapsed = world.expired_lease_count();
-        world.kill(0);
-        world.kill(1);
+        let lapsed = simulation.expired_lease_count();
+        simulation.kill(0);
+        simulation.kill(1);
         sleep(Duration::from_secs(25)).await;
-        assert_eq!(world.expired_lease_count(), lapsed, "leases ran out");
-        let holders = world.machine_owners();
+        assert_eq!(simulation.expired_lease_count(), lapsed, "leases ran out");
+        let holders = simulation.machine_owners();
         assert_eq!(holders.len(), 160);
         assert!(
             holders.iter().all(|(_, owner)| owner == "n2"),
             "{holders:?}"
         );
-        wait_until_jobs_progress(&world, &first_jobs).await;
-        let beyond = world.state.rejected_commits.borrow().clone();
+        wait_until_jobs_progress(&simulation, &first_jobs).await;
+        let beyond = simulation.state.rejected_commits.borrow().clone();
         assert!(beyond.is_empty(), "{beyond:?}");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -193,37 +193,37 @@
     run_in_simulated_time(|| async move {
         let mut shape = deployment();
         shape.machines = 45;
-        let world = Simulation::of(33, shape).await;
+        let simulation = Simulation::of(33, shape).await;
         sleep(Duration::from_secs(15)).await;
         let mut request = job(1, "batch", 1800, 15.0);
         for field in ["blueprint", "lot"] {
             request[field] = json!("a-name-that-is-long".repeat(10));
         }
-        let oversized_job = world.submit(request).await;
+        let oversized_job = simulation.submit(request).await;
         // The record of this job exceeds the limit; zone shards and machine shards do not.
-        world.state.limits.set(StateLimits {
+        simulation.state.limits.set(StateLimits {
             value_limit_bytes: 3000,
             txn_ops: 12,
             write_rps: 90.0,
-            ..world.state.limits.get()
+            ..simulation.state.limits.get()
         });
         let mut small_jobs = Vec::new();
         for n in 0..6 {
-            small_jobs.push(world.submit(job(10 + n, "gang", 2, 5.0)).await);
+            small_jobs.push(simulation.submit(job(10 + n, "gang", 2, 5.0)).await);
         }
         for id in &small_jobs {
-            world.wait_for_stage(id, "done", 120).await;
+            simulation.wait_for_stage(id, "done", 120).await;
         }
         sleep(Duration::from_secs(20)).await;
-        let stage = world.stage(0, &oversized_job).await;
+        let stage = simulation.stage(0, &oversized_job).await;
         assert!(stage.is_some(), "{stage:?}");
-        let beyond = world.state.rejected_commits.borrow().clone();
+        let beyond = simulation.state.rejected_commits.borrow().clone();
         let of_oversized_job = beyond
             .iter()
             .filter(|b| b.contains(&job_key(&oversized_job)));
         assert_eq!(of_oversized_job.count(), beyond.len(), "{beyond:?}");
         assert!((1..60).contains(&beyond.len()), "{beyond:?}");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -246,26 +246,30 @@
         let mut shape = deployment();
         shape.machines = 60;
         shape.state["next"] = json!({"write_rps": 12.0});
-        let world = Simulation::of(34, shape).await;
+        let simulation = Simulation::of(34, shape).await;
         sleep(Duration::from_secs(15)).await;
-        world.state.limits.set(StateLimits {
+        simulation.state.limits.set(StateLimits {
             write_rps: 12.0,
-            ..world.state.limits.get()
+            ..simulation.state.limits.get()
         });
         let mut ids = Vec::new();
         let mut refused = Vec::new();
         let mut refused_before = 0;
         for n in 0..40 {
             for k in 0..3 {
-                ids.push(world.submit(job(100 + n * 3 + k, "batch", 8, 3.0)).await);
+                ids.push(
+                    simulation
+                        .submit(job(100 + n * 3 + k, "batch", 8, 3.0))
+                        .await,
+                );
             }
             sleep(Duration::from_secs(1)).await;
-            let refused_total = world.state.rate_limited_commits.get();
+            let refused_total = simulation.state.rate_limited_commits.get();
             refused.push(refused_total - refused_before);
             refused_before = refused_total;
         }
         for id in &ids {
-            world.wait_for_stage(id, "done", 120).await;
+            simulation.wait_for_stage(id, "done", 120).await;
         }
         assert!(refused_before > 0, "no write was refused for the rate");
         // Detecting the lower rate costs some refusals: 64 in all here, against 25 under the
@@ -273,7 +277,7 @@
         assert!(refused_before < 90, "{refused:?}");
         let late_refusals: usize = refused[20..].iter().sum();
         assert!(late_refusals < 40, "{refused:?}");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -286,78 +290,78 @@
 fn controllers_are_upgraded_one_after_another() {
     for seed in [51, 52] {
         run_in_simulated_time(|| async move {
-            let world = Simulation::of(seed, deployment()).await;
-            world
+            let simulation = Simulation::of(seed, deployment()).await;
+            simulation
                 .state
                 .previous_version_controllers
                 .borrow_mut()
                 .extend(0..3);
             sleep(Duration::from_secs(15)).await;
-            let first_jobs = submit_largest_jobs(&world, 1, 600).await;
-            let long_job = world.submit(job(5, "batch", 40, 120.0)).await;
-            world.wait_for_stage(&long_job, "running", 60).await;
+            let first_jobs = submit_largest_jobs(&simulation, 1, 600).await;
+            let long_job = simulation.submit(job(5, "batch", 40, 120.0)).await;
+            simulation.wait_for_stage(&long_job, "running", 60).await;
             let dependent_job =
                 crate::stand_ins::with_dependencies(job(6, "batch", 2, 1.0), &[&long_job]);
-            world.register_job(&dependent_job);
+            simulation.register_job(&dependent_job);
             // Checks the stored formats and that dependencies are refused, while `seconds`
             // pass.
             let check_while_old = async |seconds: u32| {
                 for _ in 0..seconds * 4 {
                     assert_eq!(
-                        world.state.keys_unreadable_by_production(),
+                        simulation.state.keys_unreadable_by_production(),
                         Vec::<String>::new()
                     );
                     sleep(Duration::from_millis(250)).await;
                 }
                 for i in 0..3 {
-                    let response = world
+                    let response = simulation
                         .send_request(i, "POST", "/submissions", Some(&dependent_job))
                         .await;
                     assert_eq!(response.0, 503, "n{i}: {}", response.1);
                 }
-                let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
+                let formats = simulation.state.value(FORMATS_KEY).unwrap_or_default();
                 assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
             };
             let upgrade = |i: usize| {
-                world.kill(i);
-                world
+                simulation.kill(i);
+                simulation
                     .state
                     .previous_version_controllers
                     .borrow_mut()
                     .remove(&i);
-                *world.next.borrow_mut() = upcoming_limits();
-                world.start(i);
+                *simulation.next.borrow_mut() = upcoming_limits();
+                simulation.start(i);
             };
             check_while_old(2).await;
             upgrade(0);
             check_while_old(15).await;
             // Controller 2 restarts with the older version before it is upgraded.
-            world.kill(2);
-            *world.next.borrow_mut() = Value::Null;
-            world.start(2);
+            simulation.kill(2);
+            *simulation.next.borrow_mut() = Value::Null;
+            simulation.start(2);
             check_while_old(6).await;
             upgrade(1);
-            let second_jobs = submit_largest_jobs(&world, 2, 600).await;
+            let second_jobs = submit_largest_jobs(&simulation, 2, 600).await;
             check_while_old(15).await;
             upgrade(2);
-            wait_until_formats_recorded(&world).await;
-            world.submit(dependent_job.clone()).await;
+            wait_until_formats_recorded(&simulation).await;
+            simulation.submit(dependent_job.clone()).await;
             assert_eq!(
-                world.stage(1, "job-000006").await.as_deref(),
+                simulation.stage(1, "job-000006").await.as_deref(),
                 Some("queued")
             );
             sleep(Duration::from_secs(5)).await;
-            lower_limits(&world);
+            lower_limits(&simulation);
             for jobs in [&first_jobs, &second_jobs] {
-                wait_until_jobs_progress(&world, jobs).await;
+                wait_until_jobs_progress(&simulation, jobs).await;
             }
-            world.wait_for_stage("job-000006", "done", 300).await;
-            assert_eq!(world.state.misplaced_machines.borrow().len(), 0);
+            simulation.wait_for_stage("job-000006", "done", 300).await;
+            assert_eq!(simulation.state.misplaced_machines.borrow().len(), 0);
             assert!(
-                !world.state.keys_unreadable_by_production().is_empty(),
+                !simulation.state.keys_unreadable_by_production().is_empty(),
                 "no compact encoding was written"
             );
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -367,7 +371,7 @@
 #[test]
 fn oversized_accepted_batch_is_completed_and_deleted() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(53, deployment()).await;
+        let simulation = Simulation::of(53, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let mut batch = AcceptedBatch {
             accepted_revision: 1,
@@ -375,7 +379,7 @@
         };
         let jobs: Vec<Value> = (700..716).map(|n| job(n, "batch", 2, 2.0)).collect();
         for (submission, n) in jobs.iter().zip(700..) {
-            world.register_job(submission);
+            simulation.register_job(submission);
             let read = shelfhoist::api::read_submission(submission.to_string().as_bytes());
             let spec = JobSpec::from(&read.expect("a submission"));
             batch.jobs.insert(format!("job-{n:06}"), spec);
@@ -386,29 +390,29 @@
             "{}",
             text.to_string().len()
         );
-        restart_with_upcoming_limits(&world).await;
-        wait_until_formats_recorded(&world).await;
-        world.state.write("sh/new/n0-long", &text);
+        restart_with_upcoming_limits(&simulation).await;
+        wait_until_formats_recorded(&simulation).await;
+        simulation.state.write("sh/new/n0-long", &text);
         // The users repeat their submissions, which are recognized as accepted.
         for submission in &jobs {
-            world.submit(submission.clone()).await;
+            simulation.submit(submission.clone()).await;
         }
         for i in 0..3 {
-            world.kill(i);
+            simulation.kill(i);
         }
-        lower_limits(&world);
+        lower_limits(&simulation);
         for i in 0..3 {
-            world.start(i);
+            simulation.start(i);
         }
         for id in batch.jobs.keys() {
-            world.wait_for_stage(id, "done", 200).await;
+            simulation.wait_for_stage(id, "done", 200).await;
         }
         sleep(Duration::from_secs(10)).await;
-        assert_eq!(world.state.value("sh/new/n0-long"), None);
+        assert_eq!(simulation.state.value("sh/new/n0-long"), None);
         assert_eq!(
-            world.state.rejected_commits.borrow().clone(),
+            simulation.state.rejected_commits.borrow().clone(),
             Vec::<String>::new()
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -175,35 +175,37 @@
 }
 
 /// Puts the lower limits into force.
-pub fn lower_limits(world: &Simulation) {
-    world.state.limits.set(StateLimits {
+pub fn lower_limits(simulation: &Simulation) {
+    simulation.state.limits.set(StateLimits {
         txn_ops: 4,
         value_limit_bytes: LIMIT_BYTES,
         write_rps: 27.0,
-        ..world.state.limits.get()
+        ..simulation.state.limits.get()
     });
 }
 
 /// Stops all controllers, resets the record of formats, and starts the controllers one after
 /// another with settings that name the upcoming limits. Only after the last start is it
 /// recorded that all controllers read the new formats.
-pub async fn restart_with_upcoming_limits(world: &Rc<Simulation>) {
-    for i in 0..world.shape.controllers {
-        world.kill(i);
+pub async fn restart_with_upcoming_limits(simulation: &Rc<Simulation>) {
+    for i in 0..simulation.shape.controllers {
+        simulation.kill(i);
     }
-    *world.next.borrow_mut() = upcoming_limits();
-    world.state.write(FORMATS_KEY, &json!({"n": {}, "a": 0}));
-    for i in 0..world.shape.controllers {
-        world.start(i);
+    *simulation.next.borrow_mut() = upcoming_limits();
+    simulation
+        .state
+        .write(FORMATS_KEY, &json!({"n": {}, "a": 0}));
+    for i in 0..simulation.shape.controllers {
+        simulation.start(i);
         sleep(Duration::from_secs(2)).await;
     }
 }
 
 /// Waits until it is recorded that all controllers read the new formats.
-pub async fn wait_until_formats_recorded(world: &Simulation) {
+pub async fn wait_until_formats_recorded(simulation: &Simulation) {
     let start = Instant::now();
     loop {
-        let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
+        let formats = simulation.state.value(FORMATS_KEY).unwrap_or_default();
         if formats["a"] == json!(FORMATS) {
             return;
         }
@@ -214,7 +216,7 @@
 
 /// Submits a gang, a service and an array of the largest sizes and returns their ids in this
 /// order.
-pub async fn submit_largest_jobs(world: &Simulation, wave: u32, array: u32) -> [String; 3] {
+pub async fn submit_largest_jobs(simulation: &Simulation, wave: u32, array: u32) -> [String; 3] {
     let mut gang = job(wave * 10, "gang", 8, 20.0);
     gang["same_place"] = json!(true);
     gang["vcpus"] = json!(6.0);
@@ -222,18 +224,21 @@
     service["scatter"] = json!(true);
     let array = job(wave * 10 + 2, "batch", array, 10.0);
     [
-        world.submit(gang).await,
-        world.submit(service).await,
-        world.submit(array).await,
+        simulation.submit(gang).await,
+        simulation.submit(service).await,
+        simulation.submit(array).await,
     ]
 }
 
 /// Waits until the gang and the array are done and all 16 replicas of the service run.
-pub async fn wait_until_jobs_progress(world: &Simulation, [gang, service, array]: &[String; 3]) {
-    world.wait_for_stage(gang, "done", 200).await;
-    world.wait_for_stage(array, "done", 400).await;
+pub async fn wait_until_jobs_progress(
+    simulation: &Simulation,
+    [gang, service, array]: &[String; 3],
+) {
+    simulation.wait_for_stage(gang, "done", 200).await;
+    simulation.wait_for_stage(array, "done", 400).await;
     let start = Instant::now();
-    while world.running(service) < 16 {
+    while simulation.running(service) < 16 {
         assert!(start.elapsed() < Duration::from_secs(200), "{service}");
         sleep(Duration::from_secs(1)).await;
     }
@@ -241,8 +246,8 @@
 
 /// Returns the records above the lower limit with their sizes in bytes, without accepted
 /// batches.
-pub fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
-    let mut records = world.state.value_sizes("sh/");
+pub fn oversized_records(simulation: &Simulation) -> Vec<(String, usize)> {
+    let mut records = simulation.state.value_sizes("sh/");
     records.retain(|(key, n)| *n > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
 }
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -12,25 +12,25 @@
 #[test]
 fn rules_hold_after_all_controllers_are_down_for_a_lease() {
     for variant in 0..4u64 {
-        Scenario::with_large_teams(1100 + variant).run(|world| async move {
-            world.copied.set(0.2);
-            let ids = start_long_jobs(&world, 1, 6).await;
+        Scenario::with_large_teams(1100 + variant).run(|simulation| async move {
+            simulation.copied.set(0.2);
+            let ids = start_long_jobs(&simulation, 1, 6).await;
             sleep(secs(4.0)).await;
-            cancel(&world, None, &ids[0]).await;
-            for i in 0..world.shape.controllers {
-                world.kill(i);
+            cancel(&simulation, None, &ids[0]).await;
+            for i in 0..simulation.shape.controllers {
+                simulation.kill(i);
             }
-            for worker in world.busy().iter().take(2) {
+            for worker in simulation.busy().iter().take(2) {
                 worker.hang(secs(9.0 + variant as f64 * 3.0));
             }
             sleep(secs([8.0, 11.0, 14.0, 40.0][variant as usize])).await;
-            for i in 0..world.shape.controllers {
-                world.start(i);
-                world.send_recorded_copies();
+            for i in 0..simulation.shape.controllers {
+                simulation.start(i);
+                simulation.send_recorded_copies();
                 sleep(secs(0.5)).await;
             }
-            cancel(&world, None, &ids[1]).await;
-            heal_and_check(&world, &format!("{variant}"), &ids).await;
+            cancel(&simulation, None, &ids[1]).await;
+            heal_and_check(&simulation, &format!("{variant}"), &ids).await;
         });
     }
 }
@@ -44,27 +44,27 @@
         .into_iter()
         .enumerate()
     {
-        Scenario::with_large_teams(1200 + n as u64).run(|world| async move {
+        Scenario::with_large_teams(1200 + n as u64).run(|simulation| async move {
             let mut ids = Vec::new();
             for index in 0..8u32 {
                 let kind = ["batch", "gang", "daemon", "batch"][index as usize % 4];
                 let mut submission = job(index + 1, kind, 2, 60.0);
                 submission["yard"] = json!(["a", "b"][index as usize / 4]);
-                ids.push(world.submit(submission).await);
+                ids.push(simulation.submit(submission).await);
             }
             for id in &ids {
-                world.wait_for_stage(id, "running", 100).await;
+                simulation.wait_for_stage(id, "running", 100).await;
             }
             sleep(secs(4.0)).await;
-            world.set_zone_partition(zone, true);
-            let controller_in_zone = (0..3).find(|i| world.shape.locations[*i] == zone);
+            simulation.set_zone_partition(zone, true);
+            let controller_in_zone = (0..3).find(|i| simulation.shape.locations[*i] == zone);
             for id in [&ids[0], &ids[1], &ids[4], &ids[5]] {
-                cancel(&world, controller_in_zone, id).await;
+                cancel(&simulation, controller_in_zone, id).await;
             }
             sleep(secs(partition_s)).await;
-            world.set_zone_partition(zone, false);
+            simulation.set_zone_partition(zone, false);
             sleep(secs(15.0)).await;
-            heal_and_check(&world, &format!("{zone}, {partition_s}"), &ids).await;
+            heal_and_check(&simulation, &format!("{zone}, {partition_s}"), &ids).await;
         });
     }
 }
@@ -83,21 +83,21 @@
     .into_iter()
     .enumerate()
     {
-        Scenario::with_large_teams(1300 + n as u64).run(|world| async move {
-            let ids = start_long_jobs(&world, 1, 6).await;
+        Scenario::with_large_teams(1300 + n as u64).run(|simulation| async move {
+            let ids = start_long_jobs(&simulation, 1, 6).await;
             sleep(secs(4.0)).await;
-            let leader = world.controller_with_most_machines();
-            world
+            let leader = simulation.controller_with_most_machines();
+            simulation
                 .state
                 .fault_options
                 .borrow_mut()
                 .refused
                 .insert(leader);
-            world.set_peer_partition(leader, true);
+            simulation.set_peer_partition(leader, true);
             for (index, id) in ids[..4].iter().enumerate() {
-                cancel(&world, Some(leader), id).await;
-                world.query_concurrently(id).await;
-                if let Some(worker) = world.busy().get(index)
+                cancel(&simulation, Some(leader), id).await;
+                simulation.query_concurrently(id).await;
+                if let Some(worker) = simulation.busy().get(index)
                     && hang_s > 0.0
                 {
                     worker.hang(secs(hang_s));
@@ -105,16 +105,21 @@
                 sleep(secs(1.0)).await;
             }
             if outage {
-                world.state.trouble.set(StateFault::Outage);
-                sleep(secs(world.shape.cancel_s + 5.0)).await;
-                world.state.trouble.set(StateFault::None);
+                simulation.state.trouble.set(StateFault::Outage);
+                sleep(secs(simulation.shape.cancel_s + 5.0)).await;
+                simulation.state.trouble.set(StateFault::None);
             }
             sleep(secs(partition_s)).await;
             for id in &ids {
-                world.query_concurrently(id).await;
+                simulation.query_concurrently(id).await;
             }
-            world.set_peer_partition(leader, false);
-            heal_and_check(&world, &format!("{partition_s}, {hang_s}, {outage}"), &ids).await;
+            simulation.set_peer_partition(leader, false);
+            heal_and_check(
+                &simulation,
+                &format!("{partition_s}, {hang_s}, {outage}"),
+                &ids,
+            )
+            .await;
         });
     }
 }
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -65,7 +65,7 @@
 /// One injection of a fault: the controller and the workers that it affects, and
 /// its duration.
 struct Injection {
-    world: Rc<Simulation>,
+    simulation: Rc<Simulation>,
     leader: usize,
     /// Workers that run at least one task.
     busy_workers: Vec<Rc<Worker>>,
@@ -77,8 +77,8 @@
 }
 
 impl Injection {
-    fn new(world: Rc<Simulation>, duration: Duration, variant: usize) -> Self {
-        let busy_workers = world.busy();
+    fn new(simulation: Rc<Simulation>, duration: Duration, variant: usize) -> Self {
+        let busy_workers = simulation.busy();
         let affected = busy_workers
             .iter()
             .skip(variant % 3)
@@ -86,12 +86,12 @@
             .cloned()
             .collect();
         Injection {
-            leader: world.controller_with_most_machines(),
+            leader: simulation.controller_with_most_machines(),
             busy_workers,
             affected,
             duration,
             variant,
-            world,
+            simulation,
         }
     }
 
@@ -127,7 +127,7 @@
             Fault::DelayedCommands => self.delay_commands().await,
             Fault::LateReportCopies => {
                 sleep(self.duration).await;
-                self.world.send_recorded_copies();
+                self.simulation.send_recorded_copies();
             }
             Fault::LeaderPartitionedFromWorkers => self.partition_leader_from_workers().await,
             Fault::ZonePartitioned => self.partition_zone().await,
@@ -143,37 +143,37 @@
 // Faults of controllers.
 impl Injection {
     async fn restart_leader(&self) {
-        self.world.kill(self.leader);
+        self.simulation.kill(self.leader);
         let downtime = self.duration.mul_f64([0.0, 0.2, 1.0][self.variant % 3]);
         sleep(downtime).await;
-        self.world.restore_controllers();
+        self.simulation.restore_controllers();
     }
 
     async fn restart_all_controllers(&self) {
-        for i in 0..self.world.shape.controllers {
-            self.world.kill(i);
+        for i in 0..self.simulation.shape.controllers {
+            self.simulation.kill(i);
         }
         sleep(self.duration).await;
-        self.world.restore_controllers();
+        self.simulation.restore_controllers();
     }
 
     async fn freeze_leader(&self) {
-        self.world.set_paused(self.leader, true);
+        self.simulation.set_paused(self.leader, true);
         sleep(self.duration).await;
-        self.world.set_paused(self.leader, false);
+        self.simulation.set_paused(self.leader, false);
     }
 }
 
 // Faults of the state service.
 impl Injection {
     fn modify_state_faults(&self, change: impl Fn(&mut StateFaultOptions)) {
-        change(&mut self.world.state.fault_options.borrow_mut());
+        change(&mut self.simulation.state.fault_options.borrow_mut());
     }
 
     async fn interrupt_state_service(&self) {
-        self.world.state.trouble.set(StateFault::Outage);
+        self.simulation.state.trouble.set(StateFault::Outage);
         sleep(self.duration.mul_f64([1.0, 3.0][self.variant % 2])).await;
-        self.world.state.trouble.set(StateFault::None);
+        self.simulation.state.trouble.set(StateFault::None);
     }
 }
 
@@ -212,7 +212,7 @@
 
     fn lose_machine(&self) {
         if let Some(worker) = self.affected.first() {
-            self.world.lose(worker.name());
+            self.simulation.lose(worker.name());
         }
     }
 }
@@ -220,23 +220,23 @@
 // Network partitions.
 impl Injection {
     async fn partition_leader_from_workers(&self) {
-        self.world.set_worker_partition(self.leader, true);
+        self.simulation.set_worker_partition(self.leader, true);
         sleep(self.duration).await;
-        self.world.set_worker_partition(self.leader, false);
+        self.simulation.set_worker_partition(self.leader, false);
     }
 
     async fn partition_zone(&self) {
-        let zone = self.world.shape.zones[self.variant % 2];
-        self.world.set_zone_partition(zone, true);
+        let zone = self.simulation.shape.zones[self.variant % 2];
+        self.simulation.set_zone_partition(zone, true);
         sleep(self.duration).await;
-        self.world.set_zone_partition(zone, false);
+        self.simulation.set_zone_partition(zone, false);
     }
 
     async fn partition_leader_from_state_and_peers(&self) {
-        self.world.set_peer_partition(self.leader, true);
+        self.simulation.set_peer_partition(self.leader, true);
         self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
         sleep(self.duration).await;
-        self.world.set_peer_partition(self.leader, false);
+        self.simulation.set_peer_partition(self.leader, false);
         self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
     }
 }
@@ -246,9 +246,9 @@
     /// Cancels up to five running jobs concurrently, while two of the affected
     /// machines hang.
     fn cancel_running_jobs(&self) {
-        for id in self.world.running_jobs().into_iter().take(5) {
-            let world = self.world.clone();
-            spawn_local(async move { cancel(&world, None, &id).await });
+        for id in self.simulation.running_jobs().into_iter().take(5) {
+            let simulation = self.simulation.clone();
+            spawn_local(async move { cancel(&simulation, None, &id).await });
         }
         let hanging = self.affected.iter().take(2);
         hanging.for_each(|worker| worker.hang(self.duration.div_f64(2.0)));
@@ -308,27 +308,27 @@
             .to_string()
     }
 
-    async fn send_requests(self, world: Rc<Simulation>) {
-        let id = world.submit(self.job).await;
+    async fn send_requests(self, simulation: Rc<Simulation>) {
+        let id = simulation.submit(self.job).await;
         if self.queries_immediately {
-            world.query_concurrently(&id).await;
+            simulation.query_concurrently(&id).await;
         }
         if let Some(after) = self.cancel_after_s {
             sleep(secs(after)).await;
-            cancel(&world, None, &id).await;
-            world.query_concurrently(&id).await;
+            cancel(&simulation, None, &id).await;
+            simulation.query_concurrently(&id).await;
         }
     }
 }
 
 /// Starts both faults, the second up to four seconds after the first.
-fn start_both(world: &Rc<Simulation>, rng: &mut SmallRng, faults: [Fault; 2]) {
+fn start_both(simulation: &Rc<Simulation>, rng: &mut SmallRng, faults: [Fault; 2]) {
     for (fault, after) in faults.into_iter().zip([0.0, rng.random_range(0.0..4.0)]) {
         let duration = secs(rng.random_range(1.0..14.0));
-        let (world, variant) = (world.clone(), rng.random_range(0..6));
+        let (simulation, variant) = (simulation.clone(), rng.random_range(0..6));
         spawn_local(async move {
             sleep(secs(after)).await;
-            let injection = Injection::new(world, duration, variant);
+            let injection = Injection::new(simulation, duration, variant);
             injection.inject(fault).await;
         });
     }
@@ -336,30 +336,30 @@
 
 /// Injects the two faults twice while users submit, cancel and query jobs, with
 /// teams at their limits.
-async fn run_fault_pair(world: Rc<Simulation>, seed: u64, faults: [Fault; 2]) {
+async fn run_fault_pair(simulation: Rc<Simulation>, seed: u64, faults: [Fault; 2]) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    world.copied.set(0.05);
+    simulation.copied.set(0.05);
     let mut ids = Vec::new();
     let mut users: Vec<JoinHandle<()>> = Vec::new();
     for step in 0..110u32 {
         if step == 20 || step == 60 {
-            start_both(&world, &mut rng, faults);
+            start_both(&simulation, &mut rng, faults);
         }
         if step < 90 && step % 3 == 0 {
             let submission = Submission::random(&mut rng, step + 1);
             ids.push(submission.id());
-            users.push(spawn_local(submission.send_requests(world.clone())));
+            users.push(spawn_local(submission.send_requests(simulation.clone())));
         }
         sleep(secs(1.0)).await;
     }
     for user in users {
         user.await.expect("the task of a user");
     }
-    for id in ids.iter().filter(|id| world.is_service(id)) {
-        world.clear_faults();
-        cancel(&world, None, id).await;
+    for id in ids.iter().filter(|id| simulation.is_service(id)) {
+        simulation.clear_faults();
+        cancel(&simulation, None, id).await;
     }
-    heal_and_check(&world, &format!("{faults:?}, {seed}"), &ids).await;
+    heal_and_check(&simulation, &format!("{faults:?}, {seed}"), &ids).await;
 }
 
 /// Runs the pairs of faults whose number modulo `shard_count` is `shard`. The
@@ -378,7 +378,7 @@
                 let scenario = Scenario::new(seed)
                     .cancel_s([30.0, 15.0][seed as usize % 2])
                     .boot_s([4.0, 1.0][seed as usize / 2 % 2]);
-                scenario.run(|world| run_fault_pair(world, seed, [first, second]));
+                scenario.run(|simulation| run_fault_pair(simulation, seed, [first, second]));
             }
         }
     }
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -97,55 +97,57 @@
     ];
     for (n, case) in cases.into_iter().enumerate() {
         for variant in 0..2 {
-            Scenario::with_large_teams(400 + 10 * n as u64 + variant).run(|world| async move {
-                let name = format!("{}, {variant}", case.name);
-                run_leader_changes(&world, case, &name).await;
-            });
+            Scenario::with_large_teams(400 + 10 * n as u64 + variant).run(
+                |simulation| async move {
+                    let name = format!("{}, {variant}", case.name);
+                    run_leader_changes(&simulation, case, &name).await;
+                },
+            );
         }
     }
 }
 
-async fn run_leader_changes(world: &Rc<Simulation>, case: FaultCase, name: &str) {
-    let mut ids = start_long_jobs(world, 1, 6).await;
+async fn run_leader_changes(simulation: &Rc<Simulation>, case: FaultCase, name: &str) {
+    let mut ids = start_long_jobs(simulation, 1, 6).await;
     let mut uncancelled: Vec<String> = ids.clone();
-    world
+    simulation
         .copied
         .set(if case.late_report_copies { 0.2 } else { 0.0 });
-    world.state.fault_options.replace(StateFaultOptions {
+    simulation.state.fault_options.replace(StateFaultOptions {
         late: case.late_commits,
         unanswered: case.unanswered,
         response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
     for change in 0..10u32 {
-        let leader = world.controller_with_most_machines();
-        disturb_workers(world, case, change);
+        let leader = simulation.controller_with_most_machines();
+        disturb_workers(simulation, case, change);
         // The new job is being scheduled when the leader stops.
-        let new_id = submit_job(world, case, change).await;
+        let new_id = submit_job(simulation, case, change).await;
         ids.push(new_id.clone());
         uncancelled.push(new_id);
         sleep(secs(f64::from(change % 4) * 0.3)).await;
         let cancelled: Vec<String> = uncancelled.drain(..uncancelled.len().min(2)).collect();
-        stop_leader(world, case, change, leader).await;
-        cancel_all(world, case, leader, &cancelled).await;
+        stop_leader(simulation, case, change, leader).await;
+        cancel_all(simulation, case, leader, &cancelled).await;
         if case.late_report_copies {
-            world.send_recorded_copies();
+            simulation.send_recorded_copies();
         }
         sleep(secs([2.0, 5.0, 3.0][change as usize % 3])).await;
-        restore_leader(world, change, leader);
+        restore_leader(simulation, change, leader);
         if case.late_report_copies {
-            world.send_recorded_copies();
+            simulation.send_recorded_copies();
         }
         sleep(secs(4.0)).await;
     }
-    sleep(secs(world.shape.cancel_s)).await;
-    heal_and_check(world, name, &ids).await;
+    sleep(secs(simulation.shape.cancel_s)).await;
+    heal_and_check(simulation, name, &ids).await;
 }
 
 /// Delays the commands to all busy workers; one of them also hangs, or its messages
 /// are blocked in one direction.
-fn disturb_workers(world: &Rc<Simulation>, case: FaultCase, change: u32) {
-    let busy_workers = world.busy();
+fn disturb_workers(simulation: &Rc<Simulation>, case: FaultCase, change: u32) {
+    let busy_workers = simulation.busy();
     for worker in &busy_workers {
         worker.command_delay.set(secs(case.commands_delayed_s));
     }
@@ -162,31 +164,31 @@
     }
 }
 
-async fn submit_job(world: &Rc<Simulation>, case: FaultCase, change: u32) -> String {
+async fn submit_job(simulation: &Rc<Simulation>, case: FaultCase, change: u32) -> String {
     let kind = ["batch", "gang", "daemon"][change as usize % 3];
-    let id = world.submit(job(20 + change, kind, 2, 12.0)).await;
+    let id = simulation.submit(job(20 + change, kind, 2, 12.0)).await;
     if case.queries_immediately {
-        world.query_concurrently(&id).await;
+        simulation.query_concurrently(&id).await;
     }
     id
 }
 
 /// Restarts the leader, kills it, freezes it, or lets the state service refuse it, in
 /// turn; some of the changes happen during an outage of the state service.
-async fn stop_leader(world: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
+async fn stop_leader(simulation: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
-        world.state.trouble.set(StateFault::Outage);
+        simulation.state.trouble.set(StateFault::Outage);
     }
     match change % 4 {
         0 => {
-            world.kill(leader);
-            world.start(leader);
+            simulation.kill(leader);
+            simulation.start(leader);
         }
-        1 => world.kill(leader),
-        2 => world.set_paused(leader, true),
+        1 => simulation.kill(leader),
+        2 => simulation.set_paused(leader, true),
         _ => {
-            world
+            simulation
                 .state
                 .fault_options
                 .borrow_mut()
@@ -196,24 +198,24 @@
     }
     if outage {
         sleep(secs(3.0)).await;
-        world.state.trouble.set(StateFault::None);
+        simulation.state.trouble.set(StateFault::None);
     }
 }
 
-fn restore_leader(world: &Rc<Simulation>, change: u32, leader: usize) {
-    world.state.fault_options.borrow_mut().refused.clear();
+fn restore_leader(simulation: &Rc<Simulation>, change: u32, leader: usize) {
+    simulation.state.fault_options.borrow_mut().refused.clear();
     match change % 4 {
-        1 => world.start(leader),
-        2 => world.set_paused(leader, false),
+        1 => simulation.start(leader),
+        2 => simulation.set_paused(leader, false),
         _ => {}
     }
 }
 
-async fn cancel_all(world: &Rc<Simulation>, case: FaultCase, leader: usize, ids: &[String]) {
+async fn cancel_all(simulation: &Rc<Simulation>, case: FaultCase, leader: usize, ids: &[String]) {
     for id in ids {
-        cancel(world, Some(leader), id).await;
-        if case.queries_immediately && world.is_cancelled(id) {
-            world.query_concurrently(id).await;
+        cancel(simulation, Some(leader), id).await;
+        if case.queries_immediately && simulation.is_cancelled(id) {
+            simulation.query_concurrently(id).await;
         }
     }
 }
@@ -224,14 +226,14 @@
 #[test]
 fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
     for variant in 0..4u64 {
-        Scenario::with_large_teams(1000 + variant).run(|world| async move {
-            world.copied.set(0.3);
+        Scenario::with_large_teams(1000 + variant).run(|simulation| async move {
+            simulation.copied.set(0.3);
             let mut ids = Vec::new();
             for n in 0..10u32 {
                 let run_times_s = [1.0, 4.0 + f64::from(n) * 2.5, 12.0 + f64::from(n) * 2.0];
                 let task_count = 2 + n as usize % 2;
                 ids.push(
-                    world
+                    simulation
                         .submit(job_with_run_times(
                             n + 1,
                             "batch",
@@ -242,27 +244,27 @@
             }
             sleep(secs(6.0)).await;
             for change in 0..6u64 {
-                let leader = world.controller_with_most_machines();
-                let busy_workers = world.busy();
+                let leader = simulation.controller_with_most_machines();
+                let busy_workers = simulation.busy();
                 if let Some(worker) = busy_workers.first()
                     && (change + variant) % 2 == 0
                 {
                     worker.hang(secs(12.0));
                 }
-                world.kill(leader);
+                simulation.kill(leader);
                 sleep(secs((change + variant) as f64 % 3.0)).await;
-                world.start(leader);
-                world.send_recorded_copies();
+                simulation.start(leader);
+                simulation.send_recorded_copies();
                 for id in &ids {
-                    world.query_concurrently(id).await;
+                    simulation.query_concurrently(id).await;
                 }
                 sleep(secs(3.0)).await;
             }
-            heal_and_check(&world, &format!("{variant}"), &ids).await;
+            heal_and_check(&simulation, &format!("{variant}"), &ids).await;
             for id in &ids {
-                world.wait_for_stage(id, "done", 90).await;
+                simulation.wait_for_stage(id, "done", 90).await;
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -158,15 +158,15 @@
         for (variant, cancel_s) in [30.0, 14.0].into_iter().enumerate() {
             let seed = 300 + 20 * n as u64 + variant as u64;
             let scenario = Scenario::with_large_teams(seed).cancel_s(cancel_s);
-            scenario.run(|world| async move {
+            scenario.run(|simulation| async move {
                 let name = format!("{}, cancel_s {cancel_s}", case.name);
-                let ids = start_long_jobs(&world, 1, 6).await;
+                let ids = start_long_jobs(&simulation, 1, 6).await;
                 sleep(secs(6.0)).await;
-                refuse_leader_before_outage(&world, case, &ids).await;
-                for id in ids.iter().filter(|id| world.is_cancelled(id)) {
-                    assert_eq!(world.running(id), 0, "{name}: {id}");
+                refuse_leader_before_outage(&simulation, case, &ids).await;
+                for id in ids.iter().filter(|id| simulation.is_cancelled(id)) {
+                    assert_eq!(simulation.running(id), 0, "{name}: {id}");
                 }
-                heal_and_check(&world, &name, &ids).await;
+                heal_and_check(&simulation, &name, &ids).await;
             });
         }
     }
@@ -174,65 +174,65 @@
 
 /// Lets the state service refuse the leader, cancels jobs at another controller, and
 /// then makes the state service unavailable to all.
-async fn refuse_leader_before_outage(world: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
-    let leader = world.controller_with_most_machines();
-    let busy_workers = world.busy();
+async fn refuse_leader_before_outage(simulation: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
+    let leader = simulation.controller_with_most_machines();
+    let busy_workers = simulation.busy();
     for worker in busy_workers.iter().take(case.unreachable_workers) {
         worker.inbound_blocked.set(true);
     }
     for worker in &busy_workers {
         worker.command_delay.set(secs(case.commands_delayed_s));
     }
-    begin_refusal(world, leader, case).await;
-    cancel_at_other_controllers(world, leader, case, &ids[..4]).await;
+    begin_refusal(simulation, leader, case).await;
+    cancel_at_other_controllers(simulation, leader, case, &ids[..4]).await;
     if case.hang_s > 0.0 {
         for worker in busy_workers.iter().skip(case.unreachable_workers).take(2) {
             worker.hang(secs(case.hang_s));
         }
     }
     if case.others_restart {
-        for i in (0..world.shape.controllers).filter(|i| *i != leader) {
-            world.kill(i);
-            world.start(i);
+        for i in (0..simulation.shape.controllers).filter(|i| *i != leader) {
+            simulation.kill(i);
+            simulation.start(i);
         }
     }
     sleep(secs(case.outage_after_s)).await;
-    run_outage(world, leader, case).await;
+    run_outage(simulation, leader, case).await;
     if case.peers_partitioned {
-        world.set_peer_partition(leader, false);
+        simulation.set_peer_partition(leader, false);
     }
 }
 
-async fn begin_refusal(world: &Rc<Simulation>, leader: usize, case: FaultCase) {
+async fn begin_refusal(simulation: &Rc<Simulation>, leader: usize, case: FaultCase) {
     if case.slow_leader_s > 0.0 {
-        world.state.fault_options.replace(StateFaultOptions {
+        simulation.state.fault_options.replace(StateFaultOptions {
             response_delay: secs(case.slow_leader_s),
             delayed_controllers: [leader].into(),
             ..StateFaultOptions::default()
         });
         sleep(secs(4.0)).await;
     }
-    world.state.fault_options.replace(StateFaultOptions {
+    simulation.state.fault_options.replace(StateFaultOptions {
         refused: [leader].into(),
         late: case.late_commits,
         response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
     if case.peers_partitioned {
-        world.set_peer_partition(leader, true);
+        simulation.set_peer_partition(leader, true);
     }
     sleep(secs(case.leader_refused_s)).await;
 }
 
 async fn cancel_at_other_controllers(
-    world: &Rc<Simulation>,
+    simulation: &Rc<Simulation>,
     leader: usize,
     case: FaultCase,
     ids: &[String],
 ) {
     let mut confirmed = 0;
     for id in ids {
-        confirmed += usize::from(cancel(world, Some(leader), id).await.is_some());
+        confirmed += usize::from(cancel(simulation, Some(leader), id).await.is_some());
     }
     assert!(
         confirmed > 0,
@@ -243,26 +243,26 @@
 
 /// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
 /// freezes the leader meanwhile if the case includes that.
-async fn run_outage(world: &Rc<Simulation>, leader: usize, case: FaultCase) {
-    world.state.trouble.set(StateFault::Outage);
+async fn run_outage(simulation: &Rc<Simulation>, leader: usize, case: FaultCase) {
+    simulation.state.trouble.set(StateFault::Outage);
     let start = Instant::now();
     if let Some(after) = case.leader_restarts_s {
         sleep(secs(after)).await;
-        world.kill(leader);
-        world.start(leader);
+        simulation.kill(leader);
+        simulation.start(leader);
     }
     if case.leader_frozen_s > 0.0 {
-        world.set_paused(leader, true);
+        simulation.set_paused(leader, true);
         sleep(secs(case.leader_frozen_s)).await;
-        world.set_paused(leader, false);
+        simulation.set_paused(leader, false);
     }
     if case.short_recovery {
         sleep(secs(5.0)).await;
-        world.state.trouble.set(StateFault::None);
+        simulation.state.trouble.set(StateFault::None);
         sleep(secs(0.4)).await;
-        world.state.trouble.set(StateFault::Outage);
+        simulation.state.trouble.set(StateFault::Outage);
     }
-    let total = secs(world.shape.cancel_s * 2.0 + 4.0);
+    let total = secs(simulation.shape.cancel_s * 2.0 + 4.0);
     sleep(total.saturating_sub(start.elapsed())).await;
 }
 
@@ -276,8 +276,8 @@
         scenario
             .cancel_s(13.0)
             .report_s(0.5)
-            .run(|world| async move {
-                let ids = start_long_jobs(&world, 1, 6).await;
+            .run(|simulation| async move {
+                let ids = start_long_jobs(&simulation, 1, 6).await;
                 let case = FaultCase {
                     name: "slow answers in flight",
                     leader_refused_s: 0.13 * f64::from(variant),
@@ -285,8 +285,8 @@
                     ..FaultCase::default()
                 };
                 sleep(secs(6.0)).await;
-                refuse_leader_before_outage(&world, case, &ids).await;
-                heal_and_check(&world, &format!("{}, {variant}", case.name), &ids).await;
+                refuse_leader_before_outage(&simulation, case, &ids).await;
+                heal_and_check(&simulation, &format!("{}, {variant}", case.name), &ids).await;
             });
     }
 }
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -25,14 +25,14 @@
     ];
     for (n, fault) in faults.into_iter().enumerate() {
         for variant in 0..3u64 {
-            Scenario::new(600 + 10 * n as u64 + variant).run(|world| async move {
-                run_at_limits(&world, fault, variant).await;
+            Scenario::new(600 + 10 * n as u64 + variant).run(|simulation| async move {
+                run_at_limits(&simulation, fault, variant).await;
             });
         }
     }
 }
 
-async fn run_at_limits(world: &Rc<Simulation>, fault: &str, variant: u64) {
+async fn run_at_limits(simulation: &Rc<Simulation>, fault: &str, variant: u64) {
     let mut ids = Vec::new();
     for n in 0..16u32 {
         let kind = ["batch", "gang", "daemon", "batch"][n as usize % 4];
@@ -40,29 +40,29 @@
         // occupy the limits of both teams permanently.
         let mut submission = job(n + 1, kind, 2, 18.0);
         submission["crew"] = json!(["t", "u"][n as usize / 2 % 2]);
-        ids.push(world.submit(submission).await);
+        ids.push(simulation.submit(submission).await);
     }
     sleep(secs(18.0)).await;
     for round in 0..3 {
-        let leader = world.controller_with_most_machines();
-        let busy_workers = world.busy();
+        let leader = simulation.controller_with_most_machines();
+        let busy_workers = simulation.busy();
         for worker in busy_workers.iter().take(3) {
             inject_fault(worker, fault);
         }
         if fault == "leader partitioned" {
-            world.set_worker_partition(leader, true);
+            simulation.set_worker_partition(leader, true);
         }
         sleep(secs(0.4 * variant as f64)).await;
-        let running: Vec<&String> = ids.iter().filter(|id| world.running(id) > 0).collect();
+        let running: Vec<&String> = ids.iter().filter(|id| simulation.running(id) > 0).collect();
         for id in running.iter().take(4) {
-            cancel(world, None, id).await;
+            cancel(simulation, None, id).await;
         }
         if round % 2 == 0 {
-            world.kill(leader);
+            simulation.kill(leader);
             sleep(secs(variant as f64)).await;
-            world.start(leader);
+            simulation.start(leader);
         } else {
-            world
+            simulation
                 .state
                 .fault_options
                 .borrow_mut()
@@ -70,15 +70,15 @@
                 .insert(leader);
         }
         sleep(secs(8.0)).await;
-        world.state.fault_options.borrow_mut().refused.clear();
+        simulation.state.fault_options.borrow_mut().refused.clear();
         busy_workers.iter().for_each(|worker| clear_faults(worker));
-        world.set_worker_partition(leader, false);
+        simulation.set_worker_partition(leader, false);
         sleep(secs(12.0)).await;
     }
-    for id in ids.iter().filter(|id| world.is_service(id)) {
-        cancel(world, None, id).await;
+    for id in ids.iter().filter(|id| simulation.is_service(id)) {
+        cancel(simulation, None, id).await;
     }
-    heal_and_check(world, &format!("{fault}, {variant}"), &ids).await;
+    heal_and_check(simulation, &format!("{fault}, {variant}"), &ids).await;
 }
 
 fn inject_fault(worker: &Worker, fault: &str) {
@@ -118,9 +118,9 @@
     {
         for variant in 0..2u64 {
             let scenario = Scenario::with_large_teams(700 + 10 * n as u64 + variant);
-            scenario.boot_s(0.8).run(|world| async move {
-                let mut ids = vec![world.submit(job(1, "batch", 1, 1.0)).await];
-                world.state.fault_options.replace(StateFaultOptions {
+            scenario.boot_s(0.8).run(|simulation| async move {
+                let mut ids = vec![simulation.submit(job(1, "batch", 1, 1.0)).await];
+                simulation.state.fault_options.replace(StateFaultOptions {
                     late,
                     unanswered,
                     response_delay: secs(slow_s),
@@ -130,18 +130,18 @@
                     for n in 0..3 {
                         let kind = ["batch", "gang", "daemon"][n as usize];
                         let submission = job(10 + round * 3 + n, kind, 3, 25.0);
-                        ids.push(world.submit(submission).await);
+                        ids.push(simulation.submit(submission).await);
                     }
                     sleep(secs(1.0 + 0.5 * f64::from(round))).await;
-                    let leader = world.controller_with_most_machines();
-                    world.kill(leader);
-                    cancel(&world, Some(leader), &ids[ids.len() - 1]).await;
+                    let leader = simulation.controller_with_most_machines();
+                    simulation.kill(leader);
+                    cancel(&simulation, Some(leader), &ids[ids.len() - 1]).await;
                     sleep(secs(2.0)).await;
-                    world.start(leader);
+                    simulation.start(leader);
                     sleep(secs(6.0)).await;
                 }
                 heal_and_check(
-                    &world,
+                    &simulation,
                     &format!("late {late}, unanswered {unanswered}, slow {slow_s}, {variant}"),
                     &ids,
                 )
@@ -159,12 +159,12 @@
         .into_iter()
         .enumerate()
     {
-        Scenario::with_large_teams(900 + n as u64).run(|world| async move {
-            world.state.fault_options.borrow_mut().late = late;
-            world.copied.set(copied);
+        Scenario::with_large_teams(900 + n as u64).run(|simulation| async move {
+            simulation.state.fault_options.borrow_mut().late = late;
+            simulation.copied.set(copied);
             let mut users = Vec::new();
             for number in 0..240u32 {
-                let (world, user_world) = (world.clone(), world.clone());
+                let (simulation, user_world) = (simulation.clone(), simulation.clone());
                 users.push(tokio::task::spawn_local(async move {
                     let mut submission = job(1 + number, "batch", 1, 2.0);
                     submission["vcpus"] = json!(1.0);
@@ -178,20 +178,20 @@
                 }));
                 sleep(secs(0.25)).await;
                 if number % 80 == 40 {
-                    let leader = world.controller_with_most_machines();
-                    world.kill(leader);
-                    world.start(leader);
-                    world.send_recorded_copies();
+                    let leader = simulation.controller_with_most_machines();
+                    simulation.kill(leader);
+                    simulation.start(leader);
+                    simulation.send_recorded_copies();
                 }
             }
             let mut ids = Vec::new();
             for user in users {
                 ids.push(user.await.expect("the task of a user"));
             }
-            world.send_recorded_copies();
+            simulation.send_recorded_copies();
             sleep(secs(10.0)).await;
             heal_and_check(
-                &world,
+                &simulation,
                 &format!("late {late}, report copies {copied}"),
                 &ids,
             )
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -29,50 +29,53 @@
     ];
     for (n, (name, unanswered, late, slow_s, refused_s)) in cases.into_iter().enumerate() {
         for variant in 0..2u64 {
-            Scenario::with_large_teams(800 + 10 * n as u64 + variant).run(|world| async move {
-                let mut ids = vec![world.submit(job(1, "batch", 2, 1.0)).await];
-                world.wait_for_stage(&ids[0], "done", 60).await;
-                world.state.fault_options.replace(StateFaultOptions {
-                    unanswered,
-                    late,
-                    response_delay: secs(slow_s),
-                    ..StateFaultOptions::default()
-                });
-                for n in 0..12u32 {
-                    let kind = ["batch", "gang", "daemon"][n as usize % 3];
-                    let run_s = 2.0 + f64::from(n % 4) * 0.3;
-                    let leader = world.controller_with_most_machines();
-                    if refused_s > 0.0 {
-                        world.state.fault_options.borrow_mut().refused = [(n as usize) % 3].into();
-                    }
-                    let id = world.submit(job(10 + n, kind, 2, run_s)).await;
-                    world.query_concurrently(&id).await;
-                    match n % 4 {
-                        // Cancelled immediately.
-                        0 => {
-                            cancel(&world, None, &id).await;
+            Scenario::with_large_teams(800 + 10 * n as u64 + variant).run(
+                |simulation| async move {
+                    let mut ids = vec![simulation.submit(job(1, "batch", 2, 1.0)).await];
+                    simulation.wait_for_stage(&ids[0], "done", 60).await;
+                    simulation.state.fault_options.replace(StateFaultOptions {
+                        unanswered,
+                        late,
+                        response_delay: secs(slow_s),
+                        ..StateFaultOptions::default()
+                    });
+                    for n in 0..12u32 {
+                        let kind = ["batch", "gang", "daemon"][n as usize % 3];
+                        let run_s = 2.0 + f64::from(n % 4) * 0.3;
+                        let leader = simulation.controller_with_most_machines();
+                        if refused_s > 0.0 {
+                            simulation.state.fault_options.borrow_mut().refused =
+                                [(n as usize) % 3].into();
                         }
-                        // Cancelled at two controllers concurrently, as it completes.
-                        1 | 2 => {
-                            sleep(secs(run_s + 0.3 * f64::from(n % 3))).await;
-                            let (a, b) = ((leader + 1) % 3, (leader + 2) % 3);
-                            tokio::join!(
-                                world.cancel(a, &id),
-                                world.cancel(b, &id),
-                                world.query_concurrently(&id)
-                            );
-                            cancel(&world, None, &id).await;
+                        let id = simulation.submit(job(10 + n, kind, 2, run_s)).await;
+                        simulation.query_concurrently(&id).await;
+                        match n % 4 {
+                            // Cancelled immediately.
+                            0 => {
+                                cancel(&simulation, None, &id).await;
+                            }
+                            // Cancelled at two controllers concurrently, as it completes.
+                            1 | 2 => {
+                                sleep(secs(run_s + 0.3 * f64::from(n % 3))).await;
+                                let (a, b) = ((leader + 1) % 3, (leader + 2) % 3);
+                                tokio::join!(
+                                    simulation.cancel(a, &id),
+                                    simulation.cancel(b, &id),
+                                    simulation.query_concurrently(&id)
+                                );
+                                cancel(&simulation, None, &id).await;
+                            }
+                            _ if kind == "daemon" => {}
+                            _ => simulation.wait_for_stage(&id, "done", 60).await,
                         }
-                        _ if kind == "daemon" => {}
-                        _ => world.wait_for_stage(&id, "done", 60).await,
+                        simulation.query_concurrently(&id).await;
+                        sleep(secs(0.3)).await;
+                        simulation.query_concurrently(&id).await;
+                        ids.push(id);
                     }
-                    world.query_concurrently(&id).await;
-                    sleep(secs(0.3)).await;
-                    world.query_concurrently(&id).await;
-                    ids.push(id);
-                }
-                heal_and_check(&world, &format!("{name}, {variant}"), &ids).await;
-            });
+                    heal_and_check(&simulation, &format!("{name}, {variant}"), &ids).await;
+                },
+            );
         }
     }
 }
@@ -131,9 +134,9 @@
 }
 
 /// Returns the status of a submission, which is retried while it is 503.
-async fn submission_status(world: &Rc<Simulation>, i: usize, body: &Value) -> u16 {
+async fn submission_status(simulation: &Rc<Simulation>, i: usize, body: &Value) -> u16 {
     for _ in 0..20 {
-        let (status, _) = world
+        let (status, _) = simulation
             .send_request(i, "POST", "/submissions", Some(body))
             .await;
         if status != 503 {
@@ -146,13 +149,13 @@
 
 /// Asserts that a query and a cancellation of jobs that nobody submitted are answered
 /// 404, or 503 while the controller cannot determine whether the job exists.
-async fn assert_unknown_jobs_are_not_found(world: &Rc<Simulation>, i: usize) {
-    let (status, _) = world
+async fn assert_unknown_jobs_are_not_found(simulation: &Rc<Simulation>, i: usize) {
+    let (status, _) = simulation
         .send_request(i, "GET", "/submissions/job-000050", None)
         .await;
     assert!([404, 503].contains(&status), "{status}");
     let path = "/submissions/job-000051/withdraw";
-    let (status, _) = world.send_request(i, "POST", path, None).await;
+    let (status, _) = simulation.send_request(i, "POST", path, None).await;
     assert!([404, 503].contains(&status), "{status}");
 }
 
@@ -171,20 +174,20 @@
     .into_iter()
     .enumerate()
     {
-        Scenario::with_large_teams(1400 + n as u64).run(|world| async move {
-            let finished = world.submit(job(1, "batch", 1, 1.0)).await;
-            world.wait_for_stage(&finished, "done", 60).await;
-            let running = world.submit(job(2, "batch", 2, 300.0)).await;
-            world.wait_for_stage(&running, "running", 60).await;
-            world.state.fault_options.replace(StateFaultOptions {
+        Scenario::with_large_teams(1400 + n as u64).run(|simulation| async move {
+            let finished = simulation.submit(job(1, "batch", 1, 1.0)).await;
+            simulation.wait_for_stage(&finished, "done", 60).await;
+            let running = simulation.submit(job(2, "batch", 2, 300.0)).await;
+            simulation.wait_for_stage(&running, "running", 60).await;
+            simulation.state.fault_options.replace(StateFaultOptions {
                 response_delay: secs(slow_s),
                 unanswered,
                 refused: refused.then_some(1).into_iter().collect(),
                 ..StateFaultOptions::default()
             });
             for (body, expected) in rejected_submissions() {
-                for i in 0..world.shape.controllers {
-                    let status = submission_status(&world, i, &body).await;
+                for i in 0..simulation.shape.controllers {
+                    let status = submission_status(&simulation, i, &body).await;
                     let unavailable = refused && i == 1 && status == 503;
                     assert!(
                         status == expected || unavailable,
@@ -192,14 +195,14 @@
                     );
                 }
             }
-            for i in 0..world.shape.controllers {
+            for i in 0..simulation.shape.controllers {
                 // Repeats the submission of a running job, and cancels a finished job.
-                world.query_concurrently(&running).await;
-                let stage = world.cancel(i, &finished).await;
+                simulation.query_concurrently(&running).await;
+                let stage = simulation.cancel(i, &finished).await;
                 assert_eq!(stage.as_deref(), Some("done"), "case {n}, n{i}");
-                assert_unknown_jobs_are_not_found(&world, i).await;
+                assert_unknown_jobs_are_not_found(&simulation, i).await;
             }
-            heal_and_check(&world, &format!("{n}"), &[finished, running]).await;
+            heal_and_check(&simulation, &format!("{n}"), &[finished, running]).await;
         });
     }
 }
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -15,13 +15,17 @@
 
 /// Sends the cancellation to one controller after another, except `excluded`, until
 /// one of them answers it; returns the job's stage in that answer.
-pub async fn cancel(world: &Rc<Simulation>, excluded: Option<usize>, id: &str) -> Option<String> {
+pub async fn cancel(
+    simulation: &Rc<Simulation>,
+    excluded: Option<usize>,
+    id: &str,
+) -> Option<String> {
     for attempt in 0..30 {
-        let i = attempt % world.shape.controllers;
+        let i = attempt % simulation.shape.controllers;
         if Some(i) == excluded {
             continue;
         }
-        if let Some(stage) = world.cancel(i, id).await {
+        if let Some(stage) = simulation.cancel(i, id).await {
             return Some(stage);
         }
         sleep(secs(0.2)).await;
@@ -32,13 +36,15 @@
 /// Ends all faults, then asserts that each job that was not cancelled runs or is done
 /// within 90 s, that every controller answers queries for all jobs, and that no rule
 /// was broken.
-pub async fn heal_and_check(world: &Rc<Simulation>, case: &str, ids: &[String]) {
-    world.clear_faults();
+pub async fn heal_and_check(simulation: &Rc<Simulation>, case: &str, ids: &[String]) {
+    simulation.clear_faults();
     let start = Instant::now();
     loop {
         let mut unfinished = Vec::new();
-        for id in ids.iter().filter(|id| !world.is_cancelled(id)) {
-            if world.running(id) == 0 && world.stage(0, id).await.as_deref() != Some("done") {
+        for id in ids.iter().filter(|id| !simulation.is_cancelled(id)) {
+            if simulation.running(id) == 0
+                && simulation.stage(0, id).await.as_deref() != Some("done")
+            {
                 unfinished.push(id);
             }
         }
@@ -48,15 +54,15 @@
         assert!(
             start.elapsed() < secs(90.0),
             "{case}: neither running nor done: {unfinished:?}; broken rules: {:?}",
-            world.reported_violations.borrow()
+            simulation.reported_violations.borrow()
         );
         sleep(secs(1.0)).await;
     }
     for id in ids {
-        for i in 0..world.shape.controllers {
+        for i in 0..simulation.shape.controllers {
             let mut stage = None;
             for _ in 0..10 {
-                stage = world.stage(i, id).await;
+                stage = simulation.stage(i, id).await;
                 if stage.is_some() {
                     break;
                 }
@@ -68,22 +74,26 @@
             );
         }
     }
-    let broken = world.reported_violations.borrow().clone();
+    let broken = simulation.reported_violations.borrow().clone();
     assert!(broken.is_empty(), "{case}: {broken:#?}");
-    world.assert_no_violations();
+    simulation.assert_no_violations();
 }
 
 /// Submits long-running jobs of all kinds and waits until they run.
-pub async fn start_long_jobs(world: &Rc<Simulation>, first_number: u32, count: u32) -> Vec<String> {
+pub async fn start_long_jobs(
+    simulation: &Rc<Simulation>,
+    first_number: u32,
+    count: u32,
+) -> Vec<String> {
     let mut ids = Vec::new();
     for number in first_number..first_number + count {
         let (kind, tasks) = [("daemon", 2), ("batch", 3), ("gang", 2)][number as usize % 3];
         let mut submission = job(number, kind, tasks, 400.0);
         submission["crew"] = json!(["t", "u"][number as usize % 2]);
-        ids.push(world.submit(submission).await);
+        ids.push(simulation.submit(submission).await);
     }
     for id in &ids {
-        world.wait_for_stage(id, "running", 100).await;
+        simulation.wait_for_stage(id, "running", 100).await;
     }
     ids
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -18,8 +18,8 @@
 use tokio::time::{Instant, sleep};
 
 /// Sends a submission to one controller, without a retry.
-async fn submit_once(world: &Simulation, i: usize, body: &Value) -> (u16, Value) {
-    world
+async fn submit_once(simulation: &Simulation, i: usize, body: &Value) -> (u16, Value) {
+    simulation
         .send_request(i, "POST", "/submissions", Some(body))
         .await
 }
@@ -46,10 +46,10 @@
 
 /// Waits until the controllers accept jobs with dependencies, which they do once every
 /// controller is known to read the newer formats.
-async fn wait_for_upgrade(world: &Simulation) {
-    let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
+async fn wait_for_upgrade(simulation: &Simulation) {
+    let first = simulation.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
-    world.submit(probe).await;
+    simulation.submit(probe).await;
 }
 
 #[test]
@@ -60,39 +60,39 @@
         (3, StateFault::LateCommits),
     ] {
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(seed).await;
-            wait_for_upgrade(&world).await;
-            world.state.trouble.set(trouble);
-            let disturb_next_commits = || world.state.faulty_commits_left.set(3);
-            let top = world.submit(job(1, "batch", 5, 3.0)).await;
+            let simulation = Simulation::new(seed).await;
+            wait_for_upgrade(&simulation).await;
+            simulation.state.trouble.set(trouble);
+            let disturb_next_commits = || simulation.state.faulty_commits_left.set(3);
+            let top = simulation.submit(job(1, "batch", 5, 3.0)).await;
             disturb_next_commits();
-            let left = world
+            let left = simulation
                 .submit(with_dependencies(job(2, "gang", 2, 4.0), &[&top]))
                 .await;
-            let right = world
+            let right = simulation
                 .submit(with_dependencies(job(3, "batch", 3, 2.0), &[&top]))
                 .await;
             disturb_next_commits();
-            let bottom = world
+            let bottom = simulation
                 .submit(with_dependencies(job(4, "batch", 2, 1.0), &[&left, &right]))
                 .await;
-            let last = world
+            let last = simulation
                 .submit(with_dependencies(job(5, "gang", 2, 1.0), &[&bottom]))
                 .await;
-            assert_eq!(world.stage(0, &last).await.as_deref(), Some("queued"));
+            assert_eq!(simulation.stage(0, &last).await.as_deref(), Some("queued"));
             // Restarts each controller in turn.
             for i in 0..CONTROLLERS {
                 disturb_next_commits();
-                world.kill(i);
+                simulation.kill(i);
                 sleep(Duration::from_secs(3)).await;
-                world.start(i);
+                simulation.start(i);
                 sleep(Duration::from_secs(3)).await;
             }
-            world.wait_for_stage(&last, "done", 400).await;
+            simulation.wait_for_stage(&last, "done", 400).await;
             for id in [&top, &left, &right, &bottom] {
-                world.wait_for_stage(id, "done", 10).await;
+                simulation.wait_for_stage(id, "done", 10).await;
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -102,39 +102,45 @@
 #[test]
 fn dependent_may_be_submitted_at_another_controller_immediately() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(4).await;
-        wait_for_upgrade(&world).await;
+        let simulation = Simulation::new(4).await;
+        wait_for_upgrade(&simulation).await;
         for n in 0..12u32 {
             let (first_controller, second_controller) =
                 (n as usize % CONTROLLERS, (n as usize + 1) % CONTROLLERS);
             let first = job(10 + n, "batch", 1, 1.0);
             let id = first["name_id"].as_str().expect("id").to_string();
-            world.register_job(&first);
+            simulation.register_job(&first);
             let second = with_dependencies(job(100 + n, "batch", 1, 1.0), &[&id]);
-            world.register_job(&second);
-            assert_eq!(submit_once(&world, first_controller, &first).await.0, 201);
-            let (status, body) = submit_once(&world, second_controller, &second).await;
+            simulation.register_job(&second);
+            assert_eq!(
+                submit_once(&simulation, first_controller, &first).await.0,
+                201
+            );
+            let (status, body) = submit_once(&simulation, second_controller, &second).await;
             assert_eq!((status, &body["stage"]), (201, &json!("queued")));
             // The repeated submission of a known id returns the job's stage, whatever
             // it awaits.
             let other = with_dependencies(job(100 + n, "batch", 1, 1.0), &["job-777777"]);
-            assert_eq!(submit_once(&world, first_controller, &other).await.0, 200);
+            assert_eq!(
+                submit_once(&simulation, first_controller, &other).await.0,
+                200
+            );
         }
         for n in 0..12 {
-            world
+            simulation
                 .wait_for_stage(&format!("job-{:06}", 100 + n), "done", 200)
                 .await;
         }
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
 #[test]
 fn unknown_and_malformed_dependencies_are_rejected() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(5).await;
-        wait_for_upgrade(&world).await;
-        let known = world.submit(job(1, "batch", 1, 1.0)).await;
+        let simulation = Simulation::new(5).await;
+        wait_for_upgrade(&simulation).await;
+        let known = simulation.submit(job(1, "batch", 1, 1.0)).await;
         let cases = [
             (json!(["job-000777"]), 422),
             (json!([known, "job-000777"]), 422),
@@ -149,19 +155,19 @@
         for (dependencies, expected) in cases {
             let mut body = job(2, "batch", 1, 1.0);
             body["awaits"] = dependencies.clone();
-            world.register_job(&body);
+            simulation.register_job(&body);
             assert_eq!(
-                submit_once(&world, 1, &body).await.0,
+                submit_once(&simulation, 1, &body).await.0,
                 expected,
                 "{dependencies}"
             );
         }
         // A controller that gets no barrier cannot tell whether an id is unknown.
-        world.fabric.cut(controller(0), state_addr(0));
+        simulation.fabric.cut(controller(0), state_addr(0));
         let body = with_dependencies(job(3, "batch", 1, 1.0), &["job-000777"]);
-        assert_eq!(submit_once(&world, 0, &body).await.0, 503);
-        world.wait_for_stage("job-000002", "done", 100).await;
-        world.assert_no_violations();
+        assert_eq!(submit_once(&simulation, 0, &body).await.0, 503);
+        simulation.wait_for_stage("job-000002", "done", 100).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -171,22 +177,22 @@
 #[test]
 fn long_dependency_lists_are_rejected_or_run() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(6).await;
-        wait_for_upgrade(&world).await;
+        let simulation = Simulation::new(6).await;
+        wait_for_upgrade(&simulation).await;
         // This job uses all of the team's limit, so that no other job runs meanwhile.
-        let first = world.submit(job(1, "gang", 6, 60.0)).await;
-        world.wait_for_stage(&first, "running", 60).await;
+        let first = simulation.submit(job(1, "gang", 6, 60.0)).await;
+        simulation.wait_for_stage(&first, "running", 60).await;
         let mut ids = Vec::new();
         for n in 0..320 {
             let mut submission = job(1000 + n, "batch", 1, 0.5);
             submission["vcpus"] = json!(0.1);
-            world.register_job(&submission);
+            simulation.register_job(&submission);
             ids.push(submission);
         }
         for chunk in ids.chunks(20) {
             let requests = chunk
                 .iter()
-                .map(|submission| submit_once(&world, 0, submission));
+                .map(|submission| submit_once(&simulation, 0, submission));
             for (status, _) in run_concurrently(requests).await {
                 assert_eq!(status, 201);
             }
@@ -201,16 +207,20 @@
             (4, &repeated[..], 201),
         ] {
             let submission = with_dependencies(job(n, "batch", 9, 1.0), list);
-            world.register_job(&submission);
-            assert_eq!(submit_once(&world, 1, &submission).await.0, expected, "{n}");
+            simulation.register_job(&submission);
+            assert_eq!(
+                submit_once(&simulation, 1, &submission).await.0,
+                expected,
+                "{n}"
+            );
         }
-        world.wait_for_stage("job-000003", "done", 300).await;
-        world.wait_for_stage("job-000004", "done", 300).await;
+        simulation.wait_for_stage("job-000003", "done", 300).await;
+        simulation.wait_for_stage("job-000004", "done", 300).await;
         // Dependencies that are done by now take no space in the record.
         let done = with_dependencies(job(2, "batch", 9, 1.0), too_long);
-        assert_eq!(submit_once(&world, 1, &done).await.0, 201);
-        world.wait_for_stage("job-000002", "done", 100).await;
-        world.assert_no_violations();
+        assert_eq!(submit_once(&simulation, 1, &done).await.0, 201);
+        simulation.wait_for_stage("job-000002", "done", 100).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -225,20 +235,20 @@
         (24, 3, true),
     ] {
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(seed).await;
-            wait_for_upgrade(&world).await;
+            let simulation = Simulation::new(seed).await;
+            wait_for_upgrade(&simulation).await;
             let mut ids: Vec<String> = Vec::new();
             for n in 0..5 {
                 let mut submission = job(1 + n, "batch", 2, 60.0);
                 if let Some(previous) = ids.last() {
                     submission = with_dependencies(submission, &[previous]);
                 }
-                ids.push(world.submit(submission).await);
+                ids.push(simulation.submit(submission).await);
             }
             if first_runs {
-                world.wait_for_stage(&ids[0], "running", 60).await;
+                simulation.wait_for_stage(&ids[0], "running", 60).await;
             }
-            let stage = world
+            let stage = simulation
                 .cancel(seed as usize % CONTROLLERS, &ids[cancelled_index])
                 .await;
             assert_eq!(stage.as_deref(), Some("aborted"));
@@ -247,35 +257,39 @@
             for id in &ids[cancelled_index..] {
                 for i in 0..CONTROLLERS {
                     assert_eq!(
-                        world.stage(i, id).await.as_deref(),
+                        simulation.stage(i, id).await.as_deref(),
                         Some("aborted"),
                         "{id} at {i}"
                     );
                 }
-                let repeated_stage = world.cancel(0, id).await;
+                let repeated_stage = simulation.cancel(0, id).await;
                 assert_eq!(repeated_stage.as_deref(), Some("aborted"));
             }
             for id in &ids[..cancelled_index] {
-                assert_ne!(world.stage(0, id).await.as_deref(), Some("aborted"), "{id}");
+                assert_ne!(
+                    simulation.stage(0, id).await.as_deref(),
+                    Some("aborted"),
+                    "{id}"
+                );
             }
             // A job that awaits a cancelled job is accepted, and is cancelled.
             let late_dependent = with_dependencies(job(50, "batch", 1, 1.0), &[&ids[4]]);
-            world.register_job(&late_dependent);
-            let (status, body) = submit_once(&world, 1, &late_dependent).await;
+            simulation.register_job(&late_dependent);
+            let (status, body) = submit_once(&simulation, 1, &late_dependent).await;
             assert!([200, 201].contains(&status));
             assert_eq!(body["stage"], "aborted");
             sleep(Duration::from_secs(40)).await;
             for id in &ids[cancelled_index..] {
-                let record = world
+                let record = simulation
                     .state
                     .value(&format!("sh/job/{id}"))
                     .expect("a record");
                 assert_eq!((&record["f"], &record["s"]), (&json!("c"), &Value::Null));
-                assert_eq!(world.running(id), 0);
+                assert_eq!(simulation.running(id), 0);
             }
             for i in 0..CONTROLLERS {
-                world.kill(i);
-                world.start(i);
+                simulation.kill(i);
+                simulation.start(i);
             }
             sleep(Duration::from_secs(5)).await;
             for i in 0..CONTROLLERS {
@@ -284,13 +298,13 @@
                     .map(String::as_str)
                     .chain(["job-000050"])
                 {
-                    assert_eq!(world.stage(i, id).await.as_deref(), Some("aborted"));
+                    assert_eq!(simulation.stage(i, id).await.as_deref(), Some("aborted"));
                 }
             }
             for id in &ids[..cancelled_index] {
-                world.wait_for_stage(id, "done", 400).await;
+                simulation.wait_for_stage(id, "done", 400).await;
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -301,37 +315,40 @@
 fn cancellation_races_with_the_last_task() {
     for n in 0..10u64 {
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(40 + n).await;
-            wait_for_upgrade(&world).await;
-            let first = world.submit(job(1, "batch", 1, 5.0)).await;
-            let second = world
+            let simulation = Simulation::new(40 + n).await;
+            wait_for_upgrade(&simulation).await;
+            let first = simulation.submit(job(1, "batch", 1, 5.0)).await;
+            let second = simulation
                 .submit(with_dependencies(job(2, "batch", 1, 1.0), &[&first]))
                 .await;
-            world.wait_for_stage(&first, "running", 60).await;
+            simulation.wait_for_stage(&first, "running", 60).await;
             sleep(Duration::from_millis(4000 + n * 350)).await;
             let (first_answer, second_answer) =
-                tokio::join!(world.cancel(0, &first), world.cancel(1, &first));
+                tokio::join!(simulation.cancel(0, &first), simulation.cancel(1, &first));
             let final_stage = first_answer.or(second_answer).expect("an answer");
             match final_stage.as_str() {
-                "done" => world.wait_for_stage(&second, "done", 100).await,
+                "done" => simulation.wait_for_stage(&second, "done", 100).await,
                 _ => {
                     for i in 0..CONTROLLERS {
-                        assert_eq!(world.stage(i, &second).await.as_deref(), Some("aborted"));
+                        assert_eq!(
+                            simulation.stage(i, &second).await.as_deref(),
+                            Some("aborted")
+                        );
                     }
                 }
             }
             sleep(Duration::from_secs(40)).await;
             for i in 0..CONTROLLERS {
                 assert_eq!(
-                    world.stage(i, &first).await.as_deref(),
+                    simulation.stage(i, &first).await.as_deref(),
                     Some(final_stage.as_str())
                 );
                 assert_eq!(
-                    world.stage(i, &second).await.as_deref(),
+                    simulation.stage(i, &second).await.as_deref(),
                     Some(final_stage.as_str())
                 );
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -339,44 +356,47 @@
 #[test]
 fn finished_jobs_may_be_dependencies() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(60).await;
-        wait_for_upgrade(&world).await;
-        let done = world.submit(job(1, "batch", 1, 1.0)).await;
-        let cancelled = world.submit(job(2, "batch", 1, 300.0)).await;
+        let simulation = Simulation::new(60).await;
+        wait_for_upgrade(&simulation).await;
+        let done = simulation.submit(job(1, "batch", 1, 1.0)).await;
+        let cancelled = simulation.submit(job(2, "batch", 1, 300.0)).await;
         let mut running = job(3, "gang", 2, 30.0);
         running["crew"] = json!("u");
-        let running = world.submit(running).await;
-        world.wait_for_stage(&done, "done", 100).await;
+        let running = simulation.submit(running).await;
+        simulation.wait_for_stage(&done, "done", 100).await;
         assert_eq!(
-            world.cancel(0, &cancelled).await.as_deref(),
+            simulation.cancel(0, &cancelled).await.as_deref(),
             Some("aborted")
         );
         // By then, the records contain only the final stage.
         sleep(Duration::from_secs(60)).await;
-        let record = world.state.value("sh/job/job-000001").expect("a record");
+        let record = simulation
+            .state
+            .value("sh/job/job-000001")
+            .expect("a record");
         assert_eq!((&record["f"], &record["s"]), (&json!("d"), &Value::Null));
-        let after_done = world
+        let after_done = simulation
             .submit(with_dependencies(job(11, "batch", 1, 1.0), &[&done]))
             .await;
-        let after_cancelled = world
+        let after_cancelled = simulation
             .submit(with_dependencies(
                 job(12, "batch", 1, 1.0),
                 &[&done, &cancelled],
             ))
             .await;
-        let after_running = world
+        let after_running = simulation
             .submit(with_dependencies(
                 job(13, "batch", 1, 1.0),
                 &[&done, &running],
             ))
             .await;
         assert_eq!(
-            world.stage(2, &after_cancelled).await.as_deref(),
+            simulation.stage(2, &after_cancelled).await.as_deref(),
             Some("aborted")
         );
-        world.wait_for_stage(&after_done, "done", 100).await;
-        world.wait_for_stage(&after_running, "done", 200).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage(&after_done, "done", 100).await;
+        simulation.wait_for_stage(&after_running, "done", 200).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -385,34 +405,37 @@
 #[test]
 fn waiting_job_uses_no_resources() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(61).await;
-        wait_for_upgrade(&world).await;
-        let first = world.submit(job(1, "batch", 1, 90.0)).await;
+        let simulation = Simulation::new(61).await;
+        wait_for_upgrade(&simulation).await;
+        let first = simulation.submit(job(1, "batch", 1, 90.0)).await;
         // This job needs all of the team's limit, and waits.
-        let wide = world
+        let wide = simulation
             .submit(with_dependencies(job(2, "gang", 6, 5.0), &[&first]))
             .await;
-        world.wait_for_stage(&first, "running", 60).await;
+        simulation.wait_for_stage(&first, "running", 60).await;
         let start = Instant::now();
-        let other = world.submit(job(3, "gang", 4, 5.0)).await;
-        world.wait_for_stage(&other, "done", 60).await;
+        let other = simulation.submit(job(3, "gang", 4, 5.0)).await;
+        simulation.wait_for_stage(&other, "done", 60).await;
         assert!(
             start.elapsed() < Duration::from_secs(30),
             "{:?}",
             start.elapsed()
         );
         sleep(Duration::from_secs(30)).await;
-        assert!(world.workers.borrow().len() <= 1, "machines are kept idle");
-        let (_, teams) = world.send_request(0, "GET", "/ops/teams", None).await;
+        assert!(
+            simulation.workers.borrow().len() <= 1,
+            "machines are kept idle"
+        );
+        let (_, teams) = simulation.send_request(0, "GET", "/ops/teams", None).await;
         assert_eq!(teams[0]["waiting_tasks"], 0, "{teams}");
-        let (_, details) = world
+        let (_, details) = simulation
             .send_request(1, "GET", &format!("/ops/job/{wide}"), None)
             .await;
         assert_eq!(details["reason"], format!("it awaits {first}"));
-        let (_, report) = world.send_request(1, "GET", "/ops/report", None).await;
+        let (_, report) = simulation.send_request(1, "GET", "/ops/report", None).await;
         assert!(report["jobs"].to_string().contains("it awaits"), "{report}");
-        world.wait_for_stage(&wide, "done", 200).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage(&wide, "done", 200).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -426,34 +449,34 @@
             ..DeploymentOptions::default()
         };
         shape.teams[0] = ("t".into(), 40.0, 80.0);
-        let world = Simulation::of(63, shape).await;
-        wait_for_upgrade(&world).await;
-        let long = world.submit(job(1, "batch", 1, 60.0)).await;
-        let short = world
+        let simulation = Simulation::of(63, shape).await;
+        wait_for_upgrade(&simulation).await;
+        let long = simulation.submit(job(1, "batch", 1, 60.0)).await;
+        let short = simulation
             .submit(with_dependencies(job(2, "batch", 1, 15.0), &[&long]))
             .await;
-        let wide = world
+        let wide = simulation
             .submit(with_dependencies(job(3, "gang", 8, 5.0), &[&short]))
             .await;
-        world.wait_for_stage(&long, "running", 60).await;
+        simulation.wait_for_stage(&long, "running", 60).await;
         sleep(Duration::from_secs(50)).await;
-        assert!(world.workers.borrow().len() <= 1, "rented too early");
-        world.wait_for_stage(&short, "running", 60).await;
+        assert!(simulation.workers.borrow().len() <= 1, "rented too early");
+        simulation.wait_for_stage(&short, "running", 60).await;
         sleep(Duration::from_secs(10)).await;
         assert!(
-            world.workers.borrow().len() > 1,
+            simulation.workers.borrow().len() > 1,
             "not rented before the job became ready"
         );
-        world.wait_for_stage(&short, "done", 60).await;
+        simulation.wait_for_stage(&short, "done", 60).await;
         let start = Instant::now();
-        world.wait_for_stage(&wide, "running", 60).await;
+        simulation.wait_for_stage(&wide, "running", 60).await;
         assert!(
             start.elapsed() < Duration::from_secs(4),
             "{:?}",
             start.elapsed()
         );
-        world.wait_for_stage(&wide, "done", 60).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage(&wide, "done", 60).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -463,30 +486,35 @@
 #[test]
 fn dependencies_are_refused_until_all_controllers_are_upgraded() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(62).await;
-        world.kill(2);
-        world.state.write("sh/node/n2", &json!({"h": "n2", "i": 5}));
-        let first = world.submit(job(1, "batch", 1, 200.0)).await;
+        let simulation = Simulation::new(62).await;
+        simulation.kill(2);
+        simulation
+            .state
+            .write("sh/node/n2", &json!({"h": "n2", "i": 5}));
+        let first = simulation.submit(job(1, "batch", 1, 200.0)).await;
         sleep(Duration::from_secs(20)).await;
         let second = with_dependencies(job(2, "batch", 1, 1.0), &[&first]);
-        world.register_job(&second);
+        simulation.register_job(&second);
         for i in 0..2 {
-            assert_eq!(submit_once(&world, i, &second).await.0, 503);
+            assert_eq!(submit_once(&simulation, i, &second).await.0, 503);
             let mut independent = job(3 + i as u32, "batch", 1, 1.0);
             independent["awaits"] = json!([]);
-            world.register_job(&independent);
-            assert_eq!(submit_once(&world, i, &independent).await.0, 201);
+            simulation.register_job(&independent);
+            assert_eq!(submit_once(&simulation, i, &independent).await.0, 201);
         }
-        assert_eq!(world.state.value("sh/job/job-000002"), None);
-        world.start(2);
-        let second = world.submit(second).await;
-        assert_eq!(world.stage(0, &second).await.as_deref(), Some("queued"));
+        assert_eq!(simulation.state.value("sh/job/job-000002"), None);
+        simulation.start(2);
+        let second = simulation.submit(second).await;
+        assert_eq!(
+            simulation.stage(0, &second).await.as_deref(),
+            Some("queued")
+        );
         // The result is permanent: a controller that is down later does not change it.
-        world.kill(1);
-        world
+        simulation.kill(1);
+        simulation
             .submit(with_dependencies(job(9, "batch", 1, 1.0), &[&second]))
             .await;
-        world.wait_for_stage("job-000009", "done", 400).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage("job-000009", "done", 400).await;
+        simulation.assert_no_violations();
     });
 }
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -40,8 +40,8 @@
 impl Request {
     /// Sends the request to a controller; returns the answer and the response time. A
     /// submission is of a new job; queries and cancellations concern the job `existing`.
-    async fn send(self, world: &Simulation, i: usize, existing: &str) -> (Response, Duration) {
-        let user = Net::Simulated(world.fabric.clone(), addr("10.3.0.9:1"));
+    async fn send(self, simulation: &Simulation, i: usize, existing: &str) -> (Response, Duration) {
+        let user = Net::Simulated(simulation.fabric.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
         let (method, path, body) = match self {
@@ -69,12 +69,17 @@
 }
 
 impl Refusal {
-    fn begin(self, world: &Simulation) {
+    fn begin(self, simulation: &Simulation) {
         match self {
-            Refusal::Outage => world.state.trouble.set(StateFault::Outage),
-            Refusal::Commits => world.state.trouble.set(StateFault::CommitsRefused),
+            Refusal::Outage => simulation.state.trouble.set(StateFault::Outage),
+            Refusal::Commits => simulation.state.trouble.set(StateFault::CommitsRefused),
             Refusal::OneController => {
-                world.state.fault_options.borrow_mut().refused.insert(0);
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .refused
+                    .insert(0);
             }
         }
     }
@@ -89,12 +94,12 @@
         for request in REQUESTS {
             for later_s in [0.0, 1.0, 20.0] {
                 run_in_simulated_time(|| async move {
-                    let world = Simulation::new(300 + n as u64).await;
-                    let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-                    world.wait_for_stage(&existing, "running", 60).await;
-                    refusal.begin(&world);
+                    let simulation = Simulation::new(300 + n as u64).await;
+                    let existing = simulation.submit(job(1, "batch", 1, 300.0)).await;
+                    simulation.wait_for_stage(&existing, "running", 60).await;
+                    refusal.begin(&simulation);
                     sleep(Duration::from_secs_f64(later_s)).await;
-                    let (answer, response_time) = request.send(&world, 0, &existing).await;
+                    let (answer, response_time) = request.send(&simulation, 0, &existing).await;
                     let case = format!("{refusal:?}, {request:?}, after {later_s} s");
                     if refusal == Refusal::Commits && request == Request::Query {
                         assert_eq!(answer.status, 200, "{case}");
@@ -133,12 +138,12 @@
     ];
     for (n, (trouble, request, expected)) in cases.into_iter().enumerate() {
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(320 + n as u64).await;
-            let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-            world.wait_for_stage(&existing, "running", 60).await;
-            world.state.trouble.set(trouble);
-            world.state.faulty_commits_left.set(1);
-            let (answer, response_time) = request.send(&world, 0, &existing).await;
+            let simulation = Simulation::new(320 + n as u64).await;
+            let existing = simulation.submit(job(1, "batch", 1, 300.0)).await;
+            simulation.wait_for_stage(&existing, "running", 60).await;
+            simulation.state.trouble.set(trouble);
+            simulation.state.faulty_commits_left.set(1);
+            let (answer, response_time) = request.send(&simulation, 0, &existing).await;
             let case = format!(
                 "{trouble:?}, {request:?}: {}, {response_time:?}",
                 answer.status
@@ -156,18 +161,18 @@
     for request in REQUESTS {
         for slow_s in [0.9, 1.2, 5.0] {
             run_in_simulated_time(|| async move {
-                let world = Simulation::new(340).await;
-                let existing = world.submit(job(1, "batch", 1, 300.0)).await;
-                world.wait_for_stage(&existing, "running", 60).await;
-                world.state.fault_options.borrow_mut().response_delay =
+                let simulation = Simulation::new(340).await;
+                let existing = simulation.submit(job(1, "batch", 1, 300.0)).await;
+                simulation.wait_for_stage(&existing, "running", 60).await;
+                simulation.state.fault_options.borrow_mut().response_delay =
                     Duration::from_secs_f64(slow_s);
-                world
+                simulation
                     .state
                     .fault_options
                     .borrow_mut()
                     .delayed_controllers
                     .insert(0);
-                let (answer, response_time) = request.send(&world, 0, &existing).await;
+                let (answer, response_time) = request.send(&simulation, 0, &existing).await;
                 let case = format!(
                     "{request:?}, {slow_s}: {}, {response_time:?}",
                     answer.status
@@ -225,19 +230,19 @@
 }
 
 /// Asserts that new jobs run until they are done, and that every controller reports so.
-async fn assert_new_jobs_complete(world: &Rc<Simulation>, first_number: u32, case: &str) {
+async fn assert_new_jobs_complete(simulation: &Rc<Simulation>, first_number: u32, case: &str) {
     let mut ids = Vec::new();
     for n in first_number..first_number + CONTROLLERS as u32 {
         let mut submission = job(n, ["batch", "gang"][n as usize % 2], 2, 2.0);
         submission["crew"] = json!(["t", "u"][n as usize % 2]);
-        ids.push(world.submit(submission).await);
+        ids.push(simulation.submit(submission).await);
     }
     let dependent = with_dependencies(job(first_number + 20, "batch", 1, 1.0), &[&ids[0], &ids[1]]);
-    ids.push(world.submit(dependent).await);
+    ids.push(simulation.submit(dependent).await);
     for id in &ids {
-        world.wait_for_stage(id, "done", 120).await;
+        simulation.wait_for_stage(id, "done", 120).await;
         for i in 0..CONTROLLERS {
-            let stage = world.stage(i, id).await;
+            let stage = simulation.stage(i, id).await;
             assert_eq!(stage.as_deref(), Some("done"), "{case}: {id} at n{i}");
         }
     }
@@ -274,15 +279,15 @@
             .clone();
         start_log();
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(360 + n as u64).await;
-            assert_new_jobs_complete(&world, 100, key).await;
-            let long = world.submit(job(1, "batch", 1, 600.0)).await;
-            world.wait_for_stage(&long, "running", 60).await;
-            let short = world.submit(job(2, "batch", 1, 3.0)).await;
-            world.wait_for_stage(&short, "done", 60).await;
+            let simulation = Simulation::new(360 + n as u64).await;
+            assert_new_jobs_complete(&simulation, 100, key).await;
+            let long = simulation.submit(job(1, "batch", 1, 600.0)).await;
+            simulation.wait_for_stage(&long, "running", 60).await;
+            let short = simulation.submit(job(2, "batch", 1, 3.0)).await;
+            simulation.wait_for_stage(&short, "done", 60).await;
             // A key that ends with a slash selects all keys with this prefix.
             let keys = match key.ends_with('/') {
-                true => world
+                true => simulation
                     .state
                     .value_sizes(key)
                     .into_iter()
@@ -292,21 +297,21 @@
             };
             assert!(!keys.is_empty(), "{key}");
             for key in &keys {
-                world.state.write(key, &invalid);
+                simulation.state.write(key, &invalid);
             }
             let case = format!("{key} is {invalid}");
-            assert_new_jobs_complete(&world, 200, &case).await;
+            assert_new_jobs_complete(&simulation, 200, &case).await;
             let is_read = !["sh/formats/x", "sh/other/x"].contains(&key);
             let unlogged = keys.iter().find(|key| is_read && !is_logged(key));
             assert_eq!(unlogged, None, "not logged: {case}");
             for i in 0..CONTROLLERS {
-                world.kill(i);
+                simulation.kill(i);
             }
             for i in 0..CONTROLLERS {
-                world.start(i);
+                simulation.start(i);
             }
-            assert_new_jobs_complete(&world, 300, &case).await;
-            world.assert_no_violations();
+            assert_new_jobs_complete(&simulation, 300, &case).await;
+            simulation.assert_no_violations();
         });
     }
 }
@@ -318,66 +323,81 @@
 #[test]
 fn unreadable_job_is_reported_neither_as_unknown_nor_in_a_stage() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(400).await;
-        assert_new_jobs_complete(&world, 100, "before the fault").await;
-        let first = world.submit(job(1, "batch", 1, 300.0)).await;
-        let dependent = world
+        let simulation = Simulation::new(400).await;
+        assert_new_jobs_complete(&simulation, 100, "before the fault").await;
+        let first = simulation.submit(job(1, "batch", 1, 300.0)).await;
+        let dependent = simulation
             .submit(with_dependencies(job(2, "batch", 1, 1.0), &[&first]))
             .await;
-        let finished = world.submit(job(3, "batch", 1, 1.0)).await;
-        world.wait_for_stage(&finished, "done", 60).await;
-        world.wait_for_stage(&first, "running", 60).await;
+        let finished = simulation.submit(job(3, "batch", 1, 1.0)).await;
+        simulation.wait_for_stage(&finished, "done", 60).await;
+        simulation.wait_for_stage(&first, "running", 60).await;
         let keys = [&first, &finished].map(|id| format!("sh/job/{id}"));
         let records = keys
             .each_ref()
-            .map(|k| world.state.value(k).expect("a record"));
+            .map(|k| simulation.state.value(k).expect("a record"));
         for key in &keys {
-            world.state.write(key, &json!({"s": 7}));
+            simulation.state.write(key, &json!({"s": 7}));
         }
         sleep(Duration::from_secs(1)).await;
         for i in 0..CONTROLLERS {
             // A controller that has seen the final stage still reports it.
-            assert_eq!(world.stage(i, &finished).await.as_deref(), Some("done"));
+            assert_eq!(
+                simulation.stage(i, &finished).await.as_deref(),
+                Some("done")
+            );
         }
         for restarted in [false, true] {
             for i in 0..CONTROLLERS {
                 let ask = |method, path: String| {
-                    let world = world.clone();
-                    async move { world.send_request(i, method, &path, None).await.0 }
+                    let simulation = simulation.clone();
+                    async move { simulation.send_request(i, method, &path, None).await.0 }
                 };
                 let query = format!("/submissions/{first}");
                 assert_eq!(ask("GET", query.clone()).await, 503, "{restarted}, n{i}");
                 assert_eq!(ask("POST", format!("{query}/withdraw")).await, 503);
                 let repeated = job(1, "batch", 1, 300.0);
-                let (status, _) = world
+                let (status, _) = simulation
                     .send_request(i, "POST", "/submissions", Some(&repeated))
                     .await;
                 assert_eq!(status, 503);
                 let new_dependent = with_dependencies(job(60, "batch", 1, 1.0), &[&first]);
-                let (status, _) = world
+                let (status, _) = simulation
                     .send_request(i, "POST", "/submissions", Some(&new_dependent))
                     .await;
                 assert_eq!(status, 503, "a dependency on an unreadable job was decided");
-                assert_eq!(world.stage(i, &dependent).await.as_deref(), Some("queued"));
+                assert_eq!(
+                    simulation.stage(i, &dependent).await.as_deref(),
+                    Some("queued")
+                );
             }
             for i in 0..CONTROLLERS {
-                world.kill(i);
-                world.start(i);
+                simulation.kill(i);
+                simulation.start(i);
             }
             sleep(Duration::from_secs(5)).await;
         }
         for (key, record) in keys.iter().zip(&records) {
-            world.state.write(key, record);
+            simulation.state.write(key, record);
         }
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
-            assert_eq!(world.stage(i, &finished).await.as_deref(), Some("done"));
-            let stage: Option<String> = world.stage(i, &first).await;
+            assert_eq!(
+                simulation.stage(i, &finished).await.as_deref(),
+                Some("done")
+            );
+            let stage: Option<String> = simulation.stage(i, &first).await;
             assert!(["queued", "running"].map(Some).contains(&stage.as_deref()));
         }
-        assert_eq!(world.cancel(0, &first).await.as_deref(), Some("aborted"));
-        assert_eq!(world.stage(1, &dependent).await.as_deref(), Some("aborted"));
-        world.assert_no_violations();
+        assert_eq!(
+            simulation.cancel(0, &first).await.as_deref(),
+            Some("aborted")
+        );
+        assert_eq!(
+            simulation.stage(1, &dependent).await.as_deref(),
+            Some("aborted")
+        );
+        simulation.assert_no_violations();
     });
 }
 
@@ -386,35 +406,35 @@
 #[test]
 fn one_unreadable_new_job_does_not_affect_the_others() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(410).await;
-        assert_new_jobs_complete(&world, 100, "before the fault").await;
+        let simulation = Simulation::new(410).await;
+        assert_new_jobs_complete(&simulation, 100, "before the fault").await;
         let (readable, unreadable) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
         let spec = shelfhoist::api::read_submission(readable.to_string().as_bytes());
         let spec = shelfhoist::state::records::JobSpec::from(&spec.expect("a submission"));
         let spec: Value = serde_json::to_value(&spec).expect("text");
-        world.register_job(&readable);
-        world.register_job(&unreadable);
+        simulation.register_job(&readable);
+        simulation.register_job(&unreadable);
         let new_jobs = json!({"b": 1, "j": {"job-000001": spec, "job-000002": 5}});
-        world.state.write("sh/new/n0-1", &new_jobs);
+        simulation.state.write("sh/new/n0-1", &new_jobs);
         sleep(Duration::from_secs(1)).await;
-        world.submit(readable).await;
-        world.wait_for_stage("job-000001", "done", 60).await;
+        simulation.submit(readable).await;
+        simulation.wait_for_stage("job-000001", "done", 60).await;
         for i in 0..CONTROLLERS {
-            let (status, _) = world
+            let (status, _) = simulation
                 .send_request(i, "POST", "/submissions", Some(&unreadable))
                 .await;
             assert_eq!(status, 503);
-            let (status, _) = world
+            let (status, _) = simulation
                 .send_request(i, "GET", "/submissions/job-000002", None)
                 .await;
             assert_eq!(status, 503);
         }
         sleep(Duration::from_secs(20)).await;
         assert!(
-            world.state.value("sh/new/n0-1").is_some(),
+            simulation.state.value("sh/new/n0-1").is_some(),
             "the record was deleted with a job"
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -423,13 +443,13 @@
 #[test]
 fn dependency_lists_are_parsed_as_the_protocol_defines() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(420).await;
-        assert_new_jobs_complete(&world, 100, "before the fault").await;
+        let simulation = Simulation::new(420).await;
+        assert_new_jobs_complete(&simulation, 100, "before the fault").await;
         let mut other = job(1, "gang", 1, 300.0);
         other["crew"] = json!("u");
-        let running = world.submit(other).await;
-        let service = world.submit(job(2, "daemon", 1, 0.0)).await;
-        world.wait_for_stage(&running, "running", 60).await;
+        let running = simulation.submit(other).await;
+        let service = simulation.submit(job(2, "daemon", 1, 0.0)).await;
+        simulation.wait_for_stage(&running, "running", 60).await;
         let cases = [
             (Value::Null, 201),
             (json!([]), 201),
@@ -452,8 +472,8 @@
             for i in 0..CONTROLLERS {
                 let mut submission = job(n, "batch", 1, 1.0);
                 submission["awaits"] = dependencies.clone();
-                world.register_job(&submission);
-                let (status, answer) = world
+                simulation.register_job(&submission);
+                let (status, answer) = simulation
                     .send_request(i, "POST", "/submissions", Some(&submission))
                     .await;
                 // The first controller accepts the job; the others return its stage.
@@ -471,14 +491,14 @@
             let mut repeated = job(10, "batch", 1, 1.0);
             repeated["awaits"] = dependencies.clone();
             for i in 0..CONTROLLERS {
-                let (status, _) = world
+                let (status, _) = simulation
                     .send_request(i, "POST", "/submissions", Some(&repeated))
                     .await;
                 assert_eq!(status, 200, "{dependencies}");
             }
         }
-        world.wait_for_stage("job-000010", "done", 60).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage("job-000010", "done", 60).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -497,10 +517,10 @@
     .enumerate()
     {
         run_in_simulated_time(|| async move {
-            let world = Simulation::new(430 + n as u64).await;
-            assert_new_jobs_complete(&world, 100, "before the fault").await;
+            let simulation = Simulation::new(430 + n as u64).await;
+            assert_new_jobs_complete(&simulation, 100, "before the fault").await;
             {
-                let mut troubles = world.state.fault_options.borrow_mut();
+                let mut troubles = simulation.state.fault_options.borrow_mut();
                 match trouble {
                     "slow" => troubles.response_delay = Duration::from_millis(600),
                     "slow for one controller" => {
@@ -514,10 +534,10 @@
                 }
             }
             for round in 0..8 {
-                let first = world.submit(job(1000 + round, "batch", 1, 1.0)).await;
+                let first = simulation.submit(job(1000 + round, "batch", 1, 1.0)).await;
                 let dependent = with_dependencies(job(1100 + round, "batch", 1, 1.0), &[&first]);
-                world.register_job(&dependent);
-                let (status, answer) = world
+                simulation.register_job(&dependent);
+                let (status, answer) = simulation
                     .send_request(1, "POST", "/submissions", Some(&dependent))
                     .await;
                 assert!(
@@ -526,7 +546,7 @@
                 );
                 let dependent_of_unknown =
                     with_dependencies(job(1200 + round, "batch", 1, 1.0), &["job-000777"]);
-                let (status, answer) = world
+                let (status, answer) = simulation
                     .send_request(1, "POST", "/submissions", Some(&dependent_of_unknown))
                     .await;
                 let expected = match trouble {
@@ -534,15 +554,15 @@
                     _ => &[422, 503],
                 };
                 assert!(expected.contains(&status), "{trouble}: {status} {answer}");
-                world.submit(dependent).await;
+                simulation.submit(dependent).await;
             }
-            world.state.fault_options.replace(Default::default());
+            simulation.state.fault_options.replace(Default::default());
             for round in 0..8 {
-                world
+                simulation
                     .wait_for_stage(&format!("job-{:06}", 1100 + round), "done", 100)
                     .await;
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
@@ -554,20 +574,20 @@
 #[test]
 fn dependency_lists_must_fit_the_next_record_limits() {
     run_in_simulated_time(|| async {
-        let world = Simulation::new(440).await;
-        *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
+        let simulation = Simulation::new(440).await;
+        *simulation.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
         for i in 0..CONTROLLERS {
-            world.kill(i);
-            world.start(i);
+            simulation.kill(i);
+            simulation.start(i);
         }
-        assert_new_jobs_complete(&world, 100, "before the fault").await;
-        let running = world.submit(job(1, "batch", 1, 60.0)).await;
+        assert_new_jobs_complete(&simulation, 100, "before the fault").await;
+        let running = simulation.submit(job(1, "batch", 1, 60.0)).await;
         let mut dependencies = vec![running];
         for n in 0..160 {
             let mut submission =
                 with_dependencies(job(2000 + n, "batch", 1, 0.2), &[&dependencies[0]]);
             submission["vcpus"] = json!(0.1);
-            dependencies.push(world.submit(submission).await);
+            dependencies.push(simulation.submit(submission).await);
         }
         let list = |count: usize| {
             dependencies[..count]
@@ -577,29 +597,29 @@
         };
         for (n, count, expected) in [(2, 161, 400), (3, 90, 201)] {
             let submission = with_dependencies(job(n, "batch", 2, 1.0), &list(count));
-            world.register_job(&submission);
-            let (status, answer) = world
+            simulation.register_job(&submission);
+            let (status, answer) = simulation
                 .send_request(1, "POST", "/submissions", Some(&submission))
                 .await;
             assert_eq!(status, expected, "{count} names: {answer}");
         }
         let repeated = with_dependencies(job(3, "batch", 2, 1.0), &list(161));
         for i in 0..CONTROLLERS {
-            let (status, _) = world
+            let (status, _) = simulation
                 .send_request(i, "POST", "/submissions", Some(&repeated))
                 .await;
             assert_eq!(status, 200);
         }
-        let mut limits = world.state.limits.get();
+        let mut limits = simulation.state.limits.get();
         limits.value_limit_bytes = 2048;
         limits.txn_ops = 4;
-        world.state.limits.set(limits);
-        world.wait_for_stage("job-000003", "done", 300).await;
+        simulation.state.limits.set(limits);
+        simulation.wait_for_stage("job-000003", "done", 300).await;
         assert_eq!(
-            world.state.rejected_commits.borrow().clone(),
+            simulation.state.rejected_commits.borrow().clone(),
             Vec::<String>::new()
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -612,18 +632,18 @@
             state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
             ..DeploymentOptions::default()
         };
-        let world = Simulation::of(450, shape).await;
+        let simulation = Simulation::of(450, shape).await;
         let mut ids = Vec::new();
         for n in 0..40 {
-            ids.push(world.submit(job(1 + n, "batch", 1, 900.0)).await);
+            ids.push(simulation.submit(job(1 + n, "batch", 1, 900.0)).await);
         }
         let cancellations: Vec<_> = ids
             .into_iter()
             .map(|id| {
-                let world = world.clone();
+                let simulation = simulation.clone();
                 spawn_local(async move {
                     let start = Instant::now();
-                    let confirmed = world.cancel(0, &id).await;
+                    let confirmed = simulation.cancel(0, &id).await;
                     (confirmed, start.elapsed())
                 })
             })
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -36,23 +36,23 @@
 
 /// Waits until the controllers accept jobs with dependencies, which they do once every
 /// controller is known to read the newer formats.
-async fn wait_for_upgrade(world: &Simulation) {
-    let first = world.submit(job(900_000, "batch", 1, 0.5)).await;
+async fn wait_for_upgrade(simulation: &Simulation) {
+    let first = simulation.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
-    world.submit(probe).await;
+    simulation.submit(probe).await;
 }
 
 /// Submits a chain of four jobs of both kinds and teams, and a fifth job that depends on
 /// the second and the third; the first job runs for `first_s` seconds. Returns their ids.
-async fn submit_pipeline(world: &Simulation, first_s: f64) -> Vec<String> {
-    let mut ids = vec![world.submit(job(1, "batch", 3, first_s)).await];
+async fn submit_pipeline(simulation: &Simulation, first_s: f64) -> Vec<String> {
+    let mut ids = vec![simulation.submit(job(1, "batch", 3, first_s)).await];
     for (n, kind) in [(2, "gang"), (3, "batch"), (4, "gang")] {
         let mut submission = with_dependencies(job(n, kind, 2, 2.0), &[&ids[ids.len() - 1]]);
         submission["crew"] = json!(["t", "u"][n as usize % 2]);
-        ids.push(world.submit(submission).await);
+        ids.push(simulation.submit(submission).await);
     }
     let fifth = with_dependencies(job(5, "batch", 2, 1.0), &[&ids[1], &ids[2]]);
-    ids.push(world.submit(fifth).await);
+    ids.push(simulation.submit(fifth).await);
     ids
 }
 
@@ -87,55 +87,55 @@
 
 impl Fault {
     /// Injects the fault and waits until it is over.
-    async fn inject(self, world: &Rc<Simulation>, refused_controller: usize) {
-        let longer_than_cancel = secs(world.shape.cancel_s * 1.3);
+    async fn inject(self, simulation: &Rc<Simulation>, refused_controller: usize) {
+        let longer_than_cancel = secs(simulation.shape.cancel_s * 1.3);
         match self {
             Fault::LostAnswers | Fault::LateCommits => {
-                world.state.trouble.set(match self {
+                simulation.state.trouble.set(match self {
                     Fault::LostAnswers => StateFault::LostResponses,
                     _ => StateFault::LateCommits,
                 });
                 for _ in 0..5 {
-                    world.state.faulty_commits_left.set(2);
+                    simulation.state.faulty_commits_left.set(2);
                     sleep(secs(2.0)).await;
                 }
-                world.state.faulty_commits_left.set(0);
-                world.state.trouble.set(StateFault::None);
+                simulation.state.faulty_commits_left.set(0);
+                simulation.state.trouble.set(StateFault::None);
             }
             Fault::MixedAnswers => {
-                world.state.fault_options.borrow_mut().late = 0.2;
-                world.state.fault_options.borrow_mut().unanswered = 0.2;
+                simulation.state.fault_options.borrow_mut().late = 0.2;
+                simulation.state.fault_options.borrow_mut().unanswered = 0.2;
                 sleep(secs(12.0)).await;
-                world.clear_faults();
+                simulation.clear_faults();
             }
             Fault::LateReportCopies => {
                 for _ in 0..6 {
                     sleep(secs(2.0)).await;
-                    world.send_recorded_copies();
+                    simulation.send_recorded_copies();
                 }
             }
             Fault::Restarts => {
                 for i in 0..CONTROLLERS {
-                    world.kill(i);
+                    simulation.kill(i);
                     sleep(secs(2.5)).await;
-                    world.start(i);
+                    simulation.start(i);
                     sleep(secs(1.5)).await;
                 }
             }
             Fault::LongOutage => {
-                world.state.trouble.set(StateFault::Outage);
+                simulation.state.trouble.set(StateFault::Outage);
                 sleep(longer_than_cancel).await;
-                world.state.trouble.set(StateFault::None);
+                simulation.state.trouble.set(StateFault::None);
             }
             Fault::OneRefused => {
-                world
+                simulation
                     .state
                     .fault_options
                     .borrow_mut()
                     .refused
                     .insert(refused_controller);
                 sleep(longer_than_cancel).await;
-                world.state.fault_options.borrow_mut().refused.clear();
+                simulation.state.fault_options.borrow_mut().refused.clear();
             }
         }
     }
@@ -143,11 +143,11 @@
 
 /// Polls every job at every controller, as users do, until the task is aborted. The
 /// stand-ins check the answers.
-async fn keep_polling(world: Rc<Simulation>, ids: Vec<String>) {
+async fn keep_polling(simulation: Rc<Simulation>, ids: Vec<String>) {
     loop {
         for id in &ids {
             for i in 0..CONTROLLERS {
-                world.stage(i, id).await;
+                simulation.stage(i, id).await;
             }
         }
         sleep(secs(1.0)).await;
@@ -159,23 +159,24 @@
     for (n, fault) in FAULTS.into_iter().enumerate() {
         for delay_s in [0.5, 4.0] {
             run_in_simulated_time(|| async move {
-                let world = Simulation::of(500 + n as u64, large_teams()).await;
-                wait_for_upgrade(&world).await;
-                world.copied.set(0.3);
-                let ids = submit_pipeline(&world, 5.0).await;
-                let polling = tokio::task::spawn_local(keep_polling(world.clone(), ids.clone()));
+                let simulation = Simulation::of(500 + n as u64, large_teams()).await;
+                wait_for_upgrade(&simulation).await;
+                simulation.copied.set(0.3);
+                let ids = submit_pipeline(&simulation, 5.0).await;
+                let polling =
+                    tokio::task::spawn_local(keep_polling(simulation.clone(), ids.clone()));
                 sleep(secs(delay_s)).await;
-                fault.inject(&world, n % CONTROLLERS).await;
+                fault.inject(&simulation, n % CONTROLLERS).await;
                 for id in &ids {
-                    world.wait_for_stage(id, "done", 200).await;
+                    simulation.wait_for_stage(id, "done", 200).await;
                 }
                 polling.abort();
-                let broken = world.reported_violations.borrow().clone();
+                let broken = simulation.reported_violations.borrow().clone();
                 assert!(
                     broken.is_empty(),
                     "{fault:?} after {delay_s} s: {broken:#?}"
                 );
-                world.assert_no_violations();
+                simulation.assert_no_violations();
             });
         }
     }
@@ -191,60 +192,61 @@
         for depth in 0..4 {
             run_in_simulated_time(|| async move {
                 let case = format!("{fault:?}, depth {depth}");
-                let world = Simulation::of(540 + (n * 4 + depth) as u64, large_teams()).await;
-                wait_for_upgrade(&world).await;
-                world.copied.set(0.3);
-                let ids = submit_pipeline(&world, 40.0).await;
-                world.wait_for_stage(&ids[0], "running", 60).await;
-                let polling = tokio::task::spawn_local(keep_polling(world.clone(), ids.clone()));
+                let simulation = Simulation::of(540 + (n * 4 + depth) as u64, large_teams()).await;
+                wait_for_upgrade(&simulation).await;
+                simulation.copied.set(0.3);
+                let ids = submit_pipeline(&simulation, 40.0).await;
+                simulation.wait_for_stage(&ids[0], "running", 60).await;
+                let polling =
+                    tokio::task::spawn_local(keep_polling(simulation.clone(), ids.clone()));
                 let injection = {
-                    let world = world.clone();
-                    tokio::task::spawn_local(
-                        async move { fault.inject(&world, n % CONTROLLERS).await },
-                    )
+                    let simulation = simulation.clone();
+                    tokio::task::spawn_local(async move {
+                        fault.inject(&simulation, n % CONTROLLERS).await
+                    })
                 };
                 let mut stage = None;
                 let start = Instant::now();
                 while stage.is_none() && start.elapsed() < secs(90.0) {
                     let id = &ids[depth];
                     let (answer_0, answer_1, answer_2) = tokio::join!(
-                        world.cancel(0, id),
-                        world.cancel(1, id),
-                        world.cancel(2, id)
+                        simulation.cancel(0, id),
+                        simulation.cancel(1, id),
+                        simulation.cancel(2, id)
                     );
                     stage = answer_0.or(answer_1).or(answer_2);
                     if stage.is_some() {
-                        world.query_concurrently(id).await;
-                        world.query_concurrently(&ids[4]).await;
+                        simulation.query_concurrently(id).await;
+                        simulation.query_concurrently(&ids[4]).await;
                     }
                     sleep(secs(1.0)).await;
                 }
                 assert_eq!(stage.as_deref(), Some("aborted"), "{case}");
                 injection.await.expect("the task that injects the fault");
                 // A job that awaits a cancelled job is accepted, and is cancelled.
-                let late_dependent = world
+                let late_dependent = simulation
                     .submit(with_dependencies(job(50, "batch", 1, 1.0), &[&ids[depth]]))
                     .await;
-                sleep(secs(world.shape.cancel_s)).await;
+                sleep(secs(simulation.shape.cancel_s)).await;
                 // The fifth job depends on the second and the third, but not on the fourth.
                 let dependents: Vec<&String> = match depth {
                     3 => vec![&ids[3], &late_dependent],
                     _ => ids[depth..].iter().chain([&late_dependent]).collect(),
                 };
                 for id in &dependents {
-                    assert_eq!(world.running(id), 0, "{case}: {id}");
+                    assert_eq!(simulation.running(id), 0, "{case}: {id}");
                     for i in 0..CONTROLLERS {
-                        let stage = world.stage(i, id).await;
+                        let stage = simulation.stage(i, id).await;
                         assert_eq!(stage.as_deref(), Some("aborted"), "{case}: {id} at n{i}");
                     }
                 }
                 for id in ids.iter().filter(|id| !dependents.contains(id)) {
-                    world.wait_for_stage(id, "done", 200).await;
+                    simulation.wait_for_stage(id, "done", 200).await;
                 }
                 polling.abort();
-                let broken = world.reported_violations.borrow().clone();
+                let broken = simulation.reported_violations.borrow().clone();
                 assert!(broken.is_empty(), "{case}: {broken:#?}");
-                world.assert_no_violations();
+                simulation.assert_no_violations();
             });
         }
     }
@@ -260,31 +262,31 @@
         .enumerate()
     {
         run_in_simulated_time(|| async move {
-            let world = Simulation::of(600 + n as u64, large_teams()).await;
-            wait_for_upgrade(&world).await;
-            let first = world.submit(job(1, "batch", 1, 2.0)).await;
-            let next = world
+            let simulation = Simulation::of(600 + n as u64, large_teams()).await;
+            wait_for_upgrade(&simulation).await;
+            let first = simulation.submit(job(1, "batch", 1, 2.0)).await;
+            let next = simulation
                 .submit(with_dependencies(job(2, "gang", 2, 8.0), &[&first]))
                 .await;
-            let last = world
+            let last = simulation
                 .submit(with_dependencies(job(3, "batch", 1, 1.0), &[&next]))
                 .await;
-            world.wait_for_stage(&first, "done", 60).await;
+            simulation.wait_for_stage(&first, "done", 60).await;
             let injection = {
-                let world = world.clone();
-                tokio::task::spawn_local(async move { fault.inject(&world, n).await })
+                let simulation = simulation.clone();
+                tokio::task::spawn_local(async move { fault.inject(&simulation, n).await })
             };
             for i in 0..CONTROLLERS {
-                let stage = world.cancel(i, &first).await;
+                let stage = simulation.cancel(i, &first).await;
                 assert!(
                     stage.as_deref().is_none_or(|stage| stage == "done"),
                     "{stage:?}"
                 );
             }
             injection.await.expect("the task that injects the fault");
-            assert_eq!(world.cancel(0, &first).await.as_deref(), Some("done"));
-            world.wait_for_stage(&last, "done", 120).await;
-            world.assert_no_violations();
+            assert_eq!(simulation.cancel(0, &first).await.as_deref(), Some("done"));
+            simulation.wait_for_stage(&last, "done", 120).await;
+            simulation.assert_no_violations();
         });
     }
 }
@@ -295,28 +297,31 @@
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(620, large_teams()).await;
-        wait_for_upgrade(&world).await;
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.wait_for_stage(&service, "running", 60).await;
+        let simulation = Simulation::of(620, large_teams()).await;
+        wait_for_upgrade(&simulation).await;
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 60).await;
         sleep(secs(30.0)).await;
-        let machines = world.workers.borrow().len();
-        let wide = world
+        let machines = simulation.workers.borrow().len();
+        let wide = simulation
             .submit(with_dependencies(job(2, "gang", 12, 5.0), &[&service]))
             .await;
-        let other = world.submit(job(3, "batch", 2, 2.0)).await;
-        world.wait_for_stage(&other, "done", 60).await;
+        let other = simulation.submit(job(3, "batch", 2, 2.0)).await;
+        simulation.wait_for_stage(&other, "done", 60).await;
         sleep(secs(60.0)).await;
-        assert_eq!(world.stage(1, &wide).await.as_deref(), Some("queued"));
+        assert_eq!(simulation.stage(1, &wide).await.as_deref(), Some("queued"));
         assert!(
-            world.workers.borrow().len() <= machines,
+            simulation.workers.borrow().len() <= machines,
             "idle machines are kept"
         );
-        assert_eq!(world.cancel(0, &service).await.as_deref(), Some("aborted"));
+        assert_eq!(
+            simulation.cancel(0, &service).await.as_deref(),
+            Some("aborted")
+        );
         for i in 0..CONTROLLERS {
-            assert_eq!(world.stage(i, &wide).await.as_deref(), Some("aborted"));
+            assert_eq!(simulation.stage(i, &wide).await.as_deref(), Some("aborted"));
         }
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -329,35 +334,37 @@
             teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 8.0, 64.0)],
             ..DeploymentOptions::default()
         };
-        let world = Simulation::of(630, shape).await;
-        wait_for_upgrade(&world).await;
+        let simulation = Simulation::of(630, shape).await;
+        wait_for_upgrade(&simulation).await;
         let mut first = job(1, "batch", 1, 60.0);
         first["crew"] = json!("u");
-        let first = world.submit(first).await;
-        world.wait_for_stage(&first, "running", 60).await;
+        let first = simulation.submit(first).await;
+        simulation.wait_for_stage(&first, "running", 60).await;
         let mut low_priority = job(2, "batch", 8, 500.0);
         low_priority["urgency"] = json!("low");
-        let low_priority = world.submit(low_priority).await;
+        let low_priority = simulation.submit(low_priority).await;
         let mut urgent = with_dependencies(job(3, "gang", 3, 2.0), &[&first]);
         urgent["urgency"] = json!("urgent");
         urgent["crew"] = json!("u");
-        let urgent = world.submit(urgent).await;
-        world.wait_for_stage(&low_priority, "running", 60).await;
+        let urgent = simulation.submit(urgent).await;
+        simulation
+            .wait_for_stage(&low_priority, "running", 60)
+            .await;
         sleep(secs(10.0)).await;
-        let (running, starts) = (world.running(&low_priority), world.starts.get());
-        while world.stage(0, &first).await.as_deref() != Some("done") {
+        let (running, starts) = (simulation.running(&low_priority), simulation.starts.get());
+        while simulation.stage(0, &first).await.as_deref() != Some("done") {
             assert!(
-                world.running(&low_priority) >= running,
+                simulation.running(&low_priority) >= running,
                 "tasks were preempted for a waiting job"
             );
             assert!(
-                world.starts.get() <= starts + 8,
+                simulation.starts.get() <= starts + 8,
                 "tasks were restarted repeatedly"
             );
             sleep(secs(1.0)).await;
         }
-        world.wait_for_stage(&urgent, "done", 60).await;
-        world.assert_no_violations();
+        simulation.wait_for_stage(&urgent, "done", 60).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -372,28 +379,28 @@
                 teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 2.0, 2.0)],
                 ..DeploymentOptions::default()
             };
-            let world = Simulation::of(640, shape).await;
-            wait_for_upgrade(&world).await;
+            let simulation = Simulation::of(640, shape).await;
+            wait_for_upgrade(&simulation).await;
             let mut blocker = job(1, "batch", 1, 160.0);
             blocker["crew"] = json!("u");
-            let blocker = world.submit(blocker).await;
-            world.wait_for_stage(&blocker, "running", 60).await;
-            let first = world.submit(job(2, "batch", 1, 90.0)).await;
+            let blocker = simulation.submit(blocker).await;
+            simulation.wait_for_stage(&blocker, "running", 60).await;
+            let first = simulation.submit(job(2, "batch", 1, 90.0)).await;
             // The blocker uses all of the limit of this job's team.
             let mut next = with_dependencies(job(3, "batch", 1, 1.0), &[&first]);
             next["crew"] = json!("u");
-            let next = world.submit(next).await;
-            world.wait_for_stage(&first, "done", 150).await;
+            let next = simulation.submit(next).await;
+            simulation.wait_for_stage(&first, "done", 150).await;
             let ready_at = Instant::now();
             if restarts {
                 for i in 0..CONTROLLERS {
-                    world.kill(i);
-                    world.start(i);
+                    simulation.kill(i);
+                    simulation.start(i);
                 }
             }
             sleep(secs(10.0)).await;
             for i in 0..CONTROLLERS {
-                let (_, details) = world
+                let (_, details) = simulation
                     .send_request(i, "GET", &format!("/ops/job/{next}"), None)
                     .await;
                 let waiting_s = details["known_s"].as_f64().expect("known_s");
@@ -403,8 +410,8 @@
                     "n{i}: {waiting_s} of {limit_s}: {details}"
                 );
             }
-            world.wait_for_stage(&next, "done", 200).await;
-            world.assert_no_violations();
+            simulation.wait_for_stage(&next, "done", 200).await;
+            simulation.assert_no_violations();
         });
     }
 }
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -69,29 +69,33 @@
 }
 
 /// Performs the steps of a history in their order.
-pub async fn run_steps(world: &Rc<Simulation>, controller: &ScriptedController, steps: Vec<Step>) {
+pub async fn run_steps(
+    simulation: &Rc<Simulation>,
+    controller: &ScriptedController,
+    steps: Vec<Step>,
+) {
     for step in steps {
         match step {
-            Submit(job) => submit(world, controller, &job, 201).await,
-            SubmitWithStatus(job, status) => submit(world, controller, &job, status).await,
+            Submit(job) => submit(simulation, controller, &job, 201).await,
+            SubmitWithStatus(job, status) => submit(simulation, controller, &job, status).await,
             Poll(id, status, stage) => {
                 controller.queue_response(status, stage);
-                world.stage(0, id).await;
+                simulation.stage(0, id).await;
             }
             Cancel(id, status, stage) => {
                 controller.queue_response(status, stage);
-                world.cancel(0, id).await;
+                simulation.cancel(0, id).await;
             }
             StartTask(machine, task) => controller.send_command(machine, "launch", task).await,
             StopTask(machine, task) => controller.send_command(machine, "stop", task).await,
             HangMachine(machine, seconds) => {
                 let name = format!("host-{machine:06}");
-                let worker = world.workers.borrow()[&name].0.clone();
+                let worker = simulation.workers.borrow()[&name].0.clone();
                 worker.hang(Duration::from_secs_f64(seconds));
             }
-            LoseMachine(machine) => world.lose(&format!("host-{machine:06}")),
-            WriteRecord(key, value) => world.state.write(key, &value),
-            PollFor(seconds, jobs) => poll_repeatedly(world, controller, seconds, &jobs).await,
+            LoseMachine(machine) => simulation.lose(&format!("host-{machine:06}")),
+            WriteRecord(key, value) => simulation.state.write(key, &value),
+            PollFor(seconds, jobs) => poll_repeatedly(simulation, controller, seconds, &jobs).await,
             Elapse(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         }
     }
@@ -99,21 +103,21 @@
 
 /// Submits a job, which gets a response with this status.
 pub async fn submit(
-    world: &Rc<Simulation>,
+    simulation: &Rc<Simulation>,
     controller: &ScriptedController,
     job: &Value,
     status: u16,
 ) {
-    world.register_job(job);
+    simulation.register_job(job);
     controller.queue_response(status, "queued");
-    world
+    simulation
         .send_request(0, "POST", "/submissions", Some(job))
         .await;
 }
 
 /// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
 pub async fn poll_repeatedly(
-    world: &Rc<Simulation>,
+    simulation: &Rc<Simulation>,
     controller: &ScriptedController,
     seconds: f64,
     jobs: &[(&str, u16)],
@@ -122,7 +126,7 @@
     for _ in 0..(seconds / INTERVAL_S) as usize {
         for (id, status) in jobs {
             controller.queue_response(*status, "queued");
-            world.stage(0, id).await;
+            simulation.stage(0, id).await;
         }
         sleep(Duration::from_secs_f64(INTERVAL_S)).await;
     }
@@ -136,14 +140,14 @@
         machines: MACHINE_COUNT,
         ..DeploymentOptions::default()
     };
-    let world = Simulation::without_controllers(1, shape).await;
-    let controller = ScriptedController::serve(&world).await;
+    let simulation = Simulation::without_controllers(1, shape).await;
+    let controller = ScriptedController::serve(&simulation).await;
     // Waits until the machines have booted and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
     for steps in parts {
-        run_steps(&world, &controller, steps).await;
+        run_steps(&simulation, &controller, steps).await;
     }
-    world.violations()
+    simulation.violations()
 }
 
 /// Runs each case both ways, and asserts that the checker reports the case's rule for the
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -13,36 +13,39 @@
 /// count as alive.
 #[test]
 fn late_copies_of_heartbeats_change_nothing() {
-    Scenario::new(14).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        let array = world.submit(job(2, "batch", 6, 4.0)).await;
-        world.wait_for_stage(&array, "done", 100).await;
+    Scenario::new(14).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        let array = simulation.submit(job(2, "batch", 6, 4.0)).await;
+        simulation.wait_for_stage(&array, "done", 100).await;
         sleep(Duration::from_secs(3)).await;
-        let name = world.machine_of(&service);
-        let heartbeats = world.workers.borrow()[&name].0.sent.borrow().clone();
-        let before = world.starts.get();
-        world.kill(0);
-        world.start(0);
+        let name = simulation.machine_of(&service);
+        let heartbeats = simulation.workers.borrow()[&name].0.sent.borrow().clone();
+        let before = simulation.starts.get();
+        simulation.kill(0);
+        simulation.start(0);
         for i in 0..CONTROLLERS {
-            world.send_heartbeat_copies(i, &heartbeats).await;
+            simulation.send_heartbeat_copies(i, &heartbeats).await;
         }
         sleep(Duration::from_secs(15)).await;
-        assert_eq!((world.running(&service), world.starts.get()), (2, before));
+        assert_eq!(
+            (simulation.running(&service), simulation.starts.get()),
+            (2, before)
+        );
         // The copies must not make the lost machine count as alive.
-        world.lose(&name);
+        simulation.lose(&name);
         for _ in 0..4 {
             sleep(Duration::from_secs(4)).await;
             for i in 0..CONTROLLERS {
-                world.send_heartbeat_copies(i, &heartbeats).await;
+                simulation.send_heartbeat_copies(i, &heartbeats).await;
             }
         }
         sleep(Duration::from_secs(20)).await;
         assert_eq!(
-            world.running(&service),
+            simulation.running(&service),
             2,
             "the replicas of the lost machine were not replaced"
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -52,12 +55,12 @@
 /// try unreachable controllers until its lease expires.
 #[test]
 fn worker_with_a_slow_claim_stays_for_a_limited_time() {
-    Scenario::new(19).run(|world| async move {
-        let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.wait_for_stage(&first, "done", 100).await;
-        let name = world.workers.borrow().keys().next().cloned();
+    Scenario::new(19).run(|simulation| async move {
+        let first = simulation.submit(job(1, "batch", 2, 2.0)).await;
+        simulation.wait_for_stage(&first, "done", 100).await;
+        let name = simulation.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        world.state.trouble.set(StateFault::CommitsRefused);
+        simulation.state.trouble.set(StateFault::CommitsRefused);
         // The worker's owner answers as usual; the others cannot claim the worker.
         let mut retaining_controllers = 0;
         for i in 0..CONTROLLERS {
@@ -66,7 +69,7 @@
                 let heartbeat = json!({"bay": name, "endpoint": "10.1.9.9:9000", "grade": "small",
                     "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
-                let (status, body) = world
+                let (status, body) = simulation
                     .send_request(i, "POST", "/agent/beat", Some(&heartbeat))
                     .await;
                 answers.push((status, body["baton"].as_u64()));
@@ -88,8 +91,8 @@
             );
         }
         assert_eq!(retaining_controllers, CONTROLLERS - 1);
-        world.state.trouble.set(StateFault::None);
-        world.assert_no_violations();
+        simulation.state.trouble.set(StateFault::None);
+        simulation.assert_no_violations();
     });
 }
 
@@ -97,12 +100,12 @@
 /// is answered immediately, without a token that would renew the lease.
 #[test]
 fn heartbeat_does_not_wait_for_a_refused_claim() {
-    Scenario::new(23).run(|world| async move {
-        let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.wait_for_stage(&first, "done", 100).await;
-        let name = world.workers.borrow().keys().next().cloned();
+    Scenario::new(23).run(|simulation| async move {
+        let first = simulation.submit(job(1, "batch", 2, 2.0)).await;
+        simulation.wait_for_stage(&first, "done", 100).await;
+        let name = simulation.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        world.state.trouble.set(StateFault::CommitsRefused);
+        simulation.state.trouble.set(StateFault::CommitsRefused);
         let mut unclaimed_answers = 0;
         for i in 0..CONTROLLERS {
             for sequence in 100..104 {
@@ -110,7 +113,7 @@
                     "yard": "a", "loaners": false, "shift": 1, "tally": sequence, "baton": 1,
                     "recall_s": null, "boards": []});
                 let sent_at = Instant::now();
-                let (status, body) = world
+                let (status, body) = simulation
                     .send_request(i, "POST", "/agent/beat", Some(&heartbeat))
                     .await;
                 let response_time = sent_at.elapsed();
@@ -124,8 +127,8 @@
             }
         }
         assert!(unclaimed_answers >= CONTROLLERS - 1, "{unclaimed_answers}");
-        world.state.trouble.set(StateFault::None);
-        world.assert_no_violations();
+        simulation.state.trouble.set(StateFault::None);
+        simulation.assert_no_violations();
     });
 }
 
@@ -137,15 +140,15 @@
 /// workers.
 #[test]
 fn workers_change_owner_when_cut_off_and_return_to_their_preferred_owner() {
-    Scenario::new(21).run(|world| async move {
+    Scenario::new(21).run(|simulation| async move {
         for n in 1..7 {
             let mut submission = job(n, "daemon", 2, 0.0);
             submission["vcpus"] = json!(1.0);
-            world.submit(submission).await;
+            simulation.submit(submission).await;
         }
         sleep(Duration::from_secs(40)).await;
         let owned_count = |name: &str| {
-            world
+            simulation
                 .machine_owners()
                 .iter()
                 .filter(|(_, owner)| owner == name)
@@ -154,29 +157,29 @@
         let partitioned = (0..CONTROLLERS).max_by_key(|i| owned_count(&format!("n{i}")));
         let partitioned = partitioned.expect("a controller");
         let name = format!("n{partitioned}");
-        assert!(owned_count(&name) > 1, "{:?}", world.machine_owners());
-        world.set_worker_partition(partitioned, true);
+        assert!(owned_count(&name) > 1, "{:?}", simulation.machine_owners());
+        simulation.set_worker_partition(partitioned, true);
         sleep(Duration::from_secs(14)).await;
         // Its last worker may be the one that is unreachable, so that worker is
         // redirected back to it once.
         assert!(
             owned_count(&name) <= 1,
             "workers were not claimed by another controller: {:?}",
-            world.machine_owners()
+            simulation.machine_owners()
         );
-        let expired_leases = world.expired_lease_count();
+        let expired_leases = simulation.expired_lease_count();
         assert!(expired_leases <= 1, "leases have expired");
-        world.set_worker_partition(partitioned, false);
+        simulation.set_worker_partition(partitioned, false);
         sleep(Duration::from_secs(60)).await;
-        let not_returned = world
+        let not_returned = simulation
             .machine_owners()
             .into_iter()
             .find(|(preferred, owner)| preferred != owner);
         assert_eq!(not_returned, None, "a worker is not at its preferred owner");
         assert!(
-            world.expired_lease_count() <= expired_leases,
+            simulation.expired_lease_count() <= expired_leases,
             "leases have expired"
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -9,39 +9,45 @@
 
 #[test]
 fn each_kind_of_job_runs_until_done_or_cancelled() {
-    Scenario::new(1).run(|world| async move {
-        let array = world.submit(job(1, "batch", 20, 5.0)).await;
-        let gang = world.submit(job(2, "gang", 2, 8.0)).await;
-        let service = world.submit(job(3, "daemon", 2, 0.0)).await;
-        world.wait_for_stage(&array, "done", 200).await;
-        world.wait_for_stage(&gang, "done", 200).await;
-        world.wait_for_stage(&service, "running", 60).await;
+    Scenario::new(1).run(|simulation| async move {
+        let array = simulation.submit(job(1, "batch", 20, 5.0)).await;
+        let gang = simulation.submit(job(2, "gang", 2, 8.0)).await;
+        let service = simulation.submit(job(3, "daemon", 2, 0.0)).await;
+        simulation.wait_for_stage(&array, "done", 200).await;
+        simulation.wait_for_stage(&gang, "done", 200).await;
+        simulation.wait_for_stage(&service, "running", 60).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(world.running(&service), 2);
-        assert_eq!(world.cancel(1, &service).await.as_deref(), Some("aborted"));
+        assert_eq!(simulation.running(&service), 2);
+        assert_eq!(
+            simulation.cancel(1, &service).await.as_deref(),
+            Some("aborted")
+        );
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(world.running(&service), 0);
+        assert_eq!(simulation.running(&service), 0);
         for i in 0..CONTROLLERS {
-            assert_eq!(world.stage(i, &array).await.as_deref(), Some("done"));
-            assert_eq!(world.stage(i, &service).await.as_deref(), Some("aborted"));
-            assert_eq!(world.cancel(i, &array).await.as_deref(), Some("done"));
+            assert_eq!(simulation.stage(i, &array).await.as_deref(), Some("done"));
+            assert_eq!(
+                simulation.stage(i, &service).await.as_deref(),
+                Some("aborted")
+            );
+            assert_eq!(simulation.cancel(i, &array).await.as_deref(), Some("done"));
         }
         // No job is left, so all machines are returned.
         sleep(Duration::from_secs(60)).await;
-        assert_eq!(world.workers.borrow().len(), 0);
-        world.assert_no_violations();
+        assert_eq!(simulation.workers.borrow().len(), 0);
+        simulation.assert_no_violations();
     });
 }
 
 #[test]
 fn concurrent_submissions_of_one_id_create_one_job() {
-    Scenario::new(2).run(|world| async move {
-        world.submit(job(1, "batch", 1, 1.0)).await;
+    Scenario::new(2).run(|simulation| async move {
+        simulation.submit(job(1, "batch", 1, 1.0)).await;
         let submission = job(7, "batch", 2, 3.0);
         let (a, b, c) = tokio::join!(
-            world.send_request(0, "POST", "/submissions", Some(&submission)),
-            world.send_request(1, "POST", "/submissions", Some(&submission)),
-            world.send_request(2, "POST", "/submissions", Some(&submission)),
+            simulation.send_request(0, "POST", "/submissions", Some(&submission)),
+            simulation.send_request(1, "POST", "/submissions", Some(&submission)),
+            simulation.send_request(2, "POST", "/submissions", Some(&submission)),
         );
         let mut statuses = [a.0, b.0, c.0];
         statuses.sort_unstable();
@@ -51,34 +57,40 @@
         let mut changed = submission.clone();
         changed["crew"] = json!("nobody");
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "POST", "/submissions", Some(&changed))
                 .await
                 .0,
             200
         );
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "POST", "/submissions", Some(&json!([])))
                 .await
                 .0,
             400
         );
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "GET", "/submissions/job-999999", None)
                 .await
                 .0,
             404
         );
-        assert_eq!(world.send_request(0, "GET", "/nowhere", None).await.0, 404);
         assert_eq!(
-            world.send_request(0, "PUT", "/submissions", None).await.0,
+            simulation.send_request(0, "GET", "/nowhere", None).await.0,
+            404
+        );
+        assert_eq!(
+            simulation
+                .send_request(0, "PUT", "/submissions", None)
+                .await
+                .0,
             405
         );
         changed["name_id"] = json!("job-000008");
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "POST", "/submissions", Some(&changed))
                 .await
                 .0,
@@ -92,32 +104,35 @@
 /// booted.
 #[test]
 fn preemption_frees_capacity_for_all_replicas_of_a_service_together() {
-    Scenario::new(16).run(|world| async move {
+    Scenario::new(16).run(|simulation| async move {
         let mut low_priority = job(1, "batch", 4, 300.0);
         low_priority["urgency"] = json!("low");
         low_priority["crew"] = json!("u");
-        let array = world.submit(low_priority).await;
-        world.wait_for_stage(&array, "running", 60).await;
+        let array = simulation.submit(low_priority).await;
+        simulation.wait_for_stage(&array, "running", 60).await;
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(world.running(&array), 4);
+        assert_eq!(simulation.running(&array), 4);
         let mut service = job(2, "daemon", 4, 0.0);
         service["urgency"] = json!("prod");
-        let service = world.submit(service).await;
+        let service = simulation.submit(service).await;
         sleep(Duration::from_millis(3500)).await;
-        assert_eq!((world.running(&service), world.running(&array)), (4, 0));
-        world.assert_no_violations();
+        assert_eq!(
+            (simulation.running(&service), simulation.running(&array)),
+            (4, 0)
+        );
+        simulation.assert_no_violations();
     });
 }
 
 #[test]
 fn operators_see_unfinished_jobs_and_their_reasons() {
-    Scenario::new(10).run(|world| async move {
-        let first = world.submit(job(1, "gang", 6, 300.0)).await;
-        world.wait_for_stage(&first, "running", 100).await;
-        let second = world.submit(job(2, "gang", 2, 5.0)).await;
+    Scenario::new(10).run(|simulation| async move {
+        let first = simulation.submit(job(1, "gang", 6, 300.0)).await;
+        simulation.wait_for_stage(&first, "running", 100).await;
+        let second = simulation.submit(job(2, "gang", 2, 5.0)).await;
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
-            let (status, report) = world.send_request(i, "GET", "/ops/report", None).await;
+            let (status, report) = simulation.send_request(i, "GET", "/ops/report", None).await;
             assert_eq!(
                 (status, &report["unfinished"]),
                 (200, &json!(2)),
@@ -129,18 +144,18 @@
                 .find(|j| j["job"] == second.as_str())
                 .expect("the second job");
             assert_eq!(reported["reason"], "its team is at its limit", "{reported}");
-            let (_, teams) = world.send_request(i, "GET", "/ops/teams", None).await;
+            let (_, teams) = simulation.send_request(i, "GET", "/ops/teams", None).await;
             assert_eq!(teams[0]["cpus_used"], 12.0);
             assert_eq!(teams[0]["cpus_borrowed"], 4.0);
             assert_eq!(teams[0]["why"], "its team is at its limit");
         }
-        let (_, details) = world
+        let (_, details) = simulation
             .send_request(0, "GET", &format!("/ops/job/{first}"), None)
             .await;
         assert_eq!(
             (&details["running"], &details["stage"]),
             (&json!(6), &json!("running"))
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
