--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -9,47 +9,50 @@
 
 #[test]
 fn lost_machines_are_replaced() {
-    Scenario::new(6).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        let gang = world.submit(job(2, "gang", 2, 20.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(6).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        let gang = simulation.submit(job(2, "gang", 2, 20.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(12)).await;
-        let names: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names {
-            world.lose(&name);
+            simulation.lose(&name);
         }
-        world.wait_for_stage(&gang, "done", 200).await;
-        assert_eq!(world.running(&service), 2);
-        world.assert_no_violations();
+        simulation.wait_for_stage(&gang, "done", 200).await;
+        assert_eq!(simulation.running(&service), 2);
+        simulation.assert_no_violations();
     });
 }
 
 #[test]
 fn machine_that_rejects_tasks_is_returned_and_its_jobs_run_elsewhere() {
-    Scenario::new(9).run(|world| async move {
-        let first = world.submit(job(1, "batch", 4, 2.0)).await;
-        world.wait_for_stage(&first, "done", 100).await;
-        let name = world
+    Scenario::new(9).run(|simulation| async move {
+        let first = simulation.submit(job(1, "batch", 4, 2.0)).await;
+        simulation.wait_for_stage(&first, "done", 100).await;
+        let name = simulation
             .workers
             .borrow()
             .keys()
             .next()
             .cloned()
             .expect("a machine");
-        world.workers.borrow()[&name].0.fails_all_tasks.set(true);
+        simulation.workers.borrow()[&name]
+            .0
+            .fails_all_tasks
+            .set(true);
         for n in 2..6 {
-            world.submit(job(n, "batch", 4, 2.0)).await;
+            simulation.submit(job(n, "batch", 4, 2.0)).await;
         }
         for n in 2..6 {
-            world
+            simulation
                 .wait_for_stage(&format!("job-{n:06}"), "done", 300)
                 .await;
         }
         assert!(
-            !world.workers.borrow().contains_key(&name),
+            !simulation.workers.borrow().contains_key(&name),
             "the machine is still rented"
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -58,43 +61,46 @@
 /// with the machines on which they failed, and end immediately when they are cancelled.
 #[test]
 fn failures_of_a_faulty_job_are_not_attributed_to_machines() {
-    Scenario::new(23).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 3, 0.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(23).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 3, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         let kinds = ["batch", "gang", "daemon", "batch", "gang", "batch"];
         for (n, kind) in (10..).zip(kinds) {
             let mut submission = job(n, kind, if kind == "batch" { 6 } else { 2 }, 3.0);
             submission["blueprint"] = json!("mistake");
             submission["vcpus"] = json!(0.5);
-            world.submit(submission).await;
+            simulation.submit(submission).await;
         }
         sleep(Duration::from_secs(60)).await;
-        let machines: Vec<String> = world.workers.borrow().keys().cloned().collect();
-        let starts = world.starts.get();
+        let machines: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
+        let starts = simulation.starts.get();
         sleep(Duration::from_secs(60)).await;
         // Six jobs with one attempt per minute each once they count as faulty; an
         // attempt of a gang starts two tasks.
         assert!(
-            world.starts.get() - starts <= 16,
+            simulation.starts.get() - starts <= 16,
             "{}",
-            world.starts.get() - starts
+            simulation.starts.get() - starts
         );
         assert!(
-            world.starts.get() > starts,
+            simulation.starts.get() > starts,
             "the faulty jobs were never retried"
         );
-        let rented: Vec<String> = world.workers.borrow().keys().cloned().collect();
+        let rented: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         assert!(
             machines.iter().all(|m| rented.contains(m)),
             "healthy machines were returned"
         );
         assert_eq!(
-            (world.running(&service), world.expired_lease_count()),
+            (
+                simulation.running(&service),
+                simulation.expired_lease_count()
+            ),
             (3, 0)
         );
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            let (status, details) = world
+            let (status, details) = simulation
                 .send_request(0, "GET", &format!("/ops/job/{id}"), None)
                 .await;
             assert_eq!(status, 200);
@@ -104,15 +110,19 @@
                     .expect("machines")
                     .is_empty()
             );
-            assert_eq!(world.stage(1, &id).await.as_deref(), Some("queued"), "{id}");
+            assert_eq!(
+                simulation.stage(1, &id).await.as_deref(),
+                Some("queued"),
+                "{id}"
+            );
         }
-        let good = world.submit(job(30, "gang", 2, 2.0)).await;
-        world.wait_for_stage(&good, "done", 40).await;
+        let good = simulation.submit(job(30, "gang", 2, 2.0)).await;
+        simulation.wait_for_stage(&good, "done", 40).await;
         for n in 10..16 {
             let id = format!("job-{n:06}");
-            assert_eq!(world.cancel(1, &id).await.as_deref(), Some("aborted"));
+            assert_eq!(simulation.cancel(1, &id).await.as_deref(), Some("aborted"));
         }
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -121,24 +131,24 @@
 /// receives no new tasks, and it is returned.
 #[test]
 fn machine_that_receives_no_messages_is_replaced() {
-    Scenario::new(12).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(12).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let name = world.machine_of(&service);
-        let worker = world.workers.borrow()[&name].0.clone();
+        let name = simulation.machine_of(&service);
+        let worker = simulation.workers.borrow()[&name].0.clone();
         worker.inbound_blocked.set(true);
         sleep(Duration::from_secs(25)).await;
-        let running = world.running(&service);
+        let running = simulation.running(&service);
         assert_eq!(running, 2, "the replica was not started elsewhere");
-        let array = world.submit(job(2, "batch", 4, 3.0)).await;
-        world.wait_for_stage(&array, "done", 100).await;
+        let array = simulation.submit(job(2, "batch", 4, 3.0)).await;
+        simulation.wait_for_stage(&array, "done", 100).await;
         sleep(Duration::from_secs(10)).await;
         assert!(
-            !world.workers.borrow().contains_key(&name),
+            !simulation.workers.borrow().contains_key(&name),
             "the machine is still rented"
         );
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -146,29 +156,32 @@
 /// again.
 #[test]
 fn machine_that_receives_messages_again_is_used_again() {
-    Scenario::new(13).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(13).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let name = world.machine_of(&service);
-        let worker = world.workers.borrow()[&name].0.clone();
+        let name = simulation.machine_of(&service);
+        let worker = simulation.workers.borrow()[&name].0.clone();
         worker.inbound_blocked.set(true);
         sleep(Duration::from_secs(3)).await;
         worker.inbound_blocked.set(false);
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(world.running(&service), 2);
+        assert_eq!(simulation.running(&service), 2);
         assert_eq!(
-            world.machine_of(&service),
+            simulation.machine_of(&service),
             name,
             "the service was moved needlessly"
         );
         // Other jobs use its capacity once the service is cancelled.
-        assert_eq!(world.cancel(0, &service).await.as_deref(), Some("aborted"));
-        let array = world.submit(job(2, "batch", 2, 20.0)).await;
-        world.wait_for_stage(&array, "running", 60).await;
+        assert_eq!(
+            simulation.cancel(0, &service).await.as_deref(),
+            Some("aborted")
+        );
+        let array = simulation.submit(job(2, "batch", 2, 20.0)).await;
+        simulation.wait_for_stage(&array, "running", 60).await;
         sleep(Duration::from_secs(3)).await;
-        assert_eq!(world.machine_of(&array), name);
-        world.assert_no_violations();
+        assert_eq!(simulation.machine_of(&array), name);
+        simulation.assert_no_violations();
     });
 }
 
@@ -177,30 +190,34 @@
 /// series of rentals and returns.
 #[test]
 fn machines_that_never_boot_are_replaced_and_returned() {
-    Scenario::new(60).run(|world| async move {
-        world.failed_boot_zone.set(Some("a"));
+    Scenario::new(60).run(|simulation| async move {
+        simulation.failed_boot_zone.set(Some("a"));
         let jobs = [("batch", 4), ("gang", 2), ("daemon", 2)];
         for (n, (kind, tasks)) in (1..).zip(jobs) {
-            world.submit(job(n, kind, tasks, 3.0)).await;
+            simulation.submit(job(n, kind, tasks, 3.0)).await;
         }
-        world.wait_for_stage("job-000001", "done", 40).await;
-        world.wait_for_stage("job-000002", "done", 40).await;
-        world.wait_for_stage("job-000003", "running", 20).await;
-        assert!(world.rented.get() <= 9, "{}", world.rented.get());
+        simulation.wait_for_stage("job-000001", "done", 40).await;
+        simulation.wait_for_stage("job-000002", "done", 40).await;
+        simulation.wait_for_stage("job-000003", "running", 20).await;
+        assert!(simulation.rented.get() <= 9, "{}", simulation.rented.get());
         let mut bound = job(4, "batch", 2, 3.0);
         bound["yard"] = json!("a");
-        let bound = world.submit(bound).await;
+        let bound = simulation.submit(bound).await;
         sleep(Duration::from_secs(300)).await;
         // One machine for the two tasks, another one when that is late, and so on,
         // after longer and longer delays.
-        assert!(world.rented.get() <= 9 + 12, "{}", world.rented.get());
-        assert_eq!(world.stage(0, &bound).await.as_deref(), Some("queued"));
-        world.failed_boot_zone.set(None);
-        world.wait_for_stage(&bound, "done", 400).await;
+        assert!(
+            simulation.rented.get() <= 9 + 12,
+            "{}",
+            simulation.rented.get()
+        );
+        assert_eq!(simulation.stage(0, &bound).await.as_deref(), Some("queued"));
+        simulation.failed_boot_zone.set(None);
+        simulation.wait_for_stage(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
-        let rented = world.workers.borrow().len();
+        let rented = simulation.workers.borrow().len();
         assert!(rented <= 3, "{rented} machines");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -208,20 +225,20 @@
 /// lease in the state still valid, continues with the rental, and rents no machine twice.
 #[test]
 fn restarted_fleet_leader_continues_its_rentals() {
-    Scenario::new(15).run(|world| async move {
-        let first = world.submit(job(1, "batch", 2, 2.0)).await;
-        world.wait_for_stage(&first, "done", 100).await;
+    Scenario::new(15).run(|simulation| async move {
+        let first = simulation.submit(job(1, "batch", 2, 2.0)).await;
+        simulation.wait_for_stage(&first, "done", 100).await;
         // In the middle of a rental: the intent to rent is committed in the state, and
         // the cloud's answer gets lost.
-        let gang = world.submit(job(2, "gang", 5, 5.0)).await;
+        let gang = simulation.submit(job(2, "gang", 5, 5.0)).await;
         sleep(Duration::from_millis(700)).await;
         for i in 0..CONTROLLERS {
-            world.kill(i);
-            world.start(i);
+            simulation.kill(i);
+            simulation.start(i);
         }
-        world.wait_for_stage(&gang, "done", 60).await;
-        let rented = world.workers.borrow().len();
+        simulation.wait_for_stage(&gang, "done", 60).await;
+        let rented = simulation.workers.borrow().len();
         assert!(rented <= 5, "{rented} machines for five tasks");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -11,29 +11,29 @@
 /// cancellation, so it must let its workers' leases expire in time.
 #[test]
 fn controller_without_state_service_keeps_no_cancelled_task() {
-    Scenario::new(7).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(7).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 4, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(world.running(&service), 4);
+        assert_eq!(simulation.running(&service), 4);
         // All controllers but one lose the state service; their workers stay with
         // them as long as they answer.
         for i in 0..CONTROLLERS - 1 {
-            world.fabric.cut(controller(i), state_addr(i));
+            simulation.fabric.cut(controller(i), state_addr(i));
         }
         sleep(Duration::from_secs(1)).await;
         let last = CONTROLLERS - 1;
         let mut stage = None;
         for _ in 0..10 {
-            stage = world.cancel(last, &service).await;
+            stage = simulation.cancel(last, &service).await;
             if stage.is_some() {
                 break;
             }
         }
         assert_eq!(stage.as_deref(), Some("aborted"));
         sleep(Duration::from_secs(40)).await;
-        assert_eq!(world.running(&service), 0);
-        world.assert_no_violations();
+        assert_eq!(simulation.running(&service), 0);
+        simulation.assert_no_violations();
     });
 }
 
@@ -41,18 +41,21 @@
 /// of their own zone.
 #[test]
 fn tasks_keep_running_while_zones_are_partitioned() {
-    Scenario::new(11).run(|world| async move {
+    Scenario::new(11).run(|simulation| async move {
         let mut spread = job(1, "daemon", 4, 0.0);
         spread["scatter"] = json!(true);
-        let service = world.submit(spread).await;
-        world.wait_for_stage(&service, "running", 100).await;
+        let service = simulation.submit(spread).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
-        assert_eq!(world.running(&service), 4);
-        let before = world.starts.get();
-        world.partition_zones();
+        assert_eq!(simulation.running(&service), 4);
+        let before = simulation.starts.get();
+        simulation.partition_zones();
         sleep(Duration::from_secs(30)).await;
-        assert_eq!((world.running(&service), world.starts.get()), (4, before));
-        world.assert_no_violations();
+        assert_eq!(
+            (simulation.running(&service), simulation.starts.get()),
+            (4, before)
+        );
+        simulation.assert_no_violations();
     });
 }
 
@@ -73,48 +76,56 @@
         (&all, 35.0, u64::MAX),
     ];
     for (n, (frozen, seconds, allowed_expiries)) in cases.into_iter().enumerate() {
-        Scenario::new(40 + n as u64).run(|world| async move {
-            let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-            let finished = world.submit(job(2, "batch", 4, 2.0)).await;
-            world.wait_for_stage(&service, "running", 100).await;
-            world.wait_for_stage(&finished, "done", 100).await;
-            let gang = world.submit(job(3, "gang", 2, 60.0)).await;
-            world.wait_for_stage(&gang, "running", 100).await;
+        Scenario::new(40 + n as u64).run(|simulation| async move {
+            let service = simulation.submit(job(1, "daemon", 4, 0.0)).await;
+            let finished = simulation.submit(job(2, "batch", 4, 2.0)).await;
+            simulation.wait_for_stage(&service, "running", 100).await;
+            simulation.wait_for_stage(&finished, "done", 100).await;
+            let gang = simulation.submit(job(3, "gang", 2, 60.0)).await;
+            simulation.wait_for_stage(&gang, "running", 100).await;
             sleep(Duration::from_secs(5)).await;
-            let used_machines: Vec<String> = [&service, &gang].map(|j| world.machine_of(j)).into();
-            let array = world.submit(job(4, "batch", 8, 4.0)).await;
-            frozen.iter().for_each(|i| world.set_paused(*i, true));
+            let used_machines: Vec<String> =
+                [&service, &gang].map(|j| simulation.machine_of(j)).into();
+            let array = simulation.submit(job(4, "batch", 8, 4.0)).await;
+            frozen.iter().for_each(|i| simulation.set_paused(*i, true));
             sleep(Duration::from_secs_f64(seconds)).await;
             // A controller that is not frozen confirms a cancellation meanwhile.
             if let Some(i) = (0..CONTROLLERS).find(|i| !frozen.contains(i)) {
-                assert_eq!(world.cancel(i, &array).await.as_deref(), Some("aborted"));
+                assert_eq!(
+                    simulation.cancel(i, &array).await.as_deref(),
+                    Some("aborted")
+                );
             }
-            let starts = world.starts.get();
-            frozen.iter().for_each(|i| world.set_paused(*i, false));
+            let starts = simulation.starts.get();
+            frozen.iter().for_each(|i| simulation.set_paused(*i, false));
             sleep(Duration::from_secs(3)).await;
             if frozen.len() < CONTROLLERS {
-                assert_eq!(world.running(&array), 0, "case {n}: a cancelled task runs");
+                assert_eq!(
+                    simulation.running(&array),
+                    0,
+                    "case {n}: a cancelled task runs"
+                );
                 assert!(
-                    world.starts.get() - starts <= 2,
+                    simulation.starts.get() - starts <= 2,
                     "case {n}: outdated launches"
                 );
             }
             // Freezes one of them again while it recovers.
-            world.set_paused(frozen[0], true);
+            simulation.set_paused(frozen[0], true);
             sleep(Duration::from_secs(5)).await;
-            world.set_paused(frozen[0], false);
+            simulation.set_paused(frozen[0], false);
             sleep(Duration::from_secs(40)).await;
             for name in used_machines.iter().filter(|_| allowed_expiries == 0) {
-                let is_rented = world.workers.borrow().contains_key(name);
+                let is_rented = simulation.workers.borrow().contains_key(name);
                 assert!(is_rented, "case {n}: {name} was returned");
             }
             assert!(
-                world.expired_lease_count() <= allowed_expiries,
+                simulation.expired_lease_count() <= allowed_expiries,
                 "case {n}: leases have expired"
             );
-            assert_eq!(world.running(&service), 4, "case {n}");
-            world.wait_for_stage(&gang, "done", 200).await;
-            world.assert_no_violations();
+            assert_eq!(simulation.running(&service), 4, "case {n}");
+            simulation.wait_for_stage(&gang, "done", 200).await;
+            simulation.assert_no_violations();
         });
     }
 }
@@ -126,18 +137,18 @@
 fn single_controller_keeps_its_machines_after_a_freeze() {
     Scenario::new(50)
         .single_controller()
-        .run(|world| async move {
-            let service = world.submit(job(1, "daemon", 4, 0.0)).await;
-            world.wait_for_stage(&service, "running", 100).await;
+        .run(|simulation| async move {
+            let service = simulation.submit(job(1, "daemon", 4, 0.0)).await;
+            simulation.wait_for_stage(&service, "running", 100).await;
             sleep(Duration::from_secs(20)).await;
-            let before: Vec<String> = world.workers.borrow().keys().cloned().collect();
-            world.set_paused(0, true);
+            let before: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
+            simulation.set_paused(0, true);
             sleep(Duration::from_secs(26)).await;
-            world.set_paused(0, false);
+            simulation.set_paused(0, false);
             sleep(Duration::from_secs(20)).await;
-            let after: Vec<String> = world.workers.borrow().keys().cloned().collect();
+            let after: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
             assert_eq!(before, after);
-            assert_eq!(world.running(&service), 4);
-            world.assert_no_violations();
+            assert_eq!(simulation.running(&service), 4);
+            simulation.assert_no_violations();
         });
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -16,27 +16,30 @@
 
 #[test]
 fn jobs_survive_a_restart_of_all_controllers() {
-    Scenario::new(3).run(|world| async move {
-        let array = world.submit(job(1, "batch", 30, 6.0)).await;
-        let service = world.submit(job(2, "daemon", 1, 0.0)).await;
-        let finished = world.submit(job(3, "batch", 1, 1.0)).await;
-        world.wait_for_stage(&finished, "done", 100).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(3).run(|simulation| async move {
+        let array = simulation.submit(job(1, "batch", 30, 6.0)).await;
+        let service = simulation.submit(job(2, "daemon", 1, 0.0)).await;
+        let finished = simulation.submit(job(3, "batch", 1, 1.0)).await;
+        simulation.wait_for_stage(&finished, "done", 100).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(3)).await;
         for i in 0..CONTROLLERS {
-            world.kill(i);
+            simulation.kill(i);
         }
         sleep(Duration::from_secs(4)).await;
         for i in 0..CONTROLLERS {
-            world.start(i);
+            simulation.start(i);
         }
         sleep(Duration::from_secs(4)).await;
         // The controllers are back before the workers' leases expire, so the service
         // still runs.
-        assert_eq!(world.running(&service), 1);
-        assert_eq!(world.stage(0, &finished).await.as_deref(), Some("done"));
-        world.wait_for_stage(&array, "done", 300).await;
-        world.assert_no_violations();
+        assert_eq!(simulation.running(&service), 1);
+        assert_eq!(
+            simulation.stage(0, &finished).await.as_deref(),
+            Some("done")
+        );
+        simulation.wait_for_stage(&array, "done", 300).await;
+        simulation.assert_no_violations();
     });
 }
 
@@ -45,39 +48,39 @@
 #[test]
 fn jobs_complete_despite_lost_and_late_commit_answers() {
     for (seed, trouble) in [(4, StateFault::LostResponses), (5, StateFault::LateCommits)] {
-        Scenario::new(seed).run(|world| async move {
-            let first = world.submit(job(1, "batch", 12, 4.0)).await;
-            world.state.trouble.set(trouble);
+        Scenario::new(seed).run(|simulation| async move {
+            let first = simulation.submit(job(1, "batch", 12, 4.0)).await;
+            simulation.state.trouble.set(trouble);
             for n in 2..6 {
-                world.state.faulty_commits_left.set(3);
-                world
+                simulation.state.faulty_commits_left.set(3);
+                simulation
                     .submit(job(n, if n % 2 == 0 { "gang" } else { "batch" }, 3, 4.0))
                     .await;
                 sleep(Duration::from_secs(6)).await;
             }
-            world.state.faulty_commits_left.set(0);
-            world.wait_for_stage(&first, "done", 300).await;
+            simulation.state.faulty_commits_left.set(0);
+            simulation.wait_for_stage(&first, "done", 300).await;
             for n in 2..6 {
-                world
+                simulation
                     .wait_for_stage(&format!("job-{n:06}"), "done", 300)
                     .await;
             }
-            world.assert_no_violations();
+            simulation.assert_no_violations();
         });
     }
 }
 
 #[test]
 fn tasks_keep_running_during_an_outage_of_the_state_service() {
-    Scenario::new(8).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 3, 0.0)).await;
-        world.wait_for_stage(&service, "running", 100).await;
+    Scenario::new(8).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 3, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let before = world.starts.get();
-        world.state.trouble.set(StateFault::Outage);
+        let before = simulation.starts.get();
+        simulation.state.trouble.set(StateFault::Outage);
         sleep(Duration::from_secs(12)).await;
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "POST", "/submissions", Some(&job(2, "batch", 1, 1.0)))
                 .await
                 .0,
@@ -85,16 +88,19 @@
         );
         // The stage of an unfinished job must not be answered from an old view.
         assert_eq!(
-            world
+            simulation
                 .send_request(0, "GET", &format!("/submissions/{service}"), None)
                 .await
                 .0,
             503
         );
-        world.state.trouble.set(StateFault::None);
+        simulation.state.trouble.set(StateFault::None);
         sleep(Duration::from_secs(10)).await;
-        assert_eq!((world.running(&service), world.starts.get()), (3, before));
-        world.assert_no_violations();
+        assert_eq!(
+            (simulation.running(&service), simulation.starts.get()),
+            (3, before)
+        );
+        simulation.assert_no_violations();
     });
 }
 
@@ -103,19 +109,22 @@
 /// answer forever.
 #[test]
 fn oversized_watch_answer_is_replaced_by_paged_reads() {
-    Scenario::new(17).run(|world| async move {
-        let service = world.submit(job(1, "daemon", 2, 0.0)).await;
-        world.wait_for_stage(&service, "running", 60).await;
-        world.state.trouble.set(StateFault::OversizedWatchResponses);
+    Scenario::new(17).run(|simulation| async move {
+        let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
+        simulation.wait_for_stage(&service, "running", 60).await;
+        simulation
+            .state
+            .trouble
+            .set(StateFault::OversizedWatchResponses);
         let start = tokio::time::Instant::now();
         for n in 2..6 {
-            let array = world.submit(job(n, "batch", 2, 1.0)).await;
-            world.wait_for_stage(&array, "done", 30).await;
+            let array = simulation.submit(job(n, "batch", 2, 1.0)).await;
+            simulation.wait_for_stage(&array, "done", 30).await;
         }
         let elapsed = start.elapsed();
         assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
-        assert_eq!(world.running(&service), 2);
-        world.assert_no_violations();
+        assert_eq!(simulation.running(&service), 2);
+        simulation.assert_no_violations();
     });
 }
 
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -93,8 +93,8 @@
 
 impl Checker {
     /// Returns a checker that observes every commit of the deployment from now on.
-    pub fn watch(world: &Simulation) -> Rc<Self> {
-        let checker = Rc::new(Checker::new(&world.shape));
+    pub fn watch(simulation: &Simulation) -> Rc<Self> {
+        let checker = Rc::new(Checker::new(&simulation.shape));
         let observer = checker.clone();
         let observe = move |pairs: &BTreeMap<String, (Value, u64)>, keys: &[&str], revision| {
             let value = |key: &str| pairs.get(key).map(|pair| pair.0.clone());
@@ -102,7 +102,11 @@
                 keys.iter().map(|key| (*key, value(key))).collect();
             observer.observe(&written, revision);
         };
-        world.state.observers.borrow_mut().push(Box::new(observe));
+        simulation
+            .state
+            .observers
+            .borrow_mut()
+            .push(Box::new(observe));
         checker
     }
 
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -53,7 +53,7 @@
 
 /// The state of one run of the test.
 struct ChurnTest {
-    world: Rc<Simulation>,
+    simulation: Rc<Simulation>,
     checker: Rc<Checker>,
     rng: RefCell<SmallRng>,
     /// Requests of accepted moves, which are repeated at random.
@@ -79,7 +79,7 @@
         let Some(share) = self.checker.share(team) else {
             return;
         };
-        let count = self.world.shape.controllers;
+        let count = self.simulation.shape.controllers;
         let has_capacity =
             |controller: &usize| share.target_for(&format!("n{controller}")).cpus.units() >= 1.0;
         let sources: Vec<usize> = (0..count).filter(has_capacity).collect();
@@ -92,7 +92,7 @@
         let number = *self.request_count.borrow() + 1;
         *self.request_count.borrow_mut() = number;
         let body = move_request(&format!("m-{number}"), team, from, to, cpus as f64);
-        let (status, _) = request_move(&self.world, self.random_index(count), &body).await;
+        let (status, _) = request_move(&self.simulation, self.random_index(count), &body).await;
         if status == 200 {
             self.accepted_moves.borrow_mut().push(body);
         }
@@ -100,7 +100,7 @@
         if repeat {
             let accepted_count = self.accepted_moves.borrow().len();
             let body = self.accepted_moves.borrow()[self.random_index(accepted_count)].clone();
-            request_move(&self.world, self.random_index(count), &body).await;
+            request_move(&self.simulation, self.random_index(count), &body).await;
         }
     }
 
@@ -113,7 +113,7 @@
             let run_s = 4.0 + self.random_index(20) as f64;
             let mut job_request = job(n, kind, 1 + self.random_index(4) as u32, run_s);
             job_request["crew"] = json!(TEAMS[self.random_index(TEAMS.len())]);
-            let id = self.world.submit(job_request).await;
+            let id = self.simulation.submit(job_request).await;
             if kind == "daemon" {
                 self.services.borrow_mut().push(id.clone());
             }
@@ -121,7 +121,7 @@
         }
         let oldest = self.open_jobs.borrow_mut().pop_front();
         if let Some(id) = oldest
-            && (self.world.is_service(&id) || self.random_index(3) == 0)
+            && (self.simulation.is_service(&id) || self.random_index(3) == 0)
         {
             self.cancel(&id).await;
         }
@@ -131,8 +131,8 @@
     async fn cancel(&self, id: &str) {
         for attempt in 0..30 {
             if self
-                .world
-                .cancel(attempt % self.world.shape.controllers, id)
+                .simulation
+                .cancel(attempt % self.simulation.shape.controllers, id)
                 .await
                 .is_some()
             {
@@ -154,41 +154,41 @@
         if self.checker.is_moving() {
             *self.pending_during.borrow_mut().entry(fault).or_default() += 1;
         }
-        let world = &self.world;
-        let controller = self.random_index(world.shape.controllers);
+        let simulation = &self.simulation;
+        let controller = self.random_index(simulation.shape.controllers);
         let duration = secs(2.0 + self.random_index(12) as f64);
         match fault {
             Fault::ControllerStops => {
-                world.kill(controller);
+                simulation.kill(controller);
                 self.request_moves_for(duration).await;
             }
             Fault::ControllerRestarts => {
-                world.kill(controller);
+                simulation.kill(controller);
                 sleep(secs(0.2)).await;
-                world.start(controller);
+                simulation.start(controller);
             }
             Fault::TwoControllersStop => {
-                world.kill(controller);
-                world.kill((controller + 1) % world.shape.controllers);
+                simulation.kill(controller);
+                simulation.kill((controller + 1) % simulation.shape.controllers);
                 self.request_moves_for(duration).await;
             }
             Fault::ControllerCutOff => {
-                world.set_controller_partition(controller, true);
+                simulation.set_controller_partition(controller, true);
                 self.request_moves_for(duration).await;
-                world.set_controller_partition(controller, false);
+                simulation.set_controller_partition(controller, false);
             }
             Fault::ControllerLosesPeers => {
-                world.set_peer_partition(controller, true);
+                simulation.set_peer_partition(controller, true);
                 self.request_moves_for(duration).await;
-                world.set_peer_partition(controller, false);
+                simulation.set_peer_partition(controller, false);
             }
             Fault::ControllerFreezes => {
-                world.set_paused(controller, true);
+                simulation.set_paused(controller, true);
                 self.request_moves_for(duration).await;
-                world.set_paused(controller, false);
+                simulation.set_paused(controller, false);
             }
             Fault::StateServiceRefusesController => {
-                world
+                simulation
                     .state
                     .fault_options
                     .borrow_mut()
@@ -197,25 +197,25 @@
                 self.request_moves_for(duration).await;
             }
             Fault::StateServiceDown => {
-                world.state.trouble.set(StateFault::Outage);
+                simulation.state.trouble.set(StateFault::Outage);
                 sleep(duration).await;
             }
             Fault::CommitsLate => {
-                world.state.fault_options.borrow_mut().late = 0.3;
+                simulation.state.fault_options.borrow_mut().late = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::CommitsUnanswered => {
-                world.state.fault_options.borrow_mut().unanswered = 0.3;
+                simulation.state.fault_options.borrow_mut().unanswered = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::MachineLost => {
-                let busy = world.busy();
+                let busy = simulation.busy();
                 if let Some(machine) = busy.choose(&mut *self.rng.borrow_mut()) {
-                    world.lose(machine.name());
+                    simulation.lose(machine.name());
                 }
             }
         }
-        world.clear_faults();
+        simulation.clear_faults();
     }
 
     /// Requests moves during a fault, for this time.
@@ -232,17 +232,17 @@
     async fn fill_team_limits(&self) {
         let first_number = *self.submitted_count.borrow() + 1;
         // Services of four CPUs each, which together fill the limits.
-        let mut ids = start_services(&self.world, first_number, 12, "t").await;
-        ids.extend(start_services(&self.world, first_number + 12, 10, "u").await);
-        assert!(ids.iter().all(|id| self.world.running(id) == 2));
+        let mut ids = start_services(&self.simulation, first_number, 12, "t").await;
+        ids.extend(start_services(&self.simulation, first_number + 12, 10, "u").await);
+        assert!(ids.iter().all(|id| self.simulation.running(id) == 2));
     }
 
     /// Ends all faults, cancels the services, and waits until no move is pending and every other
     /// job is done.
     async fn wait_until_settled(&self) {
-        self.world.clear_faults();
+        self.simulation.clear_faults();
         for id in self.services.take() {
-            if !self.world.is_cancelled(&id) {
+            if !self.simulation.is_cancelled(&id) {
                 self.cancel(&id).await;
             }
         }
@@ -253,8 +253,8 @@
             sleep(secs(0.5)).await;
         }
         for id in self.open_jobs.take() {
-            if !self.world.is_cancelled(&id) {
-                self.world.wait_for_stage(&id, "done", 150).await;
+            if !self.simulation.is_cancelled(&id) {
+                self.simulation.wait_for_stage(&id, "done", 150).await;
             }
         }
     }
@@ -264,11 +264,11 @@
 /// state.
 fn run_churn(seed: u64, controllers: usize, moves: usize) {
     run_in_simulated_time(|| async move {
-        let world = Simulation::of(seed, shape(controllers)).await;
-        let checker = Checker::watch(&world);
+        let simulation = Simulation::of(seed, shape(controllers)).await;
+        let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         let test = ChurnTest {
-            world: world.clone(),
+            simulation: simulation.clone(),
             checker: checker.clone(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             accepted_moves: RefCell::default(),
@@ -320,8 +320,11 @@
             assert!(count > 0, "{counts:?}");
         }
         checker.assert_no_violations(&format!("seed {seed}"));
-        assert_eq!(*world.state.rejected_commits.borrow(), Vec::<String>::new());
-        world.assert_no_violations();
+        assert_eq!(
+            *simulation.state.rejected_commits.borrow(),
+            Vec::<String>::new()
+        );
+        simulation.assert_no_violations();
     });
 }
 
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -16,29 +16,29 @@
 const SHARE_PREFIXES: [&str; 3] = ["sh/share/", "sh/use/", "sh/pool"];
 
 /// Restarts a controller with shares enabled or disabled.
-async fn restart(world: &Simulation, controller: usize, enabled: bool) {
-    world.kill(controller);
-    world.shares.borrow_mut().insert(controller, enabled);
+async fn restart(simulation: &Simulation, controller: usize, enabled: bool) {
+    simulation.kill(controller);
+    simulation.shares.borrow_mut().insert(controller, enabled);
     sleep(secs(2.0)).await;
-    world.start(controller);
+    simulation.start(controller);
     sleep(secs(3.0)).await;
 }
 
 /// Submits arrays and gangs at intervals until the returned flag is set. The task returns the
 /// ids of the jobs.
 fn start_load(
-    world: &Rc<Simulation>,
+    simulation: &Rc<Simulation>,
     first_number: u32,
 ) -> (Rc<Cell<bool>>, JoinHandle<Vec<String>>) {
     let stopped = Rc::new(Cell::new(false));
-    let (world, is_stopped) = (world.clone(), stopped.clone());
+    let (simulation, is_stopped) = (simulation.clone(), stopped.clone());
     let task = spawn_local(async move {
         let mut ids = Vec::new();
         while !is_stopped.get() {
             let n = first_number + ids.len() as u32;
             let mut job_request = job(n, ["batch", "gang"][ids.len() % 2], 2, 6.0);
             job_request["crew"] = json!(TEAMS[ids.len() % 2]);
-            ids.push(world.submit(job_request).await);
+            ids.push(simulation.submit(job_request).await);
             sleep(secs(1.5)).await;
         }
         ids
@@ -48,7 +48,7 @@
 
 /// Lets the state service accept the change of the first team's accounting and refuse those of
 /// other teams.
-fn refuse_changes_after_the_first(world: &Simulation) {
+fn refuse_changes_after_the_first(simulation: &Simulation) {
     let has_changed = Cell::new(false);
     let gate = move |_: usize, body: &Value| {
         let writes = body["writes"].as_array().cloned().unwrap_or_default();
@@ -61,13 +61,13 @@
             });
         is_change && has_changed.replace(true)
     };
-    *world.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
+    *simulation.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
 }
 
 /// Requests a move at the controllers in turn until one of them accepts it.
-async fn request_until_accepted(world: &Simulation, body: &Value) {
+async fn request_until_accepted(simulation: &Simulation, body: &Value) {
     for attempt in 0..30 {
-        if request_move(world, attempt % world.shape.controllers, body)
+        if request_move(simulation, attempt % simulation.shape.controllers, body)
             .await
             .0
             == 200
@@ -80,11 +80,11 @@
 }
 
 /// Returns whether share records or the pool are stored.
-fn has_shares(world: &Simulation) -> bool {
+fn has_shares(simulation: &Simulation) -> bool {
     // Usage records remain stored after shares are disabled and no longer count.
     ["sh/share/", "sh/pool"]
         .iter()
-        .any(|table| !world.state.records(table).is_empty())
+        .any(|table| !simulation.state.records(table).is_empty())
 }
 
 /// Returns the runs of these jobs, with their machines and attempts.
@@ -102,22 +102,22 @@
     run_in_simulated_time(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
-        let world = Simulation::of(61, disabled).await;
-        let checker = Checker::watch(&world);
-        let ids = start_services(&world, 1, 6, "t").await;
+        let simulation = Simulation::of(61, disabled).await;
+        let checker = Checker::watch(&simulation);
+        let ids = start_services(&simulation, 1, 6, "t").await;
         sleep(secs(5.0)).await;
         let before = runs_of(&checker, &ids);
-        let (stopped, arrays) = start_load(&world, 100);
+        let (stopped, arrays) = start_load(&simulation, 100);
         for round in 0..3 {
             let enabled = round % 2 == 0;
-            refuse_changes_after_the_first(&world);
+            refuse_changes_after_the_first(&simulation);
             for controller in 0..3 {
                 assert_eq!(
-                    has_shares(&world),
+                    has_shares(&simulation),
                     !enabled,
                     "round {round}: changed before n{controller} restarted"
                 );
-                restart(&world, controller, enabled).await;
+                restart(&simulation, controller, enabled).await;
                 if !enabled {
                     break;
                 }
@@ -132,13 +132,13 @@
             wait_until("one team has changed", 60.0, || changed_teams() == 1).await;
             sleep(secs(1.0)).await;
             assert_eq!(changed_teams(), 1);
-            world.kill(round);
+            simulation.kill(round);
             sleep(secs(1.0)).await;
-            world.start(round);
-            *world.state.commit_refusal.borrow_mut() = None;
+            simulation.start(round);
+            *simulation.state.commit_refusal.borrow_mut() = None;
             wait_until("all teams have changed", 90.0, || match enabled {
                 true => changed_teams() == 2,
-                false => !has_shares(&world),
+                false => !has_shares(&simulation),
             })
             .await;
             if enabled {
@@ -146,12 +146,12 @@
                     (0..3).find(|controller| granted_cpus(&checker, "t", *controller) >= 1.0);
                 let source = source.expect("a source");
                 let body = move_request(&format!("in-{round}"), "t", source, (source + 1) % 3, 1.0);
-                request_until_accepted(&world, &body).await;
+                request_until_accepted(&simulation, &body).await;
                 wait_until("the move is done", 60.0, || !checker.is_moving()).await;
             } else {
                 // The other controllers restart one after another.
                 for controller in 1..3 {
-                    restart(&world, controller, false).await;
+                    restart(&simulation, controller, false).await;
                 }
             }
             assert_eq!(runs_of(&checker, &ids), before, "round {round}");
@@ -159,15 +159,15 @@
         }
         stopped.set(true);
         for id in arrays.await.expect("the load") {
-            world.wait_for_stage(&id, "done", 120).await;
+            simulation.wait_for_stage(&id, "done", 120).await;
         }
         // No booking was lost in the accounting: a job beyond the filled limit doesn't run.
-        start_services(&world, 20, 6, "t").await;
-        let job_beyond_limit = world.submit(job(40, "daemon", 1, 10.0)).await;
+        start_services(&simulation, 20, 6, "t").await;
+        let job_beyond_limit = simulation.submit(job(40, "daemon", 1, 10.0)).await;
         sleep(secs(20.0)).await;
-        assert_eq!(world.running(&job_beyond_limit), 0);
+        assert_eq!(simulation.running(&job_beyond_limit), 0);
         checker.assert_no_violations("");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
 
@@ -177,42 +177,42 @@
 #[test]
 fn shares_are_not_written_while_older_versions_run() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(62, shape(3)).await;
-        world
+        let simulation = Simulation::of(62, shape(3)).await;
+        simulation
             .state
             .previous_version_controllers
             .borrow_mut()
             .extend(0..3);
-        let checker = Checker::watch(&world);
-        let ids = start_services(&world, 1, 4, "t").await;
+        let checker = Checker::watch(&simulation);
+        let ids = start_services(&simulation, 1, 4, "t").await;
         sleep(secs(5.0)).await;
         let before = runs_of(&checker, &ids);
         for controller in 0..3 {
             sleep(secs(10.0)).await;
             for table in SHARE_PREFIXES {
                 assert!(
-                    world.state.records(table).is_empty(),
+                    simulation.state.records(table).is_empty(),
                     "{table} before n{controller}"
                 );
             }
             assert_eq!(
-                world.state.keys_unreadable_by_production(),
+                simulation.state.keys_unreadable_by_production(),
                 Vec::<String>::new()
             );
-            world.kill(controller);
-            world
+            simulation.kill(controller);
+            simulation
                 .state
                 .previous_version_controllers
                 .borrow_mut()
                 .remove(&controller);
-            world.start(controller);
+            simulation.start(controller);
         }
         wait_until_shares_enabled(&checker).await;
-        let team = world.state.value("sh/team/t").expect("a record");
+        let team = simulation.state.value("sh/team/t").expect("a record");
         assert_eq!(team["u"]["c"], json!(16_000));
         assert_eq!(runs_of(&checker, &ids), before);
-        start_services(&world, 10, 4, "t").await;
+        start_services(&simulation, 10, 4, "t").await;
         checker.assert_no_violations("");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -97,7 +97,7 @@
 /// ones. Returns the flag that enables the refusals, and the controller that sent the first
 /// transfer.
 fn refuse_transfers_after_the_first(
-    world: &Simulation,
+    simulation: &Simulation,
 ) -> (Rc<Cell<bool>>, Rc<Cell<Option<usize>>>) {
     let refusing = Rc::new(Cell::new(true));
     let first_sender = Rc::new(Cell::new(None));
@@ -118,7 +118,7 @@
         }
         is_refusing.get()
     };
-    *world.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
+    *simulation.state.commit_refusal.borrow_mut() = Some(Box::new(gate));
     (refusing, first_sender)
 }
 
@@ -128,19 +128,19 @@
 #[test]
 fn overlapping_moves_complete_after_a_controller_is_killed() {
     run_in_real_time(|| async {
-        let world = Simulation::without_controllers(51, loopback_shape()).await;
-        let checker = Checker::watch(&world);
-        let deployment = Deployment::start(&world.shape);
+        let simulation = Simulation::without_controllers(51, loopback_shape()).await;
+        let checker = Checker::watch(&simulation);
+        let deployment = Deployment::start(&simulation.shape);
         wait_until("shares are enabled", async || {
             ["t", "u"].iter().all(|team| checker.share(team).is_some())
         })
         .await;
         let mut ids = Vec::new();
         for n in 1..=SERVICES {
-            ids.push(world.submit(job(n, "daemon", 2, 10.0)).await);
+            ids.push(simulation.submit(job(n, "daemon", 2, 10.0)).await);
         }
         wait_until("the services run", async || {
-            ids.iter().all(|id| world.running(id) == 2)
+            ids.iter().all(|id| simulation.running(id) == 2)
         })
         .await;
         // All of the team's capacity is moved to n0 first.
@@ -158,7 +158,7 @@
         assert!(all >= 40.0, "{all}");
         let before = checker.placements();
 
-        let (refusing, first_sender) = refuse_transfers_after_the_first(&world);
+        let (refusing, first_sender) = refuse_transfers_after_the_first(&simulation);
         move_share(&format!(
             "share move t --from n0 --to n1 --cpus {all} --id there"
         ))
@@ -202,9 +202,9 @@
         }
         // All bookings are on the same machines and in the same attempts as before.
         assert_eq!(checker.placements(), before);
-        assert!(ids.iter().all(|id| world.running(id) == 2));
+        assert!(ids.iter().all(|id| simulation.running(id) == 2));
         assert!(checker.counts().jobs_reassigned >= SERVICES as usize);
         checker.assert_no_violations("");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
 }
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -25,7 +25,7 @@
 }
 
 /// Counts bookings, and the records written by the commits that contain bookings.
-fn count_bookings(world: &Simulation) -> Rc<Cell<(usize, usize)>> {
+fn count_bookings(simulation: &Simulation) -> Rc<Cell<(usize, usize)>> {
     let counts = Rc::new(Cell::new((0, 0)));
     let counter = counts.clone();
     let observe = move |_: &_, keys: &[&str], _| {
@@ -38,7 +38,11 @@
             counter.set((bookings + jobs, writes + keys.len()));
         }
     };
-    world.state.observers.borrow_mut().push(Box::new(observe));
+    simulation
+        .state
+        .observers
+        .borrow_mut()
+        .push(Box::new(observe));
     counts
 }
 
@@ -49,34 +53,34 @@
     run_in_simulated_time(|| async move {
         let mut deployment = shape(controllers);
         deployment.shares = shares;
-        let world = Simulation::of(seed, deployment).await;
-        let checker = Checker::watch(&world);
+        let simulation = Simulation::of(seed, deployment).await;
+        let checker = Checker::watch(&simulation);
         match shares {
             true => wait_until_shares_enabled(&checker).await,
             false => sleep(secs(10.0)).await,
         }
-        let counts = count_bookings(&world);
-        let conflicts = world.state.conflicts.get();
+        let counts = count_bookings(&simulation);
+        let conflicts = simulation.state.conflicts.get();
         let start = Instant::now();
         let mut ids = Vec::new();
         for n in 1..=JOBS {
             let mut job_request = job(n, ["batch", "gang"][n as usize / 2 % 2], 2, 3.0);
             job_request["crew"] = json!(TEAMS[n as usize % 2]);
-            ids.push(world.submit(job_request).await);
+            ids.push(simulation.submit(job_request).await);
             sleep(secs(0.1)).await;
         }
         for id in &ids {
-            world.wait_for_stage(id, "done", 200).await;
+            simulation.wait_for_stage(id, "done", 200).await;
         }
         let (bookings, writes) = counts.get();
         result.set(Figures {
             bookings,
             writes,
-            conflicts: world.state.conflicts.get() - conflicts,
+            conflicts: simulation.state.conflicts.get() - conflicts,
             seconds: start.elapsed().as_secs_f64(),
         });
         checker.assert_no_violations("");
-        world.assert_no_violations();
+        simulation.assert_no_violations();
     });
     figures.get()
 }
@@ -117,10 +121,10 @@
 #[test]
 fn moves_complete_within_two_report_intervals() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(77, shape(5)).await;
-        let checker = Checker::watch(&world);
+        let simulation = Simulation::of(77, shape(5)).await;
+        let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
-        start_services(&world, 1, 10, "t").await;
+        start_services(&simulation, 1, 10, "t").await;
         let mut durations = Vec::new();
         for n in 0..40 {
             let source = (0..5).max_by_key(|i| granted_cpus(&checker, "t", *i) as i64);
@@ -128,7 +132,7 @@
             let cpus = [4.0, 8.0][n % 2];
             let body = move_request(&format!("m-{n}"), "t", source, (source + 1) % 5, cpus);
             let request_time = Instant::now();
-            assert_eq!(request_move(&world, n % 5, &body).await.0, 200);
+            assert_eq!(request_move(&simulation, n % 5, &body).await.0, 200);
             wait_until("the move is done", 30.0, || !checker.is_moving()).await;
             durations.push(request_time.elapsed().as_secs_f64());
         }
@@ -137,7 +141,10 @@
             "a move takes {:.2} s, 9 of 10 up to {:.2} s, at most {:.2} s",
             durations[20], durations[36], durations[39]
         );
-        assert!(durations[36] <= world.shape.report_s * 2.0, "{durations:?}");
+        assert!(
+            durations[36] <= simulation.shape.report_s * 2.0,
+            "{durations:?}"
+        );
         checker.assert_no_violations("");
     });
 }
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -15,21 +15,21 @@
 #[test]
 fn every_controller_gives_the_same_response() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(41, shape(3)).await;
-        let checker = Checker::watch(&world);
+        let simulation = Simulation::of(41, shape(3)).await;
+        let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
-        start_services(&world, 1, 4, "t").await;
+        start_services(&simulation, 1, 4, "t").await;
         let source = (0..3).find(|i| granted_cpus(&checker, "t", *i) >= 1.0);
         let source = source.expect("a source");
         let request = move_request("one", "t", source, (source + 1) % 3, 1.0);
-        assert_eq!(request_move(&world, 2, &request).await.0, 200);
+        assert_eq!(request_move(&simulation, 2, &request).await.0, 200);
         wait_until("the move is done", 30.0, || !checker.is_moving()).await;
-        world.kill(2);
+        simulation.kill(2);
         for path in ["/ops/shares", "/ops/shares?team=t", "/ops/shares/moves"] {
-            let responses = responses_of_same_revision(&world, path).await;
+            let responses = responses_of_same_revision(&simulation, path).await;
             assert_eq!(responses[0], responses[1], "{path}");
         }
-        let (_, report) = world
+        let (_, report) = simulation
             .send_request(0, "GET", "/ops/shares?team=t", None)
             .await;
         let report: ShareReport = serde_json::from_value(report).expect("a report");
@@ -45,17 +45,17 @@
             .sum();
         assert_eq!(used, 16.0);
         for path in ["/ops/shares?team=x", "/ops/shares/moves?id=x"] {
-            assert_eq!(world.send_request(0, "GET", path, None).await.0, 404);
+            assert_eq!(simulation.send_request(0, "GET", path, None).await.0, 404);
         }
     });
 }
 
 /// Queries two controllers until their responses are of the same revision, and returns the
 /// responses.
-async fn responses_of_same_revision(world: &Simulation, path: &str) -> [Value; 2] {
+async fn responses_of_same_revision(simulation: &Simulation, path: &str) -> [Value; 2] {
     for _ in 0..200 {
-        let (_, first) = world.send_request(0, "GET", path, None).await;
-        let (_, second) = world.send_request(1, "GET", path, None).await;
+        let (_, first) = simulation.send_request(0, "GET", path, None).await;
+        let (_, second) = simulation.send_request(1, "GET", path, None).await;
         if first["revision"] == second["revision"] {
             return [first, second];
         }
@@ -68,27 +68,27 @@
 #[test]
 fn controller_that_cannot_commit_refuses_immediately() {
     run_in_simulated_time(|| async {
-        let world = Simulation::of(42, shape(3)).await;
-        let checker = Checker::watch(&world);
+        let simulation = Simulation::of(42, shape(3)).await;
+        let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
-        start_services(&world, 1, 4, "t").await;
-        world.state.trouble.set(StateFault::Outage);
-        sleep(secs(world.shape.lease_s)).await;
+        start_services(&simulation, 1, 4, "t").await;
+        simulation.state.trouble.set(StateFault::Outage);
+        sleep(secs(simulation.shape.lease_s)).await;
         let source = (0..3).find(|i| granted_cpus(&checker, "t", *i) >= 1.0);
         let source = source.expect("a source");
         let request = move_request("one", "t", source, (source + 1) % 3, 1.0);
         let request_time = Instant::now();
-        let (status, answer) = request_move(&world, 0, &request).await;
+        let (status, answer) = request_move(&simulation, 0, &request).await;
         assert_eq!(status, 503, "{answer}");
         assert!(
             request_time.elapsed() < secs(0.5),
             "{:?}",
             request_time.elapsed()
         );
-        world.clear_faults();
+        simulation.clear_faults();
         sleep(secs(5.0)).await;
         assert_eq!(checker.counts().moves, 0);
-        assert_eq!(request_move(&world, 0, &request).await.0, 200);
+        assert_eq!(request_move(&simulation, 0, &request).await.0, 200);
         assert_eq!(checker.counts().moves, 1);
         checker.assert_no_violations("");
     });
--- a/tests/shares/setup.rs
+++ b/tests/shares/setup.rs
@@ -58,8 +58,12 @@
 }
 
 /// Requests a move at one controller, once, and returns the status and the response.
-pub async fn request_move(world: &Simulation, controller: usize, body: &Value) -> (u16, Value) {
-    world
+pub async fn request_move(
+    simulation: &Simulation,
+    controller: usize,
+    body: &Value,
+) -> (u16, Value) {
+    simulation
         .send_request(controller, "POST", "/ops/shares/move", Some(body))
         .await
 }
@@ -73,7 +77,7 @@
 /// Submits services of two tasks, which run until they are cancelled, and waits until they
 /// run.
 pub async fn start_services(
-    world: &Rc<Simulation>,
+    simulation: &Rc<Simulation>,
     first_number: u32,
     count: u32,
     team: &str,
@@ -82,10 +86,10 @@
     for n in first_number..first_number + count {
         let mut service = job(n, "daemon", 2, 10.0);
         service["crew"] = json!(team);
-        ids.push(world.submit(service).await);
+        ids.push(simulation.submit(service).await);
     }
     for id in &ids {
-        let running = || world.running(id) == 2;
+        let running = || simulation.running(id) == 2;
         wait_until(id, 100.0, running).await;
     }
     ids
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -26,8 +26,8 @@
 struct UnthrottledClient(Client);
 
 impl UnthrottledClient {
-    fn new(world: &Simulation) -> Self {
-        let net = Net::Simulated(world.fabric.clone(), addr(CLIENT));
+    fn new(simulation: &Simulation) -> Self {
+        let net = Net::Simulated(simulation.fabric.clone(), addr(CLIENT));
         let client = Client::new(net, Duration::from_secs(30));
         UnthrottledClient(client.with_limits(usize::MAX, 4 << 20))
     }
@@ -62,10 +62,10 @@
 /// Starts a deployment without controllers whose state service has these limits, with a
 /// client.
 async fn world_with_limits(limits: StateLimits) -> (Rc<Simulation>, UnthrottledClient) {
-    let world = Simulation::without_controllers(7, DeploymentOptions::default()).await;
-    world.state.limits.set(limits);
-    let client = UnthrottledClient::new(&world);
-    (world, client)
+    let simulation = Simulation::without_controllers(7, DeploymentOptions::default()).await;
+    simulation.state.limits.set(limits);
+    let client = UnthrottledClient::new(&simulation);
+    (simulation, client)
 }
 
 /// Limits on sizes, without limits on rates.
@@ -122,12 +122,12 @@
         ("space", commit_of_key("c/1"), commit_of_key("c 1")),
     ];
     run_in_simulated_time(|| async move {
-        let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
+        let (simulation, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (limit, within, over) in cases {
             assert_eq!(client.commit(within).await, 200, "{limit}");
             assert_eq!(client.commit(over).await, 400, "{limit}");
         }
-        assert_eq!(world.state.rejected_commits.borrow().len(), 5);
+        assert_eq!(simulation.state.rejected_commits.borrow().len(), 5);
         // Seven values of the maximum size fit into one request, eight do not.
         assert_eq!(
             client
@@ -144,7 +144,7 @@
             .call(state_addr(0), "POST", "/commit", Some(oversized), timeout);
         let status = response.await.map(|response| response.status);
         assert!(!matches!(status, Ok(200)), "{status:?}");
-        let last = world.state.value("c/7");
+        let last = simulation.state.value("c/7");
         assert_eq!(
             last,
             Some(json!(1)),
@@ -156,7 +156,7 @@
 #[test]
 fn requests_and_writes_over_rate_limits_are_refused() {
     run_in_simulated_time(|| async move {
-        let (world, client) = world_with_limits(StateLimits {
+        let (simulation, client) = world_with_limits(StateLimits {
             write_rps: 24.0,
             rps: 40.0,
             ..SIZE_LIMITS_ONLY
@@ -167,13 +167,13 @@
             statuses.push(client.commit(commit_of_writes(12, &json!(1))).await);
         }
         assert_eq!(statuses, [200, 200, 429]);
-        assert_eq!(world.state.rate_limited_commits.get(), 1);
+        assert_eq!(simulation.state.rate_limited_commits.get(), 1);
         let mut refused = 0;
         for _ in 0..40 {
             refused += usize::from(client.get("/store/c/1").await.0 == 429);
         }
         assert_eq!(refused, 3, "of a burst of 40, three of which were commits");
-        assert_eq!(world.state.rate_limited_requests.get(), 3);
+        assert_eq!(simulation.state.rate_limited_requests.get(), 3);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(client.commit(commit_of_writes(12, &json!(1))).await, 200);
     });
@@ -182,7 +182,7 @@
 #[test]
 fn lists_are_paged_and_old_watch_revisions_fail() {
     run_in_simulated_time(|| async move {
-        let (world, client) = world_with_limits(StateLimits {
+        let (simulation, client) = world_with_limits(StateLimits {
             txn_ops: 2000,
             ..SIZE_LIMITS_ONLY
         })
@@ -205,7 +205,7 @@
             assert_eq!(page["truncated"], json!(truncated), "{path}");
         }
         for n in 0..100 {
-            world
+            simulation
                 .state
                 .write(&format!("long/{n:03}"), &value_with_length(8000));
         }
@@ -249,7 +249,7 @@
         ),
     ];
     run_in_simulated_time(|| async move {
-        let (world, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
+        let (simulation, client) = world_with_limits(SIZE_LIMITS_ONLY).await;
         for (method, path, within, over, over_path) in cases {
             let (status, _) = client.ask(addr(CLOUD), method, path, within).await;
             assert_eq!(status, 200, "{path}");
@@ -261,7 +261,7 @@
             let (status, _) = client.ask(addr(CLOUD), method, path, over).await;
             assert_eq!(status, 400, "{path}");
         }
-        assert_eq!(world.refused_cloud_requests.borrow().len(), 3);
+        assert_eq!(simulation.refused_cloud_requests.borrow().len(), 3);
         let (_, list) = client
             .ask(addr(CLOUD), "GET", "/rentals?limit=20", None)
             .await;
--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -61,8 +61,8 @@
     /// Starts the deployment and runs `test` in it.
     pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<Simulation>) -> F) {
         run_in_simulated_time(|| async move {
-            let world = Simulation::of(self.seed, self.shape).await;
-            test(world).await;
+            let simulation = Simulation::of(self.seed, self.shape).await;
+            test(simulation).await;
         });
     }
 }
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -106,8 +106,8 @@
     pub fn send_recorded_copies(self: &Rc<Self>) {
         let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
-            let (world, copies) = (self.clone(), copies.clone());
-            spawn_local(async move { world.send_heartbeat_copies(i, &copies).await });
+            let (simulation, copies) = (self.clone(), copies.clone());
+            spawn_local(async move { simulation.send_heartbeat_copies(i, &copies).await });
         }
     }
 
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -259,22 +259,22 @@
 
     /// Starts a deployment with all of its controllers.
     pub async fn of(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
-        let world = Self::unstarted(seed, shape);
-        world.serve_stand_ins().await;
-        for i in 0..world.shape.controllers {
-            world.start(i);
+        let simulation = Self::unstarted(seed, shape);
+        simulation.serve_stand_ins().await;
+        for i in 0..simulation.shape.controllers {
+            simulation.start(i);
         }
-        world.spawn_rule_checks();
-        world
+        simulation.spawn_rule_checks();
+        simulation
     }
 
     /// Starts a deployment without controllers, for a test that acts as the controllers
     /// itself.
     pub async fn without_controllers(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
-        let world = Self::unstarted(seed, shape);
-        world.serve_stand_ins().await;
-        world.spawn_rule_checks();
-        world
+        let simulation = Self::unstarted(seed, shape);
+        simulation.serve_stand_ins().await;
+        simulation.spawn_rule_checks();
+        simulation
     }
 
     /// Returns a deployment none of whose parts is started.
@@ -355,11 +355,11 @@
 
     /// Starts the periodic check of the tasks on machines.
     fn spawn_rule_checks(self: &Rc<Self>) {
-        let world = self.clone();
+        let simulation = self.clone();
         spawn_local(async move {
             loop {
-                sleep(world.shape.lease().div_f64(100.0)).await;
-                world.check_machines();
+                sleep(simulation.shape.lease().div_f64(100.0)).await;
+                simulation.check_machines();
             }
         });
     }
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -22,15 +22,15 @@
 
 /// A scripted stand-in for controller 0, in a deployment without controllers.
 pub struct ScriptedController {
-    world: Rc<Simulation>,
+    simulation: Rc<Simulation>,
     responses: RefCell<VecDeque<UserResponse>>,
 }
 
 impl ScriptedController {
     /// Starts to serve at the address of controller 0.
-    pub async fn serve(world: &Rc<Simulation>) -> Rc<Self> {
+    pub async fn serve(simulation: &Rc<Simulation>) -> Rc<Self> {
         let scripted = Rc::new(ScriptedController {
-            world: world.clone(),
+            simulation: simulation.clone(),
             responses: RefCell::default(),
         });
         let responder = scripted.clone();
@@ -39,7 +39,7 @@
                 let response = responder.next_response(&request.path);
                 Box::pin(async move { response })
             };
-        world.serve_at(controller(0), handler).await;
+        simulation.serve_at(controller(0), handler).await;
         scripted
     }
 
@@ -65,11 +65,11 @@
     /// Sends one command to a worker and waits until the worker has executed it.
     pub async fn send_command(&self, machine: usize, action: &str, task: &str) {
         let name = format!("host-{machine:06}");
-        let worker = self.world.workers.borrow()[&name].0.clone();
+        let worker = self.simulation.workers.borrow()[&name].0.clone();
         let orders = json!({"baton": FENCING_TOKEN, "shift": worker.epoch.get(),
             "orders": [{"verb": action, "board": task, "try": 1}]});
         let body = Some(orders.to_string().into_bytes());
-        let call = self.world.client.call(
+        let call = self.simulation.client.call(
             worker.address,
             "POST",
             "/orders",
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -58,13 +58,13 @@
         let mut requests = Vec::new();
         for _ in 0..5 {
             for i in 0..self.shape.controllers {
-                let (world, job, id) = (self.clone(), job.clone(), id.to_string());
+                let (simulation, job, id) = (self.clone(), job.clone(), id.to_string());
                 requests.push(spawn_local(async move {
-                    world.stage(i, &id).await;
-                    world
+                    simulation.stage(i, &id).await;
+                    simulation
                         .send_request(i, "POST", "/submissions", Some(&job))
                         .await;
-                    world.stage(i, &id).await;
+                    simulation.stage(i, &id).await;
                 }));
             }
             sleep(Duration::from_millis(3)).await;
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -93,8 +93,8 @@
     }
 
     /// Executes commands in their order.
-    fn execute(&self, world: &Simulation, commands: &[WorkerCommand]) {
-        self.record_completed_tasks(&world.done_tasks);
+    fn execute(&self, simulation: &Simulation, commands: &[WorkerCommand]) {
+        self.record_completed_tasks(&simulation.done_tasks);
         for command in commands {
             let mut tasks = self.tasks.borrow_mut();
             match command.action {
@@ -105,12 +105,13 @@
                     {
                         continue;
                     }
-                    let run_time = world.task_run_time(&command.task);
-                    let fails = self.fails_all_tasks.get() || world.is_faulty_job(&command.task);
+                    let run_time = simulation.task_run_time(&command.task);
+                    let fails =
+                        self.fails_all_tasks.get() || simulation.is_faulty_job(&command.task);
                     let exit_reason = fails.then_some(ExitReason::Error);
                     // A task that has completed before completes again immediately, as its result
                     // is kept.
-                    let run_time = match world.done_tasks.borrow().contains(&command.task) {
+                    let run_time = match simulation.done_tasks.borrow().contains(&command.task) {
                         true => Some(Duration::ZERO),
                         false => run_time,
                     };
@@ -125,7 +126,7 @@
                         },
                     );
                     drop(tasks);
-                    world.check_start(&command.task, self);
+                    simulation.check_start(&command.task, self);
                 }
                 CommandAction::Stop => {
                     if let Some(t) = tasks.get_mut(&command.task)
@@ -143,7 +144,10 @@
                             .is_none_or(|reason| reason == ExitReason::Done)
                             && task.ends.is_some_and(|e| e <= Instant::now())
                         {
-                            world.done_tasks.borrow_mut().insert(command.task.clone());
+                            simulation
+                                .done_tasks
+                                .borrow_mut()
+                                .insert(command.task.clone());
                         }
                     }
                 }
@@ -247,9 +251,9 @@
     pub(super) async fn serve_commands(self: Rc<Self>, worker: Rc<Worker>) {
         let net = self.net(worker.address);
         let listener = net.listen(worker.address).await.expect("listen");
-        let (world, at) = (self.clone(), worker.address);
+        let (simulation, at) = (self.clone(), worker.address);
         let handler = move |request: Request| -> shelfhoist::http::ResponseFuture {
-            let (world, worker) = (world.clone(), worker.clone());
+            let (simulation, worker) = (simulation.clone(), worker.clone());
             Box::pin(async move {
                 let Ok(commands) = serde_json::from_slice::<WorkerCommands>(&request.body) else {
                     return Response::empty(400);
@@ -261,14 +265,14 @@
                 // response.
                 let executed = spawn_local(async move {
                     sleep(worker.command_delay.get()).await;
-                    worker.wait_while_hung(world.shape.lease()).await;
+                    worker.wait_while_hung(simulation.shape.lease()).await;
                     if commands.fencing_token < worker.fencing_token.get()
                         || commands.epoch != worker.epoch.get()
                     {
                         return Response::json(409, &worker.report());
                     }
                     worker.fencing_token.set(commands.fencing_token);
-                    worker.execute(&world, &commands.commands);
+                    worker.execute(&simulation, &commands.commands);
                     Response::json(200, &worker.report())
                 });
                 executed.await.expect("executed commands")
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -40,43 +40,43 @@
 /// Starts a deployment in which all controllers run the older version, and waits until they
 /// own their machines.
 async fn older_deployment(seed: u64) -> Rc<Simulation> {
-    let world = Simulation::of(seed, deployment()).await;
-    world
+    let simulation = Simulation::of(seed, deployment()).await;
+    simulation
         .state
         .previous_version_controllers
         .borrow_mut()
         .extend(0..3);
     sleep(secs(15)).await;
-    world
+    simulation
 }
 
 /// Restarts a controller with the newer version and with settings that name the upcoming
 /// limits.
-fn upgrade(world: &Simulation, i: usize) {
-    world.kill(i);
-    world
+fn upgrade(simulation: &Simulation, i: usize) {
+    simulation.kill(i);
+    simulation
         .state
         .previous_version_controllers
         .borrow_mut()
         .remove(&i);
-    *world.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
-    world.start(i);
+    *simulation.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0});
+    simulation.start(i);
 }
 
 /// Puts the lower limits into force.
-fn lower_limits(world: &Simulation) {
-    world.state.limits.set(StateLimits {
+fn lower_limits(simulation: &Simulation) {
+    simulation.state.limits.set(StateLimits {
         txn_ops: 4,
         value_limit_bytes: LIMIT_BYTES,
         write_rps: 27.0,
-        ..world.state.limits.get()
+        ..simulation.state.limits.get()
     });
 }
 
 /// Waits until it is recorded that all controllers read the new formats.
-async fn wait_until_formats_recorded(world: &Simulation) {
+async fn wait_until_formats_recorded(simulation: &Simulation) {
     let start = Instant::now();
-    while world.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
+    while simulation.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
         assert!(
             start.elapsed() < secs(60),
             "the new formats are not recorded"
@@ -86,10 +86,10 @@
 }
 
 /// Asserts that the state service refused no commit for its size and that no rule was broken.
-fn assert_within_limits(world: &Simulation) {
-    let beyond = world.state.rejected_commits.borrow().clone();
+fn assert_within_limits(simulation: &Simulation) {
+    let beyond = simulation.state.rejected_commits.borrow().clone();
     assert_eq!(beyond, Vec::<String>::new());
-    world.assert_no_violations();
+    simulation.assert_no_violations();
 }
 
 // --- records that exceed the limit even in the compact encoding ------------------
@@ -114,8 +114,8 @@
 }
 
 /// Returns the length of the stored record of a job, in bytes.
-fn record_length(world: &Simulation, id: &str) -> usize {
-    world
+fn record_length(simulation: &Simulation, id: &str) -> usize {
+    simulation
         .state
         .value(&job_key(id))
         .unwrap_or_default()
@@ -128,26 +128,26 @@
 /// between the end of the upgrade and the lowering of the limits.
 fn cancel_long_records_after_lowering_limits(seed: u64, wait: Duration) {
     run_in_simulated_time(|| async move {
-        let world = older_deployment(seed).await;
-        let array = world.submit(long_job(1, "batch", 40, 400.0)).await;
-        let service = world.submit(long_job(2, "daemon", 8, 0.0)).await;
-        let gang = world.submit(long_job(3, "gang", 6, 300.0)).await;
-        let kept = world.submit(long_job(4, "batch", 40, 60.0)).await;
-        let kept_gang = world.submit(long_job(5, "gang", 6, 60.0)).await;
+        let simulation = older_deployment(seed).await;
+        let array = simulation.submit(long_job(1, "batch", 40, 400.0)).await;
+        let service = simulation.submit(long_job(2, "daemon", 8, 0.0)).await;
+        let gang = simulation.submit(long_job(3, "gang", 6, 300.0)).await;
+        let kept = simulation.submit(long_job(4, "batch", 40, 60.0)).await;
+        let kept_gang = simulation.submit(long_job(5, "gang", 6, 60.0)).await;
         for id in [&array, &service, &gang, &kept, &kept_gang] {
-            world.wait_for_stage(id, "running", 60).await;
+            simulation.wait_for_stage(id, "running", 60).await;
         }
         // Jobs that are accepted and not started: one with its own record, three in the
         // record of a batch.
         let waiting: Vec<Value> = (10..14).map(|n| long_job(n, "batch", 3, 5.0)).collect();
         waiting
             .iter()
-            .for_each(|submission| world.register_job(submission));
-        upgrade(&world, 0);
+            .for_each(|submission| simulation.register_job(submission));
+        upgrade(&simulation, 0);
         sleep(secs(4)).await;
-        upgrade(&world, 1);
+        upgrade(&simulation, 1);
         sleep(secs(4)).await;
-        world.kill(2);
+        simulation.kill(2);
         let job_record = Job::new(spec_of(&waiting[0]), 1);
         let job_record = serde_json::to_value(&job_record).expect("text");
         let batch = AcceptedBatch {
@@ -157,44 +157,46 @@
                 .collect(),
         };
         let batch = serde_json::to_value(&batch).expect("text");
-        upgrade(&world, 2);
-        world.state.write(&job_key("job-000010"), &job_record);
-        world.state.write(&accepted_batch_key("n2-long"), &batch);
+        upgrade(&simulation, 2);
+        simulation.state.write(&job_key("job-000010"), &job_record);
+        simulation
+            .state
+            .write(&accepted_batch_key("n2-long"), &batch);
         for submission in &waiting {
-            world.submit(submission.clone()).await;
+            simulation.submit(submission.clone()).await;
         }
         let long = [&array, &service, &gang, &kept, &kept_gang];
         for id in long {
             assert!(
-                record_length(&world, id) > LIMIT_BYTES,
+                record_length(&simulation, id) > LIMIT_BYTES,
                 "{id}: {}",
-                record_length(&world, id)
+                record_length(&simulation, id)
             );
         }
-        wait_until_formats_recorded(&world).await;
+        wait_until_formats_recorded(&simulation).await;
         sleep(wait).await;
-        lower_limits(&world);
+        lower_limits(&simulation);
         for (i, id) in [&array, &service, &gang].into_iter().enumerate() {
-            assert!(world.running(id) > 0, "{id}");
-            let stage = world.cancel((i + 1) % 3, id).await;
+            assert!(simulation.running(id) > 0, "{id}");
+            let stage = simulation.cancel((i + 1) % 3, id).await;
             assert_eq!(stage.as_deref(), Some("aborted"), "{id}");
         }
-        sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
+        sleep(Duration::from_secs_f64(simulation.shape.cancel_s)).await;
         for id in [&array, &service, &gang] {
-            assert_eq!(world.running(id), 0, "{id}");
-            let record = world.state.value(&job_key(id)).expect("a record");
+            assert_eq!(simulation.running(id), 0, "{id}");
+            let record = simulation.state.value(&job_key(id)).expect("a record");
             assert!(record["r"].is_null() && record["s"].is_null(), "{record}");
             assert_eq!(record["f"], "c", "{record}");
         }
         for id in [&kept, &kept_gang] {
-            world.wait_for_stage(id, "done", 300).await;
+            simulation.wait_for_stage(id, "done", 300).await;
         }
         for n in 10..14 {
-            world
+            simulation
                 .wait_for_stage(&format!("job-{n:06}"), "done", 200)
                 .await;
         }
-        assert_within_limits(&world);
+        assert_within_limits(&simulation);
     });
 }
 
@@ -211,66 +213,71 @@
 // --- older and newer versions side by side -----------------------------------------
 
 /// Restarts a controller with the older version, before it is upgraded.
-fn restart_with_older_version(world: &Simulation, i: usize) {
-    world.kill(i);
-    *world.next.borrow_mut() = Value::Null;
-    world.start(i);
+fn restart_with_older_version(simulation: &Simulation, i: usize) {
+    simulation.kill(i);
+    *simulation.next.borrow_mut() = Value::Null;
+    simulation.start(i);
 }
 
 /// Asserts for some seconds that every stored record can be read by the older version and
 /// that the new formats are not yet recorded as known to all.
-async fn check_older_version_can_read(world: &Simulation, seconds: u64) {
+async fn check_older_version_can_read(simulation: &Simulation, seconds: u64) {
     for _ in 0..seconds * 4 {
         assert_eq!(
-            world.state.keys_unreadable_by_production(),
+            simulation.state.keys_unreadable_by_production(),
             Vec::<String>::new()
         );
         sleep(Duration::from_millis(250)).await;
     }
-    let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
+    let formats = simulation.state.value(FORMATS_KEY).unwrap_or_default();
     assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
 }
 
 /// Returns the controllers that are recorded as reading the newer formats.
-fn controllers_with_new_formats(world: &Simulation) -> Vec<String> {
-    let formats = world.state.value(FORMATS_KEY).unwrap_or_default();
+fn controllers_with_new_formats(simulation: &Simulation) -> Vec<String> {
+    let formats = simulation.state.value(FORMATS_KEY).unwrap_or_default();
     let nodes = formats["n"].as_object().cloned().unwrap_or_default();
     nodes.into_iter().map(|(name, _)| name).collect()
 }
 
 /// Waits until just these controllers are recorded as reading the newer formats.
-async fn wait_until_new_formats_known_to(world: &Simulation, names: &[&str]) {
+async fn wait_until_new_formats_known_to(simulation: &Simulation, names: &[&str]) {
     let start = Instant::now();
-    while controllers_with_new_formats(world) != names {
+    while controllers_with_new_formats(simulation) != names {
         assert!(
             start.elapsed() < secs(60),
             "{:?}",
-            controllers_with_new_formats(world)
+            controllers_with_new_formats(simulation)
         );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
 /// Submits `count` arrays, gangs and services in turn, and waits until they run.
-async fn submit_mixed_jobs(world: &Simulation, from: u32, count: u32, run_s: f64) -> Vec<String> {
+async fn submit_mixed_jobs(
+    simulation: &Simulation,
+    from: u32,
+    count: u32,
+    run_s: f64,
+) -> Vec<String> {
     let mut ids = Vec::new();
     for n in from..from + count {
         let (kind, tasks) = [("batch", 12), ("gang", 4), ("daemon", 4)][n as usize % 3];
-        ids.push(world.submit(job(n, kind, tasks, run_s)).await);
+        ids.push(simulation.submit(job(n, kind, tasks, run_s)).await);
     }
     for id in &ids {
-        world.wait_for_stage(id, "running", 60).await;
+        simulation.wait_for_stage(id, "running", 60).await;
     }
     ids
 }
 
 /// Asks all controllers at the same time to cancel the job, until one of them confirms. The
 /// confirmation is final.
-async fn cancel_everywhere(world: &Rc<Simulation>, id: &str) -> Option<String> {
+async fn cancel_everywhere(simulation: &Rc<Simulation>, id: &str) -> Option<String> {
     for _ in 0..30 {
         let requests = (0..3).map(|i| {
-            let (world, id) = (world.clone(), id.to_string());
-            spawn_local(async move { world.cancel(i, &id).await })
+            let (simulation, id) = (simulation.clone(), id.to_string());
+            spawn_local(async move { simulation.cancel(i, &id).await })
         });
         let requests: Vec<_> = requests.collect();
         let mut confirmed = None;
@@ -287,15 +294,15 @@
 
 /// Waits until every service that was not cancelled runs and every other such job is done,
 /// and asserts that no task of a cancelled job runs.
-async fn wait_until_jobs_end(world: &Simulation, ids: &[String]) {
-    sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
+async fn wait_until_jobs_end(simulation: &Simulation, ids: &[String]) {
+    sleep(Duration::from_secs_f64(simulation.shape.cancel_s)).await;
     for id in ids {
-        if world.is_cancelled(id) {
-            assert_eq!(world.running(id), 0, "{id}");
-        } else if world.is_service(id) {
-            world.wait_for_stage(id, "running", 120).await;
+        if simulation.is_cancelled(id) {
+            assert_eq!(simulation.running(id), 0, "{id}");
+        } else if simulation.is_service(id) {
+            simulation.wait_for_stage(id, "running", 120).await;
         } else {
-            world.wait_for_stage(id, "done", 300).await;
+            simulation.wait_for_stage(id, "done", 300).await;
         }
     }
 }
@@ -307,32 +314,38 @@
 fn controller_that_fails_before_its_upgrade_serves_with_the_older_version() {
     for seed in [71, 72, 73] {
         run_in_simulated_time(|| async move {
-            let world = older_deployment(seed).await;
-            let mut ids = submit_mixed_jobs(&world, 1, 9, 60.0).await;
-            upgrade(&world, 0);
-            wait_until_new_formats_known_to(&world, &["n0"]).await;
-            upgrade(&world, 1);
-            wait_until_new_formats_known_to(&world, &["n0", "n1"]).await;
-            restart_with_older_version(&world, 2);
-            check_older_version_can_read(&world, 15).await;
+            let simulation = older_deployment(seed).await;
+            let mut ids = submit_mixed_jobs(&simulation, 1, 9, 60.0).await;
+            upgrade(&simulation, 0);
+            wait_until_new_formats_known_to(&simulation, &["n0"]).await;
+            upgrade(&simulation, 1);
+            wait_until_new_formats_known_to(&simulation, &["n0", "n1"]).await;
+            restart_with_older_version(&simulation, 2);
+            check_older_version_can_read(&simulation, 15).await;
             // Controllers of both versions cancel and accept jobs.
-            assert_eq!(world.cancel(2, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(world.cancel(1, &ids[1]).await.as_deref(), Some("aborted"));
-            ids.extend(submit_mixed_jobs(&world, 20, 3, 30.0).await);
-            restart_with_older_version(&world, 2);
-            world.state.fault_options.borrow_mut().late = 0.3;
-            check_older_version_can_read(&world, 12).await;
-            assert_eq!(controllers_with_new_formats(&world), ["n0", "n1"]);
-            upgrade(&world, 2);
+            assert_eq!(
+                simulation.cancel(2, &ids[0]).await.as_deref(),
+                Some("aborted")
+            );
+            assert_eq!(
+                simulation.cancel(1, &ids[1]).await.as_deref(),
+                Some("aborted")
+            );
+            ids.extend(submit_mixed_jobs(&simulation, 20, 3, 30.0).await);
+            restart_with_older_version(&simulation, 2);
+            simulation.state.fault_options.borrow_mut().late = 0.3;
+            check_older_version_can_read(&simulation, 12).await;
+            assert_eq!(controllers_with_new_formats(&simulation), ["n0", "n1"]);
+            upgrade(&simulation, 2);
             sleep(secs(2)).await;
-            world.state.fault_options.borrow_mut().late = 0.0;
-            wait_until_formats_recorded(&world).await;
+            simulation.state.fault_options.borrow_mut().late = 0.0;
+            wait_until_formats_recorded(&simulation).await;
             // Commits in the plain encoding that are still in flight are applied by then.
             sleep(secs(13)).await;
-            lower_limits(&world);
-            assert!(cancel_everywhere(&world, &ids[2]).await.is_some());
-            wait_until_jobs_end(&world, &ids).await;
-            assert_within_limits(&world);
+            lower_limits(&simulation);
+            assert!(cancel_everywhere(&simulation, &ids[2]).await.is_some());
+            wait_until_jobs_end(&simulation, &ids).await;
+            assert_within_limits(&simulation);
         });
     }
 }
@@ -344,43 +357,49 @@
 fn partly_upgraded_deployment_survives_a_state_service_outage() {
     for (seed, outage_s) in [(74, 14), (75, 25), (76, 40)] {
         run_in_simulated_time(|| async move {
-            let world = older_deployment(seed).await;
-            let mut ids = submit_mixed_jobs(&world, 1, 9, 40.0).await;
-            upgrade(&world, 0);
-            wait_until_new_formats_known_to(&world, &["n0"]).await;
+            let simulation = older_deployment(seed).await;
+            let mut ids = submit_mixed_jobs(&simulation, 1, 9, 40.0).await;
+            upgrade(&simulation, 0);
+            wait_until_new_formats_known_to(&simulation, &["n0"]).await;
             sleep(secs(5)).await;
-            assert_eq!(world.cancel(0, &ids[0]).await.as_deref(), Some("aborted"));
-            assert_eq!(world.cancel(2, &ids[1]).await.as_deref(), Some("aborted"));
-            world.state.trouble.set(StateFault::Outage);
+            assert_eq!(
+                simulation.cancel(0, &ids[0]).await.as_deref(),
+                Some("aborted")
+            );
+            assert_eq!(
+                simulation.cancel(2, &ids[1]).await.as_deref(),
+                Some("aborted")
+            );
+            simulation.state.trouble.set(StateFault::Outage);
             sleep(secs(4)).await;
-            upgrade(&world, 1);
+            upgrade(&simulation, 1);
             sleep(secs(4)).await;
-            restart_with_older_version(&world, 2);
+            restart_with_older_version(&simulation, 2);
             for i in 0..3 {
                 let path = format!("/submissions/{}/withdraw", ids[2]);
-                let (status, _) = world.send_request(i, "POST", &path, None).await;
+                let (status, _) = simulation.send_request(i, "POST", &path, None).await;
                 assert!([0, 503].contains(&status), "n{i}: {status}");
             }
             sleep(secs(outage_s - 8)).await;
-            assert_eq!(controllers_with_new_formats(&world), ["n0"]);
-            world.state.trouble.set(StateFault::None);
-            wait_until_new_formats_known_to(&world, &["n0", "n1"]).await;
-            check_older_version_can_read(&world, 12).await;
-            ids.extend(submit_mixed_jobs(&world, 20, 3, 20.0).await);
-            assert!(cancel_everywhere(&world, &ids[2]).await.is_some());
-            upgrade(&world, 2);
-            wait_until_formats_recorded(&world).await;
-            lower_limits(&world);
-            wait_until_jobs_end(&world, &ids).await;
-            assert_within_limits(&world);
+            assert_eq!(controllers_with_new_formats(&simulation), ["n0"]);
+            simulation.state.trouble.set(StateFault::None);
+            wait_until_new_formats_known_to(&simulation, &["n0", "n1"]).await;
+            check_older_version_can_read(&simulation, 12).await;
+            ids.extend(submit_mixed_jobs(&simulation, 20, 3, 20.0).await);
+            assert!(cancel_everywhere(&simulation, &ids[2]).await.is_some());
+            upgrade(&simulation, 2);
+            wait_until_formats_recorded(&simulation).await;
+            lower_limits(&simulation);
+            wait_until_jobs_end(&simulation, &ids).await;
+            assert_within_limits(&simulation);
         });
     }
 }
 
 /// Returns the number of machines that a controller owns.
-fn owned_machine_count(world: &Simulation, i: usize) -> usize {
+fn owned_machine_count(simulation: &Simulation, i: usize) -> usize {
     let name = format!("n{i}");
-    world
+    simulation
         .machine_owners()
         .iter()
         .filter(|(_, owner)| *owner == name)
@@ -395,56 +414,61 @@
 fn versions_hand_over_machines_while_jobs_are_cancelled() {
     for (seed, late, unanswered) in [(77, 0.0, 0.0), (78, 0.1, 0.0), (79, 0.0, 0.2)] {
         run_in_simulated_time(|| async move {
-            let world = older_deployment(seed).await;
-            let ids = submit_mixed_jobs(&world, 1, 24, 90.0).await;
-            upgrade(&world, 1);
-            wait_until_new_formats_known_to(&world, &["n1"]).await;
-            world.state.fault_options.borrow_mut().late = late;
-            world.state.fault_options.borrow_mut().unanswered = unanswered;
+            let simulation = older_deployment(seed).await;
+            let ids = submit_mixed_jobs(&simulation, 1, 24, 90.0).await;
+            upgrade(&simulation, 1);
+            wait_until_new_formats_known_to(&simulation, &["n1"]).await;
+            simulation.state.fault_options.borrow_mut().late = late;
+            simulation.state.fault_options.borrow_mut().unanswered = unanswered;
             let mut jobs_to_cancel = ids.iter().filter(|id| !id.ends_with('5'));
             for round in 0..6 {
                 let i = [0, 1, 2, 1, 0, 1][round];
-                let before = owned_machine_count(&world, i);
+                let before = owned_machine_count(&simulation, i);
                 match round {
-                    0 | 1 => world.set_worker_partition(i, true),
-                    2 | 3 => world.kill(i),
+                    0 | 1 => simulation.set_worker_partition(i, true),
+                    2 | 3 => simulation.kill(i),
                     4 => {
-                        world.state.fault_options.borrow_mut().refused.insert(i);
+                        simulation
+                            .state
+                            .fault_options
+                            .borrow_mut()
+                            .refused
+                            .insert(i);
                     }
-                    _ => world.set_paused(i, true),
+                    _ => simulation.set_paused(i, true),
                 }
                 for _ in 0..2 {
                     let id = jobs_to_cancel.next().expect("a job");
-                    cancel_everywhere(&world, id).await;
+                    cancel_everywhere(&simulation, id).await;
                     sleep(Duration::from_millis(700)).await;
                 }
                 sleep(secs(16)).await;
-                let after = owned_machine_count(&world, i);
+                let after = owned_machine_count(&simulation, i);
                 // A controller that only the state service refuses keeps its machines.
                 let lost = if round == 4 { 0 } else { 1 };
                 assert!(before > 0, "{round}: nothing to hand over");
                 assert!(after + lost <= before, "{round}: {before} to {after}");
                 match round {
-                    0 | 1 => world.set_worker_partition(i, false),
-                    2 => restart_with_older_version(&world, i),
-                    3 => upgrade(&world, i),
+                    0 | 1 => simulation.set_worker_partition(i, false),
+                    2 => restart_with_older_version(&simulation, i),
+                    3 => upgrade(&simulation, i),
                     4 => {
-                        world.state.fault_options.borrow_mut().refused.clear();
+                        simulation.state.fault_options.borrow_mut().refused.clear();
                     }
-                    _ => world.set_paused(i, false),
+                    _ => simulation.set_paused(i, false),
                 }
                 let id = jobs_to_cancel.next().expect("a job");
-                cancel_everywhere(&world, id).await;
-                check_older_version_can_read(&world, 15).await;
+                cancel_everywhere(&simulation, id).await;
+                check_older_version_can_read(&simulation, 15).await;
             }
-            world.clear_faults();
-            upgrade(&world, 0);
+            simulation.clear_faults();
+            upgrade(&simulation, 0);
             sleep(secs(3)).await;
-            upgrade(&world, 2);
-            wait_until_formats_recorded(&world).await;
-            lower_limits(&world);
-            wait_until_jobs_end(&world, &ids).await;
-            assert_within_limits(&world);
+            upgrade(&simulation, 2);
+            wait_until_formats_recorded(&simulation).await;
+            lower_limits(&simulation);
+            wait_until_jobs_end(&simulation, &ids).await;
+            assert_within_limits(&simulation);
         });
     }
 }
@@ -453,15 +477,15 @@
 
 /// Returns the records above the lower limit with their lengths in bytes, without accepted
 /// batches.
-fn oversized_records(world: &Simulation) -> Vec<(String, usize)> {
-    let mut records = world.state.value_sizes("sh/");
+fn oversized_records(simulation: &Simulation) -> Vec<(String, usize)> {
+    let mut records = simulation.state.value_sizes("sh/");
     records.retain(|(key, length)| *length > LIMIT_BYTES && !key.starts_with("sh/new/"));
     records
 }
 
 /// Submits six chains of five jobs. The last job of a chain depends on all jobs before it and
 /// has the deadline of the chain.
-async fn submit_chains(world: &Simulation) -> Vec<Vec<String>> {
+async fn submit_chains(simulation: &Simulation) -> Vec<Vec<String>> {
     let mut chains = Vec::new();
     for chain in 0..6 {
         let mut ids: Vec<String> = Vec::new();
@@ -487,7 +511,7 @@
                 submission["due_s"] = json!(300.0);
             }
             ids.push(
-                world
+                simulation
                     .submit(with_dependencies(submission, &dependencies))
                     .await,
             );
@@ -516,17 +540,17 @@
             machines: 160,
             ..deployment()
         };
-        let world = Simulation::of(seed, shape).await;
-        wait_until_formats_recorded(&world).await;
+        let simulation = Simulation::of(seed, shape).await;
+        wait_until_formats_recorded(&simulation).await;
         sleep(secs(15)).await;
-        let array = world.submit(job(1, "batch", 600, 20.0)).await;
-        let service = world.submit(job(2, "daemon", 16, 0.0)).await;
-        let chains = submit_chains(&world).await;
-        world.wait_for_stage(&array, "running", 30).await;
+        let array = simulation.submit(job(1, "batch", 600, 20.0)).await;
+        let service = simulation.submit(job(2, "daemon", 16, 0.0)).await;
+        let chains = submit_chains(&simulation).await;
+        simulation.wait_for_stage(&array, "running", 30).await;
         assert!(
-            oversized_records(&world).len() > 3,
+            oversized_records(&simulation).len() > 3,
             "{:?}",
-            oversized_records(&world)
+            oversized_records(&simulation)
         );
         // When the controllers restart one after another, the records that a controller takes
         // over are compacted by the takeover. When all restart together, this is left to
@@ -537,35 +561,35 @@
             2
         };
         for i in 0..3 {
-            upgrade(&world, i);
+            upgrade(&simulation, i);
             sleep(secs(if i < 2 { pause } else { 0 })).await;
         }
         let open = chains.iter().flatten().filter(|id| {
-            let record = world.state.value(&job_key(id)).unwrap_or_default();
+            let record = simulation.state.value(&job_key(id)).unwrap_or_default();
             record.is_null() || record["f"] == "o"
         });
         assert!(open.count() > 20, "the pipeline ended too early");
         match lowered_at {
             LoweredAt::Before => {}
             LoweredAt::During => {
-                let before = oversized_records(&world).len();
-                while oversized_records(&world).len() * 3 > before * 2 {
+                let before = oversized_records(&simulation).len();
+                while oversized_records(&simulation).len() * 3 > before * 2 {
                     sleep(Duration::from_millis(10)).await;
                 }
             }
             LoweredAt::After => {
                 sleep(secs(4)).await;
-                while !oversized_records(&world).is_empty() {
+                while !oversized_records(&simulation).is_empty() {
                     sleep(Duration::from_millis(250)).await;
                 }
             }
         }
         assert_eq!(
-            oversized_records(&world).is_empty(),
+            oversized_records(&simulation).is_empty(),
             lowered_at == LoweredAt::After
         );
         let cancel = async |chain: usize, step: usize| {
-            let confirmed = cancel_everywhere(&world, &chains[chain][step]).await;
+            let confirmed = cancel_everywhere(&simulation, &chains[chain][step]).await;
             assert!(confirmed.is_some(), "{chain} {step}");
             confirmed.as_deref() == Some("aborted")
         };
@@ -573,28 +597,35 @@
         if lowered_at == LoweredAt::After {
             aborted.extend(cancel(0, 2).await.then_some((0, 2)));
         }
-        lower_limits(&world);
+        lower_limits(&simulation);
         aborted.extend(cancel(1, 1).await.then_some((1, 1)));
         aborted.extend(cancel(2, 3).await.then_some((2, 3)));
         assert!(aborted.len() >= 2, "{aborted:?}");
-        sleep(Duration::from_secs_f64(world.shape.cancel_s)).await;
+        sleep(Duration::from_secs_f64(simulation.shape.cancel_s)).await;
         for (chain, ids) in chains.iter().enumerate() {
             let from = aborted.iter().find(|(c, _)| *c == chain).map(|(_, s)| *s);
             for (step, id) in ids.iter().enumerate() {
                 if from.is_none_or(|from| step < from) {
-                    world.wait_for_stage(id, "done", 400).await;
+                    simulation.wait_for_stage(id, "done", 400).await;
                     continue;
                 }
                 for i in 0..3 {
-                    assert_eq!(world.stage(i, id).await.as_deref(), Some("aborted"), "{id}");
+                    assert_eq!(
+                        simulation.stage(i, id).await.as_deref(),
+                        Some("aborted"),
+                        "{id}"
+                    );
                 }
-                assert_eq!(world.running(id), 0, "{id}");
+                assert_eq!(simulation.running(id), 0, "{id}");
             }
         }
-        world.wait_for_stage(&array, "done", 400).await;
-        world.wait_for_stage(&service, "running", 60).await;
-        assert_eq!(oversized_records(&world), Vec::<(String, usize)>::new());
-        assert_within_limits(&world);
+        simulation.wait_for_stage(&array, "done", 400).await;
+        simulation.wait_for_stage(&service, "running", 60).await;
+        assert_eq!(
+            oversized_records(&simulation),
+            Vec::<(String, usize)>::new()
+        );
+        assert_within_limits(&simulation);
     });
 }
 
