--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -101,7 +101,8 @@
     let must_adjust = ledger
         .pool
         .is_none_or(|pool| !ledger.retained_capacity.fits(&pool.granted));
-    let change = adjust_capacity(ledger, settings.txn_ops()).filter(|_| must_adjust)?;
+    let change =
+        adjust_capacity(ledger, settings.max_writes_per_commit()).filter(|_| must_adjust)?;
     let mut parts = CommitParts::new(replica);
     parts.add_change(&change);
     Some(ReconcileStep::new("capacity", parts))
@@ -114,7 +115,7 @@
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
         .filter(|(id, _)| !replica.is_counted_shard(id))
-        .take(settings.txn_ops() / 4)
+        .take(settings.max_writes_per_commit() / 4)
         .collect();
     if uncounted.is_empty() {
         return None;
@@ -163,10 +164,11 @@
 ) -> Option<ReconcileStep> {
     let jobs = job_bookings(replica, team, fallback);
     // The commit also writes the share record.
-    let max_jobs = settings.txn_ops().saturating_sub(1);
+    let max_jobs = settings.max_writes_per_commit().saturating_sub(1);
     let mut parts = CommitParts::new(replica);
     let Some(transfer) = next_transfer(ledger, team, &jobs, max_jobs) else {
-        let change = reserve_for_smallest_job(ledger, team, &jobs, settings.txn_ops())?;
+        let change =
+            reserve_for_smallest_job(ledger, team, &jobs, settings.max_writes_per_commit())?;
         parts.add_change(&change);
         return Some(ReconcileStep::new("reserve for a transfer", parts));
     };
@@ -217,7 +219,7 @@
         ledger,
         team,
         &fallback_controller(settings),
-        settings.txn_ops(),
+        settings.max_writes_per_commit(),
     );
     match opened {
         Ok(change) => parts.add_change(&change),
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -86,7 +86,7 @@
 /// Abandoned submissions are dropped, and those of known jobs are completed.
 fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
     // The commit has one precondition for each job, and one for the batch's record.
-    let max_jobs = controller.settings.txn_ops() * 2;
+    let max_jobs = controller.settings.max_writes_per_commit() * 2;
     let max_bytes = controller.settings.value_limit_bytes() * 9 / 10;
     let mut batch: Vec<PendingSubmission> = Vec::new();
     let mut bytes = 0;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -28,7 +28,7 @@
 use crate::settings::{Features, Settings};
 
 pub use error::{EXIT_FAILED, EXIT_INVALID, EXIT_UNFINISHED, LogLevelError};
-pub use render::{job_text, policy_text, report_text, span_text, teams_text};
+pub use render::{duration_text, job_text, policy_text, report_text, teams_text};
 pub use share::{moves_text, shares_text};
 
 /// Exit code of a command that succeeded.
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -14,7 +14,7 @@
 const SECONDS_PER_HOUR: u64 = 3600;
 
 /// Formats a duration in its two largest units, such as `2 h 1 min`.
-pub fn span_text(seconds: f64) -> String {
+pub fn duration_text(seconds: f64) -> String {
     let seconds = seconds.max(0.0).round() as u64;
     let minutes = seconds % SECONDS_PER_HOUR / SECONDS_PER_MINUTE;
     match seconds {
@@ -48,10 +48,10 @@
     );
     if let Some(known_s) = details.known_s {
         let late = if details.late { ", late" } else { "" };
-        text += &format!("  known for {}{late}\n", span_text(known_s));
+        text += &format!("  known for {}{late}\n", duration_text(known_s));
     }
     if let (Some(reason), Some(reason_s)) = (&details.reason, details.reason_s) {
-        text += &format!("  {reason}, for {}\n", span_text(reason_s));
+        text += &format!("  {reason}, for {}\n", duration_text(reason_s));
     }
     if details.failures > 0 {
         text += &format!("  failed {} times in a row\n", details.failures);
@@ -139,7 +139,7 @@
         None => "This controller has not read its state from the state service yet.\n".to_string(),
         Some(age_s) if age_s > STALE_STATE_S => format!(
             "The state service has not answered for {}: this report may be out of date.\n",
-            span_text(age_s)
+            duration_text(age_s)
         ),
         Some(_) => String::new(),
     }
@@ -164,7 +164,7 @@
 fn unfinished_job_text(job: &UnfinishedJob) -> String {
     let late = if job.late { "LATE " } else { "" };
     let lasting = if job.reason_s >= LASTING_REASON_S {
-        format!(" (for {})", span_text(job.reason_s))
+        format!(" (for {})", duration_text(job.reason_s))
     } else {
         String::new()
     };
@@ -175,7 +175,7 @@
         job.team,
         stage_text(job.stage),
         job.left,
-        span_text(job.known_s),
+        duration_text(job.known_s),
         job.reason
     )
 }
--- a/src/cloud/cancellations.rs
+++ b/src/cloud/cancellations.rs
@@ -22,7 +22,7 @@
                 let version = replica.job_version(id);
                 Some((precondition(job_key(id), version), put(job_key(id), &job)))
             })
-            .take(controller.settings.txn_ops())
+            .take(controller.settings.max_writes_per_commit())
             .unzip();
         Commit {
             preconditions,
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -155,7 +155,7 @@
             }
             services.push(job);
         }
-        let fits_commit = services.len() + MACHINE_WRITES <= self.settings.txn_ops();
+        let fits_commit = services.len() + MACHINE_WRITES <= self.settings.max_writes_per_commit();
         (!services.is_empty() && fits_commit).then_some(services)
     }
 
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -44,7 +44,7 @@
 /// stopped, as many as fit in one commit.
 fn drain_commit(controller: &Controller, machine: &str) -> Commit {
     let replica = controller.replica.borrow();
-    let max_writes = controller.settings.txn_ops();
+    let max_writes = controller.settings.max_writes_per_commit();
     let mut preconditions = Vec::new();
     let mut writes = Vec::new();
     let mut commit_bytes = 0;
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -27,7 +27,7 @@
     let commit = {
         let replica = controller.replica.borrow();
         let (preconditions, writes) = obsolete_records(&replica)
-            .take(controller.settings.txn_ops())
+            .take(controller.settings.max_writes_per_commit())
             .map(ObsoleteRecord::into_deletion)
             .unzip();
         Commit {
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -49,7 +49,8 @@
 ) -> HashSet<String> {
     let (mut changed, commit) = {
         let replica = controller.replica.borrow();
-        let mut commit = LifecycleCommit::new(&replica, controller.settings.txn_ops());
+        let mut commit =
+            LifecycleCommit::new(&replica, controller.settings.max_writes_per_commit());
         for change in changes {
             commit.add(change);
         }
--- a/src/cloud/record_deletions.rs
+++ b/src/cloud/record_deletions.rs
@@ -21,7 +21,7 @@
     replica: &Replica,
     gone: &[String],
 ) -> Commit {
-    let mut deletions = RecordDeletions::new(replica, settings.txn_ops());
+    let mut deletions = RecordDeletions::new(replica, settings.max_writes_per_commit());
     for id in gone {
         deletions.add(id);
     }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -27,7 +27,7 @@
             .collect::<Vec<_>>();
         let gone = machines_in_state(&replica, MachineLifecycle::Gone)
             .filter(|id| !replica.bookings.contains_key(*id))
-            .take(controller.settings.txn_ops())
+            .take(controller.settings.max_writes_per_commit())
             .cloned()
             .collect::<Vec<_>>();
         (returning, gone)
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -33,7 +33,11 @@
     let now = Instant::now();
     // All requests are committed in one transaction, which is also guarded by the
     // fleet leader's key.
-    let max_requests = controller.settings.txn_ops().saturating_sub(2).max(1);
+    let max_requests = controller
+        .settings
+        .max_writes_per_commit()
+        .saturating_sub(2)
+        .max(1);
     let first_seen = controller.placement.first_seen();
     let mut planner = ScaleOutPlanner::new(controller, &replica, &first_seen, now);
     let queue = scheduler::queue(
--- a/src/cloud/unrecorded_machines.rs
+++ b/src/cloud/unrecorded_machines.rs
@@ -46,7 +46,7 @@
 
 /// Records the machines that still have no record, as many as fit in one commit.
 pub(super) async fn record_machines(controller: &Controller, machines: &[UnrecordedMachine]) {
-    let max_writes = controller.settings.txn_ops();
+    let max_writes = controller.settings.max_writes_per_commit();
     let mut recorded = Vec::new();
     let (preconditions, writes) = {
         let replica = controller.replica.borrow();
--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -109,7 +109,7 @@
         let shard = id.split_once('/').map_or("", |(_zone, shard)| shard);
         is_responsible_for(controller, &replica, preferred_owner_of(shard))
     };
-    let max_writes = controller.settings.txn_ops();
+    let max_writes = controller.settings.max_writes_per_commit();
     let zone_shard_commit = zone_shards::compact(&replica, deferred, &is_responsible, max_writes)
         .or_else(|| split_long(&replica, deferred, &is_responsible))
         .or_else(|| merge(&replica, deferred, &is_responsible));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -126,7 +126,9 @@
     /// Returns the interval at which this controller may send requests to the state service
     /// within its part of the rate limit.
     pub fn request_interval(&self) -> Duration {
-        let rps = self.settings.rps(self.state_client.is_rate_reduced());
+        let rps = self
+            .settings
+            .max_requests_per_s(self.state_client.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
@@ -183,8 +185,8 @@
 ) -> StateClient {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
-        settings.rps(false) / count * MAX_BUDGET_FRACTION,
-        settings.write_rps(false) / count * MAX_BUDGET_FRACTION,
+        settings.max_requests_per_s(false) / count * MAX_BUDGET_FRACTION,
+        settings.max_writes_per_s(false) / count * MAX_BUDGET_FRACTION,
         now,
     );
     let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
--- a/src/gossip/write_budget.rs
+++ b/src/gossip/write_budget.rs
@@ -24,11 +24,12 @@
     // the state service show that, and the present limits are tried again later.
     let is_rate_reduced = controller.state_client.is_rate_reduced()
         && controller.replica.borrow().all_read_compact_encodings();
-    let writes_per_s = controller.settings.write_rps(is_rate_reduced) * MAX_BUDGET_FRACTION;
+    let writes_per_s = controller.settings.max_writes_per_s(is_rate_reduced) * MAX_BUDGET_FRACTION;
     let others = peer_demands(controller);
     let share = write_rate_allocation(writes_per_s, controller.state_client.demand(), &others);
     let count = controller.settings.deployment.count as f64;
-    let requests_per_s = controller.settings.rps(is_rate_reduced) / count * MAX_BUDGET_FRACTION;
+    let requests_per_s =
+        controller.settings.max_requests_per_s(is_rate_reduced) / count * MAX_BUDGET_FRACTION;
     controller.state_client.set_request_rate(requests_per_s);
     controller.state_client.set_write_rate(share);
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -27,7 +27,7 @@
 
 /// Simulated network inside one process, which can be partitioned.
 #[derive(Default)]
-pub struct Fabric {
+pub struct SimulatedNetwork {
     /// Listening addresses, with the channel that passes new streams to the listener.
     listeners: RefCell<HashMap<SocketAddrV4, mpsc::UnboundedSender<DuplexStream>>>,
     /// Routes that are partitioned.
@@ -41,16 +41,16 @@
     to: SocketAddrV4,
 }
 
-impl Fabric {
+impl SimulatedNetwork {
     /// Partitions the route from `from` to `to`: connecting blocks, and so do reads and
     /// writes of the client on open streams.
-    pub fn cut(&self, from: SocketAddrV4, to: SocketAddrV4) {
+    pub fn partition(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.partitions.borrow_mut().insert(Route { from, to });
     }
 
     /// Removes a partition: new connections succeed again, and open streams continue when
     /// they are next polled.
-    pub fn repair(&self, from: SocketAddrV4, to: SocketAddrV4) {
+    pub fn heal(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.partitions.borrow_mut().remove(&Route { from, to });
     }
 
@@ -68,7 +68,7 @@
 /// Client side of a stream on the simulated network.
 struct SimulatedStream {
     inner: DuplexStream,
-    network: Rc<Fabric>,
+    network: Rc<SimulatedNetwork>,
     route: Route,
 }
 
@@ -120,7 +120,7 @@
     /// Sockets of the operating system.
     System,
     /// Simulated network, used by the process at this address.
-    Simulated(Rc<Fabric>, SocketAddrV4),
+    Simulated(Rc<SimulatedNetwork>, SocketAddrV4),
 }
 
 /// Listener for incoming streams.
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -146,7 +146,7 @@
         if self.spec.kind == JobKind::Array || !self.hints.replica.uses_compact_encoding() {
             return Ok(found);
         }
-        let txn_ops = self.settings.txn_ops();
+        let txn_ops = self.settings.max_writes_per_commit();
         let max_shards = txn_ops.saturating_sub(RECORDS_BESIDE_ZONE_SHARDS).max(1);
         let tasks_by_shard = self.tasks_by_shard(&found);
         if tasks_by_shard.len() <= max_shards {
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -12,7 +12,7 @@
 /// lower one of the current and the announced limit.
 pub(super) fn max_preconditions(settings: &Settings, grouped: bool) -> usize {
     match grouped {
-        true => settings.txn_ops() * (PRECONDITIONS_PER_WRITE - 1),
+        true => settings.max_writes_per_commit() * (PRECONDITIONS_PER_WRITE - 1),
         false => settings.deployment.state.txn_ops * PRECONDITIONS_PER_WRITE,
     }
 }
@@ -22,7 +22,7 @@
 /// a machine is added, shards after the first few may grow to the current value limit
 /// until the compact encoding is in use.
 pub(super) fn max_shard_bytes(settings: &Settings, compact: bool, number: usize) -> usize {
-    let limit = match compact || number < settings.txn_ops() {
+    let limit = match compact || number < settings.max_writes_per_commit() {
         true => settings.value_limit_bytes(),
         false => settings.current_value_limit_bytes(),
     };
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -144,7 +144,7 @@
         alive: &'a [String],
         now: Instant,
     ) -> Self {
-        let max_records = state.max_records(controller.settings.txn_ops());
+        let max_records = state.max_records(controller.settings.max_writes_per_commit());
         Round {
             controller,
             replica,
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -87,7 +87,7 @@
 /// Returns the maximum number of shards in a group: an eighth of the guards that a commit
 /// may have, so that machines of several groups fit into one commit.
 pub(super) fn max_group_size(settings: &Settings) -> usize {
-    settings.txn_ops() * PRECONDITIONS_PER_WRITE / 8
+    settings.max_writes_per_commit() * PRECONDITIONS_PER_WRITE / 8
 }
 
 /// Returns whether the shards with this id prefix (`zone/owner`) may be used in groups.
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -118,7 +118,7 @@
     /// another controller may have confirmed the job's cancellation since. It is twice the
     /// usual interval between two read barriers, so that one slow answer delays no launch.
     pub fn max_launch_staleness(&self) -> Duration {
-        let requests_per_s = self.rps(true) / self.deployment.count as f64;
+        let requests_per_s = self.max_requests_per_s(true) / self.deployment.count as f64;
         let min_interval = Duration::from_secs_f64(REQUESTS_PER_BARRIER as f64 / requests_per_s);
         let interval = self.idle_barrier_interval() + min_interval;
         (interval * 2).clamp(self.worker_lease() / 16, self.worker_lease() / 4)
@@ -187,7 +187,7 @@
 
     /// Returns the maximum number of records that a commit may write: the lower of the
     /// present limit and the next one.
-    pub fn txn_ops(&self) -> usize {
+    pub fn max_writes_per_commit(&self) -> usize {
         let now = self.deployment.state.txn_ops;
         self.next_state_limits().txn_ops.unwrap_or(now).min(now)
     }
@@ -197,20 +197,21 @@
     /// controllers can read it.
     pub fn limits_will_decrease(&self) -> bool {
         let txn_ops = self.deployment.state.txn_ops;
-        self.value_limit_bytes() < self.current_value_limit_bytes() || self.txn_ops() < txn_ops
+        self.value_limit_bytes() < self.current_value_limit_bytes()
+            || self.max_writes_per_commit() < txn_ops
     }
 
     /// Returns the number of requests per second that all controllers together may send to
     /// the state service. `is_reduced` selects the next rate if it is lower; refusals by the
     /// service show that it is in force.
-    pub fn rps(&self, is_reduced: bool) -> f64 {
+    pub fn max_requests_per_s(&self, is_reduced: bool) -> f64 {
         let next = self.next_state_limits().rps;
         rate_in_force(self.deployment.state.rps, next, is_reduced)
     }
 
     /// Returns the number of keys per second that all controllers together may write.
     /// `is_reduced` is the same as for [`Settings::rps`].
-    pub fn write_rps(&self, is_reduced: bool) -> f64 {
+    pub fn max_writes_per_s(&self, is_reduced: bool) -> f64 {
         let next = self.next_state_limits().write_rps;
         rate_in_force(self.deployment.state.write_rps, next, is_reduced)
     }
--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -103,7 +103,7 @@
             false => settings.current_value_limit_bytes(),
         };
         let max_shards = settings
-            .txn_ops()
+            .max_writes_per_commit()
             .min((COMMIT_BYTES / max_record_bytes).max(1));
         CapacityPlanner {
             settings,
@@ -213,7 +213,7 @@
             replica: self.replica,
             edits: &self.edits,
             lengths: &self.lengths,
-            shared_candidates: self.settings.txn_ops(),
+            shared_candidates: self.settings.max_writes_per_commit(),
         };
         let choice = chooser.choose(id, machine)?;
         let added = choice.preconditions.keys();
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -97,7 +97,10 @@
     fn fits(&mut self, known: Option<&Machine>) -> bool {
         // A full commit stays full; the result is cached because there may be thousands of
         // claims.
-        self.is_full = self.is_full || self.machine_shards.is_full(self.settings.txn_ops());
+        self.is_full = self.is_full
+            || self
+                .machine_shards
+                .is_full(self.settings.max_writes_per_commit());
         if !self.is_full {
             return true;
         }
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -7,7 +7,7 @@
 use shelfhoist::http::{
     CallError, Client, ParsedRequest, Response, ServerLimits, parse_request, serve,
 };
-use shelfhoist::net::{Fabric, Net};
+use shelfhoist::net::{Net, SimulatedNetwork};
 
 #[test]
 fn request_parser_enforces_limits() {
@@ -73,10 +73,10 @@
         .build()
         .expect("runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let fabric = Rc::new(Fabric::default());
+        let simulated_network = Rc::new(SimulatedNetwork::default());
         let address =
             |n: usize| -> SocketAddrV4 { format!("10.1.0.{n}:1").parse().expect("address") };
-        let network = |n| Net::Simulated(fabric.clone(), address(n));
+        let network = |n| Net::Simulated(simulated_network.clone(), address(n));
         let limits = ServerLimits {
             max_connections: 8,
             idle_timeout: Duration::from_secs(60),
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -431,7 +431,7 @@
         replica.machine_shards.len()
     );
     // Claiming all machines takes several commits, each within the size limit of a request.
-    let max_writes = settings.txn_ops();
+    let max_writes = settings.max_writes_per_commit();
     let mut unclaimed: Vec<String> = replica.machines.keys().cloned().collect();
     let mut commits = 0;
     while !unclaimed.is_empty() {
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -174,7 +174,7 @@
         let mut owner = OwnerShards::new(40);
         let machine = machine_of_owner(&owner);
         let older_commit = owner.commit_of_new_machine(&machine);
-        let max_preconditions = owner.settings.txn_ops() * 4;
+        let max_preconditions = owner.settings.max_writes_per_commit() * 4;
         assert!(
             older_commit.0.len() <= max_preconditions / 2,
             "{} preconditions",
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 use shelfhoist::http::{CallError, Client, Deadlines, Handler, Response, ServerLimits, serve};
-use shelfhoist::net::{Fabric, Net};
+use shelfhoist::net::{Net, SimulatedNetwork};
 use shelfhoist::settings::Settings;
 use shelfhoist::wire::{CommandAction, WorkerCommand};
 use shelfhoist::workers::WorkerPlan;
@@ -120,7 +120,7 @@
         ("both deadlines passed", 0.0, 0.0, false),
     ];
     run_in_simulated_time(|| async move {
-        let fabric = Rc::new(Fabric::default());
+        let simulated_network = Rc::new(SimulatedNetwork::default());
         let worker = addr("10.1.0.1:1");
         let arrived = Rc::new(Cell::new(0));
         let count = arrived.clone();
@@ -137,10 +137,13 @@
             request_timeout: secs(5.0),
             is_preferred: |_| true,
         };
-        let net = Net::Simulated(fabric.clone(), worker);
+        let net = Net::Simulated(simulated_network.clone(), worker);
         let listener = net.listen(worker).await.expect("listen");
         tokio::task::spawn_local(serve(listener, limits, handler));
-        let client = Client::new(Net::Simulated(fabric, addr("10.1.0.2:1")), secs(30.0));
+        let client = Client::new(
+            Net::Simulated(simulated_network, addr("10.1.0.2:1")),
+            secs(30.0),
+        );
         for (name, send_s, answer_s, expected) in cases {
             arrived.set(0);
             let now = Instant::now();
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -105,13 +105,13 @@
     };
     let limits_of = |settings: &Settings| {
         let rates = (
-            settings.write_rps(false),
-            settings.write_rps(true),
-            settings.rps(true),
+            settings.max_writes_per_s(false),
+            settings.max_writes_per_s(true),
+            settings.max_requests_per_s(true),
         );
         (
             settings.value_limit_bytes(),
-            settings.txn_ops(),
+            settings.max_writes_per_commit(),
             rates,
             settings.limits_will_decrease(),
         )
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -222,9 +222,9 @@
         };
         assert_eq!(places.len(), tasks as usize, "{kind:?}");
         let zone_shards: BTreeSet<&str> = places.iter().map(|p| &*p.shard).collect();
-        let mut transaction = Transaction::new(&replica, settings.txn_ops());
+        let mut transaction = Transaction::new(&replica, settings.max_writes_per_commit());
         let booked = transaction.book("job-1", &spec, &places);
-        assert!(transaction.into_commit().1.len() <= settings.txn_ops());
+        assert!(transaction.into_commit().1.len() <= settings.max_writes_per_commit());
         match kind {
             JobKind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
             // Replicas of a service are booked one by one: the rest go into the next commit.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use shelfhoist::cli::{job_text, log_level, report_text, span_text, teams_text};
+use shelfhoist::cli::{duration_text, job_text, log_level, report_text, teams_text};
 use shelfhoist::introspection::{FleetReport, JobDetails, TeamDetails};
 use shelfhoist::policy::{JobFacts, MachineFacts, Policy, RULES};
 use shelfhoist::scheduler::{preferred_controller, retry_delay};
@@ -195,9 +195,9 @@
 
 #[test]
 fn reports_are_formatted_for_people() {
-    assert_eq!(span_text(59.4), "59 s");
-    assert_eq!(span_text(61.0), "1 min 1 s");
-    assert_eq!(span_text(7260.0), "2 h 1 min");
+    assert_eq!(duration_text(59.4), "59 s");
+    assert_eq!(duration_text(61.0), "1 min 1 s");
+    assert_eq!(duration_text(7260.0), "2 h 1 min");
     let report: FleetReport = serde_json::from_value(serde_json::json!({
         "node": "n0", "state_age_s": 0.5, "unfinished": 1, "late": 1, "services_short": 0,
         "machines": {"active": 3}, "refused_by_cloud": ["occhio in porto"], "next": null,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -163,7 +163,9 @@
             );
         }
         // A controller that gets no barrier cannot tell whether an id is unknown.
-        simulation.fabric.cut(controller(0), state_addr(0));
+        simulation
+            .simulated_network
+            .partition(controller(0), state_addr(0));
         let body = with_dependencies(job(3, "batch", 1, 1.0), &["job-000777"]);
         assert_eq!(submit_once(&simulation, 0, &body).await.0, 503);
         simulation.wait_for_stage("job-000002", "done", 100).await;
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -41,7 +41,7 @@
     /// Sends the request to a controller; returns the answer and the response time. A
     /// submission is of a new job; queries and cancellations concern the job `existing`.
     async fn send(self, simulation: &Simulation, i: usize, existing: &str) -> (Response, Duration) {
-        let user = Net::Simulated(simulation.fabric.clone(), addr("10.3.0.9:1"));
+        let user = Net::Simulated(simulation.simulated_network.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
         let new = job(70, "batch", 1, 1.0);
         let (method, path, body) = match self {
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -19,7 +19,9 @@
         // All controllers but one lose the state service; their workers stay with
         // them as long as they answer.
         for i in 0..CONTROLLERS - 1 {
-            simulation.fabric.cut(controller(i), state_addr(i));
+            simulation
+                .simulated_network
+                .partition(controller(i), state_addr(i));
         }
         sleep(Duration::from_secs(1)).await;
         let last = CONTROLLERS - 1;
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use shelfhoist::http::Client;
-use shelfhoist::net::{Fabric, Net};
+use shelfhoist::net::{Net, SimulatedNetwork};
 use shelfhoist::state::budget::{Budget, RequestClass};
 use shelfhoist::state::client::StateClient;
 use shelfhoist::wire::{Commit, Write};
@@ -134,7 +134,7 @@
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
     run_in_simulated_time(|| async {
-        let net = Net::Simulated(Rc::new(Fabric::default()), controller(0));
+        let net = Net::Simulated(Rc::new(SimulatedNetwork::default()), controller(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
         let unreachable = controller(9);
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -27,7 +27,7 @@
 
 impl UnthrottledClient {
     fn new(simulation: &Simulation) -> Self {
-        let net = Net::Simulated(simulation.fabric.clone(), addr(CLIENT));
+        let net = Net::Simulated(simulation.simulated_network.clone(), addr(CLIENT));
         let client = Client::new(net, Duration::from_secs(30));
         UnthrottledClient(client.with_limits(usize::MAX, 4 << 20))
     }
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -174,7 +174,7 @@
     pub fn lose(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
-            self.fabric.remove_listener(worker.address);
+            self.simulated_network.remove_listener(worker.address);
             tasks.iter().for_each(JoinHandle::abort);
         }
     }
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -72,8 +72,9 @@
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
         }
-        self.fabric.remove_listener(controller(i));
-        self.fabric.remove_listener(addr(&mesh_address(i)));
+        self.simulated_network.remove_listener(controller(i));
+        self.simulated_network
+            .remove_listener(addr(&mesh_address(i)));
     }
 
     /// Returns the home controller and the owner of each machine, as the stored records
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -15,8 +15,8 @@
     pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
-                self.fabric.cut(w.address, controller(i));
-                self.fabric.cut(controller(i), w.address);
+                self.simulated_network.partition(w.address, controller(i));
+                self.simulated_network.partition(controller(i), w.address);
             }
         }
     }
@@ -27,10 +27,12 @@
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
             for (from, to) in [(i, j), (j, i)] {
                 match cut {
-                    true => self.fabric.cut(controller(from), addr(&mesh_address(to))),
+                    true => self
+                        .simulated_network
+                        .partition(controller(from), addr(&mesh_address(to))),
                     false => self
-                        .fabric
-                        .repair(controller(from), addr(&mesh_address(to))),
+                        .simulated_network
+                        .heal(controller(from), addr(&mesh_address(to))),
                 }
             }
         }
@@ -50,8 +52,8 @@
         {
             for (from, to) in [(own, remote), (remote, own)] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         }
@@ -63,8 +65,8 @@
         for (w, _) in self.workers.borrow().values() {
             for (from, to) in [(w.address, controller(i)), (controller(i), w.address)] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         }
@@ -76,8 +78,8 @@
         let set_link = |a: SocketAddrV4, b: SocketAddrV4| {
             for (from, to) in [(a, b), (b, a)] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         };
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{Value, json};
 use shelfhoist::http::{Client, Request, ResponseFuture, ServerLimits, serve};
-use shelfhoist::net::{Fabric, Net};
+use shelfhoist::net::{Net, SimulatedNetwork};
 use shelfhoist::settings::Settings;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
@@ -167,10 +167,10 @@
     }
 
     /// Returns the network of a process with this address.
-    fn net(&self, fabric: &Rc<Fabric>, address: SocketAddrV4) -> Net {
+    fn net(&self, simulated_network: &Rc<SimulatedNetwork>, address: SocketAddrV4) -> Net {
         match self.loopback {
             true => Net::System,
-            false => Net::Simulated(fabric.clone(), address),
+            false => Net::Simulated(simulated_network.clone(), address),
         }
     }
 
@@ -186,7 +186,7 @@
 /// A running simulated deployment: the controllers, their simulated counterparts, and the
 /// state of the rule checker.
 pub struct Simulation {
-    pub fabric: Rc<Fabric>,
+    pub simulated_network: Rc<SimulatedNetwork>,
     pub state: Rc<StateService>,
     /// Running workers, by machine name.
     pub workers: RefCell<BTreeMap<String, RunningWorker>>,
@@ -279,11 +279,14 @@
 
     /// Returns a deployment none of whose parts is started.
     fn unstarted(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
-        let fabric = Rc::new(Fabric::default());
+        let simulated_network = Rc::new(SimulatedNetwork::default());
         let frames = Rc::new(FrameRecorder::default());
-        let users = Client::new(shape.net(&fabric, addr(USERS)), Duration::from_secs(1));
+        let users = Client::new(
+            shape.net(&simulated_network, addr(USERS)),
+            Duration::from_secs(1),
+        );
         Rc::new(Simulation {
-            fabric,
+            simulated_network,
             state: Rc::new(StateService::new(seed)),
             workers: RefCell::default(),
             jobs: RefCell::default(),
@@ -338,7 +341,7 @@
 
     /// Returns the network of a process with this address.
     pub(super) fn net(&self, address: SocketAddrV4) -> Net {
-        self.shape.net(&self.fabric, address)
+        self.shape.net(&self.simulated_network, address)
     }
 
     /// Serves requests at an address of the simulated network, and records them.
--- a/tests/stand_ins/state_service/leases.rs
+++ b/tests/stand_ins/state_service/leases.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Removes keys, in transactions of at most `txn_ops` writes.
+    /// Removes keys, in transactions of at most `max_writes_per_commit` writes.
     fn remove(&self, keys: Vec<String>) {
         let writes: Vec<Value> = keys.iter().map(|k| json!({"remove": k})).collect();
         for chunk in writes.chunks(self.limits.get().txn_ops.max(1)) {
