--- a/tests/fleet/deployments.rs
+++ b/tests/fleet/deployments.rs
@@ -8,9 +8,9 @@
 pub fn five_controller_deployment() -> DeploymentOptions {
     DeploymentOptions {
         controllers: 5,
-        locations: vec!["a", "b", "c", "a", "b"],
+        controller_locations: vec!["a", "b", "c", "a", "b"],
         zones: vec!["a", "b", "c"],
-        machine_zones: vec!["a", "b", "c"],
+        initial_machine_zones: vec!["a", "b", "c"],
         report_s: 5.0,
         report_jitter: 0.25,
         lease_s: 26.5,
@@ -22,7 +22,7 @@
         ready_s: 3600.0,
         boot_s: 4.0,
         shares: false,
-        loopback: false,
+        uses_loopback_sockets: false,
     }
 }
 
@@ -30,9 +30,9 @@
 pub fn three_controller_deployment() -> DeploymentOptions {
     DeploymentOptions {
         controllers: 3,
-        locations: vec!["a", "a", "b"],
+        controller_locations: vec!["a", "a", "b"],
         zones: vec!["a", "b"],
-        machine_zones: vec!["a", "b"],
+        initial_machine_zones: vec!["a", "b"],
         report_s: 4.0,
         report_jitter: 0.25,
         lease_s: 22.0,
@@ -44,7 +44,7 @@
         ready_s: 3600.0,
         boot_s: 4.0,
         shares: false,
-        loopback: false,
+        uses_loopback_sockets: false,
     }
 }
 
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -44,9 +44,9 @@
 fn with_layout(deployment: DeploymentOptions, layout: Layout) -> DeploymentOptions {
     DeploymentOptions {
         controllers: layout.locations.len(),
-        locations: layout.locations,
+        controller_locations: layout.locations,
         zones: vec!["a", "b", "c"],
-        machine_zones: layout.machine_zones,
+        initial_machine_zones: layout.machine_zones,
         teams: teams(8, 8.0 * MACHINES as f64, 64.0 * MACHINES as f64),
         machines: MACHINES,
         ..deployment
@@ -127,7 +127,7 @@
     let start = Instant::now();
     let mut idle: BTreeSet<String> = simulation.workers.borrow().keys().cloned().collect();
     while !idle.is_empty() {
-        for worker in simulation.busy() {
+        for worker in simulation.busy_workers() {
             idle.remove(worker.name());
         }
         idle.retain(|name| simulation.workers.borrow().contains_key(name));
@@ -147,7 +147,7 @@
     let start = Instant::now();
     for (number, id) in ids.iter().enumerate() {
         let controller = number % simulation.shape.controllers;
-        while simulation.stage(controller, id).await.as_deref() != Some("done") {
+        while simulation.query_stage(controller, id).await.as_deref() != Some("done") {
             assert!(start.elapsed().as_secs_f64() < limit_s, "{id} is not done");
             sleep(Duration::from_secs(1)).await;
         }
@@ -176,7 +176,7 @@
         let lease_s = shape.lease_s;
         let lease = Duration::from_secs_f64(lease_s);
         let controllers = shape.controllers;
-        let simulation = Simulation::of(31, shape).await;
+        let simulation = Simulation::with_options(31, shape).await;
         wait_until_all_claimed_and_listed(&simulation, lease_s * 3.0, "a start").await;
         if let Some(limits) = reduced_limits {
             simulation.state.limits.set(limits);
@@ -189,7 +189,7 @@
         );
 
         for controller in 1..controllers {
-            simulation.kill(controller);
+            simulation.kill_controller(controller);
         }
         sleep(lease * 2).await;
         let expired = simulation.expired_lease_count() as usize;
@@ -210,11 +210,11 @@
 
         let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
-            simulation.lose(name);
+            simulation.lose_machine(name);
         }
         let ids = submit_work_for_all(&simulation, 2, lease_s * 12.0, "the loss of a fifth").await;
         for controller in 0..controllers {
-            simulation.kill(controller);
+            simulation.kill_controller(controller);
         }
         sleep(lease / 4).await;
         for controller in 0..controllers {
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -41,11 +41,11 @@
     while !unfinished.is_empty() {
         let mut waiting = Vec::new();
         for (controller, id) in unfinished {
-            let stage = simulation.stage(controller, id).await;
+            let stage = simulation.query_stage(controller, id).await;
             let service = simulation.is_service(id);
             let is_met = match stage.as_deref() {
                 Some("done") => true,
-                Some("running") => service && simulation.running(id) == 9,
+                Some("running") => service && simulation.running_task_count(id) == 9,
                 _ => false,
             };
             if !is_met {
@@ -69,13 +69,13 @@
         let lease_s = shape.lease_s;
         let controllers = shape.controllers;
         let seconds = Duration::from_secs_f64;
-        let simulation = Simulation::of(21, shape).await;
+        let simulation = Simulation::with_options(21, shape).await;
         let mut ids = submit(&simulation, 1).await;
         wait_until_running_or_done(&simulation, &ids, lease_s * 4.0, "a start").await;
 
         // One controller takes over all machines.
         for controller in 1..controllers {
-            simulation.kill(controller);
+            simulation.kill_controller(controller);
         }
         sleep(seconds(lease_s * 1.2)).await;
         assert!(simulation.workers.borrow().len() >= simulation.shape.machines);
@@ -110,10 +110,10 @@
         // A fifth of the machines is lost and all controllers restart at the same time.
         let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names.iter().step_by(5) {
-            simulation.lose(name);
+            simulation.lose_machine(name);
         }
         for controller in 0..controllers {
-            simulation.kill(controller);
+            simulation.kill_controller(controller);
             simulation.start(controller);
         }
         ids.extend(submit(&simulation, 3).await);
@@ -128,13 +128,13 @@
 
         // The state service is down for longer than a lease. In the middle of the outage one
         // controller freezes and another restarts immediately.
-        simulation.state.trouble.set(StateFault::Outage);
+        simulation.state.fault.set(StateFault::Outage);
         sleep(seconds(lease_s * 0.6)).await;
         simulation.set_paused(0, true);
-        simulation.kill(1);
+        simulation.kill_controller(1);
         simulation.start(1);
         sleep(seconds(lease_s * 0.6)).await;
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
         sleep(seconds(lease_s * 0.6)).await;
         simulation.set_paused(0, false);
         ids.extend(submit(&simulation, 5).await);
@@ -155,7 +155,7 @@
                     "{id}"
                 );
             }
-            let stage = simulation.stage(controllers - 1, id).await;
+            let stage = simulation.query_stage(controllers - 1, id).await;
             let expected = if simulation.is_service(id) {
                 "aborted"
             } else {
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -67,7 +67,7 @@
 /// Polls a job at one controller after another, every 5 s as users do.
 async fn poll_job(simulation: Rc<Simulation>, id: String) {
     for i in (0..CONTROLLERS).cycle() {
-        simulation.stage(i, &id).await;
+        simulation.query_stage(i, &id).await;
         sleep(seconds(5.0)).await;
     }
 }
@@ -84,16 +84,24 @@
 /// Makes the state service lose responses, apply commits late, be unavailable and slow.
 async fn inject_state_faults(simulation: &Rc<Simulation>) {
     for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
-        simulation.state.trouble.set(trouble);
+        simulation.state.fault.set(trouble);
         simulation.state.faulty_commits_left.set(4);
         sleep(seconds(6.0)).await;
         simulation.state.faulty_commits_left.set(0);
     }
-    simulation.state.trouble.set(StateFault::Outage);
+    simulation.state.fault.set(StateFault::Outage);
     sleep(seconds(15.0)).await;
-    simulation.state.trouble.set(StateFault::None);
-    simulation.state.fault_options.borrow_mut().late = 0.2;
-    simulation.state.fault_options.borrow_mut().unanswered = 0.2;
+    simulation.state.fault.set(StateFault::None);
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .late_commit_fraction = 0.2;
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .unanswered_commit_fraction = 0.2;
     simulation.state.fault_options.borrow_mut().response_delay = seconds(0.2);
     sleep(seconds(10.0)).await;
     simulation.clear_faults();
@@ -104,7 +112,7 @@
 /// leases last.
 async fn restart_controllers(simulation: &Rc<Simulation>) {
     for i in 0..CONTROLLERS {
-        simulation.kill(i);
+        simulation.kill_controller(i);
         let downtime_s = if i == 0 { 1.5 } else { 0.5 } * simulation.shape.lease_s;
         sleep(seconds(downtime_s)).await;
         simulation.start(i);
@@ -115,7 +123,7 @@
 /// Cuts one controller off from its peers and then another from everything, and delivers
 /// duplicate heartbeats late.
 async fn inject_network_faults(simulation: &Rc<Simulation>) {
-    simulation.copied.set(0.3);
+    simulation.copied_heartbeat_fraction.set(0.3);
     simulation.set_peer_partition(1, true);
     sleep(seconds(8.0)).await;
     simulation.set_peer_partition(1, false);
@@ -129,9 +137,9 @@
 
 /// Loses one busy machine, and makes another hang for longer than its lease lasts.
 async fn inject_worker_faults(simulation: &Rc<Simulation>) {
-    let busy = simulation.busy();
+    let busy = simulation.busy_workers();
     if let Some(worker) = busy.first() {
-        simulation.lose(worker.name());
+        simulation.lose_machine(worker.name());
     }
     if let Some(worker) = busy.last() {
         worker.hang(seconds(1.5 * simulation.shape.lease_s));
@@ -143,7 +151,7 @@
 fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(seed, DeploymentOptions::default()).await;
+        let simulation = Simulation::with_options(seed, DeploymentOptions::default()).await;
         simulation.frames.begin();
         spawn_local(submit_jobs(simulation.clone()));
         inject_faults(&simulation).await;
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -197,7 +197,7 @@
     sleep(secs(5.0)).await;
     let owner = simulation.controller_with_most_machines();
     simulation
-        .busy()
+        .busy_workers()
         .iter()
         .for_each(|worker| worker.hang(secs(HANG_S)));
     sleep(secs(HANG_S - refused_s)).await;
@@ -205,7 +205,7 @@
         .state
         .fault_options
         .borrow_mut()
-        .refused
+        .refused_controllers
         .insert(owner);
     sleep(secs(refused_s - cancelled_s)).await;
     let uncancelled = ids.split_off(2);
@@ -247,10 +247,10 @@
             simulation.clear_faults();
             sleep(secs(20.0)).await;
             for id in &case.cancelled {
-                assert_eq!(simulation.running(id), 0, "{id}");
+                assert_eq!(simulation.running_task_count(id), 0, "{id}");
             }
             for id in &case.uncancelled {
-                assert_eq!(simulation.running(id), 1, "{id}");
+                assert_eq!(simulation.running_task_count(id), 1, "{id}");
             }
             simulation.assert_no_violations();
         });
@@ -263,18 +263,22 @@
     run_in_simulated_time(|| async {
         let case = refuse_owner_before_machines_return(50, 2.4, 2.0).await;
         let (simulation, owner) = (case.simulation, case.owner);
-        let starts = simulation.starts.get();
+        let starts = simulation.task_start_count.get();
         sleep(secs(2.0 + 1.0)).await;
-        assert_eq!(simulation.starts.get(), starts, "launched from an old view");
+        assert_eq!(
+            simulation.task_start_count.get(),
+            starts,
+            "launched from an old view"
+        );
         simulation
             .state
             .fault_options
             .borrow_mut()
-            .refused
+            .refused_controllers
             .remove(&owner);
         sleep(secs(1.0)).await;
         for id in &case.uncancelled {
-            assert_eq!(simulation.running(id), 1, "{id}");
+            assert_eq!(simulation.running_task_count(id), 1, "{id}");
         }
         assert_eq!(simulation.starts_after_cancel.borrow().len(), 0);
         simulation.assert_no_violations();
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -22,7 +22,7 @@
 /// responses are lost.
 fn lower_limits_around_compaction(delay: Option<Duration>, trouble: StateFault) {
     run_in_simulated_time(|| async move {
-        let simulation = Simulation::of(31, deployment()).await;
+        let simulation = Simulation::with_options(31, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let first_jobs = submit_largest_jobs(&simulation, 1, 1800).await;
         let cancelled_job = simulation.submit(job(5, "batch", 300, 500.0)).await;
@@ -37,7 +37,7 @@
         }
         restart_with_upcoming_limits(&simulation).await;
         wait_until_formats_recorded(&simulation).await;
-        simulation.state.trouble.set(trouble);
+        simulation.state.fault.set(trouble);
         simulation.state.faulty_commits_left.set(12);
         // Without a delay, the limits are lowered as soon as the new formats are recorded.
         sleep(delay.unwrap_or_default()).await;
@@ -49,7 +49,7 @@
             );
         }
         for i in 0..3 {
-            simulation.kill(i);
+            simulation.kill_controller(i);
         }
         lower_limits(&simulation);
         for i in 0..3 {
@@ -63,7 +63,7 @@
         wait_until_jobs_progress(&simulation, &first_jobs).await;
         wait_until_jobs_progress(&simulation, &second_jobs).await;
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(simulation.running(&cancelled_job), 0);
+        assert_eq!(simulation.running_task_count(&cancelled_job), 0);
         let refused = simulation.state.rate_limited_commits.get();
         assert!(refused < 40, "{refused} refused for the rate");
         assert!(
@@ -160,7 +160,7 @@
 #[test]
 fn one_controller_takes_over_every_machine_at_the_lower_rate() {
     run_in_simulated_time(|| async move {
-        let simulation = Simulation::of(32, deployment()).await;
+        let simulation = Simulation::with_options(32, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         restart_with_upcoming_limits(&simulation).await;
         wait_until_formats_recorded(&simulation).await;
@@ -169,8 +169,8 @@
         let first_jobs = submit_largest_jobs(&simulation, 1, 1800).await;
         sleep(Duration::from_secs(5)).await;
         let lapsed = simulation.expired_lease_count();
-        simulation.kill(0);
-        simulation.kill(1);
+        simulation.kill_controller(0);
+        simulation.kill_controller(1);
         sleep(Duration::from_secs(25)).await;
         assert_eq!(simulation.expired_lease_count(), lapsed, "leases ran out");
         let holders = simulation.machine_owners();
@@ -193,7 +193,7 @@
     run_in_simulated_time(|| async move {
         let mut shape = deployment();
         shape.machines = 45;
-        let simulation = Simulation::of(33, shape).await;
+        let simulation = Simulation::with_options(33, shape).await;
         sleep(Duration::from_secs(15)).await;
         let mut request = job(1, "batch", 1800, 15.0);
         for field in ["blueprint", "lot"] {
@@ -215,7 +215,7 @@
             simulation.wait_for_stage(id, "done", 120).await;
         }
         sleep(Duration::from_secs(20)).await;
-        let stage = simulation.stage(0, &oversized_job).await;
+        let stage = simulation.query_stage(0, &oversized_job).await;
         assert!(stage.is_some(), "{stage:?}");
         let beyond = simulation.state.rejected_commits.borrow().clone();
         let of_oversized_job = beyond
@@ -246,7 +246,7 @@
         let mut shape = deployment();
         shape.machines = 60;
         shape.state["next"] = json!({"write_rps": 12.0});
-        let simulation = Simulation::of(34, shape).await;
+        let simulation = Simulation::with_options(34, shape).await;
         sleep(Duration::from_secs(15)).await;
         simulation.state.limits.set(StateLimits {
             write_rps: 12.0,
@@ -290,7 +290,7 @@
 fn controllers_are_upgraded_one_after_another() {
     for seed in [51, 52] {
         run_in_simulated_time(|| async move {
-            let simulation = Simulation::of(seed, deployment()).await;
+            let simulation = Simulation::with_options(seed, deployment()).await;
             simulation
                 .state
                 .previous_version_controllers
@@ -323,7 +323,7 @@
                 assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
             };
             let upgrade = |i: usize| {
-                simulation.kill(i);
+                simulation.kill_controller(i);
                 simulation
                     .state
                     .previous_version_controllers
@@ -336,7 +336,7 @@
             upgrade(0);
             check_while_old(15).await;
             // Controller 2 restarts with the older version before it is upgraded.
-            simulation.kill(2);
+            simulation.kill_controller(2);
             *simulation.next.borrow_mut() = Value::Null;
             simulation.start(2);
             check_while_old(6).await;
@@ -347,7 +347,7 @@
             wait_until_formats_recorded(&simulation).await;
             simulation.submit(dependent_job.clone()).await;
             assert_eq!(
-                simulation.stage(1, "job-000006").await.as_deref(),
+                simulation.query_stage(1, "job-000006").await.as_deref(),
                 Some("queued")
             );
             sleep(Duration::from_secs(5)).await;
@@ -371,7 +371,7 @@
 #[test]
 fn oversized_accepted_batch_is_completed_and_deleted() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(53, deployment()).await;
+        let simulation = Simulation::with_options(53, deployment()).await;
         sleep(Duration::from_secs(15)).await;
         let mut batch = AcceptedBatch {
             accepted_revision: 1,
@@ -398,7 +398,7 @@
             simulation.submit(submission.clone()).await;
         }
         for i in 0..3 {
-            simulation.kill(i);
+            simulation.kill_controller(i);
         }
         lower_limits(&simulation);
         for i in 0..3 {
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -189,7 +189,7 @@
 /// recorded that all controllers read the new formats.
 pub async fn restart_with_upcoming_limits(simulation: &Rc<Simulation>) {
     for i in 0..simulation.shape.controllers {
-        simulation.kill(i);
+        simulation.kill_controller(i);
     }
     *simulation.next.borrow_mut() = upcoming_limits();
     simulation
@@ -238,7 +238,7 @@
     simulation.wait_for_stage(gang, "done", 200).await;
     simulation.wait_for_stage(array, "done", 400).await;
     let start = Instant::now();
-    while simulation.running(service) < 16 {
+    while simulation.running_task_count(service) < 16 {
         assert!(start.elapsed() < Duration::from_secs(200), "{service}");
         sleep(Duration::from_secs(1)).await;
     }
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -13,14 +13,14 @@
 fn rules_hold_after_all_controllers_are_down_for_a_lease() {
     for variant in 0..4u64 {
         Scenario::with_large_teams(1100 + variant).run(|simulation| async move {
-            simulation.copied.set(0.2);
+            simulation.copied_heartbeat_fraction.set(0.2);
             let ids = start_long_jobs(&simulation, 1, 6).await;
             sleep(secs(4.0)).await;
             cancel(&simulation, None, &ids[0]).await;
             for i in 0..simulation.shape.controllers {
-                simulation.kill(i);
+                simulation.kill_controller(i);
             }
-            for worker in simulation.busy().iter().take(2) {
+            for worker in simulation.busy_workers().iter().take(2) {
                 worker.hang(secs(9.0 + variant as f64 * 3.0));
             }
             sleep(secs([8.0, 11.0, 14.0, 40.0][variant as usize])).await;
@@ -57,7 +57,8 @@
             }
             sleep(secs(4.0)).await;
             simulation.set_zone_partition(zone, true);
-            let controller_in_zone = (0..3).find(|i| simulation.shape.locations[*i] == zone);
+            let controller_in_zone =
+                (0..3).find(|i| simulation.shape.controller_locations[*i] == zone);
             for id in [&ids[0], &ids[1], &ids[4], &ids[5]] {
                 cancel(&simulation, controller_in_zone, id).await;
             }
@@ -91,13 +92,13 @@
                 .state
                 .fault_options
                 .borrow_mut()
-                .refused
+                .refused_controllers
                 .insert(leader);
             simulation.set_peer_partition(leader, true);
             for (index, id) in ids[..4].iter().enumerate() {
                 cancel(&simulation, Some(leader), id).await;
                 simulation.query_concurrently(id).await;
-                if let Some(worker) = simulation.busy().get(index)
+                if let Some(worker) = simulation.busy_workers().get(index)
                     && hang_s > 0.0
                 {
                     worker.hang(secs(hang_s));
@@ -105,9 +106,9 @@
                 sleep(secs(1.0)).await;
             }
             if outage {
-                simulation.state.trouble.set(StateFault::Outage);
+                simulation.state.fault.set(StateFault::Outage);
                 sleep(secs(simulation.shape.cancel_s + 5.0)).await;
-                simulation.state.trouble.set(StateFault::None);
+                simulation.state.fault.set(StateFault::None);
             }
             sleep(secs(partition_s)).await;
             for id in &ids {
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -78,7 +78,7 @@
 
 impl Injection {
     fn new(simulation: Rc<Simulation>, duration: Duration, variant: usize) -> Self {
-        let busy_workers = simulation.busy();
+        let busy_workers = simulation.busy_workers();
         let affected = busy_workers
             .iter()
             .skip(variant % 3)
@@ -101,20 +101,24 @@
             Fault::AllControllersRestart => self.restart_all_controllers().await,
             Fault::LeaderFrozen => self.freeze_leader().await,
             Fault::LeaderRefusedByState => {
-                self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
+                self.modify_state_faults(|faults| {
+                    _ = faults.refused_controllers.insert(self.leader)
+                });
                 sleep(self.duration).await;
-                self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
+                self.modify_state_faults(|faults| {
+                    _ = faults.refused_controllers.remove(&self.leader)
+                });
             }
             Fault::StateOutage => self.interrupt_state_service().await,
             Fault::LateCommits => {
-                self.modify_state_faults(|faults| faults.late = 0.2);
+                self.modify_state_faults(|faults| faults.late_commit_fraction = 0.2);
                 sleep(self.duration).await;
-                self.modify_state_faults(|faults| faults.late = 0.0);
+                self.modify_state_faults(|faults| faults.late_commit_fraction = 0.0);
             }
             Fault::UnansweredCommits => {
-                self.modify_state_faults(|faults| faults.unanswered = 0.3);
+                self.modify_state_faults(|faults| faults.unanswered_commit_fraction = 0.3);
                 sleep(self.duration).await;
-                self.modify_state_faults(|faults| faults.unanswered = 0.0);
+                self.modify_state_faults(|faults| faults.unanswered_commit_fraction = 0.0);
             }
             Fault::SlowState => {
                 self.modify_state_faults(|faults| faults.response_delay = secs(1.2));
@@ -143,7 +147,7 @@
 // Faults of controllers.
 impl Injection {
     async fn restart_leader(&self) {
-        self.simulation.kill(self.leader);
+        self.simulation.kill_controller(self.leader);
         let downtime = self.duration.mul_f64([0.0, 0.2, 1.0][self.variant % 3]);
         sleep(downtime).await;
         self.simulation.restore_controllers();
@@ -151,7 +155,7 @@
 
     async fn restart_all_controllers(&self) {
         for i in 0..self.simulation.shape.controllers {
-            self.simulation.kill(i);
+            self.simulation.kill_controller(i);
         }
         sleep(self.duration).await;
         self.simulation.restore_controllers();
@@ -171,9 +175,9 @@
     }
 
     async fn interrupt_state_service(&self) {
-        self.simulation.state.trouble.set(StateFault::Outage);
+        self.simulation.state.fault.set(StateFault::Outage);
         sleep(self.duration.mul_f64([1.0, 3.0][self.variant % 2])).await;
-        self.simulation.state.trouble.set(StateFault::None);
+        self.simulation.state.fault.set(StateFault::None);
     }
 }
 
@@ -212,7 +216,7 @@
 
     fn lose_machine(&self) {
         if let Some(worker) = self.affected.first() {
-            self.simulation.lose(worker.name());
+            self.simulation.lose_machine(worker.name());
         }
     }
 }
@@ -234,10 +238,10 @@
 
     async fn partition_leader_from_state_and_peers(&self) {
         self.simulation.set_peer_partition(self.leader, true);
-        self.modify_state_faults(|faults| _ = faults.refused.insert(self.leader));
+        self.modify_state_faults(|faults| _ = faults.refused_controllers.insert(self.leader));
         sleep(self.duration).await;
         self.simulation.set_peer_partition(self.leader, false);
-        self.modify_state_faults(|faults| _ = faults.refused.remove(&self.leader));
+        self.modify_state_faults(|faults| _ = faults.refused_controllers.remove(&self.leader));
     }
 }
 
@@ -338,7 +342,7 @@
 /// teams at their limits.
 async fn run_fault_pair(simulation: Rc<Simulation>, seed: u64, faults: [Fault; 2]) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    simulation.copied.set(0.05);
+    simulation.copied_heartbeat_fraction.set(0.05);
     let mut ids = Vec::new();
     let mut users: Vec<JoinHandle<()>> = Vec::new();
     for step in 0..110u32 {
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -111,11 +111,11 @@
     let mut ids = start_long_jobs(simulation, 1, 6).await;
     let mut uncancelled: Vec<String> = ids.clone();
     simulation
-        .copied
+        .copied_heartbeat_fraction
         .set(if case.late_report_copies { 0.2 } else { 0.0 });
     simulation.state.fault_options.replace(StateFaultOptions {
-        late: case.late_commits,
-        unanswered: case.unanswered,
+        late_commit_fraction: case.late_commits,
+        unanswered_commit_fraction: case.unanswered,
         response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
@@ -147,7 +147,7 @@
 /// Delays the commands to all busy workers; one of them also hangs, or its messages
 /// are blocked in one direction.
 fn disturb_workers(simulation: &Rc<Simulation>, case: FaultCase, change: u32) {
-    let busy_workers = simulation.busy();
+    let busy_workers = simulation.busy_workers();
     for worker in &busy_workers {
         worker.command_delay.set(secs(case.commands_delayed_s));
     }
@@ -178,32 +178,37 @@
 async fn stop_leader(simulation: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
-        simulation.state.trouble.set(StateFault::Outage);
+        simulation.state.fault.set(StateFault::Outage);
     }
     match change % 4 {
         0 => {
-            simulation.kill(leader);
+            simulation.kill_controller(leader);
             simulation.start(leader);
         }
-        1 => simulation.kill(leader),
+        1 => simulation.kill_controller(leader),
         2 => simulation.set_paused(leader, true),
         _ => {
             simulation
                 .state
                 .fault_options
                 .borrow_mut()
-                .refused
+                .refused_controllers
                 .insert(leader);
         }
     }
     if outage {
         sleep(secs(3.0)).await;
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
     }
 }
 
 fn restore_leader(simulation: &Rc<Simulation>, change: u32, leader: usize) {
-    simulation.state.fault_options.borrow_mut().refused.clear();
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .refused_controllers
+        .clear();
     match change % 4 {
         1 => simulation.start(leader),
         2 => simulation.set_paused(leader, false),
@@ -227,7 +232,7 @@
 fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
     for variant in 0..4u64 {
         Scenario::with_large_teams(1000 + variant).run(|simulation| async move {
-            simulation.copied.set(0.3);
+            simulation.copied_heartbeat_fraction.set(0.3);
             let mut ids = Vec::new();
             for n in 0..10u32 {
                 let run_times_s = [1.0, 4.0 + f64::from(n) * 2.5, 12.0 + f64::from(n) * 2.0];
@@ -245,13 +250,13 @@
             sleep(secs(6.0)).await;
             for change in 0..6u64 {
                 let leader = simulation.controller_with_most_machines();
-                let busy_workers = simulation.busy();
+                let busy_workers = simulation.busy_workers();
                 if let Some(worker) = busy_workers.first()
                     && (change + variant) % 2 == 0
                 {
                     worker.hang(secs(12.0));
                 }
-                simulation.kill(leader);
+                simulation.kill_controller(leader);
                 sleep(secs((change + variant) as f64 % 3.0)).await;
                 simulation.start(leader);
                 simulation.send_recorded_copies();
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -164,7 +164,7 @@
                 sleep(secs(6.0)).await;
                 refuse_leader_before_outage(&simulation, case, &ids).await;
                 for id in ids.iter().filter(|id| simulation.is_cancelled(id)) {
-                    assert_eq!(simulation.running(id), 0, "{name}: {id}");
+                    assert_eq!(simulation.running_task_count(id), 0, "{name}: {id}");
                 }
                 heal_and_check(&simulation, &name, &ids).await;
             });
@@ -176,7 +176,7 @@
 /// then makes the state service unavailable to all.
 async fn refuse_leader_before_outage(simulation: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
     let leader = simulation.controller_with_most_machines();
-    let busy_workers = simulation.busy();
+    let busy_workers = simulation.busy_workers();
     for worker in busy_workers.iter().take(case.unreachable_workers) {
         worker.inbound_blocked.set(true);
     }
@@ -192,7 +192,7 @@
     }
     if case.others_restart {
         for i in (0..simulation.shape.controllers).filter(|i| *i != leader) {
-            simulation.kill(i);
+            simulation.kill_controller(i);
             simulation.start(i);
         }
     }
@@ -213,8 +213,8 @@
         sleep(secs(4.0)).await;
     }
     simulation.state.fault_options.replace(StateFaultOptions {
-        refused: [leader].into(),
-        late: case.late_commits,
+        refused_controllers: [leader].into(),
+        late_commit_fraction: case.late_commits,
         response_delay: secs(case.slow_s),
         ..StateFaultOptions::default()
     });
@@ -244,11 +244,11 @@
 /// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
 /// freezes the leader meanwhile if the case includes that.
 async fn run_outage(simulation: &Rc<Simulation>, leader: usize, case: FaultCase) {
-    simulation.state.trouble.set(StateFault::Outage);
+    simulation.state.fault.set(StateFault::Outage);
     let start = Instant::now();
     if let Some(after) = case.leader_restarts_s {
         sleep(secs(after)).await;
-        simulation.kill(leader);
+        simulation.kill_controller(leader);
         simulation.start(leader);
     }
     if case.leader_frozen_s > 0.0 {
@@ -258,9 +258,9 @@
     }
     if case.short_recovery {
         sleep(secs(5.0)).await;
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
         sleep(secs(0.4)).await;
-        simulation.state.trouble.set(StateFault::Outage);
+        simulation.state.fault.set(StateFault::Outage);
     }
     let total = secs(simulation.shape.cancel_s * 2.0 + 4.0);
     sleep(total.saturating_sub(start.elapsed())).await;
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -45,7 +45,7 @@
     sleep(secs(18.0)).await;
     for round in 0..3 {
         let leader = simulation.controller_with_most_machines();
-        let busy_workers = simulation.busy();
+        let busy_workers = simulation.busy_workers();
         for worker in busy_workers.iter().take(3) {
             inject_fault(worker, fault);
         }
@@ -53,12 +53,15 @@
             simulation.set_worker_partition(leader, true);
         }
         sleep(secs(0.4 * variant as f64)).await;
-        let running: Vec<&String> = ids.iter().filter(|id| simulation.running(id) > 0).collect();
+        let running: Vec<&String> = ids
+            .iter()
+            .filter(|id| simulation.running_task_count(id) > 0)
+            .collect();
         for id in running.iter().take(4) {
             cancel(simulation, None, id).await;
         }
         if round % 2 == 0 {
-            simulation.kill(leader);
+            simulation.kill_controller(leader);
             sleep(secs(variant as f64)).await;
             simulation.start(leader);
         } else {
@@ -66,11 +69,16 @@
                 .state
                 .fault_options
                 .borrow_mut()
-                .refused
+                .refused_controllers
                 .insert(leader);
         }
         sleep(secs(8.0)).await;
-        simulation.state.fault_options.borrow_mut().refused.clear();
+        simulation
+            .state
+            .fault_options
+            .borrow_mut()
+            .refused_controllers
+            .clear();
         busy_workers.iter().for_each(|worker| clear_faults(worker));
         simulation.set_worker_partition(leader, false);
         sleep(secs(12.0)).await;
@@ -121,8 +129,8 @@
             scenario.boot_s(0.8).run(|simulation| async move {
                 let mut ids = vec![simulation.submit(job(1, "batch", 1, 1.0)).await];
                 simulation.state.fault_options.replace(StateFaultOptions {
-                    late,
-                    unanswered,
+                    late_commit_fraction: late,
+                    unanswered_commit_fraction: unanswered,
                     response_delay: secs(slow_s),
                     ..StateFaultOptions::default()
                 });
@@ -134,7 +142,7 @@
                     }
                     sleep(secs(1.0 + 0.5 * f64::from(round))).await;
                     let leader = simulation.controller_with_most_machines();
-                    simulation.kill(leader);
+                    simulation.kill_controller(leader);
                     cancel(&simulation, Some(leader), &ids[ids.len() - 1]).await;
                     sleep(secs(2.0)).await;
                     simulation.start(leader);
@@ -160,8 +168,12 @@
         .enumerate()
     {
         Scenario::with_large_teams(900 + n as u64).run(|simulation| async move {
-            simulation.state.fault_options.borrow_mut().late = late;
-            simulation.copied.set(copied);
+            simulation
+                .state
+                .fault_options
+                .borrow_mut()
+                .late_commit_fraction = late;
+            simulation.copied_heartbeat_fraction.set(copied);
             let mut users = Vec::new();
             for number in 0..240u32 {
                 let (simulation, user_world) = (simulation.clone(), simulation.clone());
@@ -179,7 +191,7 @@
                 sleep(secs(0.25)).await;
                 if number % 80 == 40 {
                     let leader = simulation.controller_with_most_machines();
-                    simulation.kill(leader);
+                    simulation.kill_controller(leader);
                     simulation.start(leader);
                     simulation.send_recorded_copies();
                 }
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -34,8 +34,8 @@
                     let mut ids = vec![simulation.submit(job(1, "batch", 2, 1.0)).await];
                     simulation.wait_for_stage(&ids[0], "done", 60).await;
                     simulation.state.fault_options.replace(StateFaultOptions {
-                        unanswered,
-                        late,
+                        unanswered_commit_fraction: unanswered,
+                        late_commit_fraction: late,
                         response_delay: secs(slow_s),
                         ..StateFaultOptions::default()
                     });
@@ -44,8 +44,11 @@
                         let run_s = 2.0 + f64::from(n % 4) * 0.3;
                         let leader = simulation.controller_with_most_machines();
                         if refused_s > 0.0 {
-                            simulation.state.fault_options.borrow_mut().refused =
-                                [(n as usize) % 3].into();
+                            simulation
+                                .state
+                                .fault_options
+                                .borrow_mut()
+                                .refused_controllers = [(n as usize) % 3].into();
                         }
                         let id = simulation.submit(job(10 + n, kind, 2, run_s)).await;
                         simulation.query_concurrently(&id).await;
@@ -181,8 +184,8 @@
             simulation.wait_for_stage(&running, "running", 60).await;
             simulation.state.fault_options.replace(StateFaultOptions {
                 response_delay: secs(slow_s),
-                unanswered,
-                refused: refused.then_some(1).into_iter().collect(),
+                unanswered_commit_fraction: unanswered,
+                refused_controllers: refused.then_some(1).into_iter().collect(),
                 ..StateFaultOptions::default()
             });
             for (body, expected) in rejected_submissions() {
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -42,8 +42,8 @@
     loop {
         let mut unfinished = Vec::new();
         for id in ids.iter().filter(|id| !simulation.is_cancelled(id)) {
-            if simulation.running(id) == 0
-                && simulation.stage(0, id).await.as_deref() != Some("done")
+            if simulation.running_task_count(id) == 0
+                && simulation.query_stage(0, id).await.as_deref() != Some("done")
             {
                 unfinished.push(id);
             }
@@ -62,7 +62,7 @@
         for i in 0..simulation.shape.controllers {
             let mut stage = None;
             for _ in 0..10 {
-                stage = simulation.stage(i, id).await;
+                stage = simulation.query_stage(i, id).await;
                 if stage.is_some() {
                     break;
                 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -12,8 +12,8 @@
 
 use serde_json::{Value, json};
 use stand_ins::{
-    CONTROLLERS, DeploymentOptions, Simulation, StateFault, controller, job, run_in_simulated_time,
-    state_addr, with_dependencies,
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, controller_addr, job,
+    run_in_simulated_time, state_addr, with_dependencies,
 };
 use tokio::time::{Instant, sleep};
 
@@ -62,7 +62,7 @@
         run_in_simulated_time(|| async move {
             let simulation = Simulation::new(seed).await;
             wait_for_upgrade(&simulation).await;
-            simulation.state.trouble.set(trouble);
+            simulation.state.fault.set(trouble);
             let disturb_next_commits = || simulation.state.faulty_commits_left.set(3);
             let top = simulation.submit(job(1, "batch", 5, 3.0)).await;
             disturb_next_commits();
@@ -79,11 +79,14 @@
             let last = simulation
                 .submit(with_dependencies(job(5, "gang", 2, 1.0), &[&bottom]))
                 .await;
-            assert_eq!(simulation.stage(0, &last).await.as_deref(), Some("queued"));
+            assert_eq!(
+                simulation.query_stage(0, &last).await.as_deref(),
+                Some("queued")
+            );
             // Restarts each controller in turn.
             for i in 0..CONTROLLERS {
                 disturb_next_commits();
-                simulation.kill(i);
+                simulation.kill_controller(i);
                 sleep(Duration::from_secs(3)).await;
                 simulation.start(i);
                 sleep(Duration::from_secs(3)).await;
@@ -165,7 +168,7 @@
         // A controller that gets no barrier cannot tell whether an id is unknown.
         simulation
             .simulated_network
-            .partition(controller(0), state_addr(0));
+            .partition(controller_addr(0), state_addr(0));
         let body = with_dependencies(job(3, "batch", 1, 1.0), &["job-000777"]);
         assert_eq!(submit_once(&simulation, 0, &body).await.0, 503);
         simulation.wait_for_stage("job-000002", "done", 100).await;
@@ -259,7 +262,7 @@
             for id in &ids[cancelled_index..] {
                 for i in 0..CONTROLLERS {
                     assert_eq!(
-                        simulation.stage(i, id).await.as_deref(),
+                        simulation.query_stage(i, id).await.as_deref(),
                         Some("aborted"),
                         "{id} at {i}"
                     );
@@ -269,7 +272,7 @@
             }
             for id in &ids[..cancelled_index] {
                 assert_ne!(
-                    simulation.stage(0, id).await.as_deref(),
+                    simulation.query_stage(0, id).await.as_deref(),
                     Some("aborted"),
                     "{id}"
                 );
@@ -287,10 +290,10 @@
                     .value(&format!("sh/job/{id}"))
                     .expect("a record");
                 assert_eq!((&record["f"], &record["s"]), (&json!("c"), &Value::Null));
-                assert_eq!(simulation.running(id), 0);
+                assert_eq!(simulation.running_task_count(id), 0);
             }
             for i in 0..CONTROLLERS {
-                simulation.kill(i);
+                simulation.kill_controller(i);
                 simulation.start(i);
             }
             sleep(Duration::from_secs(5)).await;
@@ -300,7 +303,10 @@
                     .map(String::as_str)
                     .chain(["job-000050"])
                 {
-                    assert_eq!(simulation.stage(i, id).await.as_deref(), Some("aborted"));
+                    assert_eq!(
+                        simulation.query_stage(i, id).await.as_deref(),
+                        Some("aborted")
+                    );
                 }
             }
             for id in &ids[..cancelled_index] {
@@ -333,7 +339,7 @@
                 _ => {
                     for i in 0..CONTROLLERS {
                         assert_eq!(
-                            simulation.stage(i, &second).await.as_deref(),
+                            simulation.query_stage(i, &second).await.as_deref(),
                             Some("aborted")
                         );
                     }
@@ -342,11 +348,11 @@
             sleep(Duration::from_secs(40)).await;
             for i in 0..CONTROLLERS {
                 assert_eq!(
-                    simulation.stage(i, &first).await.as_deref(),
+                    simulation.query_stage(i, &first).await.as_deref(),
                     Some(final_stage.as_str())
                 );
                 assert_eq!(
-                    simulation.stage(i, &second).await.as_deref(),
+                    simulation.query_stage(i, &second).await.as_deref(),
                     Some(final_stage.as_str())
                 );
             }
@@ -393,7 +399,7 @@
             ))
             .await;
         assert_eq!(
-            simulation.stage(2, &after_cancelled).await.as_deref(),
+            simulation.query_stage(2, &after_cancelled).await.as_deref(),
             Some("aborted")
         );
         simulation.wait_for_stage(&after_done, "done", 100).await;
@@ -451,7 +457,7 @@
             ..DeploymentOptions::default()
         };
         shape.teams[0] = ("t".into(), 40.0, 80.0);
-        let simulation = Simulation::of(63, shape).await;
+        let simulation = Simulation::with_options(63, shape).await;
         wait_for_upgrade(&simulation).await;
         let long = simulation.submit(job(1, "batch", 1, 60.0)).await;
         let short = simulation
@@ -489,7 +495,7 @@
 fn dependencies_are_refused_until_all_controllers_are_upgraded() {
     run_in_simulated_time(|| async {
         let simulation = Simulation::new(62).await;
-        simulation.kill(2);
+        simulation.kill_controller(2);
         simulation
             .state
             .write("sh/node/n2", &json!({"h": "n2", "i": 5}));
@@ -508,11 +514,11 @@
         simulation.start(2);
         let second = simulation.submit(second).await;
         assert_eq!(
-            simulation.stage(0, &second).await.as_deref(),
+            simulation.query_stage(0, &second).await.as_deref(),
             Some("queued")
         );
         // The result is permanent: a controller that is down later does not change it.
-        simulation.kill(1);
+        simulation.kill_controller(1);
         simulation
             .submit(with_dependencies(job(9, "batch", 1, 1.0), &[&second]))
             .await;
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -14,7 +14,7 @@
 use shelfhoist::http::{Client, Response};
 use shelfhoist::net::Net;
 use stand_ins::{
-    CONTROLLERS, DeploymentOptions, Simulation, StateFault, addr, controller, job,
+    CONTROLLERS, DeploymentOptions, Simulation, StateFault, addr, controller_addr, job,
     run_in_simulated_time, with_dependencies,
 };
 use tokio::task::spawn_local;
@@ -52,7 +52,9 @@
         let body = body.map(String::into_bytes);
         let start = Instant::now();
         let limit = Duration::from_secs(10);
-        let answer = client.call(controller(i), method, &path, body, limit).await;
+        let answer = client
+            .call(controller_addr(i), method, &path, body, limit)
+            .await;
         (answer.expect("an answer"), start.elapsed())
     }
 }
@@ -71,14 +73,14 @@
 impl Refusal {
     fn begin(self, simulation: &Simulation) {
         match self {
-            Refusal::Outage => simulation.state.trouble.set(StateFault::Outage),
-            Refusal::Commits => simulation.state.trouble.set(StateFault::CommitsRefused),
+            Refusal::Outage => simulation.state.fault.set(StateFault::Outage),
+            Refusal::Commits => simulation.state.fault.set(StateFault::CommitsRefused),
             Refusal::OneController => {
                 simulation
                     .state
                     .fault_options
                     .borrow_mut()
-                    .refused
+                    .refused_controllers
                     .insert(0);
             }
         }
@@ -141,7 +143,7 @@
             let simulation = Simulation::new(320 + n as u64).await;
             let existing = simulation.submit(job(1, "batch", 1, 300.0)).await;
             simulation.wait_for_stage(&existing, "running", 60).await;
-            simulation.state.trouble.set(trouble);
+            simulation.state.fault.set(trouble);
             simulation.state.faulty_commits_left.set(1);
             let (answer, response_time) = request.send(&simulation, 0, &existing).await;
             let case = format!(
@@ -242,7 +244,7 @@
     for id in &ids {
         simulation.wait_for_stage(id, "done", 120).await;
         for i in 0..CONTROLLERS {
-            let stage = simulation.stage(i, id).await;
+            let stage = simulation.query_stage(i, id).await;
             assert_eq!(stage.as_deref(), Some("done"), "{case}: {id} at n{i}");
         }
     }
@@ -305,7 +307,7 @@
             let unlogged = keys.iter().find(|key| is_read && !is_logged(key));
             assert_eq!(unlogged, None, "not logged: {case}");
             for i in 0..CONTROLLERS {
-                simulation.kill(i);
+                simulation.kill_controller(i);
             }
             for i in 0..CONTROLLERS {
                 simulation.start(i);
@@ -343,7 +345,7 @@
         for i in 0..CONTROLLERS {
             // A controller that has seen the final stage still reports it.
             assert_eq!(
-                simulation.stage(i, &finished).await.as_deref(),
+                simulation.query_stage(i, &finished).await.as_deref(),
                 Some("done")
             );
         }
@@ -367,12 +369,12 @@
                     .await;
                 assert_eq!(status, 503, "a dependency on an unreadable job was decided");
                 assert_eq!(
-                    simulation.stage(i, &dependent).await.as_deref(),
+                    simulation.query_stage(i, &dependent).await.as_deref(),
                     Some("queued")
                 );
             }
             for i in 0..CONTROLLERS {
-                simulation.kill(i);
+                simulation.kill_controller(i);
                 simulation.start(i);
             }
             sleep(Duration::from_secs(5)).await;
@@ -383,10 +385,10 @@
         sleep(Duration::from_secs(5)).await;
         for i in 0..CONTROLLERS {
             assert_eq!(
-                simulation.stage(i, &finished).await.as_deref(),
+                simulation.query_stage(i, &finished).await.as_deref(),
                 Some("done")
             );
-            let stage: Option<String> = simulation.stage(i, &first).await;
+            let stage: Option<String> = simulation.query_stage(i, &first).await;
             assert!(["queued", "running"].map(Some).contains(&stage.as_deref()));
         }
         assert_eq!(
@@ -394,7 +396,7 @@
             Some("aborted")
         );
         assert_eq!(
-            simulation.stage(1, &dependent).await.as_deref(),
+            simulation.query_stage(1, &dependent).await.as_deref(),
             Some("aborted")
         );
         simulation.assert_no_violations();
@@ -527,9 +529,9 @@
                         troubles.response_delay = Duration::from_millis(600);
                         troubles.delayed_controllers.insert(1);
                     }
-                    "unanswered commits" => troubles.unanswered = 0.3,
+                    "unanswered commits" => troubles.unanswered_commit_fraction = 0.3,
                     _ => {
-                        troubles.refused.insert(1);
+                        troubles.refused_controllers.insert(1);
                     }
                 }
             }
@@ -577,7 +579,7 @@
         let simulation = Simulation::new(440).await;
         *simulation.next.borrow_mut() = json!({"value_kb": 2.0, "txn_ops": 4});
         for i in 0..CONTROLLERS {
-            simulation.kill(i);
+            simulation.kill_controller(i);
             simulation.start(i);
         }
         assert_new_jobs_complete(&simulation, 100, "before the fault").await;
@@ -632,7 +634,7 @@
             state: json!({"rps": 150.0, "write_rps": 9.0, "value_kb": 8.0, "txn_ops": 12}),
             ..DeploymentOptions::default()
         };
-        let simulation = Simulation::of(450, shape).await;
+        let simulation = Simulation::with_options(450, shape).await;
         let mut ids = Vec::new();
         for n in 0..40 {
             ids.push(simulation.submit(job(1 + n, "batch", 1, 900.0)).await);
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -91,7 +91,7 @@
         let longer_than_cancel = secs(simulation.shape.cancel_s * 1.3);
         match self {
             Fault::LostAnswers | Fault::LateCommits => {
-                simulation.state.trouble.set(match self {
+                simulation.state.fault.set(match self {
                     Fault::LostAnswers => StateFault::LostResponses,
                     _ => StateFault::LateCommits,
                 });
@@ -100,11 +100,19 @@
                     sleep(secs(2.0)).await;
                 }
                 simulation.state.faulty_commits_left.set(0);
-                simulation.state.trouble.set(StateFault::None);
+                simulation.state.fault.set(StateFault::None);
             }
             Fault::MixedAnswers => {
-                simulation.state.fault_options.borrow_mut().late = 0.2;
-                simulation.state.fault_options.borrow_mut().unanswered = 0.2;
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .late_commit_fraction = 0.2;
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .unanswered_commit_fraction = 0.2;
                 sleep(secs(12.0)).await;
                 simulation.clear_faults();
             }
@@ -116,26 +124,31 @@
             }
             Fault::Restarts => {
                 for i in 0..CONTROLLERS {
-                    simulation.kill(i);
+                    simulation.kill_controller(i);
                     sleep(secs(2.5)).await;
                     simulation.start(i);
                     sleep(secs(1.5)).await;
                 }
             }
             Fault::LongOutage => {
-                simulation.state.trouble.set(StateFault::Outage);
+                simulation.state.fault.set(StateFault::Outage);
                 sleep(longer_than_cancel).await;
-                simulation.state.trouble.set(StateFault::None);
+                simulation.state.fault.set(StateFault::None);
             }
             Fault::OneRefused => {
                 simulation
                     .state
                     .fault_options
                     .borrow_mut()
-                    .refused
+                    .refused_controllers
                     .insert(refused_controller);
                 sleep(longer_than_cancel).await;
-                simulation.state.fault_options.borrow_mut().refused.clear();
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .refused_controllers
+                    .clear();
             }
         }
     }
@@ -147,7 +160,7 @@
     loop {
         for id in &ids {
             for i in 0..CONTROLLERS {
-                simulation.stage(i, id).await;
+                simulation.query_stage(i, id).await;
             }
         }
         sleep(secs(1.0)).await;
@@ -159,9 +172,9 @@
     for (n, fault) in FAULTS.into_iter().enumerate() {
         for delay_s in [0.5, 4.0] {
             run_in_simulated_time(|| async move {
-                let simulation = Simulation::of(500 + n as u64, large_teams()).await;
+                let simulation = Simulation::with_options(500 + n as u64, large_teams()).await;
                 wait_for_upgrade(&simulation).await;
-                simulation.copied.set(0.3);
+                simulation.copied_heartbeat_fraction.set(0.3);
                 let ids = submit_pipeline(&simulation, 5.0).await;
                 let polling =
                     tokio::task::spawn_local(keep_polling(simulation.clone(), ids.clone()));
@@ -192,9 +205,10 @@
         for depth in 0..4 {
             run_in_simulated_time(|| async move {
                 let case = format!("{fault:?}, depth {depth}");
-                let simulation = Simulation::of(540 + (n * 4 + depth) as u64, large_teams()).await;
+                let simulation =
+                    Simulation::with_options(540 + (n * 4 + depth) as u64, large_teams()).await;
                 wait_for_upgrade(&simulation).await;
-                simulation.copied.set(0.3);
+                simulation.copied_heartbeat_fraction.set(0.3);
                 let ids = submit_pipeline(&simulation, 40.0).await;
                 simulation.wait_for_stage(&ids[0], "running", 60).await;
                 let polling =
@@ -234,9 +248,9 @@
                     _ => ids[depth..].iter().chain([&late_dependent]).collect(),
                 };
                 for id in &dependents {
-                    assert_eq!(simulation.running(id), 0, "{case}: {id}");
+                    assert_eq!(simulation.running_task_count(id), 0, "{case}: {id}");
                     for i in 0..CONTROLLERS {
-                        let stage = simulation.stage(i, id).await;
+                        let stage = simulation.query_stage(i, id).await;
                         assert_eq!(stage.as_deref(), Some("aborted"), "{case}: {id} at n{i}");
                     }
                 }
@@ -262,7 +276,7 @@
         .enumerate()
     {
         run_in_simulated_time(|| async move {
-            let simulation = Simulation::of(600 + n as u64, large_teams()).await;
+            let simulation = Simulation::with_options(600 + n as u64, large_teams()).await;
             wait_for_upgrade(&simulation).await;
             let first = simulation.submit(job(1, "batch", 1, 2.0)).await;
             let next = simulation
@@ -297,7 +311,7 @@
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(620, large_teams()).await;
+        let simulation = Simulation::with_options(620, large_teams()).await;
         wait_for_upgrade(&simulation).await;
         let service = simulation.submit(job(1, "daemon", 2, 0.0)).await;
         simulation.wait_for_stage(&service, "running", 60).await;
@@ -309,7 +323,10 @@
         let other = simulation.submit(job(3, "batch", 2, 2.0)).await;
         simulation.wait_for_stage(&other, "done", 60).await;
         sleep(secs(60.0)).await;
-        assert_eq!(simulation.stage(1, &wide).await.as_deref(), Some("queued"));
+        assert_eq!(
+            simulation.query_stage(1, &wide).await.as_deref(),
+            Some("queued")
+        );
         assert!(
             simulation.workers.borrow().len() <= machines,
             "idle machines are kept"
@@ -319,7 +336,10 @@
             Some("aborted")
         );
         for i in 0..CONTROLLERS {
-            assert_eq!(simulation.stage(i, &wide).await.as_deref(), Some("aborted"));
+            assert_eq!(
+                simulation.query_stage(i, &wide).await.as_deref(),
+                Some("aborted")
+            );
         }
         simulation.assert_no_violations();
     });
@@ -334,7 +354,7 @@
             teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 8.0, 64.0)],
             ..DeploymentOptions::default()
         };
-        let simulation = Simulation::of(630, shape).await;
+        let simulation = Simulation::with_options(630, shape).await;
         wait_for_upgrade(&simulation).await;
         let mut first = job(1, "batch", 1, 60.0);
         first["crew"] = json!("u");
@@ -351,14 +371,17 @@
             .wait_for_stage(&low_priority, "running", 60)
             .await;
         sleep(secs(10.0)).await;
-        let (running, starts) = (simulation.running(&low_priority), simulation.starts.get());
-        while simulation.stage(0, &first).await.as_deref() != Some("done") {
+        let (running, starts) = (
+            simulation.running_task_count(&low_priority),
+            simulation.task_start_count.get(),
+        );
+        while simulation.query_stage(0, &first).await.as_deref() != Some("done") {
             assert!(
-                simulation.running(&low_priority) >= running,
+                simulation.running_task_count(&low_priority) >= running,
                 "tasks were preempted for a waiting job"
             );
             assert!(
-                simulation.starts.get() <= starts + 8,
+                simulation.task_start_count.get() <= starts + 8,
                 "tasks were restarted repeatedly"
             );
             sleep(secs(1.0)).await;
@@ -379,7 +402,7 @@
                 teams: vec![("t".into(), 8.0, 64.0), ("u".into(), 2.0, 2.0)],
                 ..DeploymentOptions::default()
             };
-            let simulation = Simulation::of(640, shape).await;
+            let simulation = Simulation::with_options(640, shape).await;
             wait_for_upgrade(&simulation).await;
             let mut blocker = job(1, "batch", 1, 160.0);
             blocker["crew"] = json!("u");
@@ -394,7 +417,7 @@
             let ready_at = Instant::now();
             if restarts {
                 for i in 0..CONTROLLERS {
-                    simulation.kill(i);
+                    simulation.kill_controller(i);
                     simulation.start(i);
                 }
             }
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -80,7 +80,7 @@
             SubmitWithStatus(job, status) => submit(simulation, controller, &job, status).await,
             Poll(id, status, stage) => {
                 controller.queue_response(status, stage);
-                simulation.stage(0, id).await;
+                simulation.query_stage(0, id).await;
             }
             Cancel(id, status, stage) => {
                 controller.queue_response(status, stage);
@@ -93,7 +93,7 @@
                 let worker = simulation.workers.borrow()[&name].0.clone();
                 worker.hang(Duration::from_secs_f64(seconds));
             }
-            LoseMachine(machine) => simulation.lose(&format!("host-{machine:06}")),
+            LoseMachine(machine) => simulation.lose_machine(&format!("host-{machine:06}")),
             WriteRecord(key, value) => simulation.state.write(key, &value),
             PollFor(seconds, jobs) => poll_repeatedly(simulation, controller, seconds, &jobs).await,
             Elapse(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
@@ -126,7 +126,7 @@
     for _ in 0..(seconds / INTERVAL_S) as usize {
         for (id, status) in jobs {
             controller.queue_response(*status, "queued");
-            simulation.stage(0, id).await;
+            simulation.query_stage(0, id).await;
         }
         sleep(Duration::from_secs_f64(INTERVAL_S)).await;
     }
@@ -136,7 +136,7 @@
 pub async fn reported_violations(parts: [Vec<Step>; 2]) -> Vec<String> {
     let shape = DeploymentOptions {
         controllers: 1,
-        locations: vec!["a"],
+        controller_locations: vec!["a"],
         machines: MACHINE_COUNT,
         ..DeploymentOptions::default()
     };
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -19,20 +19,27 @@
         simulation.wait_for_stage(&array, "done", 100).await;
         sleep(Duration::from_secs(3)).await;
         let name = simulation.machine_of(&service);
-        let heartbeats = simulation.workers.borrow()[&name].0.sent.borrow().clone();
-        let before = simulation.starts.get();
-        simulation.kill(0);
+        let heartbeats = simulation.workers.borrow()[&name]
+            .0
+            .sent_heartbeats
+            .borrow()
+            .clone();
+        let before = simulation.task_start_count.get();
+        simulation.kill_controller(0);
         simulation.start(0);
         for i in 0..CONTROLLERS {
             simulation.send_heartbeat_copies(i, &heartbeats).await;
         }
         sleep(Duration::from_secs(15)).await;
         assert_eq!(
-            (simulation.running(&service), simulation.starts.get()),
+            (
+                simulation.running_task_count(&service),
+                simulation.task_start_count.get()
+            ),
             (2, before)
         );
         // The copies must not make the lost machine count as alive.
-        simulation.lose(&name);
+        simulation.lose_machine(&name);
         for _ in 0..4 {
             sleep(Duration::from_secs(4)).await;
             for i in 0..CONTROLLERS {
@@ -41,7 +48,7 @@
         }
         sleep(Duration::from_secs(20)).await;
         assert_eq!(
-            simulation.running(&service),
+            simulation.running_task_count(&service),
             2,
             "the replicas of the lost machine were not replaced"
         );
@@ -60,7 +67,7 @@
         simulation.wait_for_stage(&first, "done", 100).await;
         let name = simulation.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        simulation.state.trouble.set(StateFault::CommitsRefused);
+        simulation.state.fault.set(StateFault::CommitsRefused);
         // The worker's owner answers as usual; the others cannot claim the worker.
         let mut retaining_controllers = 0;
         for i in 0..CONTROLLERS {
@@ -91,7 +98,7 @@
             );
         }
         assert_eq!(retaining_controllers, CONTROLLERS - 1);
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
         simulation.assert_no_violations();
     });
 }
@@ -105,7 +112,7 @@
         simulation.wait_for_stage(&first, "done", 100).await;
         let name = simulation.workers.borrow().keys().next().cloned();
         let name = name.expect("a machine");
-        simulation.state.trouble.set(StateFault::CommitsRefused);
+        simulation.state.fault.set(StateFault::CommitsRefused);
         let mut unclaimed_answers = 0;
         for i in 0..CONTROLLERS {
             for sequence in 100..104 {
@@ -127,7 +134,7 @@
             }
         }
         assert!(unclaimed_answers >= CONTROLLERS - 1, "{unclaimed_answers}");
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
         simulation.assert_no_violations();
     });
 }
--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -17,17 +17,20 @@
         simulation.wait_for_stage(&gang, "done", 200).await;
         simulation.wait_for_stage(&service, "running", 60).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(simulation.running(&service), 2);
+        assert_eq!(simulation.running_task_count(&service), 2);
         assert_eq!(
             simulation.cancel(1, &service).await.as_deref(),
             Some("aborted")
         );
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(simulation.running(&service), 0);
+        assert_eq!(simulation.running_task_count(&service), 0);
         for i in 0..CONTROLLERS {
-            assert_eq!(simulation.stage(i, &array).await.as_deref(), Some("done"));
             assert_eq!(
-                simulation.stage(i, &service).await.as_deref(),
+                simulation.query_stage(i, &array).await.as_deref(),
+                Some("done")
+            );
+            assert_eq!(
+                simulation.query_stage(i, &service).await.as_deref(),
                 Some("aborted")
             );
             assert_eq!(simulation.cancel(i, &array).await.as_deref(), Some("done"));
@@ -111,13 +114,16 @@
         let array = simulation.submit(low_priority).await;
         simulation.wait_for_stage(&array, "running", 60).await;
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(simulation.running(&array), 4);
+        assert_eq!(simulation.running_task_count(&array), 4);
         let mut service = job(2, "daemon", 4, 0.0);
         service["urgency"] = json!("prod");
         let service = simulation.submit(service).await;
         sleep(Duration::from_millis(3500)).await;
         assert_eq!(
-            (simulation.running(&service), simulation.running(&array)),
+            (
+                simulation.running_task_count(&service),
+                simulation.running_task_count(&array)
+            ),
             (4, 0)
         );
         simulation.assert_no_violations();
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -16,10 +16,10 @@
         sleep(Duration::from_secs(12)).await;
         let names: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         for name in names {
-            simulation.lose(&name);
+            simulation.lose_machine(&name);
         }
         simulation.wait_for_stage(&gang, "done", 200).await;
-        assert_eq!(simulation.running(&service), 2);
+        assert_eq!(simulation.running_task_count(&service), 2);
         simulation.assert_no_violations();
     });
 }
@@ -73,17 +73,17 @@
         }
         sleep(Duration::from_secs(60)).await;
         let machines: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
-        let starts = simulation.starts.get();
+        let starts = simulation.task_start_count.get();
         sleep(Duration::from_secs(60)).await;
         // Six jobs with one attempt per minute each once they count as faulty; an
         // attempt of a gang starts two tasks.
         assert!(
-            simulation.starts.get() - starts <= 16,
+            simulation.task_start_count.get() - starts <= 16,
             "{}",
-            simulation.starts.get() - starts
+            simulation.task_start_count.get() - starts
         );
         assert!(
-            simulation.starts.get() > starts,
+            simulation.task_start_count.get() > starts,
             "the faulty jobs were never retried"
         );
         let rented: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
@@ -93,7 +93,7 @@
         );
         assert_eq!(
             (
-                simulation.running(&service),
+                simulation.running_task_count(&service),
                 simulation.expired_lease_count()
             ),
             (3, 0)
@@ -111,7 +111,7 @@
                     .is_empty()
             );
             assert_eq!(
-                simulation.stage(1, &id).await.as_deref(),
+                simulation.query_stage(1, &id).await.as_deref(),
                 Some("queued"),
                 "{id}"
             );
@@ -139,7 +139,7 @@
         let worker = simulation.workers.borrow()[&name].0.clone();
         worker.inbound_blocked.set(true);
         sleep(Duration::from_secs(25)).await;
-        let running = simulation.running(&service);
+        let running = simulation.running_task_count(&service);
         assert_eq!(running, 2, "the replica was not started elsewhere");
         let array = simulation.submit(job(2, "batch", 4, 3.0)).await;
         simulation.wait_for_stage(&array, "done", 100).await;
@@ -166,7 +166,7 @@
         sleep(Duration::from_secs(3)).await;
         worker.inbound_blocked.set(false);
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(simulation.running(&service), 2);
+        assert_eq!(simulation.running_task_count(&service), 2);
         assert_eq!(
             simulation.machine_of(&service),
             name,
@@ -199,7 +199,11 @@
         simulation.wait_for_stage("job-000001", "done", 40).await;
         simulation.wait_for_stage("job-000002", "done", 40).await;
         simulation.wait_for_stage("job-000003", "running", 20).await;
-        assert!(simulation.rented.get() <= 9, "{}", simulation.rented.get());
+        assert!(
+            simulation.rented_machine_count.get() <= 9,
+            "{}",
+            simulation.rented_machine_count.get()
+        );
         let mut bound = job(4, "batch", 2, 3.0);
         bound["yard"] = json!("a");
         let bound = simulation.submit(bound).await;
@@ -207,11 +211,14 @@
         // One machine for the two tasks, another one when that is late, and so on,
         // after longer and longer delays.
         assert!(
-            simulation.rented.get() <= 9 + 12,
+            simulation.rented_machine_count.get() <= 9 + 12,
             "{}",
-            simulation.rented.get()
+            simulation.rented_machine_count.get()
+        );
+        assert_eq!(
+            simulation.query_stage(0, &bound).await.as_deref(),
+            Some("queued")
         );
-        assert_eq!(simulation.stage(0, &bound).await.as_deref(), Some("queued"));
         simulation.failed_boot_zone.set(None);
         simulation.wait_for_stage(&bound, "done", 400).await;
         sleep(Duration::from_secs(60)).await;
@@ -233,7 +240,7 @@
         let gang = simulation.submit(job(2, "gang", 5, 5.0)).await;
         sleep(Duration::from_millis(700)).await;
         for i in 0..CONTROLLERS {
-            simulation.kill(i);
+            simulation.kill_controller(i);
             simulation.start(i);
         }
         simulation.wait_for_stage(&gang, "done", 60).await;
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::stand_ins::{CONTROLLERS, Scenario, controller, job, state_addr};
+use crate::stand_ins::{CONTROLLERS, Scenario, controller_addr, job, state_addr};
 
 /// Checks Safety 4: a controller that cannot reach the state service learns of no
 /// cancellation, so it must let its workers' leases expire in time.
@@ -15,13 +15,13 @@
         let service = simulation.submit(job(1, "daemon", 4, 0.0)).await;
         simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(simulation.running(&service), 4);
+        assert_eq!(simulation.running_task_count(&service), 4);
         // All controllers but one lose the state service; their workers stay with
         // them as long as they answer.
         for i in 0..CONTROLLERS - 1 {
             simulation
                 .simulated_network
-                .partition(controller(i), state_addr(i));
+                .partition(controller_addr(i), state_addr(i));
         }
         sleep(Duration::from_secs(1)).await;
         let last = CONTROLLERS - 1;
@@ -34,7 +34,7 @@
         }
         assert_eq!(stage.as_deref(), Some("aborted"));
         sleep(Duration::from_secs(40)).await;
-        assert_eq!(simulation.running(&service), 0);
+        assert_eq!(simulation.running_task_count(&service), 0);
         simulation.assert_no_violations();
     });
 }
@@ -49,12 +49,15 @@
         let service = simulation.submit(spread).await;
         simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(20)).await;
-        assert_eq!(simulation.running(&service), 4);
-        let before = simulation.starts.get();
+        assert_eq!(simulation.running_task_count(&service), 4);
+        let before = simulation.task_start_count.get();
         simulation.partition_zones();
         sleep(Duration::from_secs(30)).await;
         assert_eq!(
-            (simulation.running(&service), simulation.starts.get()),
+            (
+                simulation.running_task_count(&service),
+                simulation.task_start_count.get()
+            ),
             (4, before)
         );
         simulation.assert_no_violations();
@@ -98,17 +101,17 @@
                     Some("aborted")
                 );
             }
-            let starts = simulation.starts.get();
+            let starts = simulation.task_start_count.get();
             frozen.iter().for_each(|i| simulation.set_paused(*i, false));
             sleep(Duration::from_secs(3)).await;
             if frozen.len() < CONTROLLERS {
                 assert_eq!(
-                    simulation.running(&array),
+                    simulation.running_task_count(&array),
                     0,
                     "case {n}: a cancelled task runs"
                 );
                 assert!(
-                    simulation.starts.get() - starts <= 2,
+                    simulation.task_start_count.get() - starts <= 2,
                     "case {n}: outdated launches"
                 );
             }
@@ -125,7 +128,7 @@
                 simulation.expired_lease_count() <= allowed_expiries,
                 "case {n}: leases have expired"
             );
-            assert_eq!(simulation.running(&service), 4, "case {n}");
+            assert_eq!(simulation.running_task_count(&service), 4, "case {n}");
             simulation.wait_for_stage(&gang, "done", 200).await;
             simulation.assert_no_violations();
         });
@@ -150,7 +153,7 @@
             sleep(Duration::from_secs(20)).await;
             let after: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
             assert_eq!(before, after);
-            assert_eq!(simulation.running(&service), 4);
+            assert_eq!(simulation.running_task_count(&service), 4);
             simulation.assert_no_violations();
         });
 }
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -12,7 +12,9 @@
 use shelfhoist::wire::{Commit, Write};
 use tokio::time::{Instant, sleep};
 
-use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, controller, job, run_in_simulated_time};
+use crate::stand_ins::{
+    CONTROLLERS, Scenario, StateFault, controller_addr, job, run_in_simulated_time,
+};
 
 #[test]
 fn jobs_survive_a_restart_of_all_controllers() {
@@ -24,7 +26,7 @@
         simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(3)).await;
         for i in 0..CONTROLLERS {
-            simulation.kill(i);
+            simulation.kill_controller(i);
         }
         sleep(Duration::from_secs(4)).await;
         for i in 0..CONTROLLERS {
@@ -33,9 +35,9 @@
         sleep(Duration::from_secs(4)).await;
         // The controllers are back before the workers' leases expire, so the service
         // still runs.
-        assert_eq!(simulation.running(&service), 1);
+        assert_eq!(simulation.running_task_count(&service), 1);
         assert_eq!(
-            simulation.stage(0, &finished).await.as_deref(),
+            simulation.query_stage(0, &finished).await.as_deref(),
             Some("done")
         );
         simulation.wait_for_stage(&array, "done", 300).await;
@@ -50,7 +52,7 @@
     for (seed, trouble) in [(4, StateFault::LostResponses), (5, StateFault::LateCommits)] {
         Scenario::new(seed).run(|simulation| async move {
             let first = simulation.submit(job(1, "batch", 12, 4.0)).await;
-            simulation.state.trouble.set(trouble);
+            simulation.state.fault.set(trouble);
             for n in 2..6 {
                 simulation.state.faulty_commits_left.set(3);
                 simulation
@@ -76,8 +78,8 @@
         let service = simulation.submit(job(1, "daemon", 3, 0.0)).await;
         simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
-        let before = simulation.starts.get();
-        simulation.state.trouble.set(StateFault::Outage);
+        let before = simulation.task_start_count.get();
+        simulation.state.fault.set(StateFault::Outage);
         sleep(Duration::from_secs(12)).await;
         assert_eq!(
             simulation
@@ -94,10 +96,13 @@
                 .0,
             503
         );
-        simulation.state.trouble.set(StateFault::None);
+        simulation.state.fault.set(StateFault::None);
         sleep(Duration::from_secs(10)).await;
         assert_eq!(
-            (simulation.running(&service), simulation.starts.get()),
+            (
+                simulation.running_task_count(&service),
+                simulation.task_start_count.get()
+            ),
             (3, before)
         );
         simulation.assert_no_violations();
@@ -114,7 +119,7 @@
         simulation.wait_for_stage(&service, "running", 60).await;
         simulation
             .state
-            .trouble
+            .fault
             .set(StateFault::OversizedWatchResponses);
         let start = tokio::time::Instant::now();
         for n in 2..6 {
@@ -123,7 +128,7 @@
         }
         let elapsed = start.elapsed();
         assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
-        assert_eq!(simulation.running(&service), 2);
+        assert_eq!(simulation.running_task_count(&service), 2);
         simulation.assert_no_violations();
     });
 }
@@ -134,10 +139,10 @@
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
     run_in_simulated_time(|| async {
-        let net = Net::Simulated(Rc::new(SimulatedNetwork::default()), controller(0));
+        let net = Net::Simulated(Rc::new(SimulatedNetwork::default()), controller_addr(0));
         let client = Rc::new(Client::new(net, Duration::from_secs(1)));
         let budget = Budget::new(100.0, 1.0, Instant::now());
-        let unreachable = controller(9);
+        let unreachable = controller_addr(9);
         let timeout = Duration::from_secs(1);
         let rng = SmallRng::seed_from_u64(1);
         let state_client = StateClient::new(client, unreachable, budget, timeout, rng);
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -159,17 +159,17 @@
         let duration = secs(2.0 + self.random_index(12) as f64);
         match fault {
             Fault::ControllerStops => {
-                simulation.kill(controller);
+                simulation.kill_controller(controller);
                 self.request_moves_for(duration).await;
             }
             Fault::ControllerRestarts => {
-                simulation.kill(controller);
+                simulation.kill_controller(controller);
                 sleep(secs(0.2)).await;
                 simulation.start(controller);
             }
             Fault::TwoControllersStop => {
-                simulation.kill(controller);
-                simulation.kill((controller + 1) % simulation.shape.controllers);
+                simulation.kill_controller(controller);
+                simulation.kill_controller((controller + 1) % simulation.shape.controllers);
                 self.request_moves_for(duration).await;
             }
             Fault::ControllerCutOff => {
@@ -192,26 +192,34 @@
                     .state
                     .fault_options
                     .borrow_mut()
-                    .refused
+                    .refused_controllers
                     .insert(controller);
                 self.request_moves_for(duration).await;
             }
             Fault::StateServiceDown => {
-                simulation.state.trouble.set(StateFault::Outage);
+                simulation.state.fault.set(StateFault::Outage);
                 sleep(duration).await;
             }
             Fault::CommitsLate => {
-                simulation.state.fault_options.borrow_mut().late = 0.3;
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .late_commit_fraction = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::CommitsUnanswered => {
-                simulation.state.fault_options.borrow_mut().unanswered = 0.3;
+                simulation
+                    .state
+                    .fault_options
+                    .borrow_mut()
+                    .unanswered_commit_fraction = 0.3;
                 self.request_moves_for(duration).await;
             }
             Fault::MachineLost => {
-                let busy = simulation.busy();
+                let busy = simulation.busy_workers();
                 if let Some(machine) = busy.choose(&mut *self.rng.borrow_mut()) {
-                    simulation.lose(machine.name());
+                    simulation.lose_machine(machine.name());
                 }
             }
         }
@@ -234,7 +242,10 @@
         // Services of four CPUs each, which together fill the limits.
         let mut ids = start_services(&self.simulation, first_number, 12, "t").await;
         ids.extend(start_services(&self.simulation, first_number + 12, 10, "u").await);
-        assert!(ids.iter().all(|id| self.simulation.running(id) == 2));
+        assert!(
+            ids.iter()
+                .all(|id| self.simulation.running_task_count(id) == 2)
+        );
     }
 
     /// Ends all faults, cancels the services, and waits until no move is pending and every other
@@ -264,7 +275,7 @@
 /// state.
 fn run_churn(seed: u64, controllers: usize, moves: usize) {
     run_in_simulated_time(|| async move {
-        let simulation = Simulation::of(seed, shape(controllers)).await;
+        let simulation = Simulation::with_options(seed, shape(controllers)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         let test = ChurnTest {
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -17,7 +17,7 @@
 
 /// Restarts a controller with shares enabled or disabled.
 async fn restart(simulation: &Simulation, controller: usize, enabled: bool) {
-    simulation.kill(controller);
+    simulation.kill_controller(controller);
     simulation.shares.borrow_mut().insert(controller, enabled);
     sleep(secs(2.0)).await;
     simulation.start(controller);
@@ -102,7 +102,7 @@
     run_in_simulated_time(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
-        let simulation = Simulation::of(61, disabled).await;
+        let simulation = Simulation::with_options(61, disabled).await;
         let checker = Checker::watch(&simulation);
         let ids = start_services(&simulation, 1, 6, "t").await;
         sleep(secs(5.0)).await;
@@ -132,7 +132,7 @@
             wait_until("one team has changed", 60.0, || changed_teams() == 1).await;
             sleep(secs(1.0)).await;
             assert_eq!(changed_teams(), 1);
-            simulation.kill(round);
+            simulation.kill_controller(round);
             sleep(secs(1.0)).await;
             simulation.start(round);
             *simulation.state.commit_refusal.borrow_mut() = None;
@@ -165,7 +165,7 @@
         start_services(&simulation, 20, 6, "t").await;
         let job_beyond_limit = simulation.submit(job(40, "daemon", 1, 10.0)).await;
         sleep(secs(20.0)).await;
-        assert_eq!(simulation.running(&job_beyond_limit), 0);
+        assert_eq!(simulation.running_task_count(&job_beyond_limit), 0);
         checker.assert_no_violations("");
         simulation.assert_no_violations();
     });
@@ -177,7 +177,7 @@
 #[test]
 fn shares_are_not_written_while_older_versions_run() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(62, shape(3)).await;
+        let simulation = Simulation::with_options(62, shape(3)).await;
         simulation
             .state
             .previous_version_controllers
@@ -199,7 +199,7 @@
                 simulation.state.keys_unreadable_by_production(),
                 Vec::<String>::new()
             );
-            simulation.kill(controller);
+            simulation.kill_controller(controller);
             simulation
                 .state
                 .previous_version_controllers
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -12,7 +12,7 @@
 use crate::checker::Checker;
 use crate::program::{Controller, TemporaryFile, run};
 use crate::setup::{granted_cpus, secs, shape};
-use crate::stand_ins::{DeploymentOptions, Simulation, controller, job, run_in_real_time};
+use crate::stand_ins::{DeploymentOptions, Simulation, controller_addr, job, run_in_real_time};
 
 /// Time limit of each wait, long enough on a machine that is busy with other work.
 const WAIT_LIMIT: Duration = Duration::from_secs(240);
@@ -21,7 +21,7 @@
 
 fn loopback_shape() -> DeploymentOptions {
     DeploymentOptions {
-        loopback: true,
+        uses_loopback_sockets: true,
         boot_s: 0.2,
         lease_s: 60.0,
         cancel_s: 150.0,
@@ -65,7 +65,7 @@
 
 /// Runs a command against a controller and returns its JSON output, if there is any.
 async fn command(arguments: &str, i: usize) -> Option<Value> {
-    let arguments = format!("{arguments} --json --node {}", controller(i));
+    let arguments = format!("{arguments} --json --node {}", controller_addr(i));
     let output = spawn_blocking(move || run(&arguments.split(' ').collect::<Vec<_>>()));
     let output = output.await.expect("a command");
     serde_json::from_slice(&output.stdout).ok()
@@ -140,7 +140,7 @@
             ids.push(simulation.submit(job(n, "daemon", 2, 10.0)).await);
         }
         wait_until("the services run", async || {
-            ids.iter().all(|id| simulation.running(id) == 2)
+            ids.iter().all(|id| simulation.running_task_count(id) == 2)
         })
         .await;
         // All of the team's capacity is moved to n0 first.
@@ -202,7 +202,7 @@
         }
         // All bookings are on the same machines and in the same attempts as before.
         assert_eq!(checker.placements(), before);
-        assert!(ids.iter().all(|id| simulation.running(id) == 2));
+        assert!(ids.iter().all(|id| simulation.running_task_count(id) == 2));
         assert!(checker.counts().jobs_reassigned >= SERVICES as usize);
         checker.assert_no_violations("");
         simulation.assert_no_violations();
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -53,14 +53,14 @@
     run_in_simulated_time(|| async move {
         let mut deployment = shape(controllers);
         deployment.shares = shares;
-        let simulation = Simulation::of(seed, deployment).await;
+        let simulation = Simulation::with_options(seed, deployment).await;
         let checker = Checker::watch(&simulation);
         match shares {
             true => wait_until_shares_enabled(&checker).await,
             false => sleep(secs(10.0)).await,
         }
         let counts = count_bookings(&simulation);
-        let conflicts = simulation.state.conflicts.get();
+        let conflicts = simulation.state.conflict_count.get();
         let start = Instant::now();
         let mut ids = Vec::new();
         for n in 1..=JOBS {
@@ -76,7 +76,7 @@
         result.set(Figures {
             bookings,
             writes,
-            conflicts: simulation.state.conflicts.get() - conflicts,
+            conflicts: simulation.state.conflict_count.get() - conflicts,
             seconds: start.elapsed().as_secs_f64(),
         });
         checker.assert_no_violations("");
@@ -121,7 +121,7 @@
 #[test]
 fn moves_complete_within_two_report_intervals() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(77, shape(5)).await;
+        let simulation = Simulation::with_options(77, shape(5)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 10, "t").await;
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -12,7 +12,7 @@
 #[test]
 fn booked_capacity_moves_with_its_jobs() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(1, shape(3)).await;
+        let simulation = Simulation::with_options(1, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 6, "t").await;
@@ -60,7 +60,7 @@
 #[test]
 fn overlapping_and_repeated_moves_take_effect_once() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(2, shape(3)).await;
+        let simulation = Simulation::with_options(2, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 8, "t").await;
@@ -95,7 +95,7 @@
 #[test]
 fn invalid_moves_are_refused() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(3, shape(3)).await;
+        let simulation = Simulation::with_options(3, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 2, "t").await;
@@ -157,7 +157,7 @@
     run_in_simulated_time(|| async {
         let mut disabled = shape(3);
         disabled.shares = false;
-        let simulation = Simulation::of(4, disabled).await;
+        let simulation = Simulation::with_options(4, disabled).await;
         let checker = Checker::watch(&simulation);
         start_services(&simulation, 1, 3, "t").await;
         sleep(secs(10.0)).await;
@@ -181,7 +181,7 @@
 #[test]
 fn team_can_use_its_whole_limit() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(5, shape(3)).await;
+        let simulation = Simulation::with_options(5, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         // Twelve services of four CPUs each fill the limit of 48 CPUs.
@@ -190,12 +190,12 @@
         job_request["crew"] = json!("t");
         let job_beyond_limit = simulation.submit(job_request).await;
         sleep(secs(20.0)).await;
-        assert_eq!(simulation.running(&job_beyond_limit), 0);
+        assert_eq!(simulation.running_task_count(&job_beyond_limit), 0);
         assert_eq!(checker.counts().max_booked, 48_000);
         // Capacity that one job releases is immediately available to the next.
         simulation.cancel(0, &ids[0]).await;
         wait_until("the job beyond the limit runs", 30.0, || {
-            simulation.running(&job_beyond_limit) == 1
+            simulation.running_task_count(&job_beyond_limit) == 1
         })
         .await;
         checker.assert_no_violations("");
@@ -214,7 +214,7 @@
 #[test]
 fn unreadable_share_record_is_rebuilt() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(6, shape(3)).await;
+        let simulation = Simulation::with_options(6, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         let ids = start_services(&simulation, 1, 4, "t").await;
@@ -228,7 +228,7 @@
         simulation.state.observers.borrow_mut().clear();
         simulation.state.write("sh/share/t", &json!("not a split"));
         start_services(&simulation, 5, 8, "t").await;
-        assert!(ids.iter().all(|id| simulation.running(id) == 2));
+        assert!(ids.iter().all(|id| simulation.running_task_count(id) == 2));
         let share: shares::Share = record(&simulation, "sh/share/t");
         assert!(share.total().cpus.units() >= 48.0, "{share:?}");
         assert_eq!((share.generation, share.settled), (1, 1));
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -15,7 +15,7 @@
 #[test]
 fn every_controller_gives_the_same_response() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(41, shape(3)).await;
+        let simulation = Simulation::with_options(41, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 4, "t").await;
@@ -24,7 +24,7 @@
         let request = move_request("one", "t", source, (source + 1) % 3, 1.0);
         assert_eq!(request_move(&simulation, 2, &request).await.0, 200);
         wait_until("the move is done", 30.0, || !checker.is_moving()).await;
-        simulation.kill(2);
+        simulation.kill_controller(2);
         for path in ["/ops/shares", "/ops/shares?team=t", "/ops/shares/moves"] {
             let responses = responses_of_same_revision(&simulation, path).await;
             assert_eq!(responses[0], responses[1], "{path}");
@@ -68,11 +68,11 @@
 #[test]
 fn controller_that_cannot_commit_refuses_immediately() {
     run_in_simulated_time(|| async {
-        let simulation = Simulation::of(42, shape(3)).await;
+        let simulation = Simulation::with_options(42, shape(3)).await;
         let checker = Checker::watch(&simulation);
         wait_until_shares_enabled(&checker).await;
         start_services(&simulation, 1, 4, "t").await;
-        simulation.state.trouble.set(StateFault::Outage);
+        simulation.state.fault.set(StateFault::Outage);
         sleep(secs(simulation.shape.lease_s)).await;
         let source = (0..3).find(|i| granted_cpus(&checker, "t", *i) >= 1.0);
         let source = source.expect("a source");
--- a/tests/shares/setup.rs
+++ b/tests/shares/setup.rs
@@ -21,7 +21,7 @@
     let teams = [("t", 20.0, 48.0), ("u", 20.0, 40.0)];
     DeploymentOptions {
         controllers,
-        locations: (0..controllers).map(|i| ["a", "a", "b"][i % 3]).collect(),
+        controller_locations: (0..controllers).map(|i| ["a", "a", "b"][i % 3]).collect(),
         teams: teams
             .map(|(name, cpus, limit)| (name.to_string(), cpus, limit))
             .to_vec(),
@@ -89,7 +89,7 @@
         ids.push(simulation.submit(service).await);
     }
     for id in &ids {
-        let running = || simulation.running(id) == 2;
+        let running = || simulation.running_task_count(id) == 2;
         wait_until(id, 100.0, running).await;
     }
     ids
--- a/tests/stand_ins/builder.rs
+++ b/tests/stand_ins/builder.rs
@@ -52,16 +52,16 @@
     /// Reduces the deployment to one controller and one zone.
     pub fn single_controller(mut self) -> Self {
         self.shape.controllers = 1;
-        self.shape.locations = vec!["a"];
+        self.shape.controller_locations = vec!["a"];
         self.shape.zones = vec!["a"];
-        self.shape.machine_zones = vec!["a"];
+        self.shape.initial_machine_zones = vec!["a"];
         self
     }
 
     /// Starts the deployment and runs `test` in it.
     pub fn run<F: Future<Output = ()>>(self, test: impl FnOnce(Rc<Simulation>) -> F) {
         run_in_simulated_time(|| async move {
-            let simulation = Simulation::of(self.seed, self.shape).await;
+            let simulation = Simulation::with_options(self.seed, self.shape).await;
             test(simulation).await;
         });
     }
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -109,7 +109,7 @@
                 }
                 ("POST", "/rentals/return") => {
                     for name in body["bays"].as_array().into_iter().flatten() {
-                        self.lose(name.as_str().unwrap_or(""));
+                        self.lose_machine(name.as_str().unwrap_or(""));
                     }
                     Response::empty(200)
                 }
@@ -136,8 +136,8 @@
     /// Boots a machine with the type and zone of a rental request, and returns its name.
     /// Its worker starts unless boots fail in the zone.
     pub(super) fn boot_machine(self: &Rc<Self>, body: &Value) -> String {
-        let number = self.rented.get();
-        self.rented.set(number + 1);
+        let number = self.rented_machine_count.get();
+        self.rented_machine_count.set(number + 1);
         let name = format!("host-{number:06}");
         let worker = Rc::new(Worker {
             name: name.clone(),
@@ -155,7 +155,7 @@
             hung_until: Cell::new(None),
             command_delay: Cell::new(Duration::ZERO),
             clock_rate: [1.0, 0.9995, 1.0005][number % 3],
-            sent: RefCell::default(),
+            sent_heartbeats: RefCell::default(),
         });
         let tasks = match self.failed_boot_zone.get() == Some(worker.zone.as_str()) {
             true => vec![],
@@ -171,7 +171,7 @@
     }
 
     /// Removes a machine and all of its tasks from the deployment, without notice.
-    pub fn lose(&self, name: &str) {
+    pub fn lose_machine(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
             self.simulated_network.remove_listener(worker.address);
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-use super::scenario::{Simulation, addr, controller, mesh_address};
+use super::scenario::{Simulation, addr, controller_addr, mesh_address};
 
 /// A controller that can be paused while its clocks keep running, like a suspended
 /// process.
@@ -44,7 +44,7 @@
 
     /// Starts a controller as a new process would start: without any state in memory.
     pub fn start(&self, i: usize) {
-        let net = self.net(controller(i));
+        let net = self.net(controller_addr(i));
         // Each start of the process draws different random numbers.
         self.runs.set(self.runs.get() + 1);
         let seed = self.seed * 1000 + self.runs.get();
@@ -68,11 +68,11 @@
     }
 
     /// Ends a controller without a shutdown; connections to it are refused afterwards.
-    pub fn kill(&self, i: usize) {
+    pub fn kill_controller(&self, i: usize) {
         if let Some(task) = self.controllers.borrow_mut()[i].take() {
             task.abort();
         }
-        self.simulated_network.remove_listener(controller(i));
+        self.simulated_network.remove_listener(controller_addr(i));
         self.simulated_network
             .remove_listener(addr(&mesh_address(i)));
     }
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::spawn_local;
 
-use super::scenario::{CLOUD, Simulation, USERS, addr, controller, mesh_address, state_addr};
+use super::scenario::{CLOUD, Simulation, USERS, addr, controller_addr, mesh_address, state_addr};
 use super::state_service::{StateFault, StateFaultOptions};
 
 impl Simulation {
@@ -14,9 +14,13 @@
     /// among controllers, and to the state service and the cloud, stay.
     pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
-            for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
-                self.simulated_network.partition(w.address, controller(i));
-                self.simulated_network.partition(controller(i), w.address);
+            for i in (0..self.shape.controllers)
+                .filter(|i| self.shape.controller_locations[*i] != w.zone)
+            {
+                self.simulated_network
+                    .partition(w.address, controller_addr(i));
+                self.simulated_network
+                    .partition(controller_addr(i), w.address);
             }
         }
     }
@@ -29,10 +33,10 @@
                 match cut {
                     true => self
                         .simulated_network
-                        .partition(controller(from), addr(&mesh_address(to))),
+                        .partition(controller_addr(from), addr(&mesh_address(to))),
                     false => self
                         .simulated_network
-                        .heal(controller(from), addr(&mesh_address(to))),
+                        .heal(controller_addr(from), addr(&mesh_address(to))),
                 }
             }
         }
@@ -43,9 +47,9 @@
         let mut remote_addrs = vec![state_addr(i), addr(CLOUD), addr(USERS)];
         remote_addrs.extend(self.workers.borrow().values().map(|(w, _)| w.address));
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
-            remote_addrs.extend([controller(j), addr(&mesh_address(j))]);
+            remote_addrs.extend([controller_addr(j), addr(&mesh_address(j))]);
         }
-        let own_addrs = [controller(i), addr(&mesh_address(i))];
+        let own_addrs = [controller_addr(i), addr(&mesh_address(i))];
         for (own, remote) in remote_addrs
             .iter()
             .flat_map(|remote| own_addrs.map(|own| (own, *remote)))
@@ -63,7 +67,10 @@
     /// `cut` is false. Workers that start later are not affected.
     pub fn set_worker_partition(&self, i: usize, cut: bool) {
         for (w, _) in self.workers.borrow().values() {
-            for (from, to) in [(w.address, controller(i)), (controller(i), w.address)] {
+            for (from, to) in [
+                (w.address, controller_addr(i)),
+                (controller_addr(i), w.address),
+            ] {
                 match cut {
                     true => self.simulated_network.partition(from, to),
                     false => self.simulated_network.heal(from, to),
@@ -84,22 +91,22 @@
             }
         };
         for i in 0..self.shape.controllers {
-            let is_inside = self.shape.locations[i] == zone;
+            let is_inside = self.shape.controller_locations[i] == zone;
             for (w, _) in self.workers.borrow().values() {
                 if (w.zone == zone) != is_inside {
-                    set_link(w.address, controller(i));
+                    set_link(w.address, controller_addr(i));
                 }
             }
             for j in 0..self.shape.controllers {
-                if is_inside && self.shape.locations[j] != zone {
-                    set_link(controller(i), controller(j));
-                    set_link(controller(i), addr(&mesh_address(j)));
-                    set_link(controller(j), addr(&mesh_address(i)));
+                if is_inside && self.shape.controller_locations[j] != zone {
+                    set_link(controller_addr(i), controller_addr(j));
+                    set_link(controller_addr(i), addr(&mesh_address(j)));
+                    set_link(controller_addr(j), addr(&mesh_address(i)));
                 }
             }
             if is_inside {
-                set_link(controller(i), state_addr(i));
-                set_link(controller(i), addr(CLOUD));
+                set_link(controller_addr(i), state_addr(i));
+                set_link(controller_addr(i), addr(CLOUD));
             }
         }
     }
@@ -116,11 +123,11 @@
     /// Removes the faults of the state service and the workers, resumes paused controllers
     /// and restarts those that were killed. Cut connections are not repaired.
     pub fn clear_faults(&self) {
-        self.state.trouble.set(StateFault::None);
+        self.state.fault.set(StateFault::None);
         self.state
             .fault_options
             .replace(StateFaultOptions::default());
-        self.copied.set(0.0);
+        self.copied_heartbeat_fraction.set(0.0);
         for (w, _) in self.workers.borrow().values() {
             w.inbound_blocked.set(false);
             w.heartbeats_blocked.set(false);
@@ -147,7 +154,7 @@
             let limit = Duration::from_secs(5);
             let call = self
                 .client
-                .call(controller(i), "POST", "/agent/beat", body, limit);
+                .call(controller_addr(i), "POST", "/agent/beat", body, limit);
             let _ = call.await;
         }
     }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -24,7 +24,7 @@
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
-    CONTROLLERS, DeploymentOptions, Simulation, addr, controller, job, run_in_real_time,
+    CONTROLLERS, DeploymentOptions, Simulation, addr, controller_addr, job, run_in_real_time,
     run_in_simulated_time, state_addr, with_dependencies,
 };
 #[allow(unused_imports)]
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -203,7 +203,7 @@
     /// a test.
     pub fn violations(&self) -> Vec<String> {
         let mut all = self.reported_violations.borrow().clone();
-        if self.starts.get() == 0 {
+        if self.task_start_count.get() == 0 {
             all.push(format!("{}: no task", Rule::NothingRan.name()));
         }
         for place in self.state.misplaced_machines.borrow().iter() {
@@ -223,7 +223,7 @@
 impl Simulation {
     /// Checks the start of a task that its worker has already accepted.
     pub(super) fn check_start(&self, task: &str, worker: &Worker) {
-        self.starts.set(self.starts.get() + 1);
+        self.task_start_count.set(self.task_start_count.get() + 1);
         self.check_other_machines(task, worker);
         self.advance_tasks();
         let id = job_of(task);
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -37,7 +37,7 @@
 }
 
 /// Returns the address at which a controller serves users and workers.
-pub fn controller(i: usize) -> SocketAddrV4 {
+pub fn controller_addr(i: usize) -> SocketAddrV4 {
     addr(&format!("127.7.0.{}:8080", i + 1))
 }
 
@@ -57,10 +57,10 @@
 pub struct DeploymentOptions {
     pub controllers: usize,
     /// Zone of each controller.
-    pub locations: Vec<&'static str>,
+    pub controller_locations: Vec<&'static str>,
     pub zones: Vec<&'static str>,
     /// Zones of the machines that exist at the start, in turn.
-    pub machine_zones: Vec<&'static str>,
+    pub initial_machine_zones: Vec<&'static str>,
     /// Interval between the heartbeats of a worker, in seconds.
     pub report_s: f64,
     /// Maximum random deviation of the intervals between heartbeats, as a fraction of
@@ -88,7 +88,7 @@
     pub shares: bool,
     /// Flag that makes all parts communicate over the operating system's sockets, in real
     /// time.
-    pub loopback: bool,
+    pub uses_loopback_sockets: bool,
 }
 
 impl Default for DeploymentOptions {
@@ -97,9 +97,9 @@
     fn default() -> Self {
         DeploymentOptions {
             controllers: CONTROLLERS,
-            locations: vec!["a", "a", "b"],
+            controller_locations: vec!["a", "a", "b"],
             zones: vec!["a", "b"],
-            machine_zones: vec!["a", "b"],
+            initial_machine_zones: vec!["a", "b"],
             report_s: 1.0,
             report_jitter: 0.0,
             lease_s: 10.0,
@@ -111,7 +111,7 @@
             ready_s: 4.0,
             boot_s: 4.0,
             shares: false,
-            loopback: false,
+            uses_loopback_sockets: false,
         }
     }
 }
@@ -130,7 +130,7 @@
         let others: Vec<Value> = (0..self.controllers)
             .filter(|j| *j != i)
             .map(|j| {
-                json!({"node": format!("n{j}"), "location": self.locations[j], "addr": mesh_address(j)})
+                json!({"node": format!("n{j}"), "location": self.controller_locations[j], "addr": mesh_address(j)})
             })
             .collect();
         let teams: Vec<Value> = self
@@ -139,8 +139,8 @@
             .map(|(name, cpus, limit)| json!({"name": name, "cpus": cpus, "cpus_max": limit}))
             .collect();
         let text = json!({
-            "node": format!("n{i}"), "location": self.locations[i],
-            "serve_on": controller(i).to_string(), "mesh_addr": mesh_address(i), "others": others,
+            "node": format!("n{i}"), "location": self.controller_locations[i],
+            "serve_on": controller_addr(i).to_string(), "mesh_addr": mesh_address(i), "others": others,
             "external": {"cloud": CLOUD, "state": state_addr(i).to_string()},
             "deployment": {
                 "count": self.controllers, "zones": self.zones, "teams": teams,
@@ -168,7 +168,7 @@
 
     /// Returns the network of a process with this address.
     fn net(&self, simulated_network: &Rc<SimulatedNetwork>, address: SocketAddrV4) -> Net {
-        match self.loopback {
+        match self.uses_loopback_sockets {
             true => Net::System,
             false => Net::Simulated(simulated_network.clone(), address),
         }
@@ -204,11 +204,11 @@
     pub reported_violations: RefCell<Vec<String>>,
     pub shape: DeploymentOptions,
     /// Number of machines that have ever been rented.
-    pub rented: Cell<usize>,
+    pub rented_machine_count: Cell<usize>,
     /// Zone in which the workers of newly rented machines never start.
     pub failed_boot_zone: Cell<Option<&'static str>>,
     /// Number of task starts.
-    pub starts: Cell<usize>,
+    pub task_start_count: Cell<usize>,
     /// Tasks that started after their job's cancellation was confirmed, and the time in
     /// between.
     pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
@@ -221,7 +221,7 @@
     /// Times of the polls, by job ID.
     pub(super) polls: RefCell<HashMap<String, JobPolls>>,
     /// Probability with which a copy of a heartbeat is kept.
-    pub copied: Cell<f64>,
+    pub copied_heartbeat_fraction: Cell<f64>,
     /// Copies of heartbeats that have not been delivered.
     pub(super) heartbeat_copies: RefCell<Vec<Vec<u8>>>,
     /// The setting `state.next` of the controllers that start from now on; it is omitted if
@@ -254,11 +254,11 @@
 impl Simulation {
     /// Starts the default deployment.
     pub async fn new(seed: u64) -> Rc<Self> {
-        Self::of(seed, DeploymentOptions::default()).await
+        Self::with_options(seed, DeploymentOptions::default()).await
     }
 
     /// Starts a deployment with all of its controllers.
-    pub async fn of(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
+    pub async fn with_options(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
         let simulation = Self::unstarted(seed, shape);
         simulation.serve_stand_ins().await;
         for i in 0..simulation.shape.controllers {
@@ -295,15 +295,15 @@
             cloud_limit: CloudRateLimit::default(),
             refused_cloud_requests: RefCell::default(),
             reported_violations: RefCell::default(),
-            starts: Cell::new(0),
+            task_start_count: Cell::new(0),
             starts_after_cancel: RefCell::default(),
             done_tasks: RefCell::default(),
             responses: RefCell::default(),
             response_count: Cell::new(0),
             polls: RefCell::default(),
-            copied: Cell::new(0.0),
+            copied_heartbeat_fraction: Cell::new(0.0),
             heartbeat_copies: RefCell::default(),
-            rented: Cell::new(0),
+            rented_machine_count: Cell::new(0),
             failed_boot_zone: Cell::new(None),
             next: RefCell::default(),
             controllers: RefCell::new((0..shape.controllers).map(|_| None).collect()),
@@ -333,7 +333,7 @@
         self.serve_at(addr(CLOUD), handler).await;
         self.state.limits.set(self.shape.state_limits());
         for n in 0..self.shape.machines {
-            let zones = &self.shape.machine_zones;
+            let zones = &self.shape.initial_machine_zones;
             let zone = zones[n % zones.len()];
             self.boot_machine(&json!({"grade": "big", "yard": zone}));
         }
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use shelfhoist::http::Response;
 
-use super::scenario::{Simulation, controller};
+use super::scenario::{Simulation, controller_addr};
 
 /// Fencing token in every command and in every response to a heartbeat.
 const FENCING_TOKEN: u64 = 1;
@@ -39,7 +39,7 @@
                 let response = responder.next_response(&request.path);
                 Box::pin(async move { response })
             };
-        simulation.serve_at(controller(0), handler).await;
+        simulation.serve_at(controller_addr(0), handler).await;
         scripted
     }
 
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -34,13 +34,13 @@
 
     /// Serves a commit, subject to the injected faults.
     pub(super) async fn commit(self: &Rc<Self>, body: Value) -> Response {
-        if self.trouble.get() == StateFault::CommitsRefused {
+        if self.fault.get() == StateFault::CommitsRefused {
             return Response::empty(503);
         }
         if self.faulty_commits_left.get() > 0 {
             self.faulty_commits_left
                 .set(self.faulty_commits_left.get() - 1);
-            match self.trouble.get() {
+            match self.fault.get() {
                 StateFault::LostResponses => {
                     self.apply(&body);
                     std::future::pending::<()>().await;
@@ -55,7 +55,10 @@
         }
         let (late, unanswered) = {
             let troubles = self.fault_options.borrow();
-            (troubles.late, troubles.unanswered)
+            (
+                troubles.late_commit_fraction,
+                troubles.unanswered_commit_fraction,
+            )
         };
         if self.draw_bool(late) {
             let delay_s = self.rng.borrow_mut().random_range(2.0..12.0);
@@ -101,7 +104,7 @@
             return Response::json(400, &json!({"error": "no such lease"}));
         }
         if !failed.is_empty() {
-            self.conflicts.set(self.conflicts.get() + 1);
+            self.conflict_count.set(self.conflict_count.get() + 1);
             return Response::json(409, &json!({"failed": failed, "ledger_rev": revision}));
         }
         if writes.is_empty() {
--- a/tests/stand_ins/state_service/faults.rs
+++ b/tests/stand_ins/state_service/faults.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct StateFaultOptions {
     /// Indexes of the controllers whose requests are refused.
-    pub refused: BTreeSet<usize>,
+    pub refused_controllers: BTreeSet<usize>,
     /// Probability with which a commit is applied 2 to 12 s later and gets no response.
-    pub late: f64,
+    pub late_commit_fraction: f64,
     /// Probability with which a commit is applied immediately and gets no response.
-    pub unanswered: f64,
+    pub unanswered_commit_fraction: f64,
     /// Maximum delay of a response. A random part of the delay precedes the execution of the
     /// request, the rest follows it.
     pub response_delay: Duration,
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -37,7 +37,7 @@
     /// of tokio would wake them in random order, so that no two runs would be the same.
     revision_changed: Notify,
     /// Current fault mode.
-    pub trouble: Cell<StateFault>,
+    pub fault: Cell<StateFault>,
     /// Number of further commits that the fault modes [`Trouble::LoseAnswers`] and
     /// [`Trouble::Late`] affect.
     pub faulty_commits_left: Cell<usize>,
@@ -66,7 +66,7 @@
     /// version, which neither announces record formats nor stores the announced ones.
     pub previous_version_controllers: RefCell<BTreeSet<usize>>,
     /// Number of commits that failed a precondition.
-    pub conflicts: Cell<usize>,
+    pub conflict_count: Cell<usize>,
     /// Predicate that selects commits to refuse with status 503.
     pub commit_refusal: RefCell<Option<CommitRefusal>>,
     /// Callbacks that are called after every applied commit.
@@ -100,7 +100,7 @@
             change_log: RefCell::default(),
             revision: Cell::default(),
             revision_changed: Notify::default(),
-            trouble: Cell::default(),
+            fault: Cell::default(),
             faulty_commits_left: Cell::default(),
             fault_options: RefCell::default(),
             leases: RefCell::default(),
@@ -114,7 +114,7 @@
             requests: RateLimit::default(),
             misplaced_machines: RefCell::default(),
             previous_version_controllers: RefCell::default(),
-            conflicts: Cell::default(),
+            conflict_count: Cell::default(),
             commit_refusal: RefCell::default(),
             observers: RefCell::default(),
             test_writes: RefCell::default(),
@@ -123,12 +123,12 @@
 
     /// Returns whether the service is unavailable to all controllers.
     fn is_in_outage(&self) -> bool {
-        self.trouble.get() == StateFault::Outage
+        self.fault.get() == StateFault::Outage
     }
 
     /// Returns whether the service refuses all requests of a controller.
     fn refuses(&self, i: usize) -> bool {
-        self.is_in_outage() || self.fault_options.borrow().refused.contains(&i)
+        self.is_in_outage() || self.fault_options.borrow().refused_controllers.contains(&i)
     }
 
     /// Returns true with this probability. Draws no random number if it is zero.
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -74,7 +74,7 @@
         let events: Vec<&Value> = new_events.collect();
         let revision = self.revision.get();
         let mut response = Response::json(200, &json!({"ledger_rev": revision, "events": events}));
-        if self.trouble.get() == StateFault::OversizedWatchResponses && !events.is_empty() {
+        if self.fault.get() == StateFault::OversizedWatchResponses && !events.is_empty() {
             response.body.resize(16 << 20, b' ');
         }
         response
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -7,7 +7,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::scenario::{Simulation, controller};
+use super::scenario::{Simulation, controller_addr};
 
 impl Simulation {
     /// Returns whether a user has received a response that the job is cancelled.
@@ -34,9 +34,13 @@
             job_responses.cancel_requested |= path.ends_with("/withdraw");
             job_responses.clone()
         };
-        let call = self
-            .client
-            .call(controller(i), method, path, bytes, Duration::from_secs(5));
+        let call = self.client.call(
+            controller_addr(i),
+            method,
+            path,
+            bytes,
+            Duration::from_secs(5),
+        );
         let (status, response) = match call.await {
             Ok(r) => (r.status, r.parse().unwrap_or_default()),
             Err(_) => (0, Value::Null),
@@ -60,11 +64,11 @@
             for i in 0..self.shape.controllers {
                 let (simulation, job, id) = (self.clone(), job.clone(), id.to_string());
                 requests.push(spawn_local(async move {
-                    simulation.stage(i, &id).await;
+                    simulation.query_stage(i, &id).await;
                     simulation
                         .send_request(i, "POST", "/submissions", Some(&job))
                         .await;
-                    simulation.stage(i, &id).await;
+                    simulation.query_stage(i, &id).await;
                 }));
             }
             sleep(Duration::from_millis(3)).await;
@@ -109,7 +113,7 @@
     }
 
     /// Polls a job at a controller, and returns the job's stage if the poll succeeds.
-    pub async fn stage(&self, i: usize, id: &str) -> Option<String> {
+    pub async fn query_stage(&self, i: usize, id: &str) -> Option<String> {
         let (status, body) = self
             .send_request(i, "GET", &format!("/submissions/{id}"), None)
             .await;
@@ -121,7 +125,7 @@
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(limit) {
             for i in 0..self.shape.controllers {
-                if self.stage(i, id).await.as_deref() == Some(stage) {
+                if self.query_stage(i, id).await.as_deref() == Some(stage) {
                     return;
                 }
             }
@@ -129,7 +133,7 @@
         }
         panic!(
             "{id} is not {stage} after {limit} s: {:?}",
-            self.stage(0, id).await
+            self.query_stage(0, id).await
         );
     }
 
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::rules::job_of;
-use super::scenario::{SERVER_LIMITS, Simulation, controller};
+use super::scenario::{SERVER_LIMITS, Simulation, controller_addr};
 
 /// A task that a worker has started.
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
     pub command_delay: Cell<Duration>,
     /// Bodies of the heartbeats sent so far, for duplicates that arrive late. They are kept
     /// only in a deployment without initial machines.
-    pub sent: RefCell<Vec<Vec<u8>>>,
+    pub sent_heartbeats: RefCell<Vec<Vec<u8>>>,
 }
 
 impl Worker {
@@ -302,13 +302,13 @@
             let sent = Instant::now();
             let body = serde_json::to_vec(&worker.report()).expect("report");
             if self.shape.machines == 0 {
-                worker.sent.borrow_mut().push(body.clone());
+                worker.sent_heartbeats.borrow_mut().push(body.clone());
             }
-            if self.state.draw_bool(self.copied.get()) {
+            if self.state.draw_bool(self.copied_heartbeat_fraction.get()) {
                 self.heartbeat_copies.borrow_mut().push(body.clone());
             }
             let call = client.call(
-                controller(to),
+                controller_addr(to),
                 "POST",
                 "/agent/beat",
                 Some(body),
@@ -360,12 +360,12 @@
     pub fn running_jobs(&self) -> Vec<String> {
         let mut ids: Vec<String> = self.jobs.borrow().keys().cloned().collect();
         ids.sort();
-        ids.retain(|id| self.running(id) > 0);
+        ids.retain(|id| self.running_task_count(id) > 0);
         ids
     }
 
     /// Returns the workers that have a running task, in the order of their names.
-    pub fn busy(&self) -> Vec<Rc<Worker>> {
+    pub fn busy_workers(&self) -> Vec<Rc<Worker>> {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
         let all = workers.values().map(|(worker, _)| worker.clone());
@@ -374,7 +374,7 @@
     }
 
     /// Returns the number of the job's running tasks.
-    pub fn running(&self, id: &str) -> usize {
+    pub fn running_task_count(&self, id: &str) -> usize {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
         let tasks = workers
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -40,7 +40,7 @@
 /// Starts a deployment in which all controllers run the older version, and waits until they
 /// own their machines.
 async fn older_deployment(seed: u64) -> Rc<Simulation> {
-    let simulation = Simulation::of(seed, deployment()).await;
+    let simulation = Simulation::with_options(seed, deployment()).await;
     simulation
         .state
         .previous_version_controllers
@@ -53,7 +53,7 @@
 /// Restarts a controller with the newer version and with settings that name the upcoming
 /// limits.
 fn upgrade(simulation: &Simulation, i: usize) {
-    simulation.kill(i);
+    simulation.kill_controller(i);
     simulation
         .state
         .previous_version_controllers
@@ -147,7 +147,7 @@
         sleep(secs(4)).await;
         upgrade(&simulation, 1);
         sleep(secs(4)).await;
-        simulation.kill(2);
+        simulation.kill_controller(2);
         let job_record = Job::new(spec_of(&waiting[0]), 1);
         let job_record = serde_json::to_value(&job_record).expect("text");
         let batch = AcceptedBatch {
@@ -177,13 +177,13 @@
         sleep(wait).await;
         lower_limits(&simulation);
         for (i, id) in [&array, &service, &gang].into_iter().enumerate() {
-            assert!(simulation.running(id) > 0, "{id}");
+            assert!(simulation.running_task_count(id) > 0, "{id}");
             let stage = simulation.cancel((i + 1) % 3, id).await;
             assert_eq!(stage.as_deref(), Some("aborted"), "{id}");
         }
         sleep(Duration::from_secs_f64(simulation.shape.cancel_s)).await;
         for id in [&array, &service, &gang] {
-            assert_eq!(simulation.running(id), 0, "{id}");
+            assert_eq!(simulation.running_task_count(id), 0, "{id}");
             let record = simulation.state.value(&job_key(id)).expect("a record");
             assert!(record["r"].is_null() && record["s"].is_null(), "{record}");
             assert_eq!(record["f"], "c", "{record}");
@@ -214,7 +214,7 @@
 
 /// Restarts a controller with the older version, before it is upgraded.
 fn restart_with_older_version(simulation: &Simulation, i: usize) {
-    simulation.kill(i);
+    simulation.kill_controller(i);
     *simulation.next.borrow_mut() = Value::Null;
     simulation.start(i);
 }
@@ -298,7 +298,7 @@
     sleep(Duration::from_secs_f64(simulation.shape.cancel_s)).await;
     for id in ids {
         if simulation.is_cancelled(id) {
-            assert_eq!(simulation.running(id), 0, "{id}");
+            assert_eq!(simulation.running_task_count(id), 0, "{id}");
         } else if simulation.is_service(id) {
             simulation.wait_for_stage(id, "running", 120).await;
         } else {
@@ -333,12 +333,20 @@
             );
             ids.extend(submit_mixed_jobs(&simulation, 20, 3, 30.0).await);
             restart_with_older_version(&simulation, 2);
-            simulation.state.fault_options.borrow_mut().late = 0.3;
+            simulation
+                .state
+                .fault_options
+                .borrow_mut()
+                .late_commit_fraction = 0.3;
             check_older_version_can_read(&simulation, 12).await;
             assert_eq!(controllers_with_new_formats(&simulation), ["n0", "n1"]);
             upgrade(&simulation, 2);
             sleep(secs(2)).await;
-            simulation.state.fault_options.borrow_mut().late = 0.0;
+            simulation
+                .state
+                .fault_options
+                .borrow_mut()
+                .late_commit_fraction = 0.0;
             wait_until_formats_recorded(&simulation).await;
             // Commits in the plain encoding that are still in flight are applied by then.
             sleep(secs(13)).await;
@@ -370,7 +378,7 @@
                 simulation.cancel(2, &ids[1]).await.as_deref(),
                 Some("aborted")
             );
-            simulation.state.trouble.set(StateFault::Outage);
+            simulation.state.fault.set(StateFault::Outage);
             sleep(secs(4)).await;
             upgrade(&simulation, 1);
             sleep(secs(4)).await;
@@ -382,7 +390,7 @@
             }
             sleep(secs(outage_s - 8)).await;
             assert_eq!(controllers_with_new_formats(&simulation), ["n0"]);
-            simulation.state.trouble.set(StateFault::None);
+            simulation.state.fault.set(StateFault::None);
             wait_until_new_formats_known_to(&simulation, &["n0", "n1"]).await;
             check_older_version_can_read(&simulation, 12).await;
             ids.extend(submit_mixed_jobs(&simulation, 20, 3, 20.0).await);
@@ -418,21 +426,29 @@
             let ids = submit_mixed_jobs(&simulation, 1, 24, 90.0).await;
             upgrade(&simulation, 1);
             wait_until_new_formats_known_to(&simulation, &["n1"]).await;
-            simulation.state.fault_options.borrow_mut().late = late;
-            simulation.state.fault_options.borrow_mut().unanswered = unanswered;
+            simulation
+                .state
+                .fault_options
+                .borrow_mut()
+                .late_commit_fraction = late;
+            simulation
+                .state
+                .fault_options
+                .borrow_mut()
+                .unanswered_commit_fraction = unanswered;
             let mut jobs_to_cancel = ids.iter().filter(|id| !id.ends_with('5'));
             for round in 0..6 {
                 let i = [0, 1, 2, 1, 0, 1][round];
                 let before = owned_machine_count(&simulation, i);
                 match round {
                     0 | 1 => simulation.set_worker_partition(i, true),
-                    2 | 3 => simulation.kill(i),
+                    2 | 3 => simulation.kill_controller(i),
                     4 => {
                         simulation
                             .state
                             .fault_options
                             .borrow_mut()
-                            .refused
+                            .refused_controllers
                             .insert(i);
                     }
                     _ => simulation.set_paused(i, true),
@@ -453,7 +469,12 @@
                     2 => restart_with_older_version(&simulation, i),
                     3 => upgrade(&simulation, i),
                     4 => {
-                        simulation.state.fault_options.borrow_mut().refused.clear();
+                        simulation
+                            .state
+                            .fault_options
+                            .borrow_mut()
+                            .refused_controllers
+                            .clear();
                     }
                     _ => simulation.set_paused(i, false),
                 }
@@ -540,7 +561,7 @@
             machines: 160,
             ..deployment()
         };
-        let simulation = Simulation::of(seed, shape).await;
+        let simulation = Simulation::with_options(seed, shape).await;
         wait_until_formats_recorded(&simulation).await;
         sleep(secs(15)).await;
         let array = simulation.submit(job(1, "batch", 600, 20.0)).await;
@@ -611,12 +632,12 @@
                 }
                 for i in 0..3 {
                     assert_eq!(
-                        simulation.stage(i, id).await.as_deref(),
+                        simulation.query_stage(i, id).await.as_deref(),
                         Some("aborted"),
                         "{id}"
                     );
                 }
-                assert_eq!(simulation.running(id), 0, "{id}");
+                assert_eq!(simulation.running_task_count(id), 0, "{id}");
             }
         }
         simulation.wait_for_stage(&array, "done", 400).await;
