--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -219,7 +219,7 @@
         self.writes.push(Write::Put {
             key,
             value: to_raw_json(&self.own_record),
-            lease: Some(self.lease),
+            lease_id: Some(self.lease),
         });
     }
 
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -139,7 +139,7 @@
         let request = Request::post(RequestClass::Lease, "/holds", body, timeout);
         let response = self.send(request).await?;
         match response.status {
-            200 => Ok(response.parse::<StateLease>()?.lease),
+            200 => Ok(response.parse::<StateLease>()?.lease_id),
             status => Err(StateClientError::Refused(status)),
         }
     }
--- a/src/state/commit.rs
+++ b/src/state/commit.rs
@@ -14,6 +14,6 @@
     Write::Put {
         key,
         value: to_raw_json(value),
-        lease: None,
+        lease_id: None,
     }
 }
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -138,7 +138,7 @@
             Some(value) => Write::Put {
                 key,
                 value,
-                lease: None,
+                lease_id: None,
             },
             None => commit::put(key, value),
         }
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -65,7 +65,7 @@
         value: RawJson,
         /// State lease with which the key expires; PROTOCOL's `permit`.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease_id: Option<u64>,
     },
     /// Removal of a key.
     Delete {
@@ -167,5 +167,5 @@
 pub struct StateLease {
     /// Id of the lease; PROTOCOL's `permit`.
     #[serde(rename = "permit")]
-    pub lease: u64,
+    pub lease_id: u64,
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -295,12 +295,17 @@
 
 /// Asserts that the write stores this text under this key, without a lease.
 fn assert_write(write: &Write, expected_key: &str, text: &str) {
-    let Write::Put { key, value, lease } = write else {
+    let Write::Put {
+        key,
+        value,
+        lease_id,
+    } = write
+    else {
         panic!("{write:?}")
     };
     assert_eq!(key, expected_key);
     assert_eq!(value.get(), text);
-    assert_eq!(*lease, None);
+    assert_eq!(*lease_id, None);
 }
 
 /// Asserts that both encodings of a job are decoded without loss, and that a decoded job is
