--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -18,7 +18,7 @@
 
 /// The time for which a machine may be silent before it is decommissioned, in worker leases.
 /// It is longer than the lease: the machine's tasks are released as soon as the lease has
-/// certainly expired (`workers::termination::release_expired_leases`), and its heartbeats may
+/// certainly expired (`workers::termination::queue_terminations_of_expired_leases`), and its heartbeats may
 /// still resume after that.
 const SILENT_LEASES: u32 = 2;
 
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -210,7 +210,7 @@
     }
 
     /// Returns the number of keys per second that all controllers together may write.
-    /// `is_reduced` is the same as for [`Settings::rps`].
+    /// `is_reduced` is the same as for [`Settings::max_requests_per_s`].
     pub fn max_writes_per_s(&self, is_reduced: bool) -> f64 {
         let next = self.next_state_limits().write_rps;
         rate_in_force(self.deployment.state.write_rps, next, is_reduced)
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -38,8 +38,8 @@
     revision_changed: Notify,
     /// Current fault mode.
     pub fault: Cell<StateFault>,
-    /// Number of further commits that the fault modes [`Trouble::LoseAnswers`] and
-    /// [`Trouble::Late`] affect.
+    /// Number of further commits that the fault modes [`StateFault::LostResponses`] and
+    /// [`StateFault::LateCommits`] affect.
     pub faulty_commits_left: Cell<usize>,
     /// Faults with probabilities, delays and targets.
     pub fault_options: RefCell<StateFaultOptions>,
