--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -1,5 +1,6 @@
-//! Capacity for a booking: of the share itself, else from the team's other shares, else
-//! from the pool, else from what other teams' shares have free.
+//! Capacity for a booking. It is taken from the controller's own share, then from the
+//! team's other shares, then from the pool, and last from the free capacity of other teams'
+//! shares.
 
 use std::cmp::Reverse;
 
@@ -10,28 +11,30 @@
 use crate::names::{ControllerName, TeamName};
 use crate::records::Pool;
 
-/// Why a booking gets no capacity.
+/// The reason why no capacity can be reserved for a booking.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Shortage {
-    /// The team's bookings do not count against shares.
-    #[error("{0} has no shares")]
+    /// The team's bookings are not charged to shares.
+    #[error("team {0} has no shares")]
     NoShares(TeamName),
     /// The team would exceed its limit.
-    #[error("{0} would exceed its limit")]
-    Limit(TeamName),
-    /// All machines on record together have not as much.
-    #[error("the machines on record have no room for it")]
-    Machines,
-    /// One commit cannot take back enough of what other teams have free: this is to be
-    /// committed first, and the rest follows.
-    #[error("other teams have to give room back first")]
-    Partial(Box<Change>),
+    #[error("team {0} would exceed its limit")]
+    TeamLimit(TeamName),
+    /// All machines on record together lack the capacity.
+    #[error("the machines on record lack the capacity")]
+    MachineCapacity,
+    /// One commit cannot take back enough free capacity of other teams. The contained
+    /// change must be committed first; the reservation is then continued.
+    #[error("other teams must return free capacity first")]
+    CommitFirst(Box<Change>),
 }
 
-/// The capacity that a booking needs in a controller's share, with all that has to be
-/// written for it beside the booking itself. What it reads is part of the change: the
-/// booking writes the record of use, and is guarded by the split. The change writes at
-/// most `max_writes` records, of which there have to be three.
+/// Reserves the capacity that a booking needs in a controller's share. Returns the change
+/// with all records that must be written in addition to the booking itself.
+///
+/// The records that the decision reads are part of the change. The booking itself writes
+/// the usage record and has a precondition on the share record. The change writes at most
+/// `max_writes` records, which must be at least three.
 pub fn reserve(
     ledger: &Ledger,
     team: &TeamName,
@@ -44,24 +47,26 @@
         return Err(Shortage::NoShares(team.clone()));
     }
     draft.read_share(team);
-    pull_from_siblings(&mut draft, team, controller, need);
-    let lacking = lacking(&draft, team, controller, need);
-    if lacking.is_empty() {
+    take_from_other_shares(&mut draft, team, controller, need);
+    let shortfall = shortfall(&draft, team, controller, need);
+    if shortfall.is_empty() {
         return Ok(draft.finish());
     }
-    // The split of the team itself and the pool are written anyway.
+    // The team's own share record and the pool are written in any case.
     let max_others = max_writes.saturating_sub(2);
-    match grow(&mut draft, ledger, team, controller, lacking, max_others) {
+    match grow_share(&mut draft, ledger, team, controller, shortfall, max_others) {
         Ok(()) => Ok(draft.finish()),
-        Err(Shortage::Machines) if draft.written_shares_of_others(team) >= max_others.max(1) => {
-            Err(Shortage::Partial(Box::new(draft.finish())))
+        Err(Shortage::MachineCapacity)
+            if draft.written_shares_of_others(team) >= max_others.max(1) =>
+        {
+            Err(Shortage::CommitFirst(Box::new(draft.finish())))
         }
         Err(shortage) => Err(shortage),
     }
 }
 
-/// What a share has too little of for a need.
-fn lacking(
+/// Returns the part of a need that exceeds the free capacity of a share.
+fn shortfall(
     draft: &Draft,
     team: &TeamName,
     controller: &ControllerName,
@@ -70,40 +75,40 @@
     (need - draft.free(team, controller.as_str())).positive()
 }
 
-/// Takes what is lacking out of the free capacity of the team's other shares, the largest
-/// first.
-fn pull_from_siblings(
+/// Covers the shortfall from the free capacity of the team's other shares, starting with
+/// the share that has the most free CPUs.
+fn take_from_other_shares(
     draft: &mut Draft,
     team: &TeamName,
     controller: &ControllerName,
     need: Resources,
 ) {
-    let siblings = draft.share(team).map(|share| share.controllers());
-    let mut siblings: Vec<ControllerName> = siblings.unwrap_or_default();
-    siblings.retain(|name| name != controller);
-    siblings.sort_by_key(|name| Reverse(draft.free(team, name.as_str()).cpus));
-    for sibling in siblings {
-        let free = draft.free(team, sibling.as_str()).positive();
-        let part = lacking(draft, team, controller, need).min(&free);
+    let others = draft.share(team).map(|share| share.controllers());
+    let mut others: Vec<ControllerName> = others.unwrap_or_default();
+    others.retain(|name| name != controller);
+    others.sort_by_key(|name| Reverse(draft.free(team, name.as_str()).cpus));
+    for other in others {
+        let free = draft.free(team, other.as_str()).positive();
+        let part = shortfall(draft, team, controller, need).min(&free);
         if part.is_empty() {
             continue;
         }
-        draft.read_use(team, &sibling);
+        draft.read_use(team, &other);
         if let Some(share) = draft.edit_share(team) {
-            share.add_granted(&sibling, Resources::default() - part);
+            share.add_granted(&other, Resources::default() - part);
             share.add_granted(controller, part);
             share.rebalance();
         }
     }
 }
 
-/// Grows a share by what it lacks, from the pool and from other teams' free capacity.
-fn grow(
+/// Grows a share by its shortfall, from the pool and from other teams' free capacity.
+fn grow_share(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
     controller: &ControllerName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) -> Result<(), Shortage> {
     let limit = ledger.teams.get(team).map(|account| account.limit);
@@ -111,17 +116,17 @@
     let remaining = limit
         .unwrap_or_default()
         .remaining(total.unwrap_or_default());
-    if !remaining.fits(&lacking) {
-        return Err(Shortage::Limit(team.clone()));
+    if !remaining.fits(&shortfall) {
+        return Err(Shortage::TeamLimit(team.clone()));
     }
-    let Some(mut pool) = pool_with_free(draft, ledger, team, lacking, max_others) else {
-        return Err(Shortage::Machines);
+    let Some(mut pool) = pool_with_free_capacity(draft, ledger, team, shortfall, max_others) else {
+        return Err(Shortage::MachineCapacity);
     };
-    let more = lacking
-        .scaled(i64::from(ledger.growth))
+    let more = shortfall
+        .scaled(i64::from(ledger.growth_factor))
         .min(&pool.free())
         .min(&remaining);
-    let part = lacking.max(&more);
+    let part = shortfall.max(&more);
     pool.granted += part;
     draft.set_pool(pool);
     if let Some(share) = draft.edit_share(team) {
@@ -130,46 +135,48 @@
     Ok(())
 }
 
-/// The pool with as much free as is lacking: machines that have come since count from now
-/// on, and other teams give free capacity back. `None` if that is not enough.
-pub(crate) fn pool_with_free(
+/// Returns the pool with at least the free capacity of the shortfall; `None` if that is not
+/// possible. It counts machines that were added since the last change of the pool, and
+/// takes free capacity back from other teams if necessary.
+pub(crate) fn pool_with_free_capacity(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) -> Option<Pool> {
     let mut pool = draft.pool().unwrap_or_default();
-    // Those that are about to leave no longer do, but for what is granted already.
-    pool.capacity = ledger.staying.max(&pool.granted);
+    // Machines that are about to leave no longer count, except for capacity that is already
+    // granted.
+    pool.capacity = ledger.retained_capacity.max(&pool.granted);
     draft.set_pool(pool);
-    if !pool.free().fits(&lacking) {
-        shrink_others(draft, ledger, team, lacking, max_others);
+    if !pool.free().fits(&shortfall) {
+        reclaim_from_other_teams(draft, ledger, team, shortfall, max_others);
     }
-    draft.pool().filter(|pool| pool.free().fits(&lacking))
+    draft.pool().filter(|pool| pool.free().fits(&shortfall))
 }
 
-/// Gives free capacity of other teams, of so many at most, back to the pool until it has as
-/// much as is lacking.
-fn shrink_others(
+/// Returns free capacity of other teams to the pool until it covers the shortfall. Changes
+/// the share records of at most `max_others` other teams.
+fn reclaim_from_other_teams(
     draft: &mut Draft,
     ledger: &Ledger,
     team: &TeamName,
-    lacking: Resources,
+    shortfall: Resources,
     max_others: usize,
 ) {
     for other in ledger.teams.keys().filter(|name| *name != team) {
         let Some(pool) = draft.pool() else { return };
-        let missing = (lacking - pool.free()).positive();
+        let missing = (shortfall - pool.free()).positive();
         if missing.is_empty() || draft.written_shares_of_others(team) == max_others {
             return;
         }
-        shrink_team(draft, other, missing);
+        reclaim_from_team(draft, other, missing);
     }
 }
 
-/// Gives as much of a team's free capacity back to the pool as is asked for and there is.
-pub(crate) fn shrink_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
+/// Returns up to the wanted amount of a team's free capacity to the pool.
+pub(crate) fn reclaim_from_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
     let controllers = draft.share(team).map(|share| share.controllers());
     let mut missing = wanted;
     for controller in controllers.unwrap_or_default() {
--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -1,4 +1,4 @@
-//! A change of the accounting as conditions and writes of a commit.
+//! Conversion of an accounting change into preconditions and writes of a commit.
 
 use std::collections::BTreeSet;
 
@@ -6,39 +6,41 @@
 
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{POOL_KEY, share_key, share_use_id, share_use_key, team_key};
-use crate::state::records::{Resources, Team};
+use crate::state::records::{Resources, TeamUsage};
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// Conditions and writes of a commit in the making; no key is guarded twice.
+/// Builder of a commit's preconditions and writes. It adds at most one precondition per
+/// key.
 pub struct CommitParts<'a> {
     replica: &'a Replica,
-    guarded: BTreeSet<String>,
-    /// The conditions.
+    guarded_keys: BTreeSet<String>,
+    /// The preconditions.
     pub preconditions: Vec<Precondition>,
     /// The writes.
     pub writes: Vec<Write>,
 }
 
 impl<'a> CommitParts<'a> {
-    /// Nothing yet, on what this replica has.
+    /// Creates an empty builder that takes versions and records from this replica.
     pub fn new(replica: &'a Replica) -> Self {
         CommitParts {
             replica,
-            guarded: BTreeSet::new(),
+            guarded_keys: BTreeSet::new(),
             preconditions: Vec::new(),
             writes: Vec::new(),
         }
     }
 
     fn precondition(&mut self, key: String, version: u64) {
-        if self.guarded.insert(key.clone()) {
+        if self.guarded_keys.insert(key.clone()) {
             self.preconditions.push(precondition(key, version));
         }
     }
 
-    /// Adds the splits and the pool of a change, with all that it depends on. Jobs that
-    /// it reassigns are for [`Self::reassign_jobs`].
+    /// Adds the share records and the pool of a change, with preconditions on every record
+    /// that the change depends on. The jobs that it reassigns are added by
+    /// [`Self::reassign_jobs`].
     pub fn add_change(&mut self, change: &Change) {
         for (team, share) in &change.shares {
             self.guard_share(team);
@@ -71,21 +73,22 @@
         self.precondition(share_use_key(id), version);
     }
 
-    /// Writes what is booked against a share.
+    /// Writes the usage record of a share.
     pub fn put_use(&mut self, id: &str, used: Resources) {
         self.guard_use(id);
-        self.writes.push(put(share_use_key(id), &Team { used }));
+        self.writes
+            .push(put(share_use_key(id), &TeamUsage { used }));
     }
 
-    /// Writes a team's own record, as last recounted.
+    /// Writes a team's own record with the usage that the replica last computed.
     pub fn put_team(&mut self, team: &str) {
         self.precondition(team_key(team), self.replica.team_version(team));
         let used = self.replica.team_used(team);
-        self.writes.push(put(team_key(team), &Team { used }));
+        self.writes.push(put(team_key(team), &TeamUsage { used }));
     }
 
-    /// Writes the records of the jobs whose bookings count against another share from
-    /// now on; nothing else of them changes.
+    /// Writes the records of the jobs whose bookings the change charges to another share.
+    /// Nothing else in these records changes.
     pub fn reassign_jobs(&mut self, change: &Change) {
         for (id, controller) in &change.reassigned {
             let Some(entry) = self.replica.jobs.get(id.as_str()) else {
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -1,44 +1,45 @@
 //! An operator's request to move a part of a share to another controller.
 //!
-//! A move is one commit, guarded by the split and by its id being new: a request that
-//! is repeated takes effect once.
+//! A move is one commit, with preconditions on the team's share record and on the absence
+//! of the move's id, so that a repeated request takes effect once.
 
 use shares::{Change, ControllerName, MoveError, MoveRecord, TeamName, request_move};
 
 use super::CommitParts;
 use super::messages::{MoveAnswer, MoveRequest};
-use super::operators::{RETRY_AFTER_S, move_answer, move_report, refusal};
+use super::operators::{RETRY_AFTER_S, move_answer, move_report, unavailable_response};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::move_key;
 use crate::state::records::Resources;
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// How often a move is decided again after a conflict.
+/// The largest number of attempts to decide and commit a move. Each conflict requires
+/// another attempt.
 const MAX_ATTEMPTS: usize = 8;
 
-/// The longest id of an operation.
+/// The largest length of a move's id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// Why a requested move is not carried out.
+/// The reason why a requested move is refused.
 #[derive(Debug, thiserror::Error)]
 enum MoveRefusal {
-    #[error("an id has 1 to 64 letters, digits, dashes or dots")]
+    #[error("the id must have 1 to 64 letters, digits, dashes, underscores or dots")]
     InvalidId,
     #[error("an amount is negative, too large or not a number")]
     InvalidAmount,
-    #[error("no controller {0}")]
+    #[error("unknown controller {0}")]
     UnknownController(String),
-    #[error("no team {0}")]
+    #[error("unknown team {0}")]
     UnknownTeam(TeamName),
-    #[error("the id stands for another move")]
+    #[error("the id is already used by another move")]
     IdInUse,
-    #[error("the team's split cannot be read")]
-    SplitUnreadable,
+    #[error("the team's share record is unreadable")]
+    ShareRecordUnreadable,
     #[error(transparent)]
     Move(#[from] MoveError),
 }
@@ -47,36 +48,36 @@
     fn from(refusal: MoveRefusal) -> Self {
         let problem = refusal.to_string();
         match refusal {
-            MoveRefusal::SplitUnreadable => Response::unavailable(&problem, RETRY_AFTER_S),
+            MoveRefusal::ShareRecordUnreadable => Response::unavailable(&problem, RETRY_AFTER_S),
             _ => Response::error(400, &problem),
         }
     }
 }
 
-/// What is to be done about a requested move.
+/// The decision on a requested move.
 enum MoveDecision {
-    /// It is known already, or only asked about.
+    /// The move is already recorded, or the request is a dry run.
     Answer(MoveAnswer),
-    /// It is to be committed, and then decided again.
+    /// The move must be committed and then decided again.
     Commit {
         preconditions: Vec<Precondition>,
         writes: Vec<Write>,
     },
 }
 
-/// The answer to `POST /ops/shares/move`.
+/// Handles `POST /ops/shares/move`.
 pub async fn move_share(controller: &Controller, body: &[u8]) -> Response {
     let Ok(request) = serde_json::from_slice::<MoveRequest>(body) else {
-        return Response::error(400, "not a move");
+        return Response::error(400, "the request body is not a valid move");
     };
     for _ in 0..MAX_ATTEMPTS {
         if !controller.is_state_service_reachable() {
             break;
         }
-        if let Some(refusal) = refusal(controller, &controller.replica.borrow()) {
+        if let Some(refusal) = unavailable_response(controller, &controller.replica.borrow()) {
             return refusal;
         }
-        match decide(controller, &request) {
+        match decide_move(controller, &request) {
             Err(refusal) => return refusal.into(),
             Ok(MoveDecision::Answer(answer)) => return Response::json(200, &answer),
             Ok(MoveDecision::Commit {
@@ -92,8 +93,8 @@
     Response::unavailable("the state service does not answer", RETRY_AFTER_S)
 }
 
-/// Commits a move; false if the state service does not answer. Whether the commit took
-/// effect, the replica tells.
+/// Commits a move. Returns false if the state service does not answer. The replica shows
+/// whether the commit took effect.
 async fn commit_move(
     controller: &Controller,
     preconditions: Vec<Precondition>,
@@ -104,17 +105,22 @@
         .await;
     match committed {
         Ok(_) => return true,
-        Err(StoreError::Conflict(_)) => controller.expedite_watch(),
+        Err(StateClientError::Conflict(_)) => controller.expedite_watch(),
         Err(error) if error.is_refusal() => return false,
         Err(error) => tracing::debug!(%error, "share move commit failed"),
     }
-    // What has come between is on its way; or the commit was carried out.
+    // Either a conflicting commit has not reached the replica yet, or this commit took
+    // effect although its response was lost.
     let limit = controller.settings.worker_lease() / 8;
     controller.wait_for_barrier(limit).await
 }
 
-/// Decides on the replica whether a move is known, refused, or to be committed.
-fn decide(controller: &Controller, request: &MoveRequest) -> Result<MoveDecision, MoveRefusal> {
+/// Decides from the replica whether a move is already recorded, refused, or to be
+/// committed.
+fn decide_move(
+    controller: &Controller,
+    request: &MoveRequest,
+) -> Result<MoveDecision, MoveRefusal> {
     let replica = controller.replica.borrow();
     if let Some(entry) = replica.moves.get(&request.id) {
         return repeated_move(controller, &replica, request, &entry.value);
@@ -126,7 +132,7 @@
         return Err(MoveRefusal::UnknownTeam(team));
     }
     if replica.is_share_unreadable(team.as_str()) {
-        return Err(MoveRefusal::SplitUnreadable);
+        return Err(MoveRefusal::ShareRecordUnreadable);
     }
     let from = ControllerName::from(request.from.as_str());
     let to = ControllerName::from(request.to.as_str());
@@ -159,7 +165,7 @@
     })
 }
 
-/// The amount of a move whose fields are valid.
+/// Validates the fields of a move and returns its amount.
 fn validated_amount(
     controller: &Controller,
     request: &MoveRequest,
@@ -178,7 +184,7 @@
     Ok(amount)
 }
 
-/// The answer to a move whose id is known.
+/// Returns the decision on a move whose id is already recorded.
 fn repeated_move(
     controller: &Controller,
     replica: &Replica,
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -7,14 +7,14 @@
 use super::reconcile::{ReconcileStep, next_reconcile_step};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 
-/// Commits one step after another, as the budget allows.
+/// Runs the loop that commits one step after another, as the write budget allows.
 pub async fn run_shares(controller: Rc<Controller>) {
     let settings = &controller.settings;
     let interval = settings.heartbeat_interval() / settings.features.shares.passes_per_report;
     loop {
-        sleep(controller.store.jitter(interval)).await;
+        sleep(controller.state_client.jitter(interval)).await;
         while has_step(&controller) {
             if commit_next_step(&controller).await == Progress::Pause {
                 break;
@@ -23,12 +23,12 @@
     }
 }
 
-/// Whether the loop goes on at once after a step.
+/// The result of one pass of the loop: continue immediately, or wait for the next interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The step was committed; there may be another.
+    /// The step was committed; another one may be due.
     Continue,
-    /// Nothing more can be decided before the next pass.
+    /// Nothing more can be decided before the next interval.
     Pause,
 }
 
@@ -41,14 +41,14 @@
 fn next_step(controller: &Controller) -> Option<ReconcileStep> {
     let replica = controller.replica.borrow();
     let peers = controller.peers.borrow();
-    let alive = peers.alive(controller, Instant::now());
+    let alive = peers.alive_controllers(controller, Instant::now());
     next_reconcile_step(&replica, &controller.settings, &alive)
 }
 
-/// Decides the next step once the budget is there, and commits it.
+/// Waits for the write budget, then decides the next step and commits it.
 async fn commit_next_step(controller: &Controller) -> Progress {
     controller
-        .store
+        .state_client
         .wait_for_budget(RequestClass::Lifecycle, 1)
         .await;
     if !controller.is_state_service_reachable() {
@@ -66,15 +66,15 @@
             tracing::debug!(action, "share accounting committed");
             Progress::Continue
         }
-        Err(StoreError::Conflict(keys)) => {
+        Err(StateClientError::Conflict(keys)) => {
             tracing::debug!(action, ?keys, "share accounting conflict");
             controller.expedite_watch();
             Progress::Pause
         }
         Err(error) => {
             tracing::debug!(action, %error, "share accounting commit failed");
-            // It may have happened: the replica tells after a barrier, and nothing more
-            // is decided before.
+            // The commit may have taken effect. The replica shows that after a barrier, and
+            // the next decision waits for it.
             let limit = controller.settings.worker_lease() / 4;
             controller.wait_for_barrier(limit).await;
             Progress::Pause
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -19,7 +19,7 @@
 /// The state of a job, for users and operators; `None` for one that is not known.
 pub fn job_state<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
-    let booked = job.booked() as u32;
+    let booked = job.booked_count() as u32;
     let (stage, running) = match replica.effective_status(id)? {
         JobStatus::Done => (JobStage::Done, 0),
         JobStatus::Cancelled => (JobStage::Cancelled, 0),
@@ -60,7 +60,7 @@
     let admissions = &controller.admissions;
     let since_answer = admissions.time_since_answer(id);
     let is_open = controller.replica.borrow().effective_status(id) == Some(JobStatus::Open);
-    if is_open && should_shed_query(controller.lag(), since_answer, &controller.settings) {
+    if is_open && should_shed_query(controller.timer_lag(), since_answer, &controller.settings) {
         return Response::unavailable("asked more often than can be answered", RETRY_SHED);
     }
     let response = query_within(controller, id, QUERY_TIMEOUT).await;
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,4 +1,5 @@
-//! Calls to the cloud: the rate limit, its pauses, and who may call.
+//! Sends calls to the cloud. Only the fleet leader calls, and only within the cloud's rate
+//! limit. After a response that shows an overload, all calls are paused.
 
 use std::time::Duration;
 
@@ -7,44 +8,45 @@
 use crate::controller::Controller;
 use crate::http::{CallError, Response};
 
-/// How long the cloud is not called after it has refused a call as too many.
+/// The pause of all calls after the cloud has responded that it is overloaded.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// Why a call to the cloud was not made, or has no answer that can be used.
+/// The reason for which a call to the cloud was not made or has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloudError {
-    /// Not called: the cloud has refused calls a moment ago.
+    /// A call that was not made because calls are paused after an overload of the cloud.
     #[error("calls to the cloud are paused")]
     Paused,
-    /// Not called: what the call was for had changed when its turn came.
-    #[error("the call is no longer wanted")]
-    NoLongerWanted,
-    /// Not called: this controller is not the fleet leader.
+    /// A call that was not made because the record that it was for has changed while the call
+    /// waited for the rate limit.
+    #[error("the call is no longer needed")]
+    NoLongerNeeded,
+    /// A call that was not made because this controller is not the fleet leader.
     #[error("not the fleet leader")]
     NotFleetLeader,
-    /// Not called: an answer could not be recorded.
+    /// A call that was not made because its response could not be recorded.
     #[error("the state service is unreachable")]
     StateServiceUnreachable,
-    /// The cloud takes no calls now.
+    /// A response that shows that the cloud is overloaded, with its status.
     #[error("the cloud is overloaded: status {0}")]
     Overloaded(u16),
-    /// The cloud has refused the call.
-    #[error("the cloud refuses the call: status {0}")]
+    /// A response by which the cloud refused the call, with its status.
+    #[error("the cloud refused the call: status {0}")]
     Refused(u16),
-    /// No answer, or a malformed one.
+    /// A failed call or a malformed response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The request could not be encoded.
+    /// A request that could not be encoded.
     #[error("request not encoded: {0}")]
     Encoding(#[from] serde_json::Error),
 }
 
 impl Controller {
-    /// Whether this controller is the fleet leader: the record says so, and its
-    /// state lease stands as far as is known.
+    /// Returns whether this controller is the fleet leader: the replica's fleet key names
+    /// this run of the controller, and its state lease is not known to have expired.
     pub fn is_fleet_leader(&self) -> bool {
         let replica = self.replica.borrow();
-        let fleet_leader = replica.fleet.as_ref();
+        let fleet_leader = replica.fleet_leader.as_ref();
         fleet_leader.is_some_and(|entry| entry.value.incarnation == self.incarnation)
             && self.fleet.borrow().state_lease().is_some()
     }
@@ -59,22 +61,22 @@
         self.call_cloud_if(method, path, body, || true).await
     }
 
-    /// The same if it is still wanted when its turn has come, and this controller
-    /// is still the fleet leader: the rate limit, or a pause of this process, may
-    /// hold it up.
+    /// Calls the cloud, if `is_needed` returns true and this controller is still the fleet
+    /// leader once the rate limit allows the call: both may change while the call waits for
+    /// the rate limit or this process is paused.
     pub(super) async fn call_cloud_if(
         &self,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        is_wanted: impl Fn() -> bool,
+        is_needed: impl Fn() -> bool,
     ) -> Result<Response, CloudError> {
         if self.fleet.borrow().cloud_calls.is_paused() {
             return Err(CloudError::Paused);
         }
         self.wait_for_cloud_rate_limit().await;
-        if !is_wanted() {
-            return Err(CloudError::NoLongerWanted);
+        if !is_needed() {
+            return Err(CloudError::NoLongerNeeded);
         }
         if !self.is_fleet_leader() {
             return Err(CloudError::NotFleetLeader);
@@ -82,30 +84,31 @@
         if !self.is_state_service_reachable() {
             return Err(CloudError::StateServiceUnreachable);
         }
-        let limit = self.settings.worker_lease() / 3;
+        let timeout = self.settings.worker_lease() / 3;
         let response = self
             .client
-            .call(self.settings.external.cloud, method, path, body, limit)
+            .call(self.settings.external.cloud, method, path, body, timeout)
             .await?;
         if is_overloaded(&response) {
-            let pause = self.store.jitter(OVERLOAD_PAUSE);
+            let pause = self.state_client.jitter(OVERLOAD_PAUSE);
             self.fleet.borrow_mut().cloud_calls.pause(pause);
             return Err(CloudError::Overloaded(response.status));
         }
         Ok(response)
     }
 
-    /// Waits until the cloud's rate limit allows one more call. The fleet leader
-    /// alone calls; provisioning requests call at once, inside the limit.
+    /// Waits until the cloud's rate limit allows one more call. The limit is not shared with
+    /// other controllers, because only the fleet leader calls. Provisioning requests call
+    /// concurrently, within the same limit.
     async fn wait_for_cloud_rate_limit(&self) {
         let max_rps = self.settings.deployment.cloud.rps;
         loop {
-            let taken = self
+            let acquired = self
                 .fleet
                 .borrow_mut()
                 .cloud_calls
-                .take(max_rps, Instant::now());
-            match taken {
+                .try_acquire(max_rps, Instant::now());
+            match acquired {
                 Ok(()) => return,
                 Err(wait) => sleep(wait).await,
             }
@@ -113,12 +116,13 @@
     }
 }
 
-/// Whether the cloud takes no calls now; an answer that it has no capacity is
-/// one like any other.
+/// Returns whether the response shows that the cloud is overloaded. A response that the
+/// cloud has no capacity for a request is not an overload.
 fn is_overloaded(response: &Response) -> bool {
     response.status == 429 || (response.status >= 500 && !is_no_capacity(response))
 }
 
+/// Returns whether the response states that the cloud has no capacity.
 fn is_no_capacity(response: &Response) -> bool {
     String::from_utf8_lossy(&response.body).contains("no capacity")
 }
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -1,4 +1,5 @@
-//! Headroom: slots kept ready for the next gang on accelerators.
+//! Headroom: slots that are kept free for the next gang that needs accelerators. A slot is
+//! the capacity for one task of the latest such job (`Replica::latest_gpu_spec`).
 
 use crate::dependencies::EffectiveUrgency;
 use crate::scheduler::{self, Plan};
@@ -6,7 +7,8 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Open jobs that need accelerators, but for those that fail wherever they run.
+/// Returns the open jobs that need accelerators, except those that are suspected to be
+/// faulty.
 pub(super) fn open_accelerator_jobs(replica: &Replica) -> impl Iterator<Item = &Job> {
     replica.open_jobs.iter().filter_map(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
@@ -17,38 +19,38 @@
     })
 }
 
-/// How many slots of the accelerators' usual shape there should be beyond those
-/// in use: none when no such job is open.
+/// Returns the number of slots to keep free, as the policy sets it. It is 0 if no job that
+/// needs accelerators is open.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
-    let Some(gpu) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
     };
     if open_accelerator_jobs(replica).next().is_none() {
         return 0;
     }
-    let next_gang = Job::new(gpu.clone(), 0);
-    let urgency = EffectiveUrgency::of(gpu);
-    let facts = scheduler::job_facts(&next_gang, gpu, plan, settings, replica, 0.0, &urgency);
+    let next_gang = Job::new(gpu_spec.clone(), 0);
+    let urgency = EffectiveUrgency::without_dependents(gpu_spec);
+    let facts = scheduler::job_facts(&next_gang, gpu_spec, plan, settings, replica, 0.0, &urgency);
     let gangs = settings.policy.headroom(&facts);
-    (gangs * f64::from(gpu.tasks)).round() as usize
+    (gangs * f64::from(gpu_spec.tasks)).round() as usize
 }
 
-/// Free slots of the accelerators' usual shape, in one zone or in all.
+/// Returns the number of free slots in the plan, in one zone or, for `None`, in all zones.
 pub(super) fn free_accelerator_slots(replica: &Replica, plan: &Plan, zone: Option<&str>) -> usize {
-    let Some(gpu) = &replica.gpu_spec else {
+    let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
     };
     let allowed: Vec<bool> = replica
         .classes
         .iter()
         .map(|class| {
-            gpu.allows(&class.kind, &class.zone, class.spot)
+            gpu_spec.allows(&class.kind, &class.zone, class.spot)
                 && zone.is_none_or(|zone| zone == &*class.zone)
         })
         .collect();
     plan.plan_slots
         .iter()
         .filter(|slot| allowed[slot.class as usize])
-        .map(|slot| slot.free.slots(&gpu.need))
+        .map(|slot| slot.free.slots(&gpu_spec.need))
         .sum()
 }
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -1,37 +1,37 @@
-//! The jobs for which capacity is planned, and what they need.
+//! Determines the jobs for which capacity is planned and the capacity that they need.
 
 use std::collections::HashSet;
 
 use super::offer_search::OfferConstraints;
 use crate::policy::{JobFacts, Policy};
 use crate::scheduler::AcceleratorProtection;
-use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, Spec};
+use crate::state::records::{FAULTY_JOB_THRESHOLD, Job, JobSpec};
 use crate::state::replica::{MachineClass, Replica};
 use crate::wire::{JobKind, MachineType};
 
-/// A fraction of a task below which what is still missing provisions nothing.
+/// The smallest shortfall, in slots, for which capacity is provisioned.
 const MIN_SHORTFALL: f64 = 0.5;
 
 /// A job for which capacity is planned.
 pub(super) struct JobDemand<'a> {
     pub(super) id: &'a str,
-    pub(super) spec: &'a Spec,
+    pub(super) spec: &'a JobSpec,
     pub(super) facts: JobFacts,
-    /// The highest price of a slot, as a multiple of the cheapest one.
+    /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
-    /// The job as it would be with the places planned so far, so that its
-    /// zones' shares are kept.
-    pub(super) planned: Job,
-    /// Zones where more capacity would not help.
+    /// The job as it would be with the placements planned so far, so that the limits on its
+    /// tasks per zone are kept.
+    pub(super) planned_job: Job,
+    /// The zones in which more capacity would not help the job.
     pub(super) excluded_zones: HashSet<String>,
     /// The zone of the machine that was planned last.
     pub(super) last_zone: Option<String>,
-    /// How strictly machines with accelerators are kept for work that needs them.
+    /// The protection of machines with accelerators for jobs that need them.
     pub(super) protection: AcceleratorProtection,
 }
 
 impl JobDemand<'_> {
-    /// What restricts the choice of an offer for the job.
+    /// Returns the constraints on the choice of an offer for the job.
     pub(super) fn offer_constraints(&self) -> OfferConstraints<'_> {
         OfferConstraints {
             protection: self.protection,
@@ -40,8 +40,9 @@
         }
     }
 
-    /// How many slots the job needs more for its `unplaced` tasks; none if what
-    /// others free is enough, which is then taken from `turnover_cpus`.
+    /// Returns the number of slots to provision for the job's `unplaced` tasks, or `None` if
+    /// no more are needed. For an array, CPUs that running array tasks will soon free count as
+    /// capacity. They are subtracted from `turnover_cpus`, so that no other job counts on them.
     pub(super) fn wanted_slots(
         &self,
         unplaced: usize,
@@ -51,8 +52,9 @@
         let spec = self.spec;
         let mut wanted = unplaced as f64;
         if spec.kind == JobKind::Array {
-            // Tasks that run one after another in the window need less
-            // capacity at once; what others free in that time serves too.
+            // Tasks can run one after another within the window, so the array needs
+            // fewer slots than tasks. CPUs that running tasks free within the window reduce
+            // the need further.
             let window_s = policy.rent_window_s(&self.facts);
             let cpus = spec.need.cpus.units().max(0.001);
             wanted = wanted * spec.estimate_s.max(1.0) / window_s;
@@ -60,9 +62,9 @@
             let covered = wanted.min(*turnover_cpus * turnover / cpus);
             *turnover_cpus -= covered * cpus / turnover.max(0.01);
             wanted -= covered;
-            // So little follows in the capacity of what runs; but what has no
-            // place at all, and none to follow, would wait for ever.
-            if wanted < MIN_SHORTFALL && (self.planned.booked() > 0 || covered > 0.0) {
+            // So small a remainder runs when running tasks end. But a job that has no
+            // running tasks and counts on no others' CPUs would wait forever.
+            if wanted < MIN_SHORTFALL && (self.planned_job.booked_count() > 0 || covered > 0.0) {
                 return None;
             }
         }
@@ -70,48 +72,52 @@
     }
 }
 
-/// A job that waits for others, and those.
+/// A job with pending dependencies.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DependentJob<'a> {
     pub(super) id: &'a str,
-    pub(super) awaited: &'a [String],
+    /// The jobs that have to end before this one starts.
+    pub(super) dependencies: &'a [String],
 }
 
-/// Jobs that wait for others which are about to end, and what those are: all
-/// of their tasks run, and by their owners' estimates are over before a machine
-/// that is provisioned now is up. For others that wait nothing is provisioned yet.
+/// Returns the jobs whose pending dependencies are all about to end: all tasks of these
+/// dependencies run, and their estimated run times are at most the shortest boot time of a
+/// machine, so they end before a machine that is provisioned now is up. No capacity is
+/// provisioned yet for other jobs with pending dependencies.
 pub(super) fn jobs_about_to_start(replica: &Replica) -> Vec<DependentJob<'_>> {
     let boot_s = replica.min_boot_s();
     let ends_soon = |id: &String| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
-        let job = job.filter(|job| job.booked() > 0 && job.waiting() == 0);
+        let job = job.filter(|job| job.booked_count() > 0 && job.waiting_count() == 0);
         let spec = job.and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind != JobKind::Service && spec.estimate_s <= boot_s)
     };
     replica
         .blocked_jobs()
-        .filter(|(_, awaited)| awaited.iter().all(ends_soon))
-        .map(|(id, awaited)| DependentJob { id, awaited })
+        .filter(|(_, dependencies)| dependencies.iter().all(ends_soon))
+        .map(|(id, dependencies)| DependentJob { id, dependencies })
         .collect()
 }
 
-/// A job that fails wherever it runs provisions nothing: it is tried on what others
-/// have. Where nothing is there that could hold it, it may a few times more, or
-/// three faulty machines in a row would be the end of a job in order.
-pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &Spec) -> bool {
-    let holds = |class: &MachineClass| {
+/// Returns whether capacity may be provisioned for a job that is suspected to be faulty.
+/// Normally none is: the job is retried on machines that other jobs keep provisioned. But if
+/// the job runs nowhere and no machine in service can hold one of its tasks, machines are
+/// provisioned for it until it has failed more than twice `FAULTY_JOB_THRESHOLD` times.
+/// Otherwise three faulty machines in a row would stop a correct job permanently.
+pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &JobSpec) -> bool {
+    let can_hold = |class: &MachineClass| {
         let capacity = replica.class_type(class).map(MachineType::resources);
         spec.allows(&class.kind, &class.zone, class.spot)
             && capacity.is_some_and(|capacity| capacity.fits(&spec.need))
     };
     let max_errors = FAULTY_JOB_THRESHOLD as u32 * 2;
     let mut plan_slots = replica.plan_slots();
-    job.booked() == 0
-        && job.errors <= max_errors
-        && !plan_slots.any(|slot| holds(&replica.classes[slot.class as usize]))
+    job.booked_count() == 0
+        && job.failure_count <= max_errors
+        && !plan_slots.any(|slot| can_hold(&replica.classes[slot.class as usize]))
 }
 
-/// CPUs of all independent tasks that run.
+/// Returns the number of CPUs that are booked by tasks of arrays.
 pub(super) fn running_array_cpus(replica: &Replica) -> f64 {
     let mut cpus = 0.0;
     for (_, id) in &replica.open_jobs {
@@ -119,7 +125,7 @@
             && let Some(spec) = &job.spec
             && spec.kind == JobKind::Array
         {
-            cpus += spec.need.cpus.units() * job.booked() as f64;
+            cpus += spec.need.cpus.units() * job.booked_count() as f64;
         }
     }
     cpus
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes of machines' lifecycles: active, draining, returning, gone.
+//! Changes the lifecycle states of machines: active, draining, returning, gone.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -12,7 +12,7 @@
 use crate::state::replica::Replica;
 use crate::wire::Commit;
 
-/// A machine's next lifecycle state.
+/// A change of a machine to its next lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LifecycleChange {
     pub(super) machine: String,
@@ -20,6 +20,7 @@
 }
 
 impl LifecycleChange {
+    /// Returns the change of a machine to a lifecycle state.
     pub(super) fn new(machine: &str, lifecycle: MachineLifecycle) -> Self {
         LifecycleChange {
             machine: machine.to_string(),
@@ -28,7 +29,7 @@
     }
 }
 
-/// Writes one machine's new lifecycle state; whether it is written.
+/// Writes one machine's new lifecycle state, and returns whether it was written.
 pub(super) async fn set_lifecycle(
     controller: &Controller,
     id: &str,
@@ -38,9 +39,10 @@
     changed.contains(id)
 }
 
-/// Writes machines' new lifecycle states, taking them out of their zone shards'
-/// records unless they stay active; as many as one commit holds, and tells which. Guarded by
-/// the zone shards, too, so that no booking slips in between.
+/// Writes new lifecycle states of machines, as many as fit in one commit, and returns the
+/// machines that were changed. Machines that do not become active are removed from their
+/// zone shards' records. The commit is also guarded by the zone shards' versions, so that
+/// it fails if a booking on one of these machines is committed first.
 pub(super) async fn set_lifecycles(
     controller: &Controller,
     changes: &[LifecycleChange],
@@ -61,20 +63,22 @@
     changed
 }
 
-/// A zone shard's record that a commit guards, and writes if a machine leaves it.
-struct EditedShard {
+/// A zone shard's record whose version guards a commit. The commit writes the record if
+/// a machine was removed from it.
+struct EditedZoneShard {
     record: ZoneShard,
+    /// Set if a machine was removed from the record.
     changed: bool,
 }
 
-/// The commit that changes machines' states, in the making.
+/// The builder of a commit that changes the lifecycle states of machines.
 struct LifecycleCommit<'a> {
     replica: &'a Replica,
-    /// The limit on the writes of one commit.
+    /// The maximum number of writes in one commit.
     max_writes: usize,
     machine_shards: MachineShardEdits<'a>,
-    zone_shards: BTreeMap<String, EditedShard>,
-    /// The machines whose states it changes.
+    zone_shards: BTreeMap<String, EditedZoneShard>,
+    /// The machines whose states the commit changes.
     changed: HashSet<String>,
 }
 
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Adds a change if it is one and the commit has space for it.
+    /// Adds a change if the machine may make it and the commit has space for it.
     fn add(&mut self, change: &LifecycleChange) {
         let id = &change.machine;
         let Some(entry) = self.replica.machines.get(id) else {
@@ -97,58 +101,62 @@
         };
         let mut machine = entry.value.clone();
         let machine_shard = shard_id(&machine.zone, &machine.shard);
-        let shard = self.replica.zone_shard_of(id);
-        let shard = shard.map_or_else(|| machine_shard.clone(), |shard| shard.to_string());
-        if !is_allowed(&machine, change.lifecycle) || !self.has_space(&machine_shard, &shard) {
+        let zone_shard = self.replica.zone_shard_of(id);
+        let zone_shard = zone_shard.map_or_else(
+            || machine_shard.clone(),
+            |zone_shard| zone_shard.to_string(),
+        );
+        if !is_allowed(&machine, change.lifecycle) || !self.has_space(&machine_shard, &zone_shard) {
             return;
         }
         machine.lifecycle = change.lifecycle;
         self.machine_shards.put(id, machine);
         self.changed.insert(id.clone());
         if change.lifecycle != MachineLifecycle::Active {
-            self.leave_shard(id, shard);
+            self.remove_from_zone_shard(id, zone_shard);
         }
     }
 
-    /// Whether the records of a machine shard and of a zone shard fit into the commit.
-    fn has_space(&self, machine_shard: &str, shard: &str) -> bool {
-        // A machine shard and perhaps its zone shard, which is about as long: half of the
-        // writes are for machine shards, the other half is for zone shards.
-        let for_machine_shards = self.max_writes / 2;
-        let for_shards = self.max_writes - for_machine_shards;
-        let machine_shards_full = self.machine_shards.is_full(for_machine_shards)
+    /// Returns whether the records of a machine shard and a zone shard fit into the commit.
+    fn has_space(&self, machine_shard: &str, zone_shard: &str) -> bool {
+        // A change writes a machine shard and often also a zone shard of about the same
+        // size, so half of the writes are for machine shards and half for zone shards.
+        let max_machine_shards = self.max_writes / 2;
+        let max_zone_shards = self.max_writes - max_machine_shards;
+        let machine_shards_full = self.machine_shards.is_full(max_machine_shards)
             || self.machine_shards.bytes() > COMMIT_BYTES / 3;
-        let shards_full = self.zone_shards.len() >= for_shards;
-        (self.zone_shards.contains_key(shard) || !shards_full)
+        let zone_shards_full = self.zone_shards.len() >= max_zone_shards;
+        (self.zone_shards.contains_key(zone_shard) || !zone_shards_full)
             && (self.machine_shards.contains(machine_shard) || !machine_shards_full)
     }
 
-    /// Takes a machine out of its zone shard's record. The zone shard is guarded even if
-    /// the machine is not in its record: its owner could be putting it there
-    /// just now.
-    fn leave_shard(&mut self, id: &str, shard: String) {
-        let Some(entry) = self.replica.zone_shards.get(&shard) else {
+    /// Removes a machine from its zone shard's record. The zone shard guards the commit
+    /// even if the machine is not in its record, because the shard's owner may be adding
+    /// the machine at the same time.
+    fn remove_from_zone_shard(&mut self, id: &str, zone_shard: String) {
+        let Some(entry) = self.replica.zone_shards.get(&zone_shard) else {
             return;
         };
         let edited = self
             .zone_shards
-            .entry(shard)
-            .or_insert_with(|| EditedShard {
+            .entry(zone_shard)
+            .or_insert_with(|| EditedZoneShard {
                 record: entry.value.clone(),
                 changed: false,
             });
         edited.changed |= edited.record.machines.remove(id).is_some();
     }
 
+    /// Returns the commit.
     fn into_commit(self) -> Commit {
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
-        for (id, shard) in self.zone_shards {
+        for (id, zone_shard) in self.zone_shards {
             preconditions.push(precondition(
                 zone_shard_key(&id),
                 self.replica.zone_shard_version(&id),
             ));
-            if shard.changed {
-                writes.push(self.replica.put_zone_shard(&id, &shard.record));
+            if zone_shard.changed {
+                writes.push(self.replica.put_zone_shard(&id, &zone_shard.record));
             }
         }
         Commit {
@@ -158,8 +166,8 @@
     }
 }
 
-/// Whether a machine may change to this lifecycle state. Safety 5: returning is
-/// never undone.
+/// Returns whether a machine may change to this lifecycle state. Safety 5: a machine that
+/// is being returned never goes back into service.
 fn is_allowed(machine: &Machine, lifecycle: MachineLifecycle) -> bool {
     match machine.lifecycle {
         MachineLifecycle::Gone => false,
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet of machines that the cloud provisions: scale-out, scale-in, and the
-//! health of what is provisioned.
+//! The fleet of machines that are provisioned from the cloud: scale-out, scale-in, and the
+//! health of the machines.
 //!
-//! One controller at a time is the fleet leader, and provisions and decommissions
-//! machines: the one whose name stands under `fleet`, tied to a state lease. That
-//! alone makes nothing safe, and need not: every request is committed before the
-//! call under a name that is never used again, and whatever turns up unexpectedly
-//! is used or decommissioned.
+//! One controller at a time, the fleet leader, provisions and decommissions machines. It is
+//! the controller that the `fleet` key names, which is attached to its state lease. Safety
+//! does not depend on there being a single fleet leader: every provisioning request is
+//! committed before the cloud is called, under a name that is never used again, and
+//! machines that appear unexpectedly are used or decommissioned.
 
 mod backoff;
 mod boot_tracking;
@@ -28,14 +28,13 @@
 mod machine_offer;
 mod machine_types;
 mod maintenance;
-mod new_machines;
 mod offer_refusals;
 mod offer_search;
 mod overdue_boots;
 mod planned_provisioning;
 mod pricing;
 mod provisioning;
-mod record_drops;
+mod record_deletions;
 mod removal;
 mod scale_in;
 mod scale_out;
@@ -45,11 +44,12 @@
 mod summary;
 mod unhealthy_machines;
 mod unneeded_machines;
+mod unrecorded_machines;
 
 pub use failure_attribution::{FailureAttribution, attribute_failure, quarantined_machines};
 pub use fleet_state::FleetState;
-pub use machine_types::run_type_refresh;
-pub use maintenance::run_fleet;
+pub use machine_types::run_machine_type_refresh;
+pub use maintenance::run_fleet_maintenance;
 pub use scale_out::run_scale_out;
 pub use state_lease::run_lease_renewal;
 pub use summary::count_machines_by_lifecycle;
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,40 +1,40 @@
-//! Removal of machines from service: decided, decided again once the budget of
-//! writes is there, and then written.
+//! Removes machines from service. Each decision is made again once the write budget allows
+//! the commit, and only then committed.
 
 use std::fmt;
 
 use super::lifecycle::{LifecycleChange, set_lifecycles};
-use super::new_machines::{NewMachine, provisioned_but_not_up, record_machines};
+use super::unrecorded_machines::{UnrecordedMachine, record_machines, unbooted_machine};
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 
-/// Why a machine leaves service.
+/// The reason for which a machine is removed from service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RemovalReason {
-    /// Its worker's reports arrive here, but no answer and no command does there.
+    /// A machine whose worker's messages arrive, but which receives no answers and no commands.
     Unreachable,
-    /// Nothing has come from its worker for too long.
+    /// A machine from whose worker no message has arrived for too long.
     Silent,
-    /// Jobs that failed there have succeeded elsewhere.
+    /// A machine on which jobs failed that have succeeded on others.
     Faulty,
-    /// No controller that is up holds it.
+    /// A machine whose owner, a controller, is not up.
     Orphaned,
-    /// It was draining, and its work has ended.
+    /// A draining machine whose work has ended.
     Drained,
-    /// It costs more than the work that it runs is worth.
+    /// A machine that runs only opportunistic work and costs more than such work is worth.
     OpportunisticOnly,
-    /// Nothing has run there for long enough.
+    /// A machine that has run no work for longer than the idle limit.
     Idle,
-    /// It has not reported within the limit for boots.
+    /// A machine whose worker has not sent a heartbeat within the boot limit.
     BootTimeout,
 }
 
 impl fmt::Display for RemovalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RemovalReason::Unreachable => "unreachable: reports, but receives nothing",
-            RemovalReason::Silent => "silent: no reports",
+            RemovalReason::Unreachable => "unreachable: sends heartbeats, but receives nothing",
+            RemovalReason::Silent => "silent: no messages",
             RemovalReason::Faulty => "faulty: jobs that failed there succeeded elsewhere",
             RemovalReason::Orphaned => "orphaned: its owner is not up",
             RemovalReason::Drained => "drained",
@@ -45,22 +45,23 @@
     }
 }
 
-/// A machine that is to leave service.
+/// A decision to remove a machine from service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MachineRemoval {
     pub(super) machine: String,
-    /// Its next lifecycle state: draining or returning.
+    /// The machine's next lifecycle state: draining or returning.
     pub(super) lifecycle: MachineLifecycle,
     pub(super) reason: RemovalReason,
 }
 
 impl MachineRemoval {
-    /// The machine takes no new work, and is decommissioned once its work has ended.
+    /// Returns a removal by draining: the machine takes no new work, and is
+    /// decommissioned once its work has ended.
     pub(super) fn drain(machine: &str, reason: RemovalReason) -> Self {
         MachineRemoval::new(machine, MachineLifecycle::Draining, reason)
     }
 
-    /// The machine is given back to the cloud.
+    /// Returns a removal by decommissioning: the machine is returned to the cloud.
     pub(super) fn decommission(machine: &str, reason: RemovalReason) -> Self {
         MachineRemoval::new(machine, MachineLifecycle::Returning, reason)
     }
@@ -74,42 +75,43 @@
     }
 }
 
-/// Decides which machines leave, and carries it out. What is found is decided
-/// again once the budget is there: it may have waited, or this process may have
-/// been paused, and a silent worker may have reported meanwhile.
+/// Removes the machines from service that `find_removals` returns. `find_removals` is called
+/// again once the write budget allows the commit: the wait for the budget or a pause of this
+/// process may have taken long, and a silent worker may have sent a heartbeat in the
+/// meantime.
 pub(super) async fn remove_machines(
     controller: &Controller,
-    decide: fn(&Controller) -> Vec<MachineRemoval>,
+    find_removals: fn(&Controller) -> Vec<MachineRemoval>,
 ) {
-    if decide(controller).is_empty() {
+    if find_removals(controller).is_empty() {
         return;
     }
     controller
-        .store
+        .state_client
         .wait_for_budget(RequestClass::Lifecycle, 1)
         .await;
     if !controller.is_state_service_reachable() {
         return;
     }
     let (recorded, unrecorded): (Vec<MachineRemoval>, Vec<MachineRemoval>) = {
-        let removals = decide(controller);
+        let removals = find_removals(controller);
         let replica = controller.replica.borrow();
         removals
             .into_iter()
             .partition(|removal| replica.machines.contains_key(&removal.machine))
     };
     change_lifecycles(controller, &recorded).await;
-    let not_up: Vec<NewMachine> = {
+    let unbooted: Vec<UnrecordedMachine> = {
         let replica = controller.replica.borrow();
         unrecorded
             .iter()
-            .filter_map(|removal| provisioned_but_not_up(&replica, &removal.machine))
+            .filter_map(|removal| unbooted_machine(&replica, &removal.machine))
             .collect()
     };
-    record_machines(controller, &not_up).await;
+    record_machines(controller, &unbooted).await;
 }
 
-/// Writes the next lifecycle states of machines that have a record.
+/// Writes the next lifecycle states of machines that have a record, and logs each change.
 async fn change_lifecycles(controller: &Controller, removals: &[MachineRemoval]) {
     let changes: Vec<LifecycleChange> = removals
         .iter()
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -1,6 +1,6 @@
-//! The state lease of this controller and the keys that are tied to it: the one
-//! that says that it is up, and the one that says which controller is the fleet
-//! leader.
+//! Maintains this controller's state lease and the keys attached to it: the
+//! controller's own key, which shows that the controller is up, and the fleet key,
+//! which names the fleet leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,21 +9,22 @@
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
-use crate::state::client::StoreError;
+use crate::state::client::StateClientError;
 use crate::state::commit::{precondition, put};
 use crate::state::keys::{FLEET_KEY, FORMATS_KEY, controller_key};
 use crate::state::records::ControllerRecord;
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write, to_raw_json};
 
-/// Keeps the state lease by a loop of its own: the cloud's answers and the
-/// budget may hold up the rest for longer than it lasts.
+/// Runs the loop that maintains the state lease. The loop is separate because slow
+/// answers of the cloud and the write budget can delay the other loops for longer than
+/// the lease's time to live.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
-    let tick = controller.settings.worker_lease() / 16;
-    let retry = tick / 16;
+    let interval = controller.settings.worker_lease() / 16;
+    let retry_interval = interval / 16;
     loop {
         if !controller.replica.borrow().loaded {
-            sleep(retry).await;
+            sleep(retry_interval).await;
             continue;
         }
         match maintain_lease(&controller).await {
@@ -31,33 +32,34 @@
             Ok(LeaseProgress::Maintained) => {}
             Err(error) => tracing::debug!(%error, "state lease not maintained"),
         }
-        sleep(controller.store.jitter(tick)).await;
+        sleep(controller.state_client.jitter(interval)).await;
     }
 }
 
-/// What one pass has done.
+/// The result of one pass of the lease maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseProgress {
-    /// A lease that is new: the keys are to be tied to it at once.
+    /// A newly acquired lease, to which the next pass, without waiting, attaches the
+    /// keys.
     NewLease,
-    /// All that could be done now is done.
+    /// A pass that has done all it could; the next one runs after the usual interval.
     Maintained,
 }
 
-/// Whether the state lease still stands.
+/// The validity of the state lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseStatus {
     Valid,
     Expired,
 }
 
-/// Keeps this controller's state lease, the key that says it is up, and, when
-/// nobody has it, the key that says who is the fleet leader.
-async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StoreError> {
+/// Acquires or extends this controller's state lease and writes the keys attached to
+/// it: the controller's own key and, if there is no fleet leader, the fleet key.
+async fn maintain_lease(controller: &Controller) -> Result<LeaseProgress, StateClientError> {
     let ttl = controller.settings.worker_lease() / 2;
-    let held = controller.fleet.borrow().state_lease();
-    let Some(lease) = held else {
-        let lease = controller.store.acquire_lease(ttl).await?;
+    let current_lease = controller.fleet.borrow().state_lease();
+    let Some(lease) = current_lease else {
+        let lease = controller.state_client.acquire_lease(ttl).await?;
         controller.fleet.borrow_mut().record_state_lease(lease);
         return Ok(LeaseProgress::NewLease);
     };
@@ -67,21 +69,21 @@
     Ok(LeaseProgress::Maintained)
 }
 
-/// Extends the lease when a quarter of its time has passed.
+/// Extends the lease when a quarter of its time to live has passed.
 async fn extend_if_due(
     controller: &Controller,
     lease: u64,
     ttl: Duration,
-) -> Result<LeaseStatus, StoreError> {
+) -> Result<LeaseStatus, StateClientError> {
     if !controller.fleet.borrow().is_extension_due(ttl / 4) {
         return Ok(LeaseStatus::Valid);
     }
-    match controller.store.renew_lease(lease).await {
+    match controller.state_client.renew_lease(lease).await {
         Ok(()) => {
             controller.fleet.borrow_mut().record_state_lease(lease);
             Ok(LeaseStatus::Valid)
         }
-        Err(StoreError::NoLease) => {
+        Err(StateClientError::LeaseExpired) => {
             tracing::info!(controller = controller.name(), "state lease expired");
             controller.fleet.borrow_mut().clear_state_lease();
             Ok(LeaseStatus::Expired)
@@ -90,16 +92,17 @@
     }
 }
 
-/// Writes the keys that do not say yet what they should.
-async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StoreError> {
+/// Writes the keys whose stored value is missing or outdated.
+async fn write_leased_keys(controller: &Controller, lease: u64) -> Result<(), StateClientError> {
     let Commit {
         preconditions,
         writes,
-    } = KeyEdits::missing(controller, &controller.replica.borrow(), lease).into_commit();
+    } = KeyUpdates::for_outdated_keys(controller, &controller.replica.borrow(), lease)
+        .into_commit();
     if writes.is_empty() {
         return Ok(());
     }
-    let takes_fleet_key = preconditions
+    let writes_fleet_key = preconditions
         .iter()
         .any(|precondition| precondition.key == FLEET_KEY);
     match controller
@@ -107,12 +110,12 @@
         .await
     {
         Ok(_) => {
-            if takes_fleet_key {
+            if writes_fleet_key {
                 tracing::info!(controller = controller.name(), "became fleet leader");
             }
             Ok(())
         }
-        Err(StoreError::NoLease) => {
+        Err(StateClientError::LeaseExpired) => {
             controller.fleet.borrow_mut().clear_state_lease();
             Ok(())
         }
@@ -120,21 +123,23 @@
     }
 }
 
-/// The commit that ties to the lease what is not tied to it, and that adds the
-/// formats which other controllers have been seen to know.
-struct KeyEdits<'a> {
+/// The builder of a commit that writes missing or outdated keys, attached to the lease,
+/// and adds the formats that all controllers are now known to support.
+struct KeyUpdates<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     lease: u64,
-    /// What this controller's keys are to say.
+    /// The value of this controller's own key and, if it is the fleet leader, of the
+    /// fleet key.
     own_record: ControllerRecord,
     preconditions: Vec<Precondition>,
     writes: Vec<Write>,
 }
 
-impl<'a> KeyEdits<'a> {
-    fn missing(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
-        let mut edits = KeyEdits {
+impl<'a> KeyUpdates<'a> {
+    /// Returns the updates of all keys that are missing or outdated in the replica.
+    fn for_outdated_keys(controller: &'a Controller, replica: &'a Replica, lease: u64) -> Self {
+        let mut updates = KeyUpdates {
             controller,
             replica,
             lease,
@@ -146,13 +151,13 @@
             preconditions: Vec::new(),
             writes: Vec::new(),
         };
-        edits.add_controller_key();
-        edits.add_fleet_key();
-        edits.add_formats_key();
-        edits
+        updates.add_controller_key();
+        updates.add_fleet_key();
+        updates.add_formats_key();
+        updates
     }
 
-    /// The key that says that this controller is up.
+    /// Adds this controller's own key, which shows that the controller is up.
     fn add_controller_key(&mut self) {
         match self.replica.controllers.get(self.controller.name()) {
             Some(entry) if entry.value == self.own_record => {}
@@ -164,16 +169,17 @@
         }
     }
 
-    /// The key that says which controller is the fleet leader.
+    /// Adds the fleet key if there is no fleet leader or if an earlier run of this
+    /// controller holds the key.
     fn add_fleet_key(&mut self) {
-        match &self.replica.fleet {
+        match &self.replica.fleet_leader {
             None => {
                 let absent = self.replica.absent_version(FLEET_KEY);
                 self.put_own_record(FLEET_KEY.to_string(), absent);
             }
-            // An earlier run of this process was the fleet leader, and its state
-            // lease still stands: it is surely over, and nobody else may take
-            // over till then.
+            // An earlier run of this controller was the fleet leader, and its state
+            // lease has not expired yet. That run has certainly ended, and no other
+            // controller may take over before the lease expires.
             Some(entry)
                 if entry.value.controller == self.own_record.controller
                     && entry.value != self.own_record =>
@@ -184,27 +190,30 @@
         }
     }
 
-    /// The formats that all controllers know. The key stands with no lease: what
-    /// it says is for good.
+    /// Adds the formats that all controllers support. The key is not attached to a
+    /// lease: a format, once listed, stays listed permanently.
     fn add_formats_key(&mut self) {
         let (controller, replica) = (self.controller, self.replica);
-        let known = &replica.formats;
-        let seen = replica
+        let recorded = &replica.formats;
+        let supported = replica
             .controllers
             .iter()
             .map(|(name, entry)| (name.as_str(), entry.value.formats));
-        let next = known.value.with(seen, &controller.settings.controllers());
+        let next = recorded
+            .value
+            .with(supported, &controller.settings.controllers());
         let unreadable = replica.is_unreadable(FORMATS_KEY);
         if replica.controllers.contains_key(controller.name())
-            && (next != known.value || unreadable)
+            && (next != recorded.value || unreadable)
         {
-            let version = known.version.max(replica.absent_version(FORMATS_KEY));
+            let version = recorded.version.max(replica.absent_version(FORMATS_KEY));
             self.preconditions
                 .push(precondition(FORMATS_KEY.to_string(), version));
             self.writes.push(put(FORMATS_KEY.to_string(), &next));
         }
     }
 
+    /// Adds a guarded write of this controller's record, attached to the lease.
     fn put_own_record(&mut self, key: String, version: u64) {
         self.preconditions.push(precondition(key.clone(), version));
         self.writes.push(Write::Put {
@@ -214,6 +223,7 @@
         });
     }
 
+    /// Returns the commit.
     fn into_commit(self) -> Commit {
         Commit {
             preconditions: self.preconditions,
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -1,5 +1,6 @@
-//! Machines that the fleet leader decommissions: without an owner, without work
-//! that is worth their price, drained, or not up in time.
+//! Finds the machines that the fleet leader removes from service: machines without a live
+//! owner, machines without work that is worth their price, drained machines, and machines
+//! whose boot has timed out.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -19,22 +20,23 @@
 use crate::state::replica::Replica;
 use crate::wire::MachineType;
 
-/// The highest price of a slot, as a multiple of the cheapest one, at which a
+/// The maximum price of a slot, as a multiple of the cheapest slot's price, at which a
 /// machine is kept for opportunistic work alone.
 const MAX_OPPORTUNISTIC_PRICE_RATIO: f64 = 4.0;
 
-/// Machines without a live owner are decommissioned after so many leases. A zone
-/// that is partitioned off has all its machines owned by controllers that are
-/// partitioned off with it: they come back together, and to decommission them
-/// would be to provision a third of the fleet anew.
+/// The time after which a machine without a live owner is decommissioned, in worker leases.
+/// In a partitioned zone, all machines are owned by controllers in the same zone, and both
+/// return together. Decommissioning these machines earlier could mean provisioning a third of
+/// the fleet again.
 const ORPHANED_LEASES: u32 = 3;
 
-/// Machines that the fleet leader removes from service, and why.
+/// Returns the removals of the machines that are not needed, and discards the in-memory state
+/// of machines that no longer exist.
 pub(super) fn unneeded_machines(controller: &Controller) -> Vec<MachineRemoval> {
-    let now = controller.liveness_tick();
+    let now = controller.now_excluding_pauses();
     let replica = controller.replica.borrow();
     let mut fleet = controller.fleet.borrow_mut();
-    let mut review = FleetReview::new(&controller.settings, &replica, now);
+    let mut scan = UnneededMachineScan::new(&controller.settings, &replica, now);
     let mut removals = Vec::new();
     for (id, entry) in &replica.machines {
         let machine = &entry.value;
@@ -43,7 +45,7 @@
             MachineLifecycle::Active | MachineLifecycle::Draining
         ) && let Some(machine_type) = replica.machine_type(&machine.kind)
         {
-            removals.extend(review.removal_of(&mut fleet, id, machine, machine_type));
+            removals.extend(scan.removal_of(&mut fleet, id, machine, machine_type));
         }
     }
     removals.extend(timed_out_boots(
@@ -52,25 +54,26 @@
         &mut fleet,
         now,
     ));
-    forget_unknown_machines(controller, &replica, &mut fleet);
+    prune_unknown_machines(controller, &replica, &mut fleet);
     removals
 }
 
-/// One pass over the machines that are up.
-struct FleetReview<'a> {
+/// The state of one pass over the active and draining machines.
+struct UnneededMachineScan<'a> {
     settings: &'a Settings,
     replica: &'a Replica,
     now: Instant,
-    /// Slots that stay ready for the next gang on accelerators.
+    /// The number of slots to keep free for the next gang that needs accelerators.
     headroom_slots: usize,
-    /// Free slots for such work, less those on machines removed so far.
+    /// The number of free slots for such a gang, excluding those on machines that this pass
+    /// has decided to remove.
     free_slots: usize,
 }
 
-impl<'a> FleetReview<'a> {
+impl<'a> UnneededMachineScan<'a> {
     fn new(settings: &'a Settings, replica: &'a Replica, now: Instant) -> Self {
         let plan = Plan::from_replica(replica);
-        FleetReview {
+        UnneededMachineScan {
             settings,
             replica,
             now,
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Whether an active or draining machine should leave service.
+    /// Returns the removal of an active or draining machine, or `None` if the machine stays
+    /// in service.
     fn removal_of(
         &mut self,
         fleet: &mut FleetState,
@@ -102,7 +106,7 @@
         let idle = self.now.saturating_duration_since(idle_since);
         let facts = machine_facts(machine_type, machine.spot);
         let idle_limit = Duration::from_secs_f64(self.settings.policy.idle_s(&facts));
-        if idle <= idle_limit || self.is_headroom(machine, machine_type) {
+        if idle <= idle_limit || self.is_kept_as_headroom(machine, machine_type) {
             return None;
         }
         Some(match booked {
@@ -111,22 +115,25 @@
         })
     }
 
-    /// A worker whose controller is gone reports to another one soon, and is
-    /// claimed by it; if not, it is gone, too.
+    /// Returns whether a machine has had no live owner for longer than `ORPHANED_LEASES`. A
+    /// worker whose owner is gone soon sends heartbeats to another controller, which claims
+    /// it. A worker that does not is gone too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
         let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
-            fleet.clear_not_up(id);
+            fleet.clear_ownerless(id);
             return false;
         }
-        let not_up_since = fleet.not_up_since(id, self.now);
+        let ownerless_since = fleet.ownerless_since(id, self.now);
         let limit = self.settings.worker_lease() * ORPHANED_LEASES;
-        self.now.saturating_duration_since(not_up_since) > limit
+        self.now.saturating_duration_since(ownerless_since) > limit
     }
 
-    /// Whether a machine's work keeps it provisioned. Opportunistic work does not
-    /// keep one that costs more than such work may: it is drained, so that the
-    /// work saves its progress and goes elsewhere.
+    /// Returns whether a machine's work keeps it in service. Opportunistic work does not keep
+    /// an active machine that costs more than such work is worth: the machine is drained, so
+    /// that the work saves its progress and moves elsewhere. A machine that is already
+    /// draining stays until its work has ended, and is queued again so that work that has not
+    /// been told to stop is stopped.
     fn is_kept_for_work(
         &self,
         fleet: &mut FleetState,
@@ -150,18 +157,19 @@
         draining
     }
 
-    /// Whether an idle machine is kept for the next gang on accelerators.
-    fn is_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
+    /// Returns whether an idle machine is kept for the next gang that needs accelerators. If
+    /// not, its slots are subtracted from the free slots.
+    fn is_kept_as_headroom(&mut self, machine: &Machine, machine_type: &MachineType) -> bool {
         if machine_type.gpus <= 0.0 {
             return false;
         }
-        let Some(gpu) = &self.replica.gpu_spec else {
+        let Some(gpu_spec) = &self.replica.latest_gpu_spec else {
             return false;
         };
-        if !gpu.allows(&machine.kind, &machine.zone, machine.spot) {
+        if !gpu_spec.allows(&machine.kind, &machine.zone, machine.spot) {
             return false;
         }
-        let slots = machine_type.resources().slots(&gpu.need);
+        let slots = machine_type.resources().slots(&gpu_spec.need);
         if slots > 0 && self.free_slots < self.headroom_slots + slots {
             return true;
         }
@@ -170,8 +178,8 @@
     }
 }
 
-/// Whether all that a machine runs is opportunistic, at a price that such work is
-/// not worth.
+/// Returns whether a machine runs only opportunistic work and costs more than such work is
+/// worth.
 fn runs_only_overpriced_opportunistic_work(
     replica: &Replica,
     settings: &Settings,
@@ -192,8 +200,8 @@
     })
 }
 
-/// Drops what is remembered of machines that are neither recorded nor provisioned.
-fn forget_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
+/// Discards the in-memory state of machines that are neither recorded nor booting.
+fn prune_unknown_machines(controller: &Controller, replica: &Replica, fleet: &mut FleetState) {
     let mut known: HashSet<&str> = replica.machines.keys().map(String::as_str).collect();
     known.extend(booting_machines(replica).map(|machine| machine.id));
     fleet.retain_machines(&known);
--- a/src/dependencies/index.rs
+++ b/src/dependencies/index.rs
@@ -6,7 +6,7 @@
 use crate::state::replica::Replica;
 
 impl Replica {
-    /// Indexes a job's record that has just been stored in the replica.
+    /// Indexes a job's record that was just stored in the replica.
     pub(crate) fn index_job_dependencies(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
@@ -14,11 +14,11 @@
         match job.status {
             JobStatus::Open => self.index_open_job(id),
             JobStatus::Done => {
-                self.dependency_graph.remove_demand(id);
+                self.dependency_graph.remove_job(id);
                 self.unblock_dependents(id);
             }
             JobStatus::Cancelled => {
-                self.dependency_graph.remove_demand(id);
+                self.dependency_graph.remove_job(id);
                 self.cancel_dependents(id);
             }
         }
@@ -48,11 +48,11 @@
         }
         match pending.is_empty() {
             true => self.make_ready(id),
-            false => self.block(id, pending),
+            false => self.add_to_blocked(id, pending),
         }
     }
 
-    /// Takes back what followed from an open job's record.
+    /// Removes an open job's entries from the indexes before its record changes.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
         self.open_jobs
             .remove(&(old.accepted_revision, id.to_string()));
@@ -60,8 +60,8 @@
         self.remove_from_blocked(id);
     }
 
-    /// The job waits for its pending dependencies.
-    fn block(&mut self, id: &str, pending: Vec<String>) {
+    /// Records that a job is blocked by its pending dependencies.
+    fn add_to_blocked(&mut self, id: &str, pending: Vec<String>) {
         let graph = &mut self.dependency_graph;
         for dependency in &pending {
             let dependents = graph.dependents.entry(dependency.clone());
@@ -71,7 +71,7 @@
         self.propagate_demand(pending);
     }
 
-    /// The job waits no longer, whatever becomes of it.
+    /// Removes a job from the blocked jobs, whether it becomes ready or ends.
     fn remove_from_blocked(&mut self, id: &str) {
         let graph = &mut self.dependency_graph;
         let Some(pending) = graph.blocked.remove(id) else {
@@ -88,19 +88,21 @@
         self.propagate_demand(pending);
     }
 
-    /// The job takes part in all that open jobs do from here on.
+    /// Adds a job without pending dependencies to the open jobs that the scheduler
+    /// considers.
     fn make_ready(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id).map(|e| &e.value) else {
             return;
         };
         if let Some(spec) = job.spec.as_ref().filter(|s| s.need.gpus.0 > 0) {
-            self.gpu_spec = Some(spec.clone());
+            self.latest_gpu_spec = Some(spec.clone());
         }
         self.open_jobs
             .insert((job.accepted_revision, id.to_string()));
     }
 
-    /// A job is done: dependents without other pending dependencies are ready.
+    /// Removes a completed dependency from its dependents, and makes those ready that have
+    /// no other pending dependency.
     fn unblock_dependents(&mut self, id: &str) {
         for dependent in self.dependency_graph.take_dependents(id) {
             let blocked = &mut self.dependency_graph.blocked;
@@ -116,14 +118,15 @@
         }
     }
 
-    /// A job is cancelled: those that depend on it are, through any chain.
+    /// Cancels the direct and indirect dependents of a cancelled job.
     fn cancel_dependents(&mut self, id: &str) {
         for dependent in self.dependency_graph.take_dependents(id) {
             self.cancel_with_dependency(&dependent);
         }
     }
 
-    /// A job is cancelled by one that it depends on, and its dependents with it.
+    /// Marks a job as cancelled by one of its dependencies, together with the job's direct
+    /// and indirect dependents.
     fn cancel_with_dependency(&mut self, id: &str) {
         let mut pending = vec![id.to_string()];
         while let Some(id) = pending.pop() {
@@ -132,7 +135,7 @@
                 continue;
             }
             self.remove_from_blocked(&id);
-            self.dependency_graph.remove_demand(&id);
+            self.dependency_graph.remove_job(&id);
             pending.extend(self.dependency_graph.take_dependents(&id));
         }
     }
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -12,7 +12,7 @@
 use crate::controller::Controller;
 use crate::scheduler::{self, Plan};
 use crate::settings::TeamQuota;
-use crate::state::records::{Job, JobStatus, MachineLifecycle, Run, Spec};
+use crate::state::records::{Job, JobSpec, JobStatus, MachineLifecycle, Run};
 use crate::state::replica::Replica;
 use crate::wire::{JobKind, JobStage};
 
@@ -33,7 +33,7 @@
 struct Unfinished<'a> {
     id: &'a str,
     job: &'a Job,
-    spec: &'a Spec,
+    spec: &'a JobSpec,
     stage: JobStage,
     is_late: bool,
 }
@@ -62,9 +62,9 @@
             team: spec.map(|spec| spec.team.clone()),
             tasks: job.tasks,
             done: job.done_count(),
-            waiting: job.waiting(),
-            running: job.booked(),
-            failures: job.errors,
+            waiting: job.waiting_count(),
+            running: job.booked_count(),
+            failures: job.failure_count,
             failed_on: job.failed_on.clone(),
             known_s: is_open.then(|| self.age_s(id)),
             late: spec.is_some_and(|spec| is_open && self.is_late(id, job, spec)),
@@ -103,7 +103,7 @@
             gpus_limit: quota.gpus_max,
             gpus_borrowed: (gpus - quota.gpus).max(0.0),
             waiting_jobs: waiting.len(),
-            waiting_tasks: waiting.iter().map(|(_, job)| job.waiting()).sum(),
+            waiting_tasks: waiting.iter().map(|(_, job)| job.waiting_count()).sum(),
             why: waiting.first().map(|(id, job)| self.reason(id, job).text),
         }
     }
@@ -146,7 +146,7 @@
         ready.chain(blocked).filter_map(|id| {
             let job = &self.replica.jobs.get(id)?.value;
             let spec = job.spec.as_ref()?;
-            if spec.kind == JobKind::Service && job.waiting() == 0 {
+            if spec.kind == JobKind::Service && job.waiting_count() == 0 {
                 return None;
             }
             Some(Unfinished {
@@ -194,7 +194,7 @@
     fn refused_offers(&self) -> Vec<String> {
         let mut refused = self.controller.fleet.borrow().refused_offers(self.now);
         let peers = self.controller.peers.borrow();
-        refused.extend(peers.refused(self.controller, self.now));
+        refused.extend(peers.refused_offers(self.controller, self.now));
         refused.sort();
         refused.dedup();
         refused
@@ -207,13 +207,13 @@
 
     /// Whether a job is past its own deadline, or has waiting tasks and is too late
     /// for every SLO of its class.
-    fn is_late(&self, id: &str, job: &Job, spec: &Spec) -> bool {
+    fn is_late(&self, id: &str, job: &Job, spec: &JobSpec) -> bool {
         let urgency = self.replica.effective_urgency(id, spec, self.now);
         if urgency.time_left_s.is_some_and(|left| left < 0.0) {
             return true;
         }
         let settings = &self.controller.settings;
-        job.waiting() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
+        job.waiting_count() > 0 && scheduler::is_late(spec, settings, self.age_s(id), &urgency)
     }
 
     fn reason(&self, id: &str, job: &Job) -> PendingReason {
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -1,24 +1,24 @@
-//! Bookings of waiting tasks: as many placements as one commit can record.
+//! Bookings of waiting tasks, for as many placements as one commit can record.
 
 use std::collections::BTreeSet;
 
 use super::Transaction;
 use super::size::TouchedRecords;
 use crate::scheduler::plan::TaskPlacement;
-use crate::state::records::{Job, Spec};
+use crate::state::records::{Job, JobSpec};
 use crate::wire::JobKind;
 
 impl Transaction<'_> {
-    /// Books a job's waiting tasks, and returns how many; none when the commit
-    /// is full.
-    pub fn book(&mut self, id: &str, spec: &Spec, placements: &[TaskPlacement]) -> usize {
+    /// Books a job's waiting tasks, and returns the number of booked tasks, which is 0 if
+    /// the commit is full.
+    pub fn book(&mut self, id: &str, spec: &JobSpec, placements: &[TaskPlacement]) -> usize {
         let placements = self.bookable(id, spec, placements);
         if placements.is_empty() {
             return 0;
         }
-        // Safety 7: no task starts before all dependencies of its job are done. That
-        // is final, so this replica, which the commit is decided on, can only be
-        // late in knowing it; what is launched follows from bookings alone.
+        // Safety 7: no task starts before all dependencies of its job are done. A
+        // dependency that is done stays done, so a stale replica, on which the commit is
+        // decided, can only delay the booking. Tasks are launched only if they are booked.
         if !self.replica.dependencies_done(spec) {
             return 0;
         }
@@ -33,9 +33,9 @@
         placements.len()
     }
 
-    /// Books the placements in the job's record; false if there is no such job.
-    fn book_in_job(&mut self, id: &str, spec: &Spec, placements: &[&TaskPlacement]) -> bool {
-        let share = self.share_to_name(id, spec);
+    /// Books the placements in the job's record. Returns false if there is no such job.
+    fn book_in_job(&mut self, id: &str, spec: &JobSpec, placements: &[&TaskPlacement]) -> bool {
+        let share = self.share_to_record(id, spec);
         let Some(job) = self.edit_job(id) else {
             return false;
         };
@@ -49,21 +49,23 @@
         true
     }
 
-    /// Takes the task's resources from what the zone shard's record has as free.
-    fn book_in_zone_shard(&mut self, placement: &TaskPlacement, spec: &Spec) {
+    /// Subtracts the task's resources from the machine's free resources in the zone
+    /// shard's record.
+    fn book_in_zone_shard(&mut self, placement: &TaskPlacement, spec: &JobSpec) {
         let shard = self.edit_zone_shard(&placement.shard);
         if let Some(slot) = shard.machines.get_mut(&*placement.machine) {
             slot.free -= spec.need;
         }
     }
 
-    /// The placements that this commit can hold: all of a gang's or none, of
-    /// other jobs as many as fit. An array may have its placements in more
-    /// zone shards than any commit writes: the rest follow, or it would wait for ever.
+    /// Returns the placements that this commit has capacity for: all or none for a gang,
+    /// as many as fit for other jobs. An array can have placements in more zone shards
+    /// than any single commit can write; the remaining placements are booked by later
+    /// commits, as the array would otherwise wait forever.
     fn bookable<'p>(
         &self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         placements: &'p [TaskPlacement],
     ) -> Vec<&'p TaskPlacement> {
         let zone_shards: BTreeSet<&str> = placements.iter().map(|p| &*p.shard).collect();
@@ -83,11 +85,12 @@
         self.bookable_one_by_one(id, spec, placements)
     }
 
-    /// The placements that the commit can hold if they are added one after another.
+    /// Returns the placements that the commit has capacity for if they are added one after
+    /// another.
     fn bookable_one_by_one<'p>(
         &self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         placements: &'p [TaskPlacement],
     ) -> Vec<&'p TaskPlacement> {
         let mut zone_shards: BTreeSet<&str> = BTreeSet::new();
@@ -117,13 +120,15 @@
     }
 }
 
-/// Books the placements for the job's next waiting tasks. A gang's attempt is new.
-/// Tasks that were never started share the first attempt, so that those on one
-/// machine share one run in the job's record; those that were get a new one.
-pub fn book(job: &mut Job, spec: &Spec, placements: &[&TaskPlacement]) {
+/// Books the placements for the job's next waiting tasks. A gang gets a new attempt with
+/// each booking. Tasks that were never started share the first attempt, so that those on
+/// the same machine share one run in the job's record. Tasks that were started before get
+/// a new attempt.
+pub fn book(job: &mut Job, spec: &JobSpec, placements: &[&TaskPlacement]) {
     job.has_preempted = false;
-    // More replicas follow what has failed only once others run well.
-    if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked() > 0 {
+    // A suspected service gets further replicas only after a booked replica has run well,
+    // so this booking counts as a success.
+    if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked_count() > 0 {
         job.record_success();
     }
     let retry_attempt = job.attempt.max(1) + 1;
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -1,9 +1,9 @@
-//! The operations of the state service: commits, reads, the watch, and leases.
+//! Implements the operations of the state service: commits, reads, the watch, and leases.
 
 use std::time::Duration;
 
 use super::request::Request;
-use super::{Store, StoreError};
+use super::{StateClient, StateClientError};
 use crate::http::{BODY_LIMIT, Response};
 use crate::state::budget::RequestClass;
 use crate::wire::{
@@ -11,44 +11,48 @@
     WatchResponse, Write,
 };
 
-/// How many records one page of a read may have.
-const PAGE_RECORDS: usize = 500;
+/// Maximum number of records per page of a read.
+const MAX_PAGE_RECORDS: usize = 500;
 
-/// How many keys of refused commits are remembered as logged.
+/// Number of keys of refused commits that are remembered as logged.
 const MAX_LOGGED_KEYS: usize = 1000;
 
-impl Store {
-    /// Sends a transaction, and returns the revision of its changes.
-    pub async fn commit(&self, class: RequestClass, commit: &Commit) -> Result<u64, StoreError> {
+impl StateClient {
+    /// Commits a transaction and returns the revision of its changes.
+    pub async fn commit(
+        &self,
+        class: RequestClass,
+        commit: &Commit,
+    ) -> Result<u64, StateClientError> {
         let body = encode(commit)?;
         let writes = commit.writes.len();
         if body.len() > BODY_LIMIT {
             tracing::error!(bytes = body.len(), writes, "commit too long to send");
-            return Err(StoreError::TooLong(body.len()));
+            return Err(StateClientError::CommitTooLong(body.len()));
         }
         let mut request = Request::post(class, "/commit", body, self.response_timeout);
         request.writes = writes;
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse::<Revision>()?.revision),
-            409 => Err(StoreError::Conflict(
+            409 => Err(StateClientError::Conflict(
                 response.parse::<CommitConflict>()?.failed,
             )),
-            400 if names_missing_lease(&response) => Err(StoreError::NoLease),
+            400 if names_missing_lease(&response) => Err(StateClientError::LeaseExpired),
             400 => {
                 let key = self.log_longest_record(commit, &response.body);
-                Err(StoreError::Limits(key))
+                Err(StateClientError::LimitsExceeded(key))
             }
             status => {
                 let body = String::from_utf8_lossy(&response.body);
                 tracing::error!(status, %body, "commit refused");
-                Err(StoreError::Refused(status))
+                Err(StateClientError::Refused(status))
             }
         }
     }
 
-    /// Logs once which record a refused commit was refused for, as far as that
-    /// can be known: its longest. Returns its key.
+    /// Logs the longest record of a commit that exceeded the limits, once per key. It is
+    /// the most likely cause, as the service does not name the record. Returns its key.
     fn log_longest_record(&self, commit: &Commit, body: &[u8]) -> String {
         let sizes = commit.writes.iter().map(|write| match write {
             Write::Put { key, value, .. } => (value.get().len(), key),
@@ -74,24 +78,24 @@
         key.clone()
     }
 
-    /// The current revision, by asking for a key that never exists.
-    pub async fn revision(&self, key: &str) -> Result<u64, StoreError> {
+    /// Returns the current revision, by reading a key that never exists.
+    pub async fn revision(&self, key: &str) -> Result<u64, StateClientError> {
         let path = format!("/store/{key}");
         let request = Request::get(RequestClass::Accept, &path, self.response_timeout);
         let response = self.send(request).await?;
         match response.status {
             404 => Ok(response.parse::<Revision>()?.revision),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
-    /// Reads records in the order of their keys, beginning after a key.
+    /// Reads a page of records in the order of their keys, beginning after the key `after`.
     pub async fn read_page(
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<StoredRecordPage, StoreError> {
-        let mut path = format!("/store?prefix={prefix}&limit={PAGE_RECORDS}");
+    ) -> Result<StoredRecordPage, StateClientError> {
+        let mut path = format!("/store?prefix={prefix}&limit={MAX_PAGE_RECORDS}");
         if !after.is_empty() {
             path.push_str(&format!("&after={after}"));
         }
@@ -99,34 +103,35 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse()?),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
-    /// Waits up to `block` for changes after a revision, and returns them.
+    /// Waits up to `block` for changes after a revision and returns them.
     pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
         block: Duration,
-    ) -> Result<WatchResponse, StoreError> {
+    ) -> Result<WatchResponse, StateClientError> {
         let path = format!(
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
         );
-        // An outage keeps watches open: the response may take longer than the block.
+        // Watches stay open during an outage, so the response may take longer than `block`.
         let timeout = block + self.response_timeout;
         let request = Request::get(RequestClass::Accept, &path, timeout);
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse()?),
-            410 => Err(StoreError::TooOld),
-            status => Err(StoreError::Refused(status)),
+            410 => Err(StateClientError::TooOld),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
-    /// Takes a state lease that ends if it is not renewed in time.
-    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+    /// Acquires a state lease that expires if it is not renewed within `ttl`. Returns its
+    /// id.
+    pub async fn acquire_lease(&self, ttl: Duration) -> Result<u64, StateClientError> {
         let body = encode(&StateLeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         })?;
@@ -135,12 +140,12 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(response.parse::<StateLease>()?.lease),
-            status => Err(StoreError::Refused(status)),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 
     /// Renews a state lease.
-    pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), StateClientError> {
         let path = format!("/holds/{lease}/extend");
         let body = b"{}".to_vec();
         let timeout = self.response_timeout;
@@ -148,17 +153,18 @@
         let response = self.send(request).await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(StoreError::NoLease),
-            status => Err(StoreError::Refused(status)),
+            404 => Err(StateClientError::LeaseExpired),
+            status => Err(StateClientError::Refused(status)),
         }
     }
 }
 
-/// Whether a commit was refused as its lease does not exist any more.
+/// Returns whether a commit was refused because its lease no longer exists.
 fn names_missing_lease(response: &Response) -> bool {
     String::from_utf8_lossy(&response.body).contains("no such lease")
 }
 
-fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
-    serde_json::to_vec(value).map_err(|error| StoreError::NoAnswer(error.to_string()))
+/// Encodes the body of a request as JSON.
+fn encode<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, StateClientError> {
+    serde_json::to_vec(value).map_err(|error| StateClientError::NoResponse(error.to_string()))
 }
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -1,75 +1,79 @@
-//! Sets of task numbers in the compact encoding.
+//! Encodes and decodes sets of task numbers in the compact encoding.
 
 use super::digits::{COMPACT_MARK, DIGITS, digit_value};
-use crate::state::records::Ranges;
+use crate::state::records::NumberSet;
 
-/// Stands between the first and the last task of a range.
+/// Separator between the first and the last task of a range.
 pub(super) const RANGE_MARK: u8 = b'-';
 
-/// The digits that each task of the set takes.
-pub(super) fn task_width(sets: impl Iterator<Item = u32>) -> usize {
-    match sets.max().unwrap_or(0) {
+/// Returns the number of digits that each task number takes, so that the highest of them
+/// fits.
+pub(super) fn task_width(tasks: impl Iterator<Item = u32>) -> usize {
+    match tasks.max().unwrap_or(0) {
         ..4096 => 2,
         4096..262_144 => 3,
         _ => 6,
     }
 }
 
-pub(super) fn push_task(text: &mut String, n: u32, width: usize) {
-    for at in (0..width).rev() {
-        let d = (u64::from(n) >> (6 * at)) % 64;
-        text.push(char::from(DIGITS[d as usize]));
+/// Appends a task number with a fixed number of digits.
+pub(super) fn push_task(text: &mut String, task: u32, width: usize) {
+    for position in (0..width).rev() {
+        let digit = (u64::from(task) >> (6 * position)) % 64;
+        text.push(char::from(DIGITS[digit as usize]));
     }
 }
 
-/// Writes a set of tasks. However it falls apart, a task takes its width at most.
-pub(super) fn push_tasks(text: &mut String, set: &Ranges, width: usize) {
-    for &(a, b) in &set.0 {
-        push_task(text, a, width);
-        match b - a {
+/// Appends a set of tasks. Each task takes at most `width` characters, even if the set
+/// consists of single tasks.
+pub(super) fn push_tasks(text: &mut String, set: &NumberSet, width: usize) {
+    for &(first, last) in &set.0 {
+        push_task(text, first, width);
+        match last - first {
             0 => {}
-            1 => push_task(text, b, width),
+            1 => push_task(text, last, width),
             _ => {
                 text.push(char::from(RANGE_MARK));
-                push_task(text, b, width);
+                push_task(text, last, width);
             }
         }
     }
 }
 
-pub(super) fn read_tasks(text: &str, width: usize) -> Option<Ranges> {
-    let mut set: Vec<(u32, u32)> = Vec::new();
+/// Parses a set of tasks. Returns `None` if the text is not valid.
+pub(super) fn read_tasks(text: &str, width: usize) -> Option<NumberSet> {
+    let mut ranges: Vec<(u32, u32)> = Vec::new();
     let bytes = text.as_bytes();
-    let mut at = 0;
-    let mut open = false;
-    while at < bytes.len() {
-        if bytes[at] == RANGE_MARK {
-            open = true;
-            at += 1;
+    let mut position = 0;
+    let mut in_range = false;
+    while position < bytes.len() {
+        if bytes[position] == RANGE_MARK {
+            in_range = true;
+            position += 1;
             continue;
         }
-        let code = bytes.get(at..at + width)?;
-        let n = code
+        let digits = bytes.get(position..position + width)?;
+        let task = digits
             .iter()
-            .try_fold(0u64, |n, c| Some(n * 64 + digit_value(*c)?))?;
-        let n = u32::try_from(n).ok()?;
-        at += width;
-        match set.last_mut() {
-            Some(last) if open && last.1 < n => last.1 = n,
-            _ if open => return None,
-            Some(last) if last.1 >= n => return None,
-            // Two that touch stand alone, as that is shorter.
-            Some(last) if last.1 + 1 == n => last.1 = n,
-            _ => set.push((n, n)),
+            .try_fold(0u64, |value, digit| Some(value * 64 + digit_value(*digit)?))?;
+        let task = u32::try_from(task).ok()?;
+        position += width;
+        match ranges.last_mut() {
+            Some(last) if in_range && last.1 < task => last.1 = task,
+            _ if in_range => return None,
+            Some(last) if last.1 >= task => return None,
+            // Two adjacent tasks are written without a range mark, as that is shorter.
+            Some(last) if last.1 + 1 == task => last.1 = task,
+            _ => ranges.push((task, task)),
         }
-        open = false;
+        in_range = false;
     }
-    (!open).then_some(Ranges(set))
+    (!in_range).then_some(NumberSet(ranges))
 }
 
-/// Reads a set of tasks in the compact encoding; the outer `None` where the text is in
-/// the plain one.
-pub fn decode_ranges(text: &str) -> Option<Option<Ranges>> {
+/// Parses a set of tasks in the compact encoding. Returns `None` if the text is in the plain
+/// encoding, and `Some(None)` if the compact encoding is not valid.
+pub fn decode_ranges(text: &str) -> Option<Option<NumberSet>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
         let width = digit_value(*rest.as_bytes().first()?)? as usize;
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -21,7 +21,7 @@
     let set = settings();
     let split = view_with(&[("a", "m1", 4.0), ("b", "m2", 4.0)]);
     let whole = view_with(&[("a", "m1", 2.0), ("b", "m2", 4.0), ("b", "m3", 2.0)]);
-    let fit = |spec: &Spec, replica: &Replica| {
+    let fit = |spec: &JobSpec, replica: &Replica| {
         let job = Job::new(spec.clone(), 1);
         let plan = Plan::from_replica(replica);
         scheduler::find_placements(
@@ -40,7 +40,7 @@
             zones.into_iter().collect::<Vec<_>>()
         })
     };
-    let required = |s: Spec| Spec {
+    let required = |s: JobSpec| JobSpec {
         one_zone: true,
         ..s
     };
@@ -61,14 +61,14 @@
     assert_eq!(fit(&gang, &whole), Ok(vec![("b".into(), 3)]));
     assert_eq!(
         fit(&spec(JobKind::Gang, 5, 2.0), &split),
-        Err(WaitReason::NoRoom)
+        Err(WaitReason::NoCapacity)
     );
     // An array takes what there is; a spread service at most half per zone.
     assert_eq!(
         fit(&spec(JobKind::Array, 8, 2.0), &split),
         Ok(vec![("a".into(), 2), ("b".into(), 2)])
     );
-    let spread = Spec {
+    let spread = JobSpec {
         spread: true,
         ..spec(JobKind::Service, 3, 2.0)
     };
@@ -94,7 +94,7 @@
     let replica = view_with(&[("a", "m1", 8.0), ("b", "m2", 8.0)]);
     let hints = hints(&replica);
     let plan = Plan::from_replica(&replica);
-    let s = Spec {
+    let s = JobSpec {
         one_zone: true,
         ..spec(JobKind::Array, 3, 2.0)
     };
@@ -123,7 +123,7 @@
     let settings = Settings::parse(&json.to_string()).expect("settings");
     let mut work = spec(JobKind::Array, 4, 1.0);
     work.priority = Priority::Low;
-    type Case = (&'static str, fn(&mut Spec), bool);
+    type Case = (&'static str, fn(&mut JobSpec), bool);
     let cases: [Case; 6] = [
         ("plain", |_| {}, true),
         ("cannot save", |s| s.checkpoint_s = 0.0, false),
@@ -154,7 +154,7 @@
         for n in 0..9 {
             let slot = json!({"t": "small", "f": {"c": 4000, "g": 0, "m": 16_000_000}});
             let shard = json!({"m": {format!("m{n}"): slot}});
-            replica.advance(
+            replica.apply_events(
                 vec![Event::put(zone_shard_key(&format!("a/n0.{n}")), &shard, 3)],
                 3,
             );
@@ -163,7 +163,7 @@
         wide.need.ram = Amount(0);
         replica.jobs.insert(
             "job-1".into(),
-            shelfhoist::state::replica::Entry {
+            shelfhoist::state::replica::Versioned {
                 version: 3,
                 value: Job::new(wide.clone(), 1),
             },
@@ -194,7 +194,7 @@
 
 #[test]
 fn preemption_follows_the_protocol() {
-    let with = |team: &str, priority| Spec {
+    let with = |team: &str, priority| JobSpec {
         team: team.into(),
         priority,
         ..spec(JobKind::Array, 1, 1.0)
@@ -210,7 +210,7 @@
         (("t", Normal), true, ("t", Normal), true, false),
         (("t", Low), false, ("u", High), true, false),
     ];
-    let service = Spec {
+    let service = JobSpec {
         kind: JobKind::Service,
         ..with("u", Production)
     };
@@ -270,7 +270,7 @@
     stopped.attempt = 1;
     let events = [("job-1", &small), ("job-2", &large), ("job-3", &stopped)];
     let events = events.map(|(id, job)| Event::put(job_key(id), job, 7));
-    replica.advance(events.to_vec(), 8);
+    replica.apply_events(events.to_vec(), 8);
     let now = Instant::now();
     let bound = Duration::from_secs_f64(set.starvation_threshold_s());
     for (age, first) in [
@@ -303,7 +303,7 @@
         ("b", "m3", 4.0),
         ("b", "m4", 1.0),
     ]);
-    let gang = Spec {
+    let gang = JobSpec {
         one_zone: true,
         ..spec(JobKind::Gang, 3, 4.0)
     };
@@ -367,7 +367,7 @@
             preconditions.len() > zone_shards.count().saturating_sub(1),
             "{preconditions:?}"
         );
-        replica.overlay(&writes, version);
+        replica.apply_commit(&writes, version);
     }
     assert_eq!(replica.machines.len(), 800);
     let listed: usize = replica
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -75,7 +75,7 @@
             assert!(job.release(machine, *attempt, task, *outcome));
         }
         assert_eq!(
-            (job.errors, attribute_failure(&job, "m")),
+            (job.failure_count, attribute_failure(&job, "m")),
             (errors, whose),
             "case {n}"
         );
@@ -328,7 +328,7 @@
         let mut machine = replica.machines["m"].value.clone();
         machine.lifecycle = *lifecycle;
         let machine_shard = json!({"m": {"m": serde_json::to_value(&machine).expect("machine")}});
-        replica.advance(
+        replica.apply_events(
             vec![Event::put(machine_shard_key("a/n0.0"), &machine_shard, 11)],
             11,
         );
@@ -367,24 +367,24 @@
     let mut owned_worker = OwnedWorker::new(5, 9, start);
     let late = start + Duration::from_secs(12);
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "the token was never shown"
     );
     owned_worker.accept_status(report(7, 5, json!([])), true);
-    assert!(owned_worker.lease_is_over(lease, margin, late));
+    assert!(owned_worker.has_lease_expired(lease, margin, late));
     assert!(
-        !owned_worker.lease_is_over(lease, margin, start + Duration::from_secs(11)),
+        !owned_worker.has_lease_expired(lease, margin, start + Duration::from_secs(11)),
         "margin"
     );
     owned_worker.has_unanswered_launch = true;
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "a launch may land late"
     );
     owned_worker.has_unanswered_launch = false;
     owned_worker.last_answered_at = start + Duration::from_secs(5);
     assert!(
-        !owned_worker.lease_is_over(lease, margin, late),
+        !owned_worker.has_lease_expired(lease, margin, late),
         "renewed since"
     );
 }
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -28,7 +28,7 @@
                 job.retry.insert(*n);
             }
             for at in 0..machines {
-                let mut set = Ranges::default();
+                let mut set = NumberSet::default();
                 let some = left.iter().filter(|n| **n as usize % machines == at);
                 some.for_each(|n| set.insert(*n));
                 job.runs.push(Run {
@@ -173,7 +173,7 @@
                 "yards": ["capannone-nord", "capannone-sud", "ufficio-porto"]})
         })
         .collect();
-    let types: Types = serde_json::from_value(json!({"types": types})).expect("types");
+    let types: MachineTypesRecord = serde_json::from_value(json!({"types": types})).expect("types");
     let bytes = serde_json::to_string(&types).expect("text").len();
     assert!(bytes <= LIMIT, "{bytes} bytes");
 }
@@ -214,13 +214,13 @@
         let mut widest = 0;
         for round in 0..60 {
             let mut wanted = places(40, 14);
-            wanted.truncate(job.waiting());
+            wanted.truncate(job.waiting_count());
             let n = tasks_within_record_limit(&job, &wanted, LIMIT, true);
             let taken: Vec<&TaskPlacement> = wanted[..n].iter().collect();
             if !taken.is_empty() {
                 book(&mut job, &s, &taken);
             }
-            widest = widest.max(job.booked());
+            widest = widest.max(job.booked_count());
             let check = |job: &Job| {
                 let bytes = encoding::encode_job(job).expect("text").len();
                 assert!(bytes <= LIMIT, "{bytes} bytes in round {round}");
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -61,8 +61,8 @@
     }
 }
 
-pub fn spec(kind: JobKind, tasks: u32) -> Spec {
-    Spec {
+pub fn spec(kind: JobKind, tasks: u32) -> JobSpec {
+    JobSpec {
         class: "reprice-array".into(),
         team: "squadra-piazzale-07".into(),
         kind,
@@ -141,7 +141,7 @@
         ));
         events.push(Event::put(zone_shard_key(&id), &shard, 2 + g as u64));
     }
-    replica.advance(events, 100);
+    replica.apply_events(events, 100);
     replica
 }
 
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -184,11 +184,11 @@
     LOGGED.with_borrow_mut(Vec::clear);
 }
 
-/// Whether it was logged that the record of this key is not understood.
+/// Whether it was logged that the record of this key cannot be decoded.
 fn is_logged(key: &str) -> bool {
     let bytes = LOGGED.with_borrow(Clone::clone);
     let text = String::from_utf8_lossy(&bytes);
-    let told = |line: &str| line.contains("not understood") && line.contains(key);
+    let told = |line: &str| line.contains("record cannot be decoded") && line.contains(key);
     text.lines().any(told)
 }
 
@@ -343,7 +343,7 @@
         all_goes_on(&w, 100, "before").await;
         let (good, bad) = (job(1, "batch", 1, 1.0), job(2, "batch", 1, 1.0));
         let spec = shelfhoist::api::read_submission(good.to_string().as_bytes());
-        let spec = shelfhoist::state::records::Spec::from(&spec.expect("a submission"));
+        let spec = shelfhoist::state::records::JobSpec::from(&spec.expect("a submission"));
         let spec: Value = serde_json::to_value(&spec).expect("text");
         w.remember(&good);
         w.remember(&bad);
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -7,7 +7,7 @@
 use shelfhoist::state::encoding;
 use shelfhoist::state::keys::{FORMATS_KEY, TYPES_KEY, job_key};
 use shelfhoist::state::record_trim::{TrimContext, trim_job};
-use shelfhoist::state::records::{Amount, Job, JobStatus, Ranges, Resources, Run, Spec};
+use shelfhoist::state::records::{Amount, Job, JobSpec, JobStatus, NumberSet, Resources, Run};
 use shelfhoist::state::replica::Replica;
 use shelfhoist::wire::{Event, JobKind, MachineType, Priority, Write};
 
@@ -31,12 +31,12 @@
 }
 
 /// A specification of about 2 KiB, as older versions accept at 8 KiB a record.
-fn long_spec(kind: JobKind) -> Spec {
+fn long_spec(kind: JobKind) -> JobSpec {
     let mut types: Vec<String> = (0..60)
         .map(|n| format!("retired-machine-type-{n}"))
         .collect();
     types.extend(["big", "small", "huge", "far", "big"].map(str::to_string));
-    Spec {
+    JobSpec {
         class: "c".repeat(200),
         team: "t".into(),
         kind,
@@ -67,13 +67,13 @@
         machine: format!("host-{n:06}"),
         zone: "a".into(),
         attempt: 1,
-        tasks: Ranges(vec![(n * 2, n * 2 + 1)]),
+        tasks: NumberSet(vec![(n * 2, n * 2 + 1)]),
         stop: false,
     };
     Job {
         attempt: 1,
         next_task: 20,
-        retry: Ranges(vec![(10, 12)]),
+        retry: NumberSet(vec![(10, 12)]),
         runs: (0..4).map(run).collect(),
         failed_on: vec!["host-000090".into()],
         ..Job::new(long_spec(kind), 7)
@@ -93,7 +93,7 @@
     trim_job(job, &context, |job| length(job) <= limit)
 }
 
-fn spec(job: &Job) -> &Spec {
+fn spec(job: &Job) -> &JobSpec {
     job.spec.as_ref().expect("a specification")
 }
 
@@ -118,9 +118,9 @@
             assert!(length(&short) < 600, "{}", length(&short));
             assert_eq!(short.status, job.status);
             assert_eq!(short.runs, job.runs);
-            assert_eq!(short.booked(), job.booked());
+            assert_eq!(short.booked_count(), job.booked_count());
             assert_eq!(short.done_count(), job.done_count());
-            assert_eq!(short.waiting(), job.waiting());
+            assert_eq!(short.waiting_count(), job.waiting_count());
             assert_eq!(
                 (short.tasks, short.accepted_revision),
                 (job.tasks, job.accepted_revision)
@@ -176,7 +176,7 @@
         ..short_class.clone()
     };
     assert_eq!(restored, job);
-    let restored = Spec {
+    let restored = JobSpec {
         class: spec(&job).class.clone(),
         image: spec(&job).image.clone(),
         types: spec(&job).types.clone(),
@@ -268,7 +268,7 @@
         Event::put(FORMATS_KEY.into(), &json!({"n": {}, "a": formats}), 1),
         Event::put(TYPES_KEY.into(), &json!({"types": offered()}), 1),
     ];
-    replica.advance(events, 2);
+    replica.apply_events(events, 2);
     replica
 }
 
@@ -304,12 +304,12 @@
         let spec = waiting.spec.as_mut().expect("a specification");
         spec.types.as_mut().expect("types").remove(0);
     }
-    replica.advance(vec![Event::put(job_key("job-000007"), &waiting, 3)], 3);
+    replica.apply_events(vec![Event::put(job_key("job-000007"), &waiting, 3)], 3);
     assert!(replica.oversized_records.is_empty());
     assert!(replica.long_jobs.contains("job-000007"));
     let short = written(&replica, &waiting);
     assert!(spec(&short).types < spec(&waiting).types);
-    replica.advance(vec![Event::put(job_key("job-000007"), &short, 4)], 4);
+    replica.apply_events(vec![Event::put(job_key("job-000007"), &short, 4)], 4);
     assert_eq!(replica.trimmed_job(&short), None);
     assert!(replica.long_jobs.is_empty());
 }
