--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -5,7 +5,7 @@
 //!
 //! - `wrong_place` is not checked for spot machines: the simulated cloud rents regular
 //!   machines only, so no task can start on a spot machine.
-//! - `nothing_ran` is checked only at the end of a test, by [`World::assert_no_violations`].
+//! - `nothing_ran` is checked only at the end of a test, by [`Simulation::assert_no_violations`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
