--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -1,11 +1,12 @@
-//! `GET /submissions/{id}`: the state of a job.
+//! `GET /submissions/{id}`: returns the state of a job.
 //!
-//! A response that is not final, and 404, waits for a barrier, so that it is not
-//! older than what another controller has answered.
+//! Before a response that can still change (an unfinished job, or 404), the controller
+//! waits for a barrier, so that the response is not older than one that another
+//! controller has already given.
 
 use std::time::Duration;
 
-use super::responses::{RETRY_SHED, no_such_job, record_unreadable, state_unavailable};
+use super::responses::{SHED_RETRY_AFTER_S, no_such_job, record_unreadable, state_unavailable};
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::settings::Settings;
@@ -13,10 +14,11 @@
 use crate::state::replica::Replica;
 use crate::wire::{JobStage, JobState};
 
-/// The longest that a query takes; its user waits 2 s.
+/// Maximum duration of a query. Users wait 2 s for the response.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The state of a job, for users and operators; `None` for one that is not known.
+/// Returns the state of a job, for users and operators, or `None` if the replica does
+/// not contain the job.
 pub fn job_state<'a>(replica: &Replica, id: &'a str) -> Option<JobState<'a>> {
     let job = &replica.jobs.get(id)?.value;
     let booked = job.booked_count() as u32;
@@ -34,34 +36,37 @@
     })
 }
 
-/// The state of a job that is over. It never changes, so it needs no barrier.
+/// Returns the response for a job that is done or cancelled, or `None` for any other.
+/// Such a state never changes again, so the response needs no barrier.
 pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Response> {
     let replica = controller.replica.borrow();
     let state = job_state(&replica, id).filter(JobState::is_final)?;
     Some(Response::json(200, &state))
 }
 
-/// Whether a query is shed: users ask more than can be answered, and the same job
-/// was answered here a short while ago, the time `since_answer`. Heartbeats, claims
-/// and submissions need the processor more; but every controller still answers
-/// about each job now and then, or the job would look forgotten.
+/// Returns whether a query is rejected to shed load.
+///
+/// A query is shed if this controller is overloaded, as `timer_lag` shows, and if
+/// it answered a query about the same job recently, `since_answer` ago. Heartbeats,
+/// claims and submissions have precedence for the CPU. Every controller still answers
+/// about each job at intervals: otherwise users would assume that the job is lost.
 pub fn should_shed_query(
-    lag: Duration,
+    timer_lag: Duration,
     since_answer: Option<Duration>,
     settings: &Settings,
 ) -> bool {
-    let is_overloaded = lag > settings.heartbeat_interval() / 8;
+    let is_overloaded = timer_lag > settings.heartbeat_interval() / 8;
     let min_interval = settings.worker_lease() / 2;
     is_overloaded && since_answer.is_some_and(|age| age < min_interval)
 }
 
-/// `GET /submissions/{id}`.
+/// Handles `GET /submissions/{id}`.
 pub(super) async fn query(controller: &Controller, id: &str) -> Response {
     let admissions = &controller.admissions;
     let since_answer = admissions.time_since_answer(id);
     let is_open = controller.replica.borrow().effective_status(id) == Some(JobStatus::Open);
     if is_open && should_shed_query(controller.timer_lag(), since_answer, &controller.settings) {
-        return Response::unavailable("asked more often than can be answered", RETRY_SHED);
+        return Response::unavailable("asked more often than can be answered", SHED_RETRY_AFTER_S);
     }
     let response = query_within(controller, id, QUERY_TIMEOUT).await;
     if is_open && response.status == 200 {
@@ -70,7 +75,8 @@
     response
 }
 
-/// The state of a job, after a barrier that takes at most `limit`.
+/// Returns the response to a query. If the response needs a barrier, waits for it for at
+/// most `limit`.
 pub(super) async fn query_within(controller: &Controller, id: &str, limit: Duration) -> Response {
     if !is_job_id(id) {
         return no_such_job();
@@ -78,9 +84,9 @@
     if let Some(response) = final_state(controller, id) {
         return response;
     }
-    // Safety 1: anything else must not be older than what another controller
-    // has told; 404 included. Without the state service that is not to be had,
-    // and nobody is kept waiting for it.
+    // Safety 1: any other response, including 404, must not be older than one that
+    // another controller has given. This requires a barrier. While the state service is
+    // unreachable, no barrier can complete, and the request fails without waiting.
     if !controller.is_state_service_reachable()
         || !controller.wait_for_barrier_unless_refused(limit).await
     {
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -146,7 +146,7 @@
             own_record: ControllerRecord {
                 controller: controller.name().to_string(),
                 incarnation: controller.incarnation,
-                formats: controller.settings.formats(),
+                formats: controller.settings.announced_formats(),
             },
             preconditions: Vec::new(),
             writes: Vec::new(),
@@ -219,7 +219,7 @@
         self.writes.push(Write::Put {
             key,
             value: to_raw_json(&self.own_record),
-            lease: Some(self.lease),
+            lease_id: Some(self.lease),
         });
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -126,7 +126,9 @@
     /// Returns the interval at which this controller may send requests to the state service
     /// within its part of the rate limit.
     pub fn request_interval(&self) -> Duration {
-        let rps = self.settings.rps(self.state_client.is_rate_reduced());
+        let rps = self
+            .settings
+            .max_requests_per_s(self.state_client.is_rate_reduced());
         Duration::from_secs_f64(self.settings.deployment.count as f64 / rps)
     }
 
@@ -162,13 +164,13 @@
 /// Creates the client for the state service and the cloud.
 fn new_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
-    client.bounded(usize::MAX, settings.max_response_bytes())
+    client.with_limits(usize::MAX, settings.max_response_bytes())
 }
 
 /// Creates the client for direct commands to workers.
 fn new_worker_client(settings: &Settings, net: &Net) -> Client {
     let client = Client::new(net.clone(), settings.worker_lease());
-    client.bounded(
+    client.with_limits(
         settings.command_connections(),
         BODY_LIMIT * MAX_WORKER_RESPONSE_BODIES,
     )
@@ -183,8 +185,8 @@
 ) -> StateClient {
     let count = settings.deployment.count as f64;
     let budget = Budget::new(
-        settings.rps(false) / count * MAX_BUDGET_FRACTION,
-        settings.write_rps(false) / count * MAX_BUDGET_FRACTION,
+        settings.max_requests_per_s(false) / count * MAX_BUDGET_FRACTION,
+        settings.max_writes_per_s(false) / count * MAX_BUDGET_FRACTION,
         now,
     );
     let timeout_s = settings.deployment.workers.lease_s * STATE_TIMEOUT_PER_LEASE;
@@ -195,7 +197,7 @@
 
 /// Creates an empty replica for these settings.
 fn new_replica(settings: &Settings) -> Replica {
-    let will_compact = settings.limits_will_fall();
+    let will_compact = settings.limits_will_decrease();
     let compact_limit = will_compact.then(|| settings.value_limit_bytes());
     let mut replica = Replica::with_compact_limit(compact_limit);
     let objectives = settings.deployment.objectives.iter();
--- a/tests/fleet/deployments.rs
+++ b/tests/fleet/deployments.rs
@@ -1,16 +1,16 @@
-//! The deployments that operators have named, at the size of the largest one.
+//! Deployments with the parameters that operators have given, for fleets of the largest size.
 
 use serde_json::json;
 
-use crate::stand_ins::Shape;
+use crate::stand_ins::DeploymentOptions;
 
-/// Five controllers in three zones, 1,905 machines.
-pub fn yard() -> Shape {
-    Shape {
+/// Returns a deployment with five controllers in three zones and 1,905 machines.
+pub fn five_controller_deployment() -> DeploymentOptions {
+    DeploymentOptions {
         controllers: 5,
-        locations: vec!["a", "b", "c", "a", "b"],
+        controller_locations: vec!["a", "b", "c", "a", "b"],
         zones: vec!["a", "b", "c"],
-        machine_zones: vec!["a", "b", "c"],
+        initial_machine_zones: vec!["a", "b", "c"],
         report_s: 5.0,
         report_jitter: 0.25,
         lease_s: 26.5,
@@ -22,17 +22,17 @@
         ready_s: 3600.0,
         boot_s: 4.0,
         shares: false,
-        loopback: false,
+        uses_loopback_sockets: false,
     }
 }
 
-/// Three controllers in two zones, 1,295 machines.
-pub fn clubs() -> Shape {
-    Shape {
+/// Returns a deployment with three controllers in two zones and 1,295 machines.
+pub fn three_controller_deployment() -> DeploymentOptions {
+    DeploymentOptions {
         controllers: 3,
-        locations: vec!["a", "a", "b"],
+        controller_locations: vec!["a", "a", "b"],
         zones: vec!["a", "b"],
-        machine_zones: vec!["a", "b"],
+        initial_machine_zones: vec!["a", "b"],
         report_s: 4.0,
         report_jitter: 0.25,
         lease_s: 22.0,
@@ -44,11 +44,11 @@
         ready_s: 3600.0,
         boot_s: 4.0,
         shares: false,
-        loopback: false,
+        uses_loopback_sockets: false,
     }
 }
 
-/// Teams `t0`, `t1` and so on with the same limits each.
+/// Returns teams `t0`, `t1` and so on, all with the same limits.
 pub fn teams(count: usize, max_cpus: f64, max_memory: f64) -> Vec<(String, f64, f64)> {
     let team = |number| (format!("t{number}"), max_cpus, max_memory);
     (0..count).map(team).collect()
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -1,22 +1,22 @@
-//! A tool for refactorings: it digests all that a deployment with faults says on the
-//! wire. A change that keeps the behaviour keeps the digests:
+//! A tool for refactorings. It computes digests of all frames that a deployment with faults
+//! exchanges on the wire. A change that keeps the behaviour keeps the digests:
 //!
 //! ```text
 //! cargo test --locked --test frame_digest -- --ignored --nocapture
 //! ```
 //!
 //! Run it before and after the change, and compare the printed lines. The frames are the
-//! requests and answers at the stand-ins for the state service, the cloud, the workers
-//! and the users, each with its moment of simulated time. Not among them is what
-//! controllers say to each other, nor the order of frames of one moment at different
-//! stand-ins.
+//! requests and responses at the stand-ins for the state service, the cloud, the workers
+//! and the users, each with its point of simulated time. The digests do not cover the
+//! messages between controllers, nor the order of frames that different stand-ins exchange
+//! at the same point of time.
 //!
-//! The digests of these seeds are the same in every process. Not every seed's are: the
-//! program draws from tokio's random numbers, which no test can seed in a usual build
-//! (`select!` without `biased`, and the order in which a `watch` channel wakes its
+//! The digests of these seeds are the same in every process, those of other seeds may not
+//! be: the program uses tokio's random numbers, which a test cannot seed in a usual build
+//! (in `select!` without `biased`, and for the order in which a `watch` channel wakes its
 //! receivers). Before a seed is added here, its digests must be compared over many
-//! processes. A digest that changes with a refactoring may show such a draw rather than
-//! other behaviour: see whether it is the same in several processes.
+//! processes. A digest that changes with a refactoring may be due to such a random number
+//! instead of different behaviour: check whether it is the same in several processes.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -25,122 +25,137 @@
 use std::time::Duration;
 
 use serde_json::json;
-use stand_ins::{CONTROLLERS, Frames, Shape, Trouble, World, after, in_world, job};
+use stand_ins::{
+    CONTROLLERS, DeploymentOptions, Frames, Simulation, StateFault, job, run_in_simulated_time,
+    with_dependencies,
+};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// Seeds whose digests are the same in every process.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// How many jobs are submitted, one every few seconds.
-const JOBS: u32 = 24;
+/// Number of jobs, which are submitted at intervals of 4 s.
+const JOB_COUNT: u32 = 24;
 
+/// Returns a duration in seconds.
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// Submits jobs of both kinds and teams, some of which await earlier ones, and cancels
-/// every seventh.
-async fn submit_jobs(world: Rc<World>) {
+/// Submits batch and gang jobs of both teams, some of which depend on earlier ones, and
+/// cancels every seventh.
+async fn submit_jobs(simulation: Rc<Simulation>) {
     let mut ids: Vec<String> = Vec::new();
-    for number in 1..=JOBS {
+    for number in 1..=JOB_COUNT {
         let kind = ["batch", "gang"][number as usize % 2];
-        let mut next = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
-        next["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
+        let mut submission = job(number, kind, 1 + number % 3, f64::from(2 + number % 9));
+        submission["crew"] = json!(["t", "u"][number as usize % 3 / 2]);
         if number % 4 == 0 {
-            next = after(next, &[&ids[ids.len() - 2]]);
+            submission = with_dependencies(submission, &[&ids[ids.len() - 2]]);
         }
-        let id = world.submit(next).await;
-        spawn_local(poll_job(world.clone(), id.clone()));
+        let id = simulation.submit(submission).await;
+        spawn_local(poll_job(simulation.clone(), id.clone()));
         if number % 7 == 0 {
-            world.withdraw(number as usize % CONTROLLERS, &id).await;
+            simulation.cancel(number as usize % CONTROLLERS, &id).await;
         }
         ids.push(id);
         sleep(seconds(4.0)).await;
     }
 }
 
-/// Polls a job at one controller after another, as users do.
-async fn poll_job(world: Rc<World>, id: String) {
+/// Polls a job at one controller after another, every 5 s as users do.
+async fn poll_job(simulation: Rc<Simulation>, id: String) {
     for i in (0..CONTROLLERS).cycle() {
-        world.stage(i, &id).await;
+        simulation.query_stage(i, &id).await;
         sleep(seconds(5.0)).await;
     }
 }
 
-/// Lets one fault after another happen, each with its end.
-async fn cause_faults(world: &Rc<World>) {
+/// Injects one fault after another, and removes each.
+async fn inject_faults(simulation: &Rc<Simulation>) {
     sleep(seconds(15.0)).await;
-    cause_state_faults(world).await;
-    restart_controllers(world).await;
-    cause_network_faults(world).await;
-    cause_worker_faults(world).await;
+    inject_state_faults(simulation).await;
+    restart_controllers(simulation).await;
+    inject_network_faults(simulation).await;
+    inject_worker_faults(simulation).await;
 }
 
-/// The state service loses answers, carries commits out late, and is down.
-async fn cause_state_faults(world: &Rc<World>) {
-    for trouble in [Trouble::LoseAnswers, Trouble::Late] {
-        world.state.trouble.set(trouble);
-        world.state.troubled.set(4);
+/// Makes the state service lose responses, apply commits late, be unavailable and slow.
+async fn inject_state_faults(simulation: &Rc<Simulation>) {
+    for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
+        simulation.state.fault.set(trouble);
+        simulation.state.faulty_commits_left.set(4);
         sleep(seconds(6.0)).await;
-        world.state.troubled.set(0);
+        simulation.state.faulty_commits_left.set(0);
     }
-    world.state.trouble.set(Trouble::Down);
+    simulation.state.fault.set(StateFault::Outage);
     sleep(seconds(15.0)).await;
-    world.state.trouble.set(Trouble::None);
-    world.state.troubles.borrow_mut().late = 0.2;
-    world.state.troubles.borrow_mut().unanswered = 0.2;
-    world.state.troubles.borrow_mut().slow = seconds(0.2);
+    simulation.state.fault.set(StateFault::None);
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .late_commit_fraction = 0.2;
+    simulation
+        .state
+        .fault_options
+        .borrow_mut()
+        .unanswered_commit_fraction = 0.2;
+    simulation.state.fault_options.borrow_mut().response_delay = seconds(0.2);
     sleep(seconds(10.0)).await;
-    world.heal();
+    simulation.clear_faults();
     sleep(seconds(5.0)).await;
 }
 
-/// Every controller ends and comes back; one for longer than its leases stand.
-async fn restart_controllers(world: &Rc<World>) {
+/// Kills and restarts each controller in turn. The first is down for longer than the worker
+/// leases last.
+async fn restart_controllers(simulation: &Rc<Simulation>) {
     for i in 0..CONTROLLERS {
-        world.kill(i);
-        let lasts = if i == 0 { 1.5 } else { 0.5 } * world.shape.lease_s;
-        sleep(seconds(lasts)).await;
-        world.start(i);
+        simulation.kill_controller(i);
+        let downtime_s = if i == 0 { 1.5 } else { 0.5 } * simulation.shape.lease_s;
+        sleep(seconds(downtime_s)).await;
+        simulation.start(i);
         sleep(seconds(3.0)).await;
     }
 }
 
-/// A controller loses the others, and then everything; copies of reports come late.
-async fn cause_network_faults(world: &Rc<World>) {
-    world.copied.set(0.3);
-    world.cut_peers(1, true);
+/// Cuts one controller off from its peers and then another from everything, and delivers
+/// duplicate heartbeats late.
+async fn inject_network_faults(simulation: &Rc<Simulation>) {
+    simulation.copied_heartbeat_fraction.set(0.3);
+    simulation.set_peer_partition(1, true);
     sleep(seconds(8.0)).await;
-    world.cut_peers(1, false);
-    world.deliver_copies();
-    world.cut_controller(2, true);
+    simulation.set_peer_partition(1, false);
+    simulation.send_recorded_copies();
+    simulation.set_controller_partition(2, true);
     sleep(seconds(12.0)).await;
-    world.cut_controller(2, false);
-    world.deliver_copies();
+    simulation.set_controller_partition(2, false);
+    simulation.send_recorded_copies();
     sleep(seconds(5.0)).await;
 }
 
-/// A busy machine is lost, another stands still for longer than its lease.
-async fn cause_worker_faults(world: &Rc<World>) {
-    let busy = world.busy();
+/// Loses one busy machine, and makes another hang for longer than its lease lasts.
+async fn inject_worker_faults(simulation: &Rc<Simulation>) {
+    let busy = simulation.busy_workers();
     if let Some(worker) = busy.first() {
-        world.lose(worker.name());
+        simulation.lose_machine(worker.name());
     }
     if let Some(worker) = busy.last() {
-        worker.hang(seconds(1.5 * world.shape.lease_s));
+        worker.hang(seconds(1.5 * simulation.shape.lease_s));
     }
     sleep(seconds(40.0)).await;
 }
 
-/// All frames of a deployment with faults.
-fn run(seed: u64) -> Frames {
+/// Runs the deployment with faults, and returns its frames.
+fn record_frames(seed: u64) -> Frames {
     let mut frames = None;
-    in_world(|| async {
-        let world = World::of(seed, Shape::default()).await;
-        world.frames.begin();
-        spawn_local(submit_jobs(world.clone()));
-        cause_faults(&world).await;
-        frames = Some(world.frames.finish());
+    run_in_simulated_time(|| async {
+        let simulation = Simulation::with_options(seed, DeploymentOptions::default()).await;
+        simulation.frames.begin();
+        spawn_local(submit_jobs(simulation.clone()));
+        inject_faults(&simulation).await;
+        frames = Some(simulation.frames.finish());
     });
     frames.expect("the run has ended")
 }
@@ -149,15 +164,15 @@
 #[ignore = "a tool: prints digests, asserts nothing about them"]
 fn print_frame_digests() {
     for seed in SEEDS {
-        let (frames, again) = (run(seed), run(seed));
+        let (frames, repeated) = (record_frames(seed), record_frames(seed));
         let (count, digest) = (frames.count(), frames.digest());
         println!("frame digest: seed {seed}, {count} frames, digest {digest:016x}");
-        let difference = frames.first_difference(&again);
+        let difference = frames.first_difference(&repeated);
         assert!(
             difference.is_none(),
             "seed {seed}: two runs differ at {}",
             difference.unwrap_or_default()
         );
-        assert_eq!(digest, again.digest(), "seed {seed}");
+        assert_eq!(digest, repeated.digest(), "seed {seed}");
     }
 }
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -1,4 +1,5 @@
-//! Histories that are played to the checker in two ways: lawful, and with a violation.
+//! Histories of a deployment that are run twice, each time with the checker: once without
+//! and once with a violation.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,127 +7,157 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::stand_ins::{Rule, ScriptedController, Shape, World, in_world, job};
+use crate::stand_ins::{
+    DeploymentOptions, Rule, ScriptedController, Simulation, job, run_in_simulated_time,
+};
 
+/// ID of the first job.
 pub const FIRST: &str = "job-000001";
+/// ID of the second job.
 pub const SECOND: &str = "job-000002";
 
-/// The first task of the first job.
+/// ID of the first task of the first job.
 pub const FIRST_TASK: &str = "job-000001/0";
 
-/// The machines with even numbers are in zone a, the others in zone b.
-pub const MACHINES: usize = 4;
+/// Number of machines. Those with even numbers are in zone a, the others in zone b.
+pub const MACHINE_COUNT: usize = 4;
 
-/// One event of a history. A machine is its number; a stage may be empty where
-/// the status says all.
+/// One event of a history. Machines are given by number. A stage may be empty if the
+/// response's status has no stage.
 pub enum Step {
+    /// A submission that is accepted.
     Submit(Value),
     /// A submission that gets this status.
-    SubmitTo(Value, u16),
+    SubmitWithStatus(Value, u16),
     /// A poll of a job that gets this status and stage.
     Poll(&'static str, u16, &'static str),
     /// A cancellation that gets this status and stage.
     Cancel(&'static str, u16, &'static str),
-    Launch(usize, &'static str),
-    Stop(usize, &'static str),
-    /// A machine stands still for some seconds.
-    Hang(usize, f64),
-    /// A machine and all on it are gone.
-    Lose(usize),
-    /// A stored record.
-    Record(&'static str, Value),
-    /// Polls every 5 s, as a user's, of each job, for some seconds: job, status.
+    /// A command to a machine to start a task.
+    StartTask(usize, &'static str),
+    /// A command to a machine to stop a task.
+    StopTask(usize, &'static str),
+    /// A machine that hangs for this number of seconds.
+    HangMachine(usize, f64),
+    /// A machine that is lost with all of its tasks.
+    LoseMachine(usize),
+    /// A record that is written to the state service.
+    WriteRecord(&'static str, Value),
+    /// Polls of each job every 5 s, as a user sends them, for this number of seconds, with
+    /// the response's status for each job.
     PollFor(f64, Vec<(&'static str, u16)>),
-    /// Some seconds go by.
+    /// A pause of this number of seconds.
     Elapse(f64),
 }
 
-pub use Step::{Cancel, Elapse, Hang, Launch, Lose, Poll, PollFor, Record, Stop, Submit, SubmitTo};
+pub use Step::{
+    Cancel, Elapse, HangMachine, LoseMachine, Poll, PollFor, StartTask, StopTask, Submit,
+    SubmitWithStatus, WriteRecord,
+};
 
-/// A history that goes on in two ways.
+/// A history that continues in two ways.
 pub struct Case {
     pub name: &'static str,
+    /// The rule that the checker must report.
     pub rule: Rule,
-    pub before: fn() -> Vec<Step>,
-    pub lawful: fn() -> Vec<Step>,
+    /// Steps that both continuations start with.
+    pub setup: fn() -> Vec<Step>,
+    /// Steps after the setup that keep to the rules.
+    pub compliant: fn() -> Vec<Step>,
+    /// Steps after the setup that violate the rule.
     pub violation: fn() -> Vec<Step>,
 }
 
-pub async fn play(world: &Rc<World>, controller: &ScriptedController, steps: Vec<Step>) {
+/// Performs the steps of a history in their order.
+pub async fn run_steps(
+    simulation: &Rc<Simulation>,
+    controller: &ScriptedController,
+    steps: Vec<Step>,
+) {
     for step in steps {
         match step {
-            Submit(job) => submit(world, controller, &job, 201).await,
-            SubmitTo(job, status) => submit(world, controller, &job, status).await,
+            Submit(job) => submit(simulation, controller, &job, 201).await,
+            SubmitWithStatus(job, status) => submit(simulation, controller, &job, status).await,
             Poll(id, status, stage) => {
-                controller.answer_next(status, stage);
-                world.stage(0, id).await;
+                controller.queue_response(status, stage);
+                simulation.query_stage(0, id).await;
             }
             Cancel(id, status, stage) => {
-                controller.answer_next(status, stage);
-                world.withdraw(0, id).await;
+                controller.queue_response(status, stage);
+                simulation.cancel(0, id).await;
             }
-            Launch(machine, task) => controller.order(machine, "launch", task).await,
-            Stop(machine, task) => controller.order(machine, "stop", task).await,
-            Hang(machine, seconds) => {
+            StartTask(machine, task) => controller.send_command(machine, "launch", task).await,
+            StopTask(machine, task) => controller.send_command(machine, "stop", task).await,
+            HangMachine(machine, seconds) => {
                 let name = format!("host-{machine:06}");
-                let worker = world.workers.borrow()[&name].0.clone();
+                let worker = simulation.workers.borrow()[&name].0.clone();
                 worker.hang(Duration::from_secs_f64(seconds));
             }
-            Lose(machine) => world.lose(&format!("host-{machine:06}")),
-            Record(key, value) => world.state.write(key, &value),
-            PollFor(seconds, jobs) => poll_for(world, controller, seconds, &jobs).await,
+            LoseMachine(machine) => simulation.lose_machine(&format!("host-{machine:06}")),
+            WriteRecord(key, value) => simulation.state.write(key, &value),
+            PollFor(seconds, jobs) => poll_repeatedly(simulation, controller, seconds, &jobs).await,
             Elapse(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         }
     }
 }
 
-pub async fn submit(world: &Rc<World>, controller: &ScriptedController, job: &Value, status: u16) {
-    world.remember(job);
-    controller.answer_next(status, "queued");
-    world.ask(0, "POST", "/submissions", Some(job)).await;
+/// Submits a job, which gets a response with this status.
+pub async fn submit(
+    simulation: &Rc<Simulation>,
+    controller: &ScriptedController,
+    job: &Value,
+    status: u16,
+) {
+    simulation.register_job(job);
+    controller.queue_response(status, "queued");
+    simulation
+        .send_request(0, "POST", "/submissions", Some(job))
+        .await;
 }
 
-pub async fn poll_for(
-    world: &Rc<World>,
+/// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
+pub async fn poll_repeatedly(
+    simulation: &Rc<Simulation>,
     controller: &ScriptedController,
     seconds: f64,
     jobs: &[(&str, u16)],
 ) {
-    const PERIOD_S: f64 = 5.0;
-    for _ in 0..(seconds / PERIOD_S) as usize {
+    const INTERVAL_S: f64 = 5.0;
+    for _ in 0..(seconds / INTERVAL_S) as usize {
         for (id, status) in jobs {
-            controller.answer_next(*status, "queued");
-            world.stage(0, id).await;
+            controller.queue_response(*status, "queued");
+            simulation.query_stage(0, id).await;
         }
-        sleep(Duration::from_secs_f64(PERIOD_S)).await;
+        sleep(Duration::from_secs_f64(INTERVAL_S)).await;
     }
 }
 
-/// What the checker reports of a history.
-pub async fn violations_of(zone_shards: [Vec<Step>; 2]) -> Vec<String> {
-    let shape = Shape {
+/// Runs the two parts of a history, and returns the violations that the checker reports.
+pub async fn reported_violations(parts: [Vec<Step>; 2]) -> Vec<String> {
+    let shape = DeploymentOptions {
         controllers: 1,
-        locations: vec!["a"],
-        machines: MACHINES,
-        ..Shape::default()
+        controller_locations: vec!["a"],
+        machines: MACHINE_COUNT,
+        ..DeploymentOptions::default()
     };
-    let world = World::without_controllers(1, shape).await;
-    let controller = ScriptedController::serve(&world).await;
-    // The machines boot, and their leases are renewed.
+    let simulation = Simulation::without_controllers(1, shape).await;
+    let controller = ScriptedController::serve(&simulation).await;
+    // Waits until the machines have booted and their leases are renewed.
     sleep(Duration::from_secs(6)).await;
-    for steps in zone_shards {
-        play(&world, &controller, steps).await;
+    for steps in parts {
+        run_steps(&simulation, &controller, steps).await;
     }
-    world.violations()
+    simulation.violations()
 }
 
-/// Plays the cases both ways.
-pub fn check(cases: Vec<Case>) {
+/// Runs each case both ways, and asserts that the checker reports the case's rule for the
+/// violation only.
+pub fn check_cases(cases: Vec<Case>) {
     for case in cases {
-        in_world(|| async {
-            let lawful = violations_of([(case.before)(), (case.lawful)()]).await;
+        run_in_simulated_time(|| async {
+            let lawful = reported_violations([(case.setup)(), (case.compliant)()]).await;
             assert_eq!(lawful, Vec::<String>::new(), "{}: lawful", case.name);
-            let reported = violations_of([(case.before)(), (case.violation)()]).await;
+            let reported = reported_violations([(case.setup)(), (case.violation)()]).await;
             let prefix = format!("{}: ", case.rule.name());
             assert!(!reported.is_empty(), "{}: nothing reported", case.name);
             assert!(
@@ -138,48 +169,52 @@
     }
 }
 
-/// A batch whose tasks take long.
+/// Returns a batch job whose tasks run for 1,000 s.
 pub fn long_batch(tasks: u32) -> Value {
     job(1, "batch", tasks, 1000.0)
 }
 
-/// A batch whose tasks take five seconds.
+/// Returns a batch job whose tasks run for 5 s.
 pub fn short_batch(tasks: u32) -> Value {
     job(1, "batch", tasks, 5.0)
 }
 
-/// A batch of one short task, which started on machine 0 so many seconds ago.
+/// Returns steps that submit a batch job of one short task, start it on machine 0 and then
+/// wait for `seconds`.
 pub fn short_task_started(seconds: f64) -> Vec<Step> {
     vec![
         Submit(short_batch(1)),
-        Launch(0, FIRST_TASK),
+        StartTask(0, FIRST_TASK),
         Elapse(seconds),
     ]
 }
 
-/// A batch of one long task, which has just started on machine 0.
+/// Returns steps that submit a batch job of one long task and start it on machine 0.
 pub fn long_task_started() -> Vec<Step> {
-    vec![Submit(long_batch(1)), Launch(0, FIRST_TASK)]
+    vec![Submit(long_batch(1)), StartTask(0, FIRST_TASK)]
 }
 
-/// The steps, and further ones after them.
-pub fn then(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
+/// Returns the steps with further ones after them.
+pub fn followed_by(mut steps: Vec<Step>, further: Vec<Step>) -> Vec<Step> {
     steps.extend(further);
     steps
 }
 
-/// The job with one field altered.
-pub fn with(mut job: Value, field: &str, value: Value) -> Value {
+/// Returns the job with one field replaced.
+pub fn with_field(mut job: Value, field: &str, value: Value) -> Value {
     job[field] = value;
     job
 }
 
-/// A task of another job: so that something has run.
+/// Returns steps that start a task of another job, so that the rule `nothing_ran` is kept.
 pub fn unrelated_start() -> Vec<Step> {
-    vec![Submit(job(9, "daemon", 1, 0.0)), Launch(3, "job-000009/0")]
+    vec![
+        Submit(job(9, "daemon", 1, 0.0)),
+        StartTask(3, "job-000009/0"),
+    ]
 }
 
-/// A history in which something unrelated has run.
-pub fn beside(steps: Vec<Step>) -> Vec<Step> {
+/// Returns the steps, preceded by those of [`unrelated_start`].
+pub fn after_unrelated_start(steps: Vec<Step>) -> Vec<Step> {
     unrelated_start().into_iter().chain(steps).collect()
 }
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud: machine types, rentals, returns and the list of machines.
+//! The simulated cloud: it lists machine types, rents and takes back machines, and lists
+//! the rented ones.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,29 +10,34 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-use super::scenario::{CLOUD_RPS, World, addr};
+use super::scenario::{CLOUD_RPS, Simulation, addr};
 use super::worker::Worker;
 
-/// The most machines of one rental, of one return and of one page of the list.
-const RENTED_MACHINES: u64 = 50;
-const RETURNED_MACHINES: usize = 100;
-const LISTED_MACHINES: usize = 500;
+/// Maximum number of machines in one rental request.
+const MAX_RENTED_MACHINES: u64 = 50;
+/// Maximum number of machines in one return request.
+const MAX_RETURNED_MACHINES: usize = 100;
+/// Maximum number of machines in one page of the list.
+const MAX_LISTED_MACHINES: usize = 500;
 
-/// Bursts of so many seconds' worth of requests are allowed.
-const BURST_S: f64 = 2.0;
+/// Size of the largest burst, as the time in seconds in which the cloud's request rate
+/// permits as many requests.
+const MAX_BURST_S: f64 = 2.0;
 
-/// What may be asked of the cloud at once, and when that was.
+/// A token bucket that limits requests to the cloud: the number of requests left, and the
+/// time at which that number applied.
 #[derive(Default)]
-pub struct CloudLimit(Cell<Option<(f64, Instant)>>);
+pub struct CloudRateLimit(Cell<Option<(f64, Instant)>>);
 
-impl CloudLimit {
-    /// Takes a request; whether it is one too many.
-    fn is_exceeded(&self) -> bool {
+impl CloudRateLimit {
+    /// Counts one request, and returns whether it exceeds the rate. A refused request uses
+    /// up nothing.
+    fn refuses_request(&self) -> bool {
         let now = Instant::now();
-        let most = CLOUD_RPS * BURST_S;
-        let (level, at) = self.0.get().unwrap_or((most, now));
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        let level = (level + passed * CLOUD_RPS).min(most);
+        let burst = CLOUD_RPS * MAX_BURST_S;
+        let (level, at) = self.0.get().unwrap_or((burst, now));
+        let elapsed_s = now.saturating_duration_since(at).as_secs_f64();
+        let level = (level + elapsed_s * CLOUD_RPS).min(burst);
         let exceeded = level < 1.0;
         self.0
             .set(Some((if exceeded { level } else { level - 1.0 }, now)));
@@ -39,18 +45,18 @@
     }
 }
 
-/// Why a request is beyond what the protocol allows, if it is.
-fn beyond_cloud_limits(request: &Request, body: &Value) -> Option<String> {
+/// Returns a description of the request if it exceeds a limit of the protocol.
+fn cloud_limit_violation(request: &Request, body: &Value) -> Option<String> {
     let rented = body["number"].as_u64().unwrap_or(0);
     let returned = body["bays"].as_array().map_or(0, Vec::len);
     let listed = query_value(&request.query, "limit").and_then(|v| v.parse().ok());
-    let beyond = match (request.method.as_str(), request.path.as_str()) {
-        ("POST", "/rentals") => !(1..=RENTED_MACHINES).contains(&rented),
-        ("POST", "/rentals/return") => returned > RETURNED_MACHINES,
-        ("GET", "/rentals") => listed.unwrap_or(0) > LISTED_MACHINES,
+    let is_exceeded = match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/rentals") => !(1..=MAX_RENTED_MACHINES).contains(&rented),
+        ("POST", "/rentals/return") => returned > MAX_RETURNED_MACHINES,
+        ("GET", "/rentals") => listed.unwrap_or(0) > MAX_LISTED_MACHINES,
         _ => false,
     };
-    beyond.then(|| {
+    is_exceeded.then(|| {
         format!(
             "{} {}?{}: {body}",
             request.method, request.path, request.query
@@ -58,58 +64,67 @@
     })
 }
 
-impl World {
-    pub(super) fn cloud(self: Rc<Self>, r: Request) -> shelfhoist::http::ResponseFuture {
+impl Simulation {
+    /// Serves one request to the cloud.
+    pub(super) fn handle_cloud_request(
+        self: Rc<Self>,
+        request: Request,
+    ) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
-            let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
-            if self.cloud_limit.is_exceeded() {
+            let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+            if self.cloud_limit.refuses_request() {
                 return Response::json(429, &json!({"error": "too many"}));
             }
-            if let Some(problem) = beyond_cloud_limits(&r, &body) {
-                self.cloud_refused.borrow_mut().push(problem.clone());
+            if let Some(problem) = cloud_limit_violation(&request, &body) {
+                self.refused_cloud_requests
+                    .borrow_mut()
+                    .push(problem.clone());
                 return Response::json(400, &json!({"error": problem}));
             }
-            match (r.method.as_str(), r.path.as_str()) {
+            match (request.method.as_str(), request.path.as_str()) {
                 ("GET", "/flavors") => {
-                    let t = |name: &str, vcpus: f64| {
+                    let machine_type = |name: &str, vcpus: f64| {
                         json!({"label": name, "vcpus": vcpus, "cards": 0.0, "ram_gb": 16.0,
                             "local_gb": 50.0, "pull_gb_per_s": 1.0, "hourly": vcpus / 10.0,
                             "spot_price": vcpus / 30.0, "ready_s": self.shape.ready_s, "yards": self.shape.zones})
                     };
-                    Response::json(200, &json!({"grades": [t("small", 4.0), t("big", 8.0)]}))
+                    Response::json(
+                        200,
+                        &json!({"grades": [machine_type("small", 4.0), machine_type("big", 8.0)]}),
+                    )
                 }
                 ("POST", "/rentals") => {
                     let hire = body["hire"].as_str().unwrap_or("").to_string();
-                    if let Some(known) = self.provisioning_requests.borrow().get(&hire) {
-                        return Response::json(200, known);
+                    if let Some(first_response) = self.provisioning_requests.borrow().get(&hire) {
+                        return Response::json(200, first_response);
                     }
                     let names: Vec<String> = (0..body["number"].as_u64().unwrap_or(0))
-                        .map(|_| self.boot(&body))
+                        .map(|_| self.boot_machine(&body))
                         .collect();
-                    let answer = json!({"bays": names});
+                    let response = json!({"bays": names});
                     self.provisioning_requests
                         .borrow_mut()
-                        .insert(hire, answer.clone());
-                    Response::json(200, &answer)
+                        .insert(hire, response.clone());
+                    Response::json(200, &response)
                 }
                 ("POST", "/rentals/return") => {
                     for name in body["bays"].as_array().into_iter().flatten() {
-                        self.lose(name.as_str().unwrap_or(""));
+                        self.lose_machine(name.as_str().unwrap_or(""));
                     }
                     Response::empty(200)
                 }
                 _ => {
-                    let after = query_value(&r.query, "after").unwrap_or("");
-                    let limit = query_value(&r.query, "limit").and_then(|v| v.parse().ok());
-                    let limit = limit.unwrap_or(LISTED_MACHINES);
+                    let after = query_value(&request.query, "after").unwrap_or("");
+                    let limit = query_value(&request.query, "limit").and_then(|v| v.parse().ok());
+                    let limit = limit.unwrap_or(MAX_LISTED_MACHINES);
                     let workers = self.workers.borrow();
-                    let listed = workers.iter().filter(|(n, _)| n.as_str() > after);
+                    let listed = workers.iter().filter(|(name, _)| name.as_str() > after);
                     let truncated = listed.clone().count() > limit;
                     let bays: Vec<Value> = listed
                         .take(limit)
-                        .map(|(n, (w, _))| {
-                            json!({"name_id": n, "endpoint": w.port.to_string(), "grade": w.machine_type,
-                                "yard": w.zone, "loaners": false, "stage": "running", "age_s": 1.0})
+                        .map(|(name, (worker, _))| {
+                            json!({"name_id": name, "endpoint": worker.address.to_string(), "grade": worker.machine_type,
+                                "yard": worker.zone, "loaners": false, "stage": "running", "age_s": 1.0})
                         })
                         .collect();
                     Response::json(200, &json!({"bays": bays, "truncated": truncated}))
@@ -118,33 +133,35 @@
         })
     }
 
-    pub(super) fn boot(self: &Rc<Self>, body: &Value) -> String {
-        let n = self.rented.get();
-        self.rented.set(n + 1);
-        let name = format!("host-{n:06}");
+    /// Boots a machine with the type and zone of a rental request, and returns its name.
+    /// Its worker starts unless boots fail in the zone.
+    pub(super) fn boot_machine(self: &Rc<Self>, body: &Value) -> String {
+        let number = self.rented_machine_count.get();
+        self.rented_machine_count.set(number + 1);
+        let name = format!("host-{number:06}");
         let worker = Rc::new(Worker {
             name: name.clone(),
             machine_type: body["grade"].as_str().unwrap_or("").to_string(),
             zone: body["yard"].as_str().unwrap_or("").to_string(),
-            port: addr(&format!("127.1.{}.{}:9000", n / 250, n % 250 + 1)),
+            address: addr(&format!("127.1.{}.{}:9000", number / 250, number % 250 + 1)),
             fencing_token: Cell::new(0),
             epoch: Cell::new(1),
             sequence: Cell::new(0),
-            renewed: Cell::new(Instant::now()),
+            lease_renewed_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
-            sick: Cell::new(false),
-            deaf: Cell::new(false),
-            mute: Cell::new(false),
-            hangs_until: Cell::new(None),
-            orders_held: Cell::new(Duration::ZERO),
-            clock: [1.0, 0.9995, 1.0005][n % 3],
-            sent: RefCell::default(),
+            fails_all_tasks: Cell::new(false),
+            inbound_blocked: Cell::new(false),
+            heartbeats_blocked: Cell::new(false),
+            hung_until: Cell::new(None),
+            command_delay: Cell::new(Duration::ZERO),
+            clock_rate: [1.0, 0.9995, 1.0005][number % 3],
+            sent_heartbeats: RefCell::default(),
         });
-        let tasks = match self.barren.get() == Some(worker.zone.as_str()) {
+        let tasks = match self.failed_boot_zone.get() == Some(worker.zone.as_str()) {
             true => vec![],
             false => vec![
-                spawn_local(self.clone().listen(worker.clone())),
-                spawn_local(self.clone().heartbeat(worker.clone())),
+                spawn_local(self.clone().serve_commands(worker.clone())),
+                spawn_local(self.clone().send_heartbeats(worker.clone())),
             ],
         };
         self.workers
@@ -153,11 +170,11 @@
         name
     }
 
-    /// The machine and all on it are gone at once.
-    pub fn lose(&self, name: &str) {
+    /// Removes a machine and all of its tasks from the deployment, without notice.
+    pub fn lose_machine(&self, name: &str) {
         self.advance_tasks();
         if let Some((worker, tasks)) = self.workers.borrow_mut().remove(name) {
-            self.fabric.close(worker.port);
+            self.simulated_network.remove_listener(worker.address);
             tasks.iter().for_each(JoinHandle::abort);
         }
     }
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the network and of messages, and their end.
+//! Injection of network faults and of duplicate heartbeats, and their removal.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -6,135 +6,155 @@
 
 use tokio::task::spawn_local;
 
-use super::scenario::{CLOUD, USERS, World, addr, controller, mesh, state_addr};
-use super::state_service::{StateTroubles, Trouble};
+use super::scenario::{CLOUD, Simulation, USERS, addr, controller_addr, mesh_address, state_addr};
+use super::state_service::{StateFault, StateFaultOptions};
 
-impl World {
-    /// Zones a and b no longer reach each other.
-    pub fn shard_zones(&self) {
+impl Simulation {
+    /// Cuts the connections between workers and the controllers of other zones. Connections
+    /// among controllers, and to the state service and the cloud, stay.
+    pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
-            for i in (0..self.shape.controllers).filter(|i| self.shape.locations[*i] != w.zone) {
-                self.fabric.cut(w.port, controller(i));
-                self.fabric.cut(controller(i), w.port);
+            for i in (0..self.shape.controllers)
+                .filter(|i| self.shape.controller_locations[*i] != w.zone)
+            {
+                self.simulated_network
+                    .partition(w.address, controller_addr(i));
+                self.simulated_network
+                    .partition(controller_addr(i), w.address);
             }
         }
     }
 
-    /// A controller and the others lose each other, and nobody else.
-    pub fn cut_peers(&self, i: usize, cut: bool) {
+    /// Cuts the connections between a controller and the other controllers, or repairs them
+    /// if `cut` is false. Its connections to everything else stay.
+    pub fn set_peer_partition(&self, i: usize, cut: bool) {
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
             for (from, to) in [(i, j), (j, i)] {
                 match cut {
-                    true => self.fabric.cut(controller(from), addr(&mesh(to))),
-                    false => self.fabric.repair(controller(from), addr(&mesh(to))),
+                    true => self
+                        .simulated_network
+                        .partition(controller_addr(from), addr(&mesh_address(to))),
+                    false => self
+                        .simulated_network
+                        .heal(controller_addr(from), addr(&mesh_address(to))),
                 }
             }
         }
     }
 
-    /// A controller is cut off from everything, or is back.
-    pub fn cut_controller(&self, i: usize, cut: bool) {
-        let mut others = vec![state_addr(i), addr(CLOUD), addr(USERS)];
-        others.extend(self.workers.borrow().values().map(|(w, _)| w.port));
+    /// Cuts all connections of a controller, or repairs them if `cut` is false.
+    pub fn set_controller_partition(&self, i: usize, cut: bool) {
+        let mut remote_addrs = vec![state_addr(i), addr(CLOUD), addr(USERS)];
+        remote_addrs.extend(self.workers.borrow().values().map(|(w, _)| w.address));
         for j in (0..self.shape.controllers).filter(|j| *j != i) {
-            others.extend([controller(j), addr(&mesh(j))]);
+            remote_addrs.extend([controller_addr(j), addr(&mesh_address(j))]);
         }
-        let own = [controller(i), addr(&mesh(i))];
-        for (here, there) in others.iter().flat_map(|o| own.map(|h| (h, *o))) {
-            for (from, to) in [(here, there), (there, here)] {
+        let own_addrs = [controller_addr(i), addr(&mesh_address(i))];
+        for (own, remote) in remote_addrs
+            .iter()
+            .flat_map(|remote| own_addrs.map(|own| (own, *remote)))
+        {
+            for (from, to) in [(own, remote), (remote, own)] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         }
     }
 
-    /// A controller and the workers that are there lose each other, and no one
-    /// else, or have each other back.
-    pub fn cut_workers(&self, i: usize, cut: bool) {
+    /// Cuts the connections between a controller and the present workers, or repairs them if
+    /// `cut` is false. Workers that start later are not affected.
+    pub fn set_worker_partition(&self, i: usize, cut: bool) {
         for (w, _) in self.workers.borrow().values() {
-            for (from, to) in [(w.port, controller(i)), (controller(i), w.port)] {
+            for (from, to) in [
+                (w.address, controller_addr(i)),
+                (controller_addr(i), w.address),
+            ] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         }
     }
 
-    /// A zone with its machines and controllers is cut off from everything, or
-    /// is back.
-    pub fn cut_zone(&self, zone: &str, cut: bool) {
-        let set = |a: SocketAddrV4, b: SocketAddrV4| {
+    /// Cuts all connections of a zone's machines and controllers to the outside, or repairs
+    /// them if `cut` is false.
+    pub fn set_zone_partition(&self, zone: &str, cut: bool) {
+        let set_link = |a: SocketAddrV4, b: SocketAddrV4| {
             for (from, to) in [(a, b), (b, a)] {
                 match cut {
-                    true => self.fabric.cut(from, to),
-                    false => self.fabric.repair(from, to),
+                    true => self.simulated_network.partition(from, to),
+                    false => self.simulated_network.heal(from, to),
                 }
             }
         };
         for i in 0..self.shape.controllers {
-            let here = self.shape.locations[i] == zone;
+            let is_inside = self.shape.controller_locations[i] == zone;
             for (w, _) in self.workers.borrow().values() {
-                if (w.zone == zone) != here {
-                    set(w.port, controller(i));
+                if (w.zone == zone) != is_inside {
+                    set_link(w.address, controller_addr(i));
                 }
             }
             for j in 0..self.shape.controllers {
-                if here && self.shape.locations[j] != zone {
-                    set(controller(i), controller(j));
-                    set(controller(i), addr(&mesh(j)));
-                    set(controller(j), addr(&mesh(i)));
+                if is_inside && self.shape.controller_locations[j] != zone {
+                    set_link(controller_addr(i), controller_addr(j));
+                    set_link(controller_addr(i), addr(&mesh_address(j)));
+                    set_link(controller_addr(j), addr(&mesh_address(i)));
                 }
             }
-            if here {
-                set(controller(i), state_addr(i));
-                set(controller(i), addr(CLOUD));
+            if is_inside {
+                set_link(controller_addr(i), state_addr(i));
+                set_link(controller_addr(i), addr(CLOUD));
             }
         }
     }
 
-    /// The kept copies of reports reach all controllers, each at once.
-    pub fn deliver_copies(self: &Rc<Self>) {
-        let copies = std::mem::take(&mut *self.copies.borrow_mut());
+    /// Sends the kept copies of heartbeats to all controllers, to all of them concurrently.
+    pub fn send_recorded_copies(self: &Rc<Self>) {
+        let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
-            let (world, copies) = (self.clone(), copies.clone());
-            spawn_local(async move { world.replay(i, &copies).await });
+            let (simulation, copies) = (self.clone(), copies.clone());
+            spawn_local(async move { simulation.send_heartbeat_copies(i, &copies).await });
         }
     }
 
-    /// All that a test has brought about is over, and who ended is back.
-    pub fn heal(&self) {
-        self.state.trouble.set(Trouble::None);
-        self.state.troubles.replace(StateTroubles::default());
-        self.copied.set(0.0);
+    /// Removes the faults of the state service and the workers, resumes paused controllers
+    /// and restarts those that were killed. Cut connections are not repaired.
+    pub fn clear_faults(&self) {
+        self.state.fault.set(StateFault::None);
+        self.state
+            .fault_options
+            .replace(StateFaultOptions::default());
+        self.copied_heartbeat_fraction.set(0.0);
         for (w, _) in self.workers.borrow().values() {
-            w.deaf.set(false);
-            w.mute.set(false);
-            w.orders_held.set(Duration::ZERO);
+            w.inbound_blocked.set(false);
+            w.heartbeats_blocked.set(false);
+            w.command_delay.set(Duration::ZERO);
         }
-        self.heal_controllers();
+        self.restore_controllers();
     }
 
-    /// Those that have ended start anew, and none stands still.
-    pub fn heal_controllers(&self) {
+    /// Resumes paused controllers and restarts those that were killed.
+    pub fn restore_controllers(&self) {
         for i in 0..self.shape.controllers {
-            self.freeze(i, false);
+            self.set_paused(i, false);
             if self.controllers.borrow()[i].is_none() {
                 self.start(i);
             }
         }
     }
 
-    /// Late copies of all that a worker has ever reported, to one controller.
-    pub async fn replay(&self, i: usize, beats: &[Vec<u8>]) {
-        for body in beats {
+    /// Sends copies of earlier heartbeats to one controller, as messages that the network
+    /// delayed and duplicated.
+    pub async fn send_heartbeat_copies(&self, i: usize, heartbeats: &[Vec<u8>]) {
+        for body in heartbeats {
             let body = Some(body.clone());
             let limit = Duration::from_secs(5);
             let call = self
                 .client
-                .call(controller(i), "POST", "/agent/beat", body, limit);
+                .call(controller_addr(i), "POST", "/agent/beat", body, limit);
             let _ = call.await;
         }
     }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what the service talks to: state service, cloud, workers.
-//! They speak the protocol over a fabric inside the process, in simulated
-//! time, and they watch the rules that tests assert on.
+//! Simulated counterparts of the controllers under test: state service, cloud, workers and
+//! users. They communicate by the protocol over a simulated network inside the process, in
+//! simulated time, and check the rules of the protocol that tests assert on.
 
 mod builder;
 mod cloud;
@@ -15,7 +15,7 @@
 mod users;
 mod worker;
 
-// Each file of tests uses a part of them.
+// Each test target uses only some of these items.
 #[allow(unused_imports)]
 pub use builder::Scenario;
 #[allow(unused_imports)]
@@ -24,11 +24,12 @@
 pub use rules::Rule;
 #[allow(unused_imports)]
 pub use scenario::{
-    CONTROLLERS, Shape, World, addr, after, controller, in_real_world, in_world, job, state_addr,
+    CONTROLLERS, DeploymentOptions, Simulation, addr, controller_addr, job, run_in_real_time,
+    run_in_simulated_time, state_addr, with_dependencies,
 };
 #[allow(unused_imports)]
 pub use scripted::ScriptedController;
 #[allow(unused_imports)]
-pub use state_service::{State, StateLimits, StateTroubles, Trouble};
+pub use state_service::{StateFault, StateFaultOptions, StateLimits, StateService};
 #[allow(unused_imports)]
 pub use worker::Worker;
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -1,5 +1,5 @@
-//! The scenario: what a deployment looks like, the world that a test runs in,
-//! and the jobs that its users submit.
+//! The simulated deployment that a test runs in: its options, its parts, and the jobs that
+//! its users submit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -10,84 +10,96 @@
 
 use serde_json::{Value, json};
 use shelfhoist::http::{Client, Request, ResponseFuture, ServerLimits, serve};
-use shelfhoist::net::{Fabric, Net};
+use shelfhoist::net::{Net, SimulatedNetwork};
 use shelfhoist::settings::Settings;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use super::cloud::CloudLimit;
-use super::frames::{FrameRecord, RecordedClient};
-use super::rules::{Polls, Told};
-use super::state_service::{State, StateLimits};
+use super::cloud::CloudRateLimit;
+use super::frames::{FrameRecorder, RecordedClient};
+use super::rules::{JobPolls, JobResponses};
+use super::state_service::{StateLimits, StateService};
 use super::worker::Worker;
 
-/// How many controllers the usual deployment has.
+/// Number of controllers in the default deployment.
 pub const CONTROLLERS: usize = 3;
-/// Requests a second that the cloud serves.
+/// Requests per second that the cloud serves.
 pub(super) const CLOUD_RPS: f64 = 5.0;
+/// Address of the cloud.
 pub(super) const CLOUD: &str = "127.2.0.2:8443";
+/// Address from which users call the controllers.
 pub(super) const USERS: &str = "127.3.0.1:9001";
 
-/// An address of the fabric.
+/// Parses an address of the simulated network.
 pub fn addr(text: &str) -> SocketAddrV4 {
     text.parse().expect("address")
 }
 
-/// Where controllers serve users and workers.
-pub fn controller(i: usize) -> SocketAddrV4 {
+/// Returns the address at which a controller serves users and workers.
+pub fn controller_addr(i: usize) -> SocketAddrV4 {
     addr(&format!("127.7.0.{}:8080", i + 1))
 }
 
-/// Where a controller finds the state service: an address for each, so that one
-/// alone can be refused.
+/// Returns the address at which a controller reaches the state service. Each controller
+/// has an address of its own, so that the service can refuse a single one.
 pub fn state_addr(i: usize) -> SocketAddrV4 {
     addr(&format!("127.2.1.{}:2379", i + 1))
 }
 
-pub(super) fn mesh(i: usize) -> String {
+/// Returns the address at which a controller serves the other controllers.
+pub(super) fn mesh_address(i: usize) -> String {
     format!("127.7.0.{}:8081", i + 1)
 }
 
-/// A deployment as the stand-ins play it.
+/// The options of a simulated deployment.
 #[derive(Clone)]
-pub struct Shape {
+pub struct DeploymentOptions {
     pub controllers: usize,
-    /// Where each controller is.
-    pub locations: Vec<&'static str>,
+    /// Zone of each controller.
+    pub controller_locations: Vec<&'static str>,
     pub zones: Vec<&'static str>,
-    /// Zones of the machines that are up at the start.
-    pub machine_zones: Vec<&'static str>,
+    /// Zones of the machines that exist at the start, in turn.
+    pub initial_machine_zones: Vec<&'static str>,
+    /// Interval between the heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Intervals between reports differ by up to this part; the protocol's page names
-    /// a quarter.
+    /// Maximum random deviation of the intervals between heartbeats, as a fraction of
+    /// `report_s`. The protocol's page specifies a quarter.
     pub report_jitter: f64,
+    /// Duration of a worker lease, in seconds.
     pub lease_s: f64,
+    /// Time in seconds within which a cancelled task must leave its machine.
     pub cancel_s: f64,
-    /// Name, guarantee and limit, in CPUs.
+    /// Name, guaranteed CPUs and CPU limit of each team.
     pub teams: Vec<(String, f64, f64)>,
+    /// The settings `deployment.state`, which are also the limits that the state service
+    /// enforces.
     pub state: Value,
+    /// The setting `deployment.machine_limits.sockets`.
     pub sockets: usize,
-    /// Machines that are up at the start.
+    /// Number of machines that exist at the start.
     pub machines: usize,
-    /// What the cloud says of boots; an idle machine goes back after as long.
+    /// Boot time in seconds that the cloud announces for its machine types. Controllers
+    /// return a machine that was idle for as long.
     pub ready_s: f64,
-    /// How long a machine takes before its worker reports.
+    /// Time in seconds between a machine's rental and its worker's first heartbeat.
     pub boot_s: f64,
-    /// Whether controllers have the feature of shares on.
+    /// Value of the controllers' feature flag `shares`.
     pub shares: bool,
-    /// Whether all meet on sockets of the system, in real time.
-    pub loopback: bool,
+    /// Flag that makes all parts communicate over the operating system's sockets, in real
+    /// time.
+    pub uses_loopback_sockets: bool,
 }
 
-impl Default for Shape {
-    /// Two controllers in zone a, one in zone b.
+impl Default for DeploymentOptions {
+    /// Returns the options of the default deployment, with two controllers in zone a and
+    /// one in zone b.
     fn default() -> Self {
-        Shape {
+        DeploymentOptions {
             controllers: CONTROLLERS,
-            locations: vec!["a", "a", "b"],
+            controller_locations: vec!["a", "a", "b"],
             zones: vec!["a", "b"],
-            machine_zones: vec!["a", "b"],
+            initial_machine_zones: vec!["a", "b"],
             report_s: 1.0,
             report_jitter: 0.0,
             lease_s: 10.0,
@@ -99,13 +111,13 @@
             ready_s: 4.0,
             boot_s: 4.0,
             shares: false,
-            loopback: false,
+            uses_loopback_sockets: false,
         }
     }
 }
 
-impl Shape {
-    /// The settings of a controller.
+impl DeploymentOptions {
+    /// Returns the settings of a controller.
     pub fn settings(&self, i: usize) -> Settings {
         let mut settings = Settings::parse(&self.settings_text(i)).expect("settings");
         settings.features.shares.enabled = self.shares;
@@ -113,22 +125,22 @@
         settings
     }
 
-    /// The text of a controller's settings file.
+    /// Returns the text of a controller's settings file.
     pub fn settings_text(&self, i: usize) -> String {
         let others: Vec<Value> = (0..self.controllers)
             .filter(|j| *j != i)
             .map(|j| {
-                json!({"node": format!("n{j}"), "location": self.locations[j], "addr": mesh(j)})
+                json!({"node": format!("n{j}"), "location": self.controller_locations[j], "addr": mesh_address(j)})
             })
             .collect();
         let teams: Vec<Value> = self
             .teams
             .iter()
-            .map(|(name, cpus, most)| json!({"name": name, "cpus": cpus, "cpus_max": most}))
+            .map(|(name, cpus, limit)| json!({"name": name, "cpus": cpus, "cpus_max": limit}))
             .collect();
         let text = json!({
-            "node": format!("n{i}"), "location": self.locations[i],
-            "serve_on": controller(i).to_string(), "mesh_addr": mesh(i), "others": others,
+            "node": format!("n{i}"), "location": self.controller_locations[i],
+            "serve_on": controller_addr(i).to_string(), "mesh_addr": mesh_address(i), "others": others,
             "external": {"cloud": CLOUD, "state": state_addr(i).to_string()},
             "deployment": {
                 "count": self.controllers, "zones": self.zones, "teams": teams,
@@ -143,6 +155,7 @@
         text.to_string()
     }
 
+    /// Returns the limits that the state service enforces.
     fn state_limits(&self) -> StateLimits {
         let limit = |name: &str| self.state[name].as_f64().expect("a number");
         StateLimits {
@@ -153,125 +166,148 @@
         }
     }
 
-    /// The network of the process at an address.
-    fn net(&self, fabric: &Rc<Fabric>, address: SocketAddrV4) -> Net {
-        match self.loopback {
+    /// Returns the network of a process with this address.
+    fn net(&self, simulated_network: &Rc<SimulatedNetwork>, address: SocketAddrV4) -> Net {
+        match self.uses_loopback_sockets {
             true => Net::System,
-            false => Net::Fabric(fabric.clone(), address),
+            false => Net::Simulated(simulated_network.clone(), address),
         }
     }
 
+    /// Returns the duration of a worker lease.
     pub(super) fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 }
 
-/// A worker with the loops that drive it.
-pub(super) type Rented = (Rc<Worker>, Vec<JoinHandle<()>>);
+/// A worker and its background tasks.
+pub(super) type RunningWorker = (Rc<Worker>, Vec<JoinHandle<()>>);
 
-/// A running deployment: the controllers, all that they talk to, and what the
-/// rule checker knows.
-pub struct World {
-    pub fabric: Rc<Fabric>,
-    pub state: Rc<State>,
-    pub workers: RefCell<BTreeMap<String, Rented>>,
+/// A running simulated deployment: the controllers, their simulated counterparts, and the
+/// state of the rule checker.
+pub struct Simulation {
+    pub simulated_network: Rc<SimulatedNetwork>,
+    pub state: Rc<StateService>,
+    /// Running workers, by machine name.
+    pub workers: RefCell<BTreeMap<String, RunningWorker>>,
+    /// Submissions of the known jobs, by job ID.
     pub(super) jobs: RefCell<HashMap<String, Value>>,
+    /// Times at which users were first told that a job is cancelled, by job ID.
     pub(super) cancelled: RefCell<HashMap<String, Instant>>,
+    /// Responses of the cloud to the rental requests, by request ID.
     pub(super) provisioning_requests: RefCell<HashMap<String, Value>>,
-    pub(super) cloud_limit: CloudLimit,
-    /// Requests that the cloud refused as malformed: none may be.
-    pub cloud_refused: RefCell<Vec<String>>,
-    pub broken: RefCell<Vec<String>>,
-    pub shape: Shape,
-    /// Machines that were ever rented.
-    pub rented: Cell<usize>,
-    /// The zone in which machines never come up.
-    pub barren: Cell<Option<&'static str>>,
-    pub starts: Cell<usize>,
-    /// Starts after a cancellation was confirmed, and how long after.
-    pub late_starts: RefCell<Vec<(String, Duration)>>,
-    /// Tasks that were done.
-    pub(super) finished: RefCell<HashSet<String>>,
-    /// What users were told, and when by `counted`'s count.
-    pub(super) answers: RefCell<HashMap<String, Told>>,
-    pub(super) counted: Cell<u64>,
-    pub(super) polls: RefCell<HashMap<String, Polls>>,
-    /// The share of the reports of which a copy is kept.
-    pub copied: Cell<f64>,
-    pub(super) copies: RefCell<Vec<Vec<u8>>>,
-    /// `state.next` in the settings of controllers that start from now on.
+    pub(super) cloud_limit: CloudRateLimit,
+    /// Requests that the cloud refused because they exceed a limit of the protocol. A test
+    /// expects none.
+    pub refused_cloud_requests: RefCell<Vec<String>>,
+    /// Violations that the rule checker has reported.
+    pub reported_violations: RefCell<Vec<String>>,
+    pub shape: DeploymentOptions,
+    /// Number of machines that have ever been rented.
+    pub rented_machine_count: Cell<usize>,
+    /// Zone in which the workers of newly rented machines never start.
+    pub failed_boot_zone: Cell<Option<&'static str>>,
+    /// Number of task starts.
+    pub task_start_count: Cell<usize>,
+    /// Tasks that started after their job's cancellation was confirmed, and the time in
+    /// between.
+    pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
+    /// Tasks that have completed.
+    pub(super) done_tasks: RefCell<HashSet<String>>,
+    /// Responses that users have received, by job ID, numbered by `response_count`.
+    pub(super) responses: RefCell<HashMap<String, JobResponses>>,
+    /// Number of responses that users have received.
+    pub(super) response_count: Cell<u64>,
+    /// Times of the polls, by job ID.
+    pub(super) polls: RefCell<HashMap<String, JobPolls>>,
+    /// Probability with which a copy of a heartbeat is kept.
+    pub copied_heartbeat_fraction: Cell<f64>,
+    /// Copies of heartbeats that have not been delivered.
+    pub(super) heartbeat_copies: RefCell<Vec<Vec<u8>>>,
+    /// The setting `state.next` of the controllers that start from now on; it is omitted if
+    /// null.
     pub next: RefCell<Value>,
+    /// Task of each controller, none after it was killed.
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
-    pub(super) frozen: Vec<watch::Sender<bool>>,
+    /// Pause flag of each controller.
+    pub(super) paused: Vec<watch::Sender<bool>>,
+    /// HTTP client of the users.
     pub(super) client: RecordedClient,
-    /// What passes between the controllers and the stand-ins, once a test records it.
-    pub frames: Rc<FrameRecord>,
+    /// Recorder of the frames between the controllers and the stand-ins.
+    pub frames: Rc<FrameRecorder>,
     pub(super) seed: u64,
-    /// Controllers that start with the feature of shares as it is here, if it is.
+    /// Values of the feature flag `shares` that replace the deployment's value, by the index
+    /// of the controller.
     pub shares: RefCell<BTreeMap<usize, bool>>,
-    /// How often controllers were started.
+    /// Number of controller starts.
     pub(super) runs: Cell<u64>,
 }
 
-pub(super) const LIMITS: ServerLimits = ServerLimits {
-    connections: 1000,
-    idle: Duration::from_secs(600),
-    arrive: Duration::from_secs(60),
-    stays: |_| true,
+/// The HTTP server limits of the stand-ins.
+pub(super) const SERVER_LIMITS: ServerLimits = ServerLimits {
+    max_connections: 1000,
+    idle_timeout: Duration::from_secs(600),
+    request_timeout: Duration::from_secs(60),
+    is_preferred: |_| true,
 };
 
-impl World {
-    /// The usual deployment, started.
+impl Simulation {
+    /// Starts the default deployment.
     pub async fn new(seed: u64) -> Rc<Self> {
-        Self::of(seed, Shape::default()).await
+        Self::with_options(seed, DeploymentOptions::default()).await
     }
 
-    /// A world with the program's controllers, all of them started.
-    pub async fn of(seed: u64, shape: Shape) -> Rc<Self> {
-        let world = Self::unstarted(seed, shape);
-        world.serve_others().await;
-        for i in 0..world.shape.controllers {
-            world.start(i);
+    /// Starts a deployment with all of its controllers.
+    pub async fn with_options(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
+        let simulation = Self::unstarted(seed, shape);
+        simulation.serve_stand_ins().await;
+        for i in 0..simulation.shape.controllers {
+            simulation.start(i);
         }
-        world.watch_rules();
-        world
+        simulation.spawn_rule_checks();
+        simulation
     }
 
-    /// A world whose controllers a test plays itself.
-    pub async fn without_controllers(seed: u64, shape: Shape) -> Rc<Self> {
-        let world = Self::unstarted(seed, shape);
-        world.serve_others().await;
-        world.watch_rules();
-        world
+    /// Starts a deployment without controllers, for a test that acts as the controllers
+    /// itself.
+    pub async fn without_controllers(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
+        let simulation = Self::unstarted(seed, shape);
+        simulation.serve_stand_ins().await;
+        simulation.spawn_rule_checks();
+        simulation
     }
 
-    fn unstarted(seed: u64, shape: Shape) -> Rc<Self> {
-        let fabric = Rc::new(Fabric::default());
-        let frames = Rc::new(FrameRecord::default());
-        let users = Client::new(shape.net(&fabric, addr(USERS)), Duration::from_secs(1));
-        Rc::new(World {
-            fabric,
-            state: Rc::new(State::new(seed)),
+    /// Returns a deployment none of whose parts is started.
+    fn unstarted(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
+        let simulated_network = Rc::new(SimulatedNetwork::default());
+        let frames = Rc::new(FrameRecorder::default());
+        let users = Client::new(
+            shape.net(&simulated_network, addr(USERS)),
+            Duration::from_secs(1),
+        );
+        Rc::new(Simulation {
+            simulated_network,
+            state: Rc::new(StateService::new(seed)),
             workers: RefCell::default(),
             jobs: RefCell::default(),
             cancelled: RefCell::default(),
             provisioning_requests: RefCell::default(),
-            cloud_limit: CloudLimit::default(),
-            cloud_refused: RefCell::default(),
-            broken: RefCell::default(),
-            starts: Cell::new(0),
-            late_starts: RefCell::default(),
-            finished: RefCell::default(),
-            answers: RefCell::default(),
-            counted: Cell::new(0),
+            cloud_limit: CloudRateLimit::default(),
+            refused_cloud_requests: RefCell::default(),
+            reported_violations: RefCell::default(),
+            task_start_count: Cell::new(0),
+            starts_after_cancel: RefCell::default(),
+            done_tasks: RefCell::default(),
+            responses: RefCell::default(),
+            response_count: Cell::new(0),
             polls: RefCell::default(),
-            copied: Cell::new(0.0),
-            copies: RefCell::default(),
-            rented: Cell::new(0),
-            barren: Cell::new(None),
+            copied_heartbeat_fraction: Cell::new(0.0),
+            heartbeat_copies: RefCell::default(),
+            rented_machine_count: Cell::new(0),
+            failed_boot_zone: Cell::new(None),
             next: RefCell::default(),
             controllers: RefCell::new((0..shape.controllers).map(|_| None).collect()),
-            frozen: (0..shape.controllers)
+            paused: (0..shape.controllers)
                 .map(|_| watch::Sender::new(false))
                 .collect(),
             shape,
@@ -283,31 +319,32 @@
         })
     }
 
-    /// Everything but the controllers: state service, cloud and first machines.
-    async fn serve_others(self: &Rc<Self>) {
+    /// Starts everything but the controllers: the state service, the cloud and the initial
+    /// machines.
+    async fn serve_stand_ins(self: &Rc<Self>) {
         for i in 0..self.shape.controllers {
             let state = self.state.clone();
-            let handler = move |request| state.clone().answer(i, request);
+            let handler = move |request| state.clone().handle_request(i, request);
             self.serve_at(state_addr(i), handler).await;
         }
-        spawn_local(self.state.clone().run_lease_renewal());
+        spawn_local(self.state.clone().run_lease_expiry());
         let cloud = self.clone();
-        let handler = move |request| cloud.clone().cloud(request);
+        let handler = move |request| cloud.clone().handle_cloud_request(request);
         self.serve_at(addr(CLOUD), handler).await;
         self.state.limits.set(self.shape.state_limits());
         for n in 0..self.shape.machines {
-            let zones = &self.shape.machine_zones;
+            let zones = &self.shape.initial_machine_zones;
             let zone = zones[n % zones.len()];
-            self.boot(&json!({"grade": "big", "yard": zone}));
+            self.boot_machine(&json!({"grade": "big", "yard": zone}));
         }
     }
 
-    /// The network of the process at an address.
+    /// Returns the network of a process with this address.
     pub(super) fn net(&self, address: SocketAddrV4) -> Net {
-        self.shape.net(&self.fabric, address)
+        self.shape.net(&self.simulated_network, address)
     }
 
-    /// Serves requests at an address of the fabric.
+    /// Serves requests at an address of the simulated network, and records them.
     pub(super) async fn serve_at(
         &self,
         address: SocketAddrV4,
@@ -316,22 +353,23 @@
         let net = self.net(address);
         let listener = net.listen(address).await.expect("listen");
         let handler = self.recorded_handler(address, handler);
-        spawn_local(serve(listener, LIMITS, Rc::new(handler)));
+        spawn_local(serve(listener, SERVER_LIMITS, Rc::new(handler)));
     }
 
-    /// Judges what is on the machines, from now on.
-    fn watch_rules(self: &Rc<Self>) {
-        let world = self.clone();
+    /// Starts the periodic check of the tasks on machines.
+    fn spawn_rule_checks(self: &Rc<Self>) {
+        let simulation = self.clone();
         spawn_local(async move {
             loop {
-                sleep(world.shape.lease().div_f64(100.0)).await;
-                world.check_machines();
+                sleep(simulation.shape.lease().div_f64(100.0)).await;
+                simulation.check_machines();
             }
         });
     }
 }
 
-/// A submission of this number, kind, count of tasks and run time.
+/// Returns a submission with this job number, job kind, task count and run time in
+/// seconds.
 pub fn job(n: u32, cut: &str, tasks: u32, run_s: f64) -> Value {
     json!({"name_id": format!("job-{n:06}"), "lot": "x", "crew": "t", "cut": cut,
         "urgency": "normal", "boards": tasks, "vcpus": 2.0, "cards": 0.0, "ram_gb": 1.0,
@@ -340,14 +378,14 @@
         "due_s": null})
 }
 
-/// The same job, after these.
-pub fn after(mut job: Value, dependencies: &[&str]) -> Value {
+/// Returns the submission with dependencies on these jobs.
+pub fn with_dependencies(mut job: Value, dependencies: &[&str]) -> Value {
     job["awaits"] = json!(dependencies);
     job
 }
 
-/// Runs a test's world in real time, on sockets of the system.
-pub fn in_real_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+/// Runs a test in real time, with network I/O enabled.
+pub fn run_in_real_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -355,8 +393,8 @@
     LocalSet::new().block_on(&runtime, async { test().await });
 }
 
-/// Runs a test's world in simulated time.
-pub fn in_world<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+/// Runs a test in simulated time.
+pub fn run_in_simulated_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
--- /dev/null
+++ b/tests/stand_ins/state_service/faults.rs
@@ -0,0 +1,64 @@
+//! The faults that a test injects into the state service.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use rand::Rng;
+
+use super::StateService;
+
+/// Faults of the state service with probabilities, delays and targets. They last until they
+/// are reset.
+#[derive(Debug, Clone, Default)]
+pub struct StateFaultOptions {
+    /// Indexes of the controllers whose requests are refused.
+    pub refused_controllers: BTreeSet<usize>,
+    /// Probability with which a commit is applied 2 to 12 s later and gets no response.
+    pub late_commit_fraction: f64,
+    /// Probability with which a commit is applied immediately and gets no response.
+    pub unanswered_commit_fraction: f64,
+    /// Maximum delay of a response. A random part of the delay precedes the execution of the
+    /// request, the rest follows it.
+    pub response_delay: Duration,
+    /// Indexes of the only controllers with delayed responses; if empty, the responses to all
+    /// are delayed at random. The responses to these controllers are delayed by the whole of
+    /// `slow` after the execution of the request, so that they are outdated by as much.
+    pub delayed_controllers: BTreeSet<usize>,
+}
+
+/// Fault mode of the state service.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub enum StateFault {
+    #[default]
+    None,
+    /// Commits that are applied, but whose response is lost.
+    LostResponses,
+    /// Commits that are applied some seconds later and get no response.
+    LateCommits,
+    /// Outage: all requests are refused.
+    Outage,
+    /// Refusal of commits, while reads are served.
+    CommitsRefused,
+    /// Watch responses that are larger than a controller accepts.
+    OversizedWatchResponses,
+}
+
+impl StateService {
+    /// Returns the delays before and after the execution of a request.
+    pub(super) fn delays(&self, i: usize) -> (Duration, Duration) {
+        let troubles = self.fault_options.borrow();
+        if troubles.response_delay.is_zero()
+            || !(troubles.delayed_controllers.is_empty()
+                || troubles.delayed_controllers.contains(&i))
+        {
+            return (Duration::ZERO, Duration::ZERO);
+        }
+        if !troubles.delayed_controllers.is_empty() {
+            return (Duration::ZERO, troubles.response_delay);
+        }
+        let mut rng = self.rng.borrow_mut();
+        let total = troubles.response_delay.mul_f64(rng.random_range(0.0..1.0));
+        let before = total.mul_f64(rng.random_range(0.0..1.0));
+        (before, total - before)
+    }
+}
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -1,12 +1,12 @@
-//! The state service: keys with revisions, transactions, leases, watches and
-//! its limits, and the troubles that a test gives it.
+//! The simulated state service: keys with revisions, transactions, leases, watches, limits,
+//! and the faults that a test injects.
 
 mod commits;
+mod faults;
 mod leases;
 mod limits;
 mod places;
 mod reads;
-mod troubles;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,121 +19,139 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use super::production::production_reads;
+use super::production::is_readable_by_production;
 use leases::StateLease;
 use limits::RateLimit;
 
+pub use faults::{StateFault, StateFaultOptions};
 pub use limits::StateLimits;
-pub use troubles::{StateTroubles, Trouble};
 
-/// The state service of a deployment.
-pub struct State {
+/// The simulated state service of a deployment.
+pub struct StateService {
+    /// Values by key, each with the revision of its last write.
     pub(in crate::stand_ins) pairs: RefCell<BTreeMap<String, (Value, u64)>>,
-    log: RefCell<Vec<Value>>,
+    /// Events of all revisions, in their order.
+    change_log: RefCell<Vec<Value>>,
     revision: Cell<u64>,
-    /// Wakes open watches in the order in which they came: a `watch` channel of tokio
-    /// would wake them in a random one, and no two runs would be alike.
+    /// Notification of open watches, in the order in which they were opened. A `watch` channel
+    /// of tokio would wake them in random order, so that no two runs would be the same.
     revision_changed: Notify,
-    pub trouble: Cell<Trouble>,
-    /// How many commits the trouble still meets.
-    pub troubled: Cell<usize>,
-    pub troubles: RefCell<StateTroubles>,
+    /// Current fault mode.
+    pub fault: Cell<StateFault>,
+    /// Number of further commits that the fault modes [`StateFault::LostResponses`] and
+    /// [`StateFault::LateCommits`] affect.
+    pub faulty_commits_left: Cell<usize>,
+    /// Faults with probabilities, delays and targets.
+    pub fault_options: RefCell<StateFaultOptions>,
     leases: RefCell<BTreeMap<u64, StateLease>>,
     next_lease: Cell<u64>,
     rng: RefCell<SmallRng>,
-    /// The limits in force.
+    /// Limits that the service enforces.
     pub limits: Cell<StateLimits>,
-    /// Commits refused for their size: none may be that keep to the limits.
-    pub beyond: RefCell<Vec<String>>,
-    /// Requests refused for their rate.
-    pub too_many: Cell<usize>,
-    /// The same of requests of any kind.
-    pub too_many_requests: Cell<usize>,
-    /// What may be written at once.
+    /// Descriptions of the commits refused because they exceed a size limit or contain an
+    /// invalid key.
+    pub rejected_commits: RefCell<Vec<String>>,
+    /// Number of commits refused by the limit on writes per second.
+    pub rate_limited_commits: Cell<usize>,
+    /// Number of requests refused by the limit on requests per second.
+    pub rate_limited_requests: Cell<usize>,
+    /// Token bucket for writes.
     writes: RateLimit,
-    /// What may be asked at once.
+    /// Token bucket for requests.
     requests: RateLimit,
-    /// Machines that stood in two zone shards or in two machine shards at a revision.
-    pub misplaced: RefCell<Vec<String>>,
-    /// Controllers whose records are those of the program in production: they do
-    /// not tell of any formats, nor record what others tell.
-    pub older: RefCell<BTreeSet<usize>>,
-    /// Commits that failed on a condition.
-    pub conflicts: Cell<usize>,
-    /// Commits that are refused, by who sends them and what they hold.
-    pub gate: RefCell<Option<Gate>>,
-    /// Told of every commit that was carried out, with the records as it leaves them.
-    pub observers: RefCell<Vec<Observer>>,
-    /// What tests have put down by themselves: it alone may be unreadable.
-    put_down: RefCell<BTreeMap<String, Value>>,
+    /// Descriptions of machines that were in two zone shards or in two machine shards at some
+    /// revision.
+    pub misplaced_machines: RefCell<Vec<String>>,
+    /// Indexes of the controllers whose commits are translated to those of the production
+    /// version, which neither announces record formats nor stores the announced ones.
+    pub previous_version_controllers: RefCell<BTreeSet<usize>>,
+    /// Number of commits that failed a precondition.
+    pub conflict_count: Cell<usize>,
+    /// Predicate that selects commits to refuse with status 503.
+    pub commit_refusal: RefCell<Option<CommitRefusal>>,
+    /// Callbacks that are called after every applied commit.
+    pub observers: RefCell<Vec<CommitObserver>>,
+    /// Records that tests wrote directly. Only these may be unreadable.
+    test_writes: RefCell<BTreeMap<String, Value>>,
 }
 
-/// Whether a commit of a controller is refused.
-pub type Gate = Box<dyn Fn(usize, &Value) -> bool>;
+/// Predicate on a controller's index and its commit, true if the commit is refused.
+pub type CommitRefusal = Box<dyn Fn(usize, &Value) -> bool>;
 
-/// Who reads every committed revision: the records, the keys that were written, and the
+/// Callback that is called with the records after a commit, the written keys and the
 /// revision.
-pub type Observer = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
+pub type CommitObserver = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
 
-impl State {
-    /// Records that the program in production could not read, or would spoil.
-    pub fn unreadable(&self) -> Vec<String> {
+impl StateService {
+    /// Returns the keys of the records that the production version could not read, or would
+    /// write back incompletely.
+    pub fn keys_unreadable_by_production(&self) -> Vec<String> {
         let pairs = self.pairs.borrow();
-        let bad = pairs.iter().filter(|(k, v)| !production_reads(k, &v.0));
-        bad.map(|(k, _)| k.clone()).collect()
+        let unreadable = pairs
+            .iter()
+            .filter(|(k, v)| !is_readable_by_production(k, &v.0));
+        unreadable.map(|(k, _)| k.clone()).collect()
     }
 
+    /// Returns an empty state service without faults or limits.
     pub(in crate::stand_ins) fn new(seed: u64) -> Self {
-        State {
+        StateService {
             pairs: RefCell::default(),
-            log: RefCell::default(),
+            change_log: RefCell::default(),
             revision: Cell::default(),
             revision_changed: Notify::default(),
-            trouble: Cell::default(),
-            troubled: Cell::default(),
-            troubles: RefCell::default(),
+            fault: Cell::default(),
+            faulty_commits_left: Cell::default(),
+            fault_options: RefCell::default(),
             leases: RefCell::default(),
             next_lease: Cell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             limits: Cell::default(),
-            beyond: RefCell::default(),
-            too_many: Cell::default(),
-            too_many_requests: Cell::default(),
+            rejected_commits: RefCell::default(),
+            rate_limited_commits: Cell::default(),
+            rate_limited_requests: Cell::default(),
             writes: RateLimit::default(),
             requests: RateLimit::default(),
-            misplaced: RefCell::default(),
-            older: RefCell::default(),
-            conflicts: Cell::default(),
-            gate: RefCell::default(),
+            misplaced_machines: RefCell::default(),
+            previous_version_controllers: RefCell::default(),
+            conflict_count: Cell::default(),
+            commit_refusal: RefCell::default(),
             observers: RefCell::default(),
-            put_down: RefCell::default(),
+            test_writes: RefCell::default(),
         }
     }
 
-    fn is_down(&self) -> bool {
-        self.trouble.get() == Trouble::Down
+    /// Returns whether the service is unavailable to all controllers.
+    fn is_in_outage(&self) -> bool {
+        self.fault.get() == StateFault::Outage
     }
 
+    /// Returns whether the service refuses all requests of a controller.
     fn refuses(&self, i: usize) -> bool {
-        self.is_down() || self.troubles.borrow().refused.contains(&i)
+        self.is_in_outage() || self.fault_options.borrow().refused_controllers.contains(&i)
     }
 
-    pub(in crate::stand_ins) fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.rng.borrow_mut().random_bool(share)
+    /// Returns true with this probability. Draws no random number if it is zero.
+    pub(in crate::stand_ins) fn draw_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.borrow_mut().random_bool(probability)
     }
 
-    /// A random factor that differs from one by up to `part`.
-    pub(in crate::stand_ins) fn spread_around_one(&self, part: f64) -> f64 {
-        match part > 0.0 {
-            true => self.rng.borrow_mut().random_range(1.0 - part..1.0 + part),
+    /// Returns a random factor that differs from one by up to `max_deviation`.
+    pub(in crate::stand_ins) fn random_factor(&self, max_deviation: f64) -> f64 {
+        match max_deviation > 0.0 {
+            true => self
+                .rng
+                .borrow_mut()
+                .random_range(1.0 - max_deviation..1.0 + max_deviation),
             false => 1.0,
         }
     }
 
-    pub(in crate::stand_ins) fn answer(
+    /// Serves a request of controller `i`, subject to the injected faults.
+    pub(in crate::stand_ins) fn handle_request(
         self: Rc<Self>,
         i: usize,
-        r: Request,
+        request: Request,
     ) -> shelfhoist::http::ResponseFuture {
         Box::pin(async move {
             let (before, after) = self.delays(i);
@@ -142,16 +160,17 @@
                 return Response::empty(503);
             }
             if self.requests.refuses(self.limits.get().rps, 1) {
-                self.too_many_requests.set(self.too_many_requests.get() + 1);
+                self.rate_limited_requests
+                    .set(self.rate_limited_requests.get() + 1);
                 return Response::json(429, &json!({"error": "too many"}));
             }
-            let body: Value = serde_json::from_slice(&r.body).unwrap_or_default();
-            let answer = match (r.method.as_str(), r.path.as_str()) {
-                ("GET", "/store") => self.list(&r.query),
-                ("GET", "/watch") => self.watch(i, &r.query).await,
+            let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+            let response = match (request.method.as_str(), request.path.as_str()) {
+                ("GET", "/store") => self.list(&request.query),
+                ("GET", "/watch") => self.watch(i, &request.query).await,
                 ("GET", path) => self.read(path.trim_start_matches("/store/")),
-                ("POST", "/commit") if self.is_gated(i, &body) => Response::empty(503),
-                ("POST", "/commit") if self.older.borrow().contains(&i) => {
+                ("POST", "/commit") if self.is_commit_refused(i, &body) => Response::empty(503),
+                ("POST", "/commit") if self.previous_version_controllers.borrow().contains(&i) => {
                     self.commit_as_production(body).await
                 }
                 ("POST", "/commit") => self.commit(body).await,
@@ -161,16 +180,17 @@
                 _ => Response::empty(400),
             };
             sleep(after).await;
-            answer
+            response
         })
     }
 
-    fn is_gated(&self, i: usize, body: &Value) -> bool {
-        let gate = self.gate.borrow();
-        gate.as_ref().is_some_and(|refuses| refuses(i, body))
+    /// Returns whether the test's predicate refuses a commit of controller `i`.
+    fn is_commit_refused(&self, i: usize, body: &Value) -> bool {
+        let predicate = self.commit_refusal.borrow();
+        predicate.as_ref().is_some_and(|refuses| refuses(i, body))
     }
 
-    /// One key, by `GET /store/{key}`.
+    /// Serves `GET /store/{key}`.
     fn read(&self, key: &str) -> Response {
         match self.pairs.borrow().get(key) {
             Some((value, stamp)) => {
@@ -180,31 +200,32 @@
         }
     }
 
-    /// A record as another program would have written it.
+    /// Writes a record directly, as another program would.
     pub fn write(&self, key: &str, value: &Value) {
-        let mut put_down = self.put_down.borrow_mut();
-        put_down.insert(key.to_string(), value.clone());
-        drop(put_down);
+        let mut test_writes = self.test_writes.borrow_mut();
+        test_writes.insert(key.to_string(), value.clone());
+        drop(test_writes);
         self.apply(&json!({"writes": [{"set": key, "value": value}]}));
     }
 
-    /// The record of a key, as it stands.
+    /// Returns the current value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.pairs.borrow().get(key).map(|p| p.0.clone())
     }
 
-    /// The records under a prefix, as they stand.
+    /// Returns the current keys and values under a prefix.
     pub fn records(&self, prefix: &str) -> Vec<(String, Value)> {
         let pairs = self.pairs.borrow();
-        let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
-        all.map(|(k, (v, _))| (k.clone(), v.clone())).collect()
+        let matching = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
+        matching.map(|(k, (v, _))| (k.clone(), v.clone())).collect()
     }
 
-    /// The keys under a prefix, with the length of each value.
-    pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
+    /// Returns the keys under a prefix, each with the length of its value in bytes.
+    pub fn value_sizes(&self, prefix: &str) -> Vec<(String, usize)> {
         let pairs = self.pairs.borrow();
-        let all = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
-        all.map(|(k, (v, _))| (k.clone(), v.to_string().len()))
+        let matching = pairs.iter().filter(|(k, _)| k.starts_with(prefix));
+        matching
+            .map(|(k, (v, _))| (k.clone(), v.to_string().len()))
             .collect()
     }
 }
