--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -45,7 +45,7 @@
     request.find_placements()
 }
 
-/// Search for placements of a job: the job, the plan and the settings of the search.
+/// Inputs of a search for a job's placements.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest<'a> {
     pub(super) job: &'a Job,
@@ -81,8 +81,9 @@
         Ok(placements)
     }
 
-    /// Returns the number of the job's tasks that fit. Cheaper than
-    /// [`Self::find_placements`], as it does not build the placements.
+    /// Returns the number of the job's tasks that machines are found for. Cheaper than
+    /// [`Self::find_placements`], as it neither builds the placements nor checks whether
+    /// the job's record has space for them.
     pub(super) fn count_placements(&self) -> usize {
         self.find_slots()
             .map_or(0, |slot_indices| slot_indices.len())
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Finds machines outside `excluded`, in at most as many zone shards as one commit can
-    /// write in addition to the job's and the team's records.
+    /// Finds machines outside `excluded`. The machines of a gang are in at most as many
+    /// zone shards as one commit can write in addition to the job's and the team's records.
     ///
     /// The following is guaranteed once compact encodings are written: a gang that fits
     /// into two zone shards is admitted whole. A zone has one zone shard for each
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Returns the number of tasks that each zone shard gets.
+    /// Returns the number of tasks that are placed in each zone shard.
     fn tasks_by_shard(&self, slot_indices: &[usize]) -> HashMap<u32, usize> {
         let mut tasks: HashMap<u32, usize> = HashMap::default();
         let slots = slot_indices
@@ -179,8 +180,8 @@
         tasks
     }
 
-    /// Returns all zone shards of the plan, sorted by the number of tasks that they get,
-    /// largest first.
+    /// Returns all zone shards of the plan. Those in which the most tasks are placed come
+    /// first.
     fn shards_by_tasks(&self, tasks: &HashMap<u32, usize>) -> Vec<u32> {
         let mut zone_shards: Vec<u32> =
             self.plan.plan_slots.iter().map(|slot| slot.shard).collect();
@@ -191,9 +192,9 @@
         zone_shards
     }
 
-    /// Finds machines in these zone shards, or in all zone shards. Gangs and one-zone jobs
-    /// get machines in a single zone if one has capacity; other jobs, and gangs that
-    /// merely prefer one zone, are spread over the zones.
+    /// Finds machines in these zone shards, or in all zone shards if `zone_shards` is
+    /// `None`. Gangs and one-zone jobs get machines in a single zone if one has capacity;
+    /// other jobs, and gangs that merely prefer one zone, are spread over the zones.
     fn find_in_shards(
         &self,
         zone_shards: Option<[u32; 2]>,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -75,7 +75,8 @@
     /// Cost of writing each zone shard in the commit, by zone shard number. Equally good
     /// machines are chosen from few zone shards, as each zone shard is a record to write.
     shard_costs: Vec<i64>,
-    /// Number of the job's image, if the replica has seen it on a machine.
+    /// Number of the job's image in the replica, or `None` if the replica has not seen the
+    /// image on any machine.
     image: Option<u32>,
     /// Numbers of machines that the job has recently failed on. They are excluded because
     /// the machine may be at fault, and because a machine on which tasks fail immediately
@@ -163,10 +164,11 @@
         }
     }
 
-    /// Returns the number of tasks of the most recent job that needs accelerators that
-    /// would no longer fit on this machine if it got one of this job's tasks. Work without
-    /// accelerators is kept off such machines only to the extent that it takes resources
-    /// that accelerator work needs.
+    /// Returns the number of accelerator tasks that would no longer fit on this machine if
+    /// one of this job's tasks were placed there. Accelerator tasks are counted by the
+    /// needs of the most recent job with accelerators; if no such job is known, the result
+    /// is 1. A task without accelerators that takes nothing from accelerator tasks may thus
+    /// use the machine.
     fn accelerator_slots_lost(&self, slot: &PlanSlot) -> i64 {
         if !self.class(slot).has_contended_gpus {
             return 0;
@@ -224,8 +226,9 @@
     }
 }
 
-/// Returns the cost of a zone shard in the commit: 0 if the commit writes it anyway, 1 if
-/// the controller that places the job is its preferred owner, and at least 2 otherwise.
+/// Returns the cost of writing a zone shard in the commit: 0 if the commit writes the zone
+/// shard anyway, 1 if the controller that places the job is the preferred owner of the zone
+/// shard's machines, and at least 2 otherwise.
 fn shard_cost(hints: &PlacementHints, shard: u32) -> i64 {
     let name = hints.replica.zone_shard_names.name(shard);
     let local_name = name.split_once('/').map_or("", |split| split.1);
--- a/src/scheduler/capacity_reservation.rs
+++ b/src/scheduler/capacity_reservation.rs
@@ -7,9 +7,10 @@
 use crate::state::records::JobSpec;
 use crate::state::replica::PlanSlot;
 
-/// Reserves resources for a waiting gang, in the zone with the most of them, so that jobs
-/// behind it in the queue do not use them. Machines without capacity for any of its tasks
-/// are not reserved: a reservation would not free them any sooner.
+/// Reserves resources for a waiting gang in the zone that has capacity for the most of its
+/// tasks, so that jobs behind the gang in the queue do not use these resources. Machines
+/// without capacity for any of the gang's tasks are not reserved: a reservation would not
+/// free them any sooner.
 pub fn reserve_capacity(spec: &JobSpec, plan: &mut Plan, hints: &PlacementHints) {
     let candidates = MachineCandidates::new(spec, hints, AcceleratorProtection::Strict);
     let zones = hints.replica.zone_names.len();
--- a/src/scheduler/hints.rs
+++ b/src/scheduler/hints.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Degree to which machines with accelerators are protected from work that does not need
+/// Level of protection of machines with accelerators from work that does not need
 /// accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceleratorProtection {
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Usage of a team's guarantee, as seen by one of the team's jobs.
+/// Usage of a team's guarantee, computed for one of the team's jobs.
 struct GuaranteeUsage {
     /// True if the team would exceed its guarantee with this job.
     borrows: bool,
--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -6,10 +6,13 @@
 use crate::state::records::{MachineShard, machine_entry_bytes, slot_entry_bytes};
 
 /// Returns the maximum number of machine shards that a commit which adds machines may
-/// guard. The limit leaves one precondition per write free, as each written shard may be
-/// split, which adds a precondition. Before shards are used in groups, all shards of an
-/// owner are guarded, and the current limit of the state service applies instead of the
-/// lower one of the current and the announced limit.
+/// guard.
+///
+/// If shards are used in groups, the limit follows from the lower of the state service's
+/// current and announced limits on writes. One precondition per write is left free, as each
+/// written shard may be split, which adds a precondition. If shards are not used in groups,
+/// a commit guards all shards of an owner, and may use all preconditions that the current
+/// limit permits.
 pub(super) fn max_preconditions(settings: &Settings, grouped: bool) -> usize {
     match grouped {
         true => settings.max_writes_per_commit() * (PRECONDITIONS_PER_WRITE - 1),
@@ -17,10 +20,14 @@
     }
 }
 
-/// Returns the maximum size of a machine shard's record, in bytes, by the shard's number
-/// among the shards of its preferred owner. While all shards of an owner are guarded when
-/// a machine is added, shards after the first few may grow to the current value limit
-/// until the compact encoding is in use.
+/// Returns the maximum size of a machine shard's record, in bytes. `number` is the shard's
+/// number among the shards of its preferred owner.
+///
+/// In the compact encoding, the limit follows from the lower of the state service's current
+/// and announced limits on values. Before that encoding is in use, adding a machine guards
+/// all shards of an owner. The owner's first few shards are kept within the lower limit
+/// then; further ones may grow to the current limit, so that fewer shards have to be
+/// guarded.
 pub(super) fn max_shard_bytes(settings: &Settings, compact: bool, number: usize) -> usize {
     let limit = match compact || number < settings.max_writes_per_commit() {
         true => settings.value_limit_bytes(),
--- a/src/scheduler/machine_shards.rs
+++ b/src/scheduler/machine_shards.rs
@@ -85,10 +85,12 @@
         }
     }
 
-    /// Returns whether a machine shard must be split, as it is too large for a record even
-    /// in the compact encoding. A machine shard is not split as long as its zone shard
-    /// could still be changed by a commit that was decided before compact encodings were
-    /// written: such a commit expects the slots of all its machines in that zone shard.
+    /// Returns whether a machine shard must be split because it is too large for a record
+    /// even in the compact encoding.
+    ///
+    /// A commit that was decided before compact encodings were written expects the slots of
+    /// all machines of a machine shard in the zone shard with the same id. As long as such
+    /// a commit could still change that zone shard, the machine shard is not split.
     fn must_split(&self, id: &str, machine_shard: &MachineShard) -> bool {
         let Some(limit) = self
             .replica
@@ -161,17 +163,20 @@
         &mut machine_shard.machines
     }
 
-    /// Puts a machine into the shard that its record names.
+    /// Adds a machine to the machine shard given by the machine's `zone` and `shard`
+    /// fields, or replaces it there.
     pub fn put(&mut self, name: &str, machine: Machine) {
         let id = shard_id(&machine.zone, &machine.shard);
         self.edit(&id).insert(name.to_string(), machine);
     }
 
-    /// Returns the name of the shard that a machine without a record is put into: the
-    /// first of its candidates whose record has space for it, or a new shard. The shards
-    /// are those of the machine's preferred owner in the zone, which is determined by the
-    /// settings alone. Returns `None` if the commit has no capacity for the guards on
-    /// which the choice depends.
+    /// Selects the machine shard for a machine that has no record yet, guards the shards
+    /// that the selection depends on, and returns the name of the selected shard. Returns
+    /// `None` if the commit has no capacity for these guards.
+    ///
+    /// The candidates are shards that the machine's preferred owner, which is determined by
+    /// the settings alone, has in the zone. The first candidate with space in its record is
+    /// selected, or a new shard if none has space.
     pub fn allocate_shard(
         &mut self,
         settings: &Settings,
@@ -238,8 +243,8 @@
         self.edited.get(id).or_else(known)
     }
 
-    /// Returns the number of machine shards that the commit guards if it also guards
-    /// these.
+    /// Returns the number of machine shards that the commit would guard, changed ones
+    /// included, if the shards in `more` were guarded too.
     fn precondition_count_with(&self, more: &BTreeSet<String>) -> usize {
         let edited: BTreeSet<&String> = self.edited.keys().collect();
         let guarded = self.guarded.iter().chain(more);
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -31,9 +31,12 @@
     preferred_controller(key, alive)
 }
 
-/// Returns the ids of the jobs that this controller places now: its own jobs, and jobs
-/// that their preferred controller has left waiting. Updates the round state of all open
-/// jobs, and records the wait reason of jobs that wait after a failure.
+/// Returns the ids of the jobs that this controller places now. These are the waiting jobs
+/// whose preferred controller it is, and waiting jobs whose records have not changed for
+/// two heartbeat intervals, as their preferred controller may not be able to place them.
+///
+/// Also updates the round state of all open jobs, and records the wait reason of jobs that
+/// wait after a failure.
 pub(super) fn jobs_to_place(
     controller: &Controller,
     state: &mut RoundState,
--- a/src/scheduler/placement_state.rs
+++ b/src/scheduler/placement_state.rs
@@ -14,8 +14,7 @@
 /// Wait states of jobs, and the wake-up signal of the placement loop.
 #[derive(Debug, Default)]
 pub struct PlacementState {
-    /// Wait state of each waiting job, as set by the decision that made it wait, by job
-    /// id.
+    /// Wait states of jobs that a placement decision has left waiting, by job id.
     wait_states: RefCell<HashMap<String, WaitState>>,
     /// Times at which this controller first saw each open job, by job id.
     first_seen: RefCell<FirstSeenTimes>,
@@ -65,8 +64,9 @@
         self.wait_states.borrow().get(job).copied()
     }
 
-    /// Records why a job waits. The wait time counts from the first decision with this
-    /// reason. [`WaitReason::NoCapacity`] does not replace a refusal by the cloud.
+    /// Records why a job waits. The wait time counts from the first of the successive
+    /// decisions with this reason. [`WaitReason::NoCapacity`] does not replace a refusal by
+    /// the cloud.
     pub fn record_wait_reason(&self, job: &str, reason: WaitReason, now: Instant) {
         let mut wait_states = self.wait_states.borrow_mut();
         match wait_states.get(job) {
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -78,8 +78,9 @@
         }
     }
 
-    /// Adds resources of a machine that are, or will be, free again to its free resources,
-    /// and subtracts them from the team's usage.
+    /// Releases resources that a team's tasks have used on a machine, or will soon stop
+    /// using: adds them to the machine's free resources and subtracts them from the team's
+    /// usage. If the machine is not in the plan, only the team's usage changes.
     pub fn release(&mut self, replica: &Replica, machine: &str, team: &str, freed: Resources) {
         match self.slot_index_of(replica, machine) {
             Some(slot_index) => self.release_at(slot_index, team, freed),
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -17,28 +17,29 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Inputs that a round passes to its preemptions.
+/// State of a round that its preemption step reads and changes.
 pub(super) struct PreemptionContext<'a, 'r> {
     pub(super) controller: &'a Controller,
     pub(super) replica: &'r Replica,
     pub(super) state: &'a mut RoundState,
     pub(super) transaction: &'a mut Transaction<'r>,
     pub(super) search: &'a mut RoundSearch,
-    /// Plan as it is after the round has placed its jobs.
+    /// The round's plan after the round has placed its jobs.
     pub(super) plan: &'a Plan,
     pub(super) now: Instant,
 }
 
-/// Preemptions of one round.
+/// Preemption step of one round: for each blocked job, selects running tasks to stop and
+/// records the stops in the round's transaction.
 pub(super) struct Preemption<'a, 'r> {
     context: PreemptionContext<'a, 'r>,
     hints: PlacementHints<'a>,
     /// Plan in which the resources of stopping tasks already count as free. Placements
-    /// that the resources will serve are reserved in it, so that no two jobs count on the
-    /// same resources.
+    /// found in this plan are reserved in it as well, so that no two jobs count on the same
+    /// resources.
     expected_plan: Plan,
-    /// Jobs with tasks that this round has preempted so far, in their changed state, by
-    /// job id.
+    /// Jobs whose tasks this round has preempted so far, by job id, as the transaction will
+    /// write them.
     changed: BTreeMap<String, Job>,
 }
 
@@ -50,8 +51,8 @@
 }
 
 impl<'a, 'r: 'a> Preemption<'a, 'r> {
-    /// Creates the preemptions of a round, with a plan in which the resources of stopping
-    /// tasks count as free.
+    /// Creates the preemption step of a round from the round's state. Nothing is preempted
+    /// until [`Self::run`] is called.
     pub(super) fn new(context: PreemptionContext<'a, 'r>) -> Self {
         let replica = context.replica;
         let expected_plan = context.search.expected_plan(replica, context.plan).clone();
@@ -63,8 +64,9 @@
         }
     }
 
-    /// Preempts running work for the blocked jobs, until the transaction is full or the
-    /// round has used up its preemption searches.
+    /// Preempts running work for the blocked jobs, one job after another. Ends early if a
+    /// preemption does not fit into the transaction or if the round has made as many
+    /// preemption searches as it may.
     pub(super) fn run(&mut self, blocked: &[String]) {
         let replica = self.context.replica;
         for id in blocked {
@@ -98,9 +100,9 @@
         }
     }
 
-    /// Returns the number of placements that the job still lacks. Returns `None` if it
-    /// lacks none, or if a preemption for it was attempted recently. The placements that
-    /// the job gets without a preemption are reserved in the expected plan.
+    /// Reserves the placements that the job gets without a preemption in the expected plan,
+    /// and returns the number of placements that are still missing. Returns `None` if no
+    /// placement is missing, or if a preemption for the job was attempted recently.
     fn missing_placements(&mut self, waiting: WaitingJob) -> Option<usize> {
         let wanted = waiting.placements_wanted();
         let found = self.reserve_placements(waiting, AcceleratorProtection::Strict);
@@ -164,8 +166,8 @@
             })
     }
 
-    /// Returns whether the transaction has capacity for the records of all jobs that this
-    /// preemption changes.
+    /// Returns whether the transaction has capacity for the records of the jobs whose tasks
+    /// are stopped and of the job that they are stopped for.
     fn has_capacity_to_preempt(&self, for_job: &str, selection: &Selection) -> bool {
         let candidates = selection.candidates.iter();
         let touched = candidates.map(|candidate| candidate.job.as_str());
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -1,5 +1,6 @@
 //! Selection of the running work that may be preempted, and the order in which it is
-//! preempted.
+//! preempted. The unit of selection is a run: the tasks of one attempt of a job on one
+//! machine.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,8 +24,7 @@
 pub struct PreemptingJob<'a> {
     /// Spec of the job that needs capacity.
     pub spec: &'a JobSpec,
-    /// Effective priority of the job, as computed by the replica, which takes the
-    /// priorities of dependent jobs into account.
+    /// Effective priority of the job: the highest priority of the job and its dependents.
     pub priority: Priority,
     /// True if the job's team stays within its guarantee with this job.
     pub within_guarantee: bool,
@@ -37,7 +37,8 @@
     pub spec: &'a JobSpec,
     /// Effective priority of the running job.
     pub priority: Priority,
-    /// True if the running job uses resources beyond its team's guarantee.
+    /// True if the running job's team uses resources beyond its guarantee, and would still
+    /// use its whole guarantee without this work.
     pub borrows: bool,
 }
 
@@ -56,9 +57,9 @@
         && running.spec.kind != JobKind::Service
 }
 
-/// Returns whether work uses resources beyond its team's guarantee. Work that the team
-/// could start again within its guarantee after a stop does not count as borrowed: the
-/// team would claim the resources back and preempt other work for it.
+/// Returns whether running work counts as borrowed: its team would still use its whole
+/// guarantee after the work was stopped. Otherwise the team could start the work again
+/// within its guarantee, and would preempt other work to get the resources back.
 fn is_borrowed(spec: &JobSpec, quota: Option<&TeamQuota>, plan: &Plan) -> bool {
     let resources = || spec.need.times(coscheduled_tasks(spec));
     quota.is_some_and(|quota| quota.can_lend(&plan.team_used(&spec.team), &resources()))
@@ -71,7 +72,7 @@
     hasher.finish() % ORDER_CLASSES
 }
 
-/// Position of a run that may be preempted.
+/// Location of a run in its job's record and of the run's machine in the plan.
 struct RunLocation {
     /// Index of the run among the job's runs.
     run_index: usize,
@@ -79,8 +80,8 @@
     slot_index: usize,
 }
 
-/// Open job with running tasks. The positions of its runs in the plan are computed once
-/// per round and reused by all preemption searches.
+/// Open job with running tasks, and the locations of its runs. The locations are computed
+/// once per round and reused by all preemption searches of the round.
 pub(super) struct RunningJob {
     job: String,
     order_class: u64,
@@ -102,8 +103,8 @@
         .collect()
 }
 
-/// Returns the positions of the job's runs that may be preempted. Runs that are being
-/// stopped already are left out.
+/// Returns the locations of the job's runs that may be preempted. Leaves out runs that are
+/// already being stopped, and runs on machines that are not in the plan.
 fn preemptible_runs(job: &Job, replica: &Replica, plan: &Plan) -> Vec<RunLocation> {
     let runs = job.runs.iter().enumerate().filter(|(_, run)| !run.stop);
     runs.filter_map(|(index, run)| {
@@ -147,8 +148,8 @@
 }
 
 impl<'a> Preemptor<'a> {
-    /// Returns the job as a preemptor on this plan, or `None` if the settings do not have
-    /// its team.
+    /// Creates the preemptor for a waiting job from the resources that its team uses in the
+    /// plan. Returns `None` if the settings do not contain the team.
     pub(super) fn new(
         waiting: WaitingJob<'a>,
         protection: AcceleratorProtection,
@@ -159,9 +160,9 @@
         let spec = waiting.spec;
         let quota = settings.team(&spec.team)?;
         let used = plan.team_used(&spec.team);
-        // Array tasks do not preempt borrowing work for their team's guarantee, only work
-        // of lower priority: array tasks that run end soon and free their resources
-        // anyway, so preempting them would lose more work than it gains.
+        // An array preempts only work of lower priority, and never borrowed work on the
+        // ground of its team's guarantee: running array tasks end soon and free their
+        // resources anyway, so preempting them would lose more work than it gains.
         let within_guarantee = spec.kind != JobKind::Array
             && within_guarantee(quota, &used, spec, coscheduled_tasks(spec));
         Some(Preemptor {
@@ -212,7 +213,8 @@
     pub(super) settings: &'a Settings,
     pub(super) hints: &'a PlacementHints<'a>,
     pub(super) running: &'a [RunningJob],
-    /// Jobs that this round has changed so far, in their changed state, by job id.
+    /// Jobs whose tasks this round has preempted so far, by job id, as the transaction will
+    /// write them.
     pub(super) changed: &'a BTreeMap<String, Job>,
     /// Plan in which the resources of stopping tasks already count as free.
     pub(super) expected_plan: &'a Plan,
@@ -239,8 +241,8 @@
         runs
     }
 
-    /// Adds those of a job's runs to `runs` that may be preempted and are on machines of
-    /// allowed classes.
+    /// Appends to `runs` the runs of one running job that may be preempted and whose
+    /// machines are of an allowed class.
     fn add_runs_of(
         &self,
         running: &'a RunningJob,
--- a/src/scheduler/preemption_search.rs
+++ b/src/scheduler/preemption_search.rs
@@ -1,4 +1,5 @@
-//! Search for the least running work whose preemption frees capacity for a job.
+//! Search for running work whose preemption frees capacity for a job. The search follows
+//! the preemption order, and leaves out work on machines that the job would not use.
 
 use std::collections::BTreeSet;
 
@@ -31,10 +32,12 @@
     pub(super) complete: bool,
 }
 
-/// Returns the least running work whose preemption frees capacity for `wanted` of the
-/// job's tasks. Preempts one run after another in the preemption order (lowest priority
-/// and youngest job first) until all tasks fit. If they never all fit, returns the work
-/// that frees capacity for the most of them, marked as incomplete.
+/// Returns running work whose preemption frees capacity for `wanted` of the job's tasks, or
+/// `None` if no preemption helps.
+///
+/// Simulates the preemption of one run after another in the preemption order (lowest
+/// priority first, then youngest job) until all wanted tasks fit. If they never all fit,
+/// returns the work that frees capacity for the most of them, marked as incomplete.
 pub(super) fn find_preemption(
     workload: &RunningWorkload,
     waiting: WaitingJob,
@@ -58,7 +61,7 @@
     /// Copy of the plan in which the runs preempted so far are released.
     plan: Plan,
     preempted: Vec<PreemptionCandidate>,
-    /// Largest number of placements found so far.
+    /// Largest number of placements that the job has had in the simulation so far.
     max_placements: usize,
     /// Candidates that allow `max_placements` placements, or `None` while no preemption
     /// has raised that number.
@@ -67,13 +70,14 @@
     fit_checks: usize,
 }
 
-/// Result of a step of the simulation.
+/// Outcome of a simulation step, which decides whether the simulation goes on.
 enum SimulationStep {
-    /// Too few placements: more work has to be preempted.
+    /// The job does not have all wanted placements yet; more work has to be preempted.
     Continue,
-    /// All wanted placements, with the candidates that allow them.
+    /// The job has all wanted placements if these candidates are preempted.
     Complete(Vec<PreemptionCandidate>),
-    /// End of the search, as it has reached [`MAX_FIT_CHECKS`].
+    /// The search has made [`MAX_FIT_CHECKS`] checks and ends without all wanted
+    /// placements.
     GiveUp,
 }
 
@@ -189,8 +193,8 @@
         SimulationStep::Continue
     }
 
-    /// Returns the preempted work on machines where the job gets placements. The other
-    /// preempted work is not needed.
+    /// Returns the preempted work on the machines where the job gets placements. Preempting
+    /// the other work was of no use, so it is left out.
     fn candidates_at(&self, placements: &[TaskPlacement]) -> Vec<PreemptionCandidate> {
         let used: BTreeSet<&str> = placements.iter().map(|p| &*p.machine).collect();
         let needed = self
