--- a/src/scheduler/machine_shard_limits.rs
+++ b/src/scheduler/machine_shard_limits.rs
@@ -24,10 +24,10 @@
 /// number among the shards of its preferred owner.
 ///
 /// In the compact encoding, the limit follows from the lower of the state service's current
-/// and announced limits on values. Before that encoding is in use, adding a machine guards
-/// all shards of an owner. The owner's first few shards are kept within the lower limit
-/// then; further ones may grow to the current limit, so that fewer shards have to be
-/// guarded.
+/// and announced limits on values. Before that encoding is in use, only the owner's first
+/// few shards are kept within the lower limit. Further ones may grow to the current limit:
+/// as long as adding a machine guards all shards of the owner, larger shards mean fewer
+/// guards.
 pub(super) fn max_shard_bytes(settings: &Settings, compact: bool, number: usize) -> usize {
     let limit = match compact || number < settings.max_writes_per_commit() {
         true => settings.value_limit_bytes(),
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -37,8 +37,8 @@
     pub spec: &'a JobSpec,
     /// Effective priority of the running job.
     pub priority: Priority,
-    /// True if the running job's team uses resources beyond its guarantee, and would still
-    /// use its whole guarantee without this work.
+    /// True if the work counts as borrowed: the running job's team would still use its
+    /// whole guarantee without this work.
     pub borrows: bool,
 }
 
--- a/src/scheduler/record_size.rs
+++ b/src/scheduler/record_size.rs
@@ -71,8 +71,8 @@
     all - dependencies.min(all)
 }
 
-/// Returns the length of the longest name among the machines that may become recorded as
-/// machines that the job has failed on, in bytes.
+/// Returns the length of the longest machine name that the job's list of failed machines
+/// may contain after the placements are booked, in bytes.
 fn longest_machine_name(job: &Job, placements: &[TaskPlacement]) -> usize {
     let running = job.runs.iter().map(|run| run.machine.len());
     let planned = placements.iter().map(|placement| placement.machine.len());
@@ -110,8 +110,8 @@
     placements.len()
 }
 
-/// Returns the size of the compact record before the placements are booked, but with the
-/// table of their machines, in bytes.
+/// Returns the size of the job's compact record before the placements are booked, in bytes.
+/// The table of machines is counted with the machines of the placements.
 fn current_compact_bytes(job: &Job, placements: &[TaskPlacement], task_bytes: usize) -> usize {
     let running = job.runs.iter().map(|run| (&*run.machine, &*run.zone));
     let planned = placements
--- a/src/scheduler/round.rs
+++ b/src/scheduler/round.rs
@@ -27,7 +27,8 @@
 use crate::wire::{Precondition, Write};
 use crate::workers::AttemptKey;
 
-/// Decisions of one round, as the transaction that records them.
+/// Commit of one round: the preconditions and writes to send, and the decisions that they
+/// record.
 pub(super) struct RoundCommit {
     /// Number of jobs that get bookings.
     pub(super) admitted_jobs: usize,
@@ -74,9 +75,9 @@
     round.into_round_commit(admitted, terminations)
 }
 
-/// Returns whether the queue has not been examined for a heartbeat interval. A controller
-/// without jobs of its own still examines the queue at that interval to record why jobs
-/// wait, as users may ask any controller for the reason.
+/// Returns whether no round has examined the queue within the last heartbeat interval. A
+/// controller without jobs of its own still examines the queue at that interval to record
+/// why jobs wait, as users may ask any controller for the reason.
 fn is_queue_due(controller: &Controller, state: &RoundState, now: Instant) -> bool {
     state.queue_examined_at.is_none_or(|at| {
         now.saturating_duration_since(at) > controller.settings.heartbeat_interval()
@@ -93,9 +94,9 @@
 /// Returns the plan that a round starts from.
 fn starting_plan(controller: &Controller, replica: &Replica) -> Plan {
     let mut plan = Plan::from_replica(replica);
-    // The zone shard's record can still contain a machine that receives no commands. Tasks
-    // placed there would end immediately and be placed there again, so the machine is
-    // planned without free resources.
+    // A machine whose worker is unreachable receives no commands, but can still have free
+    // resources in the zone shard's record. Tasks placed there would end immediately and be
+    // placed there again, so the plan counts nothing on the machine as free.
     let owned_workers = controller.workers.owned();
     for (machine, worker) in owned_workers.iter() {
         if worker.unreachable_since.is_none() {
@@ -108,7 +109,8 @@
     plan
 }
 
-/// Placements found for a job that this controller books.
+/// Placements that the round has found for one of the controller's own jobs and books after
+/// the queue has been processed.
 struct JobPlacement<'a> {
     id: &'a str,
     spec: JobSpec,
@@ -121,14 +123,15 @@
     replica: &'a Replica,
     state: &'a mut RoundState,
     now: Instant,
-    /// Ids of the jobs that this controller places.
+    /// Ids of the controller's own jobs, which are those that this controller places.
     own_jobs: BTreeSet<&'a str>,
     /// Names of the controllers that are alive.
     alive: &'a [String],
     plan: Plan,
     transaction: Transaction<'a>,
     search: RoundSearch,
-    /// Ids of the zone shards that the transaction writes anyway.
+    /// Ids of the zone shards that the transaction writes already, or will write for the
+    /// placements found so far.
     touched_shards: BTreeSet<String>,
     placements: Vec<JobPlacement<'a>>,
     /// Ids of own jobs that running work may be preempted for.
--- a/src/scheduler/round/booking.rs
+++ b/src/scheduler/round/booking.rs
@@ -22,8 +22,9 @@
             let JobPlacement { id, spec, tasks } = placement;
             let booked = self.transaction.book(id, spec, tasks);
             if booked < tasks.len() {
-                // The remaining placements are booked by the next commits. Every second
-                // commit then adds bookings before terminations.
+                // The remaining placements are booked by later commits. If terminations
+                // took the space of gangs or services in this commit, the next round adds
+                // bookings first and clears the flag, so the two orders alternate.
                 self.state.gangs_deferred |= terminations_first && spec.kind != JobKind::Array;
                 self.record_wait_reason(id, WaitReason::CommitFull);
             }
--- a/src/scheduler/round/queue_pass.rs
+++ b/src/scheduler/round/queue_pass.rs
@@ -12,13 +12,13 @@
 
 /// Decision of a round on one job of the queue.
 enum JobDecision {
-    /// Placements for the job's tasks.
+    /// The job's tasks get these placements.
     Place(JobSpec, Vec<TaskPlacement>),
-    /// Wait of the job until a later round.
+    /// The job waits until a later round.
     Wait(WaitDecision),
 }
 
-/// Details of a job's wait.
+/// Reason for which a job waits, and the measures that the round takes for the job.
 struct WaitDecision {
     spec: JobSpec,
     reason: WaitReason,
@@ -37,10 +37,10 @@
     )
 }
 
-/// Returns the placements that a job gets in this round. A job that is suspected faulty
-/// and has no running task only gets one, which shows whether its tasks still fail. A
-/// suspected gang gets all its placements, as its tasks only run together. A suspected
-/// service gets all of them once one replica is running.
+/// Returns the placements that a job gets in this round. A job that is suspected faulty and
+/// has no booked tasks gets a single placement, to test whether its tasks still fail. A
+/// gang gets all its placements even if it is suspected faulty, as its tasks only run
+/// together. A suspected service gets all its placements once one replica is booked.
 fn limited_if_suspected_faulty(
     waiting: WaitingJob,
     mut tasks: Vec<TaskPlacement>,
@@ -54,8 +54,8 @@
 
 impl<'a> Round<'a> {
     /// Finds placements for the waiting jobs, in queue order. The queue contains the jobs
-    /// of all controllers: a job that another controller places has its resources reserved
-    /// in this plan too.
+    /// of all controllers. Placements of jobs that another controller places are reserved
+    /// in this plan too, but not booked.
     pub(super) fn place_queue(&mut self) {
         self.touched_shards = self.transaction.zone_shards();
         let settings = &self.controller.settings;
@@ -145,8 +145,8 @@
         job.failure_count > errors_before || failure_wait_reason().is_some()
     }
 
-    /// Returns the placement hints for a job, from the point of view of the controller
-    /// that places it.
+    /// Returns the placement hints for a job, with the controller that places the job as
+    /// the placing controller.
     fn hints(&self, id: &str, spec: &JobSpec, is_own: bool) -> PlacementHints<'a> {
         let settings = &self.controller.settings;
         let placing_controller = match is_own {
--- a/src/scheduler/round_search.rs
+++ b/src/scheduler/round_search.rs
@@ -25,7 +25,7 @@
 /// running work, and heartbeats and submissions are not processed meanwhile.
 pub(super) const MAX_PREEMPTION_SEARCHES: usize = 4;
 
-/// Failed placement search for jobs of one shape.
+/// Failed placement search for jobs of one shape, as defined by [`shape_hash`].
 struct FailedSearch {
     /// Smallest number of tasks that did not fit.
     tasks: usize,
@@ -58,8 +58,8 @@
 }
 
 impl SearchContext<'_> {
-    /// Returns the placement request of a job on this plan, which may differ from the
-    /// context's plan.
+    /// Returns a job's placement request on `plan`, which may differ from the plan of the
+    /// context.
     fn request<'b>(
         &'b self,
         waiting: WaitingJob<'b>,
@@ -77,9 +77,11 @@
     }
 }
 
-/// Returns a hash of the attributes that determine where a job fits, except its team and
-/// the location of its running tasks. Returns `None` if the location of its running tasks
-/// matters.
+/// Returns a hash of the job's shape: the attributes that determine where the job fits.
+/// Neither the team nor the location of running tasks is part of the shape.
+///
+/// Returns `None` for a job other than a gang whose tasks must be in one zone or spread
+/// over zones: where its waiting tasks fit depends on where its tasks already run.
 fn shape_hash(job: &Job, spec: &JobSpec) -> Option<u64> {
     if !spec.is_gang() && (spec.one_zone || spec.spread) {
         return None;
@@ -139,9 +141,9 @@
         found
     }
 
-    /// Finds placements for a job. A service or gang that would take resources away from
-    /// accelerator work waits for a preemption of lower-priority work elsewhere, if such a
-    /// preemption is possible.
+    /// Finds placements for a job. A service or gang without accelerators that fits only if
+    /// it takes resources from accelerator work waits instead, if it will fit elsewhere
+    /// once stopping tasks have ended or after a preemption.
     fn search(
         &mut self,
         context: &SearchContext,
@@ -196,9 +198,10 @@
         found.is_some_and(|preemption| preemption.complete)
     }
 
-    /// Reserves the resources that the first starving gang waits for, so that jobs behind
-    /// it in the queue do not use them. The reservation is in the zone with the most of
-    /// these resources.
+    /// Reserves resources for a starving gang in the zone that has capacity for the most of
+    /// its tasks, so that jobs behind the gang in the queue do not use these resources.
+    /// Does nothing for jobs other than gangs, or if the round has already made a
+    /// reservation.
     pub(super) fn reserve_for_first_gang(
         &mut self,
         replica: &Replica,
--- a/src/scheduler/round_state.rs
+++ b/src/scheduler/round_state.rs
@@ -49,8 +49,8 @@
 pub(super) struct RoundState {
     observed: HashMap<String, ObservedVersion>,
     backoffs: HashMap<String, RetryBackoff>,
-    /// Times of the latest preemption for each job, by job id. The resources of these
-    /// preemptions may not be free yet.
+    /// Time of the latest preemption for each job, by job id. Removed after the preemption
+    /// timeout; until then, the resources of the stopped tasks may not be free yet.
     pub(super) preempted_for: HashMap<String, Instant>,
     /// Times at which a preemption search for a job found no candidates, by job id. The
     /// search is not repeated in every round, as it examines all running work, which
@@ -67,8 +67,8 @@
     pub(super) small_commits: bool,
     /// True if gangs or services had placements that did not fit into the last commit.
     pub(super) gangs_deferred: bool,
-    /// Jobs whose record the state service refused as too large, with the time until which
-    /// they are excluded from commits, so that the other jobs can be committed.
+    /// Jobs whose records the state service refused as too large, with the end of their
+    /// exclusion from commits. Excluding them lets the other jobs be committed.
     excluded: HashMap<String, Instant>,
 }
 
@@ -156,8 +156,9 @@
         }
     }
 
-    /// Removes the times of preemptions, and of preemption searches without candidates,
-    /// after which a new attempt for the same job is allowed.
+    /// Removes the records of earlier preemption attempts that no longer prevent a new
+    /// attempt for the same job: preemptions older than the preemption timeout, and
+    /// searches without candidates older than half a heartbeat interval.
     pub(super) fn expire_preemption_attempts(&mut self, settings: &Settings, now: Instant) {
         let gang_wait = Duration::from_secs_f64(settings.deployment.workers.gang_peer_s);
         let preemption_timeout = gang_wait * PREEMPTION_TIMEOUT_GANG_WAITS;
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -34,8 +34,9 @@
         if !controller.replica.borrow().loaded || !controller.is_state_service_reachable() {
             continue;
         }
-        // Both functions examine all machines. Lease expiries and removed machines do not
-        // have to be noticed sooner than a few times per heartbeat interval.
+        // Both functions examine all machines, so they are not called in every iteration.
+        // It is enough to look for expired leases and removed machines a few times per
+        // heartbeat interval.
         if last_release_at.is_none_or(|at| at.elapsed() > idle_interval / 2) {
             last_release_at = Some(Instant::now());
             workers::queue_terminations_of_expired_leases(&controller);
@@ -79,12 +80,13 @@
     }
 }
 
-/// Action that follows a commit.
+/// Action of the placement loop after a commit.
 #[derive(PartialEq, Eq)]
 enum NextStep {
-    /// Another decision, on the current state of the replica.
+    /// The loop decides another round on the current state of the replica.
     DecideAgain,
-    /// End of the rounds until the next wake-up, as the state service cannot be reached.
+    /// The loop runs no more rounds until its next wake-up, as the state service cannot be
+    /// reached.
     Pause,
 }
 
@@ -128,8 +130,8 @@
             await_newer_replica(controller).await;
         }
         Err(error) => {
-            // The commit may have been applied. After a barrier, the replica shows whether
-            // it was.
+            // The commit may have been applied although no response arrived. Once a read
+            // barrier has completed, the replica shows whether the commit was applied.
             tracing::debug!(%error, "round commit not answered");
             if !controller
                 .wait_for_barrier(controller.settings.worker_lease() / 4)
--- a/src/scheduler/shard_allocation.rs
+++ b/src/scheduler/shard_allocation.rs
@@ -14,8 +14,9 @@
 //! Two commits that see the same number of shards select the same group, so each of them
 //! guards what the other writes. If they see different numbers, a shard was created in
 //! between. The commit that saw fewer shards guards the absence of the new shard, so it
-//! either precedes the creation of that shard or fails. The commit that saw more shards
-//! was decided on a replica that contains the new shard and, with it, the machine.
+//! either precedes the creation of that shard or fails. If it precedes the creation, the
+//! commit that saw more shards was decided on a replica that already contains the machine
+//! along with the new shard.
 //!
 //! Shards are never removed, and are numbered without gaps.
 
@@ -93,10 +94,13 @@
 /// Returns whether the shards with this id prefix (`zone/owner`) may be used in groups.
 ///
 /// All controllers must support groups: an older program guards all shards of an owner and
-/// relies on other controllers to do the same. Commits of such a program, and commits that
-/// this program sent before all controllers supported groups, may still be applied. Such a
-/// commit guards all shards of the owner, so it can no longer succeed once one of them was
-/// written after the `formats` record that enabled groups.
+/// relies on other controllers to do the same.
+///
+/// Even when all controllers support groups, a commit that was sent earlier may still be
+/// applied, and it relies on guards of all shards as well. As it guards all shards of the
+/// owner itself, it fails once any of them has been written. Groups are therefore used only
+/// after one of the owner's shards has been written after the `formats` record that enabled
+/// groups.
 pub(super) fn uses_groups(replica: &Replica, prefix: &str) -> bool {
     let Some(known_since) = replica.grouped_shards_since() else {
         return false;
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -12,8 +12,9 @@
 /// plan. Returns the terminations that were recorded.
 ///
 /// Terminations of gangs, services and jobs with dependents are recorded first, as many
-/// jobs wait for their resources. Terminations of other arrays are recorded last, up to a
-/// limit of their own, and start where the last round stopped, so that none waits forever.
+/// jobs wait for the resources that these release. Terminations of other arrays are
+/// recorded last, up to a limit of their own. They start with the first one that did not
+/// fit into the last round, so that none waits forever.
 pub(super) fn record_terminations(
     controller: &Controller,
     replica: &Replica,
@@ -42,7 +43,7 @@
     spec.is_some_and(|s| s.kind == JobKind::Array) && !replica.has_dependents(&key.job)
 }
 
-/// Recorder of terminations in a transaction.
+/// State of one call of [`record_terminations`].
 struct TerminationRecorder<'a, 'r> {
     controller: &'a Controller,
     replica: &'a Replica,
@@ -50,7 +51,8 @@
     plan: &'a mut Plan,
     /// Terminations that were added to the transaction.
     recorded: Vec<AttemptKey>,
-    /// Terminations without a booking, or whose evidence is no longer valid.
+    /// Terminations to discard, as the task is no longer booked or the evidence no longer
+    /// valid.
     stale: Vec<AttemptKey>,
 }
 
--- a/src/scheduler/transaction.rs
+++ b/src/scheduler/transaction.rs
@@ -37,7 +37,7 @@
     pub(super) max_records: usize,
     /// Jobs that the transaction writes, by id.
     jobs: BTreeMap<String, Job>,
-    /// Resources in use by the teams whose records the transaction writes, by team name.
+    /// Resources used by each team whose record the transaction writes, by team name.
     teams: BTreeMap<String, Resources>,
     /// Zone shards that the transaction writes, by id.
     zone_shards: BTreeMap<String, ZoneShard>,
@@ -48,7 +48,7 @@
     /// Ids of machine shards that the commit guards (with a precondition on their version)
     /// but does not write.
     guarded_machine_shards: BTreeSet<String>,
-    /// Accounts of teams whose quota is split into shares.
+    /// Accounts of teams whose quota is split into shares, one share per controller.
     accounts: Option<BookingAccounts>,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns a job's record for changes, and marks it to be written.
+    /// Returns a job's record for modification, and marks the record to be written.
     fn edit_job(&mut self, id: &str) -> Option<&mut Job> {
         if !self.jobs.contains_key(id) {
             let job = self.replica.jobs.get(id)?.value.clone();
@@ -114,18 +114,18 @@
         self.jobs.get_mut(id)
     }
 
-    /// Returns a team's resources in use for changes, and marks the team's record to be
-    /// written. The usage is recomputed from the replica and the terminations of this
-    /// transaction.
+    /// Returns the resources that a team uses, for modification, and marks the team's
+    /// record to be written. The first call for a team computes them from the replica, less
+    /// the resources that the terminations recorded so far release.
     fn edit_team(&mut self, team: &str) -> &mut Resources {
         let released = self.released_by_team.get(team).copied().unwrap_or_default();
         let used = self.replica.team_used(team) - released;
         self.teams.entry(team.to_string()).or_insert(used)
     }
 
-    /// Returns a zone shard's record for changes, and marks it to be written. The free
-    /// resources of its machines are recomputed from the replica and the terminations of
-    /// this transaction.
+    /// Returns a zone shard's record for modification, and marks the record to be written.
+    /// The first call for a zone shard computes the free resources of its machines from the
+    /// replica, plus the resources that the terminations recorded so far release.
     fn edit_zone_shard(&mut self, id: &str) -> &mut ZoneShard {
         let (replica, released) = (self.replica, &self.released_by_machine);
         self.zone_shards.entry(id.to_string()).or_insert_with(|| {
--- a/src/scheduler/transaction/accounts.rs
+++ b/src/scheduler/transaction/accounts.rs
@@ -1,5 +1,6 @@
-//! Selection of the record that a job's bookings count against: the record of its team or,
-//! where the team's quota is split, a controller's share.
+//! Selection of the account of a job's bookings. The account is the record that bookings
+//! count against: the team's own record or, if the team's quota is split into shares, the
+//! share of one controller.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +11,17 @@
 use crate::scheduler::plan::TaskPlacement;
 use crate::state::records::{Job, JobSpec};
 
-/// Record that a booking counts against.
+/// Account of a job's bookings.
 enum Account {
-    /// Record of the team itself.
+    /// The team's quota is not split; bookings count against the team's own record.
     TeamUsage,
-    /// Share of this controller in the team's quota.
+    /// The team's quota is split; bookings count against the share of this controller.
     Share(ControllerName),
 }
 
 impl Transaction<'_> {
-    /// Returns the record that a job's bookings count against. Returns `None` if it cannot
-    /// be determined, so that nothing may be booked.
+    /// Returns the account of a job's bookings. Returns `None` if the account cannot be
+    /// determined; nothing may be booked for the job then.
     fn account_of(&self, team: &str, job: &Job) -> Option<Account> {
         if self.replica.is_share_unreadable(team) {
             return None;
@@ -34,8 +35,8 @@
         ))
     }
 
-    /// Returns whether the record that the job's bookings count against is not written by
-    /// the transaction yet.
+    /// Returns whether booking the job would add its account to the records that the
+    /// transaction writes.
     pub(super) fn is_new_account(&self, job: &str, team: &str) -> bool {
         let account = self.job(job).and_then(|job| self.account_of(team, job));
         match (account, &self.accounts) {
--- a/src/scheduler/transaction/booking.rs
+++ b/src/scheduler/transaction/booking.rs
@@ -126,8 +126,8 @@
 /// a new attempt.
 pub fn book(job: &mut Job, spec: &JobSpec, placements: &[&TaskPlacement]) {
     job.has_preempted = false;
-    // A suspected service gets further replicas only after a booked replica has run well,
-    // so this booking counts as a success.
+    // A service that is suspected faulty gets further replicas only after a booked replica
+    // has run for a while. A further booking is therefore recorded as a success.
     if spec.kind == JobKind::Service && job.is_suspected_faulty() && job.booked_count() > 0 {
         job.record_success();
     }
--- a/src/scheduler/transaction/release.rs
+++ b/src/scheduler/transaction/release.rs
@@ -8,14 +8,15 @@
 use crate::state::records::{JobSpec, MachineLifecycle};
 use crate::workers::{AttemptKey, TerminationEvidence};
 
-/// Result of the attempt to record a termination.
+/// Outcome of recording a termination in the transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// Termination that was added to the transaction.
+    /// The termination was added to the transaction.
     Recorded,
-    /// Termination that did not fit into the commit and is left for the next one.
+    /// The commit has no space for the termination, which is left for the next commit.
     TransactionFull,
-    /// Termination without a booking, or whose evidence is no longer valid.
+    /// The task is no longer booked, or the evidence is no longer valid. Nothing was
+    /// changed.
     Stale,
 }
 
--- a/src/scheduler/transaction/size.rs
+++ b/src/scheduler/transaction/size.rs
@@ -10,8 +10,9 @@
 /// by the protocol.
 pub const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// Maximum estimated size of a commit, in bytes: the protocol's limit less a margin of the
-/// size of a zone shard for everything that the estimates below leave out.
+/// Maximum estimated size of a commit, in bytes: the protocol's limit less a tenth. The
+/// margin, about the size of a zone shard, is for everything that the estimates below leave
+/// out.
 pub const COMMIT_BYTES: usize = crate::http::BODY_LIMIT * 9 / 10;
 
 /// Estimated size of a machine in a zone shard's record, and of a guard in a commit, in
@@ -36,7 +37,7 @@
     SPEC_BYTES + job.runs.len() * RUN_BYTES + tasks * TASK_BYTES
 }
 
-/// Records that a change of one job writes.
+/// Records that a booking or termination of one job writes.
 pub(super) struct TouchedRecords<'a> {
     /// Id of the job.
     pub(super) job: &'a str,
@@ -87,8 +88,8 @@
         self.len() + new_records <= self.max_records
     }
 
-    /// Returns the number of these zone shards that are not written yet, and the number of
-    /// their machines.
+    /// Returns how many of these zone shards the transaction does not write yet, and the
+    /// total number of machines in those.
     fn new_zone_shards(&self, zone_shards: &BTreeSet<&str>) -> (usize, usize) {
         let new = zone_shards
             .iter()
@@ -122,8 +123,9 @@
         }
     }
 
-    /// Returns whether the machine shard is guarded already or can still be. One
-    /// precondition per permitted write is kept free for the records that are written.
+    /// Returns whether the commit already guards the machine shard or has space for another
+    /// guard. One precondition per permitted write is kept free for the records that are
+    /// written.
     pub(super) fn can_guard(&self, machine_shard: &str) -> bool {
         let max_preconditions = self.max_records * (PRECONDITIONS_PER_WRITE - 1);
         self.guarded_records() < max_preconditions
--- a/src/scheduler/wait_states.rs
+++ b/src/scheduler/wait_states.rs
@@ -1,4 +1,4 @@
-//! Reasons why jobs wait, as found by the last placement decision about each.
+//! Reasons why jobs wait. The last placement decision on a job determines its reason.
 
 use serde::Serialize;
 use tokio::time::Instant;
@@ -7,30 +7,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// Lack of a zone with capacity for the whole gang, or of a machine with capacity for
-    /// a task.
+    /// No machine has capacity for a task of the job or, for a gang, the machines do not
+    /// have capacity for all its tasks.
     #[serde(rename = "no-room")]
     NoCapacity,
-    /// Lack of a single zone with capacity for a gang that requires one zone.
+    /// The gang requires a single zone, and no zone has capacity for all its tasks.
     NoZone,
-    /// Team at its limit.
+    /// The job's team has reached its limit.
     TeamLimit,
-    /// Tasks of an earlier attempt that are not proven to have ended.
+    /// Tasks of an earlier attempt are not proven to have ended yet.
     OldAttempt,
-    /// Retry back-off after a failure.
+    /// The job's retry back-off after a failure is not over.
     BackOff,
-    /// Failures on several machines. Only a part of the job is retried, at intervals.
+    /// The job has failed on several machines. Only some of its tasks are retried, at
+    /// intervals.
     #[serde(rename = "fails")]
     SuspectedFaulty,
-    /// Cap on the job's tasks per zone: the zones with capacity have reached it.
+    /// The job's tasks are limited per zone, and the limit leaves no zone with capacity.
     #[serde(rename = "spread")]
     ZoneCapReached,
-    /// Lack of space for more tasks in the job's record.
+    /// The job's record has no space for more tasks.
     RecordFull,
-    /// Other work that took precedence in the round and filled its commit.
+    /// The round's commit was full before all of the job's placements were booked.
     #[serde(rename = "queue")]
     CommitFull,
-    /// Refusal by the cloud of every machine type that the job could run on.
+    /// The cloud has refused to provide every machine type that the job could run on.
     #[serde(rename = "refused")]
     RefusedByCloud,
 }
