--- a/src/controller/barrier.rs
+++ b/src/controller/barrier.rs
@@ -15,30 +15,31 @@
 use crate::state::keys::BARRIER_KEY;
 
 impl Controller {
-    /// Returns the time since the last completed barrier was sent; `None` before the first
-    /// one.
+    /// Returns the time since the last completed barrier was sent, or `None` if no barrier
+    /// has completed yet.
     pub fn replica_staleness(&self) -> Option<Duration> {
         self.state_sync.last_barrier().map(|sent| sent.elapsed())
     }
 
     /// Returns whether this controller may renew its workers' leases. Safety 4: a
     /// controller that may have missed a cancellation for longer than the staleness limit
-    /// must not extend them.
+    /// must not extend its workers' leases.
     pub fn may_renew_leases(&self) -> bool {
         self.replica_staleness()
             .is_some_and(|age| age < self.settings.staleness_limit())
     }
 
-    /// Returns whether the state service has served a read barrier of this controller
-    /// within a quarter of a worker's lease.
+    /// Returns whether this controller sent its last completed read barrier less than a
+    /// quarter of a worker's lease ago.
     pub fn is_state_service_reachable(&self) -> bool {
         let limit = self.settings.worker_lease() / 4;
         self.replica_staleness().is_some_and(|age| age < limit)
     }
 
     /// Defers the launches on a machine until the next read barrier completes, and requests
-    /// a barrier. Only the first deferred machine sends the request: while the state
-    /// service refuses requests, barriers are retried at their normal interval.
+    /// that barrier. Machines that are deferred while others wait already request no
+    /// further barrier. If the state service refuses the barrier, it is retried at the
+    /// normal interval and not once per deferred machine.
     pub fn defer_launches_until_barrier(&self, machine: &str) {
         let barriers = &self.state_sync.barriers;
         let mut deferred = barriers.deferred_launches.borrow_mut();
@@ -49,8 +50,8 @@
     }
 
     /// Waits until the replica contains everything that was committed before this call.
-    /// Returns false if that takes longer than `limit`. Concurrent callers share one read
-    /// of the revision.
+    /// Returns false if the wait takes longer than `limit`. Concurrent callers share one
+    /// read of the revision.
     pub async fn wait_for_barrier(&self, limit: Duration) -> bool {
         let barriers = &self.state_sync.barriers;
         let awaited = barriers.next_number();
@@ -82,8 +83,9 @@
         let min_interval = self.request_interval() * REQUESTS_PER_BARRIER;
         let barriers = &self.state_sync.barriers;
         loop {
-            // The leases of a newly started controller's workers are already running out,
-            // so the first barrier is sent without waiting for a request.
+            // After a start of the controller, its workers' leases are already running out
+            // and cannot be renewed before a barrier has completed. The first barrier is
+            // therefore sent without waiting for a request.
             if barriers.last_completed.get().is_some() {
                 let _ = timeout(idle, barriers.requested.notified()).await;
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -63,7 +63,8 @@
     /// The client for direct commands to workers, with a limited number of connections, as
     /// there are many workers.
     pub worker_client: Client,
-    /// The client of the state service, with this controller's part of the request budget.
+    /// The client of the state service. It keeps this controller within its fraction of the
+    /// service's limits on requests and writes.
     pub state_client: StateClient,
     /// A random number that distinguishes this run of the process from earlier runs under
     /// the same controller name.
@@ -124,7 +125,7 @@
     }
 
     /// Returns the interval at which this controller may send requests to the state service
-    /// within its part of the rate limit.
+    /// if all controllers have equal fractions of the rate limit.
     pub fn request_interval(&self) -> Duration {
         let rps = self
             .settings
@@ -152,7 +153,8 @@
         Ok(revision)
     }
 
-    /// Wakes the loops that depend on the replica after a change of it.
+    /// Wakes the loops that depend on the replica. Must be called after each change of the
+    /// replica.
     pub fn notify_replica_changed(&self) {
         let revision = self.replica.borrow().revision;
         self.state_sync.advance_to(revision);
@@ -176,7 +178,8 @@
     )
 }
 
-/// Creates the client of the state service, with this controller's part of its rate limits.
+/// Creates the client of the state service, with equal fractions of its rate limits for all
+/// controllers as the initial budget.
 fn new_state_client(
     settings: &Settings,
     client: Rc<Client>,
--- a/src/controller/process_clock.rs
+++ b/src/controller/process_clock.rs
@@ -14,8 +14,8 @@
 pub(super) struct ProcessClock {
     /// The time at which this process was last seen running.
     last_ran: Cell<Instant>,
-    /// The moving average of the delay of the process's timers. It grows when the work
-    /// exceeds the process's share of the processor.
+    /// The moving average of the delay of the process's timers. The average grows when the
+    /// process has more work than it gets processor time for.
     timer_lag: Cell<Duration>,
 }
 
@@ -32,8 +32,12 @@
         now.saturating_duration_since(self.last_ran.replace(now))
     }
 
-    /// Adds the delay of one timer to the moving average. Timers fire in steps of a few
-    /// milliseconds, so the average covers only a few delays.
+    /// Adds the delay of one timer to the moving average, with a weight of one quarter.
+    ///
+    /// Timers fire in steps of a few milliseconds, so a single delay can be too large by
+    /// that much without any load. Averaging evens this out. The weight is large enough for
+    /// the average to depend on the last few delays only, and so to follow changes of the
+    /// load.
     fn record_delay(&self, delay: Duration) {
         self.timer_lag.set((self.timer_lag.get() * 3 + delay) / 4);
     }
@@ -61,7 +65,8 @@
     /// Detects pauses and overload of this process, at short intervals.
     pub async fn run_pause_detection(self: Rc<Self>) {
         let tick = self.settings.worker_lease() / 32;
-        // Bounds the effect of one long pause, which is not load.
+        // A long pause of the process is not load, so this bounds its effect on the
+        // average.
         let max_delay = self.settings.heartbeat_interval() / 2;
         loop {
             let now = self.now_excluding_pauses();
@@ -79,8 +84,8 @@
     }
 }
 
-/// Shifts an earlier time forward by a pause, up to `now` at most, so that the pause does
-/// not count as time that has passed since.
+/// Shifts an earlier time forward by a pause, up to `now` at most. The pause then does not
+/// count when the time since is computed.
 pub fn shifted_past_pause(at: Instant, pause: Duration, now: Instant) -> Instant {
     at.checked_add(pause)
         .map_or(now, |shifted| shifted.min(now))
--- a/src/controller/state_sync.rs
+++ b/src/controller/state_sync.rs
@@ -13,9 +13,9 @@
     /// The revision that the replica has reached.
     pub(super) applied_revision: watch::Sender<u64>,
     pub(super) barriers: ReadBarriers,
-    /// Ends the current watch, which may be stuck, so that a new one is opened.
+    /// Signal to abandon the current watch, which may be stuck, and to open a new one.
     pub(super) reopen_watch: Notify,
-    /// Opens the next watch without delay, for callers that wait for the replica.
+    /// Signal to open the next watch without a pause, as a caller waits for the replica.
     pub(super) expedite_watch: Notify,
 }
 
@@ -40,7 +40,7 @@
 /// started.
 #[derive(Debug, Default)]
 pub(super) struct ReadBarriers {
-    /// Wakes the loop that issues barriers.
+    /// Signal to the loop that issues barriers that a caller waits for one.
     pub(super) requested: Notify,
     /// The number of the last barrier that was started.
     pub(super) started: Cell<u64>,
@@ -62,8 +62,8 @@
         number
     }
 
-    /// Returns the number of the next barrier to be started, which is certain to be sent
-    /// after this call.
+    /// Returns the number of the next barrier to be started. That barrier is sent after
+    /// this call, so it covers everything that was committed before the call.
     pub(super) fn next_number(&self) -> u64 {
         self.started.get() + 1
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -37,8 +37,8 @@
         )
     }
 
-    /// Opens the next watch without delay. Called when the replica is known to lack a
-    /// commit of another controller.
+    /// Ends the pause before the next watch request. Called when the replica is known to
+    /// lack a commit of another controller.
     pub fn expedite_watch(&self) {
         self.state_sync.expedite_watch.notify_one();
     }
@@ -48,8 +48,9 @@
     pub async fn run_watch(self: Rc<Self>) {
         let min_interval = self.request_interval() * 2;
         // A watch delivers every change since the replica's revision, however often a
-        // record was written. After a long silence the changes are many times larger than
-        // the state itself and may exceed the memory, so the state is read again instead.
+        // record was written. After a long time without a response, these changes can be
+        // many times larger than the state itself and exceed the process's memory, so the
+        // state is read again instead.
         let max_silence = self.settings.worker_lease() / 2;
         let mut last_response = Instant::now();
         let mut fallen_behind = false;
@@ -71,8 +72,8 @@
                 WatchEnd::Failed => {}
                 WatchEnd::Reopened => continue,
             }
-            // Each watch that is opened counts as a request. While changes arrive
-            // continuously, the pause batches them.
+            // Each watch counts against the request budget. While changes arrive
+            // continuously, the pause lets one watch deliver several of them.
             let pause = min_interval.saturating_sub(opened.elapsed());
             let _ = timeout(pause, self.state_sync.expedite_watch.notified()).await;
         }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,5 +1,5 @@
-//! The daemon, which starts all loops of one controller and stops them together. The
-//! context that the loops share, [`Controller`], does not depend on any of them.
+//! The daemon: starts all loops of one controller and stops them together. The loops share
+//! a [`Controller`] as their context, which does not depend on any loop.
 
 use std::rc::Rc;
 
@@ -48,7 +48,8 @@
     Ok(())
 }
 
-/// Aborts the loops when the future of [`run`] is dropped, as tests do.
+/// Guard that aborts the loops when the future of [`run`] is dropped, for example by a
+/// test.
 struct AbortAll(Vec<AbortHandle>);
 
 impl Drop for AbortAll {
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,13 +1,15 @@
 //! Dependencies between jobs: indexes that are derived from the records of jobs that depend
-//! on others.
+//! on others. A job is blocked while one of its dependencies is pending, which means not
+//! done yet, and ready once all are done.
 //!
 //! Nothing in this module is written to the state service. Whether a job is blocked, ready,
 //! or cancelled by one of its dependencies is derived from the jobs' records alone, so that
 //! every controller gets the same result at the same revision, in whatever order it read
-//! the records. The indexes are updated incrementally as records change, each change along
-//! its own dependency chain, so no scheduling round has to scan all jobs.
+//! the records. The indexes are updated whenever a record changes. An update only visits
+//! the jobs that are linked to the changed job by dependencies, so no scheduling round has
+//! to scan all jobs.
 //!
-//! A job can only name dependencies that are already accepted, so there are no cycles.
+//! A job can only depend on jobs that were accepted before it, so there are no cycles.
 //!
 //! | module | task |
 //! | --- | --- |
@@ -29,7 +31,7 @@
 
 pub use demand::EffectiveUrgency;
 
-/// Indexes over the records of jobs with dependencies; a part of the [`Replica`].
+/// Indexes over the records of jobs with dependencies, kept in the [`Replica`].
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     /// Blocked open jobs by id, each with the ids of its pending dependencies.
@@ -48,8 +50,8 @@
 }
 
 impl DependencyGraph {
-    /// Returns the part of the graph that survives a full read of the state: the times at
-    /// which jobs were first seen.
+    /// Returns an empty graph that keeps only the times at which jobs were first seen. A
+    /// full read of the state rebuilds everything else.
     #[must_use]
     pub fn after_reload(self) -> Self {
         DependencyGraph {
@@ -73,8 +75,8 @@
 
 impl Replica {
     /// Returns a job's status, derived from its own record and from its dependencies;
-    /// `None` if the job is unknown. Code that reports a job's outcome, or decides by it,
-    /// must use this method instead of the record's status.
+    /// `None` if the job is unknown. Code that reports a job's outcome, or whose decisions
+    /// depend on the outcome, must use this method instead of the record's status.
     pub fn effective_status(&self, id: &str) -> Option<JobStatus> {
         let own = self.jobs.get(id)?.value.status;
         let cancelled = &self.dependency_graph.cancelled_by_dependency;
@@ -84,8 +86,9 @@
         }
     }
 
-    /// Returns whether all dependencies of a job are done. The result `true` is final: a
-    /// replica that lags behind can only return it late.
+    /// Returns whether all dependencies of a job are done. The result `true` is final, as a
+    /// dependency that is done stays done. On a replica that lags behind, the result can
+    /// still be `false` for a while.
     pub fn dependencies_done(&self, spec: &JobSpec) -> bool {
         let done = |id: &String| self.effective_status(id) == Some(JobStatus::Done);
         spec.dependencies.iter().all(done)
@@ -110,7 +113,7 @@
         cancelled.map(String::as_str)
     }
 
-    /// Returns whether an open job depends on this one.
+    /// Returns whether a blocked open job depends on this one.
     pub fn has_dependents(&self, id: &str) -> bool {
         self.dependency_graph.demand.contains_key(id)
     }
--- a/src/dependencies/demand.rs
+++ b/src/dependencies/demand.rs
@@ -15,7 +15,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct DependentDemand {
     priority: Priority,
-    /// The time by which the job must be done for all dependents to meet their deadlines.
+    /// The latest time at which the job can be done for all its dependents to meet their
+    /// deadlines; `None` if no dependent has a deadline.
     deadline: Option<Instant>,
 }
 
@@ -77,7 +78,8 @@
     pub fn effective_urgency(&self, id: &str, spec: &JobSpec, now: Instant) -> EffectiveUrgency {
         let demanded = self.demanded_deadline(id);
         let own = match spec.deadline_s {
-            // The job is not in the replica, as in a plan: counts as submitted just now.
+            // A job that this controller has not seen, such as a job that is only planned,
+            // counts as submitted just now.
             Some(deadline_s) if !self.dependency_graph.first_seen.contains_key(id) => {
                 Some(deadline_s)
             }
@@ -105,8 +107,8 @@
         demand.deadline
     }
 
-    /// Recomputes the demand on these jobs, and on their pending dependencies as long as it
-    /// changes.
+    /// Recomputes the demand on these jobs. Where the demand on a job changes, continues
+    /// with the job's pending dependencies.
     pub(super) fn propagate_demand(&mut self, ids: Vec<String>) {
         let mut queue = VecDeque::from(ids);
         while let Some(id) = queue.pop_front() {
--- a/src/dependencies/index.rs
+++ b/src/dependencies/index.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Removes an open job's entries from the indexes before its record changes.
+    /// Removes the index entries of a job that was open, as its record changes or is
+    /// removed. `old` is the record before the change.
     pub(crate) fn unindex_job_dependencies(&mut self, id: &str, old: &Job) {
         self.open_jobs
             .remove(&(old.accepted_revision, id.to_string()));
@@ -71,7 +72,8 @@
         self.propagate_demand(pending);
     }
 
-    /// Removes a job from the blocked jobs, whether it becomes ready or ends.
+    /// Removes a job from the blocked jobs and from the dependents of its pending
+    /// dependencies.
     fn remove_from_blocked(&mut self, id: &str) {
         let graph = &mut self.dependency_graph;
         let Some(pending) = graph.blocked.remove(id) else {
@@ -125,8 +127,7 @@
         }
     }
 
-    /// Marks a job as cancelled by one of its dependencies, together with the job's direct
-    /// and indirect dependents.
+    /// Marks a job and its direct and indirect dependents as cancelled by a dependency.
     fn cancel_with_dependency(&mut self, id: &str) {
         let mut pending = vec![id.to_string()];
         while let Some(id) = pending.pop() {
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -15,8 +15,9 @@
 }
 
 /// Returns the preferred controller for a key, such as a job, among the live controllers,
-/// by rendezvous hashing. All controllers choose the same one, and when a controller is
-/// lost only its own keys get another.
+/// by rendezvous hashing. All controllers that see the same controllers alive choose the
+/// same one. When a controller is lost, only the keys that it was preferred for get another
+/// preferred controller.
 pub fn preferred_controller<'a>(
     key: &str,
     alive: impl Iterator<Item = &'a str>,
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -261,8 +261,8 @@
         Ok(limit)
     }
 
-    /// Returns the number of further tasks that each zone may get. A one-zone job with
-    /// tasks that still run gets no tasks in other zones.
+    /// Returns the number of further tasks that may be placed in each zone. If a job must
+    /// be in one zone and has booked tasks in a zone, the number is 0 for all other zones.
     fn zone_caps(&self) -> Vec<usize> {
         let spec = self.spec;
         let tasks_by_zone = self.job.tasks_per_zone();
--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,5 +1,5 @@
-//! Job attributes that the policy's rules can use: lateness, size, and the team's usage of
-//! its guarantee.
+//! Job attributes that the rules of the configured policy can use, such as lateness, size,
+//! and the team's usage of its guarantee.
 
 use super::plan::Plan;
 use super::waiting_job::coscheduled_tasks;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,6 +1,12 @@
 //! Scheduler: decides which jobs are placed, in which order and on which machines, and
 //! records the decisions in transactions.
 //!
+//! A placement is the choice of a machine for a task. A booking is a placement that is
+//! recorded in the job's record, so that the task may be launched. A zone shard is a record
+//! with the free resources of some of a zone's machines; a machine shard is a record that
+//! states which controller owns its machines. A job that has failed on several machines is
+//! suspected faulty.
+//!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `rounds` | runs the loop that decides and commits |
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -12,10 +12,10 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Returns the preferred controller of a job, which places it first. If there are at least
-/// twice as many teams as controllers, all jobs of a team have the same preferred
-/// controller: only one controller then writes the team's record, and jobs that are placed
-/// in one commit share that write.
+/// Returns the preferred controller of a job, which is the first to place the job. If there
+/// are at least twice as many teams as controllers, all jobs of a team have the same
+/// preferred controller: only one controller then writes the team's record, and jobs that
+/// are placed in one commit share that write.
 pub(super) fn preferred_placer<'a>(
     settings: &Settings,
     job: &str,
--- a/src/scheduler/preemption_candidates.rs
+++ b/src/scheduler/preemption_candidates.rs
@@ -199,9 +199,9 @@
         may_preempt(job, running)
     }
 
-    /// Returns whether strict protection forbids the job from preempting work with this
-    /// spec, as that work uses accelerators and the job needs none. Such work is preempted
-    /// only under lax protection.
+    /// Returns whether strict protection forbids the job to preempt work with this spec.
+    /// Strict protection forbids this if the work uses accelerators and the job needs none.
+    /// Such work is preempted only under lax protection.
     fn takes_protected_accelerators(&self, spec: &JobSpec) -> bool {
         let takes_accelerators = self.waiting.spec.need.gpus.0 == 0 && spec.need.gpus.0 > 0;
         self.protection == AcceleratorProtection::Strict && takes_accelerators
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,6 +1,6 @@
-//! Order in which waiting jobs are placed. The policy determines it, except for jobs that
-//! have waited too long, jobs that work was preempted for, and jobs that are suspected
-//! faulty.
+//! Order in which waiting jobs are placed. The configured policy determines the order,
+//! except for jobs that have waited too long, jobs that work was preempted for, and jobs
+//! that are suspected faulty.
 
 use std::cmp::Ordering;
 
@@ -13,12 +13,13 @@
 use crate::state::records::{Job, JobSpec};
 use crate::state::replica::Replica;
 
-/// Returns whether a job has waited so long that it is placed before all others. `age_s`
-/// is the time since the job was first seen, in seconds. This bounds the wait of every
-/// job, whatever the policy's order by size, team or lateness is.
+/// Returns whether a job has waited so long that the policy's order no longer applies to
+/// it. `age_s` is the time since the job was first seen, in seconds. Such jobs are placed
+/// before those in the policy's order, which bounds their wait however the policy orders
+/// jobs by size, team or lateness.
 ///
-/// Only jobs of which no task has ever been started can be starving: the remaining tasks
-/// of an array follow in the policy's order, and a job that was preempted for a team's
+/// Only a job whose tasks have never been started can be starving: the remaining tasks of
+/// an array follow in the policy's order, and a job that was preempted for a team's
 /// guarantee must not be placed again before the job that preempted it.
 pub(super) fn is_starving(job: &Job, spec: &JobSpec, settings: &Settings, age_s: f64) -> bool {
     age_s > settings.starvation_threshold_s()
@@ -32,8 +33,9 @@
     /// True if the job is suspected faulty, as it has failed on several machines. Such
     /// jobs are placed after all others.
     suspected_faulty: bool,
-    /// False if work was preempted for the job. Such jobs come first whatever the policy's
-    /// order is; otherwise the cleared capacity would be used by other jobs.
+    /// False if work was preempted for the job. Such jobs come before others whatever the
+    /// policy's order is; otherwise other jobs would use the capacity that the preemption
+    /// has freed.
     without_cleared_capacity: bool,
     /// False if the job has waited longer than the starvation threshold. Such jobs come
     /// first, in the order of their acceptance.
