--- a/src/scheduler/job_facts.rs
+++ b/src/scheduler/job_facts.rs
@@ -1,5 +1,5 @@
-//! Job attributes that the policy's rules can use: lateness, size, and the team's usage of
-//! its guarantee.
+//! Job attributes that the rules of the configured policy can use, such as lateness, size,
+//! and the team's usage of its guarantee.
 
 use super::plan::Plan;
 use super::waiting_job::coscheduled_tasks;
@@ -95,7 +95,7 @@
     }
 }
 
-/// Usage of a team's guarantee, as seen by one of the team's jobs.
+/// Usage of a team's guarantee, computed for one of the team's jobs.
 struct GuaranteeUsage {
     /// True if the team would exceed its guarantee with this job.
     borrows: bool,
--- a/src/scheduler/ownership.rs
+++ b/src/scheduler/ownership.rs
@@ -12,10 +12,10 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Returns the preferred controller of a job, which places it first. If there are at least
-/// twice as many teams as controllers, all jobs of a team have the same preferred
-/// controller: only one controller then writes the team's record, and jobs that are placed
-/// in one commit share that write.
+/// Returns the preferred controller of a job, which is the first to place the job. If there
+/// are at least twice as many teams as controllers, all jobs of a team have the same
+/// preferred controller: only one controller then writes the team's record, and jobs that
+/// are placed in one commit share that write.
 pub(super) fn preferred_placer<'a>(
     settings: &Settings,
     job: &str,
@@ -31,9 +31,12 @@
     preferred_controller(key, alive)
 }
 
-/// Returns the ids of the jobs that this controller places now: its own jobs, and jobs
-/// that their preferred controller has left waiting. Updates the round state of all open
-/// jobs, and records the wait reason of jobs that wait after a failure.
+/// Returns the ids of the jobs that this controller places now. These are the waiting jobs
+/// whose preferred controller it is, and waiting jobs whose records have not changed for
+/// two heartbeat intervals, as their preferred controller may not be able to place them.
+///
+/// Also updates the round state of all open jobs, and records the wait reason of jobs that
+/// wait after a failure.
 pub(super) fn jobs_to_place(
     controller: &Controller,
     state: &mut RoundState,
