--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,32 +1,38 @@
-//! Implements the budget of requests and writes: this controller's allocation of the state
-//! service's rate limits, with a reserve for the classes of requests that have precedence.
-//! The functions read no clock; the caller passes the current time.
+//! Implements the budget for requests to the state service and for the keys that they write.
+//!
+//! The budget is this controller's allocation of the state service's rate limits. Each class
+//! of requests must leave a part of the budget to the classes with precedence over it. The
+//! functions read no clock; the caller passes the current time.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 /// Fraction of the state service's rate limits that all controllers together may use. The
-/// controllers share the limits but do not see each other's requests.
+/// rest is a margin, as the controllers do not see each other's requests.
 pub const MAX_BUDGET_FRACTION: f64 = 0.97;
 
 /// Class of a request. When the budget is short, a class has precedence over the classes
 /// after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Accepting and cancelling jobs, reading the revision, watching.
+    /// Requests that users wait for: they accept or cancel jobs or move quota between shares.
+    /// Reads of the current revision and the watch are in this class as well.
     Accept,
-    /// State leases, provisioning requests, and reads of pages of the state.
+    /// Requests that acquire or renew state leases, record machine types or provisioning
+    /// requests, or read pages of the state.
     Lease,
-    /// Claims of machines. Claims and rounds wait with `StateClient::wait_for_budget` before they
-    /// decide. Their commits are then sent without a further wait, into debt if necessary,
-    /// as the decision would become outdated.
+    /// Commits that claim machines. The caller waits with `StateClient::wait_for_budget`
+    /// before it decides which machines to claim. The commit is then sent without a further
+    /// wait, into debt if necessary, as the decision would become outdated during a wait.
     Claim,
-    /// Commits of placement rounds.
+    /// Commits of placement rounds, which wait for the budget as claims do.
     Round,
-    /// Changes of machines that start, drain, or are returned or gone.
+    /// Commits that record that a machine starts, drains, or is returned or gone, that adjust
+    /// shares, or that rewrite records to fit lower limits.
     Lifecycle,
-    /// Deferrable work: publishing free capacity, moving services, removing records.
+    /// Commits that can be deferred: they publish free capacity, move services or remove
+    /// records.
     Publication,
 }
 
@@ -34,12 +40,12 @@
 pub(super) const CLASS_COUNT: usize = 6;
 
 impl RequestClass {
-    /// Returns the fraction of a full burst that this class must leave to the classes with
-    /// precedence. A negative value is the debt that the class may incur.
+    /// Returns the reserve: the fraction of a full burst that this class must leave to the
+    /// classes with precedence. A negative value is the debt that this class may incur.
     pub(super) fn reserve(self) -> f64 {
         match self {
-            // These requests are few and users wait for them. Their debt delays the larger
-            // classes in the following seconds.
+            // These requests are few, and users wait for them. The debt that they incur is
+            // repaid by delaying the more frequent classes in the following seconds.
             RequestClass::Accept => -3.0,
             RequestClass::Lease => -2.0,
             RequestClass::Claim => 0.05,
@@ -50,7 +56,7 @@
     }
 }
 
-/// Token bucket, which is refilled at a rate up to a burst.
+/// Token bucket that is refilled at a constant rate until it contains `burst` tokens.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     /// Refill rate, in tokens per second.
@@ -63,11 +69,12 @@
     refilled_at: Instant,
 }
 
-/// Shortage, in tokens, up to which a difference is a rounding error.
+/// Maximum shortage, in tokens, that is ignored as a rounding error.
 const TOKEN_TOLERANCE: f64 = 1e-9;
 
-/// Fraction of a burst that suffices for the largest request, which then incurs a debt. If
-/// it needed more, it would wait behind all smaller requests.
+/// Maximum fraction of a burst that a request has to wait for. A request that costs more is
+/// sent with a debt. If it had to wait for its full cost, smaller requests would take the
+/// tokens first again and again.
 const MAX_NEED_FRACTION: f64 = 0.5;
 
 impl TokenBucket {
@@ -121,8 +128,9 @@
     }
 }
 
-/// Demand of this controller for writes: the average of its recent writes, increased by the
-/// time spent waiting for the budget.
+/// Estimate of the rate at which this controller would write keys if the budget did not
+/// limit it: the average of its recent writes, increased in proportion to the time that the
+/// writes spent waiting for the budget.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct WriteDemand {
     /// Moving average of written keys per second.
@@ -149,9 +157,9 @@
         self.recorded_at = Some(now);
     }
 
-    /// Returns the keys per second that this controller would write. The `queued` commits
-    /// count as demand, too, as a controller whose commits all wait for the budget writes
-    /// nothing.
+    /// Returns the estimated demand, in keys per second. The `queued` commits count as well:
+    /// a controller whose commits all wait for the budget writes nothing, so its recent
+    /// writes alone would show no demand.
     pub(super) fn wanted_rate(&self, queued: usize) -> f64 {
         self.written_rate * (1.0 + self.waited_fraction) + self.waited_fraction * queued as f64
     }
@@ -163,10 +171,11 @@
 /// Maximum allocation of a controller, as a multiple of an even allocation.
 const MAX_ALLOCATION_MULTIPLE: f64 = 3.0;
 
-/// Returns this controller's allocation of the write rate `total` of all controllers,
-/// proportional to its `demand`. `others` contains the demands of the other controllers,
-/// with `None` for those that have not announced theirs. Each controller gets a minimum,
-/// and none gets more than a multiple of an even allocation, as it could not use more.
+/// Returns the part of the write rate `total` that is allocated to this controller, in
+/// proportion to its `demand`. `others` contains the demands of the other controllers. It is
+/// `None` for a controller that has not announced its demand, which then counts as an even
+/// allocation. Each controller gets at least a minimum, and none gets more than a multiple
+/// of an even allocation, as it could not use more.
 #[must_use]
 pub fn write_rate_allocation(total: f64, demand: f64, others: &[Option<f64>]) -> f64 {
     let even = total / (others.len() + 1) as f64;
@@ -179,7 +188,7 @@
     allocation.clamp(minimum, even * MAX_ALLOCATION_MULTIPLE)
 }
 
-/// Budget of requests and of written keys.
+/// Budget of this controller, with a token bucket for requests and one for written keys.
 #[derive(Debug)]
 pub struct Budget {
     requests: TokenBucket,
--- a/src/state/commit.rs
+++ b/src/state/commit.rs
@@ -4,7 +4,7 @@
 
 use crate::wire::{Precondition, Write, to_raw_json};
 
-/// Returns the precondition that a record still has a version.
+/// Returns the precondition that the record under `key` still has the version `version`.
 pub fn precondition(key: String, version: u64) -> Precondition {
     Precondition { key, version }
 }
--- a/src/state/encoding/digits.rs
+++ b/src/state/encoding/digits.rs
@@ -1,11 +1,11 @@
-//! Encodes and decodes numbers in base 64.
+//! Encodes and decodes numbers in base 64, the form that they have in compact encodings.
 
 /// Digits of the base 64 alphabet, in the order of their values.
 pub(super) const DIGITS: &[u8; 64] =
     b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz_~";
 
-/// First character of the compact encoding of a set of tasks. The plain encoding never
-/// begins with it.
+/// First character of the compact encoding of a set of tasks. The plain encoding, which
+/// begins with a decimal digit, never begins with this character.
 pub(super) const COMPACT_MARK: char = '.';
 
 /// Returns the value of a digit, or `None` if the character is not a digit.
@@ -20,7 +20,7 @@
     }))
 }
 
-/// Appends a number to a text, without leading zeros.
+/// Appends a number in base 64 to a text, without leading zeros.
 pub(super) fn push_number(text: &mut String, mut number: u64) {
     let mut digits = [0; 11];
     let mut start = digits.len();
@@ -35,7 +35,8 @@
     text.extend(digits[start..].iter().map(|digit| char::from(*digit)));
 }
 
-/// Parses a number. Returns `None` if the text is not a number or the number is too large.
+/// Parses a number in base 64. Returns `None` if the text is not such a number or if the
+/// number exceeds 64 bits.
 pub(super) fn read_number(text: &str) -> Option<u64> {
     if text.is_empty() {
         return None;
--- a/src/state/encoding/job.rs
+++ b/src/state/encoding/job.rs
@@ -1,4 +1,7 @@
-//! Encodes and decodes a job's record with its runs in the compact encoding.
+//! Encodes and decodes the compact encoding of a job's record.
+//!
+//! The runs are encoded as a single text. A run refers to its machine by a pattern of machine
+//! names, which is kept in a table beside the text, and by the number in the name.
 
 use std::fmt;
 
@@ -10,13 +13,15 @@
 use super::tasks::{push_tasks, read_tasks, task_width};
 use crate::state::records::{Job, NumberSet, Run};
 
-/// Pattern of machine names in one zone: the common prefix, the width of the number that
-/// follows, and the zone. With width 0, the prefix is the full name of one machine.
+/// Pattern of the names of machines in one zone: the common prefix, the number of digits that
+/// follow, and the zone. If the number of digits is 0, the prefix is the full name of a
+/// single machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct NamePattern(String, usize, String);
 
-/// Returns the number of bytes that a run takes without its tasks: the name pattern, the
-/// machine's number, the attempt, the stop mark and two separators.
+/// Returns the number of bytes that a run takes in the compact encoding without its tasks:
+/// the index of the name pattern, the machine's number, the attempt, the stop mark and two
+/// separators.
 pub fn run_bytes(attempt: u64) -> usize {
     let mut digits = String::new();
     push_number(&mut digits, attempt);
@@ -45,8 +50,8 @@
     40 + patterns.iter().map(pattern_bytes).sum::<usize>()
 }
 
-/// Encodes a job's record in the compact encoding. Returns `None` if the job cannot be
-/// encoded compactly.
+/// Encodes a job's record in the compact encoding. Returns `None` if the record has no compact
+/// encoding because its runs need more name patterns than there are digits.
 pub fn encode_job(job: &Job) -> Option<String> {
     let runs = job.runs.iter().flat_map(|run| run.tasks.0.last());
     let last_tasks = runs.chain(job.retry.0.last()).map(|(_, last)| *last);
@@ -66,8 +71,8 @@
             ));
             table.len() - 1
         });
-        // The pattern's index is a single digit, so that more patterns than digits have no
-        // compact encoding.
+        // The index of a pattern is written as a single digit. If there are more patterns
+        // than digits, the record has no compact encoding.
         let pattern = *DIGITS.get(index)?;
         text.push(' ');
         text.push(char::from(pattern));
@@ -101,7 +106,8 @@
     Some(record)
 }
 
-/// Parses the runs of a job. Returns `None` if the text is not valid.
+/// Parses the runs of a job from the table of name patterns and the text. Returns `None` if
+/// either is not valid.
 fn read_runs(table: &[NamePattern], text: &str) -> Option<Vec<Run>> {
     let mut parts = text.split(' ');
     let width = read_number(parts.next()?)? as usize;
@@ -121,7 +127,7 @@
     parts.map(read_run).collect()
 }
 
-/// Deserializes a job's runs from either encoding.
+/// Deserializes a job's runs from the plain or the compact encoding.
 pub fn deserialize_runs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Run>, D::Error> {
     struct RunsVisitor;
     impl<'de> Visitor<'de> for RunsVisitor {
--- a/src/state/encoding/machine_shard.rs
+++ b/src/state/encoding/machine_shard.rs
@@ -1,4 +1,7 @@
-//! Encodes and decodes machine shards in the compact encoding.
+//! Encodes and decodes the compact encoding of machine shards.
+//!
+//! The machines are grouped into classes of machines with the same owner, incarnation,
+//! lifecycle state, machine type and spot flag. The properties of a class are written once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,10 +13,12 @@
 use super::names::{join_name, split_name};
 use crate::state::records::{HeartbeatId, Machine, MachineLifecycle, MachineShard};
 
-/// Machines of a machine shard with the same owner, incarnation, lifecycle state, machine
-/// type and spot flag. The list has a text for each prefix and width of names, with the
-/// number in the name, the fencing token, and the epoch and the sequence number of the
-/// claim heartbeat of each machine.
+/// Encoded class of machines: the owner, the incarnation, the lifecycle state, the machine
+/// type, the spot flag, and a list of the machines.
+///
+/// The list has an entry for each prefix and number of digits of the machines' names. The
+/// text of an entry contains four numbers for each machine: the number in the name, the
+/// fencing token, and the epoch and the sequence number of the claim heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 struct Members(
     String,
@@ -24,8 +29,8 @@
     Vec<(String, usize, String)>,
 );
 
-/// Common properties of the machines in one class. The order of the fields determines the
-/// order of the classes in the encoding.
+/// Properties that the machines of a class have in common. The order of the fields determines
+/// the order of the classes in the encoding.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MemberClass<'a> {
     owner: &'a str,
@@ -47,8 +52,8 @@
     }
 }
 
-/// Maximum size of a machine in its machine shard's compact record while its numbers have
-/// their usual lengths, in bytes.
+/// Maximum size of a machine's four numbers in a machine shard's compact record, in bytes,
+/// provided that the numbers have their usual lengths.
 pub const MACHINE_ENTRY_BYTES: usize = 22;
 
 /// Size of a class of machines in the compact record without its names, in bytes.
@@ -57,12 +62,14 @@
 /// Additional size of a machine whose name has no number, without the name, in bytes.
 const FULL_NAME_BYTES: usize = 8;
 
-/// Maximum number of classes per machine type: the machines have at most two owners and two
-/// lifecycle states at the same time, beside the class itself.
+/// Maximum number of classes per machine type that the size bounds assume. The machines of a
+/// type may have two owners or two lifecycle states at the same time, so that a class is
+/// joined by up to two others.
 const CLASSES_PER_TYPE: usize = 3;
 
-/// Returns the maximum number of bytes that a machine shard may take after the numbers of
-/// its machines have grown and their states have diverged.
+/// Returns the maximum number of bytes that a machine shard's compact record may take at any
+/// time with the same machines. The bound allows for growing fencing tokens and heartbeat
+/// numbers, and for machines whose owners and lifecycle states come to differ.
 pub fn machine_shard_bytes(
     machine_shard: &BTreeMap<String, Machine>,
     max_owner_length: usize,
@@ -84,8 +91,8 @@
     kinds * CLASSES_PER_TYPE + names.sum::<usize>()
 }
 
-/// Returns the maximum number of bytes that one more machine may add to a machine shard,
-/// even if its machine type is new there.
+/// Returns the maximum number of bytes that one more machine may add to a machine shard's
+/// compact record, even if no machine in the shard has its machine type yet.
 pub fn added_machine_bytes(name: &str, kind: &str, max_owner_length: usize) -> usize {
     let name = match split_name(name) {
         (name, 0, _) => name.len() + FULL_NAME_BYTES,
@@ -159,7 +166,7 @@
     numbers.next().is_none().then_some(member)
 }
 
-/// Deserializes a machine shard's machines from either encoding.
+/// Deserializes a machine shard's machines from the plain or the compact encoding.
 pub fn deserialize_machines<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, Machine>, D::Error> {
--- a/src/state/encoding/mod.rs
+++ b/src/state/encoding/mod.rs
@@ -1,11 +1,15 @@
-//! Implements compact encodings of the records that grow with machines and tasks: zone
-//! shards, machine shards, and the runs of jobs. They are written once every controller
-//! can read them and lower limits of the state service are announced
-//! (`Replica::uses_compact_encoding`). They can always be read: a compact encoding uses the
-//! same JSON field as the plain one, but another JSON type, which tells them apart.
+//! Implements compact encodings of the records that grow with the number of machines and
+//! tasks: zone shards, machine shards, and the runs of jobs.
 //!
-//! Numbers are in base 64, with an alphabet that JSON does not escape. A name that ends in
-//! digits is encoded as its number after a common prefix, any other name in full.
+//! Compact encodings are written only if the settings announce lower limits of the state
+//! service and every controller can read compact encodings
+//! (`Replica::uses_compact_encoding`). A controller always reads both encodings. They use the
+//! same JSON field with different JSON types, which tells them apart; a set of tasks is a
+//! string in both, and its first character tells them apart.
+//!
+//! Numbers are written in base 64, with an alphabet that JSON does not escape. Machine names
+//! that end in digits are split into a prefix, which is written once, and their numbers. Any
+//! other name is written in full.
 
 mod digits;
 mod job;
--- a/src/state/encoding/names.rs
+++ b/src/state/encoding/names.rs
@@ -4,11 +4,12 @@
 
 use crate::state::records::NumberSet;
 
-/// Maximum number of digits of a name's number, so that it always fits a `u32`.
+/// Maximum number of digits at the end of a name that count as its number. A number with
+/// this many digits always fits a `u32`.
 pub(super) const NAME_DIGITS: usize = 9;
 
-/// Splits a name into its prefix, the width of its number in digits, and the number. With
-/// width 0, the prefix is the full name.
+/// Splits a name into a prefix, the width of the number at its end in digits, and that
+/// number. The width is 0 for a name without a number; the prefix is then the full name.
 pub(crate) fn split_name(name: &str) -> (&str, usize, u32) {
     let digits = name.bytes().rev().take_while(u8::is_ascii_digit).count();
     let width = digits.min(NAME_DIGITS);
@@ -19,7 +20,7 @@
     }
 }
 
-/// Returns the name that `split_name` has split.
+/// Joins the parts that `split_name` returned into the name again.
 pub(super) fn join_name(prefix: &str, width: usize, number: u32) -> String {
     match width {
         0 => prefix.to_string(),
@@ -27,8 +28,8 @@
     }
 }
 
-/// Groups names into ranges of numbers by prefix and width. Returns the ranges, and the
-/// names without a number in full.
+/// Groups names by prefix and width. Returns the numbers of each group as ranges, and a list
+/// of the names that have no number.
 pub(super) fn group_names<'a>(
     names: impl Iterator<Item = &'a str>,
 ) -> (Vec<(String, usize, NumberSet)>, Vec<String>) {
--- a/src/state/encoding/tasks.rs
+++ b/src/state/encoding/tasks.rs
@@ -6,8 +6,7 @@
 /// Separator between the first and the last task of a range.
 pub(super) const RANGE_MARK: u8 = b'-';
 
-/// Returns the number of digits that each task number takes, so that the highest of them
-/// fits.
+/// Returns the number of base 64 digits in which every one of the task numbers fits.
 pub(super) fn task_width(tasks: impl Iterator<Item = u32>) -> usize {
     match tasks.max().unwrap_or(0) {
         ..4096 => 2,
@@ -16,7 +15,7 @@
     }
 }
 
-/// Appends a task number with a fixed number of digits.
+/// Appends a task number in base 64 with exactly `width` digits.
 pub(super) fn push_task(text: &mut String, task: u32, width: usize) {
     for position in (0..width).rev() {
         let digit = (u64::from(task) >> (6 * position)) % 64;
@@ -24,8 +23,9 @@
     }
 }
 
-/// Appends a set of tasks. Each task takes at most `width` characters, even if the set
-/// consists of single tasks.
+/// Appends a set of tasks. The numbers need no separators, as each has `width` digits. A set
+/// of n tasks therefore takes at most n times `width` characters, even if no two of the
+/// tasks are adjacent.
 pub(super) fn push_tasks(text: &mut String, set: &NumberSet, width: usize) {
     for &(first, last) in &set.0 {
         push_task(text, first, width);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Parses a set of tasks. Returns `None` if the text is not valid.
+/// Parses a set of tasks that `push_tasks` wrote. Returns `None` if the text is not valid.
 pub(super) fn read_tasks(text: &str, width: usize) -> Option<NumberSet> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     let bytes = text.as_bytes();
@@ -62,7 +62,8 @@
             Some(last) if in_range && last.1 < task => last.1 = task,
             _ if in_range => return None,
             Some(last) if last.1 >= task => return None,
-            // Two adjacent tasks are written without a range mark, as that is shorter.
+            // Two adjacent tasks are written without a range mark, as that is shorter. The
+            // second one extends the range of the first.
             Some(last) if last.1 + 1 == task => last.1 = task,
             _ => ranges.push((task, task)),
         }
@@ -71,8 +72,9 @@
     (!in_range).then_some(NumberSet(ranges))
 }
 
-/// Parses a set of tasks in the compact encoding. Returns `None` if the text is in the plain
-/// encoding, and `Some(None)` if the compact encoding is not valid.
+/// Decodes a set of tasks if the text is in the compact encoding. Returns `None` if the text
+/// is in the plain encoding, and `Some(None)` if it begins like a compact encoding but is not
+/// a valid one.
 pub fn decode_ranges(text: &str) -> Option<Option<NumberSet>> {
     let rest = text.strip_prefix(COMPACT_MARK)?;
     let read = || {
--- a/src/state/encoding/zone_shard.rs
+++ b/src/state/encoding/zone_shard.rs
@@ -1,4 +1,7 @@
-//! Encodes and decodes zone shards in the compact encoding.
+//! Encodes and decodes the compact encoding of zone shards.
+//!
+//! The machines are grouped into classes of machines with the same machine type and spot
+//! flag. The properties of a class are written once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,9 +12,9 @@
 use super::names::{group_names, join_name, split_name};
 use crate::state::records::{Amount, MachineSlot, NumberSet, Resources, ZoneShard};
 
-/// Machines of a zone shard with the same machine type and spot flag: ranges of numbers by
-/// prefix and width of names, names in full, and the resources that unbooked tasks take, by
-/// name.
+/// Encoded class of machines: the machine type, the spot flag, the numbers of the machines by
+/// prefix and number of digits of their names, and the names that have no number. The last
+/// field contains the resources that tasks without a booking take, by machine name.
 #[derive(Debug, Serialize, Deserialize)]
 struct Slots(
     String,
@@ -22,8 +25,8 @@
 );
 
 /// Encodes a zone shard's record in the compact encoding. The free resources are omitted, as
-/// planning subtracts the resources of bookings and of unbooked tasks from the capacity of
-/// the machine type.
+/// planning does not need them: it subtracts the resources of bookings and of unbooked tasks
+/// from the capacity of the machine type.
 pub fn encode_zone_shard(shard: &ZoneShard) -> Option<String> {
     let mut classes: BTreeMap<(&str, bool), Vec<(&str, &MachineSlot)>> = BTreeMap::new();
     for (name, slot) in &shard.machines {
@@ -54,16 +57,16 @@
     Some(format!("{{\"m\":{}}}", serde_json::to_string(&slots).ok()?))
 }
 
-/// Size of the punctuation and numbers of a class of machines, of the prefix of its names,
-/// and of one name, in bytes.
+/// Size of the punctuation and numbers that a class of machines, a prefix of names and a
+/// single name take together, in bytes.
 const CLASS_BYTES: usize = 40;
 
 /// Size of the resources of unbooked tasks without the machine's name, in bytes.
 const UNBOOKED_BYTES: usize = 60;
 
 /// Returns the maximum number of bytes that one more machine may add to a zone shard's
-/// compact encoding, even if it is the first of its class and every character of its names
-/// is escaped.
+/// compact encoding. The bound holds even if the machine is the first of its class and JSON
+/// escapes every character of its name and of its type's name.
 pub fn slot_bytes_bound(machine: &str, kind: &str) -> usize {
     (machine.len() + kind.len()) * 2 + CLASS_BYTES
 }
@@ -97,7 +100,7 @@
     machines.trim_start().starts_with('[')
 }
 
-/// Deserializes a zone shard's machines from either encoding.
+/// Deserializes a zone shard's machines from the plain or the compact encoding.
 pub fn deserialize_slots<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, MachineSlot>, D::Error> {
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -1,12 +1,13 @@
 //! Defines the keys of the records in the state service.
 
-/// Prefix of all keys of the scheduler, so that one watch covers them.
+/// Common prefix of all keys of the scheduler, so that a single watch reports every change.
 pub const PREFIX: &str = "sh/";
 
-/// Key that never exists; the response to a read of it contains the current revision.
+/// Key that is never written. A read of it finds nothing, but the response contains the
+/// current revision of the state service.
 pub const BARRIER_KEY: &str = "sh-barrier";
 
-/// Key of the fleet leader, the controller that provisions machines.
+/// Key whose record identifies the fleet leader, the controller that provisions machines.
 pub const FLEET_KEY: &str = "sh/fleet";
 
 /// Key of the cloud's machine types.
@@ -15,7 +16,7 @@
 /// Key of the record formats that the controllers can read.
 pub const FORMATS_KEY: &str = "sh/formats";
 
-/// Key of the pool that shares grow from.
+/// Key of the pool, the total capacity out of which shares are granted.
 pub const POOL_KEY: &str = "sh/pool";
 
 /// Returns the key of a job's record.
@@ -28,8 +29,8 @@
     format!("{PREFIX}team/{name}")
 }
 
-/// Returns the id of a zone shard, which the replica uses as its name and which follows
-/// `zone/` in its key.
+/// Returns the id of a zone shard. The replica refers to the shard by this id, and the
+/// shard's key is `zone/` followed by the id.
 pub fn shard_id(zone: &str, shard: &str) -> String {
     format!("{zone}/{shard}")
 }
@@ -44,7 +45,8 @@
     format!("{PREFIX}machine/{id}")
 }
 
-/// Returns the key that exists while a controller's state lease is valid.
+/// Returns the key of a running controller's record. The state service removes the record
+/// when the controller's state lease expires.
 pub fn controller_key(name: &str) -> String {
     format!("{PREFIX}node/{name}")
 }
@@ -59,13 +61,13 @@
     format!("{PREFIX}hire/{id}")
 }
 
-/// Returns the key of the split of a team's quota.
+/// Returns the key of the record that splits a team's quota into one share per controller.
 pub fn share_key(team: &str) -> String {
     format!("{PREFIX}share/{team}")
 }
 
-/// Returns the id of the record of a share's bookings, which the replica uses as its name
-/// and which follows `use/` in its key.
+/// Returns the id of the record of a share's bookings. The replica refers to the record by
+/// this id, and the record's key is `use/` followed by the id.
 pub fn share_use_id(team: &str, controller: &str) -> String {
     format!("{team}/{controller}")
 }
@@ -75,7 +77,7 @@
     format!("{PREFIX}use/{id}")
 }
 
-/// Returns the key of a requested move between shares.
+/// Returns the key of a request to move quota from one share to another.
 pub fn move_key(id: &str) -> String {
     format!("{PREFIX}move/{id}")
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,8 @@
-//! Accesses the state service: the client with its budget, the records and their
-//! encodings, this controller's replica, and the trimming of records that have to fit
-//! lower limits.
+//! Accesses the state service, the key-value store that all controllers share.
+//!
+//! A controller sends its requests through a client that keeps to a rate budget. It plans
+//! with a local replica of the records, and trims records that would exceed the lower size
+//! limits that the service has announced.
 
 pub mod budget;
 pub mod client;
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -1,4 +1,5 @@
-//! Numbers names, so that planning compares and copies small numbers in place of strings.
+//! Assigns numbers to names, so that planning compares and copies small numbers instead of
+//! strings.
 
 use std::rc::Rc;
 
@@ -27,7 +28,7 @@
     pub fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
-    /// Returns the name with a number, or an empty string if there is none.
+    /// Returns the name that `number` was assigned to, or an empty string if there is none.
     pub fn name(&self, number: u32) -> Rc<str> {
         self.names
             .get(number as usize)
--- a/src/state/record_bound.rs
+++ b/src/state/record_bound.rs
@@ -1,10 +1,10 @@
-//! Computes bounds of the size of a job's record, for any progress of its tasks.
+//! Computes upper bounds on the size of a job's record that hold at any stage of the job.
 
 use crate::state::encoding;
 use crate::state::records::{Job, JobSpec, MAX_FAILED_MACHINES};
 use crate::wire::JobKind;
 
-/// Maximum size of the counters in a compact record, in bytes.
+/// Maximum size of the counters in a job's compact record, in bytes.
 const COMPACT_COUNTER_BYTES: usize = 130;
 
 /// Size of the quotes and the comma around a name in a list, in bytes.
@@ -22,9 +22,9 @@
     COMPACT_COUNTER_BYTES + spec + failed_on_bytes(max_name_length)
 }
 
-/// Returns the number of bytes that a job's record must have to run the job at all: with
-/// all tasks of a gang, or one task of another job. The machines are named like `name`, in
-/// a zone named like `zone`.
+/// Returns the size of the smallest record with which a job can run at all, in bytes. For a
+/// gang, this is the record with all tasks booked; for any other job, with one task booked.
+/// `name` and `zone` are examples of a machine name and of the name of its zone.
 pub fn min_record_bytes(spec: &JobSpec, name: &str, zone: &str) -> usize {
     /// Attempt number with the most digits that are expected.
     const LONG_ATTEMPT: u64 = 1000;
--- a/src/state/records/accepted_batch.rs
+++ b/src/state/records/accepted_batch.rs
@@ -6,8 +6,9 @@
 
 use super::spec::JobSpec;
 
-/// Record `new/ID`: jobs that were accepted in one write. Each entry serves as the job's
-/// record until the job's own record is first written and takes precedence.
+/// Record `new/ID`: jobs that were accepted in one write. A job's entry stands in for its
+/// record `job/ID` until that record is written for the first time. From then on, the entry
+/// is ignored.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedBatch {
     /// Revision at which the jobs were accepted.
--- a/src/state/records/controller.rs
+++ b/src/state/records/controller.rs
@@ -4,8 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Record `fleet` of the fleet leader, the controller that provisions machines, and record
-/// `node/N` of the running controller N. Both are tied to the controller's state lease.
+/// Record `node/N`, which exists while controller N runs, and record `fleet`, which identifies
+/// the fleet leader, the controller that provisions machines. Either record is removed when
+/// the state lease of the controller that wrote it expires.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
     /// Name of the controller.
@@ -14,8 +15,8 @@
     /// Incarnation of the controller that wrote the record.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Newest formats that the controller's program can read. Programs from before the
-    /// introduction of formats omit the field and ignore it.
+    /// Newest record formats that the controller can read. Versions of the scheduler from
+    /// before the introduction of formats neither write nor read this field.
     #[serde(rename = "v", default, skip_serializing_if = "super::is_zero")]
     pub formats: u32,
 }
@@ -24,21 +25,23 @@
 /// dependencies between jobs.
 pub const FORMATS_COMPACT: u32 = 2;
 
-/// Formats in which the machine shards of a home controller may be used in groups. The
-/// records are unchanged, but a commit that adds a machine has different preconditions.
+/// Formats in which the machine shards of a home controller, whose name is part of their
+/// ids, may be used in groups. The records are unchanged, but a commit that adds a machine
+/// has different preconditions.
 pub const FORMATS_GROUPED_SHARDS: u32 = 3;
 
 /// Newest formats that a controller announces while no feature is enabled.
 pub const FORMATS: u32 = FORMATS_GROUPED_SHARDS;
 
-/// Formats with shares. A controller announces them while the feature is enabled, and can
-/// always read them.
+/// Formats in which the quotas of teams are split into shares. A controller announces them
+/// only while the feature is enabled, but can always read them.
 pub const FORMATS_SHARES: u32 = 4;
 
 /// Record `formats`: the newest formats that each controller has announced, and the newest
-/// that all can read. Neither ever decreases. A controller that stops before it is
-/// upgraded has not announced newer formats yet. Data that an older program could not read
-/// or would corrupt is written only once `all` includes its formats, which is permanent.
+/// that all controllers can read. Neither value ever decreases. Data that an older version
+/// could not read or would corrupt is written only once `all` includes the formats of that
+/// data. A controller that stopped before its upgrade still counts with its old formats, so
+/// it can be started again without finding unreadable records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Formats {
     /// Newest formats that each controller can read, by controller.
@@ -50,9 +53,9 @@
 }
 
 impl Formats {
-    /// Returns the record updated with the announcements `seen`. Newer formats are written
-    /// only after all `configured` controllers, those of the settings, have announced
-    /// them.
+    /// Returns the record updated with the announcements `seen`, pairs of a controller and its
+    /// newest formats. `configured` lists the controllers in the settings; `all` advances
+    /// only after each of them has announced the newer formats.
     pub fn with<'a>(
         &self,
         seen: impl Iterator<Item = (&'a str, u32)>,
--- a/src/state/records/job/bookings.rs
+++ b/src/state/records/job/bookings.rs
@@ -15,14 +15,15 @@
     /// zone needs no machine record.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Number of the attempt, through which the tasks of a gang find each other.
+    /// Number of the attempt. The tasks of a gang recognize each other by having the same
+    /// number.
     #[serde(rename = "a")]
     pub attempt: u64,
     /// Numbers of the tasks.
     #[serde(rename = "t")]
     pub tasks: NumberSet,
-    /// True if the run is to be stopped: it is preempted, its machine is drained, or its
-    /// gang has lost a task.
+    /// True if the tasks are to be stopped because they are preempted, because their machine
+    /// is drained, or because another task of their gang was lost.
     #[serde(
         rename = "x",
         default,
@@ -32,7 +33,7 @@
 }
 
 impl Job {
-    /// Returns the run that has this task on this machine in this attempt.
+    /// Returns the run that contains a task of an attempt on a machine.
     pub fn find_run(&self, machine: &str, attempt: u64, task: u32) -> Option<&Run> {
         self.runs
             .iter()
@@ -57,10 +58,13 @@
         }
     }
 
-    /// Marks tasks on a machine to be stopped. Of a gang, all tasks on all machines are
-    /// marked, as a gang saves its progress only if all of its tasks are told to stop. Of
-    /// other jobs, the latest `count` tasks on the machine are marked, or all there if
-    /// the record has no space for a run that is split.
+    /// Marks tasks on a machine to be stopped.
+    ///
+    /// A gang saves its progress only if all of its tasks are told to stop, so all of its
+    /// tasks on all machines are marked. For any other job, the latest `count` tasks on the
+    /// machine are marked. Marking only some tasks of a run splits the run, which lengthens
+    /// the record. If the record then does not satisfy `fits`, all runs on the machine are
+    /// marked instead.
     pub fn stop_tasks(&mut self, machine: &str, count: usize, fits: impl Fn(&Job) -> bool) {
         let before = self.clone();
         if self.spec.as_ref().is_some_and(JobSpec::is_gang) {
@@ -105,8 +109,9 @@
         }
     }
 
-    /// Adds a run that is to be stopped. It is merged with such a run of the same machine
-    /// and attempt, as the record would otherwise grow with every step of a stop.
+    /// Adds a run that is to be stopped. If there already is one for the same machine and
+    /// attempt, the tasks are added to it. The record would otherwise grow each time that
+    /// more tasks of an attempt are stopped.
     fn merge_stopped(&mut self, stopped: Run) {
         let known = self.runs.iter_mut().find(|run| {
             run.stop && run.machine == stopped.machine && run.attempt == stopped.attempt
@@ -119,7 +124,7 @@
 }
 
 impl Run {
-    /// Returns whether the run has this task of this attempt on this machine.
+    /// Returns whether the run contains a task of an attempt on a machine.
     pub(super) fn has_task(&self, machine: &str, attempt: u64, task: u32) -> bool {
         self.machine == machine && self.attempt == attempt && self.tasks.contains(task)
     }
--- a/src/state/records/job/failures.rs
+++ b/src/state/records/job/failures.rs
@@ -1,20 +1,20 @@
-//! Records failed attempts of a job and determines whether the job itself is faulty.
+//! Records failed attempts of a job and determines whether the job itself is likely at fault.
 
 use super::Job;
 
-/// Number of machines on which a job must have failed, without a success since, to be
-/// suspected faulty.
+/// Number of different machines on which a job must have failed since its last success
+/// before the job, rather than the machines, is suspected to be faulty.
 pub const FAULTY_JOB_THRESHOLD: usize = 3;
 
-/// Maximum number of failed machines in a job's record.
+/// Maximum number of machines that a job's record lists as having failed the job.
 pub const MAX_FAILED_MACHINES: usize = FAULTY_JOB_THRESHOLD + 1;
 
-/// Maximum of the counter of failed attempts.
+/// Maximum value of the counter of failed attempts, which bounds its length in the record.
 const MAX_ERRORS: u32 = 1000;
 
 impl Job {
-    /// Returns whether the failures are likely caused by the job rather than by the
-    /// machines.
+    /// Returns whether the job has failed on so many machines that the job itself, rather
+    /// than a machine, is the likely cause.
     pub fn is_suspected_faulty(&self) -> bool {
         self.failed_on.len() >= FAULTY_JOB_THRESHOLD
     }
@@ -33,7 +33,8 @@
         self.failed_on.push(machine.to_string());
     }
 
-    /// Records a success, which clears all failures: they were caused by the machines.
+    /// Records that a task has succeeded. All recorded failures are cleared, as a job that
+    /// can succeed is not faulty: the machines caused the failures.
     pub fn record_success(&mut self) {
         self.failure_count = 0;
         self.failed_attempt = 0;
--- a/src/state/records/job/mod.rs
+++ b/src/state/records/job/mod.rs
@@ -1,5 +1,9 @@
 //! Defines a job's record: its tasks, their bookings on machines, and their outcomes.
 //!
+//! A task is booked on a machine before it is started there, and the booking is released
+//! once the task is certain not to run any more. A run groups the tasks of one attempt that
+//! are booked on the same machine.
+//!
 //! | module | task |
 //! | --- | --- |
 //! | `bookings` | bookings of tasks on machines, and tasks to be stopped |
@@ -25,14 +29,14 @@
 /// State of a job: open or one of the final states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// Not final: the job has tasks that run, wait, or have not started yet.
+    /// The job is not final: it has tasks that run, wait, or have not started yet.
     #[default]
     #[serde(rename = "o")]
     Open,
-    /// Final: all tasks are done.
+    /// All tasks are done. This state is final.
     #[serde(rename = "d")]
     Done,
-    /// Final: the user cancelled the job.
+    /// The user cancelled the job. This state is final.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -44,7 +48,7 @@
     /// State of the job.
     #[serde(rename = "f", default)]
     pub status: JobStatus,
-    /// Specification that placement needs, as long as it is needed.
+    /// Specification of the job; `None` once the job is final and has no bookings.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// Number of tasks, kept for display after the specification is dropped.
@@ -57,13 +61,13 @@
     /// Latest attempt number that was assigned.
     #[serde(rename = "a", default)]
     pub attempt: u64,
-    /// Number of the next task that was never started.
+    /// Lowest number of a task that was never started.
     #[serde(rename = "x", default)]
     pub next_task: u32,
     /// Tasks that were started before and have to be started again.
     #[serde(rename = "q", default, skip_serializing_if = "NumberSet::is_empty")]
     pub retry: NumberSet,
-    /// Bookings on machines.
+    /// Bookings of the tasks, grouped by machine and attempt.
     #[serde(
         rename = "r",
         default,
@@ -71,8 +75,8 @@
         deserialize_with = "crate::state::encoding::deserialize_runs"
     )]
     pub runs: Vec<Run>,
-    /// True if other work has been preempted for this job. The job is then placed first,
-    /// as the freed capacity would otherwise go to whichever job is placed next.
+    /// True if tasks of other jobs were preempted to make space for this job. The job is then
+    /// placed before all others, which would otherwise take the freed capacity.
     #[serde(
         rename = "c",
         default,
@@ -87,7 +91,7 @@
         skip_serializing_if = "crate::state::records::is_zero"
     )]
     pub failure_count: u32,
-    /// Latest attempt that is counted in `errors`.
+    /// Latest attempt that is counted in `failure_count`.
     #[serde(
         rename = "ea",
         default,
@@ -97,8 +101,9 @@
     /// Machines on which the job failed since the last success, the latest last.
     #[serde(rename = "em", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<String>,
-    /// Controller whose share the job's bookings count against, if its team's quota is
-    /// split. It is written only once every controller can read it.
+    /// Controller whose share the job's bookings count against; `None` if the quota of the
+    /// team is not split into shares. The field is written only once every controller can
+    /// read it.
     #[serde(rename = "sh", default, skip_serializing_if = "Option::is_none")]
     pub share: Option<ControllerName>,
 }
@@ -139,7 +144,7 @@
             return 0;
         }
         match &self.spec {
-            // The next attempt of a gang waits until all tasks of the old one are released.
+            // A gang is placed again only after all bookings of its last attempt are released.
             Some(spec) if spec.is_gang() && self.runs.is_empty() => spec.tasks as usize,
             Some(spec) if spec.is_gang() => 0,
             Some(spec) => {
@@ -159,8 +164,8 @@
         }
     }
 
-    /// Returns the number of tasks that are booked in each zone, including those of old
-    /// attempts.
+    /// Returns the number of booked tasks by zone. Bookings of earlier attempts count until
+    /// they are released.
     pub fn tasks_per_zone(&self) -> BTreeMap<&str, usize> {
         let mut zones = BTreeMap::new();
         for run in &self.runs {
@@ -169,7 +174,8 @@
         zones
     }
 
-    /// Returns the next task that was never started and counts it as started.
+    /// Returns the lowest task that was never started, and counts it as started from then on.
+    /// Returns `None` if every task was started before.
     pub fn take_unstarted_task(&mut self) -> Option<u32> {
         (self.next_task < self.tasks).then(|| {
             self.next_task += 1;
@@ -177,7 +183,7 @@
         })
     }
 
-    /// Drops the specification and progress of a job that is final and has no bookings.
+    /// Drops the specification and progress if the job is final and has no bookings.
     pub fn trim_finished(&mut self) {
         if !self.is_open() && self.runs.is_empty() {
             self.spec = None;
--- a/src/state/records/job/termination.rs
+++ b/src/state/records/job/termination.rs
@@ -6,17 +6,17 @@
 /// Outcome of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskOutcome {
-    /// Completed.
+    /// The task has completed.
     Done,
-    /// Failed by itself, which counts towards the back-off.
+    /// The task itself has failed. The failure counts towards the back-off of the job.
     Failed,
-    /// Stopped, refused, or lost with its machine.
+    /// The task was stopped, refused by the worker, or lost with its machine.
     Lost,
 }
 
 impl Job {
-    /// Releases the booking of a task that is certain not to run any more. Returns false if
-    /// there is no such booking.
+    /// Releases the booking of a task that is certain not to run any more, and updates the job
+    /// by the outcome of the task. Returns false if there is no such booking.
     pub fn release(
         &mut self,
         machine: &str,
@@ -54,10 +54,11 @@
         true
     }
 
-    /// Updates the status or the tasks to retry by the outcome of a task.
+    /// Updates the job by the outcome of a task. A task that did not complete is retried; if
+    /// it belongs to a gang, the whole gang is.
     fn apply_outcome(&mut self, task: u32, outcome: TaskOutcome) {
         match (outcome, self.is_gang()) {
-            // The tasks of a gang complete together: if one is done, all are.
+            // The tasks of a gang complete together, so the gang is done once one task is.
             (TaskOutcome::Done, true) => self.status = JobStatus::Done,
             (TaskOutcome::Done, false) => self.record_success(),
             (_, true) => {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Returns whether a job other than a gang has neither booked nor waiting tasks. A gang
-    /// is done with its first task that is done.
+    /// Returns whether a job that is not a gang has neither booked nor waiting tasks. Returns
+    /// false for a gang, as `apply_outcome` has already set its status.
     fn all_tasks_done(&self) -> bool {
         !self.is_gang()
             && self.next_task == self.tasks
--- a/src/state/records/machine.rs
+++ b/src/state/records/machine.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Machine that takes work, as its zone shard lists it.
+/// Entry in a zone shard for a machine on which tasks may be placed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineSlot {
     /// Name of the machine type.
@@ -27,9 +27,9 @@
     /// True for a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// Free resources when the record was last written. Resources of tasks that ended
-    /// since are free as well: planning subtracts the current bookings from the capacity
-    /// of the machine type.
+    /// Free resources when the record was last written. Planning does not rely on this value,
+    /// as tasks may have ended since: it subtracts the current bookings from the capacity of
+    /// the machine type.
     #[serde(rename = "f", default)]
     pub free: Resources,
     /// Resources that tasks without a booking take, as reported by the machine's owner.
@@ -39,7 +39,7 @@
 
 /// Record `zone/Z/SHARD`: free capacity of each machine that takes work. A single record per
 /// zone would exceed `value_kb` with some hundred machines, and all controllers would
-/// write it concurrently. A machine stays in its zone shard.
+/// write it concurrently. A machine never changes its zone shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneShard {
     /// Slots of the machines, by machine id.
@@ -60,19 +60,19 @@
 /// Lifecycle state of a provisioned machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineLifecycle {
-    /// Provisioned, without a heartbeat of its worker so far.
+    /// The machine is provisioned, but its worker has sent no heartbeat yet.
     #[serde(rename = "b")]
     Booting,
-    /// In service: the machine takes work.
+    /// The machine is in service and takes new tasks.
     #[serde(rename = "a")]
     Active,
-    /// Being drained: the machine takes no new work.
+    /// The machine is being drained: it takes no new tasks.
     #[serde(rename = "d")]
     Draining,
-    /// Being returned to the cloud, which is never undone.
+    /// The machine is being returned to the cloud. This is never undone.
     #[serde(rename = "r")]
     Returning,
-    /// Returned, as confirmed by the cloud: nothing on the machine exists any more.
+    /// The cloud has confirmed that the machine was returned. Nothing on it exists any more.
     #[serde(rename = "g")]
     Gone,
 }
@@ -98,8 +98,8 @@
     machine.len() + kind.len() + owner + 110
 }
 
-/// Identifier of a worker's heartbeat. A newer heartbeat compares greater. It is encoded as
-/// the pair of its numbers.
+/// Identifier of a worker's heartbeat, encoded as the pair of epoch and sequence number. Of
+/// two heartbeats of a worker, the newer one has the greater identifier.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -137,7 +137,7 @@
     }
 }
 
-/// Machine, as its machine shard lists it.
+/// Entry in a machine shard: a machine's owner, fencing token and lifecycle state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     /// Controller that sends commands to the machine; empty if none has claimed it.
@@ -150,8 +150,8 @@
     /// Fencing token of the owner's commands.
     #[serde(rename = "k", default)]
     pub fencing_token: u64,
-    /// Heartbeat on which the machine was last claimed. A heartbeat that is not newer is a
-    /// delayed copy, whichever controller receives it.
+    /// Heartbeat in response to which the machine was last claimed. Any controller that
+    /// receives a heartbeat that is not newer treats it as a delayed copy.
     #[serde(rename = "s", default)]
     pub claim_heartbeat: HeartbeatId,
     /// Lifecycle state of the machine.
@@ -167,8 +167,8 @@
     /// True for a spot machine.
     #[serde(rename = "l", default, skip_serializing_if = "super::is_false")]
     pub spot: bool,
-    /// Shard of its zone that the machine belongs to from its first record on: the name of
-    /// its home controller and a number.
+    /// Shard of the zone to which the machine belongs: the name of its home controller and a
+    /// number. It is set in the machine's first record and never changes.
     #[serde(skip)]
     pub shard: String,
 }
@@ -190,8 +190,9 @@
     }
 }
 
-/// Record `hire/ID`: a provisioning request that is or may be in progress, or that has
-/// machines without a record of their own.
+/// Record `hire/ID`: a request to the cloud for machines. The record exists while the request
+/// is or may be in progress, and afterwards until each of its machines has an entry in a
+/// machine shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRequest {
     /// Name of the machine type.
--- a/src/state/records/mod.rs
+++ b/src/state/records/mod.rs
@@ -26,7 +26,7 @@
 pub use spec::JobSpec;
 pub use team::TeamUsage;
 
-/// Returns whether a field is false, so that it is omitted.
+/// Returns whether a value is false. Such fields are omitted from the records.
 pub(super) fn is_false(value: &bool) -> bool {
     !value
 }
--- a/src/state/records/ranges.rs
+++ b/src/state/records/ranges.rs
@@ -1,10 +1,10 @@
-//! Defines sets of numbers as ranges, which are used for task numbers above all.
+//! Defines sets of numbers that are stored as ranges, mainly for the numbers of tasks.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Set of numbers, of tasks or of machine names, as sorted, disjoint, closed ranges. It is
-/// encoded as text such as `0-4,7`, so that a job with thousands of tasks fits into one
-/// record.
+/// Set of numbers of tasks or of machine names, stored as sorted, disjoint, closed ranges.
+/// It is encoded as text such as `0-4,7`, so that a job with thousands of tasks fits into
+/// one record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NumberSet(pub Vec<(u32, u32)>);
 
--- a/src/state/records/spec.rs
+++ b/src/state/records/spec.rs
@@ -28,7 +28,7 @@
     /// Resources that each task needs.
     #[serde(rename = "r")]
     pub need: Resources,
-    /// Image that a machine needs before a task starts.
+    /// Image that a machine must have fetched before a task starts.
     #[serde(rename = "i")]
     pub image: String,
     /// Size of the image, in GB.
@@ -61,10 +61,10 @@
     /// Time from the submission to the deadline, in seconds, if there is a deadline.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Ids of jobs that have to be done before any task of this job starts, without those
-    /// that were already done when this job was accepted or booked. The field is omitted
-    /// if empty, as programs from before its introduction drop it when they rewrite the
-    /// record.
+    /// Ids of jobs that have to be done before any task of this job starts. Jobs that were
+    /// already done when this job was accepted or booked are left out. An empty list is
+    /// omitted, so that a record without dependencies stays the same when an older version,
+    /// which does not know the field and drops it, rewrites the record.
     #[serde(rename = "aw", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
--- a/src/state/records/team.rs
+++ b/src/state/records/team.rs
@@ -3,8 +3,8 @@
 use resources::Resources;
 use serde::{Deserialize, Serialize};
 
-/// Record `team/T` of the resources that the team's bookings take, and record `use/T/C` of
-/// the part of them that counts against the share of controller C.
+/// Value of the record `team/T`, the resources that the bookings of team T take, and of the
+/// record `use/T/C`, the part of them that counts against the share of controller C.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamUsage {
     /// Resources of the booked tasks.
