--- a/src/state/client/error.rs
+++ b/src/state/client/error.rs
@@ -5,41 +5,44 @@
 /// Error of a request to the state service.
 #[derive(Debug, thiserror::Error)]
 pub enum StateClientError {
-    /// Failed precondition, with the keys of the records concerned. Nothing was written.
+    /// A precondition of the commit was not met, so nothing was written. The value lists the
+    /// keys whose versions differ.
     #[error("conflict on {0:?}")]
     Conflict(Vec<String>),
-    /// Refusal by the state service, with the HTTP status, or 0 if no request was sent. The
-    /// request was certainly not executed.
+    /// The state service refused the request with this HTTP status, or the request could not
+    /// be sent (status 0). The request was certainly not executed.
     #[error("state service refused the request with status {0}")]
     Refused(u16),
-    /// Commit that exceeds the maximum length of a request, with its length in bytes. It
-    /// was not sent.
+    /// The commit, of this length in bytes, exceeds the maximum length of a request. It was
+    /// not sent.
     #[error("commit of {0} bytes exceeds the maximum request size")]
     CommitTooLong(usize),
-    /// Missing or unreadable response, with the reason. The request may have been executed,
-    /// or may still be.
+    /// The response did not arrive or is unreadable, for this reason. The request may have been
+    /// executed already, or may be executed later.
     #[error("no valid response from the state service: {0}")]
     NoResponse(String),
-    /// Commit that exceeds the limits of the state service, with the key of its longest
-    /// record. It was certainly not executed, and would be refused again if it were sent
-    /// unchanged.
+    /// The commit exceeds the limits of the state service. The value is the key of the
+    /// longest record in the commit. The commit was certainly not executed, and would be
+    /// refused again if it were sent unchanged.
     #[error("commit exceeds the limits of the state service; its longest record is {0}")]
     LimitsExceeded(String),
-    /// Expired state lease. The keys that were tied to it are removed.
+    /// The state lease has expired. The state service has removed the keys that were written
+    /// with the lease.
     #[error("state lease expired")]
     LeaseExpired,
-    /// Watch of a revision whose subsequent changes the service no longer has. The state
-    /// must be read again.
+    /// The state service no longer has all changes after the watched revision. The caller has
+    /// to read the whole state again.
     #[error("the watched revision is too old")]
     TooOld,
-    /// Response that is larger than this controller accepts.
+    /// The response is larger than this controller accepts.
     #[error("response from the state service is too large")]
     TooLarge,
 }
 
 impl StateClientError {
-    /// Returns whether the state service currently serves no requests of this controller.
-    /// Status 429 does not count, as rate limiting ends within milliseconds.
+    /// Returns whether the error indicates that the state service currently serves no requests
+    /// of this controller. A response with status 429 does not, as rate limiting ends within
+    /// milliseconds.
     #[must_use]
     pub fn is_refusal(&self) -> bool {
         matches!(self, StateClientError::Refused(status) if *status != 429)
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -1,6 +1,6 @@
-//! Client of the state service. All requests of this controller pass through it, so that
-//! they stay within the controller's allocation of the service's rate limits. Requests
-//! that users wait for have precedence.
+//! Client of the state service. All requests of this controller pass through the client,
+//! which delays them so that they stay within the controller's allocation of the service's
+//! rate limits. Requests that users wait for have precedence.
 //!
 //! | module | task |
 //! | --- | --- |
@@ -34,20 +34,21 @@
 use super::budget::{Budget, RequestClass, WriteDemand};
 use crate::http::{Client, Response};
 
-/// Time for which all classes after `RequestClass::Lease` pause after a 429, before jitter.
+/// Time for which requests of the classes after `RequestClass::Lease` pause after the state
+/// service has answered a request with status 429, before jitter.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(150);
 
-/// Minimum time of a wait for the budget.
+/// Minimum time to sleep before a waiting request checks the budget again.
 const MIN_BUDGET_WAIT: Duration = Duration::from_millis(1);
 
-/// Divisor of the response timeout that gives the maximum time of a single wait for the
-/// budget. The allocation may grow and refused writes may be refunded during a wait. A
-/// request that waited half a minute without checking again would miss both, and the
-/// controller's write demand would decay meanwhile.
+/// Divisor of the response timeout that gives the maximum time to sleep before a waiting
+/// request checks the budget again. The allocation may grow and refused writes may be
+/// refunded in the meantime. A request that slept for half a minute would miss both, and the
+/// controller's write demand, which is only updated between two sleeps, would decay.
 const MAX_BUDGET_WAIT_DIVISOR: u32 = 4;
 
-/// Divisor of the response timeout that gives the time for which a write yields to writes
-/// of classes with precedence before it checks again.
+/// Divisor of the response timeout that gives the time to sleep before a write that yields to
+/// writes of classes with precedence checks again whether it may be sent.
 const YIELD_DIVISOR: u32 = 50;
 
 /// Client of the state service, with this controller's budget.
@@ -62,15 +63,17 @@
     response_timeout: Duration,
     /// Time of the last response from the service that was not a refusal.
     last_response: Cell<Option<Instant>>,
-    /// End of the pause of all classes after `RequestClass::Lease`, which follows a 429.
+    /// End of the pause that follows a response with status 429. The pause applies to the
+    /// classes after `RequestClass::Lease`.
     paused_until: Cell<Option<Instant>>,
     rate_limit: RateLimitDetector,
-    /// Longest records of commits that exceeded the limits, by key; each is logged once.
+    /// Keys of the records that were logged as the longest of a commit that exceeded the
+    /// limits, so that each is logged only once.
     logged_keys: RefCell<BTreeSet<String>>,
 }
 
 impl StateClient {
-    /// Creates a client of the service at `addr`, whose requests count as unanswered after
+    /// Creates a client of the state service at `addr`. A request counts as unanswered after
     /// `response_timeout`.
     pub fn new(
         client: Rc<Client>,
@@ -131,20 +134,22 @@
         self.budget.borrow_mut().set_request_rate(rps, now);
     }
 
-    /// Returns whether refusals have shown that the lower rate limits are in force.
+    /// Returns whether recent refusals have shown that the state service applies the lower
+    /// rate limits that the settings announce.
     pub fn is_rate_reduced(&self) -> bool {
         self.rate_limit.is_reduced()
     }
 
     /// Waits until the budget allows a request of this class with `writes` written keys,
-    /// without charging the budget. The caller decides after the wait what to send, so
+    /// without charging the budget. The caller decides what to send only after the wait, so
     /// that the decision uses the latest state.
     pub async fn wait_for_budget(&self, class: RequestClass, writes: usize) {
         self.wait_for_turn(class, writes, BudgetUse::Keep).await;
     }
 
     /// Waits until the budget allows a request, and charges the request and its writes to
-    /// the budget. Rounds and claims have waited before and are charged without a wait.
+    /// the budget. Rounds and claims are charged without a wait, as they have already waited
+    /// in `wait_for_budget`.
     async fn admit(&self, class: RequestClass, writes: usize) {
         if matches!(class, RequestClass::Round | RequestClass::Claim) {
             self.budget.borrow_mut().charge(writes);
@@ -157,7 +162,8 @@
         }
     }
 
-    /// Waits for the budget and for writes of classes with precedence.
+    /// Waits until the pause after a 429 is over, no write of a class with precedence is
+    /// waiting, and the budget allows the request.
     async fn wait_for_turn(&self, class: RequestClass, writes: usize, budget_use: BudgetUse) {
         let _queued = (writes > 0).then(|| self.queue.enqueue(class));
         while let Some(wait) = self.try_admit(class, writes, budget_use) {
@@ -170,8 +176,9 @@
         }
     }
 
-    /// Charges the budget if `budget_use` says so. Returns the time to wait if the request
-    /// is not allowed yet.
+    /// Checks whether a request may be sent now. If so, charges it to the budget unless
+    /// `budget_use` is `Keep`, and returns `None`. Otherwise returns the time to wait before
+    /// the next check.
     fn try_admit(
         &self,
         class: RequestClass,
@@ -193,7 +200,8 @@
         wait
     }
 
-    /// Returns the remaining pause of a class after a 429.
+    /// Returns the time until requests of a class may be sent again after a 429, or `None` if
+    /// the class is not paused.
     fn remaining_pause(&self, class: RequestClass, now: Instant) -> Option<Duration> {
         let until = self.paused_until.get()?;
         (class > RequestClass::Lease && until > now).then(|| until - now)
@@ -227,23 +235,23 @@
         }
     }
 
-    /// Pauses requests after a refusal because of the rate limit.
+    /// Starts the pause that follows a response with status 429.
     fn pause_after_refusal(&self, writes: usize) {
         if writes > 0 {
             self.rate_limit.record_refusal(Instant::now());
         }
         let pause = self.jitter(REFUSAL_PAUSE);
         self.paused_until.set(Some(Instant::now() + pause));
-        // The request was not executed, so its writes are returned to the budget.
+        // The state service did not execute the request, so the writes are refunded.
         self.budget.borrow_mut().refund(writes);
     }
 }
 
-/// Action at the end of a wait for the budget.
+/// Use of the budget when a wait for it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BudgetUse {
-    /// Charge of the request to the budget.
+    /// The request is charged to the budget, as it is sent immediately.
     Charge,
-    /// No charge, as the caller first decides what to send.
+    /// Nothing is charged yet, as the caller first decides what to send.
     Keep,
 }
--- a/src/state/client/operations.rs
+++ b/src/state/client/operations.rs
@@ -14,7 +14,7 @@
 /// Maximum number of records per page of a read.
 const MAX_PAGE_RECORDS: usize = 500;
 
-/// Number of keys of refused commits that are remembered as logged.
+/// Number of logged keys above which the list of logged keys is cleared.
 const MAX_LOGGED_KEYS: usize = 1000;
 
 impl StateClient {
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Logs the longest record of a commit that exceeded the limits, once per key. It is
-    /// the most likely cause, as the service does not name the record. Returns its key.
+    /// Logs the longest record of a commit that exceeded the limits, once per key, and returns
+    /// the key. The response does not tell which limit or record was at fault; the longest
+    /// record is the most likely cause.
     fn log_longest_record(&self, commit: &Commit, body: &[u8]) -> String {
         let sizes = commit.writes.iter().map(|write| match write {
             Write::Put { key, value, .. } => (value.get().len(), key),
@@ -78,7 +79,8 @@
         key.clone()
     }
 
-    /// Returns the current revision, by reading a key that never exists.
+    /// Returns the current revision of the state service. `key` is a key that never exists;
+    /// the response to a read of it contains the revision.
     pub async fn revision(&self, key: &str) -> Result<u64, StateClientError> {
         let path = format!("/store/{key}");
         let request = Request::get(RequestClass::Accept, &path, self.response_timeout);
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Waits up to `block` for changes after a revision and returns them.
+    /// Returns the changes after the revision `after`. If there are none yet, the state service
+    /// waits up to `block` for one.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -118,7 +121,8 @@
             "/watch?prefix={prefix}&after={after}&block_ms={}",
             block.as_millis()
         );
-        // Watches stay open during an outage, so the response may take longer than `block`.
+        // The connection of a watch stays open during an outage of the state service, so the
+        // response may take longer than `block`.
         let timeout = block + self.response_timeout;
         let request = Request::get(RequestClass::Accept, &path, timeout);
         let response = self.send(request).await?;
@@ -159,7 +163,8 @@
     }
 }
 
-/// Returns whether a commit was refused because its lease no longer exists.
+/// Returns whether a commit was refused because the state lease that it ties a key to no
+/// longer exists.
 fn names_missing_lease(response: &Response) -> bool {
     String::from_utf8_lossy(&response.body).contains("no such lease")
 }
--- a/src/state/client/rate_limit.rs
+++ b/src/state/client/rate_limit.rs
@@ -1,30 +1,31 @@
-//! Detects by the refusals of the state service (429) whether its lower rate limits are in
-//! force.
+//! Detects whether the state service already applies the lower rate limits that the settings
+//! announce. The limits change without notice, so the detection relies on refusals with
+//! status 429.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Number of rate limit refusals within the observation window that indicates a lower
-/// limit.
+/// Number of refusals within the observation window from which on the lower limits are
+/// assumed to be in force.
 const REFUSAL_THRESHOLD: u32 = 3;
 
 /// Length of the observation window, in response timeouts.
 const WINDOW_TIMEOUTS: u32 = 2;
 
-/// Time for which the controller then keeps to the lower rates, in response timeouts. It
-/// equals four lease periods.
+/// Time for which the controller keeps to the lower rates after it has detected them, in
+/// response timeouts. It equals four lease periods.
 const REDUCTION_TIMEOUTS: u32 = 32;
 
-/// Refusals within one observation window.
+/// Observation window, in which refusals are counted.
 #[derive(Debug, Clone, Copy, Default)]
 struct RefusalWindow {
     started: Option<Instant>,
     count: u32,
 }
 
-/// Detector of lower rate limits, which counts rate limit refusals.
+/// Detector of the lower rate limits, which counts the refusals with status 429.
 pub(super) struct RateLimitDetector {
     response_timeout: Duration,
     window: Cell<RefusalWindow>,
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Returns whether refusals have shown that the lower rates are in force.
+    /// Returns whether the lower rates are assumed to be in force.
     pub(super) fn is_reduced(&self) -> bool {
         self.reduced_until
             .get()
             .is_some_and(|until| until > Instant::now())
     }
 
-    /// Records a refusal. A single refusal may be caused by a burst, so that only several
-    /// within one window indicate a lower limit.
+    /// Records a refusal. A single refusal may be caused by a burst of requests. Only several
+    /// refusals within one window indicate that the lower limits are in force.
     pub(super) fn record_refusal(&self, now: Instant) {
         let window = self.extended_window(now);
         if window.count < self.threshold() {
@@ -82,8 +83,9 @@
         }
     }
 
-    /// Returns the number of refusals that indicates a lower limit. Once the lower limit
-    /// was detected, a single refusal shows that it is still in force.
+    /// Returns the number of refusals that indicates the lower limits. Once they have been
+    /// detected, a single further refusal indicates that they are still in force, even after
+    /// the end of `reduced_until`.
     fn threshold(&self) -> u32 {
         match self.reduced_until.get() {
             Some(_) => 1,
--- a/src/state/client/request.rs
+++ b/src/state/client/request.rs
@@ -1,4 +1,4 @@
-//! Defines a request to the state service, as the client sends it.
+//! Defines a request to the state service, with the information that the budget needs.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Request<'a> {
-    /// Creates a request that reads.
+    /// Creates a `GET` request, which writes no keys.
     pub(super) fn get(class: RequestClass, path: &'a str, timeout: Duration) -> Self {
         Request {
             class,
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Creates a request with a body. It writes no keys unless the caller sets `writes`.
+    /// Creates a `POST` request. The budget is charged for no written keys unless the caller
+    /// sets `writes`.
     pub(super) fn post(
         class: RequestClass,
         path: &'a str,
--- a/src/state/client/write_queue.rs
+++ b/src/state/client/write_queue.rs
@@ -1,11 +1,12 @@
-//! Counts the commits that wait for the write budget and determines the precedence of their
-//! classes.
+//! Counts the commits that wait for the write budget, and decides which class of commits has
+//! to let another class go first.
 
 use std::cell::{Cell, RefCell};
 
 use crate::state::budget::{CLASS_COUNT, RequestClass};
 
-/// Numbers of commits of each class that wait to be sent.
+/// Number of commits of each class that wait to be sent. The commits themselves are held by
+/// their senders.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     waiting: RefCell<[usize; CLASS_COUNT]>,
@@ -30,8 +31,10 @@
         self.last_writer.set(Some(class));
     }
 
-    /// Returns whether a commit of a class with precedence over this one is waiting. Claims
-    /// and rounds alternate, so that neither delays the other for long.
+    /// Returns whether a commit of this class must let a waiting commit of another class go
+    /// first. In general, the other class is one with precedence. Claims and rounds alternate
+    /// instead, so that neither delays the other for long: after a claim, a waiting round
+    /// goes before further claims.
     pub(super) fn must_yield(&self, class: RequestClass) -> bool {
         let waiting = self.waiting.borrow();
         let is_waiting = |class: RequestClass| waiting[class as usize] > 0;
--- a/src/state/replica/accepted_batches.rs
+++ b/src/state/replica/accepted_batches.rs
@@ -1,5 +1,6 @@
-//! Applies the records of accepted batches, each of which holds jobs that were accepted
-//! in one write, to the replica.
+//! Applies accepted batches to the replica. The record of an accepted batch contains the jobs
+//! that were accepted in one write. A job has no record of its own until its first change
+//! after the acceptance.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +24,9 @@
 
 impl Replica {
     /// Applies an update of an accepted batch. The jobs are read one by one, so that an
-    /// unreadable job does not hide the others. The batch itself enters the table only
-    /// if all of its jobs can be read: its record is not removed as long as one cannot.
+    /// unreadable job does not hide the others. The batch enters `accepted_batches` only if
+    /// all of its jobs can be read. Only batches in that table are removed from the state
+    /// service, so the record with an unreadable job is kept.
     pub(super) fn set_accepted_batch(&mut self, update: RecordUpdate) {
         let batch = update.value.and_then(|value| {
             let raw = self.read::<RawAcceptedBatch>(update.key, update.version, value)?;
@@ -50,8 +52,8 @@
         })
     }
 
-    /// Adds a job of a batch to the replica, unless the job has a record of its own.
-    /// Returns its specification, or `None` if that cannot be read.
+    /// Adds a job of a batch to the replica, unless the job has a record of its own. Returns
+    /// the job's specification in the batch, or `None` if the specification cannot be read.
     fn set_accepted_job(
         &mut self,
         id: &str,
@@ -59,7 +61,8 @@
         text: &RawValue,
     ) -> Option<JobSpec> {
         let key = job_key(id);
-        // The job's own record is newer than the batch, also if it cannot be read.
+        // A record of the job's own is newer than the batch, even if that record is
+        // unreadable.
         let has_own = self.jobs.contains_key(id) || self.is_unreadable(&key);
         let spec = parse::<JobSpec>(&key, text);
         if has_own {
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -8,14 +8,15 @@
 use super::{Replica, Versioned};
 use crate::state::records::{Job, NumberSet, Run};
 
-/// Maximum number of images remembered per machine.
+/// Maximum number of images that the replica remembers per machine.
 const MAX_IMAGES_PER_MACHINE: usize = 16;
 
-/// Approximate size of a placed gang task within its job's record, in bytes.
+/// Approximate number of bytes that a booked task of a gang takes in the job's record.
 const GANG_TASK_BYTES: usize = 20;
 
-/// Returns whether an open job's names, together with the placed tasks of a gang, take
-/// more than half of a record of `max_bytes`.
+/// Returns whether a job is open and its names take more than half of `max_bytes`, the
+/// maximum size of a record. For a gang, the space that all tasks take once they are booked
+/// is added to that of the names.
 pub(super) fn is_long(job: &Job, max_bytes: usize) -> bool {
     let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
         return false;
@@ -27,7 +28,7 @@
     spec.names_bytes() + placed_bytes > max_bytes / 2
 }
 
-/// Identity of a run within its job.
+/// Properties that identify a run within its job.
 #[derive(PartialEq, Eq, Hash)]
 struct RunKey<'a> {
     machine: &'a str,
@@ -48,18 +49,19 @@
 /// Tasks of a job's runs, by run.
 type TasksByRun<'a> = HashMap<RunKey<'a>, &'a NumberSet>;
 
-/// Indexes the tasks of a job by run.
+/// Returns the tasks of a job by run; empty if there is no job.
 fn tasks_by_run(job: Option<&Job>) -> TasksByRun<'_> {
     let runs = job.into_iter().flat_map(|job| &job.runs);
     runs.map(|run| (RunKey::from(run), &run.tasks)).collect()
 }
 
-/// Returns the machines that have at least one of the runs.
+/// Returns the machines on which the runs are booked.
 fn machines_of<'a>(runs: &TasksByRun<'a>) -> BTreeSet<&'a str> {
     runs.keys().map(|key| key.machine).collect()
 }
 
-/// Direction in which a job's bookings change the totals.
+/// Change of a job's bookings: they are added to the totals of booked resources, or removed
+/// from them.
 #[derive(Clone, Copy)]
 enum BookingChange {
     Add,
@@ -67,7 +69,7 @@
 }
 
 impl BookingChange {
-    /// Returns the factor for the amounts.
+    /// Returns the factor by which the amounts are multiplied before they are added.
     fn sign(self) -> i64 {
         match self {
             BookingChange::Add => 1,
@@ -87,7 +89,8 @@
             return;
         }
         if job.is_none() && self.is_unreadable_job(id) && !self.is_open_or_unknown(id) {
-            // A final job stays final, even if its record has become unreadable.
+            // The record has become unreadable, but the job was final when it was last read.
+            // A final job never becomes open again, so the known record is kept.
             return;
         }
         let old = self.jobs.remove(id).map(|entry| entry.value);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Returns whether a job is open or not in the replica.
+    /// Returns whether a job is open or the replica does not contain it.
     fn is_open_or_unknown(&self, id: &str) -> bool {
         self.jobs.get(id).is_none_or(|entry| entry.value.is_open())
     }
@@ -121,8 +124,8 @@
         self.count_bookings(new, BookingChange::Add);
         let (before, after) = (tasks_by_run(old), tasks_by_run(new));
         let is_open = |job: Option<&Job>| job.is_some_and(Job::is_open);
-        // If the job has become open or final, all of its machines have changed, even
-        // those whose runs are the same.
+        // If the job has become open or final, all of its machines count as changed, even
+        // those on which the job has the same runs as before.
         let all_changed = is_open(old) != is_open(new);
         self.mark_changed_machines(&before, &after, all_changed);
         self.mark_changed_machines(&after, &before, all_changed);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Removes a job from the index of a machine's bookings.
+    /// Removes a job from the index of the jobs that have bookings on a machine.
     fn remove_booking(&mut self, machine: &str, id: &str) {
         let Some(jobs) = self.bookings.get_mut(machine) else {
             return;
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Records an image as the latest one that was sent to a machine.
+    /// Records an image as the latest one that a machine was told to fetch. The image that was
+    /// recorded first is dropped if there are too many.
     fn remember_image(&mut self, machine: &str, image: u32) {
         let machine = self.machine_names.number(machine);
         let images = self.images.entry(machine).or_default();
--- a/src/state/replica/machine_shards.rs
+++ b/src/state/replica/machine_shards.rs
@@ -1,10 +1,12 @@
-//! Applies machine shards, and the machines that they list, to the replica.
+//! Applies the records of machine shards to the replica. Each record contains the machines
+//! of one shard, which the replica also keeps in a table by machine id.
 
 use super::{Replica, Versioned};
 use crate::state::records::{Machine, MachineShard};
 
 impl Replica {
-    /// Applies a machine shard and the records of its machines, or its removal.
+    /// Applies the record of a machine shard, or its removal, to the table of shards and to
+    /// the table of machines.
     pub(super) fn set_machine_shard(
         &mut self,
         id: &str,
@@ -35,7 +37,8 @@
         }
     }
 
-    /// Sets a machine's record and marks the machine as changed, unless it is the same.
+    /// Sets an entry in the table of machines and marks the machine as changed, unless the
+    /// table already has an equal entry.
     fn set_machine(&mut self, name: &str, version: u64, machine: Machine) {
         let known = self.machines.get(name);
         if known.is_some_and(|entry| entry.value == machine) {
@@ -47,8 +50,9 @@
             .insert(name.to_string(), Versioned { version, value });
     }
 
-    /// Removes a machine that a shard no longer lists, unless another shard lists it by
-    /// now: a commit that moves a machine updates both shards, in either order.
+    /// Removes a machine that a shard no longer lists, unless another shard lists the machine
+    /// by now. A commit that moves a machine updates both shards, and the replica may apply
+    /// the update of the new shard first.
     fn remove_machine_of(&mut self, name: String, zone: &str, shard: &str) {
         let is_here = |entry: &Versioned<Machine>| {
             let machine = &entry.value;
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -1,9 +1,10 @@
-//! Maintains the replica, this controller's copy of the state under the shared prefix.
+//! Maintains the replica, this controller's copy of all records of the scheduler in the state
+//! service.
 //!
 //! `revision` is the revision that the watch has reached: the replica contains every
-//! change up to it. A commit of this controller is applied immediately (`apply_commit`), ahead
-//! of the watch, so that the next round does not decide by outdated records. Entries
-//! newer than `revision` are used for planning only, never to launch tasks.
+//! change up to this revision. A commit of this controller is applied immediately
+//! (`apply_commit`), ahead of the watch, so that the next round does not decide by outdated
+//! records. Entries newer than `revision` are used for planning only, never to launch tasks.
 //!
 //! | module | task |
 //! | --- | --- |
@@ -42,7 +43,8 @@
 /// Record with the revision of its last change.
 #[derive(Debug, Clone, Default)]
 pub struct Versioned<T> {
-    /// Revision of the record's last change; 0 if it has no record of its own.
+    /// Revision of the record's last change; 0 for a job that is only part of an accepted
+    /// batch and has no record of its own.
     pub version: u64,
     /// Content of the record.
     pub value: T,
@@ -51,10 +53,10 @@
 /// Records of one kind, by id.
 type Table<T> = BTreeMap<String, Versioned<T>>;
 
-/// Changes since the caller last took them.
+/// Changes of the replica that are collected until the caller takes them.
 #[derive(Debug, Default)]
 pub struct Changes {
-    /// Machines whose records or whose jobs have changed.
+    /// Machines whose entries in a machine shard, or whose bookings, have changed.
     pub machines: BTreeSet<String>,
 }
 
@@ -74,15 +76,16 @@
     /// Resources that are booked against each share, as of the last recount, by
     /// `team/controller`.
     pub share_uses: Table<TeamUsage>,
-    /// Pool that shares grow from, if there is one.
+    /// Total capacity out of which shares are granted, if it is recorded.
     pub pool: Option<Versioned<Pool>>,
     /// Requested moves between shares, by id.
     pub moves: Table<MoveRecord>,
     /// Zone shards, by `zone/shard`.
     pub zone_shards: Table<ZoneShard>,
-    /// Machines, by id, each with the revision of its last change.
+    /// Machines of all machine shards, by id. The version of a machine is that of its shard
+    /// when the machine last changed.
     pub machines: Table<Machine>,
-    /// Machine shards, which hold the machines' records, by `zone/shard`.
+    /// Machine shards, by `zone/shard`.
     pub machine_shards: Table<MachineShard>,
     /// Provisioning requests, by id.
     pub provisioning_requests: Table<ProvisioningRequest>,
@@ -96,12 +99,12 @@
     pub formats: Versioned<Formats>,
     /// Controllers with a valid state lease, by name.
     pub controllers: Table<ControllerRecord>,
-    /// Open jobs whose dependencies are done, in the order of acceptance. Only these can
-    /// be placed.
+    /// Open jobs whose dependencies are done, in the order of acceptance, as pairs of the
+    /// accepted revision and the id. Only these jobs can be placed.
     pub open_jobs: BTreeSet<(u64, String)>,
     /// Ids of the jobs that have bookings on a machine, by machine.
     pub bookings: HashMap<String, BTreeSet<String>>,
-    /// Resources that bookings take of each machine, by machine number.
+    /// Resources that bookings take on each machine, by machine number.
     booked: HashMap<u32, Resources>,
     /// Resources that bookings take in total, by team.
     team_booked: HashMap<String, Resources>,
@@ -109,20 +112,20 @@
     machine_sums: Cell<Option<MachineSums>>,
     /// Resources that a team's bookings take of each share, by team.
     share_booked: HashMap<String, shares::BookedByShare>,
-    /// Versions of the removals by this controller that the watch has not reached yet,
-    /// by key.
+    /// Versions of removals by this controller that the watch has not reached yet, by key.
+    /// They prevent an older event of the watch from adding the record again.
     removed: HashMap<String, u64>,
-    /// Numbers of the images that have been sent to a machine, the latest last, by
-    /// machine number. They are only a hint for placement: they are kept in memory and
-    /// rebuilt from the bookings.
+    /// Numbers of the images that a machine was told to fetch, the latest last, by machine
+    /// number. The images are only a hint for placement: they are not stored in the state
+    /// service but derived from the bookings.
     images: HashMap<u32, Vec<u32>>,
-    /// Numbers of images.
+    /// Numbers that are assigned to the names of images.
     image_names: NameTable,
-    /// Numbers of machines.
+    /// Numbers that are assigned to the names of machines.
     pub machine_names: NameTable,
-    /// Numbers of zone shards.
+    /// Numbers that are assigned to the ids of zone shards.
     pub zone_shard_names: NameTable,
-    /// Numbers of zones.
+    /// Numbers that are assigned to the names of zones.
     pub zone_names: NameTable,
     /// Classes of machines, by class number.
     pub classes: Vec<MachineClass>,
@@ -130,22 +133,22 @@
     class_numbers: HashMap<plan_slots::ClassKey, u32>,
     /// Machines of each zone shard, prepared for planning.
     plan_slots: BTreeMap<String, Vec<PlanSlot>>,
-    /// Number of the zone shard that has a machine's slot, by machine number.
+    /// Number of the zone shard that lists a machine, by machine number.
     slot_shards: HashMap<u32, u32>,
     /// Zone shards whose records are in the compact encoding.
     compact_zone_shards: BTreeSet<String>,
-    /// Upcoming maximum size of a record, in bytes, if the settings announce lower limits
-    /// of the state service.
+    /// Maximum size of a record, in bytes, if the settings announce that the state service
+    /// will apply lower limits; `None` otherwise.
     pub compact_limit: Option<usize>,
     /// Sizes in bytes of the records that exceed `compact_limit`, by key.
     pub oversized_records: BTreeMap<String, usize>,
-    /// Open jobs whose specification may leave too little of a record for their tasks.
-    /// This is a coarse preselection by length; `trimmed_job` decides.
+    /// Open jobs whose specification may leave too little space in the record for booked
+    /// tasks. The selection by length is coarse; `trimmed_job` decides.
     pub long_jobs: BTreeSet<String>,
-    /// Job classes that an objective of the settings names.
+    /// Job classes for which the settings define an objective.
     pub slo_classes: BTreeSet<String>,
-    /// Specification of the latest job that needs accelerators. Machines with
-    /// accelerators are kept free for such jobs; this, too, is only a hint.
+    /// Specification of the latest job that needs accelerators. Machines with accelerators are
+    /// kept free for jobs like this one. Like `images`, the field is only a hint.
     pub latest_gpu_spec: Option<JobSpec>,
     /// Changes that the caller has not taken yet.
     pub changes: Changes,
--- a/src/state/replica/plan_slots.rs
+++ b/src/state/replica/plan_slots.rs
@@ -1,4 +1,6 @@
-//! Indexes the machines that take work for planning, with numbers in place of names.
+//! Indexes the machines on which tasks may be placed. The index refers to machines, zone
+//! shards and classes of machines by numbers instead of names, so that planning can copy and
+//! compare its entries cheaply.
 
 use std::rc::Rc;
 
@@ -22,7 +24,7 @@
     pub type_index: Option<usize>,
 }
 
-/// Identity of a class of machines.
+/// Properties that the machines of a class have in common, as a key.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(super) struct ClassKey {
     kind: String,
@@ -41,16 +43,18 @@
     }
 }
 
-/// Machine that takes work, in a small form that planning copies cheaply.
+/// Entry of the index: a machine on which tasks may be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanSlot {
     /// Number of the machine in `Replica::machine_names`.
     pub machine: u32,
-    /// Number of its zone shard in `Replica::zone_shard_names`.
+    /// Number of the machine's zone shard in `Replica::zone_shard_names`.
     pub shard: u32,
-    /// Number of its class in `Replica::classes`.
+    /// Number of the machine's class in `Replica::classes`.
     pub class: u32,
-    /// Free resources in a plan; in the replica, the resources that unbooked tasks take.
+    /// Free resources, if the entry is part of a plan. In the index of the replica, the field
+    /// contains the resources that tasks without a booking take;
+    /// `Replica::with_free_resources` turns an entry of the index into one for a plan.
     pub free: Resources,
 }
 
@@ -66,15 +70,15 @@
         self.types.value.types.get(class.type_index?)
     }
 
-    /// Returns all machines that take work.
+    /// Returns the index entries of all machines on which tasks may be placed.
     pub fn plan_slots(&self) -> impl Iterator<Item = &PlanSlot> {
         self.plan_slots.values().flatten()
     }
 
-    /// Returns a machine that takes work with its free capacity according to the bookings
-    /// in this replica. A controller that books more on the machine also writes its zone
-    /// shard. A commit with the zone shard's version as a precondition therefore finds at
-    /// least this capacity.
+    /// Returns the entry for a plan, with the machine's free capacity according to the
+    /// bookings in this replica. A controller that books more on the machine also writes the
+    /// machine's zone shard. If a commit succeeds with the zone shard's version as a
+    /// precondition, the machine therefore has at least this free capacity.
     pub fn with_free_resources(&self, slot: &PlanSlot) -> PlanSlot {
         let machine_type = self.class_type(&self.classes[slot.class as usize]);
         let capacity = machine_type.map_or(Resources::default(), MachineType::resources);
@@ -91,9 +95,9 @@
         shard.value.machines.get(machine)
     }
 
-    /// Returns the zone shard that has a machine's slot. This may be any zone shard of the
-    /// machine's home controller: shards are merged while they have space, because a
-    /// commit can write only a few records.
+    /// Returns the id of the zone shard that lists a machine. This may be any zone shard of the
+    /// machine's home controller, the one after which the machine's shard is named: shards
+    /// are merged while they have space, because a commit can write only a few records.
     pub fn zone_shard_of(&self, machine: &str) -> Option<Rc<str>> {
         let number = self.machine_names.find(machine)?;
         let shard = self.slot_shards.get(&number)?;
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -16,12 +16,12 @@
             .map_or_else(absent, |entry| entry.version)
     }
 
-    /// Returns the number of an image, if it has been sent to any machine.
+    /// Returns the number of an image, or `None` if no known job has used the image.
     pub fn image_number(&self, image: &str) -> Option<u32> {
         self.image_names.find(image)
     }
 
-    /// Returns whether the image has been sent to the machine.
+    /// Returns whether the machine was told to fetch the image, and so probably has it.
     pub fn has_image(&self, machine: u32, image_number: Option<u32>) -> bool {
         let images = self.images.get(&machine);
         image_number.is_some_and(|number| images.is_some_and(|images| images.contains(&number)))
@@ -67,9 +67,11 @@
         if shortest.is_finite() { shortest } else { 0.0 }
     }
 
-    /// Returns whether a zone shard's record is in the compact encoding. Its version is
-    /// then newer than any decision from before compact encodings were written, so that
-    /// no commit of such a decision can change the record any more.
+    /// Returns whether a zone shard's record is in the compact encoding.
+    ///
+    /// Such a record was written after every controller could read compact encodings. A
+    /// commit that was decided before then has an older version of the record as a
+    /// precondition, so it can no longer change the record.
     pub fn is_compact_zone_shard(&self, id: &str) -> bool {
         self.compact_zone_shards.contains(id)
     }
@@ -90,8 +92,9 @@
             .map_or_else(absent, |entry| entry.version)
     }
 
-    /// Returns the resources that a team's bookings take. As with a zone shard, a
-    /// controller that books more for the team also writes the team's record.
+    /// Returns the resources that a team's bookings take. A controller that books more for the
+    /// team also writes the team's record. If a commit succeeds with the version of that
+    /// record as a precondition, the team therefore uses at most these resources.
     pub fn team_used(&self, team: &str) -> Resources {
         self.team_booked.get(team).copied().unwrap_or_default()
     }
--- a/src/state/replica/shares.rs
+++ b/src/state/replica/shares.rs
@@ -1,5 +1,6 @@
-//! Looks up shares of quotas in the replica: the versions of their records, the bookings
-//! against them, and the total resources of the machines.
+//! Looks up shares in the replica. If a team's quota is split, each controller has a share of
+//! the quota and books tasks against its share. The module provides the versions of the
+//! records of shares, the bookings against them, and the total resources of the machines.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +13,13 @@
 use crate::state::records::{FORMATS_SHARES, MachineLifecycle};
 use crate::wire::MachineType;
 
-/// Resources that a team's bookings take, by the share that their jobs name.
+/// Resources that a team's bookings take, by the controller whose share is recorded in the
+/// job. The key is `None` for jobs without a recorded share.
 #[derive(Debug, Default)]
 pub(super) struct BookedByShare(BTreeMap<Option<ControllerName>, Resources>);
 
 impl BookedByShare {
-    /// Adds the resources of a job's bookings, which are negative if the bookings end.
+    /// Adds the resources of a job's bookings. The amount is negative if bookings are removed.
     pub(super) fn add(&mut self, share: Option<&ControllerName>, amount: Resources) {
         let booked = self.0.entry(share.cloned()).or_default();
         *booked += amount;
@@ -32,13 +34,14 @@
 pub struct MachineSums {
     /// Resources of all machines that have a record.
     pub on_record: Resources,
-    /// Resources of the booting and active machines among them.
+    /// Resources of those machines on record that are booting or active.
     pub retained_capacity: Resources,
 }
 
 impl Replica {
-    /// Returns the revision since which every controller can read the formats of shares,
-    /// or `None` while some controller may not.
+    /// Returns a revision since which every controller can read the formats of shares: that
+    /// of the last change of the formats record. Returns `None` while some controller may not
+    /// be able to read them.
     pub fn shares_since(&self) -> Option<u64> {
         let known = self.formats.value.all >= FORMATS_SHARES;
         known.then_some(self.formats.version)
@@ -54,8 +57,8 @@
         self.shares.get(team).map(|entry| &entry.value)
     }
 
-    /// Returns whether the records that decide which share a team's bookings count
-    /// against cannot be read. The team may not make any bookings then.
+    /// Returns whether the team's share record or the pool cannot be read. It is then unknown
+    /// which share a booking counts against, so no task of the team may be booked.
     pub fn is_share_unreadable(&self, team: &str) -> bool {
         !self.unreadable.is_empty()
             && (self.is_share_record_unreadable(team) || self.is_unreadable(POOL_KEY))
@@ -98,8 +101,8 @@
             .map_or_else(absent, |entry| entry.version)
     }
 
-    /// Returns the approximate number of bytes that the name of a share adds to a job's
-    /// record; 0 if the team has no shares.
+    /// Returns the approximate maximum number of bytes that the name of the controller whose
+    /// share is charged adds to a job's record. Returns 0 if the team's quota is not split.
     pub fn share_name_bytes(&self, team: &str) -> usize {
         const PUNCTUATION: usize = 8;
         if !self.shares.contains_key(team) {
@@ -109,14 +112,16 @@
         PUNCTUATION + names.max().unwrap_or(0)
     }
 
-    /// Returns whether a machine shard was last written after every controller began to
-    /// account for the machines that it removes from the records.
+    /// Returns whether a machine shard is counted: it was last written after every controller
+    /// supported shares. From then on, a controller that removes a machine from the records
+    /// accounts for the lost capacity.
     pub fn is_counted_shard(&self, id: &str) -> bool {
         let version = self.machine_shards.get(id).map_or(0, |entry| entry.version);
         self.shares_since().is_some_and(|since| version > since)
     }
 
-    /// Returns the total resources of the machines in the counted shards.
+    /// Returns the total resources of the machines in the counted shards, from the cache if
+    /// no machine has changed since.
     pub fn machine_sums(&self) -> MachineSums {
         let known = self.machine_sums.get();
         let sums = known.unwrap_or_else(|| self.sum_machines());
@@ -195,7 +200,8 @@
 }
 
 /// Returns the controller whose share is charged for bookings that were made before the
-/// team's quota was split. Every controller determines the same one.
+/// team's quota was split: the first one in the order of names, so that all controllers
+/// choose the same one.
 pub fn fallback_controller(settings: &Settings) -> ControllerName {
     let first = settings.controllers().into_iter().min();
     ControllerName::from(first.unwrap_or_default())
--- a/src/state/replica/unreadable.rs
+++ b/src/state/replica/unreadable.rs
@@ -1,5 +1,5 @@
-//! Logs records that cannot be read and keeps their versions, which are needed to
-//! overwrite the records.
+//! Handles records that cannot be decoded: logs them and keeps their versions. A commit that
+//! overwrites such a record needs the version as a precondition.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -7,7 +7,7 @@
 use super::Replica;
 use crate::state::keys::job_key;
 
-/// Parses a record's text. Logs a record that cannot be read.
+/// Parses a record's text. Logs the error and returns `None` if the text cannot be decoded.
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &RawValue) -> Option<T> {
     serde_json::from_str(value.get())
         .inspect_err(|error| tracing::error!(key, %error, "record cannot be decoded"))
@@ -15,7 +15,8 @@
 }
 
 impl Replica {
-    /// Parses a record's text. Logs a record that cannot be read and keeps its version.
+    /// Parses a record's text. If the text cannot be decoded, logs the error, keeps the
+    /// record's version and returns `None`.
     pub(super) fn read<T: DeserializeOwned>(
         &mut self,
         key: &str,
@@ -34,15 +35,16 @@
         self.unreadable.contains_key(key)
     }
 
-    /// Returns whether a job's record exists but cannot be read: the job was accepted, and
-    /// nothing else is known about it.
+    /// Returns whether a job's record exists but cannot be read. It is then only known that
+    /// the job was accepted.
     pub fn is_unreadable_job(&self, id: &str) -> bool {
         !self.unreadable.is_empty() && self.is_unreadable(&job_key(id))
     }
 
-    /// Returns the version of a record that is not in the replica: its version if the
-    /// record cannot be read, otherwise 0. If an unreadable record exists, a commit with
-    /// the precondition 0 would be refused on every attempt.
+    /// Returns the version to expect under a key for which the replica has no record. This is
+    /// 0, which means that the key does not exist, unless the record exists but is
+    /// unreadable. A commit with the precondition 0 would then be refused on every attempt,
+    /// so the version of the unreadable record is returned.
     pub fn absent_version(&self, key: &str) -> u64 {
         self.unreadable.get(key).copied().unwrap_or(0)
     }
--- a/src/state/replica/updates.rs
+++ b/src/state/replica/updates.rs
@@ -10,23 +10,23 @@
 use crate::state::records::Job;
 use crate::wire::{Event, StoredRecord, Write};
 
-/// Update of one record; without a value it is a removal.
+/// Update of one record. An update without a value removes the record.
 #[derive(Clone, Copy)]
 pub(super) struct RecordUpdate<'a> {
     pub(super) key: &'a str,
-    /// Part of the key after the table's name.
+    /// Part of the key after the name of the table, such as the job id in `sh/job/ID`.
     pub(super) id: &'a str,
     pub(super) version: u64,
     pub(super) value: Option<&'a RawValue>,
 }
 
-/// Returns whether a record is older than a version, or there is no record.
+/// Returns whether an entry is older than a version, or there is no entry.
 fn is_older<T>(entry: Option<&Versioned<T>>, version: u64) -> bool {
     entry.is_none_or(|entry| entry.version < version)
 }
 
-/// Sets or removes a record, unless the table has one that is as new or newer. Returns
-/// whether the update was applied.
+/// Sets or removes a record in a table, unless the table already has the record in the same
+/// or a newer version. Returns whether the update was applied.
 pub(super) fn put_if_newer<T>(
     table: &mut Table<T>,
     id: &str,
@@ -48,7 +48,8 @@
 }
 
 impl Replica {
-    /// Replaces all records of the replica by those of a full read.
+    /// Replaces all records of the replica by those of a full read, and rebuilds the indexes.
+    /// The assigned numbers, the hints for placement and the settings are kept.
     pub fn reload(&mut self, pairs: Vec<StoredRecord>, revision: u64) {
         let old = std::mem::take(self);
         let mut changes = old.changes;
@@ -73,9 +74,10 @@
         for pair in pairs {
             self.set(&pair.key, pair.version, Some(&pair.value));
         }
-        // Later pages may be newer than the revision of the first page. The watch
-        // continues from the revision of the first page, and events that are older than
-        // an entry are ignored.
+        // The pages of a full read are read one after another, so records of later pages may
+        // be newer than `revision`, the revision of the first page. The watch continues from
+        // `revision` and repeats their changes; events that are not newer than an entry are
+        // ignored.
     }
 
     /// Applies events of the watch.
@@ -92,7 +94,7 @@
         self.removed.retain(|_, version| *version > reached);
     }
 
-    /// Applies a commit of this controller, ahead of the watch.
+    /// Applies the writes of a successful commit of this controller, ahead of the watch.
     pub fn apply_commit(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
@@ -130,20 +132,21 @@
         self.set_record(table, update);
     }
 
-    /// Returns whether the replica has a newer removal of this key, or a newer record
-    /// under it that cannot be read.
+    /// Returns whether the replica knows of a removal of this key, or of an unreadable record
+    /// under the key, that is as new as `version` or newer.
     fn is_outdated(&self, key: &str, version: u64) -> bool {
         let is_known = |known: Option<&u64>| known.is_some_and(|known| *known >= version);
         is_known(self.removed.get(key)) || is_known(self.unreadable.get(key))
     }
 
-    /// Updates the list of records that exceed the upcoming limit.
+    /// Updates the list of records that exceed the lower size limit, if one is announced.
     fn track_size(&mut self, key: &str, value: Option<&RawValue>) {
         let Some(limit) = self.compact_limit else {
             return;
         };
-        // An older update may follow a newer one, so the list is only a hint: its readers
-        // check the record itself.
+        // An older update of a record may follow a newer one, as commits are applied ahead
+        // of the watch. The list is therefore only a hint, and its readers check the record
+        // itself.
         let bytes = value.map_or(0, |value| value.get().len());
         if bytes > limit {
             self.oversized_records.insert(key.to_string(), bytes);
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Applies an update to the table that its key names.
+    /// Applies an update to the table that the first part of the key identifies.
     fn set_record(&mut self, table: &str, update: RecordUpdate) {
         match table {
             "job" => {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Applies an update to a table of records by id.
+    /// Applies an update to a table of records that need no further index.
     fn set_in_table<T: DeserializeOwned>(
         &mut self,
         table: impl FnOnce(&mut Replica) -> &mut Table<T>,
@@ -195,7 +198,7 @@
         put_if_newer(table(self), update.id, update.version, record);
     }
 
-    /// Applies an update to a record of which there is at most one.
+    /// Applies an update to a record that exists at most once, such as the fleet leader's.
     fn set_single<T: DeserializeOwned>(
         &mut self,
         slot: impl Fn(&mut Replica) -> &mut Option<Versioned<T>>,
@@ -209,8 +212,8 @@
         *slot(self) = record.map(|value| Versioned { version, value });
     }
 
-    /// Applies an update to a record that is never removed. If the update cannot be read,
-    /// the last readable value remains in force. Returns whether the record was set.
+    /// Applies an update to a record that is never removed. If the update cannot be read, the
+    /// replica keeps the last readable value. Returns whether the record was set.
     fn set_permanent<T: DeserializeOwned>(
         &mut self,
         entry: impl FnOnce(&mut Replica) -> &mut Versioned<T>,
@@ -245,8 +248,8 @@
         self.index_zone_shard(id);
     }
 
-    /// Reads the record of an update. Returns `None` if the record is removed or cannot be
-    /// read.
+    /// Parses the record of an update. Returns `None` if the update removes the record or the
+    /// record cannot be read.
     fn read_update<T: DeserializeOwned>(&mut self, update: RecordUpdate) -> Option<T> {
         self.read(update.key, update.version, update.value?)
     }
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -1,5 +1,5 @@
 //! Builds the writes of records, in the plain or the compact encoding, and checks whether
-//! they fit the limit of a record's size.
+//! records fit the size limit of the state service.
 
 use serde_json::value::RawValue;
 
@@ -17,19 +17,19 @@
 };
 use crate::wire::Write;
 
-/// Number of machines below which a zone shard's record always fits the limit.
+/// Number of machines below which a zone shard's record is assumed to fit the size limit.
 const MIN_CHECKED_MACHINES: usize = 8;
 
 impl Replica {
-    /// Returns whether records are written in their compact encodings: all controllers
-    /// can read these, and lower limits of the state service are announced. Otherwise
-    /// records are written in their plain encodings.
+    /// Returns whether records are written in their compact encodings. This is the case if
+    /// the settings announce lower limits of the state service and all controllers can read
+    /// compact encodings. Otherwise records are written in their plain encodings.
     pub fn uses_compact_encoding(&self) -> bool {
         self.compact_limit.is_some() && self.all_read_compact_encodings()
     }
 
-    /// Returns whether a zone shard's compact encoding fits a record, whichever machines
-    /// leave the shard, with a margin for the resources of unbooked tasks.
+    /// Returns whether a zone shard's compact encoding fits a record and continues to fit
+    /// while machines leave the shard, with a margin for the resources of unbooked tasks.
     pub fn fits_zone_shard(&self, shard: &ZoneShard) -> bool {
         let machines = shard.machines.len();
         machines < MIN_CHECKED_MACHINES
@@ -43,14 +43,16 @@
         machines < MIN_CHECKED_MACHINES || bytes <= max_bytes
     }
 
-    /// Returns whether a zone shard's compact encoding may exceed the upcoming limit while
-    /// machines leave it. The commits that remove them would then be refused.
+    /// Returns whether a zone shard's compact encoding may exceed the lower size limit while
+    /// machines leave the shard, as that may split ranges of numbers. The commits that remove
+    /// the machines would then be refused.
     pub fn may_outgrow_record(&self, shard: &ZoneShard) -> bool {
         let limit = self.compact_limit.unwrap_or(usize::MAX);
         shard.machines.len() >= MIN_CHECKED_MACHINES && zone_shard_bytes_bound(shard) > limit
     }
 
-    /// Returns whether a job's record, as it will be written, has at most `max_bytes`.
+    /// Returns whether a job's record has at most `max_bytes` once it is trimmed as for a
+    /// write.
     pub fn fits_job(&self, job: &Job, max_bytes: usize) -> bool {
         let trimmed = self.trimmed_job(job);
         self.job_bytes(trimmed.as_ref().unwrap_or(job)) <= max_bytes
@@ -66,14 +68,15 @@
         text.map_or(usize::MAX, |text| text.len())
     }
 
-    /// Returns the job trimmed for its record if that would exceed the upcoming limit, now
-    /// or with the fewest tasks that the job can run with. Returns `None` if the record
-    /// fits.
+    /// Returns the job trimmed for the lower size limit. Returns `None` if nothing has to be
+    /// trimmed: the record fits now, and leaves space for the fewest booked tasks with which
+    /// the job can run.
     pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
         let max_bytes = self
             .compact_limit
             .filter(|_| self.uses_compact_encoding())?;
-        // Most jobs end here. The check is cheap, as every write of a job runs it.
+        // Every write of a job runs this check, so it has to be cheap. Most jobs need no
+        // further one.
         if !is_long(job, max_bytes) && self.job_bytes(job) <= max_bytes {
             return None;
         }
@@ -88,8 +91,8 @@
         })
     }
 
-    /// Returns whether an open job's record has space for the fewest tasks that the job can
-    /// run with.
+    /// Returns whether a job's record has space for the fewest booked tasks with which the job
+    /// can run. Returns true for a final job, which starts no more tasks.
     fn can_run_within(&self, job: &Job, max_bytes: usize) -> bool {
         let Some(spec) = job.spec.as_ref().filter(|_| job.is_open()) else {
             return true;
@@ -105,7 +108,8 @@
         min_bytes.saturating_sub(spec.dependencies_bytes()) <= max_bytes
     }
 
-    /// Returns the write of a job's record in the encoding in force.
+    /// Returns the write of a job's record, in the encoding that
+    /// `uses_compact_encoding` selects.
     pub fn put_job(&self, id: &str, job: &Job) -> Write {
         let trimmed = self.trimmed_job(job);
         let job = trimmed.as_ref().unwrap_or(job);
@@ -113,20 +117,22 @@
         self.put(job_key(id), job, compact)
     }
 
-    /// Returns the write of a zone shard's record in the encoding in force.
+    /// Returns the write of a zone shard's record, in the encoding that
+    /// `uses_compact_encoding` selects.
     pub fn put_zone_shard(&self, id: &str, shard: &ZoneShard) -> Write {
         let compact = || encode_zone_shard(shard);
         self.put(zone_shard_key(id), shard, compact)
     }
 
-    /// Returns the write of a machine shard's record in the encoding in force.
+    /// Returns the write of a machine shard's record, in the encoding that
+    /// `uses_compact_encoding` selects.
     pub fn put_machine_shard(&self, id: &str, machine_shard: &MachineShard) -> Write {
         let compact = || encode_machine_shard(machine_shard);
         self.put(machine_shard_key(id), machine_shard, compact)
     }
 
-    /// Returns the write of a record, in its compact encoding if that is in force and the
-    /// record has one.
+    /// Returns the write of a record. The record is written in the plain encoding if compact
+    /// encodings are not used or if `compact` returns `None`.
     fn put<T: serde::Serialize>(
         &self,
         key: String,
@@ -144,14 +150,15 @@
         }
     }
 
-    /// Returns whether every controller of the deployment can read the formats with
-    /// compact encodings, so that these may be written (Safety 8).
+    /// Returns whether every controller of the deployment can read compact encodings. Only
+    /// then may they be written (Safety 8).
     pub fn all_read_compact_encodings(&self) -> bool {
         self.formats.value.all >= FORMATS_COMPACT
     }
 
-    /// Returns the revision since which every controller supports groups of machine
-    /// shards, or `None` while some controller may not.
+    /// Returns a revision since which every controller supports groups of machine shards: that
+    /// of the last change of the formats record. Returns `None` while some controller may not
+    /// support them.
     pub fn grouped_shards_since(&self) -> Option<u64> {
         let known = self.formats.value.all >= FORMATS_GROUPED_SHARDS;
         known.then_some(self.formats.version)
