--- a/src/policy/check/mod.rs
+++ b/src/policy/check/mod.rs
@@ -1,5 +1,5 @@
-//! Checks parsed expressions: resolves names, and proves by interval arithmetic that an
-//! expression is always defined and that its value stays in the range of its rule.
+//! Checks parsed expressions: resolves names, and proves by interval arithmetic that the value
+//! of an expression is always defined and stays in the range that its rule allows.
 //!
 //! `operators` checks operators, and `calls` checks function calls.
 
@@ -41,7 +41,8 @@
     interval: Interval,
 }
 
-/// Parses and checks the text of a rule. Returns its single expression, or its sort keys.
+/// Parses and checks the text of a rule's expression. Returns one expression for each sort key
+/// if the rule has sort keys, otherwise a single expression.
 pub(super) fn compile(rule: &Rule, text: &str) -> Result<Vec<Expression>, LocatedProblem> {
     let nodes = parse_expressions(text)?;
     match rule.range {
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -30,7 +30,7 @@
     pub problem: String,
 }
 
-/// Problem in a line of a policy.
+/// Problem in a line of a policy file, without its location.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum Problem {
     #[error("expected `rule = expression`")]
@@ -89,7 +89,7 @@
 }
 
 impl Problem {
-    /// Adds the location of the problem.
+    /// Returns the problem together with its location.
     pub(super) fn at(self, range: &SourceRange) -> LocatedProblem {
         LocatedProblem {
             problem: self,
--- a/src/policy/eval.rs
+++ b/src/policy/eval.rs
@@ -1,4 +1,4 @@
-//! Evaluates checked expressions.
+//! Evaluates expressions that the checker has accepted.
 
 use super::syntax::{ArithmeticOperator, ComparisonOperator, LogicalOperator, UnaryOperator};
 
@@ -12,7 +12,7 @@
     If,
 }
 
-/// Name of a function with the smallest and the largest number of its arguments.
+/// Name of a function, and the numbers of arguments that the function accepts.
 pub(super) struct Signature {
     pub(super) name: &'static str,
     pub(super) function: Function,
@@ -46,11 +46,12 @@
     signature("if", Function::If, 3, 3),
 ];
 
-/// Checked expression: its names are resolved, and its value is always defined.
+/// Expression that the checker has accepted: all names are resolved, and the value is defined
+/// for all values of the variables within their ranges.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Expression {
     Number(f64),
-    /// Position of a variable in the list of its subject's variables.
+    /// Variable, by its position in the list of the variables of the rule's subject.
     Variable(usize),
     Unary(UnaryOperator, Box<Expression>),
     Logical(LogicalOperator, Box<Expression>, Box<Expression>),
@@ -65,8 +66,9 @@
 }
 
 impl Expression {
-    /// Evaluates the expression with the given values of its subject's variables. The
-    /// checker has proven that the result is defined for all values in their ranges.
+    /// Evaluates the expression with the given values of the variables of the rule's subject.
+    /// The checker has proven that the result is defined for all values within the ranges of
+    /// the variables.
     pub(super) fn value(&self, variables: &[f64]) -> f64 {
         match self {
             Expression::Number(number) => *number,
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,4 +1,4 @@
-//! Values of the policy variables for one job or one machine.
+//! Values that the variables of the policy language have for one job or one machine.
 
 use super::eval::boolean_value;
 use super::rules::{JOB_VARIABLES, MACHINE_VARIABLES, Variable};
@@ -9,12 +9,12 @@
 /// Attributes of a job that the rules of a policy can use.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct JobFacts {
-    /// True if the team would exceed its guarantee with this job.
+    /// True if the job's team would exceed its guarantee with this job.
     pub borrows: bool,
     /// Highest priority of the job and of the jobs that depend on it, from 0 (low) to 3
     /// (production).
     pub priority: f64,
-    /// Resources that the team uses, as a fraction of its guarantee.
+    /// Resources that the job's team uses, as a fraction of the team's guarantee.
     pub share: f64,
     /// True if the job, started now, would miss every objective of its class and the
     /// deadline of its dependents.
@@ -67,7 +67,7 @@
 pub struct MachineFacts {
     /// Boot time of the machine's type, in seconds.
     pub boot_s: f64,
-    /// Price per hour.
+    /// Price of the machine per hour.
     pub price: f64,
     /// Number of CPUs.
     pub cpus: f64,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Clamps values to the ranges of their variables. The checker relies on these ranges, and
-/// values that the cloud or users provide may be outside them.
+/// Clamps values to the ranges of their variables. The checker relies on the ranges, but the
+/// cloud and users may provide values outside of them.
 fn clamp_to_ranges<const N: usize>(mut values: [f64; N], variables: &[Variable]) -> [f64; N] {
     for (value, variable) in values.iter_mut().zip(variables) {
         if let Some(range) = variable.range {
--- a/src/policy/file.rs
+++ b/src/policy/file.rs
@@ -23,11 +23,12 @@
     number: usize,
     /// Text of the line, with its comment if it has one.
     text: &'a str,
-    /// Text of the line without a comment.
+    /// Text of the line up to its comment.
     code: &'a str,
 }
 
-/// Returns the assignments of a file in their order. Lines without code are skipped.
+/// Returns the assignments of a file in their order. Empty lines and lines that contain only
+/// a comment are skipped.
 pub(super) fn assignments(text: &str) -> impl Iterator<Item = Result<Assignment<'_>, PolicyError>> {
     text.lines()
         .enumerate()
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,11 @@
 //! The scheduling policy that operators configure, in a small typed expression language.
 //!
 //! Each line of a policy file has the form `rule = expression`; `#` begins a comment.
-//! Every accepted expression can be evaluated: the language has no loops, nesting and
-//! length are bounded, and the checker rejects an expression that could divide by zero or
-//! leave the range of its rule. A policy cannot violate the protocol or exceed a team's
-//! limit: it only determines the order and the timing of actions that are allowed anyway.
+//! The evaluation of an accepted expression never fails and always ends soon: the language has
+//! no loops, nesting and length are bounded, and the checker rejects an expression that could
+//! divide by zero or whose value could leave the range of the rule. A policy cannot violate
+//! the protocol or exceed a team's limit: it only determines the order and the timing of
+//! actions that are allowed anyway.
 //!
 //! A line is processed by these modules:
 //!
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -137,8 +137,8 @@
     }
 }
 
-/// Parses an atom with its prefix operators. A loop, not recursion, reads the operators,
-/// so that a long sequence of them cannot overflow the stack.
+/// Parses an atom with its prefix operators. The operators are read in a loop instead of by
+/// recursion, so that a long sequence of operators cannot overflow the stack.
 fn unary(input: &mut Input<'_>) -> ParseResult<SyntaxNode> {
     let operator = alt((
         '-'.value(UnaryOperator::Negate),
@@ -204,7 +204,7 @@
         .parse_next(input)
 }
 
-/// Allows white space before and after `inner`.
+/// Returns a parser that accepts white space before and after `inner`.
 fn spaced<'a, T>(
     inner: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
 ) -> impl Parser<Input<'a>, T, ErrMode<ContextError>> {
--- a/src/policy/rule_set.rs
+++ b/src/policy/rule_set.rs
@@ -1,4 +1,4 @@
-//! Checked policy, which evaluates the rules for the scheduler.
+//! Defines a checked policy, with which the scheduler evaluates the rules.
 
 use super::check::compile;
 use super::error::{PolicyError, Problem};
@@ -18,8 +18,8 @@
     rules: Vec<CompiledRule>,
 }
 
-/// Text of a rule's expression with the checked form: a single expression, or one for each
-/// sort key.
+/// Expression of a rule, as text and in the form that can be evaluated. A rule with sort keys
+/// has one expression for each key, any other rule a single one.
 #[derive(Debug, Clone)]
 struct CompiledRule {
     text: String,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Rule with its expression in a policy.
+/// Rule, with the expression that a policy uses for it.
 #[derive(Clone, Copy)]
 pub struct RuleExpression<'a> {
     /// Definition of the rule.
@@ -46,7 +46,7 @@
 }
 
 impl RuleExpression<'_> {
-    /// Returns whether the expression is the built-in one.
+    /// Returns whether the expression is the built-in expression of the rule.
     pub fn is_built_in(&self) -> bool {
         self.text == self.rule.default
     }
@@ -90,13 +90,15 @@
         })
     }
 
-    /// Returns the sort keys of a waiting job. The job with the lowest keys is placed first.
+    /// Returns the sort keys of a waiting job. Jobs are compared by their first keys, then by
+    /// the second ones, and so on; the job with the lowest keys is placed first.
     pub fn queue_order(&self, job: &JobFacts) -> Vec<f64> {
         self.values(QUEUE_ORDER, &job.values())
     }
 
-    /// Returns the time, in seconds, within which the waiting tasks of an array run one
-    /// after another on rented machines. The longer it is, the fewer machines are rented.
+    /// Returns the time, in seconds, within which the waiting tasks of an array are to run, one
+    /// after another, on the machines that are rented for them. The longer this time is, the
+    /// fewer machines are rented.
     pub fn rent_window_s(&self, job: &JobFacts) -> f64 {
         self.value(RENT_WINDOW, &job.values())
     }
@@ -119,8 +121,8 @@
         self.value(HEADROOM, &job.values())
     }
 
-    /// Returns the time without work after which a machine is returned to the cloud, in
-    /// seconds.
+    /// Returns the time, in seconds, after which a machine without work is returned to the
+    /// cloud.
     pub fn idle_s(&self, machine: &MachineFacts) -> f64 {
         self.value(IDLE_TIME, &machine.values())
     }
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -27,7 +27,7 @@
 pub struct Variable {
     /// Name in expressions.
     pub name: &'static str,
-    /// Range of a number; `None` for a boolean.
+    /// Range of the value of a numeric variable; `None` for a boolean variable.
     pub range: Option<Interval>,
     /// Explanation for operators.
     pub meaning: &'static str,
@@ -130,7 +130,7 @@
     ),
 ];
 
-/// Named number of the policy language.
+/// Constant of the policy language: a name that stands for a number.
 pub(super) struct Constant {
     pub(super) name: &'static str,
     pub(super) value: f64,
@@ -159,7 +159,7 @@
     pub subject: Subject,
     /// Range of the rule's value; `None` for a rule with a list of sort keys.
     pub range: Option<Interval>,
-    /// Expression that is used if a policy sets none.
+    /// Expression that is used if the policy file does not set the rule.
     pub default: &'static str,
     /// Explanation for operators.
     pub meaning: &'static str,
--- a/src/policy/syntax.rs
+++ b/src/policy/syntax.rs
@@ -1,4 +1,5 @@
-//! Syntax tree of an expression, before names are resolved and types are checked.
+//! Defines the syntax tree of an expression, which the parser produces. Its names are not yet
+//! resolved and its types are not yet checked.
 
 use std::ops::Range;
 
--- a/src/policy/types.rs
+++ b/src/policy/types.rs
@@ -1,4 +1,5 @@
-//! Types of expressions, and interval arithmetic on the ranges of their values.
+//! Defines the types of expressions, and interval arithmetic on the ranges of the values of
+//! numeric expressions.
 
 /// Closed range of numbers.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,8 +43,8 @@
         Interval::new(-self.max, -self.min)
     }
 
-    /// Returns the range of a function of two arguments whose extremes are at the ends of
-    /// the arguments' ranges.
+    /// Returns the range of the values of a function of two arguments. The function must have
+    /// its extremes where each argument is at an end of its range.
     pub(super) fn combine(&self, other: &Interval, function: impl Fn(f64, f64) -> f64) -> Self {
         let corners = [
             function(self.min, other.min),
@@ -73,7 +74,7 @@
     }
 }
 
-/// Type of an expression, with the range of a number.
+/// Type of an expression. For a number, it includes the range of possible values.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Type {
     Number(Interval),
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -7,13 +7,13 @@
 
 /// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 100;
-/// Maximum of a rate, size or time, in the unit of its field.
+/// Maximum value of a rate, size or time, in the unit of the field.
 const MAX_FIELD_VALUE: f64 = 1e6;
 /// Maximum guarantee or limit of a team, in CPUs or accelerators.
 const MAX_TEAM_AMOUNT: f64 = 1e9;
-/// Minimum number of writes per commit that the scheduler needs.
+/// Minimum for the limit on the writes of a commit with which the scheduler can work.
 const MIN_COMMIT_WRITES: usize = 4;
-/// Minimum size limit on values that the scheduler needs, in KiB.
+/// Minimum for the size limit on values, in KiB, with which the scheduler can work.
 const MIN_VALUE_KB: f64 = 2.0;
 /// Maximum length of the name of a team or a controller if shares are enabled, in bytes.
 const MAX_NAME_BYTES_WITH_SHARES: usize = 90;
@@ -21,7 +21,7 @@
 /// controller's name, in bytes: three amounts of up to thirteen digits, with quotes and
 /// punctuation.
 const MAX_SHARE_ENTRY_BYTES: usize = 64;
-/// Minimum number of sockets that a controller needs.
+/// Minimum for the limit on sockets with which a controller can work.
 const MIN_SOCKETS: usize = 50;
 /// Multiple of `report_s` that `lease_s` must exceed.
 const HEARTBEAT_INTERVALS_PER_LEASE: f64 = 2.0;
@@ -31,25 +31,25 @@
 /// Problem with the value of a field.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum FieldProblem {
-    /// Name of a controller or zone that is empty, too long or contains spaces.
+    /// The name of a controller or zone is empty, is too long or contains spaces.
     #[error("must be 1 to 100 bytes long and contain no spaces")]
     NameFormat,
-    /// Name of a team that is empty or too long.
+    /// The name of a team is empty or too long.
     #[error("must be 1 to 100 bytes long")]
     NameLength,
-    /// Name of a team that contains spaces or control characters.
+    /// The name of a team contains spaces or control characters.
     #[error("must not contain spaces or control characters")]
     NameSpaces,
-    /// Name that another entry of the list has too.
+    /// Two entries of a list have the same name.
     #[error("is a duplicate name")]
     Duplicate,
-    /// Address with port 0.
+    /// The address has port 0.
     #[error("must have a port other than 0")]
     NoPort,
-    /// Gossip address that is also the address of the HTTP server.
+    /// The gossip address is also the address of the HTTP server.
     #[error("must differ from serve_on")]
     SameAsServeOn,
-    /// Number of controllers that differs from the number of listed ones.
+    /// The number of controllers differs from the number of those that are listed.
     #[error("is {count}, but others lists {others} other controllers")]
     ControllerCount {
         /// Number of controllers in `deployment.count`.
@@ -57,42 +57,44 @@
         /// Number of controllers listed in `others`.
         others: usize,
     },
-    /// Empty list of zones.
+    /// The list of zones is empty.
     #[error("must list at least one zone")]
     NoZones,
-    /// Zone of the controller that is not listed in the deployment's zones.
+    /// The controller's zone is not one of the deployment's zones.
     #[error("is not one of deployment.zones")]
     UnknownZone,
-    /// Rate, size or time that is not above 0 or is too large.
+    /// A rate, size or time is not above 0 or is too large.
     #[error("must be a number above 0 and at most 1000000")]
     NotPositive,
-    /// Time that is below 0.
+    /// A time is below 0.
     #[error("must be 0 or more")]
     Negative,
-    /// Guarantee or limit of a team that is below 0 or too large.
+    /// A guarantee or limit of a team is below 0 or too large.
     #[error("must be a number from 0 to 1000000000")]
     TeamAmount,
-    /// Limit of a team that is below its guarantee.
+    /// The limit of a team is below the team's guarantee.
     #[error("is below the team's guarantee")]
     BelowGuarantee,
-    /// Lease that does not exceed two heartbeat intervals.
+    /// The lease of a worker does not exceed two heartbeat intervals. A single lost heartbeat
+    /// could then let the lease expire.
     #[error("must be more than twice report_s")]
     LeaseTooShort,
-    /// Time to cancel that does not exceed the lease by a margin.
+    /// The time in which a cancelled task has to end does not exceed the lease of a worker by
+    /// a sufficient margin.
     #[error("must be more than 1.1 times lease_s")]
     CancelTooShort,
-    /// Amount below the given minimum, which the scheduler needs.
+    /// A limit is below this minimum, with which the scheduler can work.
     #[error("must be at least {0}")]
     TooSmall(usize),
-    /// Next size limit on values that is too small or too large.
+    /// The next size limit on values is too small or too large.
     #[error("must be from 2 to 1000000")]
     ValueSize,
-    /// Name of a team or controller that is unsuitable if shares are enabled: then both names
-    /// together form a key of the state service.
+    /// Shares are enabled, and the name of a team or controller is too long or contains a
+    /// slash. Both names together then form a key of the state service, `use/TEAM/CONTROLLER`.
     #[error("with shares enabled, must have at most 90 bytes and no slash")]
     ShareName,
-    /// Record of a team's shares that would exceed the size limit on values: it contains the
-    /// name of every controller.
+    /// Shares are enabled, and the record of a team's shares, which contains the name of every
+    /// controller, could exceed the size limit on values.
     #[error(
         "with shares enabled, there are too many controllers, or their names are too long, for the record of a team's shares"
     )]
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -1,4 +1,4 @@
-//! Computes limits and intervals from the settings.
+//! Computes the limits and intervals that the scheduler keeps to from the settings.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
 /// specifies this bound.
 pub const CLOCK_DRIFT: f64 = 0.0005;
 
-/// Minimum number of a controller's requests for each read barrier: at most one request in
-/// this many is a read barrier.
+/// Number of requests of a controller of which at most one may be a read barrier. The response
+/// to a read barrier contains the current revision, which the replica must have reached to be
+/// up to date.
 pub const REQUESTS_PER_BARRIER: u32 = 4;
 
-/// Number of read barriers that are sent within the staleness limit, or within a worker's lease
-/// if that is shorter, while no barrier is requested.
+/// Number of read barriers that are sent within the staleness limit, or within a worker's
+/// lease if the lease is shorter, while no barrier is requested.
 const BARRIERS_PER_STALENESS_LIMIT: u32 = 20;
 
 /// Fraction of `cancel_s` that is reserved for handling messages.
 const HANDLING_MARGIN_FRACTION: f64 = 0.02;
 
-/// Time after which a waiting job is placed before all others, in multiples of
+/// Time after which a job that has not started is placed before all others, in multiples of
 /// `gang_wait_s`.
 const GANG_WAITS_UNTIL_STARVATION: f64 = 3.0;
 
 const BYTES_PER_KIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = BYTES_PER_KIB * 1024.0;
 
-/// Share of the sockets that is available to users, probes and workers, in sixteenths.
+/// Fraction of the sockets that is available to users, probes and workers, in sixteenths.
 const SERVED_SOCKET_SIXTEENTHS: usize = 13;
 const SIXTEENTHS: usize = 16;
 
@@ -50,7 +51,8 @@
     }
 
     /// Returns the preferred owner of a machine among all controllers of the settings,
-    /// whether they are up or not. If the machine's zone has controllers, it is one of them.
+    /// whether they are up or not. If there are controllers in the machine's zone, the
+    /// preferred owner is one of these.
     pub fn preferred_owner(&self, machine: &str, zone: &str) -> &str {
         let in_zone = self
             .controllers_with_zones()
@@ -92,17 +94,21 @@
         names.map(|(name, _)| name.len()).max().unwrap_or(0)
     }
 
-    /// Returns the margin by which every safety interval is shortened, for the drift between
-    /// clocks and for the time that handling a message takes.
+    /// Returns the margin by which every interval that safety depends on is shortened. It
+    /// allows for the drift between clocks and for the time that handling a message takes.
     pub fn timing_margin(&self) -> Duration {
         let cancel_s = self.deployment.workers.cancel_s;
         Duration::from_secs_f64(cancel_s * HANDLING_MARGIN_FRACTION + cancel_s * 2.0 * CLOCK_DRIFT)
     }
 
     /// Returns the maximum staleness of the replica at which a heartbeat is still answered
-    /// with 200. A cancelled task must have ended `cancel_s` after the cancellation was
-    /// confirmed to its user, and an answered heartbeat keeps the task running for up to
-    /// `lease_s`.
+    /// with 200.
+    ///
+    /// A controller with a stale replica may not know of a cancellation that another
+    /// controller has confirmed. The heartbeat that it answers keeps the cancelled task running
+    /// for up to `lease_s` more, but the task must have ended `cancel_s` after the
+    /// confirmation. The staleness must therefore stay below the difference, less the timing
+    /// margin.
     pub fn staleness_limit(&self) -> Duration {
         let workers = &self.deployment.workers;
         Duration::from_secs_f64(workers.cancel_s - workers.lease_s)
@@ -114,9 +120,11 @@
         self.staleness_limit().min(self.worker_lease()) / BARRIERS_PER_STALENESS_LIMIT
     }
 
-    /// Returns the maximum staleness of the replica at which a launch may be commanded:
-    /// another controller may have confirmed the job's cancellation since. It is twice the
-    /// usual interval between two read barriers, so that one slow answer delays no launch.
+    /// Returns the maximum staleness of the replica at which a controller may command the start
+    /// of a task. The staleness is limited because another controller may have confirmed the
+    /// job's cancellation in the meantime. The limit is twice the usual interval between two
+    /// read barriers, so that a single slow response delays no start, but at least a sixteenth
+    /// and at most a quarter of a worker's lease.
     pub fn max_launch_staleness(&self) -> Duration {
         let requests_per_s = self.max_requests_per_s(true) / self.deployment.count as f64;
         let min_interval = Duration::from_secs_f64(REQUESTS_PER_BARRIER as f64 / requests_per_s);
@@ -149,16 +157,18 @@
         self.deployment.host_limits.sockets * SERVED_SOCKET_SIXTEENTHS / SIXTEENTHS
     }
 
-    /// Returns the maximum number of connections to workers for direct commands. It is not
-    /// one for each machine: each worker also has a connection for its heartbeats, so the
-    /// only controller left would need twice as many connections as there are machines.
+    /// Returns the maximum number of connections to workers for direct commands. A controller
+    /// does not keep one for each machine: every worker also has a connection for its
+    /// heartbeats, so if only one controller were left, it would need twice as many connections
+    /// as there are machines.
     pub fn command_connections(&self) -> usize {
         let sockets = self.deployment.host_limits.sockets;
         (sockets / SOCKETS_PER_COMMAND_CONNECTION).max(1)
     }
 
-    /// Returns the maximum size of a response that is read, in bytes. A parsed response takes
-    /// about three times its size in memory, in addition to the memory of the replica.
+    /// Returns the maximum size of a response that the controller accepts, in bytes. The size
+    /// is limited because a parsed response takes about three times its size in memory, in
+    /// addition to the memory of the replica.
     pub fn max_response_bytes(&self) -> usize {
         let memory = self.deployment.host_limits.memory_mb * BYTES_PER_MIB;
         let min_bytes = crate::http::BODY_LIMIT * MIN_RESPONSE_BODIES;
@@ -171,16 +181,17 @@
     }
 
     /// Returns the maximum size of a value, in bytes: the lower of the present limit and the
-    /// next one. Values are kept within both from the start: the limit changes without
-    /// notice, and the values that are stored at that time must not exceed the new one.
+    /// next one. Values are kept within both limits from the start, as the limit changes
+    /// without notice and the values that are stored at that time must not exceed the new
+    /// limit.
     pub fn value_limit_bytes(&self) -> usize {
         let now = self.deployment.state.value_kb;
         let value_kb = self.next_state_limits().value_kb.unwrap_or(now).min(now);
         (value_kb * BYTES_PER_KIB) as usize
     }
 
-    /// Returns the present limit on the size of a value, in bytes. Existing records may reach
-    /// it.
+    /// Returns the present limit on the size of a value, in bytes. Records from before a lower
+    /// limit was announced may be as large as this.
     pub fn current_value_limit_bytes(&self) -> usize {
         (self.deployment.state.value_kb * BYTES_PER_KIB) as usize
     }
@@ -202,8 +213,8 @@
     }
 
     /// Returns the number of requests per second that all controllers together may send to
-    /// the state service. `is_reduced` selects the next rate if it is lower; refusals by the
-    /// service show that it is in force.
+    /// the state service. `is_reduced` tells that refusals by the service indicate that the
+    /// next rate is in force; that rate then applies if it is lower.
     pub fn max_requests_per_s(&self, is_reduced: bool) -> f64 {
         let next = self.next_state_limits().rps;
         rate_in_force(self.deployment.state.rps, next, is_reduced)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,10 @@
 //! Reads and validates the settings file that the platform provides.
 //!
 //! Unknown fields are ignored, as the platform may add some. Every field that is used is
-//! checked. The program does not start with an invalid field, and prints one line that
-//! names the first such field. `check` validates the fields, `derived` computes limits
-//! from them, and `teams` defines the guarantees and limits of teams.
+//! checked. If a field is invalid, the program does not start; it prints one line that
+//! identifies the first invalid field. `check` validates the fields, `derived` computes
+//! limits and intervals from the fields, and `teams` defines the guarantees and limits of
+//! teams.
 
 mod check;
 mod derived;
@@ -24,7 +25,7 @@
 /// Error in a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// File that cannot be read.
+    /// The file cannot be read.
     #[error("settings: cannot read {path}: {cause}")]
     Read {
         /// Path of the file.
@@ -32,10 +33,10 @@
         /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// Text that is not valid JSON, or in which a field is missing or has a wrong type.
+    /// The text is not valid JSON, or a field is missing or has a wrong type.
     #[error("settings: cannot parse the JSON: {0}")]
     Parse(#[from] serde_json::Error),
-    /// Field with an invalid value.
+    /// A field has an invalid value.
     #[error("settings: {field}: {problem}")]
     Field {
         /// Path of the field in the file.
@@ -45,7 +46,7 @@
     },
 }
 
-/// Another controller of the deployment.
+/// Controller of the deployment other than the one that reads the settings.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
     /// Name of the controller; `node` in the file.
@@ -84,8 +85,8 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the state service. The limits that apply to commits and request rates are
-/// returned by the methods of [`Settings`], which combine these limits with the next ones.
+/// Present limits of the state service, and those that it will apply next. The methods of
+/// [`Settings`] combine both and return the limits that the controller has to keep to.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateServiceLimits {
     /// Maximum number of requests per second, from all controllers together.
@@ -96,7 +97,7 @@
     pub value_kb: f64,
     /// Maximum number of writes in one commit.
     pub txn_ops: usize,
-    /// Limits that come into force at an unknown time, without notice.
+    /// Limits that will replace the present ones at an unknown time, without further notice.
     #[serde(default)]
     pub next: Option<NextStateServiceLimits>,
 }
@@ -153,15 +154,16 @@
     pub clock_off_ms: f64,
 }
 
-/// Service level objective for starting or finishing jobs of a class. Objectives influence
-/// the decisions on jobs of their class, but are not guaranteed. Objectives of unknown kinds
-/// are ignored when a job's lateness is determined.
+/// Service level objective for starting or finishing jobs of a class. The scheduler takes
+/// objectives into account in its decisions on these jobs, but does not guarantee that they
+/// are met. Objectives of unknown kinds do not count when the scheduler determines whether a
+/// job is late.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// Kind of the objective, such as `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// Class of the jobs that the objective applies to; `None` for all jobs. Only objectives
-    /// with a class are taken into account.
+    /// Class of the jobs that the objective applies to; `None` for all jobs. The scheduler takes
+    /// only objectives with a class into account.
     #[serde(default)]
     pub class: Option<String>,
     /// Time limit, in seconds.
--- a/src/settings/teams.rs
+++ b/src/settings/teams.rs
@@ -46,9 +46,10 @@
         cpus.is_none_or(|limit| used.cpus <= limit) && gpus.is_none_or(|limit| used.gpus <= limit)
     }
 
-    /// Returns whether the team would still use its whole guarantee if `reclaimed` were
-    /// taken from the resources in use. The guarantee is met in CPUs, or in accelerators if
-    /// accelerators are guaranteed and reclaimed.
+    /// Returns whether the team would still use its whole guarantee if `reclaimed` were taken
+    /// from the resources `used`. It is sufficient if the team still uses all of its
+    /// guaranteed CPUs. If accelerators are guaranteed and among the reclaimed resources, it
+    /// is also sufficient if the team still uses all of its guaranteed accelerators.
     pub fn can_lend(&self, used: &Resources, reclaimed: &Resources) -> bool {
         let guarantee = self.guarantee();
         let remaining = *used - *reclaimed;
@@ -56,8 +57,8 @@
         remaining.cpus >= guarantee.cpus || (counts_gpus && remaining.gpus >= guarantee.gpus)
     }
 
-    /// Returns whether `used` is within the team's guarantee. Work that uses no
-    /// accelerators does not need an accelerator guarantee.
+    /// Returns whether `used` is within the team's guarantee. A team without guaranteed
+    /// accelerators can be within its guarantee as long as it uses none.
     pub fn guarantee_covers(&self, used: &Resources) -> bool {
         let guarantee = self.guarantee();
         used.cpus <= guarantee.cpus && used.gpus <= guarantee.gpus
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -44,7 +44,7 @@
 /// Divisor of the response timeout that gives the maximum time to sleep before a waiting
 /// request checks the budget again. The allocation may grow and refused writes may be
 /// refunded in the meantime. A request that slept for half a minute would miss both, and the
-/// controller's write demand, which is only updated between two sleeps, would decay.
+/// controller's write demand, which counts a wait when the sleep begins, would decay.
 const MAX_BUDGET_WAIT_DIVISOR: u32 = 4;
 
 /// Divisor of the response timeout that gives the time to sleep before a write that yields to
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Waits until the pause after a 429 is over, no write of a class with precedence is
-    /// waiting, and the budget allows the request.
+    /// Waits until the pause after a 429 is over and the budget allows the request. A request
+    /// that writes also waits until it has to let no other write go first.
     async fn wait_for_turn(&self, class: RequestClass, writes: usize, budget_use: BudgetUse) {
         let _queued = (writes > 0).then(|| self.queue.enqueue(class));
         while let Some(wait) = self.try_admit(class, writes, budget_use) {
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Records an image as the latest one that a machine was told to fetch. The image that was
-    /// recorded first is dropped if there are too many.
+    /// Records that a task with an image was booked on a machine, which therefore fetches the
+    /// image. If too many images are recorded for the machine, the oldest one is dropped.
     fn remember_image(&mut self, machine: &str, image: u32) {
         let machine = self.machine_names.number(machine);
         let images = self.images.entry(machine).or_default();
--- a/src/state/replica/mod.rs
+++ b/src/state/replica/mod.rs
@@ -115,7 +115,7 @@
     /// Versions of removals by this controller that the watch has not reached yet, by key.
     /// They prevent an older event of the watch from adding the record again.
     removed: HashMap<String, u64>,
-    /// Numbers of the images that a machine was told to fetch, the latest last, by machine
+    /// Numbers of the images of tasks that were booked on a machine, the latest last, by machine
     /// number. The images are only a hint for placement: they are not stored in the state
     /// service but derived from the bookings.
     images: HashMap<u32, Vec<u32>>,
--- a/src/state/replica/queries.rs
+++ b/src/state/replica/queries.rs
@@ -16,12 +16,13 @@
             .map_or_else(absent, |entry| entry.version)
     }
 
-    /// Returns the number of an image, or `None` if no known job has used the image.
+    /// Returns the number of an image, or `None` if the image has no number yet.
     pub fn image_number(&self, image: &str) -> Option<u32> {
         self.image_names.find(image)
     }
 
-    /// Returns whether the machine was told to fetch the image, and so probably has it.
+    /// Returns whether a task with the image was recently booked on the machine, which then
+    /// probably has the image.
     pub fn has_image(&self, machine: u32, image_number: Option<u32>) -> bool {
         let images = self.images.get(&machine);
         image_number.is_some_and(|number| images.is_some_and(|images| images.contains(&number)))
--- a/src/state/replica/writes.rs
+++ b/src/state/replica/writes.rs
@@ -68,9 +68,10 @@
         text.map_or(usize::MAX, |text| text.len())
     }
 
-    /// Returns the job trimmed for the lower size limit. Returns `None` if nothing has to be
-    /// trimmed: the record fits now, and leaves space for the fewest booked tasks with which
-    /// the job can run.
+    /// Returns the job trimmed for the lower size limit, or `None` if nothing has to be trimmed
+    /// or can be. A job has to be trimmed if compact encodings are used and its record either
+    /// exceeds the limit or has no space for the fewest booked tasks with which the job can
+    /// run.
     pub fn trimmed_job(&self, job: &Job) -> Option<Job> {
         let max_bytes = self
             .compact_limit
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Machine type that the cloud offers. Machine types are also stored in the state service,
-/// so that a controller that starts during a cloud outage has them.
+/// from which a controller that starts during an outage of the cloud reads them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type; PROTOCOL's `label`.
@@ -28,7 +28,7 @@
     /// Hourly price of an on-demand machine; PROTOCOL's `hourly`.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Current hourly price of a spot machine.
+    /// Current hourly price of a spot machine of this type.
     #[serde(rename = "spot_price", default)]
     pub spot_price: f64,
     /// Usual boot time, in seconds; PROTOCOL's `ready_s`.
@@ -68,7 +68,8 @@
     pub count: u32,
 }
 
-/// Machines that were created, or that are to be deleted.
+/// Ids of machines: in the response to a creation those that were created, in a request for
+/// a deletion those that are to be deleted.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineIds {
     /// Ids of the machines; PROTOCOL's `bays`.
@@ -76,21 +77,21 @@
     pub machines: Vec<String>,
 }
 
-/// Stage of a machine in the cloud's list.
+/// Stage of a machine, as the cloud's list of machines shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedMachineStage {
-    /// Booting machine: created and charged, but not yet known to be up.
+    /// The machine was created and is charged, but it is not yet known to be up.
     #[serde(rename = "booting")]
     Booting,
-    /// Running machine.
+    /// The machine is up.
     #[serde(rename = "running")]
     Running,
-    /// Failed machine, which is listed until it is deleted.
+    /// The machine has failed. It is listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// Machine in the cloud's list.
+/// Entry for a machine in the cloud's list of machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
     /// Id of the machine; PROTOCOL's `name_id`.
@@ -108,8 +109,8 @@
     /// Stage of the machine.
     #[serde(rename = "stage")]
     pub stage: ListedMachineStage,
-    /// Time since the machine was created, in seconds, as of the time that the list
-    /// describes.
+    /// Age of the machine, in seconds, at the time that the list describes. The list may lag
+    /// behind the present.
     #[serde(rename = "age_s", default)]
     pub age_s: f64,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,8 @@
 //! Messages of PROTOCOL, with one module for each peer of a controller.
 //!
 //! The Rust names are the usual terms of cluster scheduling. `serde` renames map them to
-//! the names that PROTOCOL defines, which must not change.
+//! the names that PROTOCOL defines, which must not change. Where the two differ, the comment
+//! of a field or variant gives its name in PROTOCOL.
 //!
 //! - [`users`]: submissions and job states.
 //! - [`workers`]: heartbeats of workers, and commands to them.
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -6,9 +6,9 @@
 
 /// Value of a record as unparsed JSON.
 ///
-/// The value is deserialized once, into the record's own type. A tree of JSON values would
-/// take many times the memory, and a watch that was interrupted for a while returns
-/// megabytes.
+/// The value is later deserialized directly into the type of the record. Parsing it into a
+/// tree of JSON values first would take many times the memory, and a watch that was
+/// interrupted for a while returns megabytes.
 pub type RawJson = Box<RawValue>;
 
 /// Serializes the value of a record. Records are plain data, so this cannot fail.
@@ -52,22 +52,23 @@
     pub version: u64,
 }
 
-/// Write of a commit.
+/// Single write of a commit.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Assignment of a value to a key.
+    /// Sets a key to a value, whether the key exists or not.
     Put {
         /// Key; PROTOCOL's `set`.
         #[serde(rename = "set")]
         key: String,
         /// New value.
         value: RawJson,
-        /// State lease with which the key expires; PROTOCOL's `permit`.
+        /// Id of the state lease that the key is tied to: the key is removed when the lease
+        /// expires. PROTOCOL's `permit`.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
-    /// Removal of a key.
+    /// Removes a key.
     Delete {
         /// Key; PROTOCOL's `remove`.
         #[serde(rename = "remove")]
@@ -84,18 +85,18 @@
     }
 }
 
-/// Transaction; the body of `POST /commit`. The state service makes all writes if every
+/// Transaction; the body of `POST /commit`. The state service executes all writes if every
 /// precondition is met, and none otherwise.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Commit {
     /// Preconditions; PROTOCOL's `guards`.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Writes.
+    /// Writes that the state service executes together.
     pub writes: Vec<Write>,
 }
 
-/// Response to a commit, or to a read of a key that does not exist.
+/// Response to a commit that was executed, or to a read of a key that does not exist.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Revision {
     /// Current revision of the state service; PROTOCOL's `ledger_rev`.
@@ -114,7 +115,7 @@
     pub revision: u64,
 }
 
-/// Change of one record, whose key was set to a value or removed.
+/// Event of a watch: a key was set to a value, or removed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Event {
     /// Key that was set; `None` if a key was removed.
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -5,13 +5,13 @@
 /// Kind of a job, which determines how its tasks run together; PROTOCOL's `cut`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to completion; PROTOCOL's `batch`.
+    /// The tasks are independent, and each runs to completion. PROTOCOL's `batch`.
     #[serde(rename = "batch")]
     Array,
-    /// Tasks that all run at the same time, or not at all.
+    /// All tasks run at the same time, or none does.
     #[serde(rename = "gang")]
     Gang,
-    /// Replicas that run until the job is cancelled; PROTOCOL's `daemon`.
+    /// The tasks are replicas that run until the job is cancelled. PROTOCOL's `daemon`.
     #[serde(rename = "daemon")]
     Service,
 }
@@ -19,7 +19,7 @@
 /// Priority of a job. Variants are ordered from the least to the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Lowest priority, which jobs of every other priority may preempt.
+    /// Lowest priority. Jobs of every other priority may preempt the job.
     #[serde(rename = "low")]
     Low,
     /// Usual priority.
@@ -28,8 +28,8 @@
     /// Priority above the usual one; PROTOCOL's `urgent`.
     #[serde(rename = "urgent")]
     High,
-    /// Priority of production jobs, which are never preempted because of priority;
-    /// PROTOCOL's `prod`.
+    /// Priority of production jobs. They are never preempted because of priority. Called `prod`
+    /// in PROTOCOL.
     #[serde(rename = "prod")]
     Production,
 }
@@ -49,8 +49,8 @@
     /// Kind of the job; PROTOCOL's `cut`.
     #[serde(rename = "cut")]
     pub kind: JobKind,
-    /// Priority, which determines which jobs it may preempt and may be preempted by;
-    /// PROTOCOL's `urgency`.
+    /// Priority, which determines which jobs this job may preempt and which may preempt it.
+    /// Called `urgency` in PROTOCOL.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks, which are numbered from 0; PROTOCOL's `boards`.
@@ -65,45 +65,47 @@
     /// Memory of each task, in GB; PROTOCOL's `ram_gb`.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must have fetched before a task starts; PROTOCOL's `blueprint`.
+    /// Image that a machine must have fetched before a task starts. Called `blueprint` in
+    /// PROTOCOL.
     #[serde(rename = "blueprint")]
     pub image: String,
     /// Size of the image, in GB; PROTOCOL's `pull_gb`.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// Allowed machine types, or `None` for any; PROTOCOL's `grades`.
+    /// Allowed machine types, or `None` if all are allowed. Called `grades` in PROTOCOL.
     #[serde(rename = "grades", default)]
     pub types: Option<Vec<String>>,
-    /// Only allowed zone, or `None` for any; PROTOCOL's `yard`.
+    /// Only allowed zone, or `None` if all are allowed. Called `yard` in PROTOCOL.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// True if all tasks must be in the same zone; PROTOCOL's `same_place`.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// True if at most half of the tasks, rounded up, may be in one zone; PROTOCOL's
-    /// `scatter`.
+    /// True if at most half of the tasks, rounded up, may be in one zone. Called `scatter` in
+    /// PROTOCOL.
     #[serde(rename = "scatter")]
     pub spread: bool,
     /// True if the job may use spot machines; PROTOCOL's `loaners`.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// User's estimate of a task's run time, without fetching the image, in seconds;
-    /// PROTOCOL's `expect_s`.
+    /// User's estimate of a task's run time, in seconds. It does not include the time to fetch
+    /// the image. Called `expect_s` in PROTOCOL.
     #[serde(rename = "expect_s")]
     pub estimate_s: f64,
-    /// Progress between checkpoints, in seconds, or 0 if tasks never save checkpoints;
-    /// PROTOCOL's `notch_s`.
+    /// Progress of a task between two checkpoints, in seconds, or 0 if tasks never save
+    /// checkpoints. Called `notch_s` in PROTOCOL.
     #[serde(rename = "notch_s")]
     pub checkpoint_s: f64,
-    /// Time that a task takes to save a checkpoint when it is stopped, in seconds;
-    /// PROTOCOL's `stow_s`.
+    /// Time that a task takes to save a checkpoint when it is stopped, in seconds. Called
+    /// `stow_s` in PROTOCOL.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
-    /// Time from the submission to the deadline, in seconds, or `None` without a deadline;
-    /// PROTOCOL's `due_s`.
+    /// Time from the submission to the deadline, in seconds, or `None` if there is no deadline.
+    /// Called `due_s` in PROTOCOL.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this job starts; PROTOCOL's `awaits`.
+    /// Ids of the jobs that have to be done before any task of this job starts. Called `awaits`
+    /// in PROTOCOL.
     #[serde(rename = "awaits", default)]
     pub dependencies: Option<Vec<String>>,
 }
@@ -111,21 +113,21 @@
 /// Stage of a job, as users and operators see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStage {
-    /// Job without running tasks.
+    /// The job is open, but none of its tasks runs.
     #[serde(rename = "queued")]
     Queued,
-    /// Job with at least one running task.
+    /// At least one task of the job runs.
     #[serde(rename = "running")]
     Running,
-    /// Job whose tasks are all done.
+    /// All tasks of the job are done.
     #[serde(rename = "done")]
     Done,
-    /// Job that was cancelled; PROTOCOL's `aborted`.
+    /// The job was cancelled. PROTOCOL's `aborted`.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// State of a job, as in the responses to users.
+/// State of a job, as a controller reports it to users.
 #[derive(Debug, Serialize)]
 pub struct JobState<'a> {
     /// Id of the job; PROTOCOL's `name_id`.
@@ -143,7 +145,8 @@
 }
 
 impl JobState<'_> {
-    /// Returns whether the job is done or cancelled, which never changes again.
+    /// Returns whether the job is done or cancelled. The stage of such a job never changes
+    /// again.
     pub fn is_final(&self) -> bool {
         matches!(self.stage, JobStage::Done | JobStage::Cancelled)
     }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -6,19 +6,20 @@
 /// Stage of a task, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Task that waits until its image has been fetched; PROTOCOL's `pulling`.
+    /// The task waits until the worker has fetched its image. PROTOCOL's `pulling`.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Task of a gang that waits for the other tasks of its attempt.
+    /// The task belongs to a gang and waits for the other tasks of the attempt to start.
     #[serde(rename = "waiting")]
     Waiting,
-    /// Task that runs, or that has not yet detected the end of its gang.
+    /// The task runs. A task of a gang is also in this stage while it has not yet detected
+    /// that its gang has ended.
     #[serde(rename = "running")]
     Running,
-    /// Task that saves a checkpoint after a stop command; PROTOCOL's `flushing`.
+    /// The task saves a checkpoint after a stop command. PROTOCOL's `flushing`.
     #[serde(rename = "flushing")]
     Saving,
-    /// Task that has ended, for the reason in [`TaskStatus::exit_reason`].
+    /// The task has ended for the reason in [`TaskStatus::exit_reason`].
     #[serde(rename = "ended")]
     Ended,
 }
@@ -26,28 +27,31 @@
 /// Reason why a task has ended; PROTOCOL's `cause`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// Completion of the task; its result is stored.
+    /// The task has completed, and its result is stored.
     #[serde(rename = "done")]
     Done,
-    /// Stop command.
+    /// The task was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Loss of another task of the gang; PROTOCOL's `peers`.
+    /// Another task of the gang was lost. PROTOCOL's `peers`.
     #[serde(rename = "peers")]
     PeerLost,
-    /// Timeout before all other tasks of the gang had started; PROTOCOL's `incomplete`.
+    /// The other tasks of the gang did not all start in time. PROTOCOL's `incomplete`.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// Failure of the task itself.
+    /// The task itself has failed.
     #[serde(rename = "error")]
     Error,
-    /// Rejected start: the machine has too few free resources; PROTOCOL's `full`.
+    /// The worker refused to start the task, as the machine has too few free resources.
+    /// PROTOCOL's `full`.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Rejected start: the machine still has another attempt of the task.
+    /// The worker refused to start the task, as the machine still has another attempt of the
+    /// task.
     #[serde(rename = "busy")]
     Busy,
-    /// Rejected start: the job or task is unknown to the worker; PROTOCOL's `no_such`.
+    /// The worker refused to start the task, as it does not know the job or the task.
+    /// PROTOCOL's `no_such`.
     #[serde(rename = "no_such")]
     Unknown,
 }
@@ -103,12 +107,12 @@
     /// Highest fencing token that the worker has received; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Time until the cloud preempts the machine, in seconds, if the cloud has given
-    /// notice; PROTOCOL's `recall_s`.
+    /// Time until the cloud preempts the machine, in seconds; `None` if the cloud has not given
+    /// notice. PROTOCOL's `recall_s`.
     #[serde(rename = "recall_s", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine, including ended tasks until a [`CommandAction::Forget`];
-    /// PROTOCOL's `boards`.
+    /// All tasks on the machine. An ended task is listed until a [`CommandAction::Forget`]
+    /// removes it. Called `boards` in PROTOCOL.
     #[serde(rename = "boards", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -116,13 +120,14 @@
 /// Action that a command makes a worker apply to a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
-    /// Start of an attempt of the task; PROTOCOL's `launch`.
+    /// The worker starts an attempt of the task. PROTOCOL's `launch`.
     #[serde(rename = "launch")]
     Start,
-    /// Stop of the task, after it has saved a checkpoint if the grace period is long enough.
+    /// The worker stops the task. The task saves a checkpoint before it ends if the grace
+    /// period is long enough.
     #[serde(rename = "stop")]
     Stop,
-    /// Removal of an ended task from later heartbeats.
+    /// The worker no longer lists an ended task in its heartbeats.
     #[serde(rename = "forget")]
     Forget,
 }
@@ -148,8 +153,8 @@
 /// Response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token; PROTOCOL's `baton`. A worker ignores commands with a lower token than
-    /// the highest that it has received.
+    /// Fencing token of the commands; PROTOCOL's `baton`. A worker ignores commands whose
+    /// token is lower than the highest token that it has received.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands, which the worker executes in this order; PROTOCOL's `orders`.
@@ -160,10 +165,11 @@
 /// Direct commands to a worker; the body of `POST /orders`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WorkerCommands {
-    /// Fencing token; PROTOCOL's `baton`.
+    /// Fencing token of the commands; PROTOCOL's `baton`.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Epoch of the worker in which the commands are valid; PROTOCOL's `shift`.
+    /// Epoch of the worker for which the commands are meant; they are not valid in another
+    /// epoch. PROTOCOL's `shift`.
     #[serde(rename = "shift")]
     pub epoch: u64,
     /// Commands, which the worker executes in this order; PROTOCOL's `orders`.
@@ -171,11 +177,12 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Body of a 421 response to a heartbeat, which redirects the worker to its owner.
+/// Body of a 421 response to a heartbeat. It redirects the worker to its owner, the
+/// controller that sends commands to it.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Controller that owns the worker, if the responding controller can name it;
-    /// PROTOCOL's `foreman`.
+    /// Name of the controller that owns the worker; `None` if the responding controller does
+    /// not know it. PROTOCOL's `foreman`.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
