--- a/src/workers/capacity_plan.rs
+++ b/src/workers/capacity_plan.rs
@@ -1,5 +1,8 @@
-//! Finds the zone shard records that differ from the state of the machines that this
-//! controller owns, and plans one commit that brings them up to date.
+//! Plans the commit that brings the zone shards up to date with the machines that this
+//! controller owns.
+//!
+//! A zone shard is a record that lists machines which take new work. Each entry, a slot,
+//! has the resources of the machine that are free.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -23,18 +26,19 @@
 /// leases.
 const SILENCE_LIMIT_LEASES: f64 = 0.6;
 
-/// A zone shard's new record, to be committed.
+/// The planned replacement of one zone shard's record.
 pub(super) struct ZoneShardChange {
     pub id: String,
     pub shard: ZoneShard,
     /// Flag set if machines are added to or removed from the record.
     pub changes_members: bool,
-    /// Preconditions of the write.
+    /// Preconditions under which the record may be replaced.
     pub preconditions: Vec<Precondition>,
 }
 
-/// Returns the changes of zone shards whose records differ from the state of the
-/// machines that this controller owns, limited to what fits into one commit.
+/// Returns the changes that bring the zone shards up to date with the machines that this
+/// controller owns, as many as fit into one commit. Except to add a machine, a zone shard
+/// in `recently_published` is not changed.
 pub(super) fn plan_capacity_changes(
     controller: &Controller,
     recently_published: &PublicationTimes,
@@ -64,11 +68,12 @@
 
 /// The entry that a machine should have in its zone shard's record.
 enum DesiredSlot {
-    /// An entry that is not known yet; the record is left unchanged.
+    /// The worker's status or the machine type is not known yet, so the record is left
+    /// unchanged.
     Unknown,
-    /// No entry: the machine takes no new work.
+    /// The machine takes no new work and must not be listed.
     Absent,
-    /// The entry of a machine that takes new work.
+    /// The machine takes new work and must be listed with this entry.
     Present(MachineSlot),
 }
 
@@ -81,9 +86,9 @@
     now: Instant,
     max_shards: usize,
     max_preconditions: usize,
-    /// Versions of all records on which the choice of a zone shard for a new slot depends.
+    /// Versions of all records on which the choices of zone shards for new slots depend.
     slot_preconditions: PreconditionVersions,
-    /// Keys of these records, by the zone shard that was chosen.
+    /// Keys of the records on which the choice of each chosen zone shard depends.
     slot_precondition_keys: BTreeMap<String, BTreeSet<String>>,
     edits: BTreeMap<String, ShardEdit>,
     lengths: ShardLengths,
@@ -96,8 +101,9 @@
         quarantined: HashSet<String>,
         now: Instant,
     ) -> Self {
-        // Records that are not stored in the compact encoding may still be as long as the
-        // present limit allows.
+        // The state service is about to lower its limit on record sizes. Records in the
+        // compact encoding are within the lower limit; all others may still be as long as
+        // the present limit allows.
         let max_record_bytes = match replica.uses_compact_encoding() {
             true => settings.value_limit_bytes(),
             false => settings.current_value_limit_bytes(),
@@ -150,8 +156,8 @@
         has_not_answered || is_silent || self.quarantined.contains(id)
     }
 
-    /// Returns the resources of running tasks that have no booking on the machine. They
-    /// are not free until these tasks have ended.
+    /// Returns the resources of running tasks that have no booking on the machine. These
+    /// resources are not free until the tasks have ended.
     fn unbooked_resources(&self, id: &str, status: &WorkerStatus) -> Resources {
         let mut unbooked = Resources::default();
         let unbooked_need = |task: &TaskStatus| {
@@ -193,7 +199,8 @@
         let Some(shard) = self.zone_shard_of(id, machine) else {
             return;
         };
-        // A machine that is added does not wait for the publication interval.
+        // A recently published record waits for the publication interval, unless a machine
+        // is to be added to it.
         let is_added = known_slot.is_none();
         let is_full = self.edits.len() == self.max_shards && !self.edits.contains_key(&shard);
         if is_full || (recently_published.contains_key(&shard) && !is_added) {
@@ -203,8 +210,9 @@
         self.edit(shard, id, slot, changes_members);
     }
 
-    /// Returns the zone shard that lists the machine, or else the one chosen for it; `None`
-    /// if this commit cannot take the preconditions of the choice.
+    /// Returns the zone shard that lists the machine. If none does, chooses a zone shard;
+    /// returns `None` if no choice is possible now or its preconditions do not fit into
+    /// this commit.
     fn zone_shard_of(&mut self, id: &str, machine: &Machine) -> Option<String> {
         if let Some(shard) = self.replica.zone_shard_of(id) {
             return Some(shard.to_string());
@@ -250,8 +258,8 @@
         };
         let unbooked = !slot.unbooked.is_empty();
         edit.record.machines.insert(id.to_string(), slot);
-        // Unbooked resources make the slot longer. If the record has no capacity for them,
-        // the machine is not listed, and takes no work, until the unbooked tasks are gone.
+        // Unbooked resources make the slot longer. If the record would become too long, the
+        // machine is not listed, and takes no work, until the unbooked tasks are gone.
         if unbooked && !replica.fits_zone_shard(&edit.record) {
             edit.record.machines.remove(id);
         }
@@ -268,7 +276,8 @@
         changes.collect()
     }
 
-    /// Returns the preconditions of a zone shard's change.
+    /// Returns the preconditions of a zone shard's change: the version of its own record,
+    /// and the versions of the records by which it was chosen for new slots.
     fn preconditions(&self, shard: &str) -> Vec<Precondition> {
         let mut preconditions = vec![precondition(
             zone_shard_key(shard),
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -14,7 +14,7 @@
 pub(super) struct GrantedClaim {
     pub machine: String,
     pub fencing_token: u64,
-    /// Id of the worker's newest heartbeat, as written to the machine's record.
+    /// Id of the worker's newest known heartbeat, as written to the machine's record.
     pub newest_heartbeat: HeartbeatId,
 }
 
@@ -28,7 +28,8 @@
     pub writes: Vec<Write>,
 }
 
-/// Selects claims for one commit, urgent ones first.
+/// Selects the queued claims that fit into one commit, urgent ones first, and returns them
+/// with the commit's preconditions and writes.
 pub(super) fn plan_claims(controller: &Controller) -> ClaimBatch {
     let replica = controller.replica.borrow();
     let fleet = controller.fleet.borrow();
@@ -64,7 +65,8 @@
 }
 
 impl ClaimPlanner<'_> {
-    /// Adds a claim, unless the commit is full.
+    /// Adds the claim of a machine, unless the commit is full. A claim without a status of
+    /// the worker, or of a machine that is gone, is resolved without being granted.
     fn add(&mut self, id: &str, status: Option<&WorkerStatus>) {
         let Some(status) = status else {
             self.batch.resolved.push(id.to_string());
@@ -79,9 +81,9 @@
             None => self.new_machine(id, status),
         };
         let Some(machine) = machine else {
-            // The claim waits for the next commit. If it has too many preconditions even
-            // for a commit of its own, it is dropped, and the worker's next heartbeat
-            // requests it again.
+            // The claim waits for the next commit. If this commit grants no other claim, the
+            // claim has too many preconditions even for a commit of its own. It is then
+            // dropped, and the worker's next heartbeat requests it again.
             if self.batch.granted.is_empty() {
                 self.batch.resolved.push(id.to_string());
             }
@@ -95,8 +97,8 @@
 
     /// Returns whether the commit has capacity for a claim of this machine.
     fn fits(&mut self, known: Option<&Machine>) -> bool {
-        // A full commit stays full; the result is cached because there may be thousands of
-        // claims.
+        // A commit that is full stays full, so the check is not repeated for each of what
+        // may be thousands of claims.
         self.is_full = self.is_full
             || self
                 .machine_shards
--- a/src/workers/claim_queue.rs
+++ b/src/workers/claim_queue.rs
@@ -10,23 +10,24 @@
 /// The state of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimProgress {
-    /// A claim whose commit has not succeeded yet.
+    /// The claim waits in the queue; no commit that contains it has succeeded yet.
     Pending,
-    /// A claim that is resolved; the replica shows whether the machine is owned.
+    /// The claim has left the queue, granted or not. The replica shows whether this
+    /// controller owns the machine.
     Resolved,
-    /// A claim whose commit failed because the state service serves no requests of this
-    /// controller at present. The commit is tried again, but no heartbeat waits for it.
+    /// The commit failed because the state service serves no requests of this controller
+    /// at present. The claim stays in the queue, but no heartbeat waits for it any longer.
     Refused,
 }
 
 /// The priority of a claim's commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ClaimPriority {
-    /// Priority where the worker's lease is renewed in the meantime, or no task runs on
-    /// the machine.
+    /// The worker can do without the claim for now: its lease is renewed in the meantime, or
+    /// no task runs on the machine.
     Normal,
-    /// Priority where the worker waits for the answer to its heartbeat, or has to be
-    /// commanded to stop a task.
+    /// The worker waits for the answer to its heartbeat, which may also have to stop a task,
+    /// or the outcome of a launch stays unknown until a claim increments the fencing token.
     Urgent,
 }
 
@@ -34,9 +35,9 @@
 #[derive(Debug)]
 pub(super) struct Claim {
     progress: watch::Sender<ClaimProgress>,
-    /// Time of the last request. A claim that is no longer requested is dropped if another
-    /// controller owns the machine, so that this controller does not take back a worker
-    /// that has moved on to another one.
+    /// Time of the last request. If another controller owns the machine and the worker no
+    /// longer requests the claim here, the claim is dropped: the worker has moved on to the
+    /// other controller and must not be taken back.
     pub requested_at: Instant,
     /// Fencing token of the machine in the replica at the time of the last request.
     pub known_fencing_token: u64,
@@ -44,8 +45,8 @@
 }
 
 impl Claim {
-    /// Returns the key by which claims are ordered for commits: urgent ones first, and
-    /// within each priority those first that a heartbeat waits for.
+    /// Returns the key by which claims are sorted for commits. Urgent claims come first;
+    /// within a priority, the claims that a heartbeat waits for come first.
     pub(super) fn commit_order(&self) -> (Reverse<ClaimPriority>, bool) {
         (Reverse(self.priority), self.progress.is_closed())
     }
@@ -56,9 +57,10 @@
 pub(super) struct ClaimQueue {
     /// Claims by machine.
     claims: RefCell<BTreeMap<String, Claim>>,
-    /// Number of heartbeats that wait for their claims, each of which holds a connection.
+    /// Number of heartbeats that wait for their claims. Each of these heartbeats holds a
+    /// connection.
     waiting_heartbeats: Cell<usize>,
-    /// Notification of the commit loop that a claim was requested.
+    /// Notification that wakes the commit loop when a claim was requested.
     notify: Notify,
 }
 
@@ -71,8 +73,8 @@
         self.claims.borrow().is_empty()
     }
 
-    /// Adds a claim, or updates the machine's queued one, and returns a receiver of its
-    /// state.
+    /// Queues a claim of the machine, or renews the one that is queued already, and returns
+    /// a receiver of the claim's state.
     pub(super) fn request(
         &self,
         machine: &str,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Marks all claims as refused, which ends the wait of their heartbeats.
+    /// Marks all claims as refused, so that no heartbeat waits for them any longer.
     pub(super) fn refuse_all(&self) {
         for claim in self.claims.borrow().values() {
             claim.progress.send_replace(ClaimProgress::Refused);
--- a/src/workers/claim_request.rs
+++ b/src/workers/claim_request.rs
@@ -10,13 +10,13 @@
 use crate::controller::Controller;
 use crate::wire::WorkerStatus;
 
-/// Maximum time that a heartbeat waits for its claim. A worker drops an answer that takes
-/// 4 s, so a heartbeat whose claim is not committed in time is refused early enough for the
-/// refusal to reach the worker.
+/// Maximum time that a heartbeat waits for its claim. A worker waits 4 s for an answer. The
+/// shorter limit leaves time for the answer to reach the worker if the claim is not
+/// committed.
 const CLAIM_WAIT_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// Number of connections per heartbeat that may wait for its claim, where there are more
-/// workers than connections.
+/// Divisor that limits the heartbeats that wait for their claims when there may be more
+/// workers than connections: one connection in this many may be held by such a heartbeat.
 const CONNECTIONS_PER_AWAITED_CLAIM: usize = 16;
 
 impl Controller {
@@ -39,8 +39,9 @@
             .request(machine, known_fencing_token, priority, Instant::now())
     }
 
-    /// Claims the machine and waits for the commit; returns whether the machine is owned
-    /// then. The wait ends early if the state service refuses the commit.
+    /// Requests a claim of the machine, waits for its commit, and returns whether this
+    /// controller owns the machine afterwards. There is no wait if too many heartbeats wait
+    /// already, and the wait ends early if the state service refuses the commit.
     pub(super) async fn claim(&self, status: &WorkerStatus) -> bool {
         let mut progress = self.request_claim(status, ClaimPriority::Urgent);
         let max_waiting = self.max_waiting_heartbeats();
@@ -51,10 +52,10 @@
         self.owns(&status.machine)
     }
 
-    /// Returns the maximum number of heartbeats that may wait for their claims, each of
-    /// which holds a connection. If there may be more workers than connections, waiting
-    /// heartbeats must not use up the connections of the others: most are answered without
-    /// a wait, and their workers send another heartbeat.
+    /// Returns the maximum number of heartbeats that may wait for their claims. Each waiting
+    /// heartbeat holds a connection. If there may be more workers than connections, most
+    /// heartbeats are answered without a wait, and their workers send another one, so that
+    /// connections remain for all workers.
     fn max_waiting_heartbeats(&self) -> usize {
         let connections = self.settings.served_connections();
         let machines = self.replica.borrow().machines.len();
--- a/src/workers/claims.rs
+++ b/src/workers/claims.rs
@@ -1,8 +1,8 @@
 //! Commits claims, by which this controller becomes the owner of machines.
 //!
-//! A claim writes this controller as the owner into the machine's record, with a
-//! fencing token one above the highest known. Heartbeats request claims
-//! (`claim_request`, `claim_queue`); one commit contains several claims (`claim_plan`).
+//! A claim writes this controller as the owner into the machine's record, with a fencing
+//! token one above the highest known. Claims are requested on receipt of heartbeats
+//! (`claim_request`, `claim_queue`), and one commit contains several claims (`claim_plan`).
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,11 +23,11 @@
 pub async fn run_claims(controller: Rc<Controller>) {
     loop {
         controller.workers.claims.requested().await;
-        // After a restart many workers send heartbeats within a short time: the delay lets
-        // one commit contain many of their claims.
+        // After a restart many workers send heartbeats within a short time. The delay
+        // collects their claims, so that one commit can contain many of them.
         sleep(controller.request_interval() * 2).await;
         while !controller.workers.claims.is_empty() {
-            // The budget is for one write: even many claims are in few records.
+            // One record contains many machines, so the wait is for the budget of one write.
             controller
                 .state_client
                 .wait_for_budget(RequestClass::Claim, 1)
@@ -39,7 +39,8 @@
     }
 }
 
-/// Updates the queue after a failed commit, and waits for the retry delay.
+/// Drops or refuses queued claims according to the error of a failed commit, and waits for
+/// the retry delay. Drops all claims if this controller may not renew leases any more.
 async fn handle_failed_commit(controller: &Controller, error: &StateClientError) {
     tracing::debug!(%error, "claim commit failed");
     drop_claims_beyond_limits(controller, error);
@@ -58,8 +59,8 @@
 }
 
 /// Drops the claims in a machine shard whose record exceeds the limits of the state
-/// service. The same commit would be refused again: the next heartbeats of these workers
-/// request their claims again, and the other claims are committed without them.
+/// service, as the same commit would be refused again. The other claims are committed
+/// without the dropped ones, which the next heartbeats of their workers request again.
 fn drop_claims_beyond_limits(controller: &Controller, error: &StateClientError) {
     let StateClientError::LimitsExceeded(key) = error else {
         return;
@@ -87,8 +88,8 @@
     }
     for id in &batch.resolved {
         controller.workers.claims.resolve(id);
-        // A direct call tells the worker its fencing token without delay: no task is
-        // launched until the worker has sent a status with that token.
+        // No task is launched until the worker has sent a status with the new fencing token.
+        // A direct call tells the worker that token without a wait for its next heartbeat.
         controller.call_worker(id);
     }
     Ok(())
@@ -123,10 +124,9 @@
         .commit(RequestClass::Claim, preconditions, writes)
         .await;
     if let Err(StateClientError::Conflict(_) | StateClientError::NoResponse(_)) = &result {
-        // An unanswered commit may have been applied. The barrier brings the replica up to
-        // date: it then shows this controller as the owner under a fencing token that this
-        // controller has not recorded as its own, and the next attempt increments the token
-        // again.
+        // A commit without a response may have been applied. After the barrier the replica
+        // shows this: this controller is then the owner under a fencing token that it has
+        // not recorded as its own, and the next attempt increments the token again.
         controller
             .wait_for_barrier(controller.settings.worker_lease() / 8)
             .await;
@@ -141,9 +141,9 @@
 }
 
 /// Updates the evidence of pending terminations to the new fencing token if this controller
-/// has owned the machine throughout and has only incremented its token. The terminations
-/// remain proven: the commit of the claim shows that no other controller owned the machine in
-/// between, and no task was launched since.
+/// owned the machine before the claim as well. The terminations remain proven: as the new
+/// token is the old one plus 1, no other controller has owned the machine in between, and no
+/// task was launched since.
 fn renew_termination_evidence(controller: &Controller, granted: &[GrantedClaim]) {
     let owned_workers = controller.workers.owned();
     let mut renewed: HashMap<&str, RenewedToken> = HashMap::new();
@@ -169,7 +169,7 @@
     }
 }
 
-/// Records that this controller owns the machine since the commit of its claim.
+/// Adds a machine to the owned ones after the commit of its claim.
 fn acquire_worker(controller: &Controller, claim: GrantedClaim, revision: u64, now: Instant) {
     let GrantedClaim {
         machine,
@@ -187,8 +187,8 @@
     if let Some(earlier) = owned_workers.get(&machine) {
         owned_worker.inherit_from(earlier);
     }
-    // The heartbeat that requested the claim has not been accepted yet, so the newest
-    // accepted one is the one before it.
+    // The heartbeat that requested the claim is accepted only after the claim. It must not
+    // count as a late copy then, so the heartbeat before it is recorded as the newest.
     let before = HeartbeatId {
         sequence: newest_heartbeat.sequence.saturating_sub(1),
         ..newest_heartbeat
--- a/src/workers/command_call.rs
+++ b/src/workers/command_call.rs
@@ -1,4 +1,4 @@
-//! Sends one direct call to a worker, `POST /orders`, and processes its answer.
+//! Sends one direct call, `POST /orders`, to a worker, and processes the worker's answer.
 
 use std::rc::Rc;
 
@@ -26,16 +26,18 @@
     }
 }
 
-/// The ownership of the machine as shown by an answer.
+/// Result of the check whether an answer shows that another controller owns the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ownership {
-    /// No loss of ownership is known.
+    /// The answer does not show that this controller has lost the machine.
     Kept,
-    /// A loss of ownership: the worker has seen a higher fencing token.
+    /// The worker has seen a higher fencing token, so another controller has claimed the
+    /// machine.
     Superseded,
 }
 
-/// Sends commands to a worker, and records the status in its answer.
+/// Sends a call to a worker, and records the status in the worker's answer. If the worker
+/// has seen a higher fencing token, the machine is removed from the owned ones.
 pub(super) async fn send(controller: Rc<Controller>, call: CommandCall) {
     let result = post_commands(&controller, &call).await;
     let now = Instant::now();
@@ -68,7 +70,7 @@
     controller.call_worker(id);
 }
 
-/// Records the possible outcomes of commands that were not sent or not answered.
+/// Updates the state of a worker after a call that was not sent or not answered.
 fn handle_call_error(
     controller: &Controller,
     owned_worker: &mut OwnedWorker,
@@ -77,15 +79,15 @@
 ) {
     let machine = call.machine.as_str();
     if matches!(error, CallError::NotSent(_)) {
-        // The worker certainly did not receive the commands: they are planned again, and
-        // heartbeat answers carry them in the meantime.
+        // The worker certainly did not receive the commands. They are planned again, for the
+        // next heartbeat answer or the next call.
         tracing::debug!(machine, %error, "commands not sent");
         owned_worker.withdraw_commands(&call.body.commands);
         return;
     }
     tracing::debug!(machine, %error, "commands not answered");
-    // Safety 3: an unanswered launch may be executed late. Only a higher
-    // fencing token in a status of the worker rules that out.
+    // Safety 3: an unanswered launch may be executed late, until the worker has seen a
+    // higher fencing token. A claim is requested to increment the token.
     owned_worker.has_unanswered_launch |= call.launches();
     if !owned_worker.has_unanswered_launch {
         return;
@@ -108,8 +110,8 @@
         .await
 }
 
-/// Records the status in a worker's answer to a call, and returns whether the machine is
-/// still owned.
+/// Records the status in a worker's answer to a call, and returns whether the answer shows
+/// that another controller owns the machine.
 fn accept_answer(
     controller: &Controller,
     owned_worker: &mut OwnedWorker,
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,5 +1,6 @@
-//! Decides which workers are called directly, and when. A direct call carries commands as
-//! soon as bookings or statuses have changed, without a wait for the next heartbeat.
+//! Decides which workers are called directly, and when. A direct call carries commands to a
+//! worker as soon as its machine's bookings or its status have changed, without a wait for
+//! the next heartbeat.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 use crate::http::Deadlines;
 use crate::wire::{WorkerCommand, WorkerCommands};
 
-/// Timeout of a direct call: the time that a worker waits for the answer to its own
-/// heartbeat.
+/// Maximum time for the answer to a direct call, the same as a worker waits for the answer
+/// to a heartbeat.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Controller {
@@ -24,9 +25,9 @@
         self.settings.heartbeat_interval() * 2
     }
 
-    /// Returns the plan for a machine's worker according to the present replica, with the
-    /// terminations moved from the plan to the queue. The plan is empty if the machine is not
-    /// owned.
+    /// Plans the commands for a machine's worker from the present replica, and queues the
+    /// terminations that were found. The returned plan contains only the commands; it is
+    /// empty if the machine is not owned.
     pub(super) fn reconcile_worker(&self, id: &str) -> WorkerPlan {
         let mut plan = self.plan_worker(id);
         let terminations: Vec<Termination> = std::mem::take(&mut plan.terminations);
@@ -49,8 +50,8 @@
         )
     }
 
-    /// Removes the launches from a plan if the replica is too old for them, and requests
-    /// the read barrier after which they are planned again.
+    /// Removes the launches from a plan if the replica is too old for launches, and requests
+    /// a read barrier. The launches are planned again after the barrier.
     pub(super) fn defer_stale_launches(&self, id: &str, plan: &mut WorkerPlan) {
         let limit = self.settings.max_launch_staleness();
         if plan.defer_launches(self.replica_staleness(), limit) {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Schedules the reconciliation of a machine's worker, which calls the worker if it
-    /// has commands.
+    /// Marks a machine as changed and wakes the command loop. The loop calls the machine's
+    /// worker if there are commands for it.
     pub(super) fn call_worker(&self, id: &str) {
         let changes = &mut self.replica.borrow_mut().changes;
         changes.machines.insert(id.to_string());
@@ -80,8 +81,8 @@
         if is_sweep {
             last_sweep = now;
         }
-        // Without the state service the replica is outdated, and no direct commands follow
-        // from it.
+        // While the state service is unreachable the replica becomes outdated, so no
+        // commands are planned from it.
         if !controller.is_state_service_reachable() {
             continue;
         }
@@ -97,7 +98,8 @@
     }
 }
 
-/// Returns the call that is due to a machine's worker now, if any.
+/// Returns the call to send to a machine's worker now, if any, and records it as in flight.
+/// Removes the machine from the owned ones if another controller has claimed it.
 fn next_call(controller: &Controller, id: &str, now: Instant) -> Option<CommandCall> {
     if !controller.workers.owned().contains_key(id) {
         return None;
@@ -113,7 +115,7 @@
         return None;
     }
     controller.defer_stale_launches(id, &mut plan);
-    // The first call tells the worker the fencing token, and is made even without commands.
+    // The first call is made even without commands, as it tells the worker the fencing token.
     let is_first_call = owned_worker.status.is_none();
     if plan.commands.is_empty() && !is_first_call {
         return None;
@@ -160,9 +162,9 @@
     Some((known.addr.clone(), epoch))
 }
 
-/// Removes a machine that another controller has claimed from the owned ones. Until the
-/// replica has reached this controller's own claim, it does not show that the machine is
-/// lost.
+/// Removes a machine that another controller has claimed from the owned ones. A replica that
+/// has not reached this controller's own claim yet shows the earlier owner, so the machine
+/// is kept until then.
 fn release_if_lost(controller: &Controller, id: &str) {
     let mut owned_workers = controller.workers.owned_mut();
     let revision = controller.replica.borrow().revision;
@@ -177,8 +179,8 @@
 
 /// Returns whether a worker may be called now. A call to a machine that is gone, hung or
 /// partitioned holds a connection until it times out, and hundreds of such calls would leave
-/// no connections for the others. A worker that sends heartbeats again receives its commands
-/// in the answers.
+/// no connections for other workers. Silent workers are therefore not called; a worker that
+/// sends heartbeats again receives its commands in the answers.
 fn may_call(controller: &Controller, owned_worker: &OwnedWorker, now: Instant) -> bool {
     let silence_limit = controller.settings.heartbeat_interval() * 2;
     !owned_worker.in_flight
@@ -189,8 +191,8 @@
 
 /// Returns the deadlines by which a call must be sent and answered. If this process is
 /// paused past the send deadline, the call is not sent, as work may have been cancelled or
-/// moved since. A call with launches must also be sent before the last read barrier, on which
-/// they are based, is too old for launches.
+/// moved since. Launches are based on the replica as of the last read barrier, so a call with
+/// launches must also be sent before that barrier is too old for launches.
 fn deadlines(controller: &Controller, includes_launch: bool, planned_at: Instant) -> Deadlines {
     let answer_deadline = planned_at + CALL_TIMEOUT.min(controller.settings.worker_lease() / 4);
     let last_barrier = controller
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Handles `POST /agent/beat`, the heartbeat of a worker.
 //!
-//! The answer renews the worker's lease and carries its commands. Therefore only the owner
-//! of the machine gives it, only while its replica is recent (Safety 4), and only with the
-//! stops that the status requires.
+//! An answer with status 200 renews the worker's lease and carries commands. Only the owner
+//! of the machine may give such an answer, only while the owner's replica is recent
+//! (Safety 4), and only together with stops for all cancelled tasks in the worker's status.
 
 use tokio::time::Instant;
 
@@ -15,19 +15,19 @@
 use crate::state::records::{Machine, MachineLifecycle};
 use crate::wire::WorkerStatus;
 
-/// The fencing token below all others, also that of a machine that was never claimed. A worker
-/// does not renew its lease on an answer with a lower token than its own, so an answer with
-/// this token keeps the worker at this controller without renewing its lease.
+/// The fencing token of a machine that was never claimed, lower than all others. A worker
+/// does not renew its lease on an answer with a lower token than its own. An answer with this
+/// token therefore keeps the worker at this controller without renewing the lease.
 const NO_TOKEN: u64 = 0;
 
 /// Delay before the next heartbeat of a worker whose machine was returned, in seconds.
 const RETURNED_RETRY_AFTER_S: u32 = 30;
 
-/// The result of one step of the handler. An error is the answer to the heartbeat, and no
-/// further step is run.
+/// The result of one step of the handler. An error contains the answer to the heartbeat and
+/// ends the handling.
 type StepResult<T = ()> = Result<T, HeartbeatAnswer>;
 
-/// A heartbeat, with the machine's record at the time of its receipt.
+/// A received heartbeat, with the machine's record in the replica at that time.
 struct Heartbeat {
     status: WorkerStatus,
     machine: Option<Machine>,
@@ -71,8 +71,8 @@
         self.renew_lease(plan, &heartbeat)
     }
 
-    /// Refuses the heartbeat if the replica may be too old: such a controller must not renew
-    /// leases (Safety 4).
+    /// Refuses the heartbeat if the replica may be too old: a controller with an old replica
+    /// must not renew leases (Safety 4).
     fn check_staleness(&self) -> StepResult {
         match self.may_renew_leases() {
             true => Ok(()),
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Refuses the heartbeat if the machine was returned, if the heartbeat is a late copy,
-    /// or if answers do not reach the worker, and redirects the worker if the replica is
-    /// older than the machine's newest claim.
+    /// Refuses the heartbeat if the machine was returned, if the heartbeat is a late copy, or
+    /// if answers do not reach the worker. Redirects the worker if its fencing token shows
+    /// that the replica is older than the machine's newest claim.
     fn check_record(&self, heartbeat: &Heartbeat) -> StepResult {
         let Some(machine) = &heartbeat.machine else {
             return Ok(());
@@ -125,8 +125,8 @@
         Ok(())
     }
 
-    /// Returns whether the machine's record names this controller, in this run or an earlier
-    /// one, as the owner.
+    /// Returns whether this controller is the owner in the machine's record, in its present
+    /// run or an earlier one.
     fn is_recorded_owner(&self, machine: &Machine) -> bool {
         machine.owner == self.name()
             && machine.fencing_token > NO_TOKEN
@@ -151,10 +151,10 @@
         }
     }
 
-    /// Renews the lease of a machine that an earlier run of this controller owned. The
-    /// fencing token of that run remains valid while the new claim is being committed. The
-    /// answer carries no commands, so it is given only if no task on the machine has to be
-    /// stopped.
+    /// Renews the lease of a worker whose machine an earlier run of this controller owned.
+    /// The fencing token of that run remains valid while this run's claim is being
+    /// committed. The answer carries no commands, so the lease is renewed in this way only if
+    /// no task on the machine has to be stopped.
     fn renew_after_restart(&self, heartbeat: &Heartbeat) -> StepResult {
         let machine = heartbeat.machine.as_ref();
         let Some(machine) = machine.filter(|m| self.is_recorded_owner(m)) else {
@@ -181,8 +181,8 @@
         }
         let status = &heartbeat.status;
         if status.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
-            // No controller has ever owned the machine, so none can wait for its lease to
-            // expire: the worker stays here until the machine is claimed.
+            // The machine has never been owned and its worker has no lease, so the heartbeat
+            // is answered at once. The worker stays here until the claim is committed.
             self.request_claim(status, ClaimPriority::Normal);
             return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
@@ -190,16 +190,16 @@
             return Ok(());
         }
         if status.fencing_token > NO_TOKEN && self.may_wait_for_claim(id, Instant::now()) {
-            // The lease is not renewed, but the worker stays here while its claim is being
-            // committed. If it moved on, it would also try all controllers that are cut
-            // off from the state service, and return only after its lease has expired.
+            // The answer does not renew the lease, but keeps the worker here while the claim
+            // is being committed. A worker that moved on would also try all controllers that
+            // are cut off from the state service, and return only after its lease has expired.
             return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
         Err(HeartbeatAnswer::unavailable("not claimed yet"))
     }
 
-    /// Returns whether a worker whose claim is not committed yet should stay here: for up
-    /// to half a lease, and only while the state service is reachable to commit claims.
+    /// Returns whether a worker whose claim is not committed yet should stay here. It should
+    /// for up to half a lease, and only while claims can reach the state service.
     fn may_wait_for_claim(&self, id: &str, now: Instant) -> bool {
         let lease = self.settings.worker_lease();
         let mut redirects = self.workers.redirects_mut();
@@ -243,8 +243,8 @@
             return Err(HeartbeatAnswer::unavailable("lost while answering"));
         };
         if owned_worker.in_flight {
-            // While a direct call with commands is in flight, the answer carries none: the
-            // two might arrive in either order.
+            // While a direct call is in flight, the answer carries no commands of the plan,
+            // as the call and the answer may arrive in either order.
             plan.commands.clear();
         }
         self.defer_stale_launches(id, &mut plan);
--- a/src/workers/heartbeat_answer.rs
+++ b/src/workers/heartbeat_answer.rs
@@ -9,16 +9,16 @@
 /// The answer to a heartbeat.
 #[derive(Debug)]
 pub(super) enum HeartbeatAnswer {
-    /// Commands that the worker executes. Its lease is renewed if the fencing token is not
-    /// lower than the highest one that the worker has seen.
+    /// The worker executes the commands. It also renews its lease, unless the fencing token
+    /// is lower than the highest one that it has seen.
     Commands {
         fencing_token: u64,
         commands: Vec<WorkerCommand>,
     },
-    /// A redirect of the worker's heartbeats to the named controller, or to any other if
-    /// none is named.
+    /// The worker sends its heartbeats to the given controller from now on, or to any other
+    /// one if none is given.
     Redirect(Option<String>),
-    /// A refusal, after which the worker tries the next controller.
+    /// The heartbeat is refused, and the worker tries the next controller.
     Unavailable {
         reason: &'static str,
         retry_after_s: u32,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,10 +1,16 @@
 //! Manages the workers whose machines this controller owns: claims, heartbeats, commands
 //! and the terminations of tasks.
 //!
+//! A controller becomes the owner of a machine by a claim, a commit that increments the
+//! machine's fencing token. Only the owner renews the lease of the machine's worker and
+//! sends commands to that worker. A worker whose lease expires ends all its tasks and
+//! begins a new epoch.
+//!
 //! The desired state of a machine is its bookings in the replica; the actual state is its
-//! newest status. [`reconcile()`] computes the difference, and no other function decides on
-//! the commands of a worker, apart from [`stops_of_cancelled_tasks()`]. Commands reach the
-//! worker in the answer to a heartbeat (`heartbeat`) or in a direct call (`commands`).
+//! newest status, the list of its tasks that the worker sent last. [`reconcile()`] plans the
+//! commands that remove the difference. The only other source of commands is
+//! [`stops_of_cancelled_tasks()`]. Commands reach the worker in the answer to a heartbeat
+//! (`heartbeat`) or in a direct call (`commands`).
 
 mod capacity_plan;
 mod claim_plan;
