--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -17,7 +17,8 @@
 
 /// The fencing token of a machine that was never claimed, lower than all others. A worker
 /// does not renew its lease on an answer with a lower token than its own. An answer with this
-/// token therefore keeps the worker at this controller without renewing the lease.
+/// token therefore keeps a worker that has a token at this controller without renewing the
+/// lease.
 const NO_TOKEN: u64 = 0;
 
 /// Delay before the next heartbeat of a worker whose machine was returned, in seconds.
@@ -181,8 +182,9 @@
         }
         let status = &heartbeat.status;
         if status.fencing_token == NO_TOKEN && heartbeat.recorded_token() == NO_TOKEN {
-            // The machine has never been owned and its worker has no lease, so the heartbeat
-            // is answered at once. The worker stays here until the claim is committed.
+            // The worker stays here until the claim is committed. The answer may renew its
+            // lease, which is safe: no controller has ever owned the machine, so none waits
+            // for that lease to expire.
             self.request_claim(status, ClaimPriority::Normal);
             return Err(HeartbeatAnswer::without_commands(NO_TOKEN));
         }
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -1,8 +1,8 @@
 //! The state that a controller keeps of each worker whose machine it owns.
 //!
-//! A machine is owned from the commit of a claim until another controller claims
-//! it. The state is kept in memory only and starts with the claim. A status is evidence
-//! only for the fencing token that it carries.
+//! A controller owns a machine from the commit of its claim until another controller claims
+//! the machine. The state is kept in memory only and starts with the claim. A status of the
+//! worker is evidence only for the claim whose fencing token the status carries.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::state::records::HeartbeatId;
 use crate::wire::{CommandAction, WorkerCommand, WorkerStatus};
 
-/// Time for which a worker must keep one epoch to count as reachable again, in leases: one
-/// whole lease and a margin.
+/// Time for which a worker must keep one epoch to count as reachable again, in leases. An
+/// epoch that lasts longer than a lease, with a margin, shows that the lease was renewed.
 const REACHABLE_AGAIN_LEASES: f64 = 1.25;
 
-/// One attempt of a task, identified as in the messages of its worker.
+/// Identifier of one attempt to run a task, as used in the messages of workers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct TaskAttempt {
     /// Id of the task, such as `job-000412/3`.
@@ -28,7 +28,7 @@
 }
 
 impl TaskAttempt {
-    /// Creates the identifier of a task's attempt.
+    /// Creates an identifier from the id of a task and the number of the attempt.
     pub fn new(task: impl Into<String>, attempt: u64) -> Self {
         TaskAttempt {
             task: task.into(),
@@ -52,7 +52,7 @@
     pub grace_s: f64,
 }
 
-/// The present epoch of a worker, which ends when its lease expires.
+/// The present epoch of a worker. An epoch ends when the worker's lease expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerEpoch {
     /// Number of the epoch, assigned by the worker.
@@ -61,21 +61,22 @@
     pub first_seen_at: Instant,
 }
 
-/// The state that this controller keeps of a worker that it owns, since the claim with the
-/// present fencing token.
+/// The state that this controller keeps of the worker of a machine that it owns, since the
+/// claim with the present fencing token.
 #[derive(Debug)]
 pub struct OwnedWorker {
     /// Fencing token with which this controller claimed the machine.
     pub fencing_token: u64,
-    /// Revision of that claim. Until the replica has reached it, bookings that an earlier
-    /// owner acted on may be missing from the replica.
+    /// Revision of the claim's commit. Until the replica has reached this revision, bookings
+    /// that an earlier owner acted on may be missing from the replica.
     pub claim_revision: u64,
-    /// Newest status that carries this fencing token.
+    /// Newest status that carries this fencing token; `None` until the first one, and again
+    /// after the worker's lease has expired.
     pub status: Option<WorkerStatus>,
     /// Time of the worker's last message, a heartbeat or an answer to a direct call.
     pub last_message_at: Instant,
-    /// Time of the last heartbeat. The lease of a worker that answers direct calls but
-    /// cannot open connections itself expires although its messages arrive.
+    /// Time of the last heartbeat. A worker that answers direct calls but cannot open
+    /// connections sends no heartbeats, so its lease expires although its answers arrive.
     pub last_heartbeat_at: Instant,
     /// Time of the claim.
     pub claimed_at: Instant,
@@ -84,8 +85,8 @@
     pub last_answered_at: Instant,
     /// Flag set while a direct call is in flight.
     pub in_flight: bool,
-    /// Flag set if a direct call with launches was not answered: the launches may be executed
-    /// late, as long as the worker has not seen a higher fencing token.
+    /// Flag set if a direct call with launches was not answered. The worker may execute the
+    /// launches late, until it has seen a higher fencing token or begun a new epoch.
     pub has_unanswered_launch: bool,
     /// Newest heartbeat whose answer carried launches. Until a newer heartbeat arrives, it
     /// is unknown whether the worker has executed them.
@@ -99,22 +100,25 @@
     /// Earliest time of the next direct call.
     pub next_call_at: Instant,
     /// Newest heartbeat, with any fencing token. A worker has at most one heartbeat in
-    /// flight, so an older one is a late copy, whose answer the worker does not wait for.
+    /// flight, so one that is not newer is a late copy, for whose answer the worker no
+    /// longer waits.
     pub newest_heartbeat: HeartbeatId,
     /// Present epoch of the worker; `None` until its first message.
     pub epoch: Option<WorkerEpoch>,
-    /// Time since which the worker's messages have arrived here, but no answers or commands
-    /// have reached the worker; `None` while it counts as reachable.
+    /// Time since which the worker counts as unreachable: its messages may arrive here, but
+    /// it does not renew its lease or does not act on what this controller sends. `None`
+    /// while the worker counts as reachable.
     pub unreachable_since: Option<Instant>,
     /// Flag set if the worker's lease has expired and it is unknown since then whether answers
-    /// reach the worker: new heartbeats alone do not show that. The worker's statuses are
-    /// accepted again once it has answered a direct call or shown a newer fencing token.
+    /// reach the worker; new heartbeats alone do not show that they do. The worker's statuses
+    /// are accepted again once it has answered a direct call, or shown the fencing token of a
+    /// newer claim.
     pub reachability_unconfirmed: bool,
 }
 
 impl OwnedWorker {
-    /// Creates the state of a worker whose machine was claimed with a fencing token by the
-    /// commit of the given revision.
+    /// Creates the state of a worker whose machine was claimed with the given fencing token,
+    /// in the commit with the given revision.
     pub fn new(fencing_token: u64, claim_revision: u64, now: Instant) -> Self {
         OwnedWorker {
             fencing_token,
@@ -138,7 +142,8 @@
         }
     }
 
-    /// Copies the state that does not depend on the fencing token from the previous claim.
+    /// Copies the state that does not depend on the fencing token from the state under the
+    /// previous claim.
     pub fn inherit_from(&mut self, earlier: &OwnedWorker) {
         self.failed_jobs.clone_from(&earlier.failed_jobs);
         self.newest_heartbeat = earlier.newest_heartbeat;
@@ -147,9 +152,10 @@
         self.unreachable_since = earlier.unreachable_since;
     }
 
-    /// Excludes a pause of this process from all times of silence, which only delays the
-    /// proof that a lease has expired. The time of the last answer is not changed: a lease
-    /// that expired during the pause does not show that answers fail to reach the worker.
+    /// Excludes a pause of this process from the measured silence of the worker. This is safe,
+    /// as it only delays the proof that the lease has expired. `last_answered_at` is not
+    /// changed: if the lease expired during the pause, the worker was not answered, and that
+    /// must not count as a failure of answers to reach the worker.
     pub fn exclude_pause(&mut self, pause: Duration, now: Instant) {
         for at in [
             &mut self.last_message_at,
@@ -166,8 +172,8 @@
         }
     }
 
-    /// Records a heartbeat; returns false for a late copy, which is not recorded because it
-    /// proves neither that the machine is alive nor which tasks run on it.
+    /// Records a heartbeat. Returns false for a late copy, which is not recorded: it proves
+    /// neither that the machine is alive now nor which tasks run on the machine.
     #[must_use]
     pub fn record_heartbeat(
         &mut self,
@@ -185,12 +191,12 @@
         true
     }
 
-    /// Records the worker's epoch, and whether answers reach the worker, from the status in
-    /// a heartbeat or in an answer to a direct call.
+    /// Records the worker's epoch and reachability as shown by the status in a heartbeat or
+    /// in an answer to a direct call.
     pub fn observe_status(&mut self, status: &WorkerStatus, lease: Duration, now: Instant) {
         self.last_message_at = now;
-        // A worker that receives the answers of this controller keeps its epoch, and its
-        // statuses carry the fencing token of this controller within a lease.
+        // A worker that receives this controller's answers keeps its epoch, and adopts this
+        // controller's fencing token within a lease after the claim.
         let ignores_token = status.fencing_token < self.fencing_token
             && now.saturating_duration_since(self.claimed_at) > lease;
         match self.epoch {
@@ -203,16 +209,18 @@
             }
             None => self.set_epoch(status, now),
         }
-        // The lease of a worker that cannot reach this controller expires, even if commands
-        // reach the worker: the tasks launched there end with each epoch.
+        // A worker that answers direct calls but sends no heartbeats cannot renew its lease.
+        // When the lease expires, the worker ends all tasks that were launched since. It is
+        // marked as unreachable so that it takes no new work.
         let sends_no_heartbeats = now.saturating_duration_since(self.last_heartbeat_at) > lease;
         if ignores_token || sends_no_heartbeats {
             self.mark_unreachable(now);
         }
     }
 
-    /// Records the start of a newer epoch: the worker's lease has expired since the last
-    /// status.
+    /// Records the start of a newer epoch, which shows that the worker's lease has expired.
+    /// If this controller had answered the worker within the last lease, the answers do not
+    /// reach the worker, which is marked as unreachable.
     fn begin_epoch(&mut self, status: &WorkerStatus, lease: Duration, now: Instant) {
         // The worker has ended the tasks of the earlier epoch, and refuses late commands
         // for that epoch.
@@ -236,9 +244,9 @@
         self.unreachable_since.get_or_insert(now);
     }
 
-    /// Accepts a status as the newest if it is newer than the known one and carries the
-    /// fencing token of this controller; returns whether it was accepted. Safety 3: an older
-    /// status proves nothing about tasks that have been launched since.
+    /// Stores a status if it carries this controller's fencing token and is newer than the
+    /// stored one; returns whether it was stored. Safety 3: an older status proves nothing
+    /// about tasks that have been launched since.
     pub fn accept_status(&mut self, status: WorkerStatus, is_heartbeat: bool) -> bool {
         if status.fencing_token != self.fencing_token {
             return false;
@@ -275,8 +283,8 @@
             .retain(|key, _| reported.contains(&(key.task.as_str(), key.attempt)));
     }
 
-    /// Returns whether the newest status is newer than every launch, so that a task missing
-    /// from it is not on the machine.
+    /// Returns whether the effect of every launch is known: none is in flight or unanswered.
+    /// A task that is missing from the newest status is then not on the machine.
     pub(super) fn are_launches_settled(&self) -> bool {
         !self.in_flight && !self.has_unanswered_launch && self.launches_offered_on.is_none()
     }
@@ -299,7 +307,8 @@
         }
     }
 
-    /// Removes the records of commands that were certainly not sent.
+    /// Reverts [`Self::record_commands`] for launches and stops that were certainly not sent,
+    /// so that they are planned again.
     pub(super) fn withdraw_commands(&mut self, commands: &[WorkerCommand]) {
         for command in commands {
             let attempt = TaskAttempt::from(command);
@@ -312,10 +321,11 @@
         }
     }
 
-    /// Returns whether the worker's lease has certainly expired (Safety 3, last case): this
-    /// controller has owned the machine throughout, the worker has shown its fencing token,
-    /// and this controller has not renewed the lease for its whole duration. No launch may be
-    /// in flight: a machine that hangs could execute it later.
+    /// Returns whether the worker's lease has certainly expired (Safety 3, last case). The
+    /// worker has shown this controller's fencing token, so no other controller can have
+    /// renewed the lease since, and for longer than the lease this controller has neither
+    /// answered a heartbeat nor received a message. No launch may be in flight: a machine
+    /// that hangs could execute it later.
     pub fn has_lease_expired(&self, lease: Duration, margin: Duration, now: Instant) -> bool {
         let expiry = lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT) + margin;
         self.status.is_some()
@@ -324,8 +334,8 @@
             && now.saturating_duration_since(self.last_message_at) > expiry
     }
 
-    /// Records that the worker's lease has expired, and that all its tasks have ended with
-    /// it: the state starts anew with the next accepted status.
+    /// Records that the worker's lease has expired. All tasks of the worker have ended with
+    /// the lease, so the status and the record of launches are discarded.
     pub(super) fn expire_lease(&mut self) {
         self.status = None;
         self.reachability_unconfirmed = true;
--- a/src/workers/publication.rs
+++ b/src/workers/publication.rs
@@ -1,5 +1,5 @@
-//! Publishes which owned machines take work, and their capacity, in the zone shards whose
-//! records differ from the state that this controller keeps of these machines.
+//! Publishes in zone shards which of this controller's machines take new work, and how much
+//! of their resources is free. Every controller places tasks by these records.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 /// Times at which this controller last published each zone shard's record.
 pub(super) type PublicationTimes = HashMap<String, Instant>;
 
-/// Runs the loop that publishes the capacity of owned machines where the zone shards'
-/// records differ.
+/// Runs the loop that rewrites zone shards whose records no longer match this controller's
+/// machines.
 pub async fn run_publication(controller: Rc<Controller>) {
     let mut published = PublicationTimes::new();
     let mut last_join: Option<Instant> = None;
@@ -36,9 +36,9 @@
             continue;
         }
         // A machine in no record costs money without taking work, and a task placed on a
-        // silent machine waits until its lease has expired. Changes of members therefore
-        // have a class that scheduling rounds do not delay: rounds would use the whole budget
-        // while work waits.
+        // silent machine waits until the lease of that machine's worker has expired.
+        // Scheduling rounds would use the whole write budget while work waits. Changes that
+        // add or remove machines therefore have a request class that rounds do not delay.
         let mut class = RequestClass::Publication;
         if changes.iter().any(|c| c.changes_members) {
             class = RequestClass::Claim;
@@ -55,9 +55,10 @@
     }
 }
 
-/// Waits until capacity has changed, and then for a short delay, which is longer while many
-/// machines boot: each publication costs one write for each zone shard, so new machines are
-/// published together.
+/// Waits until capacity has changed, or for a third of a heartbeat interval, and then for a
+/// short delay. The delay is longer if machines were added or removed a short time ago: each
+/// publication costs one write for each zone shard, so that machines which boot at about the
+/// same time should be published together.
 async fn wait_for_changes(controller: &Controller, last_join: Option<Instant>) {
     let heartbeat_interval = controller.settings.heartbeat_interval();
     let min_delay = controller.request_interval() * 4;
@@ -68,7 +69,8 @@
     sleep(min_delay.max(join_interval.saturating_sub(since_join))).await;
 }
 
-/// Commits the changes; after a conflict, commits the changes that do not conflict.
+/// Commits the changes. After a conflict, drops the changes that conflict and commits the
+/// others again.
 async fn publish(
     controller: &Controller,
     class: RequestClass,
@@ -89,8 +91,9 @@
                 drop_conflicting(&mut changes, &keys, published);
                 controller.expedite_watch();
                 controller.workers.wake_publication();
-                // The choice of a zone shard depends on the other zone shards of the commit
-                // once compact encodings are in use: then all changes are planned again.
+                // Once compact encodings are in use, the choice of a zone shard for a machine
+                // depends on the other zone shards in the commit. All changes are then
+                // planned again.
                 let depends_on_others = controller.replica.borrow().uses_compact_encoding();
                 if changes.len() == count || depends_on_others {
                     return;
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,5 +1,5 @@
 //! Plans the commands and terminations of a worker from the difference between the bookings
-//! of its machine and its newest status. No command is sent and no state changed here.
+//! of its machine and its newest status. This module sends no commands and changes no state.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::state::replica::{Replica, Versioned};
 use crate::wire::{CommandAction, ExitReason, TaskStage, TaskStatus};
 
-/// Ratio of a stop's grace period, before the margin, to the time that the job declares for
-/// saving a checkpoint.
+/// Grace period of a stop without its margin, as a multiple of the time that the job declares
+/// for saving a checkpoint.
 const SAVE_GRACE_FACTOR: f64 = 1.5;
 
-/// Margin of a grace period for the transfer of the command, in seconds.
+/// Time that is added to a grace period for the transfer of the command, in seconds.
 const SAVE_GRACE_MARGIN_S: f64 = 1.0;
 
 /// Returns the grace period of a stop, in seconds: long enough to save a checkpoint, and zero
@@ -41,8 +41,8 @@
 }
 
 /// Plans the commands and terminations that follow from the difference between the bookings
-/// of a machine and its newest status. Stops without visible effect are commanded again after
-/// `retry_after`. The function has no side effects.
+/// of a machine and the newest status of its worker. A stop that has shown no effect is
+/// commanded again after `retry_after`.
 pub fn reconcile(
     id: &str,
     owned_worker: &OwnedWorker,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Plans for a task that the worker reports.
+    /// Plans the command or termination, if any, of a task that the worker reports.
     fn plan_reported(&self, job: &str, number: u32, task: &TaskStatus, plan: &mut WorkerPlan) {
         let entry = self.replica.jobs.get(job);
         let booking = entry.and_then(|e| {
@@ -142,7 +142,7 @@
             }
             Some((job, run)) => self.stop_booked(job, run, task, plan),
             None if has_ended => {
-                // The termination is recorded, or this controller never had to record it.
+                // The attempt has no booking to be released, so the worker may forget it.
                 if self.owned_worker.are_launches_settled() {
                     plan.push_command(CommandAction::Forget, &task.task, task.attempt, None);
                 }
@@ -193,7 +193,7 @@
         self.now.saturating_duration_since(stop.sent_at) > self.retry_after
     }
 
-    /// Plans for the booked tasks that are missing from the status.
+    /// Plans the launches and terminations of booked tasks that are missing from the status.
     fn plan_missing(&self, reported: &HashSet<ReportedTask>, plan: &mut WorkerPlan) {
         for (job, entry) in self.replica.jobs_on(self.machine) {
             let runs = entry.value.runs.iter();
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Plans for a booked task that is not on the machine: it is lost, or has not been
-    /// launched yet.
+    /// Plans the launch of a booked task that is not on the machine, or its termination if
+    /// the attempt is lost or must not be launched.
     fn plan_missing_task(
         &self,
         job_id: &str,
@@ -243,9 +243,10 @@
         }
     }
 
-    /// Returns whether a missing task must not be launched again in this attempt. If a gang's
-    /// task has disappeared after its launch, the gang's attempt has failed; an independent
-    /// task is launched again, unless commands do not reach the worker.
+    /// Returns whether a missing task must not be launched in this attempt: if its run is to
+    /// be stopped, if the worker is unreachable, or if a task of a gang has disappeared after
+    /// its launch. The gang's attempt has failed then. An independent task that has
+    /// disappeared is launched again.
     fn is_lost(&self, job: &Job, run: &Run, attempt: &TaskAttempt) -> bool {
         let is_gang = job.spec.as_ref().is_some_and(JobSpec::is_gang);
         let was_launched = self.owned_worker.launched_attempts.contains(attempt);
