--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -9,7 +9,8 @@
 /// The byte that acknowledges a frame.
 pub(super) const ACK: u8 = 1;
 
-/// The status of a controller, which it sends to each peer several times in a worker lease.
+/// The status of a controller. Each controller sends its status to every peer several times
+/// in a worker lease.
 /// Fields are encoded in the order of their declaration.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct PeerStatus {
@@ -27,17 +28,17 @@
     pub silent_machines: u32,
     /// Demand for writes to the state service, in keys per second.
     pub write_demand: f64,
-    /// Offers that the cloud has recently refused to the controller.
+    /// Names of the cloud's offers of machines that were recently refused to the controller.
     pub refused_offers: Vec<String>,
 }
 
-/// The error of encoding or decoding a message.
+/// The reason why a message could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// A failure to encode the message.
+    /// The status could not be encoded.
     #[error("cannot encode the gossip message: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// A failure to decode the bytes as a message.
+    /// The received bytes are not a valid message.
     #[error("cannot decode the gossip message: {0}")]
     Decode(#[from] bincode::error::DecodeError),
 }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! Exchanges status messages between controllers. They are hints only: no decision that a
-//! safety rule depends on is based on gossip.
+//! Exchanges status messages between controllers. The messages are hints only: no decision
+//! that a safety rule depends on is based on them.
 
 mod message;
 mod peer_table;
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest status of each other controller, and answers queries about them.
+//! Keeps the newest status of each other controller. Only recent statuses are used.
 
 use std::collections::HashMap;
 
@@ -27,7 +27,7 @@
 pub struct PeerTable(HashMap<String, PeerState>);
 
 impl PeerTable {
-    /// Records the status of a controller.
+    /// Records a received status as the controller's newest one.
     pub fn record(&mut self, mut status: PeerStatus, now: Instant) {
         status.write_demand = status.write_demand.clamp(0.0, MAX_WRITE_DEMAND);
         let state = PeerState {
@@ -50,8 +50,8 @@
             .map(|(name, peer)| (name.as_str(), &peer.status))
     }
 
-    /// Returns the names of this controller and of the peers whose statuses are recent and
-    /// show that the state service answers them.
+    /// Returns the names of this controller and of the peers that are up: their statuses are
+    /// recent and show that the state service answers them.
     pub fn alive_controllers<'a>(
         &'a self,
         controller: &'a Controller,
@@ -91,7 +91,8 @@
             .collect()
     }
 
-    /// Returns the offers that the cloud has recently refused to the other controllers.
+    /// Returns the names of the cloud's offers of machines that were recently refused to the
+    /// other controllers.
     pub fn refused_offers(&self, controller: &Controller, now: Instant) -> Vec<String> {
         self.fresh(controller, now)
             .flat_map(|(_, peer)| peer.refused_offers.iter().cloned())
--- a/src/gossip/receiver.rs
+++ b/src/gossip/receiver.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns whether the settings name the controller that sent a message.
+/// Returns whether the controller that sent a message is in the settings.
 fn is_known(controller: &Controller, status: &PeerStatus) -> bool {
     let mut others = controller.settings.others.iter();
     others.any(|peer| peer.name == status.controller)
--- a/src/gossip/sender.rs
+++ b/src/gossip/sender.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Sends a frame to one peer in each interval, and reconnects if a frame was not
+/// Sends a frame to one peer in each interval, and reconnects after a frame that was not
 /// acknowledged.
 async fn send_to_peer(controller: Rc<Controller>, addr: SocketAddrV4) {
     let interval = gossip_interval(&controller.settings);
@@ -37,8 +37,8 @@
                 continue;
             }
         };
-        // Frames are acknowledged because writes to a connection succeed for a long time
-        // after the peer has ended without closing it.
+        // Writes to a connection still succeed for a long time after the peer has ended
+        // without closing the connection. Only a missing acknowledgement shows the failure.
         let exchange = async {
             conn.write_all(&frame).await?;
             conn.read_u8().await
--- a/src/gossip/write_budget.rs
+++ b/src/gossip/write_budget.rs
@@ -1,5 +1,5 @@
-//! Divides the request and write limits of the state service among the controllers; writes
-//! are divided by each controller's demand.
+//! Divides the rate limits of the state service among the controllers. The request limit is
+//! divided equally, the write limit by demand.
 
 use std::rc::Rc;
 
@@ -20,8 +20,9 @@
 /// Sets this controller's rates of requests and of writes from the limits of the state service
 /// and the demands of all controllers.
 fn update_budget(controller: &Controller) {
-    // The lower limits come into force without notice. They are applied once refusals by
-    // the state service show that, and the present limits are tried again later.
+    // The state service changes from its present limits to announced lower ones without
+    // notice. The lower limits are applied once refusals show that they are in force. The
+    // present limits are tried again later, as the refusals may have had another reason.
     let is_rate_reduced = controller.state_client.is_rate_reduced()
         && controller.replica.borrow().all_read_compact_encodings();
     let writes_per_s = controller.settings.max_writes_per_s(is_rate_reduced) * MAX_BUDGET_FRACTION;
@@ -41,9 +42,10 @@
         .peers
         .borrow()
         .write_demands(controller, Instant::now());
-    // A controller without a recent status whose state lease has expired, too, writes nothing:
-    // it is cut off or has ended, and the others need its share most at that time. The
-    // rule applies only after all controllers have had time to write their records.
+    // A controller is cut off or has ended if it sends no status and its record, which the
+    // state service removes when the controller's lease there expires, is gone as well. It
+    // writes nothing, and the other controllers need its share most at that time. After a
+    // start, controllers get the time of one lease to write their records.
     if controller.started.elapsed() <= controller.settings.worker_lease()
         || !controller.is_state_service_reachable()
     {
--- a/src/workers/owned_worker.rs
+++ b/src/workers/owned_worker.rs
@@ -210,8 +210,8 @@
             None => self.set_epoch(status, now),
         }
         // A worker that answers direct calls but sends no heartbeats cannot renew its lease.
-        // When the lease expires, the worker ends all tasks that were launched since. It is
-        // marked as unreachable so that it takes no new work.
+        // When the lease expires, the worker ends all its tasks, including those that direct
+        // calls have launched. It is marked as unreachable so that it takes no new work.
         let sends_no_heartbeats = now.saturating_duration_since(self.last_heartbeat_at) > lease;
         if ignores_token || sends_no_heartbeats {
             self.mark_unreachable(now);
@@ -321,11 +321,11 @@
         }
     }
 
-    /// Returns whether the worker's lease has certainly expired (Safety 3, last case). The
-    /// worker has shown this controller's fencing token, so no other controller can have
-    /// renewed the lease since, and for longer than the lease this controller has neither
-    /// answered a heartbeat nor received a message. No launch may be in flight: a machine
-    /// that hangs could execute it later.
+    /// Returns whether the worker's lease has certainly expired (Safety 3, last case), given
+    /// that this controller has owned the machine since its claim. The worker must have shown
+    /// the fencing token of the claim, and for longer than the lease this controller must have
+    /// neither answered a heartbeat nor received a message. No launch may be in flight: a
+    /// machine that hangs could execute it later.
     pub fn has_lease_expired(&self, lease: Duration, margin: Duration, now: Instant) -> bool {
         let expiry = lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT) + margin;
         self.status.is_some()
--- a/src/workers/redirect_history.rs
+++ b/src/workers/redirect_history.rs
@@ -6,34 +6,34 @@
 
 use tokio::time::Instant;
 
-/// Time for which a worker that did not reach its preferred owner is not redirected there
-/// again, in leases.
+/// Minimum time between two redirects of a worker to a preferred owner that it did not reach,
+/// in leases.
 const REDIRECT_RETRY_LEASES: u32 = 3;
 
 /// A worker's last redirect to its preferred owner.
 #[derive(Debug)]
 struct PreferredOwnerRedirect {
     sent_at: Instant,
-    /// Flag set if the worker came back within a lease, and so has not reached its preferred
-    /// owner.
+    /// Flag set if the worker came back within a lease, which shows that it did not reach its
+    /// preferred owner.
     has_returned: bool,
 }
 
-/// The redirects of workers, and the times since which workers wait for their claims.
+/// The last redirects of workers, and the times since which workers wait for their claims.
 #[derive(Debug, Default)]
 pub(super) struct RedirectHistory {
     /// Last redirect of each machine's worker to its preferred owner.
     to_preferred_owner: HashMap<String, PreferredOwnerRedirect>,
     /// Time of the last redirect of each machine's worker to its recorded owner.
     to_owner: HashMap<String, Instant>,
-    /// Time of the last redirect to a preferred owner of a worker that some controller owned.
+    /// Time at which a worker of an owned machine was last redirected to its preferred owner.
     last_owned_redirect: Option<Instant>,
     /// Time since which each machine's worker has stayed here and waited for its claim.
     claim_wait_since: HashMap<String, Instant>,
 }
 
 impl RedirectHistory {
-    /// Records a redirect of a machine's worker to its preferred owner; `is_owned` says that
+    /// Records a redirect of a machine's worker to its preferred owner. `is_owned` is true if
     /// some controller owns the machine already.
     pub(super) fn record_redirect_to_preferred_owner(
         &mut self,
@@ -53,9 +53,10 @@
     }
 
     /// Returns whether the worker has failed to reach its preferred owner after a redirect, and
-    /// so stays here. A worker that returns within a lease has not reached its preferred
-    /// owner, and is not redirected again for some leases. A worker that returns later did
-    /// reach it and has lost it since, so it may be redirected again.
+    /// so should stay here. A worker that returns within a lease has not reached its preferred
+    /// owner, and is not redirected again until [`REDIRECT_RETRY_LEASES`] have passed. A worker
+    /// that returns later did reach its preferred owner and has lost contact since, so it may
+    /// be redirected again.
     pub(super) fn has_failed_to_reach_preferred_owner(
         &mut self,
         machine: &str,
@@ -70,8 +71,8 @@
         redirect.has_returned && age < lease * REDIRECT_RETRY_LEASES
     }
 
-    /// Returns whether a worker that some controller owned was redirected to its preferred
-    /// owner within the interval.
+    /// Returns whether any worker of an owned machine was redirected to its preferred owner
+    /// within the interval.
     pub(super) fn has_redirected_owned_within(&self, interval: Duration, now: Instant) -> bool {
         self.last_owned_redirect
             .is_some_and(|at| now.saturating_duration_since(at) < interval)
@@ -111,8 +112,8 @@
         now.saturating_duration_since(*since) < lease / 2
     }
 
-    /// Drops the redirects to preferred owners and the waits of all machines but the known
-    /// ones.
+    /// Drops the redirects to preferred owners, and the waits for claims, of machines that are
+    /// not in `known`.
     pub(super) fn retain_machines(&mut self, known: &HashSet<&str>) {
         self.to_preferred_owner
             .retain(|machine, _| known.contains(machine.as_str()));
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -1,11 +1,12 @@
 //! Redirects workers to the controllers that should receive their heartbeats.
 //!
-//! The preferred owner of a machine is the controller named in the machine's shard: commits
-//! for the machine's work conflict with no others if that controller makes them. A worker is
-//! redirected to its preferred owner if that controller is up and receives heartbeats, and
-//! to the present owner of its machine if the worker has lost contact with the owner for a
-//! short time. Both kinds of redirect are limited, as the worker may be unable to reach the
-//! other controller.
+//! The preferred owner of a machine is the controller whose name is part of the name of the
+//! machine's shard. If each machine is owned by its preferred owner, each shard is written by
+//! one controller only, so that commits seldom conflict. A worker is redirected to its
+//! preferred owner if that controller is up and receives heartbeats. A worker that has lost
+//! contact with the present owner of its machine for a short time is redirected back to that
+//! owner. Both kinds of redirect are limited, as the worker may be unable to reach the other
+//! controller.
 
 use tokio::time::Instant;
 
@@ -14,7 +15,8 @@
 use crate::state::records::Machine;
 use crate::wire::WorkerStatus;
 
-/// Returns the name of the controller that a shard's name contains.
+/// Returns the preferred owner of the machines in a shard, which is the part of the shard's
+/// name before the last dot; empty if there is none.
 pub fn preferred_owner_of(shard: &str) -> &str {
     shard
         .rsplit_once('.')
@@ -22,13 +24,14 @@
 }
 
 impl Controller {
-    /// Returns the owner in a machine's record if it is another controller.
+    /// Returns the owner in a machine's record if the owner is another controller.
     pub(super) fn recorded_other_owner(&self, machine: &Machine) -> Option<String> {
         (machine.owner != self.name()).then(|| machine.owner.clone())
     }
 
     /// Returns the preferred owner that the worker should be redirected to now, and records
-    /// the redirect. It is another controller that is up and receives heartbeats.
+    /// the redirect. The preferred owner is then another controller that is up and receives
+    /// heartbeats.
     pub(super) fn redirect_to_preferred_owner(
         &self,
         status: &WorkerStatus,
@@ -45,8 +48,8 @@
         if redirects.has_failed_to_reach_preferred_owner(&status.machine, lease, now) {
             return None;
         }
-        // The redirect of a machine without an owner needs no limit: its claim costs the
-        // same at either controller.
+        // The rate limit applies only to owned machines, whose redirect costs another claim.
+        // A machine without an owner has to be claimed once at either controller.
         let is_owned = machine.is_some_and(|m| !m.owner.is_empty());
         if is_owned && !self.may_change_owner(&redirects, now) {
             return None;
@@ -55,9 +58,10 @@
         Some(preferred_owner)
     }
 
-    /// Returns the controller named in the machine's shard, if it is up and receives
-    /// heartbeats; otherwise one that does, in the machine's zone if possible, as heartbeats
-    /// within a zone still arrive when zones are partitioned from one another.
+    /// Returns the preferred owner according to the machine's shard, if that controller is up
+    /// and receives heartbeats. Otherwise selects a controller that is up and does, in the
+    /// machine's zone if possible: heartbeats within a zone still arrive when zones are
+    /// partitioned from one another.
     fn reachable_preferred_owner(
         &self,
         status: &WorkerStatus,
@@ -76,16 +80,16 @@
     }
 
     /// Returns whether a worker of an owned machine may be redirected to its preferred owner
-    /// now. These redirects are limited in rate, and none is made while claims are queued:
-    /// after a restart of many controllers, all workers send their heartbeats to the first one
-    /// that is up.
+    /// now. These redirects are limited in rate, and none is made while claims are queued.
+    /// Otherwise very many could be due at once: after a restart of many controllers, all
+    /// workers send their heartbeats to the first one that is up.
     fn may_change_owner(&self, redirects: &RedirectHistory, now: Instant) -> bool {
         let interval = self.request_interval() / 4;
         self.workers.claims.is_empty() && !redirects.has_redirected_owned_within(interval, now)
     }
 
-    /// Selects the preferred owner of a machine from the given controllers by hash: one in the
-    /// machine's zone, if there is any.
+    /// Selects the preferred owner of a machine by hash from the given controllers, or only
+    /// from those in the machine's zone if there are any.
     pub fn select_preferred_owner(
         &self,
         machine: &str,
@@ -106,12 +110,13 @@
         crate::hash::preferred_controller(machine, candidates.iter().copied()).map(str::to_string)
     }
 
-    /// Returns the other controller that owns a machine, if it is up and receives
-    /// heartbeats, and records the redirect to it. A worker that has lost contact with its
-    /// owner for a short time returns to it once, which costs no claim. The preferred
-    /// owner does not redirect the worker to the present one, as the two would redirect it
-    /// back and forth. Nor is it redirected to a controller that receives no heartbeats, as
-    /// another attempt there would use up the rest of the lease.
+    /// Returns the other controller that owns a machine, if the worker should be redirected
+    /// to that owner, and records the redirect. The redirect costs no claim if the worker has
+    /// lost contact with the owner only for a short time; at most one is made in a lease. If
+    /// this controller is the preferred owner, it does not redirect the worker to the present
+    /// owner, as the two controllers would redirect the worker back and forth. An owner that
+    /// receives no heartbeats gets no redirects either, as an attempt to reach it would use
+    /// up the rest of the lease.
     pub(super) fn redirect_to_owner(
         &self,
         id: &str,
--- a/src/workers/required_stops.rs
+++ b/src/workers/required_stops.rs
@@ -5,9 +5,10 @@
 use crate::state::replica::Replica;
 use crate::wire::{CommandAction, TaskStage, TaskStatus, WorkerCommand, WorkerStatus};
 
-/// Returns whether a task on the machine must be stopped. A controller that cannot command
-/// that yet must not renew the machine's lease: a cancelled task would outlive `cancel_s` if
-/// the owner restarted repeatedly before it could claim the machine.
+/// Returns whether a task on the machine must be stopped. A controller that has not claimed
+/// the machine yet cannot command the stop, and must not renew the worker's lease in that
+/// case. Otherwise a cancelled task would outlive `cancel_s` if the owner restarted repeatedly
+/// before it could claim the machine.
 pub fn must_stop(status: &WorkerStatus, replica: &Replica) -> bool {
     let runs_unbooked = status
         .tasks
@@ -17,7 +18,8 @@
     runs_unbooked || booked.any(|(_, entry)| !entry.value.is_open())
 }
 
-/// Returns whether a reported task has not ended and no open job has booked it on the machine.
+/// Returns whether a reported task still runs although no open job has booked it on the
+/// machine.
 fn runs_without_booking(task: &TaskStatus, machine: &str, replica: &Replica) -> bool {
     let Some((id, number)) = split_task(&task.task) else {
         return false;
@@ -31,8 +33,9 @@
 /// Returns the stops that an answer must carry if it renews the lease: one for every
 /// running task in the heartbeat's status whose job is cancelled. Cancellation is final, so
 /// these stops need neither a status with this controller's fencing token nor a replica that
-/// has reached its claim. A stop may be repeated at any time: it is not left out if it was
-/// commanded recently or is in a direct call that is in flight, as neither may ever arrive.
+/// has reached this controller's claim. A stop may be repeated at any time. It is therefore
+/// included even if it was commanded recently or is in a direct call that is in flight, as
+/// neither command may ever arrive.
 pub fn stops_of_cancelled_tasks(status: &WorkerStatus, replica: &Replica) -> Vec<WorkerCommand> {
     let is_cancelled = |task: &&TaskStatus| {
         let job = split_task(&task.task).and_then(|(id, _)| replica.jobs.get(id));
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -1,5 +1,5 @@
-//! Collects the terminations of task attempts, with their evidence, in a queue until they
-//! are recorded.
+//! Queues the terminations of task attempts until a commit records them and releases their
+//! bookings.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::OwnedWorker;
 
-/// The key of a task's attempt on a machine, whose booking is to be released.
+/// Key that identifies one attempt of a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// Id of the job.
@@ -24,7 +24,7 @@
     pub task: u32,
 }
 
-/// An attempt that has ended.
+/// The end of an attempt. Its booking may be released.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Termination {
     /// Key of the attempt.
@@ -33,9 +33,9 @@
     pub outcome: TaskOutcome,
 }
 
-/// The outcome of an attempt, and the fencing token under which it was proven. If a
+/// The proven outcome of an attempt, with the fencing token under which it was proven. If a
 /// controller loses a machine and claims it again, another controller may have launched the
-/// same attempt there in between: evidence from before the new claim is void.
+/// same attempt there in between, so evidence from before the new claim is void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminationEvidence {
     /// Outcome of the attempt.
@@ -45,7 +45,7 @@
 }
 
 impl Controller {
-    /// Queues terminations for the next commit that records terminations.
+    /// Queues terminations and wakes the loop that records them.
     pub(super) fn queue_terminations(&self, terminations: Vec<Termination>) {
         if terminations.is_empty() {
             return;
@@ -87,7 +87,8 @@
     }
 }
 
-/// Updates the jobs that have failed on a machine since a task last succeeded there.
+/// Adds the job of a failed task to the failed jobs of the machine, or clears these after a
+/// success.
 fn record_failure(owned_worker: &mut OwnedWorker, job: &str, outcome: TaskOutcome) {
     match outcome {
         TaskOutcome::Failed => _ = owned_worker.failed_jobs.insert(job.to_string()),
@@ -106,8 +107,8 @@
     controller.queue_terminations(lost);
 }
 
-/// Marks the leases that have expired, and returns the terminations of the attempts lost
-/// with them.
+/// Records which workers' leases have expired, and returns terminations for all attempts that
+/// are booked on their machines.
 fn expire_leases(
     controller: &Controller,
     lease: Duration,
--- a/src/workers/worker_plan.rs
+++ b/src/workers/worker_plan.rs
@@ -8,7 +8,7 @@
 /// The commands to send to a worker, and the terminations to record.
 #[derive(Debug, Default, PartialEq)]
 pub struct WorkerPlan {
-    /// Commands for the worker, in the order of execution.
+    /// Commands for the worker, in the order in which it executes them.
     pub commands: Vec<WorkerCommand>,
     /// Terminations of attempts that have ended.
     pub terminations: Vec<Termination>,
@@ -25,9 +25,9 @@
         includes_launch(&self.commands)
     }
 
-    /// Removes the launches unless the replica is recent enough for them: a booking in an
-    /// older replica may have been cancelled through another controller since. Returns whether
-    /// any launch was removed; these are planned again after a read barrier.
+    /// Removes the launches if the replica is older than `limit`, and returns whether there
+    /// were any. A booking in an older replica may have been cancelled through another
+    /// controller since. Removed launches are planned again after a read barrier.
     #[must_use]
     pub fn defer_launches(&mut self, replica_staleness: Option<Duration>, limit: Duration) -> bool {
         let is_recent = replica_staleness.is_some_and(|age| age < limit);
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -19,17 +19,17 @@
 pub struct WorkerTable {
     /// Workers of the machines that this controller owns, by machine.
     owned: RefCell<HashMap<String, OwnedWorker>>,
-    /// Terminations of tasks that wait to be recorded.
+    /// Queued terminations, by attempt, until they are recorded.
     pending_terminations: RefCell<BTreeMap<AttemptKey, TerminationEvidence>>,
     /// Claims that wait to be committed.
     pub(super) claims: ClaimQueue,
     /// Latest redirects of workers to other controllers.
     redirects: RefCell<RedirectHistory>,
-    /// Notification of the command loop that bookings or statuses of machines have changed.
+    /// Notification that wakes the command loop when bookings or statuses have changed.
     commands_notify: Notify,
-    /// Notification of the recording of terminations that some have been queued.
+    /// Notification that wakes the loop that records terminations when some are queued.
     terminations_notify: Notify,
-    /// Notification of the capacity publication loop that capacity has changed.
+    /// Notification that wakes the publication loop when capacity has changed.
     publication_notify: Notify,
 }
 
@@ -43,7 +43,7 @@
         self.owned.borrow_mut()
     }
 
-    /// Excludes a pause of this process from the time of silence of every worker.
+    /// Excludes a pause of this process from the measured silence of every worker.
     pub fn exclude_pause(&self, pause: Duration, now: Instant) {
         for owned_worker in self.owned.borrow_mut().values_mut() {
             owned_worker.exclude_pause(pause, now);
@@ -54,7 +54,8 @@
         self.redirects.borrow_mut()
     }
 
-    /// Drops the recorded redirects of all machines but the known ones.
+    /// Drops the redirects to preferred owners, and the waits for claims, of machines that are
+    /// not in `known`.
     pub fn retain_redirects(&self, known: &HashSet<&str>) {
         self.redirects.borrow_mut().retain_machines(known);
     }
@@ -106,7 +107,8 @@
 }
 
 impl Controller {
-    /// Returns whether this run of the controller owns the machine according to its replica.
+    /// Returns whether this run of the controller owns the machine: its replica shows its own
+    /// claim as the newest.
     pub fn owns(&self, machine: &str) -> bool {
         let replica = self.replica.borrow();
         let owned_workers = self.workers.owned();
--- a/src/workers/zone_shards.rs
+++ b/src/workers/zone_shards.rs
@@ -1,4 +1,9 @@
-//! Chooses the zone shard whose record lists a machine's slot.
+//! Chooses the zone shard that lists a machine.
+//!
+//! A machine shard is a record that states the owners of its machines; a zone shard lists
+//! machines that take new work, each with an entry called slot. Both kinds have names of the
+//! form `CONTROLLER.NUMBER`, where the controller is the preferred owner of the machines. A
+//! machine's own zone shard is the one with the name of its machine shard.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -27,9 +32,9 @@
     pub preconditions: PreconditionVersions,
 }
 
-/// Cached upper bounds of the encoded lengths of zone shard records, in bytes, with the
-/// changes that the planned commit makes. A preferred owner may have thousands of machines,
-/// so a record's bound is computed only once between two changes of the record.
+/// Cached upper bounds of the encoded lengths, in bytes, that zone shard records will have
+/// after the planned commit. A bound is computed only after a change of its record, as
+/// thousands of machines may be checked against the same record.
 #[derive(Default)]
 pub(super) struct ShardLengths(RefCell<HashMap<String, usize>>);
 
@@ -49,13 +54,13 @@
     }
 }
 
-/// The inputs of the choice of a zone shard.
+/// The inputs for the choice of a zone shard.
 pub(super) struct ShardChooser<'a> {
     pub replica: &'a Replica,
     pub edits: &'a BTreeMap<String, ShardEdit>,
     pub lengths: &'a ShardLengths,
-    /// Number of zone shards of a preferred owner that are the first candidates of each of
-    /// its machines.
+    /// Number of zone shards that are the first candidates for every machine of the same
+    /// preferred owner.
     pub shared_candidates: usize,
 }
 
@@ -63,18 +68,18 @@
     /// Chooses the zone shard for the slot of a machine that is in none yet, such that no
     /// concurrent or delayed commit can list the machine in a second one:
     ///
-    /// - Before compact encodings are in use, and as long as the zone shard of the machine's
-    ///   own machine shard is not stored in the compact encoding, it is that zone shard.
-    ///   A commit that was decided by an earlier version may still arrive, and its only
-    ///   precondition is the version of that zone shard.
-    /// - After that, it is the machine's first candidate with capacity. The choice has three
-    ///   kinds of preconditions. The first is the machine shard: only the machine's owner
-    ///   adds it to a zone shard, and each claim changes the machine shard. The second is all
-    ///   candidates up to the chosen one, and the third is the zone shard of the machine's own
-    ///   machine shard: an unanswered commit of this controller, which may be applied later,
-    ///   made its choice by these records. None of the records may be newer than the
-    ///   revision that the replica has reached: a choice that another controller made
-    ///   since then would be missing from the replica.
+    /// - The machine's own zone shard is chosen before compact encodings are in use, and
+    ///   afterwards until that zone shard is stored in the compact encoding. Until then a
+    ///   commit that was decided by an earlier version of the software may still arrive, and
+    ///   its only precondition is the version of the machine's own zone shard.
+    /// - After that, the machine's first candidate with capacity is chosen. The choice has
+    ///   preconditions on three kinds of records. The first is the machine shard: only the
+    ///   machine's owner adds the machine to a zone shard, and each claim changes the machine
+    ///   shard. The others are all candidates up to the chosen one, and the machine's own zone
+    ///   shard: an unanswered commit of this controller, which may be applied later, made its
+    ///   choice by these records. None of the records may be newer than the revision that the
+    ///   replica has reached, as a choice that another controller made since then would be
+    ///   missing from the replica. `None` is returned in that case.
     pub(super) fn choose(&self, id: &str, machine: &Machine) -> Option<ShardChoice> {
         let own_shard = shard_id(&machine.zone, &machine.shard);
         if !self.replica.uses_compact_encoding() || !self.replica.is_compact_zone_shard(&own_shard)
@@ -115,8 +120,8 @@
     }
 
     /// Returns whether the zone shard, as edited so far, is empty or has capacity for the
-    /// machine's slot. The result must depend only on the record and on the names of the
-    /// machine and its type, not on the present resources of unbooked tasks.
+    /// machine's slot. The result depends only on the record and on the names of the machine
+    /// and its type. It must not depend on the resources of unbooked tasks, which change.
     fn has_capacity(&self, shard: &str, id: &str, machine: &Machine) -> bool {
         let edited = self.edits.get(shard).map(|edit| &edit.record);
         let known = || self.replica.zone_shards.get(shard).map(|e| &e.value);
@@ -134,11 +139,12 @@
 }
 
 /// Returns the numbers of the zone shards that may list a machine, in an order that is
-/// determined by its machine shard and the settings alone. The first `shared_count` numbers
+/// determined by the machine shard and the settings alone. The first `shared_count` numbers
 /// are the same for all machines of a preferred owner, so that few zone shards hold all of
-/// them. If these are full, there are more zone shards than one commit can name in its
-/// preconditions: the candidates continue with the machine shard's own number, at
-/// distances from it that double, so that the empty ones at the end are reached soon.
+/// these machines. If they are full, there may be more zone shards than one commit can have
+/// preconditions on, so not all can be candidates. The candidates continue with the number
+/// of the machine shard and then at doubling distances from that number, so that the empty
+/// zone shards after the last used one are reached after few steps.
 fn candidate_numbers(machine_shard: &str, shared_count: usize) -> impl Iterator<Item = usize> {
     let number = machine_shard
         .rsplit_once('.')
