--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -1,10 +1,10 @@
-//! JSON messages of the operators' endpoints for shares: requests and responses.
+//! JSON requests and responses of the endpoints by which operators view and move shares.
 
 use resources::{Amount, Resources};
 use serde::{Deserialize, Serialize};
 use shares::MoveState;
 
-/// An amount of resources in whole units, as people write it.
+/// Amounts of resources in units for people, such as CPUs; fractions are allowed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Amounts {
     /// Number of CPUs.
@@ -28,7 +28,7 @@
     }
 }
 
-/// The largest amount of a move in each dimension, in whole units.
+/// The largest amount of a move in each dimension, in the units of [`Amounts`].
 const MAX_AMOUNT: f64 = 1e9;
 
 impl Amounts {
@@ -50,30 +50,31 @@
 /// One controller's share of a team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControllerShare {
-    /// The controller.
+    /// The name of the controller.
     pub controller: String,
-    /// The resources that the controller may have booked.
+    /// The present size of the share: the most that may be booked against it.
     pub granted: Amounts,
-    /// The resources that the controller will have once all pending moves are complete.
+    /// The size of the share once all pending moves are complete.
     pub wanted: Amounts,
-    /// The resources that are booked.
+    /// The resources that are booked against the share.
     pub used: Amounts,
 }
 
 /// The distribution of a team's limit over the controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamShares {
-    /// The team.
+    /// The name of the team.
     pub team: String,
-    /// True if the team's bookings are charged to shares.
+    /// True if the team's limit is split into shares, to which its bookings are charged.
     pub split: bool,
-    /// The number of moves that were requested.
+    /// The number of moves that were requested for the team so far.
     pub generation: u64,
-    /// The latest generation at which no move was pending.
+    /// The latest generation at which no move was pending. All moves are complete if it
+    /// equals `generation`.
     pub settled: u64,
     /// The controllers that have a share, will receive one, or have bookings.
     pub controllers: Vec<ControllerShare>,
-    /// The reason why a pending move cannot proceed, if any.
+    /// The transfer that a pending move still waits for, as text; `None` if no move is pending.
     #[serde(default)]
     pub obstacle: Option<String>,
 }
@@ -83,11 +84,11 @@
 pub struct ShareReport {
     /// The revision of the state that the response describes.
     pub revision: u64,
-    /// The resources that all shares together may have.
+    /// The most resources that the shares of all teams together may have.
     pub capacity: Amounts,
-    /// The resources that all shares together have.
+    /// The resources that the shares of all teams together have.
     pub granted: Amounts,
-    /// The teams.
+    /// The shares of each team, or of the requested team only.
     pub teams: Vec<TeamShares>,
 }
 
@@ -128,7 +129,8 @@
     pub generation: u64,
     /// The progress of the move.
     pub state: MoveState,
-    /// The reason why the move cannot proceed, if it is not done.
+    /// The transfer that the team's pending moves still wait for, as text; `None` if the move
+    /// is done.
     #[serde(default)]
     pub obstacle: Option<String>,
 }
@@ -138,6 +140,6 @@
 pub struct MoveAnswer {
     /// The revision of the state that the response describes.
     pub revision: u64,
-    /// The moves.
+    /// The requested move, or the latest moves.
     pub moves: Vec<MoveReport>,
 }
--- a/src/accounting/mod.rs
+++ b/src/accounting/mod.rs
@@ -1,7 +1,10 @@
-//! Accounting of bookings against teams' limits, which may be divided into shares of the
-//! controllers: the choice of the records to which a booking is charged, and the loop that
-//! moves shares, updates the pool, and enables and disables the accounting by shares. The
-//! package `shares` makes the decisions; this module turns its changes into commits.
+//! Accounting of bookings against the limits of teams.
+//!
+//! A team's limit may be divided into shares, one for each controller. Shares get their
+//! capacity from the pool, one record for all teams that holds the capacity of the machines.
+//! This module chooses the records to which a booking is charged. It also runs the loop that
+//! completes moves between shares, updates the pool, and enables and disables the accounting
+//! by shares. The package `shares` makes the decisions; this module turns them into commits.
 //!
 //! | module | task |
 //! | --- | --- |
--- a/src/accounting/operators.rs
+++ b/src/accounting/operators.rs
@@ -1,7 +1,7 @@
 //! Operators' queries for shares and moves.
 //!
-//! They are answered from the replica, and the response names its revision, so that every
-//! controller gives the same answer at the same revision.
+//! The queries are answered from the replica alone, and each response contains the replica's
+//! revision. Every controller gives the same answer at the same revision.
 
 use shares::{
     ControllerName, Ledger, MoveRecord, MoveState, TeamAccount, TeamName, blocked_transfer,
@@ -17,12 +17,12 @@
 /// `Retry-After` of a refused query, in seconds.
 pub(super) const RETRY_AFTER_S: u32 = 2;
 
-/// The largest number of moves in one response, which contains the latest ones.
+/// The largest number of moves in one response. Older moves are left out.
 const MAX_MOVES: usize = 100;
 
 const FEATURE_DISABLED: &str = "shares are disabled";
 
-/// Handles `GET /ops/shares`, for one team if one is given.
+/// Handles `GET /ops/shares`: returns the shares of all teams, or of the given team.
 pub fn shares(controller: &Controller, team: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
     if let Some(refusal) = unavailable_response(controller, &replica) {
@@ -46,7 +46,7 @@
     Response::json(200, &report)
 }
 
-/// Handles `GET /ops/shares/moves`, for one move if one is given.
+/// Handles `GET /ops/shares/moves`: returns the latest moves, or the move with the given id.
 pub fn moves(controller: &Controller, id: Option<&str>) -> Response {
     let replica = controller.replica.borrow();
     if let Some(refusal) = unavailable_response(controller, &replica) {
@@ -61,8 +61,8 @@
     }
 }
 
-/// Returns the refusal of a query while shares are unknown or disabled; `None` if it can be
-/// answered.
+/// Returns the refusal of a query while the state is not loaded or shares are disabled; `None`
+/// if the query can be answered.
 pub(super) fn unavailable_response(controller: &Controller, replica: &Replica) -> Option<Response> {
     if !replica.loaded {
         return Some(Response::unavailable(
@@ -96,7 +96,8 @@
     }
 }
 
-/// Returns the reason why a pending move cannot proceed, as text.
+/// Returns the first transfer that the team's pending moves still wait for, as text, with the
+/// free and the booked resources of its source.
 fn obstacle_text(account: &TeamAccount) -> Option<String> {
     let found = blocked_transfer(account)?;
     let free = (account.free(found.controller.as_str())).positive();
@@ -114,7 +115,7 @@
     format!("{cpus} CPUs, {gpus} accelerators, {ram} GB")
 }
 
-/// Returns a move and its progress.
+/// Returns the report of a move, with its progress according to the team's share record.
 pub(super) fn move_report(ledger: &Ledger, id: &str, record: &MoveRecord) -> MoveReport {
     let account = ledger.teams.get(&record.team);
     let state = record.state(account.and_then(|account| account.share.as_ref()));
--- a/src/accounting/share_loop.rs
+++ b/src/accounting/share_loop.rs
@@ -1,4 +1,5 @@
-//! The loop that commits the steps of [`super::reconcile`], one after another.
+//! Runs the loop that commits the steps of the accounting by shares, which
+//! [`super::reconcile`] decides.
 
 use std::rc::Rc;
 
@@ -9,7 +10,8 @@
 use crate::state::budget::RequestClass;
 use crate::state::client::StateClientError;
 
-/// Runs the loop that commits one step after another, as the write budget allows.
+/// Runs the loop. In each interval it commits one step after another, as the write budget
+/// allows, until none is due or a commit fails.
 pub async fn run_shares(controller: Rc<Controller>) {
     let settings = &controller.settings;
     let interval = settings.heartbeat_interval() / settings.features.shares.passes_per_report;
@@ -23,12 +25,12 @@
     }
 }
 
-/// The result of one pass of the loop: continue immediately, or wait for the next interval.
+/// Decision after one pass whether the next one follows at once or in the next interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The step was committed; another one may be due.
+    /// A step was committed, and another one may be due at once.
     Continue,
-    /// Nothing more can be decided before the next interval.
+    /// No step is due, or the commit failed. The next pass waits for the next interval.
     Pause,
 }
 
@@ -73,8 +75,8 @@
         }
         Err(error) => {
             tracing::debug!(action, %error, "share accounting commit failed");
-            // The commit may have taken effect. The replica shows that after a barrier, and
-            // the next decision waits for it.
+            // The commit may have taken effect all the same. After a barrier the replica shows
+            // whether it has, so the next step is decided after the barrier.
             let limit = controller.settings.worker_lease() / 4;
             controller.wait_for_barrier(limit).await;
             Progress::Pause
--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -1,10 +1,11 @@
-//! Compaction: rewrites records in the compact encodings in the background, once these may
-//! be written, so that all records fit into the lower limits that are to come into force.
+//! Rewrites records in the background so that all of them fit into the upcoming limits: the
+//! lower limits of the state service that the settings announce.
 //!
-//! The zone shards that this controller is responsible for are written in the compact
-//! encoding, split and merged (`zone_shards`), and records that are too long are rewritten,
-//! the oldest first (`oversized`). No other work waits for compaction: any other write of such
-//! a record uses the compact encoding as well.
+//! Compaction begins once all controllers can read the compact encodings. It rewrites the
+//! zone shards that this controller is responsible for in the compact encoding, splits and
+//! merges them (`zone_shards`), and rewrites records that are too long, the oldest first
+//! (`oversized`). No other work waits for compaction, as any other write of such a record uses
+//! the compact encoding as well.
 
 mod oversized;
 mod zone_shards;
@@ -23,10 +24,10 @@
 use crate::wire::Commit;
 use crate::workers::preferred_owner_of;
 
-/// Number of keys that a compaction commit waits to have in the write budget.
+/// Number of written keys for which the write budget must have capacity before a commit.
 const WRITES_PER_STEP: usize = 2;
 
-/// Keys of records whose write was refused, with the times until which they are skipped.
+/// Keys of records whose commit failed, with the times until which the records are skipped.
 pub type DeferredKeys = HashMap<String, Instant>;
 
 /// One commit of the compaction loop, with its request class.
@@ -59,16 +60,16 @@
             .state_client
             .wait_for_budget(step.class, WRITES_PER_STEP)
             .await;
-        // The step is chosen again, as records may have changed during the wait for the
-        // budget.
+        // Records may have changed during the wait for the budget, so the step is chosen
+        // again.
         if let Some(step) = next_step(&controller, &deferred) {
             commit_step(&controller, step, &mut deferred, now).await;
         }
     }
 }
 
-/// Commits a step. After an error other than a conflict, its keys are deferred for the
-/// duration of a lease.
+/// Commits a step. After an error other than a conflict, the keys of the step are skipped for
+/// the duration of a worker lease.
 async fn commit_step(
     controller: &Controller,
     step: CompactionStep,
@@ -91,18 +92,18 @@
     }
 }
 
-/// Returns whether this controller is responsible for the shards of a preferred owner. Each
-/// controller is responsible for its own shards, and the fleet leader also for the shards of
-/// controllers that are not up.
+/// Returns whether this controller compacts the shards of a preferred owner, the controller
+/// whose name is part of their names. Each controller compacts its own shards, and the fleet
+/// leader also those of controllers that are not up.
 fn is_responsible_for(controller: &Controller, replica: &Replica, preferred_owner: &str) -> bool {
     preferred_owner == controller.name()
         || (controller.is_fleet_leader() && !replica.controllers.contains_key(preferred_owner))
 }
 
-/// Returns the next compaction step, if any. Zone shards come first, in a request class that
-/// takes turns with scheduling rounds in the use of the write budget: until zone shards are
-/// few, the machines of a gang may be listed in more of them than one commit can write.
-/// Oversized records come last, in a class with a lower priority.
+/// Returns the next compaction step, if any. Zone shards come first: until they are few, the
+/// machines of a gang may be listed in more zone shards than one commit can write. Their
+/// request class therefore takes turns with scheduling rounds in the use of the write budget.
+/// Oversized records come last, in a request class with a lower priority.
 fn next_step(controller: &Controller, deferred: &DeferredKeys) -> Option<CompactionStep> {
     let replica = controller.replica.borrow();
     let is_responsible = |id: &str| {
--- a/src/compaction/oversized.rs
+++ b/src/compaction/oversized.rs
@@ -1,4 +1,5 @@
-//! Rewrites records that are longer than the coming limit allows, the oldest first.
+//! Rewrites records that are longer than the upcoming limit of the state service allows, the
+//! oldest first.
 
 use super::DeferredKeys;
 use crate::scheduler::MachineShardEdits;
@@ -7,8 +8,8 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Write};
 
-/// The kind of an oversized record. Records of the same version are rewritten in the order
-/// of the variants.
+/// The kind of an oversized record. Records with the same version are rewritten in the order
+/// of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKind {
     Job,
@@ -16,7 +17,7 @@
     ZoneShard,
 }
 
-/// A record to be rewritten. Records are rewritten in the order of this type.
+/// A record to be rewritten. Its derived order, by version first, is the order of rewriting.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OversizedRecord<'a> {
     version: u64,
@@ -24,8 +25,9 @@
     id: &'a str,
 }
 
-/// Returns the commit that rewrites the oldest record that is longer than the coming limit, or
-/// that belongs to an open job and leaves no capacity for the job's tasks.
+/// Returns the commit that rewrites the oldest of the records that this controller should
+/// shorten: records longer than the upcoming limit, and records of open jobs in which no
+/// capacity is left for the bookings of the job's tasks.
 pub(super) fn rewrite(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -45,7 +47,7 @@
         .find_map(|record| rewrite_commit(replica, &record))
 }
 
-/// Returns the record of a key, if this controller is the one to rewrite it.
+/// Returns the record of a key, if it exists and this controller is the one to rewrite it.
 fn oversized_record<'a>(
     replica: &Replica,
     key: &'a str,
@@ -65,9 +67,9 @@
     (version > 0).then_some(OversizedRecord { version, kind, id })
 }
 
-/// Returns the open jobs whose records leave no capacity for their tasks and can be
-/// shortened. Jobs whose records already exceed the coming limit are left out, as they are
-/// among the oversized records.
+/// Returns the open jobs whose records leave no capacity for the bookings of their tasks and
+/// can be shortened. Jobs whose records exceed the upcoming limit are left out, as they are
+/// among the oversized records already.
 fn trimmable_jobs<'a>(
     replica: &'a Replica,
     deferred: &DeferredKeys,
@@ -85,8 +87,8 @@
         let job = replica.jobs.get(id).map(|entry| &entry.value);
         if job.is_some_and(|job| replica.trimmed_job(job).is_some()) {
             trimmable.push(OversizedRecord {
-                // The version is 0 while the job has no record of its own: until this commit
-                // it is stored in its batch of accepted jobs.
+                // Version 0 means that the job has no record of its own yet and is stored only
+                // in a batch of accepted jobs.
                 version: replica.job_version(id),
                 kind: RecordKind::Job,
                 id,
@@ -96,7 +98,8 @@
     trimmable
 }
 
-/// Returns the commit that rewrites a record, if that makes the record short enough.
+/// Returns the commit that rewrites a record; `None` for a job whose record would still be too
+/// long.
 fn rewrite_commit(replica: &Replica, record: &OversizedRecord) -> Option<Commit> {
     let OversizedRecord { version, kind, id } = *record;
     match kind {
@@ -123,8 +126,9 @@
     }
 }
 
-/// Returns the commit that rewrites a job's record, if the new record is within the coming
-/// limit. A record that remains too long is left to become shorter as the job's tasks end.
+/// Returns the commit that rewrites a job's record, if the new record is within the upcoming
+/// limit. A record that would still be too long is not rewritten: it becomes shorter as the
+/// job's tasks end.
 fn rewrite_job_commit(replica: &Replica, id: &str, version: u64) -> Option<Commit> {
     let write = replica.put_job(id, &replica.jobs.get(id)?.value);
     let Write::Put { value, .. } = &write else {
--- a/src/compaction/zone_shards.rs
+++ b/src/compaction/zone_shards.rs
@@ -1,5 +1,6 @@
-//! Compacts zone shards: writes them in the compact encoding, splits those that may outgrow
-//! their records, and merges them until they are few.
+//! Compacts zone shards, the records that list the machines which take new work. Zone shards
+//! are written in the compact encoding, split if they may become too long for a record, and
+//! merged until they are few.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +11,10 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition};
 
-/// Returns a commit that writes zone shards in the compact encoding which are not stored in it
-/// yet. Each machine shard's own zone shard is included, even if it has no record: after this
-/// write, a commit that was decided earlier can no longer change it.
+/// Returns a commit that rewrites zone shards which are not stored in the compact encoding
+/// yet. For each machine shard, the zone shard with the same id is included even if it has no
+/// record: after this write, commits that were decided earlier can no longer change that zone
+/// shard.
 pub(super) fn compact(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -40,10 +42,10 @@
     })
 }
 
-/// Returns a commit that moves half of the machines of a zone shard that may outgrow its
-/// record to an empty zone shard of the same preferred owner. The encoded record can grow
-/// even when machines are removed from it, and a record that is too long could not be
-/// written. The versions of both records are preconditions, as in a merge.
+/// Returns a commit that splits a zone shard which may become too long for a record: half of
+/// the machines move to an empty zone shard of the same preferred owner. The encoded record
+/// can grow even when machines are removed from it, and the removal could not be committed if
+/// the record became too long. The versions of both records are preconditions, as in a merge.
 pub fn split_long(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -97,8 +99,9 @@
 }
 
 /// Returns a commit that moves all machines of a zone shard to the first zone shard of the
-/// same preferred owner with capacity for all of them. The versions of both records are
-/// preconditions, so each machine is listed in exactly one of them at any time.
+/// same preferred owner with capacity for all of them. The commit writes both records, with
+/// their versions as preconditions, so each machine is listed in exactly one of the two at
+/// any time.
 pub fn merge(
     replica: &Replica,
     deferred: &DeferredKeys,
@@ -132,7 +135,8 @@
 }
 
 /// Returns a commit that empties the last zone shard whose machines all fit into an earlier
-/// one: zone shards are filled in order, so the last ones are needed least.
+/// one. Zone shards are filled in the order of their numbers, so the last ones are needed
+/// least.
 fn merge_last(replica: &Replica, candidates: &[MergeCandidate]) -> Option<Commit> {
     let reversed = candidates.iter().enumerate().rev();
     let mut nonempty = reversed.filter(|(_, last)| !last.shard.machines.is_empty());
--- a/src/gossip/write_budget.rs
+++ b/src/gossip/write_budget.rs
@@ -21,8 +21,8 @@
 /// and the demands of all controllers.
 fn update_budget(controller: &Controller) {
     // The state service changes from its present limits to announced lower ones without
-    // notice. The lower limits are applied once refusals show that they are in force. The
-    // present limits are tried again later, as the refusals may have had another reason.
+    // notice. The lower limits are applied once refusals show that they are in force, and the
+    // present limits are tried again later.
     let is_rate_reduced = controller.state_client.is_rate_reduced()
         && controller.replica.borrow().all_read_compact_encodings();
     let writes_per_s = controller.settings.max_writes_per_s(is_rate_reduced) * MAX_BUDGET_FRACTION;
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -1,8 +1,8 @@
 //! Redirects workers to the controllers that should receive their heartbeats.
 //!
 //! The preferred owner of a machine is the controller whose name is part of the name of the
-//! machine's shard. If each machine is owned by its preferred owner, each shard is written by
-//! one controller only, so that commits seldom conflict. A worker is redirected to its
+//! machine's shard. If the preferred owner makes the commits for the work on its machines,
+//! these commits conflict with none of other controllers. A worker is redirected to its
 //! preferred owner if that controller is up and receives heartbeats. A worker that has lost
 //! contact with the present owner of its machine for a short time is redirected back to that
 //! owner. Both kinds of redirect are limited, as the worker may be unable to reach the other
