--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -1,5 +1,4 @@
-//! The accounts to which one transaction's bookings are charged: the team's own record, or
-//! a controller's share of the team's limit.
+//! Charges the bookings of one transaction to the controllers' shares of their teams' limits.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +11,7 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// The number of records and preconditions that a transaction can still take.
+/// The remaining capacity of a transaction, which is limited in writes and preconditions.
 #[derive(Debug, Clone, Copy)]
 pub struct CommitCapacity {
     /// The number of records that may still be written.
@@ -31,30 +30,31 @@
     pub need: Resources,
     /// The number of tasks to book.
     pub tasks: usize,
-    /// True if either all tasks are booked or none.
+    /// True if fewer than all tasks must not be booked, as for a gang.
     pub all_or_nothing: bool,
     /// The largest number of records that the transaction may write.
     pub max_writes: usize,
-    /// The capacity of the transaction in addition to the booking itself.
+    /// The remaining capacity of the transaction if the booking is part of it.
     pub capacity_with_booking: CommitCapacity,
-    /// The capacity of the transaction without the booking.
+    /// The remaining capacity of the transaction if the booking is left out.
     pub capacity_without_booking: CommitCapacity,
 }
 
-/// The accounting by shares as one transaction will leave it.
+/// The accounting by shares while one transaction is planned, with the effects of the bookings
+/// that the transaction contains so far.
 pub struct BookingAccounts {
     own: ControllerName,
     ledger: Ledger,
-    /// The changes of share records and pool that the bookings require.
+    /// The changes of share records and of the pool that the bookings require.
     change: Change,
-    /// The resources booked against each share to which this transaction charges bookings,
-    /// by the id of the usage record.
+    /// The usage records that this transaction writes, by id. Each contains the resources
+    /// that will be booked against one controller's share.
     uses: BTreeMap<String, Resources>,
 }
 
 impl BookingAccounts {
-    /// Returns the accounting at the start of a round of this controller; `None` if no
-    /// team's bookings are charged to shares.
+    /// Returns the accounting at the start of a scheduling round, from the replica; `None` if
+    /// no team's bookings are charged to shares.
     pub fn new(replica: &Replica, settings: &Settings) -> Option<Self> {
         replica.has_shares().then(|| BookingAccounts {
             own: ControllerName::from(settings.controller_name.as_str()),
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Returns the number of records that the accounting writes.
+    /// Returns the number of records that the accounting adds to the transaction's writes.
     pub fn writes(&self) -> usize {
         self.change.writes() + self.uses.len()
     }
@@ -74,8 +74,8 @@
         self.change.read_shares.len() + self.change.read_uses.len()
     }
 
-    /// Returns the controller to whose share a job's new bookings are charged. While some
-    /// of the job's tasks are booked it stays the same; otherwise it is this controller.
+    /// Returns the controller to whose share a job's new bookings are charged. While tasks of
+    /// the job are booked, that is the controller of these bookings; otherwise this controller.
     pub fn controller_for_new_bookings(&self, team: &str, job: &Job) -> ControllerName {
         if job.runs.is_empty() {
             return self.own.clone();
@@ -83,7 +83,8 @@
         self.controller_of_bookings(team, job)
     }
 
-    /// Returns the controller to whose share a job's present bookings are charged.
+    /// Returns the controller to whose share a job's present bookings are charged: the one in
+    /// the job's record, or else the fallback controller of the team's share record.
     pub fn controller_of_bookings(&self, team: &str, job: &Job) -> ControllerName {
         let share = self.ledger.teams.get(team).and_then(|a| a.share.as_ref());
         let fallback = || share.map(|share| share.fallback.clone());
@@ -97,20 +98,21 @@
         self.uses.contains_key(&id)
     }
 
-    /// Returns the resources of an ended task to the share to which it was charged.
+    /// Releases the resources of an ended task in the share to which the task was charged, so
+    /// that this transaction can book them again.
     pub fn release(&mut self, team: &str, controller: &ControllerName, need: Resources) {
         if let Some(account) = self.ledger.teams.get_mut(team) {
             account.book(controller, Resources::default() - need);
         }
     }
 
-    /// Reserves capacity for the tasks of a booking and charges them; returns their number.
-    /// A gang is booked as a whole or not at all; for other jobs, the number of tasks is
-    /// halved until they fit.
+    /// Reserves capacity for the tasks of a booking, charges the tasks to the share, and
+    /// returns the number of tasks. A gang is booked as a whole or not at all; for other jobs,
+    /// the number of tasks is halved until capacity can be reserved.
     ///
-    /// If the transaction cannot take the records that must be written in addition to the
-    /// booking, then only these records are added to it, if they fit, and the booking
-    /// follows in the next transaction.
+    /// A reservation may have to write records in addition to the booking. If the transaction
+    /// cannot take both, 0 is returned and the records of the reservation alone are added, if
+    /// they fit. The booking follows in a later transaction.
     pub fn admit(&mut self, request: &BookingRequest) -> usize {
         let team = TeamName::from(request.team);
         let mut tasks = request.tasks;
@@ -166,7 +168,7 @@
         true
     }
 
-    /// Adds all writes and preconditions of the accounting to a commit.
+    /// Adds the writes and preconditions of the accounting to the transaction's commit.
     pub fn into_commit(self, parts: &mut CommitParts) {
         parts.add_change(&self.change);
         for (id, used) in self.uses {
--- a/src/accounting/commit.rs
+++ b/src/accounting/commit.rs
@@ -1,4 +1,4 @@
-//! Conversion of an accounting change into preconditions and writes of a commit.
+//! Converts an accounting change into the preconditions and writes of a commit.
 
 use std::collections::BTreeSet;
 
@@ -15,14 +15,15 @@
 pub struct CommitParts<'a> {
     replica: &'a Replica,
     guarded_keys: BTreeSet<String>,
-    /// The preconditions.
+    /// The preconditions of the commit.
     pub preconditions: Vec<Precondition>,
-    /// The writes.
+    /// The writes of the commit.
     pub writes: Vec<Write>,
 }
 
 impl<'a> CommitParts<'a> {
-    /// Creates an empty builder that takes versions and records from this replica.
+    /// Creates an empty builder. It takes the versions for preconditions, and the records of
+    /// teams and jobs, from the replica.
     pub fn new(replica: &'a Replica) -> Self {
         CommitParts {
             replica,
@@ -39,7 +40,7 @@
     }
 
     /// Adds the share records and the pool of a change, with preconditions on every record
-    /// that the change depends on. The jobs that it reassigns are added by
+    /// that the change depends on. The records of reassigned jobs are not included; see
     /// [`Self::reassign_jobs`].
     pub fn add_change(&mut self, change: &Change) {
         for (team, share) in &change.shares {
@@ -73,22 +74,22 @@
         self.precondition(share_use_key(id), version);
     }
 
-    /// Writes the usage record of a share.
+    /// Adds a write of the usage record of a share.
     pub fn put_use(&mut self, id: &str, used: Resources) {
         self.guard_use(id);
         self.writes
             .push(put(share_use_key(id), &TeamUsage { used }));
     }
 
-    /// Writes a team's own record with the usage that the replica last computed.
+    /// Adds a write of a team's own record with the team's usage according to the replica.
     pub fn put_team(&mut self, team: &str) {
         self.precondition(team_key(team), self.replica.team_version(team));
         let used = self.replica.team_used(team);
         self.writes.push(put(team_key(team), &TeamUsage { used }));
     }
 
-    /// Writes the records of the jobs whose bookings the change charges to another share.
-    /// Nothing else in these records changes.
+    /// Adds writes of the jobs whose bookings the change charges to another share. Only the
+    /// controller of the share changes in these records.
     pub fn reassign_jobs(&mut self, change: &Change) {
         for (id, controller) in &change.reassigned {
             let Some(entry) = self.replica.jobs.get(id.as_str()) else {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Removes the pool.
+    /// Adds the removal of the pool's record.
     pub fn remove_pool(&mut self) {
         self.precondition(POOL_KEY.to_string(), self.replica.pool_version());
         let key = POOL_KEY.to_string();
--- a/src/accounting/messages.rs
+++ b/src/accounting/messages.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use shares::MoveState;
 
-/// Amounts of resources in units for people, such as CPUs; fractions are allowed.
+/// Amounts of resources in CPUs, accelerators and GB, as requests and responses contain them.
+/// Fractions are allowed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Amounts {
     /// Number of CPUs.
--- a/src/accounting/move_request.rs
+++ b/src/accounting/move_request.rs
@@ -1,7 +1,9 @@
-//! An operator's request to move a part of a share to another controller.
+//! Handles an operator's request to move a part of one controller's share to another
+//! controller.
 //!
-//! A move is one commit, with preconditions on the team's share record and on the absence
-//! of the move's id, so that a repeated request takes effect once.
+//! The request is recorded in one commit, with preconditions on the team's share record and
+//! on the absence of a record with the move's id. A repeated request therefore takes effect
+//! only once. The capacity itself is transferred later (see [`super::reconcile`]).
 
 use shares::{Change, ControllerName, MoveError, MoveRecord, TeamName, request_move};
 
@@ -18,8 +20,9 @@
 use crate::state::replica::Replica;
 use crate::wire::{Precondition, Write};
 
-/// The largest number of attempts to decide and commit a move. Each conflict requires
-/// another attempt.
+/// The largest number of times that a move is decided for one request. A conflict requires
+/// another decision, and so does a successful commit, whose answer is then taken from the
+/// replica.
 const MAX_ATTEMPTS: usize = 8;
 
 /// The largest length of a move's id, in bytes.
@@ -54,11 +57,12 @@
     }
 }
 
-/// The decision on a requested move.
+/// The next action for a valid request.
 enum MoveDecision {
-    /// The move is already recorded, or the request is a dry run.
+    /// The request is answered without a commit: the move is already recorded, or the request
+    /// is a dry run.
     Answer(MoveAnswer),
-    /// The move must be committed and then decided again.
+    /// The move is not recorded yet. It is committed, and the request is then decided again.
     Commit {
         preconditions: Vec<Precondition>,
         writes: Vec<Write>,
@@ -93,8 +97,8 @@
     Response::unavailable("the state service does not answer", RETRY_AFTER_S)
 }
 
-/// Commits a move. Returns false if the state service does not answer. The replica shows
-/// whether the commit took effect.
+/// Commits a move. Returns false if the state service does not answer. If true is returned,
+/// the replica shows whether the commit took effect.
 async fn commit_move(
     controller: &Controller,
     preconditions: Vec<Precondition>,
@@ -115,8 +119,8 @@
     controller.wait_for_barrier(limit).await
 }
 
-/// Decides from the replica whether a move is already recorded, refused, or to be
-/// committed.
+/// Decides from the replica whether a requested move is already recorded, must be refused, or
+/// must be committed.
 fn decide_move(
     controller: &Controller,
     request: &MoveRequest,
--- a/src/accounting/reconcile.rs
+++ b/src/accounting/reconcile.rs
@@ -1,10 +1,10 @@
-//! The next step of the accounting by shares: completing pending moves, adapting the pool
-//! to the machines, and enabling and disabling the accounting by shares.
+//! Decides the next step of the accounting by shares. Steps complete pending moves, adapt the
+//! pool to the machines, and enable and disable the accounting by shares.
 //!
-//! This module keeps no state. Each step is decided from the replica alone, and decided
-//! again when the write budget allows the commit, and any controller may take it. Each team
-//! and the pool have a preferred controller among the live ones, so that controllers seldom
-//! conflict.
+//! This module keeps no state: a step is decided from the replica alone, and decided again
+//! when the write budget allows the commit. Any controller could commit any step. To make
+//! conflicts rare, each team and the pool have a preferred controller among the live ones,
+//! which alone takes their steps.
 
 use shares::{
     ControllerName, JobBooking, Ledger, OpenError, TeamName, Transfer, adjust_capacity, close_team,
@@ -22,7 +22,7 @@
 
 /// One commit of the accounting by shares.
 pub struct ReconcileStep {
-    /// The name of the step for the log.
+    /// The kind of the step, for the log.
     pub action: &'static str,
     /// The preconditions of the commit.
     pub preconditions: Vec<Precondition>,
@@ -82,10 +82,11 @@
 
 /// Returns the step that creates the pool or reduces its capacity, if one is due.
 ///
-/// The pool is created once all machine shards are counted. This step reduces its capacity
-/// only if the shares have more than the machines that are not about to leave; otherwise
-/// the commit that removes a machine from the record reduces it. When machines are added,
-/// the capacity rises with the next growth of a share.
+/// The pool is created once all machine shards are counted (see
+/// [`rewrite_uncounted_shards`]). This step reduces the pool's capacity only if the shares have
+/// more than the machines that are not about to leave. In all other cases the commit that
+/// removes a machine from the record reduces the capacity. After machines were added, the
+/// capacity rises with the next growth of a share.
 fn pool_step(
     replica: &Replica,
     settings: &Settings,
@@ -108,9 +109,9 @@
     Some(ReconcileStep::new("capacity", parts))
 }
 
-/// Returns the step that rewrites uncounted machine shards, those that were last written
-/// before every controller accounted for the machines that it removes from the record.
-/// Rewriting a shard makes commits fail that were decided on its old version.
+/// Returns the step that rewrites uncounted machine shards: those last written while some
+/// controller could still remove machines without an update of the pool. A commit that such a
+/// controller decided on the old version of a shard fails after the rewrite.
 fn rewrite_uncounted_shards(replica: &Replica, settings: &Settings) -> Option<ReconcileStep> {
     let uncounted = replica.machine_shards.iter();
     let uncounted: Vec<_> = uncounted
@@ -132,8 +133,8 @@
     Some(ReconcileStep::new("count machine shards", parts))
 }
 
-/// Returns the step that enables a team's accounting by shares, or that continues its
-/// pending moves.
+/// Returns the step that enables a team's accounting by shares, continues the team's pending
+/// moves, or rebuilds its unreadable share record.
 fn team_step(
     replica: &Replica,
     settings: &Settings,
@@ -153,8 +154,8 @@
     }
 }
 
-/// Returns the step that transfers capacity, or the step that must be committed before a
-/// transfer is possible.
+/// Returns the step that transfers capacity for a pending move. If no transfer is possible,
+/// returns the step that reserves the capacity for one.
 fn transfer_step(
     replica: &Replica,
     settings: &Settings,
@@ -163,7 +164,7 @@
     fallback: &ControllerName,
 ) -> Option<ReconcileStep> {
     let jobs = job_bookings(replica, team, fallback);
-    // The commit also writes the share record.
+    // One write of the commit is the share record.
     let max_jobs = settings.max_writes_per_commit().saturating_sub(1);
     let mut parts = CommitParts::new(replica);
     let Some(transfer) = next_transfer(ledger, team, &jobs, max_jobs) else {
