--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -1,4 +1,5 @@
-//! Correction of the pending amounts of a share record after its granted amounts changed.
+//! Corrects the pending amounts of a share record, which moves have requested, after a change
+//! of the granted amounts.
 
 use resources::Resources;
 
@@ -6,10 +7,10 @@
 use crate::records::Share;
 
 impl Share {
-    /// Restores the invariant that no controller must transfer more than it has, after
-    /// capacity has left its share by another way than a transfer. The obligation to
-    /// transfer the excess passes to the controllers that can have received the capacity:
-    /// first to those with a pending incoming amount, then to the others.
+    /// Restores the invariant that no controller has to transfer more than its share. The
+    /// invariant is violated if capacity has left the share in another way than a transfer.
+    /// The excess of the outgoing amount is then reassigned to other controllers, which may
+    /// have received that capacity: first to those with a pending incoming amount.
     pub(crate) fn rebalance(&mut self) {
         let controllers = self.controllers();
         for source in &controllers {
@@ -19,7 +20,8 @@
         self.settle_if_complete();
     }
 
-    /// Passes the outgoing amount that a controller cannot cover to the other controllers.
+    /// Reassigns the part of a controller's outgoing amount that its share does not cover to
+    /// other controllers.
     fn redistribute_shortfall(
         &mut self,
         controllers: &[ControllerName],
--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -1,6 +1,6 @@
-//! Capacity for a booking. It is taken from the controller's own share, then from the
-//! team's other shares, then from the pool, and last from the free capacity of other teams'
-//! shares.
+//! Reserves capacity for a booking. The capacity is taken from the controller's own share,
+//! then from the team's other shares, then from the pool, and last from the free capacity of
+//! other teams' shares.
 
 use std::cmp::Reverse;
 
@@ -20,21 +20,23 @@
     /// The team would exceed its limit.
     #[error("team {0} would exceed its limit")]
     TeamLimit(TeamName),
-    /// All machines on record together lack the capacity.
+    /// The machines on record, all together, have too little capacity that no share needs.
     #[error("the machines on record lack the capacity")]
     MachineCapacity,
-    /// One commit cannot take back enough free capacity of other teams. The contained
-    /// change must be committed first; the reservation is then continued.
+    /// Other teams may have enough free capacity, but one commit cannot write all their share
+    /// records. The contained change returns a part of the capacity to the pool. It must be
+    /// committed first, and the reservation is then decided again.
     #[error("other teams must return free capacity first")]
     CommitFirst(Box<Change>),
 }
 
 /// Reserves the capacity that a booking needs in a controller's share. Returns the change
-/// with all records that must be written in addition to the booking itself.
+/// that must be committed together with the booking.
 ///
-/// The records that the decision reads are part of the change. The booking itself writes
-/// the usage record and has a precondition on the share record. The change writes at most
-/// `max_writes` records, which must be at least three.
+/// The change contains the records that the decision reads, the team's share record among
+/// them. The usage record of the controller's share is not part of the change, as the booking
+/// itself writes it. The change writes at most `max_writes` records, which must be at least
+/// three.
 pub fn reserve(
     ledger: &Ledger,
     team: &TeamName,
@@ -65,7 +67,7 @@
     }
 }
 
-/// Returns the part of a need that exceeds the free capacity of a share.
+/// Returns the part of the needed resources that exceeds the free capacity of a share.
 fn shortfall(
     draft: &Draft,
     team: &TeamName,
@@ -102,7 +104,7 @@
     }
 }
 
-/// Grows a share by its shortfall, from the pool and from other teams' free capacity.
+/// Grows a share by at least its shortfall, from the pool and from other teams' free capacity.
 fn grow_share(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -135,9 +137,9 @@
     Ok(())
 }
 
-/// Returns the pool with at least the free capacity of the shortfall; `None` if that is not
-/// possible. It counts machines that were added since the last change of the pool, and
-/// takes free capacity back from other teams if necessary.
+/// Returns the pool with enough free capacity to cover the shortfall; `None` if that is not
+/// possible. The capacity of the pool is first updated to the present machines. If it is still
+/// too small, other teams return free capacity to the pool.
 pub(crate) fn pool_with_free_capacity(
     draft: &mut Draft,
     ledger: &Ledger,
@@ -146,8 +148,8 @@
     max_others: usize,
 ) -> Option<Pool> {
     let mut pool = draft.pool().unwrap_or_default();
-    // Machines that are about to leave no longer count, except for capacity that is already
-    // granted.
+    // Machines that are about to leave no longer count, but the pool's capacity must not fall
+    // below what is already granted.
     pool.capacity = ledger.retained_capacity.max(&pool.granted);
     draft.set_pool(pool);
     if !pool.free().fits(&shortfall) {
@@ -175,7 +177,7 @@
     }
 }
 
-/// Returns up to the wanted amount of a team's free capacity to the pool.
+/// Moves free capacity of a team's shares back to the pool, up to the wanted amount.
 pub(crate) fn reclaim_from_team(draft: &mut Draft, team: &TeamName, wanted: Resources) {
     let controllers = draft.share(team).map(|share| share.controllers());
     let mut missing = wanted;
--- a/crates/shares/src/change.rs
+++ b/crates/shares/src/change.rs
@@ -1,4 +1,4 @@
-//! The records that a decision reads and writes.
+//! The records that a decision writes, and those that it depends on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,22 +8,22 @@
 use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::{Pool, Share};
 
-/// The records that a decision writes, and the records that must be unchanged since they
-/// were read when the decision is committed. All written records have preconditions, too.
+/// The records that a decision writes and those that it only reads. The commit of the change
+/// has preconditions on the versions of both.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Change {
     /// The share records that are written, by team.
     pub shares: BTreeMap<TeamName, Share>,
-    /// Teams whose share record is removed.
+    /// The teams whose share records are removed, which disables their accounting by shares.
     pub closed: BTreeSet<TeamName>,
     /// The pool, if it is written.
     pub pool: Option<Pool>,
-    /// Jobs whose bookings are charged to another controller's share by this change.
+    /// The jobs whose bookings move to another controller's share, with that controller.
     pub reassigned: BTreeMap<JobId, ControllerName>,
-    /// Teams whose share records are only read.
+    /// The teams whose share records are only read.
     pub read_shares: BTreeSet<TeamName>,
-    /// Usage records that are only read: nothing may be booked against these shares in the
-    /// meantime.
+    /// The shares whose usage records are only read. The commit fails if anything was booked
+    /// against these shares since.
     pub read_uses: BTreeSet<(TeamName, ControllerName)>,
 }
 
@@ -41,7 +41,7 @@
         *self == Change::default()
     }
 
-    /// Adds a change that was decided on the ledger as this change leaves it.
+    /// Adds a later change, which was decided on the ledger with this change applied.
     pub fn merge(&mut self, later: Change) {
         self.shares.extend(later.shares);
         self.closed.extend(later.closed);
@@ -51,8 +51,8 @@
         self.read_uses.extend(later.read_uses);
     }
 
-    /// Applies the share records and the pool to a ledger. The caller must move the booked
-    /// resources of reassigned jobs, as the ledger contains no jobs.
+    /// Applies the share records and the pool to a ledger. The booked resources of reassigned
+    /// jobs are not moved, as the ledger contains no jobs; the caller must do that.
     pub fn apply(&self, ledger: &mut Ledger) {
         for (team, share) in &self.shares {
             ledger.teams.entry(team.clone()).or_default().share = Some(share.clone());
@@ -84,18 +84,18 @@
         }
     }
 
-    /// Returns a team's share record as the change leaves it.
+    /// Returns a team's share record with the changes made so far.
     pub(crate) fn share(&self, team: &TeamName) -> Option<&Share> {
         let known = || self.ledger.share(team);
         self.change.shares.get(team).or_else(known)
     }
 
-    /// Returns the pool as the change leaves it.
+    /// Returns the pool with the changes made so far.
     pub(crate) fn pool(&self) -> Option<Pool> {
         self.pool
     }
 
-    /// Returns the free capacity of a controller's share as the change leaves it.
+    /// Returns the free capacity of a controller's share with the changes made so far.
     pub(crate) fn free(&self, team: &TeamName, controller: &str) -> Resources {
         let used = self.ledger.teams.get(team).map(|a| a.used_by(controller));
         let granted = self.share(team).map(|share| share.granted_to(controller));
@@ -128,8 +128,8 @@
         self.change.pool = Some(pool);
     }
 
-    /// Makes the change depend on the usage record of a share: nothing may be booked
-    /// against the share in the meantime.
+    /// Makes the change depend on the usage record of a share, so that the commit fails if
+    /// anything was booked against the share since.
     pub(crate) fn read_use(&mut self, team: &TeamName, controller: &ControllerName) {
         let key = (team.clone(), controller.clone());
         self.change.read_uses.insert(key);
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The accounting at one revision of the state service, and its invariants.
+//! The accounting at one revision of the state service, and the invariants that it must keep.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// The remainder where there is no limit: more than any fleet has, and small enough that
-/// additions to it do not overflow.
+/// The remainder for resources without a limit: more than any fleet has, and small enough
+/// that additions to it do not overflow.
 const UNLIMITED: i64 = i64::MAX / 4;
 
 /// The accounting of one team.
@@ -84,14 +84,14 @@
 pub struct Ledger {
     /// The pool, once it has been created.
     pub pool: Option<Pool>,
-    /// Resources of the machines on record whose removal also writes the pool (see
-    /// [`crate::release_machines`]).
+    /// The resources of the machines on record that count for the pool: those whose removal
+    /// also writes the pool (see [`crate::release_machines`]).
     pub machine_capacity: Resources,
-    /// Resources of those machines that are not about to leave.
+    /// The part of `machine_capacity` on machines that are not about to leave.
     pub retained_capacity: Resources,
-    /// The amount by which a share grows from the pool, as a multiple of its shortfall, if
-    /// the pool has as much. A factor above 1 saves commits, as each growth writes the
-    /// pool.
+    /// The amount by which a share grows from the pool, as a multiple of the share's
+    /// shortfall, if the pool has as much. Each growth writes the pool, so a factor above 1
+    /// saves commits.
     pub growth_factor: u32,
     /// The accounts of the teams.
     pub teams: BTreeMap<TeamName, TeamAccount>,
@@ -109,7 +109,7 @@
     /// The pool's capacity is more than that of the machines on record.
     #[error("the pool's capacity exceeds that of the machines on record")]
     PoolAboveMachines,
-    /// The pool's sum of the granted amounts differs from that of the shares.
+    /// The granted amount in the pool's record differs from the sum of the shares.
     #[error("the pool's granted amount is not the sum of the shares")]
     GrantedSumMismatch,
     /// More is booked against a share than it has.
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,12 +1,15 @@
 //! Shares of a team's limit, one for each controller, and the decisions that change them.
 //!
 //! A share is the part of a team's limit that one controller may have booked for that team.
+//! Shares get their capacity from the pool: one record for all teams, with the capacity of
+//! the machines on record (those with an entry in the state service) and the part of it that
+//! is granted to shares. Operators move capacity from one controller's share to another's.
+//!
 //! This package only decides: it does no input or output and reads no clock. Each decision
 //! is a pure function of a [`Ledger`], the accounting records at one revision of the state
-//! service, and returns a [`Change`]: the records that it writes, and those that must be
-//! unchanged since they were read. The caller commits the written records with
-//! preconditions on all of these, so that a change that was decided on an older state
-//! fails.
+//! service. It returns a [`Change`]: the records to write, and the records that the decision
+//! has only read. The caller commits the change with preconditions on the versions of all
+//! these records, so that a change which was decided on an older state fails.
 //!
 //! | module | task |
 //! | --- | --- |
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -1,8 +1,9 @@
-//! Enabling and disabling a team's accounting by shares.
+//! Enables and disables a team's accounting by shares. While it is disabled, the team's
+//! bookings are charged to the team's own record.
 //!
-//! Each is one commit that also writes the team's own record. A booking that was decided
-//! under the other kind of accounting has a precondition on that record or on the share
-//! record, and therefore fails.
+//! Either change is one commit, which writes or removes the share record and also writes the
+//! team's own record. A booking that was decided before the change has a precondition on one
+//! of the two records, and therefore fails.
 
 use resources::Resources;
 
@@ -15,22 +16,22 @@
 /// The reason why a team's accounting by shares cannot be enabled.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// It is already enabled.
+    /// The team's accounting by shares is already enabled.
     #[error("team {0} already has shares")]
     AlreadyOpen(TeamName),
     /// There is no pool yet, or its capacity does not cover the booked resources.
     #[error("the pool does not cover the booked resources yet")]
     PoolTooSmall,
-    /// Other teams must return more free capacity than fits into one commit. The contained
-    /// change must be committed first.
+    /// More share records of other teams must return free capacity than one commit can write.
+    /// The contained change, which returns a part, must be committed first.
     #[error("other teams must return free capacity first")]
     CommitFirst(Box<Change>),
 }
 
-/// Enables a team's accounting by shares. Each controller is granted the resources that are
-/// booked against its share, and gets more on demand. Bookings of jobs that name no
-/// controller are charged to the share of `fallback`. The change and the team's own record
-/// together are at most `max_writes` records.
+/// Returns the change that enables a team's accounting by shares. Each controller is granted
+/// the resources that are booked against its share, and gets more on demand. Bookings of jobs
+/// whose records contain no controller are charged to the share of `fallback`. The change and
+/// the team's own record together are at most `max_writes` writes.
 pub fn open_team(
     ledger: &Ledger,
     team: &TeamName,
@@ -68,7 +69,7 @@
     Ok(change)
 }
 
-/// Disables a team's accounting by shares; `None` if it is not enabled.
+/// Returns the change that disables a team's accounting by shares; `None` if it is not enabled.
 pub fn close_team(ledger: &Ledger, team: &TeamName) -> Option<Change> {
     let mut draft = Draft::new(ledger);
     let total = draft.share(team)?.total();
@@ -80,12 +81,13 @@
     Some(change)
 }
 
-/// Rebuilds an unreadable share record: each controller is granted the resources that are
-/// booked against its share. Pending moves are lost, and moves up to `generation` count as
-/// done. `None` if there is no pool.
+/// Returns the change that rebuilds an unreadable share record; `None` if there is no pool.
+/// Each controller is granted the resources that are booked against its share. Pending moves
+/// are lost, and moves up to `generation` count as done.
 ///
-/// Every change of a share record's total writes the pool, so this change needs no
-/// precondition on other records.
+/// The change recomputes the pool's granted amount from the share records of all teams. It
+/// needs no preconditions on those records, as every commit that changes the total of one
+/// also writes the pool.
 pub fn rebuild_team(
     ledger: &Ledger,
     team: &TeamName,
--- a/crates/shares/src/moves.rs
+++ b/crates/shares/src/moves.rs
@@ -1,8 +1,8 @@
-//! An operator's moves of capacity from one controller's share to another's: the request,
-//! and the reason why a move cannot proceed.
+//! Handles operators' requests to move capacity from one controller's share to another's, and
+//! reports the transfer that pending moves still wait for.
 //!
-//! A request changes only the pending amounts of the share record, and so does a later
-//! request before the first is complete. Any controller completes the moves by transfers
+//! A request changes only the pending amounts of the share record. Several requests may be
+//! pending at once, as their amounts add up. Any controller completes the moves by transfers
 //! (see [`crate::next_transfer`]).
 
 use resources::Resources;
@@ -28,7 +28,8 @@
     TooMuch(ControllerName),
 }
 
-/// Returns the team's share record with a move added to its pending amounts.
+/// Returns the team's share record with the requested move added to the pending amounts and a
+/// new generation.
 pub fn request_move(
     ledger: &Ledger,
     team: &TeamName,
@@ -56,14 +57,15 @@
     Ok(next)
 }
 
-/// A pending outgoing amount that a controller cannot transfer now.
+/// A pending outgoing amount that a controller has not transferred yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockedTransfer {
     /// The source controller.
     pub controller: ControllerName,
     /// The amount that the controller must still transfer.
     pub outgoing: Resources,
-    /// The controller's booked resources, whose jobs are too large to be reassigned.
+    /// The resources booked against the controller's share, which cannot be transferred
+    /// without the jobs that use them.
     pub booked: Resources,
 }
 
--- a/crates/shares/src/names.rs
+++ b/crates/shares/src/names.rs
@@ -1,4 +1,4 @@
-//! Distinct types for names and ids, so that one kind cannot be passed for another.
+//! Distinct types for names and ids, so that the compiler rejects one kind in place of another.
 
 use std::borrow::Borrow;
 use std::fmt;
--- a/crates/shares/src/records.rs
+++ b/crates/shares/src/records.rs
@@ -1,4 +1,4 @@
-//! The records as they are stored.
+//! The records of the accounting by shares, as they are stored in the state service.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 
 use crate::names::{ControllerName, TeamName};
 
-/// Amounts by controller; controllers whose amount is zero are left out.
+/// Amounts of resources by controller, without entries for controllers whose amount is zero.
 pub(crate) type ResourcesByController = BTreeMap<ControllerName, Resources>;
 
-/// `share/TEAM`: the distribution of a team's limit over the controllers, called the team's
-/// share record. While it exists, the team's bookings are charged to shares; otherwise to
-/// the team's own record.
+/// `share/TEAM`, the share record of a team: the distribution of the team's limit over the
+/// controllers. While the share record exists, the team's bookings are charged to shares;
+/// otherwise to the team's own record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
-    /// The number of moves that were requested.
+    /// The number of moves that were requested so far. Each request creates a new generation.
     #[serde(rename = "n")]
     pub generation: u64,
     /// The latest generation at which no move was pending.
     #[serde(rename = "d")]
     pub settled: u64,
-    /// The controller to whose share the bookings of jobs that name no controller are
-    /// charged.
+    /// The controller to whose share bookings are charged if the job's record contains no
+    /// controller.
     #[serde(rename = "f")]
     pub fallback: ControllerName,
     /// The resources that each controller may have booked.
     #[serde(rename = "g")]
     pub granted: ResourcesByController,
-    /// The amount that each controller is still to receive; negative where it must transfer
-    /// the amount to others. The amounts add up to 0. Added to the granted amounts they
-    /// give the target of the moves.
+    /// The amount that each controller is still to receive by moves, or, if negative, must
+    /// still transfer to others. The amounts of all controllers add up to 0. A controller's
+    /// target, its share after all moves, is the sum of its granted and its pending amount.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub pending: ResourcesByController,
 }
@@ -41,19 +41,20 @@
         self.granted.get(controller).copied().unwrap_or_default()
     }
 
-    /// Returns the amount that a controller is still to receive; negative where it must
-    /// transfer the amount to others.
+    /// Returns the amount that a controller is still to receive; negative if the controller
+    /// must transfer the amount to others.
     pub fn pending_for(&self, controller: &str) -> Resources {
         self.pending.get(controller).copied().unwrap_or_default()
     }
 
-    /// Returns the amount that a controller must still transfer to others, 0 where it is to
-    /// receive.
+    /// Returns the amount that a controller must still transfer to others; 0 in dimensions in
+    /// which the controller is to receive an amount.
     pub(crate) fn outgoing_from(&self, controller: &str) -> Resources {
         (Resources::default() - self.pending_for(controller)).positive()
     }
 
-    /// Returns the amount that a controller is still to receive, 0 where it must transfer.
+    /// Returns the amount that a controller is still to receive; 0 in dimensions in which the
+    /// controller must transfer an amount.
     pub(crate) fn incoming_to(&self, controller: &str) -> Resources {
         self.pending_for(controller).positive()
     }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Adds an amount to that of a controller.
+/// Adds an amount to a controller's entry, and removes the entry if it becomes zero.
 fn add(split: &mut ResourcesByController, controller: &ControllerName, amount: Resources) {
     let part = split.entry(controller.clone()).or_default();
     *part += amount;
@@ -96,7 +97,8 @@
     }
 }
 
-/// `pool`: the capacity for all shares together, and its granted part.
+/// `pool`: the capacity for the shares of all teams together, and the part of that capacity
+/// that is granted to shares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pool {
     /// The resources that all shares together may have: at most those of the machines on
@@ -115,9 +117,10 @@
     }
 }
 
-/// `move/ID`: a move that was requested. It is written in the commit that adds the move to
-/// the pending amounts, under the precondition that the id is new, so that a request takes
-/// effect once, however often and however late it is repeated. The record never changes.
+/// `move/ID`: a move that was requested. The record is written in the commit that adds the
+/// move to the pending amounts, with the precondition that no record with this id exists. A
+/// request therefore takes effect once, however often and however late it is repeated. The
+/// record never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MoveRecord {
     /// The team whose limit the move redistributes.
@@ -141,12 +144,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MoveState {
-    /// A part of the move is still to be transferred.
+    /// A part of the capacity has not been transferred yet.
     Pending,
-    /// A later move of the team was requested before this one was done; both are completed
-    /// together.
+    /// Another move of the team was requested before this one was done. Both count as done
+    /// when all pending amounts of the team have been transferred.
     Superseded,
-    /// Nothing is left to transfer.
+    /// No part of the move is left to be transferred.
     Done,
 }
 
--- a/crates/shares/src/transfer.rs
+++ b/crates/shares/src/transfer.rs
@@ -1,7 +1,8 @@
-//! Transfers, the steps by which any controller completes pending moves.
+//! Plans transfers, the steps by which controllers complete pending moves.
 //!
-//! Free capacity is transferred first, then whole jobs with their bookings. Each step is
-//! one commit, so the only intermediate state is the pending amounts.
+//! A transfer moves free capacity first. If that is not enough, it includes whole jobs with
+//! the capacity that they use. Each transfer is one commit, so an unfinished move is visible
+//! only in the pending amounts of the share record.
 
 use resources::{Amount, Resources};
 
@@ -10,10 +11,11 @@
 use crate::names::{ControllerName, JobId, TeamName};
 use crate::records::Share;
 
-/// A job's bookings, which can only be reassigned as a whole.
+/// The bookings of a job, which are all charged to one controller's share and can only be
+/// reassigned to another share together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobBooking {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
     /// The controller to whose share the bookings are charged.
     pub controller: ControllerName,
@@ -21,7 +23,7 @@
     pub booked: Resources,
 }
 
-/// One step of a team's pending moves.
+/// One step towards the completion of a team's pending moves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
     /// The source controller.
@@ -34,8 +36,8 @@
     pub change: Change,
 }
 
-/// Returns the next step towards the target of a team's pending moves; `None` if nothing is
-/// pending or nothing can be transferred now. At most `max_jobs` jobs are reassigned.
+/// Returns the next transfer of a team's pending moves; `None` if nothing is pending or
+/// nothing can be transferred now. The transfer reassigns at most `max_jobs` jobs.
 pub fn next_transfer(
     ledger: &Ledger,
     team: &TeamName,
@@ -60,7 +62,7 @@
     None
 }
 
-/// The bounds of one step from one share to another.
+/// The amounts that limit a transfer from one share to another.
 struct TransferPlan<'a> {
     from: &'a ControllerName,
     to: &'a ControllerName,
@@ -95,8 +97,9 @@
     }
 
     /// Returns whether jobs with these bookings may be included. In dimensions with a
-    /// remaining amount, they must fit into that amount and the destination's free
-    /// capacity; in the others, their capacity is transferred with them.
+    /// remaining amount, the bookings must fit into the sum of that amount and the
+    /// destination's free capacity. In the other dimensions there is no bound, as the capacity
+    /// that the jobs use is transferred with them.
     fn can_include(&self, included: Resources) -> bool {
         let fits = |remaining: Amount, free: Amount, included: Amount| {
             remaining.0 == 0 || included.0 <= remaining.0 + free.0
@@ -113,8 +116,8 @@
     }
 
     /// Returns the amount that leaves the source's share. In dimensions with a remaining
-    /// amount, that is as much of it as free capacity and the included jobs cover; in the
-    /// others, it is what the jobs use.
+    /// amount, that is the part of the remaining amount that the source's free capacity and
+    /// the included jobs cover. In the other dimensions it is what the jobs use.
     fn amount(&self, included: Resources) -> Resources {
         let part = |remaining: Amount, free: Amount, included: Amount| match remaining.0 {
             0 => included,
@@ -127,7 +130,8 @@
         }
     }
 
-    /// Returns the step with as many jobs as are needed and may be included, largest first.
+    /// Returns the transfer, with as many jobs as are needed and may be included, largest
+    /// first; `None` if nothing of the remaining amount can be transferred.
     fn build_transfer(
         &self,
         team: &TeamName,
@@ -154,8 +158,8 @@
         }
         let next = self.share_after(share, amount);
         change.shares.insert(team.clone(), next);
-        // A concurrent booking against the source's share conflicts with the transfer, so
-        // that one of the two fails.
+        // The transfer depends on the source's free capacity, so it must conflict with a
+        // concurrent booking against the source's share.
         change.read_uses.insert((team.clone(), self.from.clone()));
         // The included jobs may use the destination's free capacity, so nothing else may be
         // booked against it in the meantime.
@@ -168,7 +172,7 @@
         })
     }
 
-    /// Returns the source's jobs that may be included, largest first.
+    /// Returns the jobs with bookings against the source's share, largest first.
     fn candidates<'b>(&self, jobs: &'b [JobBooking]) -> Vec<&'b JobBooking> {
         let mut candidates: Vec<&JobBooking> = jobs
             .iter()
--- a/crates/shares/src/unblock.rs
+++ b/crates/shares/src/unblock.rs
@@ -1,5 +1,5 @@
-//! Free capacity for the destination of a move when every job that could be included in a
-//! transfer is larger than the remaining amount.
+//! Unblocks a move whose remaining amount is smaller than every job that a transfer could
+//! include, by reserving free capacity in the destination's share.
 
 use resources::{Amount, Resources};
 
@@ -10,10 +10,10 @@
 use crate::records::Share;
 use crate::transfer::JobBooking;
 
-/// Returns the change that reserves the free capacity that a destination needs to receive
-/// the source's smallest job, if that job is larger than the remaining amount; the next
-/// transfer then includes it. `None` if this is not the obstacle, or if there is no such
-/// capacity.
+/// Returns the change that reserves the free capacity that a move's destination needs to
+/// receive the source's smallest job, if the job is larger than the remaining amount. The next
+/// transfer can then include that job. Returns `None` if no capacity has to be reserved for
+/// the job, or if there is not enough.
 pub fn reserve_for_smallest_job(
     ledger: &Ledger,
     team: &TeamName,
@@ -31,8 +31,7 @@
     (change.writes() > 0).then_some(change)
 }
 
-/// The first pair of controllers with an amount that is still to be transferred between
-/// them.
+/// A source and a destination, with the amount that is still to be transferred between them.
 struct PendingPair {
     from: ControllerName,
     to: ControllerName,
@@ -57,8 +56,8 @@
     }
 }
 
-/// Returns the part of the bookings that exceeds the remaining amount, in the dimensions
-/// that have one.
+/// Returns the part of the bookings that exceeds the remaining amount; 0 in dimensions without
+/// a remaining amount.
 fn excess_over(remaining: Resources, booked: Resources) -> Resources {
     let excess = |remaining: Amount, booked: Amount| match remaining.0 {
         0 => Amount(0),
--- a/src/accounting/booking.rs
+++ b/src/accounting/booking.rs
@@ -30,7 +30,7 @@
     pub need: Resources,
     /// The number of tasks to book.
     pub tasks: usize,
-    /// True if fewer than all tasks must not be booked, as for a gang.
+    /// True if the tasks must be booked together or not at all, as for a gang.
     pub all_or_nothing: bool,
     /// The largest number of records that the transaction may write.
     pub max_writes: usize,
