--- a/crates/shares/src/balance.rs
+++ b/crates/shares/src/balance.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Records the present generation as settled if no move is pending.
+    /// Sets `settled` to the present generation if no move is pending.
     pub(crate) fn settle_if_complete(&mut self) {
         if self.pending.is_empty() {
             self.settled = self.generation;
--- a/crates/shares/src/booking.rs
+++ b/crates/shares/src/booking.rs
@@ -20,7 +20,8 @@
     /// The team would exceed its limit.
     #[error("team {0} would exceed its limit")]
     TeamLimit(TeamName),
-    /// The machines on record, all together, have too little capacity that no share needs.
+    /// The pool has too little free capacity, even after other teams have returned theirs: all
+    /// machines on record together lack the capacity.
     #[error("the machines on record lack the capacity")]
     MachineCapacity,
     /// Other teams may have enough free capacity, but one commit cannot write all their share
@@ -31,7 +32,7 @@
 }
 
 /// Reserves the capacity that a booking needs in a controller's share. Returns the change
-/// that must be committed together with the booking.
+/// that must be committed before the booking or together with it.
 ///
 /// The change contains the records that the decision reads, the team's share record among
 /// them. The usage record of the controller's share is not part of the change, as the booking
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -112,10 +112,10 @@
     /// The granted amount in the pool's record differs from the sum of the shares.
     #[error("the pool's granted amount is not the sum of the shares")]
     GrantedSumMismatch,
-    /// More is booked against a share than it has.
+    /// The resources booked against a share exceed the granted amount.
     #[error("bookings exceed the share of controller {1} in team {0}")]
     Overbooked(TeamName, ControllerName),
-    /// A share is negative, or its pending outgoing amount exceeds it.
+    /// A granted amount is negative or less than the controller's pending outgoing amount.
     #[error("controller {1} must transfer more of team {0} than it has")]
     NegativeShare(TeamName, ControllerName),
     /// The pending amounts of a team's controllers do not add up to 0.
--- a/crates/shares/src/lifecycle.rs
+++ b/crates/shares/src/lifecycle.rs
@@ -85,9 +85,9 @@
 /// Each controller is granted the resources that are booked against its share. Pending moves
 /// are lost, and moves up to `generation` count as done.
 ///
-/// The change recomputes the pool's granted amount from the share records of all teams. It
-/// needs no preconditions on those records, as every commit that changes the total of one
-/// also writes the pool.
+/// The pool's granted amount is recomputed from the other teams' share records. The change
+/// needs no preconditions on other records than the two that it writes, as every commit that
+/// changes the total of a share record also writes the pool.
 pub fn rebuild_team(
     ledger: &Ledger,
     team: &TeamName,
--- a/src/compaction/mod.rs
+++ b/src/compaction/mod.rs
@@ -93,8 +93,8 @@
 }
 
 /// Returns whether this controller compacts the shards of a preferred owner, the controller
-/// whose name is part of their names. Each controller compacts its own shards, and the fleet
-/// leader also those of controllers that are not up.
+/// whose name is part of the shards' names. Each controller compacts its own shards, and the
+/// fleet leader also those of controllers that are not up.
 fn is_responsible_for(controller: &Controller, replica: &Replica, preferred_owner: &str) -> bool {
     preferred_owner == controller.name()
         || (controller.is_fleet_leader() && !replica.controllers.contains_key(preferred_owner))
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,5 +1,5 @@
-//! Defines the message that controllers send to one another, and its framing: the length of
-//! the message in four bytes, big-endian, followed by the message.
+//! Defines the message that controllers send to one another. On a connection each message is
+//! sent as a frame: the length of the message in four bytes, big-endian, then the message.
 
 use bincode::{Decode, Encode};
 
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -67,10 +67,11 @@
         names
     }
 
-    /// Returns whether a peer receives heartbeats from the machines that it owns, according to
-    /// its status. One silent machine, or up to a quarter of them, is tolerated, as single
-    /// heartbeats may be lost or in flight. The check is needed because a controller that is
-    /// cut off only from its workers still reaches its peers and the state service.
+    /// Returns whether the newest status of a peer shows that the peer receives heartbeats from
+    /// the machines that it owns. One silent machine, or up to a quarter of the owned ones, is
+    /// tolerated, as single heartbeats may be lost or in flight. The check is needed because a
+    /// controller that is cut off only from its workers still reaches its peers and the state
+    /// service.
     pub fn receives_heartbeats(&self, controller: &Controller, peer: &str, now: Instant) -> bool {
         let mut fresh = self.fresh(controller, now);
         fresh.any(|(name, status)| {
--- a/src/workers/claim_plan.rs
+++ b/src/workers/claim_plan.rs
@@ -1,4 +1,4 @@
-//! Selects the claims for one commit, and plans its preconditions and writes.
+//! Selects the queued claims for one commit, and plans the commit's preconditions and writes.
 
 use crate::controller::Controller;
 use crate::scheduler::MachineShardEdits;
--- a/src/workers/redirect_history.rs
+++ b/src/workers/redirect_history.rs
@@ -24,7 +24,7 @@
 pub(super) struct RedirectHistory {
     /// Last redirect of each machine's worker to its preferred owner.
     to_preferred_owner: HashMap<String, PreferredOwnerRedirect>,
-    /// Time of the last redirect of each machine's worker to its recorded owner.
+    /// Time of the last redirect of each machine's worker to the owner in the machine's record.
     to_owner: HashMap<String, Instant>,
     /// Time at which a worker of an owned machine was last redirected to its preferred owner.
     last_owned_redirect: Option<Instant>,
@@ -78,8 +78,8 @@
             .is_some_and(|at| now.saturating_duration_since(at) < interval)
     }
 
-    /// Records a redirect of the worker to its recorded owner, unless there was one
-    /// within a lease; returns whether it was recorded.
+    /// Records a redirect of a machine's worker to the owner in the machine's record, and
+    /// returns true. Returns false if such a redirect was already recorded within a lease.
     pub(super) fn try_redirect_to_owner(
         &mut self,
         machine: &str,
@@ -94,8 +94,8 @@
         true
     }
 
-    /// Returns whether a worker has waited less than half a lease for its claim. After a
-    /// whole lease the wait is measured anew.
+    /// Returns whether a machine's worker has waited less than half a lease for the claim of
+    /// the machine. If more than a lease has passed, a new wait begins.
     pub(super) fn may_wait_for_claim(
         &mut self,
         machine: &str,
--- a/src/workers/redirects.rs
+++ b/src/workers/redirects.rs
@@ -2,7 +2,7 @@
 //!
 //! The preferred owner of a machine is the controller whose name is part of the name of the
 //! machine's shard. If the preferred owner makes the commits for the work on its machines,
-//! these commits conflict with none of other controllers. A worker is redirected to its
+//! these commits conflict with none of other controllers. A worker is redirected to the
 //! preferred owner if that controller is up and receives heartbeats. A worker that has lost
 //! contact with the present owner of its machine for a short time is redirected back to that
 //! owner. Both kinds of redirect are limited, as the worker may be unable to reach the other
@@ -69,7 +69,8 @@
         now: Instant,
     ) -> Option<String> {
         let peers = self.peers.borrow();
-        // A controller that receives no heartbeats has lost its workers.
+        // A controller that receives no heartbeats has lost contact with its workers, and
+        // would not receive those of a redirected worker either.
         let mut alive = peers.alive_controllers(self, now);
         alive.retain(|n| *n == self.name() || peers.receives_heartbeats(self, n, now));
         let preferred_owner = machine.map_or("", |m| preferred_owner_of(&m.shard));
--- a/src/workers/worker_table.rs
+++ b/src/workers/worker_table.rs
@@ -107,8 +107,8 @@
 }
 
 impl Controller {
-    /// Returns whether this run of the controller owns the machine: its replica shows its own
-    /// claim as the newest.
+    /// Returns whether this run of the controller owns the machine: the newest claim in the
+    /// replica is one that this run has made.
     pub fn owns(&self, machine: &str) -> bool {
         let replica = self.replica.borrow();
         let owned_workers = self.workers.owned();
