--- a/src/cloud/boot_tracking.rs
+++ b/src/cloud/boot_tracking.rs
@@ -12,17 +12,17 @@
 use crate::controller::shifted_past_pause;
 use crate::wire::MachineType;
 
-/// The maximum ratio of a usual boot's duration to the duration that the cloud states
-/// (PROTOCOL).
+/// A usual boot takes at most this many times the duration that the cloud states (PROTOCOL).
 const USUAL_BOOT_RATIO: f64 = 1.5;
 
-/// The reciprocal of the latest boot's weight in the moving average.
+/// The latest boot has a weight of one in this many in the moving average of boot durations.
 const AVERAGING_WINDOW: f64 = 4.0;
 
 /// The maximum number of times that the pause after consecutive failures is doubled.
 const MAX_FAILURE_DOUBLINGS: u32 = 3;
 
-/// A machine type in a zone. Boot durations differ by both.
+/// A machine type in a zone. Boot durations are averaged for each such pair, because they
+/// depend on the machine type and on the zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct BootLocation {
     machine_type: String,
@@ -62,8 +62,8 @@
 }
 
 impl BootTracker {
-    /// Updates the boots in progress to the machines in `booting`. Machines that are no
-    /// longer among them and that are up have completed their boots.
+    /// Updates the boots in progress from the list of booting machines. A machine that is up
+    /// and no longer in the list has completed its boot.
     pub(super) fn observe<'a>(
         &mut self,
         booting: impl Iterator<Item = BootingMachine<'a>>,
@@ -109,11 +109,13 @@
         self.last_completed.insert(offer, now);
     }
 
-    /// Returns the boot duration, in seconds, after which a machine of this type is
-    /// overdue: `USUAL_BOOT_RATIO` times the duration that the cloud states, or times the
-    /// mean of the observed boots if that is longer. The observed mean raises the value to at
-    /// most half of the boot limit `limit_s`, so that a replacement is not delayed until the
-    /// limit has passed. The value never exceeds `limit_s`.
+    /// Returns the boot duration, in seconds, after which a machine of this type is overdue
+    /// and a replacement may be provisioned. The duration is `USUAL_BOOT_RATIO` times the
+    /// duration that the cloud states, but never longer than the boot limit `limit_s`.
+    ///
+    /// If the observed boots took longer on average, the ratio is applied to their mean
+    /// instead, up to half of `limit_s`. Without this cap, the replacement of a machine could
+    /// be delayed until the boot limit has passed.
     pub(super) fn overdue_after_s(
         &self,
         machine_type: &MachineType,
@@ -143,8 +145,8 @@
 
     /// Records that the boot of a machine is overdue or has timed out. If no other machine
     /// of its offer has come up since the boot started, the offer is backed off
-    /// exponentially. Otherwise nothing is recorded, because a few of many boots may fail at
-    /// any time.
+    /// exponentially. Otherwise the failure is ignored, because a few failures among many
+    /// boots do not show that the offer has a problem.
     pub(super) fn record_failure(&mut self, id: &str, pause: Duration, now: Instant) {
         let Some(boot) = self.in_progress.get(id) else {
             return;
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -11,39 +11,41 @@
 /// The pause of all calls after the cloud has responded that it is overloaded.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// The reason for which a call to the cloud was not made or has no usable response.
+/// The reason why a call to the cloud was not made or returned no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloudError {
-    /// A call that was not made because calls are paused after an overload of the cloud.
+    /// The call was not made: calls are paused after an overload of the cloud.
     #[error("calls to the cloud are paused")]
     Paused,
-    /// A call that was not made because the record that it was for has changed while the call
-    /// waited for the rate limit.
+    /// The call was not made: the record that required the call changed while the call waited
+    /// for the rate limit.
     #[error("the call is no longer needed")]
     NoLongerNeeded,
-    /// A call that was not made because this controller is not the fleet leader.
+    /// The call was not made: this controller is not the fleet leader.
     #[error("not the fleet leader")]
     NotFleetLeader,
-    /// A call that was not made because its response could not be recorded.
+    /// The call was not made: the state service is unreachable, so that the response could not
+    /// be recorded.
     #[error("the state service is unreachable")]
     StateServiceUnreachable,
-    /// A response that shows that the cloud is overloaded, with its status.
+    /// The cloud responded with this status, which shows that it is overloaded.
     #[error("the cloud is overloaded: status {0}")]
     Overloaded(u16),
-    /// A response by which the cloud refused the call, with its status.
+    /// The cloud refused the call with this status.
     #[error("the cloud refused the call: status {0}")]
     Refused(u16),
-    /// A failed call or a malformed response.
+    /// The call failed, or the response is malformed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// A request that could not be encoded.
+    /// The request could not be encoded.
     #[error("request not encoded: {0}")]
     Encoding(#[from] serde_json::Error),
 }
 
 impl Controller {
-    /// Returns whether this controller is the fleet leader: the replica's fleet key names
-    /// this run of the controller, and its state lease is not known to have expired.
+    /// Returns whether this controller is the fleet leader. This is the case if the fleet key
+    /// in the replica was written by this run of the controller, and the controller's state
+    /// lease is not known to have expired.
     pub fn is_fleet_leader(&self) -> bool {
         let replica = self.replica.borrow();
         let fleet_leader = replica.fleet_leader.as_ref();
@@ -98,8 +100,8 @@
     }
 
     /// Waits until the cloud's rate limit allows one more call. The limit is not shared with
-    /// other controllers, because only the fleet leader calls. Provisioning requests call
-    /// concurrently, within the same limit.
+    /// other controllers, because only the fleet leader calls the cloud. Concurrent calls of
+    /// this controller share the limit.
     async fn wait_for_cloud_rate_limit(&self) {
         let max_rps = self.settings.deployment.cloud.rps;
         loop {
--- a/src/cloud/commit.rs
+++ b/src/cloud/commit.rs
@@ -1,4 +1,5 @@
-//! Sends the commits of this module's loops, many of which are empty.
+//! Sends the commits of the fleet loops and skips empty ones. Many passes of these loops have
+//! nothing to write.
 
 use crate::controller::Controller;
 use crate::state::budget::RequestClass;
--- a/src/cloud/consolidation.rs
+++ b/src/cloud/consolidation.rs
@@ -13,16 +13,17 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, JobKind};
 
-/// The number of gangs, of the shape of the latest job that needs accelerators, for which
-/// slots stay free.
+/// The number of gangs for which consolidation leaves accelerator slots free. Each gang is
+/// assumed to need as many slots as the latest job that needs accelerators.
 const RESERVED_GANGS: usize = 2;
 
-/// The number of writes of an eviction besides the jobs' records: the machine's machine
-/// shard and its zone shard.
+/// The number of writes that an eviction needs in addition to those of the jobs' records: one
+/// for the machine shard and one for the zone shard that contain the machine.
 const MACHINE_WRITES: usize = 2;
 
 /// Drains one machine with unused accelerators if the services that keep it provisioned fit
-/// on other machines. The services move, and the machine is decommissioned.
+/// on other machines. The services are stopped and placed again elsewhere, after which the
+/// machine can be decommissioned.
 pub(super) async fn consolidate(controller: &Controller) {
     let interval = controller.settings.worker_lease();
     if !controller
@@ -167,7 +168,8 @@
         let Some(spec) = displaced_job.spec.clone() else {
             return false;
         };
-        // The job as it would be after the stop: the displaced tasks wait.
+        // Simulates the stop of the job's tasks on the machine: they are released and wait to
+        // be placed again.
         let mut displaced_tasks = 0;
         for run in recorded.runs.iter().filter(|run| run.machine == machine) {
             for task in run.tasks.iter() {
--- a/src/cloud/draining.rs
+++ b/src/cloud/draining.rs
@@ -13,8 +13,8 @@
 use crate::wire::{Commit, JobKind, Write};
 
 /// Drains the machines that are queued for draining, such as those with a preemption
-/// notice. The machines take no new work, and jobs that lose no progress when they are
-/// stopped are stopped while there is time.
+/// notice. The machines take no new work. Jobs that save their progress when they are
+/// stopped are stopped before the machine is gone.
 pub(super) async fn drain_machines(controller: &Controller) {
     let ids = controller.fleet.borrow_mut().take_pending_drains();
     for id in ids {
--- a/src/cloud/failure_attribution.rs
+++ b/src/cloud/failure_attribution.rs
@@ -8,30 +8,29 @@
 use crate::state::replica::Replica;
 use crate::workers::{AttemptKey, OwnedWorker};
 
-/// The reciprocal of the maximum fraction of owned machines that are quarantined at the
-/// same time.
+/// At most one in this many owned machines is quarantined at a time.
 const QUARANTINE_FRACTION: usize = 4;
 
 /// The health of a machine, judged by the failures of jobs on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineHealth {
-    /// A machine to which no failure is attributed and on which at most one failure is not
+    /// No failure is attributed to the machine, and at most one failure on the machine is not
     /// attributed yet.
     Healthy,
-    /// A machine on which several jobs failed whose failures are not attributed yet.
+    /// Several jobs failed on the machine, and their failures are not attributed yet.
     Suspect,
-    /// A machine on which a job failed that has since succeeded on another.
+    /// A job that failed on the machine has since succeeded on another machine.
     Faulty,
 }
 
 /// The cause to which the failure of a job on a machine is attributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// The job, because it also fails on other machines or is cancelled.
+    /// The job is at fault: it also fails on other machines, or it was cancelled.
     Job,
-    /// The machine, because the job has since succeeded on another.
+    /// The machine is at fault: the job has since succeeded on another machine.
     Machine,
-    /// A cause that is not known yet, because the job has not been retried.
+    /// The cause is not known until the job has been retried.
     Unknown,
 }
 
@@ -81,8 +80,8 @@
     }
 }
 
-/// Returns whether the termination of a job's task on a machine is still to be recorded, so
-/// that the job's record may not contain that failure yet.
+/// Returns whether the termination of one of the job's tasks on the machine has not been
+/// recorded yet. Until then, the failure may be missing from the job's record.
 fn has_unrecorded_termination(controller: &Controller, job: &str, machine: &str) -> bool {
     let range_start = AttemptKey {
         job: job.to_string(),
@@ -96,9 +95,9 @@
 }
 
 /// Returns the machines that take no new work until the failures on them are attributed.
-/// They are at most a quarter of the owned machines, or one machine if there are fewer than
-/// four: with more, many faulty jobs could leave no capacity for the retries by which
-/// failures are attributed.
+/// At most a quarter of the owned machines are quarantined, or one machine if there are fewer
+/// than four. Without this limit, a large number of faulty jobs could quarantine all machines.
+/// No job could then be retried, and failures are only attributed by retries.
 pub fn quarantined_machines(
     controller: &Controller,
     replica: &Replica,
--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -14,7 +14,7 @@
 use crate::controller::shifted_past_pause;
 use crate::wire::WorkerStatus;
 
-/// The in-memory state of one controller about the fleet and the cloud.
+/// The in-memory state that one controller keeps about the fleet and the cloud.
 #[derive(Default)]
 pub struct FleetState {
     /// The boots in progress, and the durations and failures of recent ones.
@@ -32,7 +32,7 @@
     /// The timer for reading the machine types.
     pub(super) machine_types_timer: IntervalTimer,
     /// The last status, without tasks, of each worker that requested a claim, by machine.
-    /// It has the worker's address and its machine type.
+    /// The status contains the worker's address and machine type.
     claim_statuses: HashMap<String, WorkerStatus>,
     /// The machines that are queued for draining.
     pending_drains: HashSet<String>,
@@ -41,18 +41,20 @@
     /// The time since which each machine has had no owner that is up. A booting machine has
     /// no owner yet.
     ownerless_since: HashMap<String, Instant>,
-    /// The machines whose new heartbeats show a fencing token below the recorded one.
+    /// The heartbeats that show a fencing token below the recorded one. They reveal workers
+    /// that no answer or command reaches.
     stale_tokens: StaleTokens,
     /// The time since which the cloud has listed each machine that has no record.
     unrecorded_since: HashMap<String, Instant>,
     /// The time at which the cloud confirmed that a machine is gone. An outdated inventory
     /// may still list the machine after that.
     gone_since: HashMap<String, Instant>,
-    /// The state lease of this controller, unless it is known to have expired.
+    /// The lease that this controller holds in the state service, or `None` if the controller
+    /// has none or knows that it has expired.
     state_lease: Option<HeldLease>,
 }
 
-/// The state lease of this controller.
+/// The lease that this controller holds in the state service.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     id: u64,
@@ -80,11 +82,13 @@
         self.claim_statuses.get_mut(id)
     }
 
-    /// Records a heartbeat, and returns whether the worker is unreachable: for longer than
-    /// its lease, its heartbeats have shown a fencing token below the recorded one, whichever
-    /// controller owns the machine. So its heartbeats arrive, but answers and commands do not
-    /// reach it. Such a worker tries one controller after another, and each would claim its
-    /// machine again. The machine is decommissioned instead.
+    /// Records a heartbeat, and returns whether the worker is unreachable: its heartbeats
+    /// arrive, but answers and commands do not reach the worker. This is the case if its
+    /// heartbeats have shown a fencing token below the recorded one for longer than the
+    /// worker's lease, regardless of which controller owns the machine.
+    ///
+    /// An unreachable worker tries one controller after another, and each of them would claim
+    /// the machine again. The machine is decommissioned instead.
     pub fn check_unreachable(
         &mut self,
         status: &WorkerStatus,
@@ -114,7 +118,8 @@
         self.pending_drains.drain().collect()
     }
 
-    /// Returns the time since which a machine has been idle, which starts now if it was not.
+    /// Returns the time since which a machine has been idle. For a machine that was not idle
+    /// before, this is `now`.
     pub(super) fn idle_since(&mut self, id: &str, now: Instant) -> Instant {
         *self.idle_since.entry(id.to_string()).or_insert(now)
     }
@@ -124,8 +129,8 @@
         self.idle_since.remove(id);
     }
 
-    /// Returns the time since which a machine has had no owner that is up, which starts now
-    /// if it had one.
+    /// Returns the time since which a machine has had no owner that is up. For a machine that
+    /// had one until now, this is `now`.
     pub(super) fn ownerless_since(&mut self, id: &str, now: Instant) -> Instant {
         *self.ownerless_since.entry(id.to_string()).or_insert(now)
     }
@@ -135,8 +140,8 @@
         self.ownerless_since.remove(id);
     }
 
-    /// Returns whether a listed machine has had no record for longer than `limit`. The time
-    /// starts now if the machine was not known to be without a record.
+    /// Returns whether the cloud has listed a machine without a record for longer than
+    /// `limit`. The first call for a machine starts the period.
     pub(super) fn is_unrecorded_longer_than(&mut self, id: &str, limit: Duration) -> bool {
         let first = self
             .unrecorded_since
@@ -145,7 +150,7 @@
         first.elapsed() > limit
     }
 
-    /// Removes the machines that have a record now from the listed machines without one.
+    /// Stops tracking the listed machines that have a record by now.
     pub(super) fn prune_recorded(&mut self, is_recorded: impl Fn(&str) -> bool) {
         self.unrecorded_since.retain(|id, _| !is_recorded(id));
     }
@@ -207,7 +212,8 @@
             .is_none_or(|lease| lease.extended_at.elapsed() > interval)
     }
 
-    /// Records that the state lease was granted or extended now.
+    /// Records the state lease after it was acquired or extended. The current time is stored as
+    /// the time of its last extension.
     pub(super) fn record_state_lease(&mut self, id: u64) {
         self.state_lease = Some(HeldLease {
             id,
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -40,10 +40,12 @@
     }
 }
 
-/// Returns the provisioning requests whose machines all have records of their own, and the
-/// accepted batches whose jobs all have. A machine's record is only deleted together with the
-/// machine's entry in the request (`record_deletions`), and a job's record is never deleted.
-/// So a record that the replica shows as obsolete cannot become needed again.
+/// Returns the obsolete records: provisioning requests whose machines all have records of
+/// their own, and accepted batches whose jobs all have records of their own.
+///
+/// An obsolete record cannot become needed again. A machine's record is only deleted together
+/// with the machine's entry in the provisioning request (`record_deletions`), and a job's
+/// record is never deleted.
 fn obsolete_records(replica: &Replica) -> impl Iterator<Item = ObsoleteRecord> {
     let requests = replica.provisioning_requests.iter().filter(|(_, entry)| {
         let machines = &entry.value.machines;
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -19,8 +19,8 @@
     })
 }
 
-/// Returns the number of slots to keep free, as the policy sets it. It is 0 if no job that
-/// needs accelerators is open.
+/// Returns the number of slots that the policy requires to be free, or 0 if no job that needs
+/// accelerators is open.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
     let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,12 @@
-//! The fleet of machines that are provisioned from the cloud: scale-out, scale-in, and the
-//! health of the machines.
+//! Manages the fleet, which is the set of machines that are provisioned from the cloud:
+//! scale-out, scale-in, and the health of the machines.
 //!
-//! One controller at a time, the fleet leader, provisions and decommissions machines. It is
-//! the controller that the `fleet` key names, which is attached to its state lease. Safety
-//! does not depend on there being a single fleet leader: every provisioning request is
-//! committed before the cloud is called, under a name that is never used again, and
-//! machines that appear unexpectedly are used or decommissioned.
+//! Only one controller at a time, the fleet leader, calls the cloud. The leader's name is
+//! stored in the `fleet` key. This key is attached to the leader's state lease, which is the
+//! lease that each controller holds in the state service. Safety does not depend on there
+//! being a single fleet leader: every provisioning request is committed under a unique name
+//! before the cloud is called, and machines that appear unexpectedly are used or
+//! decommissioned.
 
 mod backoff;
 mod boot_tracking;
