--- a/src/cloud/incoming_capacity.rs
+++ b/src/cloud/incoming_capacity.rs
@@ -1,4 +1,5 @@
-//! Adds incoming capacity to a plan: booting machines and requested ones.
+//! Adds incoming capacity to a plan. This is the capacity of booting machines and of machines
+//! that have been requested from the cloud.
 
 use super::boot_tracking::BootTracker;
 use super::booting_machines::booting_machines;
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -18,8 +18,8 @@
 const GONE_LAGS: u32 = 6;
 
 /// The time after which a listed machine without a record is adopted, in worker leases. A
-/// machine with a running worker sends a heartbeat sooner and gets its record when it is
-/// claimed.
+/// running worker sends a heartbeat sooner than that, and its machine gets a record when a
+/// controller claims the machine.
 const UNRECORDED_LEASES: u32 = 2;
 
 /// The differences between the cloud's inventory and the records.
@@ -110,7 +110,8 @@
                     .extend(unbooted_machine(replica, &machine.id));
             }
         } else if has_unanswered_requests {
-            // The machine may belong to an unanswered request, whose answer will name it.
+            // The machine may belong to a provisioning request that the cloud has not answered
+            // yet. In that case the answer will list the machine.
         } else if fleet.is_unrecorded_longer_than(&machine.id, lease * UNRECORDED_LEASES) {
             differences
                 .unrecorded
--- a/src/cloud/job_demand.rs
+++ b/src/cloud/job_demand.rs
@@ -19,10 +19,11 @@
     pub(super) facts: JobFacts,
     /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
-    /// The job as it would be with the placements planned so far, so that the limits on its
-    /// tasks per zone are kept.
+    /// A copy of the job that includes the placements planned so far. The limits on the job's
+    /// tasks per zone are checked against this copy.
     pub(super) planned_job: Job,
-    /// The zones in which more capacity would not help the job.
+    /// The zones in which more capacity would not help the job, because the job has its maximum
+    /// number of tasks there.
     pub(super) excluded_zones: HashSet<String>,
     /// The zone of the machine that was planned last.
     pub(super) last_zone: Option<String>,
@@ -62,8 +63,9 @@
             let covered = wanted.min(*turnover_cpus * turnover / cpus);
             *turnover_cpus -= covered * cpus / turnover.max(0.01);
             wanted -= covered;
-            // So small a remainder runs when running tasks end. But a job that has no
-            // running tasks and counts on no others' CPUs would wait forever.
+            // No machine is provisioned for so small a shortfall: its tasks run when other
+            // tasks end. But if the job has no running tasks and does not count on the CPUs of
+            // other jobs' tasks, it would wait forever.
             if wanted < MIN_SHORTFALL && (self.planned_job.booked_count() > 0 || covered > 0.0) {
                 return None;
             }
@@ -80,10 +82,10 @@
     pub(super) dependencies: &'a [String],
 }
 
-/// Returns the jobs whose pending dependencies are all about to end: all tasks of these
-/// dependencies run, and their estimated run times are at most the shortest boot time of a
-/// machine, so they end before a machine that is provisioned now is up. No capacity is
-/// provisioned yet for other jobs with pending dependencies.
+/// Returns the jobs whose pending dependencies are all about to end. A dependency is about to
+/// end if all of its remaining tasks run and its estimated run time is at most the shortest
+/// boot time of a machine. It then ends before a machine that is provisioned now is up. No
+/// capacity is provisioned yet for other jobs with pending dependencies.
 pub(super) fn jobs_about_to_start(replica: &Replica) -> Vec<DependentJob<'_>> {
     let boot_s = replica.min_boot_s();
     let ends_soon = |id: &String| {
@@ -100,10 +102,12 @@
 }
 
 /// Returns whether capacity may be provisioned for a job that is suspected to be faulty.
-/// Normally none is: the job is retried on machines that other jobs keep provisioned. But if
-/// the job runs nowhere and no machine in service can hold one of its tasks, machines are
-/// provisioned for it until it has failed more than twice `FAULTY_JOB_THRESHOLD` times.
-/// Otherwise three faulty machines in a row would stop a correct job permanently.
+/// Normally it may not: the job is retried on machines that other jobs keep provisioned.
+///
+/// The exception is a job that runs nowhere and whose tasks fit on no machine in service.
+/// Machines are provisioned for this job until it has failed more than twice
+/// `FAULTY_JOB_THRESHOLD` times. Without the exception, three faulty machines in a row would
+/// stop a correct job permanently.
 pub(super) fn may_provision_despite_failures(replica: &Replica, job: &Job, spec: &JobSpec) -> bool {
     let can_hold = |class: &MachineClass| {
         let capacity = replica.class_type(class).map(MachineType::resources);
--- a/src/cloud/machine_types.rs
+++ b/src/cloud/machine_types.rs
@@ -1,6 +1,6 @@
-//! Maintains the list of machine types that the cloud offers. The fleet leader reads them from
-//! the cloud and records them in the state, from which every controller reads them, also
-//! after a restart.
+//! Maintains the list of machine types that the cloud offers. The fleet leader reads the list
+//! from the cloud and records it in the state service. All controllers use the recorded list,
+//! so it is also available after a restart.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -19,7 +19,8 @@
     pub(super) protection: AcceleratorProtection,
     /// The maximum price of a slot, as a multiple of the cheapest slot's price.
     pub(super) max_price_ratio: f64,
-    /// The zones in which more capacity would not help the job.
+    /// The zones in which more capacity would not help the job, because the job has its maximum
+    /// number of tasks there.
     pub(super) excluded_zones: &'a HashSet<String>,
 }
 
@@ -102,8 +103,9 @@
             || constraints.protection == AcceleratorProtection::Strict)
             && spec.need.gpus.0 == 0
             && machine_type.gpus > 0.0;
-        // The job would take resources that jobs on the machine's accelerators need, and
-        // placement keeps it off such machines for that reason (`scheduler::candidates`).
+        // A job without accelerators would take CPUs and memory that jobs need which use the
+        // machine's accelerators. Placement keeps the job off such machines for the same reason
+        // (`scheduler::candidates`).
         let wanted_by_gpu_work = || {
             let gpu_spec = self.replica.latest_gpu_spec.as_ref();
             gpu_spec.is_none_or(|gpu_spec| gpu_spec.allows(&machine_type.name, zone, spot))
--- a/src/cloud/planned_provisioning.rs
+++ b/src/cloud/planned_provisioning.rs
@@ -5,8 +5,8 @@
 use super::machine_offer::MachineOffer;
 use crate::state::records::ProvisioningRequest;
 
-/// The maximum number of machines in one provisioning request, as the cloud's protocol sets
-/// it.
+/// The maximum number of machines that the cloud's protocol allows in one provisioning
+/// request.
 pub(super) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// The number of planned machines of each offer. All planned machines of an offer become one
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -16,12 +16,12 @@
 use crate::state::replica::{Replica, Versioned};
 use crate::wire::{CreateMachinesRequest, MachineIds, Write};
 
-/// The extent to which the cloud has delivered a request's machines.
+/// The result of a provisioning request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
-    /// Delivery of all requested machines.
+    /// The cloud delivered all requested machines.
     Complete,
-    /// Delivery of fewer machines or none, because the cloud has no capacity for more.
+    /// The cloud delivered fewer machines or none. It is treated as short of capacity.
     Short,
 }
 
@@ -157,8 +157,8 @@
     delivery
 }
 
-/// Records a refusal of the request's offer if the cloud was short of capacity, and
-/// clears earlier refusals if it was not.
+/// Backs off the request's offer if the cloud was short of capacity. Otherwise ends the
+/// offer's backoff.
 fn record_capacity(controller: &Controller, request: &ProvisioningRequest, delivery: Delivery) {
     let offer = MachineOffer::from(request);
     let refusals = &mut controller.fleet.borrow_mut().refusals;
--- a/src/cloud/record_deletions.rs
+++ b/src/cloud/record_deletions.rs
@@ -32,8 +32,9 @@
 struct RecordDeletions<'a> {
     replica: &'a Replica,
     max_writes: usize,
-    /// The total capacity of the machines whose records are deleted, as far as it is counted
-    /// in the pool.
+    /// The capacity by which the commit reduces the pool, which is the capacity that the
+    /// controllers' shares are taken from. Only machines in shards that the pool counts
+    /// contribute to it.
     released: Resources,
     machine_shards: MachineShardEdits<'a>,
     /// The updated requests, by name, from which the machines are removed.
--- a/src/cloud/removal.rs
+++ b/src/cloud/removal.rs
@@ -1,5 +1,5 @@
-//! Removes machines from service. Each decision is made again once the write budget allows
-//! the commit, and only then committed.
+//! Removes machines from service. A decision can be outdated by the time the write budget
+//! allows its commit. Therefore it is made again at that time, and only then committed.
 
 use std::fmt;
 
@@ -9,24 +9,24 @@
 use crate::state::budget::RequestClass;
 use crate::state::records::MachineLifecycle;
 
-/// The reason for which a machine is removed from service.
+/// The reason why a machine is removed from service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RemovalReason {
-    /// A machine whose worker's messages arrive, but which receives no answers and no commands.
+    /// The worker's messages arrive, but no answers or commands reach the worker.
     Unreachable,
-    /// A machine from whose worker no message has arrived for too long.
+    /// No message of the worker has arrived for too long.
     Silent,
-    /// A machine on which jobs failed that have succeeded on others.
+    /// A job that failed on the machine has since succeeded on another machine.
     Faulty,
-    /// A machine whose owner, a controller, is not up.
+    /// The controller that owns the machine has not been up for too long.
     Orphaned,
-    /// A draining machine whose work has ended.
+    /// The machine was draining, and its work has ended.
     Drained,
-    /// A machine that runs only opportunistic work and costs more than such work is worth.
+    /// The machine runs only opportunistic work and costs more than such work is worth.
     OpportunisticOnly,
-    /// A machine that has run no work for longer than the idle limit.
+    /// The machine has run no work for longer than the idle limit.
     Idle,
-    /// A machine whose worker has not sent a heartbeat within the boot limit.
+    /// The machine's worker has not sent a heartbeat within the boot limit.
     BootTimeout,
 }
 
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns a request name that has never been used.
+/// Returns a name for a new request. A random number makes the name unique.
 fn new_request_id(controller: &Controller) -> String {
     let number = controller.rng.borrow_mut().random::<u64>();
     format!("{}-{number:x}", controller.name())
--- a/src/cloud/scale_out_planner.rs
+++ b/src/cloud/scale_out_planner.rs
@@ -31,8 +31,8 @@
         return Vec::new();
     }
     let now = Instant::now();
-    // All requests are committed in one transaction, which is also guarded by the
-    // fleet leader's key.
+    // All requests have to fit in one commit, which has an additional precondition on the
+    // fleet key.
     let max_requests = controller
         .settings
         .max_writes_per_commit()
@@ -77,12 +77,12 @@
     planned_requests: PlannedProvisioning,
 }
 
-/// The state of the planning for one job.
+/// The progress of planning machines for one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DemandProgress {
-    /// A job that may need another machine.
+    /// The job may need another machine.
     NeedsMore,
-    /// A job for which no more machines are planned in this pass.
+    /// No more machines are planned for the job in this pass.
     Finished,
 }
 
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Releases the capacity of the dependencies of `starting` in the plan: the
-    /// dependencies end before the jobs start, so the jobs can use it.
+    /// Releases the capacity that the dependencies of the `starting` jobs use in the plan.
+    /// The dependencies end before these jobs start, so the jobs can use their capacity.
     fn release_dependencies(&mut self, starting: &[DependentJob]) {
         let dependencies: BTreeSet<&String> =
             starting.iter().flat_map(|job| job.dependencies).collect();
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Returns the job with the policy's values for it, or `None` if no capacity is
-    /// provisioned for the job.
+    /// Returns the initial demand of a job, or `None` if no capacity may be provisioned for
+    /// the job.
     fn demand_of(&self, id: &'a str) -> Option<JobDemand<'a>> {
         let job = self.replica.jobs.get(id).map(|entry| &entry.value)?;
         let spec = job.spec.as_ref()?;
@@ -224,7 +224,8 @@
             return self.relax_protection_or_record_wait(demand);
         };
         demand.last_zone = Some(chosen.offer.zone.clone());
-        // An array's remaining tasks run one after another on that machine.
+        // If this machine has all slots that an array wants, no second one is planned: the
+        // array's remaining tasks run one after another on it.
         let slots = chosen.machine_type.resources().slots(&demand.spec.need);
         let is_enough = demand.spec.kind == JobKind::Array && slots >= wanted_slots;
         self.provision(chosen);
@@ -234,8 +235,9 @@
         }
     }
 
-    /// Allows a job that no offer can serve to use machines with accelerators or, if it
-    /// already may, records that it waits because the cloud refuses its offers.
+    /// Handles a job that no offer can serve. On the first call, allows the job to use machines
+    /// with accelerators. On the second call, records that the job waits because the cloud
+    /// refuses the offers that it needs.
     fn relax_protection_or_record_wait(&self, demand: &mut JobDemand) -> DemandProgress {
         if demand.protection != AcceleratorProtection::Lax {
             demand.protection = AcceleratorProtection::Lax;
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -1,6 +1,6 @@
-//! Maintains this controller's state lease and the keys attached to it: the
-//! controller's own key, which shows that the controller is up, and the fleet key,
-//! which names the fleet leader.
+//! Maintains this controller's state lease, which is its lease in the state service, and the
+//! keys attached to the lease. These are the controller's own key, which shows that the
+//! controller is up, and on the fleet leader the fleet key, which contains the leader's name.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,10 +39,10 @@
 /// The result of one pass of the lease maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseProgress {
-    /// A newly acquired lease, to which the next pass, without waiting, attaches the
-    /// keys.
+    /// A lease was acquired. The next pass starts immediately and writes the keys that are
+    /// attached to the lease.
     NewLease,
-    /// A pass that has done all it could; the next one runs after the usual interval.
+    /// The pass has nothing left to do. The next pass starts after the usual interval.
     Maintained,
 }
 
@@ -123,8 +123,9 @@
     }
 }
 
-/// The builder of a commit that writes missing or outdated keys, attached to the lease,
-/// and adds the formats that all controllers are now known to support.
+/// The builder of a commit that writes the missing or outdated keys. This controller's own key
+/// and the fleet key are attached to the lease. The third key contains the record formats that
+/// all controllers support.
 struct KeyUpdates<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -1,8 +1,8 @@
 //! Finds the machines that their owner removes from service: silent, unreachable and faulty
 //! machines.
 //!
-//! Only the owner decides that a machine is silent, because workers send heartbeats to their
-//! owner: another controller that receives none learns nothing from it.
+//! Only the owner of a machine decides that the machine is silent. Workers send heartbeats to
+//! their owner, so missing heartbeats mean nothing to any other controller.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -157,8 +157,8 @@
         let report = owned_worker.status.as_ref();
         if report.is_some_and(|report| report.preemption_notice_s.is_some()) {
             // A silent machine that had a preemption notice has almost certainly been
-            // preempted. When it is returned, the cloud's answer proves that it is gone
-            // before the lease expires.
+            // preempted. If the machine is returned to the cloud now, the cloud's answer
+            // proves that the machine is gone, without waiting for the lease to expire.
             return lease.min(self.controller.settings.heartbeat_interval() * PREEMPTED_REPORTS);
         }
         // A launch that was not answered may still be executed late. Only the cloud's
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -117,7 +117,7 @@
 
     /// Returns whether a machine has had no live owner for longer than `ORPHANED_LEASES`. A
     /// worker whose owner is gone soon sends heartbeats to another controller, which claims
-    /// it. A worker that does not is gone too.
+    /// the machine. If that does not happen, the worker is gone too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
         let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
@@ -132,8 +132,8 @@
     /// Returns whether a machine's work keeps it in service. Opportunistic work does not keep
     /// an active machine that costs more than such work is worth: the machine is drained, so
     /// that the work saves its progress and moves elsewhere. A machine that is already
-    /// draining stays until its work has ended, and is queued again so that work that has not
-    /// been told to stop is stopped.
+    /// draining stays until its work has ended. It is queued for draining again, in case some
+    /// of its work has not been stopped yet.
     fn is_kept_for_work(
         &self,
         fleet: &mut FleetState,
--- a/src/cloud/unrecorded_machines.rs
+++ b/src/cloud/unrecorded_machines.rs
@@ -16,8 +16,8 @@
 }
 
 impl UnrecordedMachine {
-    /// Returns a machine that the cloud lists and that has neither a record nor a
-    /// provisioning request.
+    /// Returns a new booting machine for a machine that the cloud lists although it has neither
+    /// a record nor a provisioning request.
     pub(super) fn adopted(listed: &ListedMachine) -> Self {
         UnrecordedMachine {
             id: listed.id.clone(),
