--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,4 +1,4 @@
-//! Acceptance loop, which commits pending submissions in batches.
+//! Accepts jobs: the acceptance loop commits pending submissions in batches.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,18 +16,18 @@
 use crate::state::records::{AcceptedBatch, Job, JobSpec};
 use crate::wire::{Precondition, Write};
 
-/// Outcome of a pending submission.
+/// Outcome that the acceptance loop reports for a pending submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptanceOutcome {
-    /// Commit of the job.
+    /// The job was new and has been committed.
     Committed,
-    /// Existence of a job with the same id, which was accepted before.
+    /// A job with the same id was accepted earlier; this submission wrote nothing.
     AlreadyKnown,
 }
 
-/// Submission that waits for its commit, and the channel to its request. If the
-/// commit is abandoned, the submission is dropped without sending an outcome, and the
-/// request sees a closed channel.
+/// Submission that waits for its commit, and the channel to the request handler that waits
+/// for the outcome. If the acceptance loop gives up on a submission, it drops the submission
+/// without sending an outcome, and the handler sees a closed channel.
 pub struct PendingSubmission {
     pub(super) id: String,
     pub(super) spec: JobSpec,
@@ -35,9 +35,9 @@
 }
 
 impl PendingSubmission {
-    /// Sends the outcome to the request.
+    /// Sends the outcome to the request handler.
     fn complete(self, outcome: AcceptanceOutcome) {
-        // The send fails if the request has already timed out; that is harmless.
+        // Sending fails if the request has timed out. Nobody needs the outcome then.
         let _ = self.outcome_sender.send(outcome);
     }
 
@@ -83,9 +83,12 @@
 
 /// Dequeues as many pending submissions as fit into one record and one commit.
 ///
-/// Abandoned submissions are dropped, and those of known jobs are completed.
+/// Abandoned submissions are dropped. Submissions whose job is already known are completed
+/// with [`AcceptanceOutcome::AlreadyKnown`].
 fn take_batch(controller: &Controller) -> Vec<PendingSubmission> {
-    // The commit has one precondition for each job, and one for the batch's record.
+    // The commit has one precondition for each job, and one for the batch's record. This is
+    // well below the protocol's limit, which allows four preconditions for each write that a
+    // commit may have.
     let max_jobs = controller.settings.max_writes_per_commit() * 2;
     let max_bytes = controller.settings.value_limit_bytes() * 9 / 10;
     let mut batch: Vec<PendingSubmission> = Vec::new();
@@ -115,7 +118,9 @@
 
 /// Commits a batch and completes its submissions.
 ///
-/// After an error that a retry may resolve, the batch is requeued.
+/// After a conflict, the submissions whose jobs exist already are completed, and the others
+/// are requeued. After any other error, the whole batch is requeued. But if a retry would be
+/// futile, all pending submissions are rejected.
 async fn commit_batch(controller: &Controller, batch: Vec<PendingSubmission>) {
     let BatchCommit {
         preconditions,
@@ -139,8 +144,8 @@
         }
         Err(error) => {
             tracing::debug!(%error, "acceptance failed: the batch is retried");
-            // The commit may have been executed. A retry is harmless: if two
-            // batch records contain the same job id, they describe one job.
+            // The commit may have been executed. A retry is harmless: two batch records
+            // that contain the same job id describe one job.
             controller.admissions.requeue(batch.into_iter());
             sleep(
                 controller
@@ -152,7 +157,7 @@
     }
 }
 
-/// Precondition list and write of the commit that accepts a batch.
+/// Contents of the commit that accepts a batch.
 struct BatchCommit {
     preconditions: Vec<Precondition>,
     write: Write,
--- a/src/api/admissions.rs
+++ b/src/api/admissions.rs
@@ -1,5 +1,5 @@
-//! State of the user API: the queue of submissions that wait for their commit, and the
-//! time of the latest answer to a query about each job, for load shedding.
+//! State of the user API: the queue of submissions that wait for their commit, and, for load
+//! shedding, the time at which a query about each job was last answered.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -15,7 +15,7 @@
 pub struct Admissions {
     /// Submissions that wait to be committed, in order of arrival.
     queue: RefCell<VecDeque<PendingSubmission>>,
-    /// Notification that wakes the acceptance loop.
+    /// Wakes the acceptance loop when a submission is enqueued.
     queue_notify: Notify,
     /// Time at which this controller last answered a query about each open job, by job
     /// id.
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Drops all pending submissions. Their users get 503 with `Retry-After`.
+    /// Drops all pending submissions. The waiting requests are answered with 503 and
+    /// `Retry-After`.
     pub(super) fn reject_all(&self) {
         self.queue.borrow_mut().clear();
     }
@@ -69,8 +70,8 @@
         last_answered.insert(id.to_string(), Instant::now());
     }
 
-    /// Drops the times of answers that are at least `max_age` old, to bound the memory
-    /// of the table.
+    /// Removes the times of answers that are at least `max_age` old, so that the table does
+    /// not grow without bound.
     pub(crate) fn prune_answers(&self, max_age: Duration) {
         let mut last_answered = self.last_answered.borrow_mut();
         last_answered.retain(|_, answered_at| answered_at.elapsed() < max_age);
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -32,7 +32,7 @@
     response.unwrap_or_else(|_| state_unavailable())
 }
 
-/// Tries to cancel a job until it is done or cancelled, or until a retry is futile.
+/// Tries to cancel a job until the job is done or cancelled, or until a retry would be futile.
 async fn cancel(controller: &Controller, id: &str) -> Response {
     let mut has_passed_barrier = false;
     loop {
@@ -83,7 +83,7 @@
     .await;
 }
 
-/// Commits the cancellation of an open job and returns the response to its user.
+/// Commits the cancellation of an open job and returns the response to the user.
 async fn commit_cancellation(
     controller: &Controller,
     id: &str,
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -9,7 +9,8 @@
 ///
 /// If no controller can reach the state service, all controllers that have loaded the
 /// state report healthy: removing them from the load balancer would only delay the
-/// recovery. Until then they answer requests with 503 and `Retry-After`.
+/// recovery. Until the state service is reachable again, controllers answer the requests that
+/// need it with 503 and `Retry-After`.
 pub(super) fn health(controller: &Controller) -> Response {
     let is_reachable_by_peer = controller
         .peers
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -51,8 +51,8 @@
         max_connections: controller.settings.served_connections(),
         idle_timeout: controller.settings.worker_lease() * 4,
         request_timeout: REQUEST_TIMEOUT,
-        // Workers' connections are kept open longest: one for each machine, as long as
-        // the connection limit allows it.
+        // Workers' connections are kept open in preference to others. There is one for each
+        // machine, as long as the connection limit allows it.
         is_preferred: |request| request.path == HEARTBEAT_PATH,
     };
     let handler = Rc::new(move |request: Request| -> crate::http::ResponseFuture {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns 405 for a known path with another method.
+/// Returns 405 for a known path that does not support the request's method.
 fn method_not_allowed() -> Response {
     Response::error(405, "method not allowed")
 }
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -1,8 +1,9 @@
 //! `GET /submissions/{id}`: returns the state of a job.
 //!
-//! Before a response that can still change (an unfinished job, or 404), the controller
-//! waits for a barrier, so that the response is not older than one that another
-//! controller has already given.
+//! The response for an unfinished job, or 404, can still change. Before such a response, the
+//! controller waits for a barrier, which ensures that its replica contains all earlier
+//! commits. Without the barrier, the response could be older than one that another controller
+//! has already given.
 
 use std::time::Duration;
 
@@ -36,8 +37,8 @@
     })
 }
 
-/// Returns the response for a job that is done or cancelled, or `None` for any other.
-/// Such a state never changes again, so the response needs no barrier.
+/// Returns the response for a job that is done or cancelled, or `None` for any other job.
+/// These two states never change again, so the response needs no barrier.
 pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Response> {
     let replica = controller.replica.borrow();
     let state = job_state(&replica, id).filter(JobState::is_final)?;
@@ -46,9 +47,9 @@
 
 /// Returns whether a query is rejected to shed load.
 ///
-/// A query is shed if this controller is overloaded, as `timer_lag` shows, and if
-/// it answered a query about the same job recently, `since_answer` ago. Heartbeats,
-/// claims and submissions have precedence for the CPU. Every controller still answers
+/// A query is shed if `timer_lag` shows that this controller is overloaded, and if the
+/// controller recently answered a query about the same job, `since_answer` ago. This leaves
+/// CPU time for heartbeats, claims and submissions. Even then, every controller answers queries
 /// about each job at intervals: otherwise users would assume that the job is lost.
 pub fn should_shed_query(
     timer_lag: Duration,
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -9,8 +9,8 @@
 /// `Retry-After` for a query that is shed, in seconds.
 pub(super) const SHED_RETRY_AFTER_S: u32 = 2;
 
-/// `Retry-After` for a failure that an operator has to resolve, in seconds; the maximum
-/// that users follow.
+/// `Retry-After` for a failure that an operator has to resolve, in seconds. Users do not
+/// wait for longer than this, even if a response asks for it.
 pub(super) const MAX_RETRY_AFTER_S: u32 = 30;
 
 /// Returns 503 for a request that needs the state service while it is unreachable.
@@ -28,7 +28,7 @@
     Response::error(404, "no such job")
 }
 
-/// Converts a rejection into the response to its submission.
+/// Converts the reason for rejecting a submission into the response to the user.
 impl From<SubmissionError> for Response {
     fn from(error: SubmissionError) -> Self {
         match error {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -76,12 +76,13 @@
     None
 }
 
-/// Returns the spec to record if the job can be accepted, and the response to its user
+/// Returns the spec to record if the job can be accepted, and the response to the user
 /// otherwise.
 ///
-/// Before a permanent rejection the replica has to pass a barrier. Otherwise it might
-/// not contain yet that another controller, which has read other machine types, has
-/// accepted a job with the same id, or that a dependency has been accepted.
+/// Before a permanent rejection, the replica has to pass a barrier, because the rejection may
+/// be based on an outdated replica. A dependency may have been accepted in the meantime. Or
+/// another controller may already have accepted a job with the same id, based on other
+/// machine types than this controller knows.
 async fn validate(
     controller: &Controller,
     submission: &Submission,
@@ -129,9 +130,9 @@
 
 /// Returns the response to a submission that has been committed.
 ///
-/// The job may be cancelled by now. The commit's response may have been delayed, and
-/// another request may have cancelled the job and been answered in the meantime. Or the
-/// job depends on a cancelled job, and counts as cancelled from the start.
+/// The job may already be cancelled, for one of two reasons. Another request may have
+/// cancelled the job while the commit's response was delayed. Or the job depends on a cancelled
+/// job, and so counts as cancelled from the start.
 fn accepted(controller: &Controller, id: &str) -> Response {
     if let Some(response) = final_state(controller, id) {
         return response;
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,5 +1,4 @@
-//! Validation of submissions: first the form, then the question whether the job can
-//! ever run.
+//! Validates submissions: first checks that they are well formed, then that the job can run.
 
 use std::collections::BTreeSet;
 
@@ -12,13 +11,14 @@
 /// Maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
 
-/// Maximum of any amount, in CPUs, accelerators, gigabytes or seconds.
+/// Maximum value of an amount in a submission, in the amount's own unit: CPUs, accelerators,
+/// gigabytes or seconds.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Maximum number of machine types that a submission may name.
+/// Maximum number of machine types that a submission may list.
 const MAX_TYPES: usize = 64;
 
 /// Size of a job's record in addition to its spec before any task is booked, in bytes.
@@ -30,13 +30,13 @@
 /// Reason why a submission is not accepted.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// Malformed submission, or one that is too long for a record; status 400.
+    /// The submission is malformed or too long for a record; status 400.
     #[error("malformed submission: {0}")]
     Malformed(String),
-    /// Job that can never run; status 422.
+    /// The job can never run; status 422.
     #[error("the job can never run: {0}")]
     Unsatisfiable(String),
-    /// Submission that cannot be decided yet, because this controller lacks data; status 503.
+    /// This controller lacks data to decide whether the job can run; status 503.
     #[error("not decidable yet")]
     Undecidable,
 }
@@ -230,10 +230,11 @@
     }
 }
 
-/// Rejects a job that is too long for a record, while it waits or while its tasks run.
+/// Rejects a job whose record would be too long, either while the job waits or while its
+/// tasks run.
 ///
-/// Dependencies count only for the waiting job: they are removed from the record before
-/// the first task is booked.
+/// The dependencies only add to the length of the waiting job's record, because they are
+/// removed from the record before the first task is booked.
 fn check_record_size(
     spec: &JobSpec,
     settings: &Settings,
@@ -243,8 +244,9 @@
     let dependency_bytes = spec.dependencies_bytes();
     let max_bytes = settings.value_limit_bytes();
     let exceeds_limit = if settings.limits_will_decrease() {
-        // The state service will lower its limits: reject a job whose record could then
-        // not be written, or not hold even one running task or gang.
+        // The state service will lower its limits. Under the lower limits, it must still be
+        // possible to write the waiting job's record, and the record of one running task or
+        // gang.
         let waiting = bytes + RECORD_OVERHEAD_BYTES;
         let running =
             min_running_record_bytes(spec, settings, replica).saturating_sub(dependency_bytes);
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a running controller, and output of its responses.
+//! Sends requests to a running controller and prints the responses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -71,8 +71,8 @@
         self.read(&response)
     }
 
-    /// Sends a request that depends on the arguments of the command, and deserializes its
-    /// response. A 4xx status is reported as [`CliError::InvalidArguments`].
+    /// Sends a request and deserializes its response. A 4xx status is reported as
+    /// [`CliError::InvalidArguments`], because the request contains arguments of the command.
     pub(super) fn request<T: DeserializeOwned>(
         &self,
         method: &str,
@@ -94,7 +94,7 @@
         result.map_err(|cause| self.call_error(cause))
     }
 
-    /// Deserializes a response with status 200, and returns an error for any other.
+    /// Deserializes a response with status 200, and returns an error for any other status.
     fn read<T: DeserializeOwned>(&self, response: &Response) -> Result<T, CliError> {
         if response.status != 200 {
             return Err(self.rejected(response));
@@ -102,7 +102,7 @@
         response.parse().map_err(|cause| self.call_error(cause))
     }
 
-    /// Adds the address of the controller to the error of a call.
+    /// Converts the error of a call, adding the address of the controller.
     fn call_error(&self, cause: CallError) -> CliError {
         CliError::Call {
             controller: self.node,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Returns the reason that a controller gives for rejecting a request.
+/// Returns the reason for rejecting a request from the body of the controller's response.
 fn error_reason(response: &Response) -> String {
     let body: serde_json::Value = response.parse().unwrap_or_default();
     let reason = body["error"].as_str().unwrap_or("no reason given");
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -37,23 +37,23 @@
     FeaturesFile { path: String, cause: std::io::Error },
     #[error(transparent)]
     Features(#[from] FeaturesError),
-    /// Amount of a move that every controller would reject.
+    /// The amount to move is one that every controller would reject.
     #[error("an amount is negative, too large or not a number")]
     InvalidAmount,
-    /// Arguments that a running controller has rejected with a 4xx status.
+    /// A running controller rejected the arguments with a 4xx status.
     #[error("{0}")]
     InvalidArguments(String),
     #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
     #[error("cannot listen: {0}")]
     Controller(std::io::Error),
-    /// Call to a running controller that failed, or whose response could not be read.
+    /// A call to a running controller failed, or its response could not be read.
     #[error("{controller}: {cause}")]
     Call {
         controller: SocketAddrV4,
         cause: CallError,
     },
-    /// Request that a running controller has rejected.
+    /// A running controller rejected a request.
     #[error("{controller}: {reason}")]
     Rejected {
         controller: SocketAddrV4,
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -194,7 +194,7 @@
     Ok(EXIT_SUCCESS)
 }
 
-/// Reads a policy file. Returns the built-in policy without a file.
+/// Reads a policy file, or returns the built-in policy if no file is given.
 fn read_policy(file: Option<&Path>) -> Result<Policy, CliError> {
     let Some(file) = file else {
         return Ok(Policy::default());
@@ -203,7 +203,7 @@
     Ok(Policy::parse(&text)?)
 }
 
-/// Reads a features file. Returns the default features without a file.
+/// Reads a features file, or returns the default features if no file is given.
 fn read_features(file: Option<&Path>) -> Result<Features, CliError> {
     let Some(file) = file else {
         return Ok(Features::default());
@@ -212,7 +212,8 @@
     Ok(Features::parse(&text)?)
 }
 
-/// Reads a file as text, and converts a failure with `error`.
+/// Reads a file as text. If this fails, calls `error` with the path and the cause to get the
+/// error to return.
 fn read_file(
     file: &Path,
     error: impl FnOnce(String, std::io::Error) -> CliError,
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,4 +1,4 @@
-//! Text output of the command line.
+//! Formats the responses of a controller as text for the command line.
 
 use crate::introspection::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
@@ -7,7 +7,8 @@
 /// Age of the state above which the report mentions it, in seconds.
 const STALE_STATE_S: f64 = 10.0;
 
-/// Minimum duration of a reason that is printed with its duration, in seconds.
+/// Time for which a reason must have been the same to be printed with its duration, in
+/// seconds.
 const LASTING_REASON_S: f64 = 1.0;
 
 const SECONDS_PER_MINUTE: u64 = 60;
@@ -180,7 +181,7 @@
     )
 }
 
-/// Formats the rules of a policy, and the variables that rules may use.
+/// Formats the rules of a policy, followed by the variables that rules may use.
 pub fn policy_text(policy: &Policy) -> String {
     let mut text = String::new();
     for expression in policy.rules() {
--- a/src/cli/share.rs
+++ b/src/cli/share.rs
@@ -135,7 +135,8 @@
     controller.print(&answer, moves_text)
 }
 
-/// Returns a random move id. A controller applies several requests with the same id once.
+/// Returns a random move id. If a request is repeated with the same id, the move is applied
+/// only once.
 fn random_id() -> String {
     let mut rng = SmallRng::from_os_rng();
     format!("move-{:016x}", rng.random::<u64>())
--- a/src/http/client/mod.rs
+++ b/src/http/client/mod.rs
@@ -22,20 +22,20 @@
 
 pub(super) use pool::ConnectionCountGuard;
 
-/// Reason why a call failed without a response.
+/// Reason why a call returned no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Request of which nothing was sent, so the server has certainly not executed it.
+    /// Nothing of the request was sent, so the server has certainly not executed it.
     #[error("not connected: {0}")]
     NotSent(String),
-    /// Request that was sent, at least in part, and got no response. The server may have
-    /// executed it, or may still execute it.
+    /// The request may have been sent, at least in part, but no response arrived. The server
+    /// may have executed the request, or may still execute it.
     #[error("no response: {0}")]
     NoResponse(String),
-    /// Response whose body is not the expected JSON.
+    /// The body of the response is not the expected JSON.
     #[error("malformed response: {0}")]
     Malformed(String),
-    /// Response that exceeds the client's maximum size.
+    /// The response exceeds the client's maximum size.
     #[error("response too large")]
     TooLarge,
 }
@@ -112,8 +112,8 @@
     ) -> Result<Response, CallError> {
         let mut connection = self.pool.acquire(addr, deadlines.send).await?;
         let request = request_bytes(addr, method, path, &body.unwrap_or_default());
-        // A timeout polls its future before it checks the clock, so it would not prevent
-        // a late send.
+        // This check cannot be left to `timeout_at`, which polls its future before it checks
+        // the clock, and so would send the request even after the deadline.
         if Instant::now() >= deadlines.send {
             return Err(CallError::NotSent("send deadline passed".into()));
         }
--- a/src/http/client/pool.rs
+++ b/src/http/client/pool.rs
@@ -55,8 +55,8 @@
     net: Net,
     /// Idle connections of each address; the most recently used connection is the last.
     idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
-    /// Maximum idle time of a connection that is reused. After a longer time the server
-    /// may have closed it.
+    /// Maximum idle time after which a connection is still reused. After a longer time, the
+    /// server may have closed the connection.
     max_idle: Duration,
     /// Number of open connections, in use or idle.
     open: Rc<Cell<usize>>,
@@ -146,8 +146,8 @@
         if self.open.get() >= self.max_open {
             self.close_longest_idle()?;
         }
-        // Counted before the connection is established, because several tasks may be
-        // connecting at the same time.
+        // The connection is counted before it is established. Otherwise several tasks that
+        // connect at the same time could exceed the limit.
         let open = ConnectionCountGuard::new(&self.open);
         let stream = self.net.connect(addr).await?;
         Ok(Connection {
--- a/src/http/client/response.rs
+++ b/src/http/client/response.rs
@@ -44,14 +44,14 @@
     keep_alive: bool,
 }
 
-/// Framing of a body, which determines its end.
+/// Way in which the end of a body is determined.
 #[derive(Clone, Copy)]
 enum BodyFraming {
-    /// Chunked transfer encoding.
+    /// The body has chunked transfer encoding.
     Chunked,
-    /// `Content-Length`, in bytes.
+    /// The body has this length in bytes, as given by `Content-Length`.
     Length(usize),
-    /// Body that ends when the server closes the connection.
+    /// The body ends when the server closes the connection.
     Close,
 }
 
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -161,7 +161,7 @@
     }))
 }
 
-/// Message framing that the headers of a request announce.
+/// Framing of a request, as its headers specify it.
 struct Framing {
     /// Length of the body, in bytes.
     length: usize,
@@ -195,8 +195,8 @@
     }
 }
 
-/// Parses a `Content-Length` header. A repeated header has to agree with the `earlier`
-/// value.
+/// Parses the value of a `Content-Length` header. If the request has several such headers,
+/// their values must be equal: `earlier` is the value of the preceding one.
 fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, RequestError> {
     let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     match value.parse::<usize>() {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -20,6 +20,6 @@
 /// Maximum number of headers of a request or a response.
 const MAX_HEADERS: usize = 48;
 
-/// Default maximum size of a response that a client reads, in bytes. It bounds the memory
-/// that a faulty server can make the client allocate.
+/// Default maximum size of a response that a client reads, in bytes. This limits how much
+/// memory the client allocates if a server is faulty.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -18,7 +18,7 @@
 /// Future that resolves to the response of a handler.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
-/// Function that handles the requests of a server.
+/// Function that returns the response to a request.
 pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
 /// Delay before the next attempt after a connection could not be accepted.
@@ -43,7 +43,7 @@
     pub is_preferred: fn(&Request) -> bool,
 }
 
-/// Denominator of the fractions of `max_connections` below.
+/// Denominator of the two fractions below, which are given in eighths.
 const EIGHTHS: usize = 8;
 
 /// Fraction of `max_connections`, in eighths, above which only preferred connections are
@@ -58,9 +58,10 @@
     /// Returns whether a connection is kept open after its response while the server has
     /// `open` connections.
     ///
-    /// Clients whose connections are closed reconnect for their next request. Otherwise
-    /// idle connections could use up the limit and shut out other clients. This applies to
-    /// preferred clients too, because there may be more workers than connections.
+    /// Near the connection limit, connections are closed after a response, and the clients
+    /// reconnect for their next requests. Otherwise idle connections could use up the limit and
+    /// shut out other clients. Even preferred connections are closed in the end, because there
+    /// may be more workers than the server may have connections.
     fn should_keep_open(&self, is_preferred: bool, open: usize) -> bool {
         let eighths = match is_preferred {
             true => MAX_KEPT_OPEN_EIGHTHS_PREFERRED,
@@ -96,11 +97,12 @@
     }
 }
 
-/// Outcome of waiting for a request.
+/// Outcome of waiting for a request on a connection.
 enum ReceiveOutcome {
-    /// Complete request.
+    /// A complete request has arrived.
     Request(ParsedRequest),
-    /// Connection that has to be closed, after a timeout, an error or its end.
+    /// The connection has to be closed: the request was malformed or took too long, or the
+    /// client has closed the connection.
     Closed,
 }
 
--- a/src/introspection/messages.rs
+++ b/src/introspection/messages.rs
@@ -28,7 +28,8 @@
     pub job: String,
     /// Stage of the job.
     pub stage: JobStage,
-    /// Class of the job; `None` for a done or cancelled job without tasks on machines.
+    /// Class of the job; `None` for a done or cancelled job that has no tasks on machines any
+    /// more.
     pub class: Option<String>,
     /// Team of the job; `None` in the same case as the class.
     pub team: Option<String>,
@@ -42,14 +43,13 @@
     pub running: usize,
     /// Number of attempts that have failed since the last success.
     pub failures: u32,
-    /// Machines on which the job has failed since a task of it last succeeded on any
-    /// machine.
+    /// Machines on which the job has failed since one of its tasks last succeeded.
     #[serde(default)]
     pub failed_on: Vec<String>,
     /// Time since this controller first saw the job, in seconds; `None` for a done or
     /// cancelled job.
     pub known_s: Option<f64>,
-    /// True if the job is past its deadline, or too late for every objective.
+    /// True if the job is past its deadline, or too late for every objective of its class.
     pub late: bool,
     /// Reason why the job is unfinished; `None` for a done or cancelled job.
     pub reason: Option<String>,
@@ -101,7 +101,7 @@
     pub stage: JobStage,
     /// Number of tasks that are not done.
     pub left: u32,
-    /// True if the job is past its deadline, or too late for every objective.
+    /// True if the job is past its deadline, or too late for every objective of its class.
     pub late: bool,
     /// Time since this controller first saw the job, in seconds.
     pub known_s: f64,
@@ -120,7 +120,7 @@
     /// Age of the controller's replica of the state, in seconds; `None` before the
     /// controller has completed its first barrier.
     pub state_age_s: Option<f64>,
-    /// Number of unfinished jobs. A service that lacks no replicas does not count.
+    /// Number of unfinished jobs. Services are only counted if they lack replicas.
     pub unfinished: usize,
     /// Number of unfinished jobs that are late.
     pub late: usize,
@@ -132,7 +132,7 @@
     pub refused_by_cloud: Vec<String>,
     /// Unfinished jobs in the order of their ids, at most 100.
     pub jobs: Vec<UnfinishedJob>,
-    /// Last job id on this page, which is the `after` parameter of the request for the next
-    /// page; `None` on the last page.
+    /// Last job id on this page; `None` on the last page. To get the next page, pass this id
+    /// as the query parameter `after`.
     pub next: Option<String>,
 }
--- a/src/introspection/mod.rs
+++ b/src/introspection/mod.rs
@@ -1,9 +1,9 @@
-//! Introspection of a running controller for operators: the state of a job, the usage of
-//! the teams, and the unfinished and late jobs, with one reason for each.
+//! Introspection of a running controller for operators: the state of a job, the resource usage
+//! of the teams, and the unfinished and late jobs, each with the reason why it is unfinished.
 //!
-//! Responses are read-only, based on this controller's replica alone, and bounded in size.
-//! The requests therefore put no load on the state service and cannot slow down the
-//! acceptance of jobs.
+//! The requests change nothing, are answered from this controller's own memory, and have
+//! responses of bounded size. Therefore they put no load on the state service and cannot slow
+//! down the acceptance of jobs.
 //!
 //! - `messages`: responses as JSON messages.
 //! - `reason`: reason why a job is unfinished.
--- a/src/introspection/reason.rs
+++ b/src/introspection/reason.rs
@@ -1,4 +1,4 @@
-//! Reason why a job is unfinished, as a text for operators.
+//! Explains to operators why a job is unfinished.
 
 use tokio::time::Instant;
 
@@ -7,15 +7,15 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Maximum number of dependencies that a reason names.
+/// Maximum number of dependencies whose ids are listed in a reason.
 const MAX_NAMED_DEPENDENCIES: usize = 3;
 
-/// Reason why a job is unfinished.
+/// Explanation why a job is unfinished.
 pub(super) struct PendingReason {
     /// Text for operators.
     pub(super) text: String,
-    /// Time for which the reason has been the same, in seconds; 0 for reasons without
-    /// tracking.
+    /// Time for which the reason has been the same, in seconds; 0 for a reason whose start is
+    /// not recorded.
     pub(super) seconds: f64,
 }
 
@@ -79,8 +79,8 @@
     }
 }
 
-/// Returns a text that names the jobs that have to be done before this job can start, or
-/// `None` if there are none.
+/// Returns a text that lists the jobs which have to be done before this job can start, or
+/// `None` if it has no pending dependencies.
 fn dependencies_text(replica: &Replica, id: &str) -> Option<String> {
     let dependencies = replica.pending_dependencies(id);
     if dependencies.is_empty() {
--- a/src/introspection/snapshot.rs
+++ b/src/introspection/snapshot.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the details of a job, or `None` if the replica does not contain it.
+    /// Returns the details of a job, or `None` if the replica does not contain the job.
     pub(super) fn job(&self, id: &str) -> Option<JobDetails> {
         let job = &self.replica.jobs.get(id)?.value;
         let spec = job.spec.as_ref();
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the jobs that are neither done nor cancelled, without the services that lack
-    /// no replicas.
+    /// Returns the jobs that are neither done nor cancelled. Services are only included if they
+    /// lack replicas.
     fn unfinished(&self) -> impl Iterator<Item = Unfinished<'_>> {
         let ready = self.replica.open_jobs.iter().map(|(_, id)| id.as_str());
         let blocked = self.replica.blocked_jobs().map(|(id, _)| id);
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Returns the number of machines in each state, and of those with booked tasks.
+    /// Returns the number of machines in each lifecycle state, and the number of machines with
+    /// booked tasks.
     fn machine_counts(&self) -> BTreeMap<String, usize> {
         let mut counts: BTreeMap<String, usize> = cloud::count_machines_by_lifecycle(&self.replica)
             .into_iter()
@@ -198,7 +199,8 @@
         counts
     }
 
-    /// Returns the offers that the cloud has recently refused to any controller.
+    /// Returns the offers that the cloud has recently refused, according to this controller and
+    /// to the messages of its peers.
     fn refused_offers(&self) -> Vec<String> {
         let mut refused = self.controller.fleet.borrow().refused_offers(self.now);
         let peers = self.controller.peers.borrow();
@@ -230,7 +232,8 @@
     }
 }
 
-/// Returns the details of a run. All tasks of a job that is not open are being stopped.
+/// Returns the details of a run, which is the set of a job's tasks of one attempt on one
+/// machine. If the job is not open, its tasks are being stopped.
 fn run_details(run: &Run, is_open: bool) -> RunDetails {
     RunDetails {
         machine: run.machine.clone(),
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,4 +1,5 @@
-//! Network abstraction over the sockets of the operating system and a simulated network.
+//! Network access, either through the sockets of the operating system or on a simulated
+//! network.
 //!
 //! The simulated network connects components inside one process, so that tests can run
 //! whole services in simulated time.
@@ -19,7 +20,7 @@
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// Open connection.
+/// Open connection on either kind of network.
 pub type Stream = Box<dyn ByteStream>;
 
 /// Buffer size of a simulated stream in each direction, in bytes.
@@ -54,7 +55,8 @@
         self.partitions.borrow_mut().remove(&Route { from, to });
     }
 
-    /// Removes the listener at `addr`, which simulates the end of its process.
+    /// Removes the listener at `addr`, to simulate that the process that listens there has
+    /// ended.
     pub fn remove_listener(&self, addr: SocketAddrV4) {
         self.listeners.borrow_mut().remove(&addr);
     }
@@ -73,8 +75,9 @@
 }
 
 impl SimulatedStream {
-    /// Returns whether the stream crosses a partition. Its reads and writes then return
-    /// `Pending` without registering a waker, so only a timeout of the caller ends the wait.
+    /// Returns whether the stream crosses a partition. In that case, reads and writes return
+    /// `Pending` without registering a waker, so the caller only continues after a timeout of
+    /// its own.
     fn is_partitioned(&self) -> bool {
         self.network.is_partitioned(self.route)
     }
@@ -114,12 +117,12 @@
     }
 }
 
-/// Network that a process uses.
+/// Network through which a process connects and listens.
 #[derive(Clone)]
 pub enum Net {
     /// Sockets of the operating system.
     System,
-    /// Simulated network, used by the process at this address.
+    /// Simulated network, and the address of the simulated process that uses it.
     Simulated(Rc<SimulatedNetwork>, SocketAddrV4),
 }
 
