--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,4 +1,4 @@
-//! Formats the responses of a controller as text for the command line.
+//! Formats reports, job states and policies as text for the command line.
 
 use crate::introspection::{FleetReport, JobDetails, RunDetails, TeamDetails, UnfinishedJob};
 use crate::policy::{JOB_VARIABLES, MACHINE_VARIABLES, Policy, Rule, Subject, Variable};
--- a/src/cloud/cancellations.rs
+++ b/src/cloud/cancellations.rs
@@ -8,8 +8,8 @@
 use crate::wire::Commit;
 
 /// Writes the cancellation of a dependency to the records of the jobs that depend on it, as
-/// many as fit in one commit, in any order. Nothing depends on when this happens: every
-/// controller derives these cancellations from the dependencies' records, and the records
+/// many as fit in one commit, in any order. These writes may be late without harm: until then,
+/// every controller derives the cancellations from the dependencies' records, and the records
 /// of finished jobs are never deleted.
 pub(super) async fn record_dependent_cancellations(controller: &Controller) {
     let commit = {
--- a/src/cloud/garbage_collection.rs
+++ b/src/cloud/garbage_collection.rs
@@ -1,4 +1,6 @@
-//! Garbage collection: deletes records that are no longer needed.
+//! Garbage collection: deletes records that are no longer needed. These are provisioning
+//! requests, and accepted batches, which are records that hold several new jobs until each job
+//! has a record of its own.
 
 use super::commit::commit_unless_empty;
 use crate::controller::Controller;
--- a/src/cloud/lifecycle.rs
+++ b/src/cloud/lifecycle.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Adds a change if the machine may make it and the commit has space for it.
+    /// Adds a change if the machine's current state allows the change and the commit has space
+    /// for it.
     fn add(&mut self, change: &LifecycleChange) {
         let id = &change.machine;
         let Some(entry) = self.replica.machines.get(id) else {
--- a/src/cloud/offer_search.rs
+++ b/src/cloud/offer_search.rs
@@ -41,8 +41,8 @@
 }
 
 impl<'a> OfferSearch<'a, '_> {
-    /// Returns the usable and available offer with the lowest price per task, counting at
-    /// most `wanted_slots` tasks per machine.
+    /// Returns the usable and available offer with the lowest price per task. If a machine has
+    /// more than `wanted_slots` slots, the excess slots are not counted.
     pub(super) fn best(
         &self,
         spec: &JobSpec,
--- a/src/cloud/record_deletions.rs
+++ b/src/cloud/record_deletions.rs
@@ -92,7 +92,8 @@
             && (has_machine_shard || !self.machine_shards.is_full(self.max_writes))
     }
 
-    /// Returns the commit. It is empty while shares use more capacity than would remain.
+    /// Returns the commit. The commit is empty while the shares hold more capacity than would
+    /// remain in the pool.
     fn into_commit(self, settings: &Settings) -> Commit {
         let replica = self.replica;
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -14,8 +14,8 @@
 use crate::state::keys::{FLEET_KEY, provisioning_request_key};
 use crate::state::records::ProvisioningRequest;
 
-/// Runs the scale-out loop. It is separate from the loop that maintains the fleet,
-/// so that jobs that wait for capacity are not delayed by maintenance.
+/// Runs the scale-out loop. It is separate from the loop that maintains the fleet, so that
+/// maintenance does not delay jobs that wait for capacity.
 pub async fn run_scale_out(controller: Rc<Controller>) {
     let interval = controller
         .settings
--- a/src/cloud/stale_tokens.rs
+++ b/src/cloud/stale_tokens.rs
@@ -83,8 +83,8 @@
         if number <= series.newest_number {
             return false;
         }
-        // In the gap, the worker may have sent heartbeats to other controllers and received
-        // their answers, so the series starts again.
+        // After a gap, the series starts again: during the gap, the worker may have sent
+        // heartbeats to other controllers and received their answers.
         if now.saturating_duration_since(series.last_at) > lease * 2 {
             *series = fresh;
         }
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -16,8 +16,8 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write, to_raw_json};
 
-/// Runs the loop that maintains the state lease. The loop is separate because slow
-/// answers of the cloud and the write budget can delay the other loops for longer than
+/// Runs the loop that maintains the state lease. It is separate from the other fleet loops,
+/// because waiting for the cloud or for the write budget can delay those loops for longer than
 /// the lease's time to live.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
     let interval = controller.settings.worker_lease() / 16;
@@ -178,9 +178,9 @@
                 let absent = self.replica.absent_version(FLEET_KEY);
                 self.put_own_record(FLEET_KEY.to_string(), absent);
             }
-            // An earlier run of this controller was the fleet leader, and its state
-            // lease has not expired yet. That run has certainly ended, and no other
-            // controller may take over before the lease expires.
+            // An earlier run of this controller was the fleet leader, and that run's state
+            // lease has not expired yet. That run has certainly ended, so this run takes over
+            // the key. No other controller may do so before the lease expires.
             Some(entry)
                 if entry.value.controller == self.own_record.controller
                     && entry.value != self.own_record =>
--- a/src/cloud/summary.rs
+++ b/src/cloud/summary.rs
@@ -56,9 +56,9 @@
 struct MachineTypeSummary {
     /// The number of machines.
     machines: usize,
-    /// The number of CPUs that are booked on them.
+    /// The number of CPUs that are booked on these machines.
     booked_cpus: f64,
-    /// The number of CPUs that they have.
+    /// The total number of CPUs of these machines.
     cpus: f64,
 }
 
@@ -105,8 +105,8 @@
     classes
 }
 
-/// Returns the number of active machines that are in no zone shard's record, so that no
-/// controller places tasks on them yet.
+/// Returns the number of active machines that are in no zone shard's record. No controller
+/// places tasks on these machines yet.
 fn count_machines_without_zone_shard(replica: &Replica) -> usize {
     let active = replica
         .machines
--- a/src/cloud/unhealthy_machines.rs
+++ b/src/cloud/unhealthy_machines.rs
@@ -69,7 +69,7 @@
 struct ZoneSilence {
     /// The number of owned machines in the zone.
     machines: usize,
-    /// The number of them that are silent.
+    /// The number of these machines that are silent.
     silent: usize,
 }
 
@@ -82,8 +82,8 @@
 }
 
 /// Returns the zones in which most machines that this controller owns are silent at the same
-/// time. These machines are more likely separated by a network partition than lost, and
-/// their heartbeats resume together when it ends.
+/// time. Most likely, a network partition separates these machines from this controller, and
+/// their heartbeats resume together when the partition ends.
 fn partitioned_zones(
     controller: &Controller,
     replica: &Replica,
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -25,9 +25,9 @@
 const MAX_OPPORTUNISTIC_PRICE_RATIO: f64 = 4.0;
 
 /// The time after which a machine without a live owner is decommissioned, in worker leases.
-/// In a partitioned zone, all machines are owned by controllers in the same zone, and both
-/// return together. Decommissioning these machines earlier could mean provisioning a third of
-/// the fleet again.
+/// All machines of a zone are owned by controllers in the same zone. When a partition of the
+/// zone ends, the machines and their owners return together. If the machines had been
+/// decommissioned by then, a third of the fleet might have to be provisioned again.
 const ORPHANED_LEASES: u32 = 3;
 
 /// Returns the removals of the machines that are not needed, and discards the in-memory state
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -101,8 +101,8 @@
 enum ReceiveOutcome {
     /// A complete request has arrived.
     Request(ParsedRequest),
-    /// The connection has to be closed: the request was malformed or took too long, or the
-    /// client has closed the connection.
+    /// The connection has to be closed: the request was malformed, no complete request arrived
+    /// in time, or the client closed the connection.
     Closed,
 }
 
