--- a/src/cloud/record_deletions.rs
+++ b/src/cloud/record_deletions.rs
@@ -32,8 +32,9 @@
 struct RecordDeletions<'a> {
     replica: &'a Replica,
     max_writes: usize,
-    /// The total capacity of the machines whose records are deleted, as far as it is counted
-    /// in the pool.
+    /// The capacity by which the commit reduces the pool, which is the capacity that the
+    /// controllers' shares are taken from. Only machines in shards that the pool counts
+    /// contribute to it.
     released: Resources,
     machine_shards: MachineShardEdits<'a>,
     /// The updated requests, by name, from which the machines are removed.
@@ -91,7 +92,8 @@
             && (has_machine_shard || !self.machine_shards.is_full(self.max_writes))
     }
 
-    /// Returns the commit. It is empty while shares use more capacity than would remain.
+    /// Returns the commit. The commit is empty while the shares hold more capacity than would
+    /// remain in the pool.
     fn into_commit(self, settings: &Settings) -> Commit {
         let replica = self.replica;
         let (mut preconditions, mut writes) = self.machine_shards.into_commit();
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -14,8 +14,8 @@
 use crate::state::keys::{FLEET_KEY, provisioning_request_key};
 use crate::state::records::ProvisioningRequest;
 
-/// Runs the scale-out loop. It is separate from the loop that maintains the fleet,
-/// so that jobs that wait for capacity are not delayed by maintenance.
+/// Runs the scale-out loop. It is separate from the loop that maintains the fleet, so that
+/// maintenance does not delay jobs that wait for capacity.
 pub async fn run_scale_out(controller: Rc<Controller>) {
     let interval = controller
         .settings
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns a request name that has never been used.
+/// Returns a name for a new request. A random number makes the name unique.
 fn new_request_id(controller: &Controller) -> String {
     let number = controller.rng.borrow_mut().random::<u64>();
     format!("{}-{number:x}", controller.name())
--- a/src/cloud/state_lease.rs
+++ b/src/cloud/state_lease.rs
@@ -1,6 +1,6 @@
-//! Maintains this controller's state lease and the keys attached to it: the
-//! controller's own key, which shows that the controller is up, and the fleet key,
-//! which names the fleet leader.
+//! Maintains this controller's state lease, which is its lease in the state service, and the
+//! keys attached to the lease. These are the controller's own key, which shows that the
+//! controller is up, and on the fleet leader the fleet key, which contains the leader's name.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::state::replica::Replica;
 use crate::wire::{Commit, Precondition, Write, to_raw_json};
 
-/// Runs the loop that maintains the state lease. The loop is separate because slow
-/// answers of the cloud and the write budget can delay the other loops for longer than
+/// Runs the loop that maintains the state lease. It is separate from the other fleet loops,
+/// because waiting for the cloud or for the write budget can delay those loops for longer than
 /// the lease's time to live.
 pub async fn run_lease_renewal(controller: Rc<Controller>) {
     let interval = controller.settings.worker_lease() / 16;
@@ -39,10 +39,10 @@
 /// The result of one pass of the lease maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseProgress {
-    /// A newly acquired lease, to which the next pass, without waiting, attaches the
-    /// keys.
+    /// A lease was acquired. The next pass starts immediately and writes the keys that are
+    /// attached to the lease.
     NewLease,
-    /// A pass that has done all it could; the next one runs after the usual interval.
+    /// The pass has nothing left to do. The next pass starts after the usual interval.
     Maintained,
 }
 
@@ -123,8 +123,9 @@
     }
 }
 
-/// The builder of a commit that writes missing or outdated keys, attached to the lease,
-/// and adds the formats that all controllers are now known to support.
+/// The builder of a commit that writes the missing or outdated keys. This controller's own key
+/// and the fleet key are attached to the lease. The third key contains the record formats that
+/// all controllers support.
 struct KeyUpdates<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
@@ -177,9 +178,9 @@
                 let absent = self.replica.absent_version(FLEET_KEY);
                 self.put_own_record(FLEET_KEY.to_string(), absent);
             }
-            // An earlier run of this controller was the fleet leader, and its state
-            // lease has not expired yet. That run has certainly ended, and no other
-            // controller may take over before the lease expires.
+            // An earlier run of this controller was the fleet leader, and that run's state
+            // lease has not expired yet. That run has certainly ended, so this run takes over
+            // the key. No other controller may do so before the lease expires.
             Some(entry)
                 if entry.value.controller == self.own_record.controller
                     && entry.value != self.own_record =>
--- a/src/cloud/unneeded_machines.rs
+++ b/src/cloud/unneeded_machines.rs
@@ -25,9 +25,9 @@
 const MAX_OPPORTUNISTIC_PRICE_RATIO: f64 = 4.0;
 
 /// The time after which a machine without a live owner is decommissioned, in worker leases.
-/// In a partitioned zone, all machines are owned by controllers in the same zone, and both
-/// return together. Decommissioning these machines earlier could mean provisioning a third of
-/// the fleet again.
+/// All machines of a zone are owned by controllers in the same zone. When a partition of the
+/// zone ends, the machines and their owners return together. If the machines had been
+/// decommissioned by then, a third of the fleet might have to be provisioned again.
 const ORPHANED_LEASES: u32 = 3;
 
 /// Returns the removals of the machines that are not needed, and discards the in-memory state
@@ -117,7 +117,7 @@
 
     /// Returns whether a machine has had no live owner for longer than `ORPHANED_LEASES`. A
     /// worker whose owner is gone soon sends heartbeats to another controller, which claims
-    /// it. A worker that does not is gone too.
+    /// the machine. If that does not happen, the worker is gone too.
     fn is_orphaned(&self, fleet: &mut FleetState, id: &str, machine: &Machine) -> bool {
         let owner = self.replica.controllers.get(&machine.owner);
         if owner.is_some_and(|entry| entry.value.incarnation == machine.incarnation) {
@@ -132,8 +132,8 @@
     /// Returns whether a machine's work keeps it in service. Opportunistic work does not keep
     /// an active machine that costs more than such work is worth: the machine is drained, so
     /// that the work saves its progress and moves elsewhere. A machine that is already
-    /// draining stays until its work has ended, and is queued again so that work that has not
-    /// been told to stop is stopped.
+    /// draining stays until its work has ended. It is queued for draining again, in case some
+    /// of its work has not been stopped yet.
     fn is_kept_for_work(
         &self,
         fleet: &mut FleetState,
