--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -1,5 +1,6 @@
-//! A tool for refactorings. It computes digests of all frames that a deployment with faults
-//! exchanges on the wire. A change that keeps the behaviour keeps the digests:
+//! A check that a refactoring keeps the behaviour. It computes digests of all requests and
+//! responses (frames) that a deployment with faults exchanges. A change that keeps the behaviour
+//! keeps the digests:
 //!
 //! ```text
 //! cargo test --locked --test frame_digest -- --ignored --nocapture
@@ -11,12 +12,12 @@
 //! messages between controllers, nor the order of frames that different stand-ins exchange
 //! at the same point of time.
 //!
-//! The digests of these seeds are the same in every process, those of other seeds may not
-//! be: the program uses tokio's random numbers, which a test cannot seed in a usual build
-//! (in `select!` without `biased`, and for the order in which a `watch` channel wakes its
-//! receivers). Before a seed is added here, its digests must be compared over many
-//! processes. A digest that changes with a refactoring may be due to such a random number
-//! instead of different behaviour: check whether it is the same in several processes.
+//! The digests of the seeds in `SEEDS` are the same in every process; those of other seeds may
+//! differ between processes. The cause is tokio's random numbers, which a test cannot seed in a
+//! usual build: tokio uses them in `select!` without `biased`, and for the order in which a
+//! `watch` channel wakes its receivers. Before adding a seed, compare its digests over many
+//! processes. If a digest changes after a refactoring, check whether it is the same in several
+//! processes: such a random number can change it, too, without a change of behaviour.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -120,7 +121,7 @@
     }
 }
 
-/// Cuts one controller off from its peers and then another from everything, and delivers
+/// Disconnects one controller from its peers, then another from everything, and delivers
 /// duplicate heartbeats late.
 async fn inject_network_faults(simulation: &Rc<Simulation>) {
     simulation.copied_heartbeat_fraction.set(0.3);
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -1,5 +1,5 @@
-//! Histories of a deployment that are run twice, each time with the checker: once without
-//! and once with a violation.
+//! Histories: sequences of steps that a test performs in a deployment while the rule checker
+//! observes it. Each case is run twice, once with a violation of a rule and once without.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,31 +22,31 @@
 /// Number of machines. Those with even numbers are in zone a, the others in zone b.
 pub const MACHINE_COUNT: usize = 4;
 
-/// One event of a history. Machines are given by number. A stage may be empty if the
-/// response's status has no stage.
+/// A step of a history. Machines are given by number. A stage is the job's stage in the
+/// response; it may be empty for a status whose responses contain no stage.
 pub enum Step {
-    /// A submission that is accepted.
+    /// A user submits a job, and it is accepted.
     Submit(Value),
-    /// A submission that gets this status.
+    /// A user submits a job, and the response has this status.
     SubmitWithStatus(Value, u16),
-    /// A poll of a job that gets this status and stage.
+    /// A user polls a job, and the response has this status and stage.
     Poll(&'static str, u16, &'static str),
-    /// A cancellation that gets this status and stage.
+    /// A user cancels a job, and the response has this status and stage.
     Cancel(&'static str, u16, &'static str),
-    /// A command to a machine to start a task.
+    /// The controller commands a machine to start a task.
     StartTask(usize, &'static str),
-    /// A command to a machine to stop a task.
+    /// The controller commands a machine to stop a task.
     StopTask(usize, &'static str),
-    /// A machine that hangs for this number of seconds.
+    /// A machine hangs for this number of seconds.
     HangMachine(usize, f64),
-    /// A machine that is lost with all of its tasks.
+    /// A machine is lost with all of its tasks.
     LoseMachine(usize),
-    /// A record that is written to the state service.
+    /// A record is written to the state service under this key.
     WriteRecord(&'static str, Value),
-    /// Polls of each job every 5 s, as a user sends them, for this number of seconds, with
-    /// the response's status for each job.
+    /// A user polls each job every 5 s for this number of seconds. All responses about a job
+    /// have the status given for it.
     PollFor(f64, Vec<(&'static str, u16)>),
-    /// A pause of this number of seconds.
+    /// This number of seconds passes.
     Elapse(f64),
 }
 
@@ -55,7 +55,8 @@
     SubmitWithStatus, WriteRecord,
 };
 
-/// A history that continues in two ways.
+/// A case of the rule checker: a history that continues once with a violation of a rule and
+/// once without.
 pub struct Case {
     pub name: &'static str,
     /// The rule that the checker must report.
@@ -101,7 +102,7 @@
     }
 }
 
-/// Submits a job, which gets a response with this status.
+/// Submits a job, with a queued response of this status.
 pub async fn submit(
     simulation: &Rc<Simulation>,
     controller: &ScriptedController,
@@ -115,7 +116,8 @@
         .await;
 }
 
-/// Polls the jobs every 5 s for some seconds; each poll gets its job's status.
+/// Polls each job every 5 s for `seconds`. All responses about a job have the status that `jobs`
+/// gives for it.
 pub async fn poll_repeatedly(
     simulation: &Rc<Simulation>,
     controller: &ScriptedController,
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the stand-ins' rule checker. For each violation, the checker must report the
-//! rule, and must report nothing for the same history without the violation. A scripted
-//! controller sends the commands and the responses, since the program must not violate the
+//! Tests of the stand-ins' rule checker. The checker must report the rule that a history
+//! violates, and must report nothing for the same history without the violation. A scripted
+//! controller takes the place of the real program, because the program must never violate the
 //! rules.
 
 // Each test target uses only some of the stand-ins.
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -20,18 +20,18 @@
 /// Maximum number of machines in one page of the list.
 const MAX_LISTED_MACHINES: usize = 500;
 
-/// Size of the largest burst, as the time in seconds in which the cloud's request rate
-/// permits as many requests.
+/// Size of the largest burst, in seconds of the request rate: a burst has at most
+/// `CLOUD_RPS * MAX_BURST_S` requests.
 const MAX_BURST_S: f64 = 2.0;
 
-/// A token bucket that limits requests to the cloud: the number of requests left, and the
-/// time at which that number applied.
+/// A token bucket that limits requests to the cloud. It holds the number of requests left and
+/// the time of its last update, or `None` before the first request.
 #[derive(Default)]
 pub struct CloudRateLimit(Cell<Option<(f64, Instant)>>);
 
 impl CloudRateLimit {
-    /// Counts one request, and returns whether it exceeds the rate. A refused request uses
-    /// up nothing.
+    /// Returns whether a request exceeds the rate. Takes a token from the bucket if it does
+    /// not.
     fn refuses_request(&self) -> bool {
         let now = Instant::now();
         let burst = CLOUD_RPS * MAX_BURST_S;
--- a/tests/stand_ins/controllers.rs
+++ b/tests/stand_ins/controllers.rs
@@ -22,7 +22,7 @@
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         if *self.paused.borrow() {
-            // The sender that ends the pause wakes this future.
+            // This future is polled again as soon as `paused` is set to false.
             let mut pause = self.paused.subscribe();
             let waker = cx.waker().clone();
             spawn_local(async move {
@@ -77,8 +77,8 @@
             .remove_listener(addr(&mesh_address(i)));
     }
 
-    /// Returns the home controller and the owner of each machine, as the stored records
-    /// name them.
+    /// Returns the preferred owner and the present owner of each machine. Both are read from
+    /// the stored machine shards: the shard's key contains the preferred owner.
     pub fn machine_owners(&self) -> Vec<(String, String)> {
         let pairs = self.state.pairs.borrow();
         let mut owners = Vec::new();
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sends the kept copies of heartbeats to all controllers, to all of them concurrently.
+    /// Sends the recorded copies of heartbeats to all controllers concurrently.
     pub fn send_recorded_copies(self: &Rc<Self>) {
         let copies = std::mem::take(&mut *self.heartbeat_copies.borrow_mut());
         for i in 0..self.shape.controllers {
--- a/tests/stand_ins/frames.rs
+++ b/tests/stand_ins/frames.rs
@@ -21,8 +21,8 @@
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-    /// Hashes the length and the bytes of one field. With the length, the same bytes that
-    /// are divided into fields differently give a different hash.
+    /// Hashes the length and the bytes of one field. Without the lengths, the fields `ab`, `c`
+    /// and the fields `a`, `bc` would have the same hash.
     fn update(&mut self, field: &[u8]) {
         let length = (field.len() as u64).to_le_bytes();
         for byte in length.iter().chain(field) {
@@ -31,7 +31,8 @@
     }
 }
 
-/// One recorded frame.
+/// A request or response that was recorded, with the time and the stand-in that
+/// [`Frames::digest`] covers.
 #[derive(Debug, Clone)]
 struct Frame {
     /// Simulated time since the recording began.
@@ -50,12 +51,12 @@
     }
 }
 
-/// All frames of a run, in the order of their time, then of the address of their stand-in,
-/// then of their arrival.
+/// All frames of a run, sorted by time and then by the address of the stand-in. Frames of one
+/// stand-in with equal times stay in the order of their arrival.
 ///
-/// Frames with equal times are sorted by stand-in because their order is not significant:
-/// a controller that sends commands to several workers at the same time iterates over a
-/// map whose order is random (`run_commands`).
+/// The order of simultaneous frames at different stand-ins is random: a controller sends
+/// commands to several workers while it iterates over a map with random order
+/// (`run_commands`). Sorting by address gives them the same order in every run.
 #[derive(Debug)]
 pub struct Frames(Vec<Frame>);
 
--- a/tests/stand_ins/production.rs
+++ b/tests/stand_ins/production.rs
@@ -3,8 +3,8 @@
 
 use serde_json::Value;
 
-/// Returns the commit as the production version would send it, or `None` where it would
-/// send none.
+/// Returns the commit without the record formats that the production version does not
+/// announce, or `None` for a commit of `sh/formats`, which that version never writes.
 pub(super) fn commit_of_production_version(mut body: Value) -> Option<Value> {
     for write in body["writes"].as_array_mut().into_iter().flatten() {
         let key = write["set"].as_str().unwrap_or_default().to_string();
@@ -20,8 +20,8 @@
     Some(body)
 }
 
-/// Returns whether the production version can read a record, and would lose nothing when
-/// it writes the record back.
+/// Returns whether the production version can read a record and write it back without loss
+/// of data.
 pub(super) fn is_readable_by_production(key: &str, value: &Value) -> bool {
     let is_complete = |spec: &Value| spec["aw"].is_null();
     let table = key.trim_start_matches("sh/").split('/').next();
@@ -40,7 +40,8 @@
             .flatten()
             .all(|j| is_complete(j.1)),
         "zone" | "machine" => value["m"].is_object(),
-        // The production version does not know shares, so it would book beyond them.
+        // The production version ignores these records, so it would book more for a team than
+        // its shares allow.
         "share" | "use" | "pool" => false,
         // The production version ignores keys that it does not know.
         _ => true,
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -82,15 +82,16 @@
     }
 }
 
-/// The requests and responses about one job up to now. Each first response is stored with its
-/// sequence number, as a request that is sent later must not get an older state.
+/// The requests and responses about one job so far. The first response of each kind is stored
+/// with its sequence number: a request that is sent after that response must not get an older
+/// state of the job.
 #[derive(Debug, Default, Clone)]
 pub(super) struct JobResponses {
     pub(super) submitted: bool,
     pub(super) cancel_requested: bool,
-    /// Number of the first response that confirmed the submission.
+    /// Sequence number of the first response that confirmed the submission.
     accepted: Option<u64>,
-    /// First final stage in a response, and the number of that response.
+    /// First final stage in a response, and the sequence number of that response.
     ended: Option<(String, u64)>,
 }
 
@@ -127,8 +128,8 @@
         completed.iter().filter(|task| job_of(task) == id).count() as u64
     }
 
-    /// Returns the number of completed tasks that make a job done: one for a gang, whose
-    /// tasks complete together.
+    /// Returns the number of tasks that must complete before a job is done. For a gang it is
+    /// one, because the tasks of a gang complete together.
     fn tasks_to_complete(&self, id: &str) -> u64 {
         let jobs = self.jobs.borrow();
         match jobs[id]["cut"] == "gang" {
@@ -150,8 +151,8 @@
         ids.map(str::to_string).collect()
     }
 
-    /// Returns the earliest time at which users were told that the job, or one that it
-    /// depends on, is cancelled.
+    /// Returns the earliest time at which users were told that the job, or a job that it
+    /// directly or indirectly depends on, is cancelled.
     fn cancelled_at(&self, id: &str) -> Option<Instant> {
         let mut earliest = self.cancelled.borrow().get(id).copied();
         for dependency in self.dependencies(id) {
@@ -161,7 +162,7 @@
         earliest
     }
 
-    /// Returns whether a user has requested the cancellation of the job, or of one that it
+    /// Returns whether a user has requested the cancellation of the job, or of a job that it
     /// directly or indirectly depends on.
     fn is_cancel_requested(&self, id: &str) -> bool {
         let is_requested = |responses: &JobResponses| responses.cancel_requested;
@@ -178,8 +179,7 @@
         Duration::from_secs_f64(self.shape.cancel_s)
     }
 
-    /// Expires the leases of workers whose time is over, and records the tasks that have
-    /// completed.
+    /// Ends the worker leases that have expired, and records the tasks that have completed.
     pub(super) fn advance_tasks(&self) {
         for (worker, _) in self.workers.borrow().values() {
             worker.expire_lease(self.shape.lease());
@@ -190,7 +190,7 @@
 
 // Reports.
 impl Simulation {
-    /// Reports a violation, once for each distinct text.
+    /// Reports a violation, unless one with the same text was reported earlier.
     fn report_violation(&self, rule: Rule, details: &str) {
         let text = format!("{}: {details}", rule.name());
         let mut broken = self.reported_violations.borrow_mut();
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns all violations up to now, including those that are known only at the end of
-    /// a test.
+    /// Returns all violations so far, including those that can be determined only at the end
+    /// of a test.
     pub fn violations(&self) -> Vec<String> {
         let mut all = self.reported_violations.borrow().clone();
         if self.task_start_count.get() == 0 {
@@ -339,9 +339,9 @@
 
 // Responses to users.
 impl Simulation {
-    /// Checks a response against the responses that users had received when its request was
-    /// sent (`known`), and against the actual state of the job. Concurrent requests have no
-    /// order among each other, but if they return two final stages these must be equal.
+    /// Checks a response against the actual state of the job and against `known`: the responses
+    /// that users had received when the request was sent. Responses to concurrent requests may
+    /// arrive in any order, but all final stages that they report must be equal.
     pub(super) fn check_response(
         &self,
         i: usize,
@@ -412,8 +412,8 @@
         }
     }
 
-    /// Checks a poll for an accepted job: its polls must not all fail for
-    /// [`MAX_POLL_FAILURE_TIME`] while the polls for most other jobs succeed.
+    /// Records the result of a poll for an accepted job. Reports a violation if all polls for
+    /// the job have failed for [`MAX_POLL_FAILURE_TIME`] while those for most other jobs succeed.
     pub(super) fn check_poll(&self, id: &str, status: u16) {
         let now = Instant::now();
         let mut polls = self.polls.borrow_mut();
--- a/tests/stand_ins/scenario.rs
+++ b/tests/stand_ins/scenario.rs
@@ -79,8 +79,8 @@
     pub sockets: usize,
     /// Number of machines that exist at the start.
     pub machines: usize,
-    /// Boot time in seconds that the cloud announces for its machine types. Controllers
-    /// return a machine that was idle for as long.
+    /// Boot time in seconds that the cloud announces for its machine types. Controllers return
+    /// a machine after it has been idle for this time.
     pub ready_s: f64,
     /// Time in seconds between a machine's rental and its worker's first heartbeat.
     pub boot_s: f64,
@@ -209,8 +209,8 @@
     pub failed_boot_zone: Cell<Option<&'static str>>,
     /// Number of task starts.
     pub task_start_count: Cell<usize>,
-    /// Tasks that started after their job's cancellation was confirmed, and the time in
-    /// between.
+    /// Tasks that started after their job's cancellation was confirmed, each with the time from
+    /// the confirmation to the start.
     pub starts_after_cancel: RefCell<Vec<(String, Duration)>>,
     /// Tasks that have completed.
     pub(super) done_tasks: RefCell<HashSet<String>>,
@@ -220,14 +220,14 @@
     pub(super) response_count: Cell<u64>,
     /// Times of the polls, by job ID.
     pub(super) polls: RefCell<HashMap<String, JobPolls>>,
-    /// Probability with which a copy of a heartbeat is kept.
+    /// Probability with which a copy of a heartbeat is recorded, to be delivered again later.
     pub copied_heartbeat_fraction: Cell<f64>,
     /// Copies of heartbeats that have not been delivered.
     pub(super) heartbeat_copies: RefCell<Vec<Vec<u8>>>,
-    /// The setting `state.next` of the controllers that start from now on; it is omitted if
-    /// null.
+    /// The setting `state.next` of the controllers that start from now on: the limits of the
+    /// state service that are announced for the future. The setting is omitted if null.
     pub next: RefCell<Value>,
-    /// Task of each controller, none after it was killed.
+    /// Task that runs each controller, or `None` after the controller was killed.
     pub(super) controllers: RefCell<Vec<Option<JoinHandle<()>>>>,
     /// Pause flag of each controller.
     pub(super) paused: Vec<watch::Sender<bool>>,
@@ -236,10 +236,10 @@
     /// Recorder of the frames between the controllers and the stand-ins.
     pub frames: Rc<FrameRecorder>,
     pub(super) seed: u64,
-    /// Values of the feature flag `shares` that replace the deployment's value, by the index
-    /// of the controller.
+    /// Values of the feature flag `shares` for single controllers, by index. The other
+    /// controllers use the value in `shape`.
     pub shares: RefCell<BTreeMap<usize, bool>>,
-    /// Number of controller starts.
+    /// Number of controller starts, from which each start derives a seed of its own.
     pub(super) runs: Cell<u64>,
 }
 
@@ -277,7 +277,7 @@
         simulation
     }
 
-    /// Returns a deployment none of whose parts is started.
+    /// Returns a deployment in which nothing has been started.
     fn unstarted(seed: u64, shape: DeploymentOptions) -> Rc<Self> {
         let simulated_network = Rc::new(SimulatedNetwork::default());
         let frames = Rc::new(FrameRecorder::default());
@@ -319,8 +319,7 @@
         })
     }
 
-    /// Starts everything but the controllers: the state service, the cloud and the initial
-    /// machines.
+    /// Starts the state service, the cloud and the initial machines, but no controller.
     async fn serve_stand_ins(self: &Rc<Self>) {
         for i in 0..self.shape.controllers {
             let state = self.state.clone();
--- a/tests/stand_ins/scripted.rs
+++ b/tests/stand_ins/scripted.rs
@@ -1,5 +1,6 @@
 //! A scripted controller. It responds to users and sends commands to workers as a test
-//! specifies, so that a test can violate the rules, which the program must not do.
+//! specifies. Tests of the rule checker use it to violate the rules on purpose, because the real
+//! program must never do so.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -51,8 +52,9 @@
         self.responses.borrow_mut().push_back(response);
     }
 
-    /// Returns the response to a request: for a heartbeat one that renews the lease and has
-    /// no commands, as commands are sent to workers directly, otherwise the next queued one.
+    /// Returns the response to a request. A heartbeat gets a response that renews the lease and
+    /// has no commands, because [`send_command`](Self::send_command) sends commands to workers
+    /// directly. Any other request gets the next queued response.
     fn next_response(&self, path: &str) -> Response {
         if path == "/agent/beat" {
             return Response::json(200, &json!({"baton": FENCING_TOKEN, "orders": []}));
--- a/tests/stand_ins/state_service/commits.rs
+++ b/tests/stand_ins/state_service/commits.rs
@@ -19,8 +19,9 @@
 }
 
 impl StateService {
-    /// Serves a commit as the state service would receive it from the production version:
-    /// translated, or with a conflict on `sh/formats` if that version would not send it.
+    /// Serves a commit of a controller that stands for the production version. Data that this
+    /// version would not write is removed from the commit. If it would not send the commit at
+    /// all, the response is a conflict on `sh/formats`.
     pub(super) async fn commit_as_production(self: &Rc<Self>, body: Value) -> Response {
         match commit_of_production_version(body) {
             Some(body) => self.commit(body).await,
@@ -80,8 +81,8 @@
         self.apply(&body)
     }
 
-    /// Applies a transaction if it keeps to the limits, its leases exist and its
-    /// preconditions hold, and returns the response.
+    /// Applies a transaction and returns the response. Nothing is applied if the transaction
+    /// exceeds a limit, names a lease that does not exist, or fails a precondition.
     pub(super) fn apply(&self, body: &Value) -> Response {
         let empty = vec![];
         let writes = body["writes"].as_array().unwrap_or(&empty);
--- a/tests/stand_ins/state_service/faults.rs
+++ b/tests/stand_ins/state_service/faults.rs
@@ -7,8 +7,8 @@
 
 use super::StateService;
 
-/// Faults of the state service with probabilities, delays and targets. They last until they
-/// are reset.
+/// Faults of the state service that affect some controllers, or requests at random. A fault
+/// lasts until the test resets it.
 #[derive(Debug, Clone, Default)]
 pub struct StateFaultOptions {
     /// Indexes of the controllers whose requests are refused.
@@ -20,9 +20,10 @@
     /// Maximum delay of a response. A random part of the delay precedes the execution of the
     /// request, the rest follows it.
     pub response_delay: Duration,
-    /// Indexes of the only controllers with delayed responses; if empty, the responses to all
-    /// are delayed at random. The responses to these controllers are delayed by the whole of
-    /// `slow` after the execution of the request, so that they are outdated by as much.
+    /// Indexes of the controllers whose responses are delayed. Each response is delayed by
+    /// exactly `response_delay` after the request is executed, so its content is outdated by
+    /// that time when it arrives. If the set is empty, the responses to all controllers are
+    /// delayed by random times.
     pub delayed_controllers: BTreeSet<usize>,
 }
 
@@ -31,15 +32,15 @@
 pub enum StateFault {
     #[default]
     None,
-    /// Commits that are applied, but whose response is lost.
+    /// The next commits are applied, but their responses are lost.
     LostResponses,
-    /// Commits that are applied some seconds later and get no response.
+    /// The next commits are applied 3 s later and get no response.
     LateCommits,
-    /// Outage: all requests are refused.
+    /// All requests are refused.
     Outage,
-    /// Refusal of commits, while reads are served.
+    /// Commits are refused, but reads are served.
     CommitsRefused,
-    /// Watch responses that are larger than a controller accepts.
+    /// Watch responses with events are larger than a controller accepts.
     OversizedWatchResponses,
 }
 
--- a/tests/stand_ins/state_service/leases.rs
+++ b/tests/stand_ins/state_service/leases.rs
@@ -1,4 +1,4 @@
-//! State leases, and the removal of their keys when they expire.
+//! Leases of the state service, and the removal of their keys when they expire.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,7 +11,8 @@
 use super::StateService;
 use super::commits::written_key;
 
-/// A state lease and the keys that are removed when it ends, in the order of removal.
+/// A lease that a controller holds at the state service, and the keys that are removed when
+/// the lease ends, in the order of removal.
 pub(super) struct StateLease {
     ttl: Duration,
     /// Time at which the lease expires unless it is renewed.
@@ -20,8 +21,8 @@
 }
 
 impl StateService {
-    /// Removes expired leases and their keys periodically. No lease expires during an outage,
-    /// after which each lease has its full TTL again.
+    /// Removes expired leases and their keys periodically. No lease expires during an outage:
+    /// each lease has its full TTL again when the outage ends.
     pub(in crate::stand_ins) async fn run_lease_expiry(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(50)).await;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Removes keys, in transactions of at most `max_writes_per_commit` writes.
+    /// Removes keys, in transactions of at most `txn_ops` writes.
     fn remove(&self, keys: Vec<String>) {
         let writes: Vec<Value> = keys.iter().map(|k| json!({"remove": k})).collect();
         for chunk in writes.chunks(self.limits.get().txn_ops.max(1)) {
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Attaches the written key to the lease that the write names, and detaches it from every
-    /// other lease: a key belongs to the lease of its last write only.
+    /// Attaches the written key to the lease in the write's `permit` field, if there is one, and
+    /// detaches the key from all other leases. A key belongs only to the lease of its last write.
     pub(super) fn attach_to_lease(&self, write: &Value) {
         let key = written_key(write);
         for (id, lease) in self.leases.borrow_mut().iter_mut() {
--- a/tests/stand_ins/state_service/limits.rs
+++ b/tests/stand_ins/state_service/limits.rs
@@ -47,8 +47,8 @@
 }
 
 impl RateLimit {
-    /// Takes `count` tokens from the bucket, which is refilled with `rate` tokens per second,
-    /// and returns whether it has too few. In that case it takes none.
+    /// Refills the bucket with `rate` tokens per second. Then takes `count` tokens from it, or
+    /// takes none and returns true if it holds fewer.
     pub(super) fn refuses(&self, rate: f64, count: usize) -> bool {
         if rate.is_infinite() {
             return false;
--- a/tests/stand_ins/state_service/mod.rs
+++ b/tests/stand_ins/state_service/mod.rs
@@ -33,8 +33,9 @@
     /// Events of all revisions, in their order.
     change_log: RefCell<Vec<Value>>,
     revision: Cell<u64>,
-    /// Notification of open watches, in the order in which they were opened. A `watch` channel
-    /// of tokio would wake them in random order, so that no two runs would be the same.
+    /// Notifies open watches of a new revision, in the order in which the watches were opened.
+    /// A `watch` channel of tokio would wake them in random order, so runs with the same seed
+    /// would differ.
     revision_changed: Notify,
     /// Current fault mode.
     pub fault: Cell<StateFault>,
@@ -62,8 +63,10 @@
     /// Descriptions of machines that were in two zone shards or in two machine shards at some
     /// revision.
     pub misplaced_machines: RefCell<Vec<String>>,
-    /// Indexes of the controllers whose commits are translated to those of the production
-    /// version, which neither announces record formats nor stores the announced ones.
+    /// Indexes of the controllers that stand for the production version, which neither announces
+    /// the record formats that it reads nor stores the announced formats in `sh/formats`. The
+    /// announcements are removed from the commits of these controllers, and a commit that
+    /// writes `sh/formats` fails.
     pub previous_version_controllers: RefCell<BTreeSet<usize>>,
     /// Number of commits that failed a precondition.
     pub conflict_count: Cell<usize>,
@@ -71,15 +74,16 @@
     pub commit_refusal: RefCell<Option<CommitRefusal>>,
     /// Callbacks that are called after every applied commit.
     pub observers: RefCell<Vec<CommitObserver>>,
-    /// Records that tests wrote directly. Only these may be unreadable.
+    /// Records that tests wrote directly. Only these records may be unreadable: one that a
+    /// controller wrote fails the test.
     test_writes: RefCell<BTreeMap<String, Value>>,
 }
 
 /// Predicate on a controller's index and its commit, true if the commit is refused.
 pub type CommitRefusal = Box<dyn Fn(usize, &Value) -> bool>;
 
-/// Callback that is called with the records after a commit, the written keys and the
-/// revision.
+/// Callback for an applied commit. Its arguments are all records after the commit, the written
+/// keys and the revision.
 pub type CommitObserver = Box<dyn Fn(&BTreeMap<String, (Value, u64)>, &[&str], u64)>;
 
 impl StateService {
--- a/tests/stand_ins/state_service/reads.rs
+++ b/tests/stand_ins/state_service/reads.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Serves a watch: waits for a revision after `after`, up to `block_ms`, and returns all
-    /// events since, regardless of the prefix.
+    /// Serves a watch: waits up to `block_ms` for a revision later than `after`, and returns all
+    /// events since `after`. The prefix in the query is ignored.
     pub(super) async fn watch(&self, i: usize, query: &str) -> Response {
         let number = |name| query_value(query, name).and_then(|v| v.parse::<u64>().ok());
         let after = number("after").unwrap_or(0);
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     attempt: u64,
-    /// Time at which the task completes, none for a task that runs until it is stopped.
+    /// Time at which the task completes, or `None` if it runs until it is stopped.
     ends: Option<Instant>,
-    /// Reason why the task ended otherwise than by completing.
+    /// Reason why the task ended without completing.
     exit_reason: Option<ExitReason>,
 }
 
@@ -109,8 +109,8 @@
                     let fails =
                         self.fails_all_tasks.get() || simulation.is_faulty_job(&command.task);
                     let exit_reason = fails.then_some(ExitReason::Error);
-                    // A task that has completed before completes again immediately, as its result
-                    // is kept.
+                    // If the task completed earlier, its result was kept, so the new start
+                    // completes immediately.
                     let run_time = match simulation.done_tasks.borrow().contains(&command.task) {
                         true => Some(Duration::ZERO),
                         false => run_time,
@@ -185,7 +185,7 @@
         self.hung_until.get().is_some()
     }
 
-    /// Makes the machine hang for a time, by which its running tasks complete later.
+    /// Makes the machine hang for `span`. Its running tasks complete later by the same time.
     pub fn hang(&self, span: Duration) {
         self.hung_until.set(Some(Instant::now() + span));
         for task in self.tasks.borrow_mut().values_mut() {
@@ -228,7 +228,7 @@
 }
 
 impl Simulation {
-    /// Returns the time that a task takes, or `None` for a service.
+    /// Returns the run time of a task, or `None` for a task of a service.
     fn task_run_time(&self, task: &str) -> Option<Duration> {
         let jobs = self.jobs.borrow();
         let job = jobs.get(task.split('/').next().unwrap_or(""))?;
@@ -282,8 +282,8 @@
         serve(listener, SERVER_LIMITS, Rc::new(handler)).await;
     }
 
-    /// Sends a worker's heartbeats, to another controller after a failure or a redirect, and
-    /// executes the commands of the responses.
+    /// Sends a worker's heartbeats and executes the commands in the responses. After a failure
+    /// or a redirect, the next heartbeat goes to another controller.
     pub(super) async fn send_heartbeats(self: Rc<Self>, worker: Rc<Worker>) {
         sleep(Duration::from_secs_f64(self.shape.boot_s)).await;
         worker.lease_renewed_at.set(Instant::now());
