--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -15,8 +15,8 @@
 
 const MACHINES: usize = 4000;
 
-/// Number of tasks of one job. Each task fills a machine, and the record of a job can hold
-/// bookings of about this many.
+/// Number of tasks of one job. Each task fills a machine, and a job's record has space for
+/// bookings on about this many machines.
 const TASKS_PER_JOB: usize = 40;
 
 /// The zones of the controllers and of the machines.
@@ -25,14 +25,15 @@
     machine_zones: Vec<&'static str>,
 }
 
-/// Returns a deployment with 4,000 machines and the limits of `five_controller_deployment`,
-/// which has fewer sockets than there are workers.
+/// Returns a deployment with 4,000 machines and the limits of `five_controller_deployment`. A
+/// controller cannot keep a connection to every worker: its 2,752 sockets are fewer than the
+/// 4,000 workers.
 fn five_controllers_with_layout(layout: Layout) -> DeploymentOptions {
     with_layout(five_controller_deployment(), layout)
 }
 
-/// Returns a deployment with 4,000 machines, the limits of `three_controller_deployment` and
-/// the smallest number of sockets of any deployment.
+/// Returns a deployment with 4,000 machines and the limits of `three_controller_deployment`, but
+/// with 900 sockets: the smallest number of any deployment.
 fn three_controllers_with_layout(layout: Layout) -> DeploymentOptions {
     DeploymentOptions {
         sockets: 900,
@@ -154,8 +155,8 @@
     }
 }
 
-/// Asserts that the state service and the cloud refused nothing for its size: values, commits,
-/// keys and requests to the cloud.
+/// Asserts that no value, key, commit or cloud request was refused because it exceeds a size
+/// limit.
 fn assert_within_limits(simulation: &Simulation) {
     let beyond = simulation.state.rejected_commits.borrow().clone();
     assert!(beyond.is_empty(), "{beyond:?}");
@@ -169,8 +170,8 @@
     run_all_stages_with_limits(shape, None);
 }
 
-/// Does the same, and puts `reduced_limits` into force once all machines are claimed and
-/// listed.
+/// Runs the same stages as [`run_all_stages`]. Once all machines are claimed and listed, lowers
+/// the limits of the state service to `reduced_limits`, if given.
 fn run_all_stages_with_limits(shape: DeploymentOptions, reduced_limits: Option<StateLimits>) {
     run_in_simulated_time(|| async move {
         let lease_s = shape.lease_s;
@@ -259,8 +260,8 @@
     }));
 }
 
-/// All machines prefer the same controller while the limits are lowered to the smallest
-/// records and commits that the protocol's page names: 2 KiB and four writes.
+/// All machines have the same preferred owner, and the limits are lowered to the smallest ones
+/// in the protocol's page: records of 2 KiB and commits of four writes.
 #[test]
 fn four_thousand_machines_in_one_zone_when_limits_are_lowered() {
     let mut shape = five_controllers_with_layout(Layout {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,6 +1,5 @@
-//! Tests of large fleets against stand-ins, in simulated time: the largest fleets that
-//! operators have described with half as many machines again, and 4,000 machines in several
-//! layouts.
+//! Tests of large fleets against stand-ins, in simulated time: fleets that are half as large
+//! again as the largest that operators have described, and 4,000 machines in several layouts.
 
 #[path = "../stand_ins/mod.rs"]
 // Each test target uses only some of the stand-ins.
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -1,5 +1,5 @@
-//! Tests of mass failures, one after another, in fleets of the largest size that operators
-//! have described plus half as many machines.
+//! Tests of mass failures, one after another, in fleets that are half as large again as the
+//! largest that operators have described.
 
 use std::time::Duration;
 
@@ -140,8 +140,8 @@
         ids.extend(submit(&simulation, 5).await);
         wait_until_running_or_done(&simulation, &ids, lease_s * 10.0, "an outage").await;
 
-        // Every service is cancelled at two controllers, and every job is queried at a third:
-        // the repeated cancellation finds the service cancelled already.
+        // Every service is cancelled at two controllers, and every job is queried at a third.
+        // The second controller finds that the service is already cancelled.
         for id in &ids {
             if simulation.is_service(id) {
                 assert_eq!(
--- a/tests/limits/encodings.rs
+++ b/tests/limits/encodings.rs
@@ -43,8 +43,8 @@
             assert_eq!(decoded, job);
         }
     }
-    // The machine names have more prefixes than the table of the compact encoding can hold,
-    // so that the job has no compact encoding.
+    // The machine names have more prefixes than the table of the compact encoding can hold.
+    // Such a job can be stored only in the plain encoding.
     let mut job = Job::new(job_spec(JobKind::Array, 100), 1);
     for n in 0..70 {
         job.book(&format!("{n}-of-another-name"), "a", 1, n);
@@ -128,8 +128,8 @@
     }
 }
 
-/// All machines that prefer one controller in one zone fit one zone shard, whatever their
-/// numbers, and more than a hundred of them fit one machine shard.
+/// All machines of one zone with the same preferred owner fit one zone shard, whatever the
+/// numbers in their names, and more than a hundred of them fit one machine shard.
 #[test]
 fn machines_of_one_controller_fit_one_zone_shard() {
     let mut shard = ZoneShard::default();
@@ -186,7 +186,7 @@
 }
 
 /// A compact record of 2 KiB holds about as many tasks of an array as a plain record of
-/// 8 KiB, and at least as many as the largest documented gang and service have.
+/// 8 KiB. It also has space for all tasks of the largest documented gang and service.
 #[test]
 fn compact_record_holds_as_many_tasks() {
     let array = Job::new(job_spec(JobKind::Array, 1800), 1 << 40);
@@ -212,8 +212,8 @@
     }
 }
 
-/// A full record stays within its limit whatever the order in which its bookings are made,
-/// end, fail and are stopped.
+/// A full record stays within its limit, in whatever order tasks are booked, end, fail and are
+/// stopped.
 #[test]
 fn full_compact_record_stays_within_the_limit() {
     for (tasks, seed) in [(1800, 1), (4096, 2), (100_000, 3)] {
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -15,11 +15,10 @@
 
 use shelfhoist::state::records::*;
 
-/// Lowers the limits `delay` after the compaction of records has begun and restarts every
-/// controller at the same moment. Jobs of the largest sizes that were started before
-/// continue, further jobs start and end, and nothing is sent that the state service would
-/// refuse. With `trouble`, some commits of the compaction are applied late, or their
-/// responses are lost.
+/// Lowers the limits `delay` after the compaction of records has begun, and restarts every
+/// controller at the same moment. Asserts that earlier jobs of the largest sizes continue, that
+/// further jobs start and end, and that no commit exceeds a size limit. `trouble` is a fault of
+/// some commits of the compaction: they are applied late, or their responses are lost.
 fn lower_limits_around_compaction(delay: Option<Duration>, trouble: StateFault) {
     run_in_simulated_time(|| async move {
         let simulation = Simulation::with_options(31, deployment()).await;
@@ -39,7 +38,8 @@
         wait_until_formats_recorded(&simulation).await;
         simulation.state.fault.set(trouble);
         simulation.state.faulty_commits_left.set(12);
-        // Without a delay, the limits are lowered as soon as the new formats are recorded.
+        // Without a delay, the limits are lowered as soon as the formats record shows that all
+        // controllers read the new formats.
         sleep(delay.unwrap_or_default()).await;
         if delay.is_some_and(|t| t > Duration::from_secs(20)) {
             assert!(
@@ -92,8 +92,9 @@
     lower_limits_around_compaction(Some(Duration::from_secs(40)), StateFault::None);
 }
 
-/// The upcoming limits may be absent or partial. An upcoming limit of a size applies from the
-/// start; an upcoming limit of a rate applies once refusals show that it is in force.
+/// The settings may announce all upcoming limits, some or none. Controllers keep to an upcoming
+/// size limit from the start, but to an upcoming rate limit only after refusals show that it is
+/// in force.
 #[test]
 fn upcoming_limits_may_be_absent_or_partial() {
     let settings_with = |next: Value| {
@@ -186,8 +187,9 @@
     });
 }
 
-/// Lowers limits that the settings don't announce. A write that is refused for its size
-/// doesn't stop the loop that sent it and is not repeated endlessly, and other jobs continue.
+/// The limits are lowered although the settings do not announce it. A write that is refused for
+/// its size does not stop the loop that sent it and is not repeated endlessly, and other jobs
+/// continue.
 #[test]
 fn oversized_write_does_not_block_other_jobs() {
     run_in_simulated_time(|| async move {
@@ -366,8 +368,8 @@
     }
 }
 
-/// The jobs of an accepted batch whose record exceeds the lower limit are read and run, each
-/// under its own record. The oversized record is deleted and never rewritten.
+/// The record of an accepted batch exceeds the lower limit. Its jobs are still read and run, each
+/// with a record of its own. The oversized record is deleted later, but never rewritten.
 #[test]
 fn oversized_accepted_batch_is_completed_and_deleted() {
     run_in_simulated_time(|| async {
@@ -393,7 +395,7 @@
         restart_with_upcoming_limits(&simulation).await;
         wait_until_formats_recorded(&simulation).await;
         simulation.state.write("sh/new/n0-long", &text);
-        // The users repeat their submissions, which are recognized as accepted.
+        // Users repeat their submissions. Controllers recognize the jobs as already accepted.
         for submission in &jobs {
             simulation.submit(submission.clone()).await;
         }
--- a/tests/limits/production_records.rs
+++ b/tests/limits/production_records.rs
@@ -7,8 +7,8 @@
 
 // --- records as stored in production -------------------------------------------
 
-/// The JSON text of a job that the serializer of the version in production (`f00c9ea`)
-/// writes. The other constants have the texts of the other records.
+/// The record of a job as the version in production (`f00c9ea`) serializes it. The constants
+/// below contain its texts of the other records.
 const JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"batch","p":"normal","n":1800,"r":{"c":2000,"g":0,"m":1800},"i":"img-07","ig":6.2,"ty":["g8","g16"],"z":"a","oz":true,"sp":true,"lo":true,"e":25.0,"cs":30.0,"ss":4.0,"d":900.5},"n":1800,"b":412,"a":3,"x":40,"q":"0-4,7","r":[{"m":"host-000231","z":"a","a":1,"t":"10-19,21"},{"m":"host-000231","z":"a","a":3,"t":"30","x":true}],"c":true,"e":2,"ea":2,"em":["host-000007"]}"#;
 
 const NEW_JOB: &str = r#"{"f":"o","s":{"l":"train","w":"vision","k":"gang","p":"normal","n":1800,"r":{"c":2000,"g":0,"m":1800},"i":"img-07","ig":6.2,"e":25.0,"cs":30.0,"ss":4.0},"n":1800,"b":9,"a":0,"x":0}"#;
--- a/tests/limits/setup.rs
+++ b/tests/limits/setup.rs
@@ -14,7 +14,7 @@
 
 use shelfhoist::state::records::*;
 
-/// The lower limit of the size of a record.
+/// Maximum size of a record once the limits are lowered, in bytes.
 pub const LIMIT_BYTES: usize = 2048;
 
 /// Decodes the text and asserts that the value is encoded to the same bytes.
@@ -158,7 +158,8 @@
 
 // --- a deployment ------------------------------------------------------------------
 
-/// Returns a deployment with 160 machines under the present limits, 8 KiB for each record.
+/// Returns a deployment with 160 machines and the limits that apply before they are lowered: a
+/// record may have 8 KiB.
 pub fn deployment() -> DeploymentOptions {
     DeploymentOptions {
         teams: vec![("t".into(), 4000.0, 6000.0)],
@@ -169,12 +170,12 @@
     }
 }
 
-/// Returns the upcoming limits for the settings.
+/// Returns the upcoming limits as the value of the setting `state.next`.
 pub fn upcoming_limits() -> Value {
     json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 27.0})
 }
 
-/// Puts the lower limits into force.
+/// Lowers the limits that the state service enforces to the upcoming ones.
 pub fn lower_limits(simulation: &Simulation) {
     simulation.state.limits.set(StateLimits {
         txn_ops: 4,
@@ -184,9 +185,9 @@
     });
 }
 
-/// Stops all controllers, resets the record of formats, and starts the controllers one after
-/// another with settings that name the upcoming limits. Only after the last start is it
-/// recorded that all controllers read the new formats.
+/// Stops all controllers, resets the formats record (`FORMATS_KEY`), and starts the controllers
+/// one after another with settings that announce the upcoming limits. Only after the last start
+/// does the formats record show that all controllers read the new formats.
 pub async fn restart_with_upcoming_limits(simulation: &Rc<Simulation>) {
     for i in 0..simulation.shape.controllers {
         simulation.kill_controller(i);
@@ -201,7 +202,7 @@
     }
 }
 
-/// Waits until it is recorded that all controllers read the new formats.
+/// Waits until the formats record shows that all controllers read the new formats.
 pub async fn wait_until_formats_recorded(simulation: &Simulation) {
     let start = Instant::now();
     loop {
@@ -244,8 +245,8 @@
     }
 }
 
-/// Returns the records above the lower limit with their sizes in bytes, without accepted
-/// batches.
+/// Returns the records that exceed the lower limit, with their sizes in bytes. Records of
+/// accepted batches are left out, because they are never rewritten.
 pub fn oversized_records(simulation: &Simulation) -> Vec<(String, usize)> {
     let mut records = simulation.state.value_sizes("sh/");
     records.retain(|(key, n)| *n > LIMIT_BYTES && !key.starts_with("sh/new/"));
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -227,7 +227,8 @@
         assert!(transaction.into_commit().1.len() <= settings.max_writes_per_commit());
         match kind {
             JobKind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
-            // Replicas of a service are booked one by one: the rest go into the next commit.
+            // Replicas of a service can be booked separately. The commit books those that fit, and
+            // the next commit books the rest.
             _ => assert!(
                 zone_shards.len() > 2 && (5..9).contains(&booked),
                 "{booked}"
--- a/tests/meetings/fault_pairs.rs
+++ b/tests/meetings/fault_pairs.rs
@@ -38,8 +38,8 @@
 }
 
 impl Fault {
-    /// All faults. Their order determines the seed of each pair, so it must not
-    /// change.
+    /// All faults. The position of a pair in this order determines its seed, so the order must
+    /// not change.
     const ALL: [Fault; 18] = [
         Fault::LeaderRestart,
         Fault::AllControllersRestart,
@@ -62,8 +62,7 @@
     ];
 }
 
-/// One injection of a fault: the controller and the workers that it affects, and
-/// its duration.
+/// Targets and duration of a fault that is injected.
 struct Injection {
     simulation: Rc<Simulation>,
     leader: usize,
@@ -265,8 +264,8 @@
     /// Time from the submission to the cancellation, in seconds; `None` for a job
     /// that the user does not cancel.
     cancel_after_s: Option<f64>,
-    /// Immediate queries: the user queries all controllers as soon as the job is
-    /// accepted, and again after a cancellation.
+    /// Makes the user query all controllers as soon as the job is accepted, and again after a
+    /// cancellation.
     queries_immediately: bool,
 }
 
@@ -295,8 +294,8 @@
         );
         let cancels = kind == "daemon" || rng.random_bool(0.3);
         let drawn_cancel_s = cancels.then(|| rng.random_range(0.0..25.0));
-        // Cancellations drawn for the first 8 s happen 2 s after the job's run time
-        // instead, so that many of them coincide with its completion.
+        // A cancellation that was drawn for the first 8 s is moved to 2 s after the job's run
+        // time. Many cancellations therefore coincide with the completion of the job.
         let cancel_after_s = drawn_cancel_s.map(|s| if s < 8.0 { run_s + 2.0 } else { s });
         Submission {
             job,
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -19,7 +19,7 @@
     slow_s: f64,
     blocks_messages_to_workers: bool,
     blocks_messages_from_workers: bool,
-    /// Outages of the state service, during some of the changes.
+    /// Whether the state service is down during some of the changes.
     outages: bool,
     queries_immediately: bool,
 }
@@ -122,7 +122,7 @@
     for change in 0..10u32 {
         let leader = simulation.controller_with_most_machines();
         disturb_workers(simulation, case, change);
-        // The new job is being scheduled when the leader stops.
+        // This job is still being scheduled when the leader stops.
         let new_id = submit_job(simulation, case, change).await;
         ids.push(new_id.clone());
         uncancelled.push(new_id);
@@ -225,9 +225,9 @@
     }
 }
 
-/// Checks that no job is reported as done before all of its tasks have completed. The
-/// tasks of each job complete far apart, under different leaders, and copies of reports
-/// reach the next leader late.
+/// Checks that no job is reported as done before all of its tasks have completed. The tasks of
+/// each job complete long after one another, under different leaders, and each new leader
+/// receives late copies of earlier heartbeats.
 #[test]
 fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
     for variant in 0..4u64 {
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -13,7 +13,7 @@
     name: &'static str,
     /// Time for which only the leader is refused before jobs are cancelled, in seconds.
     leader_refused_s: f64,
-    /// Time from the confirmed cancellations to the outage for all, in seconds.
+    /// Time from the confirmed cancellations until the outage for all controllers, in seconds.
     outage_after_s: f64,
     /// Number of workers that receive neither answers nor commands.
     unreachable_workers: usize,
@@ -28,12 +28,12 @@
     /// Time from the start of the outage to the restart of the old leader, in seconds;
     /// `None` for no restart.
     leader_restarts_s: Option<f64>,
-    /// Restart of all other controllers just before the outage.
+    /// Whether all other controllers are restarted just before the outage.
     others_restart: bool,
     /// Time for which the old leader is frozen, in seconds.
     leader_frozen_s: f64,
     peers_partitioned: bool,
-    /// Short recovery of the state service within the outage.
+    /// Whether the state service recovers for a short time during the outage.
     short_recovery: bool,
 }
 
@@ -154,7 +154,7 @@
 #[test]
 fn jobs_cancelled_elsewhere_end_in_time_during_an_outage() {
     for (n, case) in fault_cases().into_iter().enumerate() {
-        // Leaves much or little of `cancel_s` after the end of a lease.
+        // With 30 s, much of `cancel_s` is left when a lease ends; with 14 s, little is left.
         for (variant, cancel_s) in [30.0, 14.0].into_iter().enumerate() {
             let seed = 300 + 20 * n as u64 + variant as u64;
             let scenario = Scenario::with_large_teams(seed).cancel_s(cancel_s);
@@ -266,9 +266,9 @@
     sleep(total.saturating_sub(start.elapsed())).await;
 }
 
-/// Checks that the age of an answer that renews a lease counts from the moment its
-/// request was sent. The answers to the leader stay in flight for long, and the state
-/// service begins to refuse the leader at different moments of that time.
+/// Checks that an answer that renews a lease is as old as its request: its age counts from the
+/// moment at which the request was sent. The state service answers the leader slowly, and
+/// begins to refuse it at different moments while answers are in flight.
 #[test]
 fn age_of_an_answer_counts_from_its_request() {
     for variant in 0..8u32 {
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -36,8 +36,8 @@
     let mut ids = Vec::new();
     for n in 0..16u32 {
         let kind = ["batch", "gang", "daemon", "batch"][n as usize % 4];
-        // All services belong to team u: those that are not cancelled must not
-        // occupy the limits of both teams permanently.
+        // All services belong to team u. A service that is not cancelled runs permanently, so
+        // services of both teams would occupy the limits of both.
         let mut submission = job(n + 1, kind, 2, 18.0);
         submission["crew"] = json!(["t", "u"][n as usize / 2 % 2]);
         ids.push(simulation.submit(submission).await);
@@ -104,7 +104,7 @@
     }
 }
 
-/// Ends the faults of a worker, except a hang, which lasts for the time it was given.
+/// Ends the faults of a worker, except a hang: it ends after the time set for it.
 fn clear_faults(worker: &Worker) {
     worker.inbound_blocked.set(false);
     worker.heartbeats_blocked.set(false);
--- a/tests/meetings/requests.rs
+++ b/tests/meetings/requests.rs
@@ -83,14 +83,14 @@
     }
 }
 
-/// Returns a submission that lacks one field.
+/// Returns a submission without the field `field`.
 fn job_without(field: &str) -> Value {
     let mut submission = job(50, "batch", 1, 1.0);
     submission.as_object_mut().expect("an object").remove(field);
     submission
 }
 
-/// Returns a submission with another value of one field.
+/// Returns a submission in which `field` has the given value.
 fn job_with(field: &str, value: Value) -> Value {
     let mut submission = job(50, "gang", 2, 1.0);
     submission[field] = value;
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -13,8 +13,8 @@
     Duration::from_secs_f64(s)
 }
 
-/// Sends the cancellation to one controller after another, except `excluded`, until
-/// one of them answers it; returns the job's stage in that answer.
+/// Requests the cancellation of a job at one controller after another, except `excluded`, until
+/// a request succeeds. Returns the job's stage in the response.
 pub async fn cancel(
     simulation: &Rc<Simulation>,
     excluded: Option<usize>,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,11 @@
 //! Tests of upgrades: older and newer versions serve side by side while controllers are
 //! replaced one after another, faults occur during the upgrade, and the limits of the state
 //! service are lowered before, during or after the compaction of records.
+//!
+//! The upcoming limits are the lower limits that the newer version's settings announce
+//! (`state.next`), so that records can be compacted before those limits come into force. The
+//! compact formats are written only after the record at `FORMATS_KEY` shows that all
+//! controllers read them.
 
 // Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
@@ -19,14 +24,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The lower limit of the size of a record.
+/// Maximum size of a record once the limits are lowered, in bytes.
 const LIMIT_BYTES: usize = 2048;
 
 fn secs(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// Returns a deployment with 60 machines under the present limits.
+/// Returns a deployment with 60 machines and the limits that apply before they are lowered.
 fn deployment() -> DeploymentOptions {
     DeploymentOptions {
         teams: vec![("t".into(), 4000.0, 6000.0)],
@@ -50,8 +55,7 @@
     simulation
 }
 
-/// Restarts a controller with the newer version and with settings that name the upcoming
-/// limits.
+/// Restarts a controller with the newer version. Its settings announce the upcoming limits.
 fn upgrade(simulation: &Simulation, i: usize) {
     simulation.kill_controller(i);
     simulation
@@ -63,7 +67,7 @@
     simulation.start(i);
 }
 
-/// Puts the lower limits into force.
+/// Lowers the limits that the state service enforces to the upcoming ones.
 fn lower_limits(simulation: &Simulation) {
     simulation.state.limits.set(StateLimits {
         txn_ops: 4,
@@ -73,7 +77,7 @@
     });
 }
 
-/// Waits until it is recorded that all controllers read the new formats.
+/// Waits until the formats record shows that all controllers read the new formats.
 async fn wait_until_formats_recorded(simulation: &Simulation) {
     let start = Instant::now();
     while simulation.state.value(FORMATS_KEY).unwrap_or_default()["a"] != json!(FORMATS) {
@@ -94,7 +98,7 @@
 
 // --- records that exceed the limit even in the compact encoding ------------------
 
-/// Returns the specification that the submission of this job results in.
+/// Returns the specification of a job that is submitted with this request body.
 fn spec_of(job: &Value) -> JobSpec {
     let read = shelfhoist::api::read_submission(job.to_string().as_bytes());
     JobSpec::from(&read.expect("a submission"))
@@ -123,9 +127,9 @@
         .len()
 }
 
-/// Runs jobs whose specifications alone bring their records near the upcoming limit. The jobs
-/// are cancelled, and their ends recorded, after the limits are lowered. `wait` is the time
-/// between the end of the upgrade and the lowering of the limits.
+/// Runs jobs with specifications so long that they nearly fill a record of the upcoming size.
+/// After the limits are lowered, jobs are cancelled and the ends of their tasks are recorded.
+/// `wait` is the time between the end of the upgrade and the lowering of the limits.
 fn cancel_long_records_after_lowering_limits(seed: u64, wait: Duration) {
     run_in_simulated_time(|| async move {
         let simulation = older_deployment(seed).await;
@@ -137,8 +141,8 @@
         for id in [&array, &service, &gang, &kept, &kept_gang] {
             simulation.wait_for_stage(id, "running", 60).await;
         }
-        // Jobs that are accepted and not started: one with its own record, three in the
-        // record of a batch.
+        // These jobs are accepted and not started. One has its own record; three are in the
+        // record of an accepted batch.
         let waiting: Vec<Value> = (10..14).map(|n| long_job(n, "batch", 3, 5.0)).collect();
         waiting
             .iter()
@@ -219,8 +223,8 @@
     simulation.start(i);
 }
 
-/// Asserts for some seconds that every stored record can be read by the older version and
-/// that the new formats are not yet recorded as known to all.
+/// Asserts for `seconds` that the older version can read every stored record. Then asserts that
+/// the formats record does not yet show that all controllers read the new formats.
 async fn check_older_version_can_read(simulation: &Simulation, seconds: u64) {
     for _ in 0..seconds * 4 {
         assert_eq!(
@@ -233,14 +237,14 @@
     assert!(formats["a"].as_u64().unwrap_or(0) == 0, "{formats}");
 }
 
-/// Returns the controllers that are recorded as reading the newer formats.
+/// Returns the controllers that read the new formats according to the formats record.
 fn controllers_with_new_formats(simulation: &Simulation) -> Vec<String> {
     let formats = simulation.state.value(FORMATS_KEY).unwrap_or_default();
     let nodes = formats["n"].as_object().cloned().unwrap_or_default();
     nodes.into_iter().map(|(name, _)| name).collect()
 }
 
-/// Waits until just these controllers are recorded as reading the newer formats.
+/// Waits until the formats record lists exactly these controllers as reading the new formats.
 async fn wait_until_new_formats_known_to(simulation: &Simulation, names: &[&str]) {
     let start = Instant::now();
     while controllers_with_new_formats(simulation) != names {
@@ -271,8 +275,8 @@
     ids
 }
 
-/// Asks all controllers at the same time to cancel the job, until one of them confirms. The
-/// confirmation is final.
+/// Requests the cancellation of the job at all controllers concurrently, and repeats this until
+/// one of them confirms it. A confirmed cancellation is final.
 async fn cancel_everywhere(simulation: &Rc<Simulation>, id: &str) -> Option<String> {
     for _ in 0..30 {
         let requests = (0..3).map(|i| {
@@ -358,9 +362,9 @@
     }
 }
 
-/// One controller is upgraded, and the state service is down for longer than a lease. During
-/// the outage a second controller is upgraded, and the third fails and restarts with the
-/// older version. Jobs that were cancelled just before the outage end in time.
+/// One controller is upgraded, and then the state service is down for longer than a lease.
+/// During the outage, a second controller is upgraded, and the third fails and restarts with
+/// the older version. Jobs that were cancelled just before the outage end in time.
 #[test]
 fn partly_upgraded_deployment_survives_a_state_service_outage() {
     for (seed, outage_s) in [(74, 14), (75, 25), (76, 40)] {
@@ -460,7 +464,8 @@
                 }
                 sleep(secs(16)).await;
                 let after = owned_machine_count(&simulation, i);
-                // A controller that only the state service refuses keeps its machines.
+                // In round 4 only the state service refuses the controller. It still reaches its
+                // workers and peers, so it keeps its machines.
                 let lost = if round == 4 { 0 } else { 1 };
                 assert!(before > 0, "{round}: nothing to hand over");
                 assert!(after + lost <= before, "{round}: {before} to {after}");
@@ -496,8 +501,8 @@
 
 // --- a large pipeline --------------------------------------------------------------
 
-/// Returns the records above the lower limit with their lengths in bytes, without accepted
-/// batches.
+/// Returns the records that exceed the lower limit, with their lengths in bytes. Records of
+/// accepted batches (`sh/new/`) are left out, because they are never rewritten.
 fn oversized_records(simulation: &Simulation) -> Vec<(String, usize)> {
     let mut records = simulation.state.value_sizes("sh/");
     records.retain(|(key, length)| *length > LIMIT_BYTES && !key.starts_with("sh/new/"));
@@ -543,8 +548,8 @@
 }
 
 /// The time at which the limits are lowered, relative to the compaction of records. The
-/// compaction begins when the last controller restarts with settings that name the upcoming
-/// limits.
+/// compaction begins once all controllers have restarted with settings that announce the
+/// upcoming limits.
 #[derive(Clone, Copy, PartialEq)]
 enum LoweredAt {
     Before,
@@ -573,9 +578,8 @@
             "{:?}",
             oversized_records(&simulation)
         );
-        // When the controllers restart one after another, the records that a controller takes
-        // over are compacted by the takeover. When all restart together, this is left to
-        // background compaction.
+        // If the controllers restart one after another, each of them compacts the records that
+        // it takes over. If all restart together, background compaction does so instead.
         let pause = if lowered_at == LoweredAt::During {
             0
         } else {
