--- a/crates/shares/tests/exploration.rs
+++ b/crates/shares/tests/exploration.rs
@@ -1,11 +1,12 @@
-//! Exhaustive exploration of all orders of events in a small deployment: decisions are
-//! committed late, twice or never, by controllers that may stop after any decision. A second
-//! copy of a commit always fails. It makes no difference which controller makes a decision,
-//! because all state is in the records.
+//! Exhaustive exploration of all orders of events in a small deployment. A commit may be applied
+//! late, twice or never, because a message may be delayed, duplicated or lost and a controller
+//! may stop after any decision. It makes no difference which controller makes a decision, because
+//! all state is in the records.
 //!
-//! A commit fails once a record that it has a precondition on was written. The model
-//! therefore needs no versions: a write removes every commit in flight that has a
-//! precondition on the record.
+//! A commit fails if a record with one of its preconditions was written after the decision. The
+//! model therefore needs no versions: a write removes every commit in flight that has a
+//! precondition on the written record. For the same reason, a second copy of a commit always
+//! fails.
 
 use std::collections::BTreeSet;
 
@@ -42,7 +43,7 @@
     None,
     /// A transfer has no precondition on the usage record of its source.
     SourceWithoutPrecondition,
-    /// A machine is removed from the record before the pool's capacity is reduced.
+    /// A machine is removed from the machine shard without first reducing the pool's capacity.
     CapacityAfterMachine,
 }
 
@@ -66,14 +67,14 @@
     Ended,
 }
 
-/// A commit of a decision, with everything that it changes.
+/// A commit that carries out one decision, with the records and the jobs that it changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Commit {
     preconditions: BTreeSet<Key>,
     writes: BTreeSet<Key>,
     change: Change,
     jobs: Vec<(usize, Progress)>,
-    /// The machine that the commit removes from the record.
+    /// The machine that the commit removes from the machine shard.
     removed_machine: Option<usize>,
 }
 
@@ -269,16 +270,16 @@
     /// Returns the commit that adjusts the pool's capacity to the machines.
     fn adjust(&self) -> Option<Commit> {
         adjust_capacity(&self.ledger, MAX_WRITES).map(|change| {
-            // The decision also reads the machines on record, and every change of them writes
-            // the pool.
+            // The decision also depends on the machines on record. Every change of these
+            // machines writes the pool, so a precondition on the pool covers them.
             let mut commit = Commit::new(change);
             commit.preconditions.insert(Key::Pool);
             commit
         })
     }
 
-    /// Returns the commit that removes the last machine from the record, if nothing is booked
-    /// on it.
+    /// Returns the commit that removes the last machine from the machine shard, if nothing is
+    /// booked on the machine.
     fn remove_machine(&self, fault: Fault) -> Option<Commit> {
         let machine = MACHINES - 1;
         if !self.machines[machine] || self.booked_on(machine) > 0 {
@@ -321,7 +322,8 @@
     fn apply(&self, index: usize) -> World {
         let mut next = self.clone();
         let commit = next.in_flight.remove(index);
-        // Every write has a precondition, so that a second copy of the commit always fails.
+        // A commit has a precondition on every record that it writes. A second copy of it
+        // therefore always fails.
         assert!(commit.writes.is_subset(&commit.preconditions));
         next.in_flight
             .retain(|other| other.preconditions.is_disjoint(&commit.writes));
--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -255,7 +255,8 @@
         true
     }
 
-    /// Removes a machine, after reducing the shares that use its capacity.
+    /// Removes a machine if `may_remove` is true, after reducing the shares that use the machine's
+    /// capacity.
     fn remove_machine(&mut self, may_remove: bool) {
         if !may_remove {
             return;
@@ -362,8 +363,8 @@
         }
     }
 
-    /// Checks that the pending moves complete in a bounded number of steps, except for those that
-    /// bookings block, and that all shares can be closed.
+    /// Checks that all pending moves complete in a bounded number of steps unless bookings block
+    /// them, and that all shares can be closed.
     fn teardown(mut system: System) {
         for (team, name) in TEAMS.iter().enumerate() {
             let mut steps = 0;
@@ -428,8 +429,8 @@
     assert_eq!(record.state(None), MoveState::Done);
 }
 
-/// A reservation that needs the free capacity of many teams is spread over several commits,
-/// each with no more writes than allowed.
+/// A reservation that needs the free capacity of many teams takes several commits. None of them
+/// has more writes than allowed.
 #[test]
 fn capacity_is_returned_by_many_teams_in_several_commits() {
     let mut ledger = Ledger {
--- a/tests/decisions/dependencies.rs
+++ b/tests/decisions/dependencies.rs
@@ -16,9 +16,10 @@
 use shelfhoist::state::records::*;
 use shelfhoist::wire::*;
 
-/// A job has the highest priority of itself and its open dependents, and the earliest of their
-/// deadlines, reduced by the estimated run times of the jobs in between. Every change of a
-/// record takes effect immediately.
+/// The effective priority of a job is the highest of its own and those of its open dependents.
+/// Its effective deadline is the earliest of its own and those of its open dependents; each of
+/// these is reduced by the estimated run times of the dependent and of the jobs in between. Every
+/// change of a record takes effect immediately.
 #[test]
 fn job_inherits_priority_and_deadline_of_its_dependents() {
     use Priority::*;
@@ -115,8 +116,8 @@
         {"kind": "deadline", "class": "d", "target": 0.9},
     ]);
     let settings = Settings::parse(&settings.to_string()).expect("settings");
-    // Class, own deadline, time left, whether dependents have a deadline, age, whether the job
-    // is late. The estimated run time is 10 s.
+    // Each case has the class, the own deadline, the time left, whether dependents have a
+    // deadline, the age, and whether the job is late. The estimated run time is 10 s.
     let cases = [
         ("x", None, None, false, 999.0, false),
         ("x", None, Some(20.0), true, 999.0, false),
@@ -168,8 +169,8 @@
     }
 }
 
-/// The effective status of a job depends only on the records, whether they are applied one by
-/// one in any order, in a batch of accepted jobs, or in a reload.
+/// The effective status of a job depends only on the content of the records. It is the same if
+/// they are applied one by one in any order, in a batch of accepted jobs, or in a reload.
 #[test]
 fn effective_status_does_not_depend_on_the_order_of_records() {
     use Priority::Low;
@@ -194,7 +195,8 @@
         ]
     };
     use JobStatus::*;
-    // Statuses of the first two jobs, effective statuses of all jobs, jobs that can start.
+    // Each case has the statuses of the first two jobs, the effective statuses of all jobs, and
+    // the jobs that can start.
     let cases = [
         ((Open, Open), [Open; 6], vec!["job-1", "job-2"]),
         (
--- a/tests/decisions/http.rs
+++ b/tests/decisions/http.rs
@@ -63,8 +63,9 @@
     }
 }
 
-/// A single remaining controller may own all workers, so its connections for direct commands
-/// are limited: the one that has been idle longest is closed first, and one in use never is.
+/// A single remaining controller may own all workers, so its connections for direct commands are
+/// limited. At the limit, the connection that has been idle longest is closed. A connection in
+/// use is never closed.
 #[test]
 fn clients_and_servers_limit_open_connections() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -133,8 +134,8 @@
             "{too_large:?}"
         );
         // A crowded server closes users' connections after each answer, but keeps those of
-        // workers. A nearly full server closes workers' connections too, as there may be more
-        // workers than connections.
+        // workers. A nearly full server also closes workers' connections after each answer,
+        // because there may be more workers than the server can keep connections.
         let worker_client = Client::new(network(9), Duration::from_secs(30));
         let user_client = Client::new(network(9), Duration::from_secs(30));
         let mut clients = Vec::new();
--- a/tests/decisions/scheduling.rs
+++ b/tests/decisions/scheduling.rs
@@ -139,7 +139,7 @@
     );
 }
 
-/// Only a job that uses otherwise idle capacity and that nobody waits for is opportunistic.
+/// A job is opportunistic only if it uses otherwise idle capacity and nobody waits for it.
 #[test]
 fn opportunistic_jobs_are_recognized() {
     let mut settings = settings_json();
@@ -270,8 +270,8 @@
     }
 }
 
-/// Work must not be preempted for a guarantee if it is within its own team's guarantee:
-/// otherwise the two teams would preempt each other forever (13 times per gang on a measured
+/// Work within its own team's guarantee must not be preempted for the guarantee of another team.
+/// Otherwise the two teams would preempt each other forever (13 times per gang on a measured
 /// day).
 #[test]
 fn team_lends_only_above_its_guarantee() {
@@ -297,8 +297,8 @@
     }
 }
 
-/// A job that has never been started is placed first after a time limit, whatever the
-/// policy's order is. This does not apply to a job that was preempted.
+/// A job that has waited for a time limit without ever being started is placed first, whatever
+/// order the policy gives. This does not apply to a job that was started and preempted.
 #[test]
 fn starving_job_is_placed_first() {
     let settings = settings();
@@ -364,9 +364,9 @@
     );
 }
 
-/// The machines of a zone are recorded in machine shards that stay within `value_kb`, each
-/// machine in one shard of its preferred owner. The commits of two controllers that record the
-/// same new machine concurrently cannot both succeed.
+/// The machines of a zone are recorded in machine shards, none of which exceeds `value_kb`. Each
+/// machine is in one shard of its preferred owner. If two controllers record the same new machine
+/// concurrently, at most one of their commits can succeed.
 #[test]
 fn large_zone_is_recorded_in_several_shards() {
     let settings = settings();
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -38,8 +38,8 @@
         prop_assert!(distinct.iter().all(|number| *number < shards));
     }
 
-    /// Whichever machines are removed from a zone shard, its text stays within the bound that
-    /// was computed before.
+    /// The bound on the length of a zone shard's text still holds after any machines are removed
+    /// from the shard.
     #[test]
     fn zone_shards_stay_within_their_bound(
         numbers in proptest::collection::btree_set(0u32..5000, 1..400),
@@ -62,8 +62,8 @@
     }
 }
 
-/// Machine shards of the only controller of zone `a`, with a replica in which all controllers
-/// can read the newest formats.
+/// The machine shards of one controller, the only one in zone `a`. In the replica, all
+/// controllers can read the newest formats.
 struct OwnerShards {
     settings: Settings,
     replica: Replica,
@@ -193,8 +193,10 @@
     }
 }
 
-/// Every shard is a precondition until all controllers support groups and a shard of the
-/// owner has been written after that: older versions of the program rely on it.
+/// A commit that records a new machine normally has preconditions only on the owner's shards in
+/// one group. Older versions of the program expect a precondition on every shard of the owner.
+/// All of them are therefore preconditions until every controller supports groups and, after
+/// that, a shard of the owner has been written, so that older commits in flight fail.
 #[test]
 fn all_shards_are_preconditions_until_older_commits_are_void() {
     let mut owner = OwnerShards::new(10);
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -289,9 +289,9 @@
     assert!(owned_worker.accept_status(worker_status(8, 5, json!([])), false));
 }
 
-/// While a machine was lost and then claimed again, another controller may have launched the
-/// same attempt on it. Evidence of a termination that was queued before that is no longer
-/// valid.
+/// After a machine was lost and claimed again, another controller may have launched the same
+/// attempt of a task on it in the meantime. Evidence of a termination that was queued under the
+/// earlier claim is therefore no longer valid.
 #[test]
 fn termination_is_recorded_only_under_the_claim_that_proved_it() {
     let cases: &[(&str, u64, MachineLifecycle, u64, ReleaseOutcome)] = &[
@@ -401,8 +401,8 @@
     );
 }
 
-/// An owner that cannot send commands yet does not renew the lease of a worker with a task
-/// that must be stopped: otherwise a cancelled task would keep running.
+/// An owner that cannot send commands yet does not renew the lease of a worker that runs a task
+/// that must be stopped. Otherwise a cancelled task would keep running.
 #[test]
 fn lease_is_not_renewed_while_a_task_must_be_stopped() {
     let running = json!([{"board":"job-1/0","try":1,"stage":"running"}]);
@@ -426,8 +426,8 @@
     }
 }
 
-/// An answer that renews a lease stops all cancelled tasks in the heartbeat's status, whatever
-/// was commanded before and whatever the status's fencing token is.
+/// An answer that renews a lease contains a stop command for every cancelled task in the
+/// heartbeat's status. Earlier commands and the fencing token in the status make no difference.
 #[test]
 fn every_heartbeat_answer_stops_cancelled_tasks() {
     let tasks = json!([
@@ -456,14 +456,15 @@
     }
 }
 
-/// A worker's heartbeats arrive but it receives no answers. This is detected by an epoch that
-/// increases although its heartbeats were answered, or by a fencing token that the worker
-/// does not show.
+/// A worker's heartbeats arrive, but the answers do not reach the worker. There are two signs of
+/// this: the worker's epoch increases although its heartbeats were answered, or the worker does
+/// not report the fencing token that it was sent.
 #[test]
 fn worker_that_receives_no_answers_is_detected() {
     let lease = Duration::from_secs(10);
     let time_after = |start: Instant, seconds: f64| start + Duration::from_secs_f64(seconds);
-    // Seconds, epoch, sequence, fencing token, whether the worker counts as unreachable.
+    // Each heartbeat has the time in seconds, the epoch, the sequence number, the fencing token,
+    // and whether the worker counts as unreachable after it.
     type HeartbeatCase = (f64, u64, u64, u64, bool);
     let cases: &[(&str, &[HeartbeatCase])] = &[
         (
@@ -535,8 +536,9 @@
     }
 }
 
-/// A worker that answers direct calls but whose heartbeats do not arrive has no lease: its
-/// epoch increases repeatedly, and tasks that are launched on it are ended each time.
+/// The heartbeats of a worker do not arrive, but it answers direct calls. Its lease is no
+/// longer renewed and expires repeatedly. Each time, its epoch increases and the tasks that were
+/// launched on it end.
 #[test]
 fn worker_that_sends_no_heartbeats_is_detected() {
     let lease = Duration::from_secs(10);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,7 +1,7 @@
 //! Tests that stored records and messages between controllers keep their encoding, byte for
-//! byte. The expected texts were written by the version before names and modules were last
-//! changed. Different versions serve side by side and read what older ones stored, so that no
-//! change of the source may alter a byte of them.
+//! byte. Different versions serve side by side and read what older ones stored, so no change of
+//! the source may alter this encoding. The expected texts were written by the version before
+//! names and modules were last changed.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -308,8 +308,9 @@
     assert_eq!(*lease_id, None);
 }
 
-/// Asserts that both encodings of a job are decoded without loss, and that a decoded job is
-/// encoded again by either kind of replica as its own text.
+/// Asserts that both encodings of a job are decoded without loss. Also asserts that a decoded job
+/// is encoded again as `plain` by a replica that writes the plain encoding, and as `compact` by
+/// one that writes the compact encoding.
 fn assert_job_encodings(job: &Job, plain: &str, compact: &str) {
     assert_round_trip(job, plain);
     assert_decodes_to(job, compact);
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -1,5 +1,6 @@
-//! Launches are sent only while the controller's view of the state is recent: a job that
-//! is assigned in an older view may have been cancelled at another controller since.
+//! Launches (commands that start tasks) are sent only while the controller's view of the state is
+//! recent. In an older view, a job that was cancelled at another controller meanwhile still looks
+//! as if it must run. A barrier is a read that brings the view up to date.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -30,8 +31,8 @@
     }
 }
 
-/// Checks that all launches, and no other commands, are deferred without a recent
-/// barrier.
+/// Checks that without a recent barrier all launches are deferred, and all other commands are
+/// still sent.
 #[test]
 fn launches_are_deferred_without_a_recent_view() {
     use CommandAction::{Forget, Start, Stop};
@@ -81,7 +82,7 @@
 /// most a quarter of the lease.
 #[test]
 fn launch_limit_is_a_small_multiple_of_the_barrier_interval() {
-    // Lease and cancellation limit, in seconds; requests per second.
+    // Each case has the lease and the cancellation limit in seconds, and the requests per second.
     for (lease_s, cancel_s, rps) in [
         (10.0, 30.0, 150.0),
         (10.0, 40.0, 200.0),
@@ -113,7 +114,8 @@
 /// far away, and that an answer which arrives after the send deadline is accepted.
 #[test]
 fn call_is_not_sent_after_its_send_deadline() {
-    // Send and answer deadlines from now, in seconds; whether the call arrives.
+    // Each case has a name, the send and answer deadlines in seconds from now, and whether the
+    // call arrives.
     let cases = [
         ("before both deadlines", 1.0, 4.0, true),
         ("send deadline passed", 0.0, 4.0, false),
@@ -162,10 +164,10 @@
     });
 }
 
-/// A deployment in which machines hang for slightly longer than their lease and return
-/// without the tasks that are assigned to them, so that their owner launches these tasks
-/// again. Shortly before, the state service refuses only the owner, and some jobs are
-/// cancelled at another controller.
+/// A deployment in which machines hang for slightly longer than their lease. When they resume,
+/// the tasks that are assigned to them have ended, so their owner launches these tasks again.
+/// Shortly before they resume, the state service refuses only the owner, and some jobs are
+/// cancelled at another controller, so the owner does not learn of the cancellations.
 struct RefusedOwner {
     simulation: Rc<Simulation>,
     owner: usize,
@@ -175,9 +177,9 @@
     uncancelled: Vec<String>,
 }
 
-/// Runs a deployment until shortly before its hanging machines return. The state service
-/// begins to refuse their owner `refused_s` seconds before their return, and the jobs are
-/// cancelled `cancelled_s` seconds before it.
+/// Runs a deployment until shortly before its hanging machines resume. The state service begins
+/// to refuse the machines' owner `refused_s` seconds before they resume, and the jobs are
+/// cancelled `cancelled_s` seconds before they resume.
 async fn refuse_owner_before_machines_return(
     seed: u64,
     refused_s: f64,
@@ -221,9 +223,9 @@
     }
 }
 
-/// Checks that no task is launched later than the launch limit after another controller
-/// confirmed its cancellation, for cancellations at different times before the machines
-/// return.
+/// Checks that no task is launched once the launch limit has passed since another controller
+/// confirmed the task's cancellation. The jobs are cancelled at different times before the
+/// machines resume.
 #[test]
 fn no_task_is_launched_long_after_its_cancellation_elsewhere() {
     for variant in 0..12u32 {
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -214,8 +214,8 @@
             AcceleratorProtection::Lax,
         );
         let Ok(places) = result else {
-            // The gang would need the free capacity of three zone shards, so that machines are
-            // rented for it.
+            // The gang would need the free capacity of three zone shards, which one commit
+            // cannot write. It waits until machines are rented for it.
             assert_eq!((kind, tasks), (JobKind::Gang, 9), "{result:?}");
             assert_eq!(result, Err(WaitReason::NoCapacity));
             continue;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Tests of what operators write and read: policies, the command line and reports.
+//! Tests of the operators' interfaces: policies, the command line and reports.
 
 use std::process::Command;
 
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Checks that a job may be submitted immediately after its dependency at another
-/// controller, which has not seen the commit of the dependency yet.
+/// Checks that a job may be submitted immediately after the job that it depends on, at another
+/// controller that has not yet seen the commit of that dependency.
 #[test]
 fn dependent_may_be_submitted_at_another_controller_immediately() {
     run_in_simulated_time(|| async {
@@ -165,7 +165,8 @@
                 "{dependencies}"
             );
         }
-        // A controller that gets no barrier cannot tell whether an id is unknown.
+        // A controller that cannot bring its view up to date (no barrier succeeds) cannot tell
+        // whether an id is unknown.
         simulation
             .simulated_network
             .partition(controller_addr(0), state_addr(0));
@@ -176,9 +177,9 @@
     });
 }
 
-/// Checks that a list of dependencies that does not fit into a record is rejected, and
-/// that a job with a slightly shorter list waits and then runs, as its record has enough
-/// space left for the state of its tasks.
+/// Checks that a list of dependencies that does not fit into a record is rejected. A job with a
+/// slightly shorter list waits and then runs, because its record still has space for the state
+/// of its tasks.
 #[test]
 fn long_dependency_lists_are_rejected_or_run() {
     run_in_simulated_time(|| async {
@@ -231,7 +232,8 @@
 
 #[test]
 fn cancellation_includes_all_dependents() {
-    // Seed; index of the cancelled job in the chain; whether the first job runs.
+    // Each case has a seed, the index of the cancelled job in the chain, and whether the first
+    // job runs.
     for (seed, cancelled_index, first_runs) in [
         (20, 0, true),
         (21, 0, false),
@@ -408,8 +410,8 @@
     });
 }
 
-/// Checks that a waiting job uses nothing of its team's limit, and that no machine is
-/// kept idle for it.
+/// Checks that a job that waits for its dependencies uses nothing of its team's limit, and that
+/// no machine is kept idle for it.
 #[test]
 fn waiting_job_uses_no_resources() {
     run_in_simulated_time(|| async {
@@ -447,8 +449,8 @@
     });
 }
 
-/// Checks that the last job does not wait for machines to boot: they are rented while the
-/// job that it awaits is close to its end, but not long before that.
+/// Checks that the last job does not wait for machines to boot. Its machines are rented when the
+/// job that it depends on is close to its end, but not long before that.
 #[test]
 fn machines_are_rented_shortly_before_a_job_becomes_ready() {
     run_in_simulated_time(|| async {
@@ -517,7 +519,7 @@
             simulation.query_stage(0, &second).await.as_deref(),
             Some("queued")
         );
-        // The result is permanent: a controller that is down later does not change it.
+        // This is permanent: jobs with dependencies are accepted although a controller is down now.
         simulation.kill_controller(1);
         simulation
             .submit(with_dependencies(job(9, "batch", 1, 1.0), &[&second]))
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -62,11 +62,11 @@
 /// A way in which the state service refuses requests of controllers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Refusal {
-    /// Outage of the state service for all controllers.
+    /// The state service refuses all requests of all controllers.
     Outage,
-    /// Refusal of a single controller by the state service.
+    /// The state service refuses all requests of one controller.
     OneController,
-    /// Refusal of all commits, while reads are served.
+    /// The state service refuses all commits but serves reads.
     Commits,
 }
 
@@ -87,8 +87,8 @@
     }
 }
 
-/// Checks that requests which arrive as the state service begins to refuse, and later,
-/// are answered without waiting, and that each 503 says when to retry.
+/// Checks that requests are answered without waiting, both at the moment at which the state
+/// service begins to refuse and later. Each 503 must say when to retry.
 #[test]
 fn refused_requests_are_answered_immediately() {
     let refusals = [Refusal::Outage, Refusal::OneController, Refusal::Commits];
@@ -208,8 +208,8 @@
     }
 }
 
-/// Clears the log of this thread, and installs the subscriber that all tests of this
-/// program share.
+/// Clears the log of this thread. The first call also installs the subscriber that all tests of
+/// this test program share.
 fn start_log() {
     static SUBSCRIBED: Once = Once::new();
     SUBSCRIBED.call_once(|| {
@@ -250,9 +250,8 @@
     }
 }
 
-/// Checks that a record of any kind with invalid content is logged with its key, and that
-/// all jobs which do not need it still run, both with the running controllers and after
-/// their restart.
+/// Checks that a record of any kind with invalid content is logged with its key. All jobs that do
+/// not need the record must still run, both before and after a restart of the controllers.
 #[test]
 fn unreadable_records_delay_no_other_job() {
     let keys = [
@@ -318,10 +317,10 @@
     }
 }
 
-/// Checks that a job whose record cannot be read is reported neither as unknown nor in a
-/// stage, as it was accepted and may be finished; only a controller that has seen its
-/// final stage still reports that stage. Once the record can be read again, the job is in
-/// the same stage as before.
+/// Checks that a job whose record cannot be read is reported neither as unknown nor in a stage,
+/// because it was accepted and may be finished. Only a controller that has seen the job's final
+/// stage still reports that stage. Once the record can be read again, the job is in the same
+/// stage as before.
 #[test]
 fn unreadable_job_is_reported_neither_as_unknown_nor_in_a_stage() {
     run_in_simulated_time(|| async {
@@ -403,8 +402,9 @@
     });
 }
 
-/// Checks that one unreadable job, in a record with which several jobs were accepted,
-/// does not keep the others from running, and is not accepted again with other content.
+/// Checks a batch record, which stores several jobs that were accepted together, in which one job
+/// is unreadable. The other jobs must run, and the unreadable one must not be accepted again with
+/// other content.
 #[test]
 fn one_unreadable_new_job_does_not_affect_the_others() {
     run_in_simulated_time(|| async {
@@ -504,8 +504,8 @@
     });
 }
 
-/// Checks that a dependent of a job which was accepted a moment ago at another controller
-/// is accepted or answered 503, but never rejected permanently, while this controller
+/// Checks that a job is never rejected permanently because it depends on a job that was accepted
+/// a moment ago at another controller. It is accepted or answered 503, even while this controller
 /// receives the events of the state late or is refused by the state service.
 #[test]
 fn job_accepted_elsewhere_is_never_reported_as_unknown() {
@@ -569,10 +569,10 @@
     }
 }
 
-/// Checks that a list of dependencies must also fit the lower limits that are configured
-/// as the next ones: a list that fits only the present limits is rejected permanently, a
-/// shorter one is accepted and its job runs under the lower limits, and the repeated
-/// submission of an accepted job returns its stage whatever it awaits.
+/// Checks that a list of dependencies must also fit the lower limits that the setting
+/// `state.next` announces. A list that fits only the present limits is rejected permanently. With
+/// a shorter list, the job is accepted and runs under the lower limits. A repeated submission of
+/// an accepted job returns the job's stage, whatever its list of dependencies is.
 #[test]
 fn dependency_lists_must_fit_the_next_record_limits() {
     run_in_simulated_time(|| async {
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -59,19 +59,19 @@
 /// A fault that occurs while a pipeline runs or is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
-    /// Commits that are applied but whose answers are lost.
+    /// Some commits are applied, but their answers are lost.
     LostAnswers,
-    /// Commits that are applied some seconds late.
+    /// Some commits are applied seconds late and get no answer.
     LateCommits,
-    /// Commits that are late or unanswered at random.
+    /// Commits are late or unanswered at random.
     MixedAnswers,
-    /// Copies of old reports that reach every controller.
+    /// Late copies of old heartbeats reach every controller.
     LateReportCopies,
-    /// Restarts of one controller after another.
+    /// The controllers restart one after another.
     Restarts,
-    /// Outage of the state service that is longer than a cancellation may take.
+    /// The state service is down for longer than a cancellation may take.
     LongOutage,
-    /// Refusal of a single controller by the state service, for the same time.
+    /// The state service refuses one controller for longer than a cancellation may take.
     OneRefused,
 }
 
@@ -266,9 +266,8 @@
     }
 }
 
-/// Checks that a cancellation which arrives after the job is done is answered with
-/// `done`, and that the dependents continue, at whichever controller it arrives and
-/// during each fault.
+/// Checks that a cancellation of a job that is already done is answered with `done`, and that the
+/// job's dependents continue. This must hold at every controller and during each fault.
 #[test]
 fn cancellation_of_a_done_job_ends_no_dependent() {
     for (n, fault) in [Fault::LostAnswers, Fault::Restarts, Fault::OneRefused]
@@ -345,8 +344,8 @@
     });
 }
 
-/// Checks that an urgent job that waits for its dependency preempts no other job,
-/// although its team uses less than its guarantee. Once the job is ready, it does.
+/// Checks that an urgent job preempts no other job while it waits for its dependency, although
+/// its team uses less than its guarantee. Once the dependency is done, the job preempts others.
 #[test]
 fn waiting_job_preempts_no_other_job() {
     run_in_simulated_time(|| async {
@@ -391,9 +390,9 @@
     });
 }
 
-/// Checks that the time for which a job waits for its dependencies does not count as its
-/// own waiting time, neither at controllers that observed it throughout nor after a
-/// restart of all controllers.
+/// Checks that the time for which a job waits for its dependencies does not count as waiting
+/// time in the queue. This must hold at controllers that observed the job throughout, and after
+/// a restart of all controllers.
 #[test]
 fn waiting_time_counts_from_readiness() {
     for restarts in [false, true] {
--- a/tests/record_trim.rs
+++ b/tests/record_trim.rs
@@ -1,5 +1,6 @@
 //! Tests that job records above the upcoming limit are trimmed to what the job still needs,
-//! and that a trimmed record allows nothing that the original did not allow.
+//! and that a trimmed record allows nothing that the original did not allow. The upcoming limit
+//! is a lower limit of the state service that the settings announce before it is in force.
 
 use std::collections::BTreeSet;
 
@@ -89,7 +90,8 @@
     encoding::encode_job(job).expect("text").len()
 }
 
-/// Returns the job trimmed to the limit, or `None` if nothing is trimmed.
+/// Returns the job trimmed to `limit` bytes in the compact encoding, or `None` if nothing is
+/// trimmed.
 fn trim(job: &Job, slo_classes: &[&str], limit: usize) -> Option<Job> {
     let context = TrimContext {
         machine_types: &offered_types(),
@@ -307,7 +309,8 @@
 }
 
 /// Once all versions read the compact encoding, the replica trims a record in the commit that
-/// writes it. It also tracks jobs whose records fit but leave no space for a task.
+/// writes the record. The replica also tracks jobs whose records fit but leave no space for a
+/// booking.
 #[test]
 fn records_are_trimmed_when_written() {
     let job = running_job(JobKind::Array);
--- a/tests/service/heartbeats.rs
+++ b/tests/service/heartbeats.rs
@@ -8,9 +8,9 @@
 
 use crate::stand_ins::{CONTROLLERS, Scenario, StateFault, job};
 
-/// Checks that old heartbeats which arrive again, at every controller and at one that has
-/// just restarted, neither end, release nor launch a task, and do not make a lost machine
-/// count as alive.
+/// Checks that late copies of old heartbeats neither end, release nor launch a task, and do not
+/// make a lost machine count as alive. Every controller receives the copies; one of them has just
+/// restarted.
 #[test]
 fn late_copies_of_heartbeats_change_nothing() {
     Scenario::new(14).run(|simulation| async move {
@@ -57,9 +57,9 @@
 }
 
 /// Checks that a worker stays with a controller that cannot claim it yet, but only for a
-/// limited time and without a renewed lease. The controller answers its heartbeats with
-/// token 0, which the worker must ignore. If the worker were redirected instead, it would
-/// try unreachable controllers until its lease expires.
+/// limited time and without a renewed lease. The controller answers the worker's heartbeats
+/// with fencing token 0, which the worker must ignore. If the controller redirected the worker
+/// instead, the worker would try unreachable controllers until its lease expires.
 #[test]
 fn worker_with_a_slow_claim_stays_for_a_limited_time() {
     Scenario::new(19).run(|simulation| async move {
@@ -80,8 +80,8 @@
                     .send_request(i, "POST", "/agent/beat", Some(&heartbeat))
                     .await;
                 answers.push((status, body["baton"].as_u64()));
-                // The interval at which a worker sends heartbeats; no answer delays the
-                // next one.
+                // This is the interval of a worker's heartbeats. The answer to one heartbeat
+                // does not delay the next.
                 sleep(Duration::from_secs(1)).await;
             }
             // The worker may be redirected once, to its preferred owner or its owner.
@@ -103,8 +103,8 @@
     });
 }
 
-/// Checks that a heartbeat does not wait for a claim that the state service refuses: it
-/// is answered immediately, without a token that would renew the lease.
+/// Checks that a heartbeat is answered immediately if the state service refuses the claim of
+/// its worker. The answer must not contain a fencing token that would renew the lease.
 #[test]
 fn heartbeat_does_not_wait_for_a_refused_claim() {
     Scenario::new(23).run(|simulation| async move {
@@ -139,12 +139,11 @@
     });
 }
 
-/// Checks that workers change to another controller when theirs loses the connection to
-/// them, but not to its peers and the state service, and that they return later. The
-/// peers must not redirect the workers back to the unreachable controller, or their
-/// leases would expire. Once it is reachable again, the preferred owners must accept the
-/// workers and not redirect them to their present owner, or one controller would keep all
-/// workers.
+/// Checks that workers change to other controllers when a controller is cut off from them, and
+/// that they return later. The controller can still reach its peers and the state service. The
+/// peers must not redirect the workers back to it, or the workers' leases would expire. Once it
+/// is reachable again, each worker's preferred owner must accept the worker and not redirect it
+/// to its present owner, or one controller would keep all workers.
 #[test]
 fn workers_change_owner_when_cut_off_and_return_to_their_preferred_owner() {
     Scenario::new(21).run(|simulation| async move {
--- a/tests/service/jobs.rs
+++ b/tests/service/jobs.rs
@@ -102,9 +102,8 @@
     });
 }
 
-/// Checks that jobs of lower priority are preempted for all replicas of a service
-/// together, not for one after another: all replicas run before a new machine could have
-/// booted.
+/// Checks that preemption frees capacity for all replicas of a service at once, not for one
+/// replica after another. All replicas must run before a new machine could have booted.
 #[test]
 fn preemption_frees_capacity_for_all_replicas_of_a_service_together() {
     Scenario::new(16).run(|simulation| async move {
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -56,9 +56,10 @@
     });
 }
 
-/// Checks that faulty jobs, which fail on every machine, cause no machine to be returned,
-/// are retried at a limited rate, leave capacity to other jobs, are shown to operators
-/// with the machines on which they failed, and end immediately when they are cancelled.
+/// Checks that a faulty job, which fails on every machine, does not cause machines to be
+/// returned. Such a job is retried at a limited rate and leaves capacity to other jobs.
+/// Operators see it with the machines on which it failed. When it is cancelled, it ends
+/// immediately.
 #[test]
 fn failures_of_a_faulty_job_are_not_attributed_to_machines() {
     Scenario::new(23).run(|simulation| async move {
@@ -75,8 +76,8 @@
         let machines: Vec<String> = simulation.workers.borrow().keys().cloned().collect();
         let starts = simulation.task_start_count.get();
         sleep(Duration::from_secs(60)).await;
-        // Six jobs with one attempt per minute each once they count as faulty; an
-        // attempt of a gang starts two tasks.
+        // Six jobs are attempted once per minute each after they count as faulty. An attempt of
+        // a gang starts two tasks.
         assert!(
             simulation.task_start_count.get() - starts <= 16,
             "{}",
@@ -126,9 +127,9 @@
     });
 }
 
-/// Checks that a machine is replaced if its reports arrive while answers and commands do
-/// not reach it: its tasks start elsewhere once they have provably ended on it, it
-/// receives no new tasks, and it is returned.
+/// Checks that a machine is replaced if its heartbeats arrive but no answers or commands reach
+/// it. It gets no new tasks and is returned. Its tasks start elsewhere once it is proved that
+/// they have ended on this machine.
 #[test]
 fn machine_that_receives_no_messages_is_replaced() {
     Scenario::new(12).run(|simulation| async move {
@@ -152,8 +153,7 @@
     });
 }
 
-/// Checks that a machine that receives messages again before it is returned is used
-/// again.
+/// Checks that an unreachable machine is used again if messages reach it before it is returned.
 #[test]
 fn machine_that_receives_messages_again_is_used_again() {
     Scenario::new(13).run(|simulation| async move {
@@ -208,8 +208,8 @@
         bound["yard"] = json!("a");
         let bound = simulation.submit(bound).await;
         sleep(Duration::from_secs(300)).await;
-        // One machine for the two tasks, another one when that is late, and so on,
-        // after longer and longer delays.
+        // One machine is rented for the two tasks. If it does not boot in time, another one is
+        // rented, and so on, after longer and longer delays.
         assert!(
             simulation.rented_machine_count.get() <= 9 + 12,
             "{}",
@@ -228,15 +228,16 @@
     });
 }
 
-/// Checks that a fleet leader which restarts in the middle of a rental finds its own
-/// lease in the state still valid, continues with the rental, and rents no machine twice.
+/// Checks that a fleet leader which restarts in the middle of a rental continues with the
+/// rental and rents no machine twice. The leader's lease at the state service, from before the
+/// restart, is still valid then.
 #[test]
 fn restarted_fleet_leader_continues_its_rentals() {
     Scenario::new(15).run(|simulation| async move {
         let first = simulation.submit(job(1, "batch", 2, 2.0)).await;
         simulation.wait_for_stage(&first, "done", 100).await;
-        // In the middle of a rental: the intent to rent is committed in the state, and
-        // the cloud's answer gets lost.
+        // The controllers restart in the middle of a rental: the intent to rent is committed,
+        // but the cloud's answer is lost.
         let gang = simulation.submit(job(2, "gang", 5, 5.0)).await;
         sleep(Duration::from_millis(700)).await;
         for i in 0..CONTROLLERS {
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -1,4 +1,5 @@
-//! Network partitions and frozen controllers: a missing message alone proves nothing.
+//! Network partitions and frozen controllers. The missing messages alone must not be taken as
+//! proof that a machine is lost or that a task has ended.
 
 use std::time::Duration;
 
@@ -16,8 +17,8 @@
         simulation.wait_for_stage(&service, "running", 100).await;
         sleep(Duration::from_secs(5)).await;
         assert_eq!(simulation.running_task_count(&service), 4);
-        // All controllers but one lose the state service; their workers stay with
-        // them as long as they answer.
+        // All controllers but one are disconnected from the state service. Their workers stay
+        // with them as long as they answer heartbeats.
         for i in 0..CONTROLLERS - 1 {
             simulation
                 .simulated_network
@@ -64,19 +65,20 @@
     });
 }
 
-/// Checks that controllers which freeze for two seconds up to longer than a lease, one,
-/// most or all of them, return no healthy machine afterwards and carry out no decision
-/// from before the freeze, and that tasks whose leases did not expire still run.
+/// Checks the controllers' behaviour after a freeze of one, most or all of them, for two seconds
+/// up to longer than a lease. They must return no healthy machine and carry out no decision from
+/// before the freeze. Tasks on machines whose leases did not expire must still run.
 #[test]
 fn frozen_controllers_act_on_no_outdated_information() {
     let all: [usize; 3] = [0, 1, 2];
     let cases: [(&[usize], f64, u64); 5] = [
         (&all[..1], 2.0, 0),
         (&all[..1], 13.0, 0),
-        // A worker that tries both frozen controllers finds the third too late to keep
-        // its lease.
+        // A worker that first tries both frozen controllers reaches the third only after its
+        // lease has expired.
         (&all[..2], 25.0, u64::MAX),
-        // All controllers: for less than a lease, and for so long that all leases expire.
+        // All controllers freeze: in one case for less than a lease, in the other until all
+        // leases have expired.
         (&all, 5.0, 0),
         (&all, 35.0, u64::MAX),
     ];
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -45,8 +45,8 @@
     });
 }
 
-/// Checks that jobs complete although a commit without an answer may have been applied,
-/// or may still be applied later.
+/// Checks that jobs complete although some commits get no answer: such a commit may have been
+/// applied, or may still be applied later.
 #[test]
 fn jobs_complete_despite_lost_and_late_commit_answers() {
     for (seed, trouble) in [(4, StateFault::LostResponses), (5, StateFault::LateCommits)] {
@@ -133,9 +133,9 @@
     });
 }
 
-/// Checks that a wait for the write budget ends when the budget is available, not at the
-/// time first estimated: the controller's share of the write rate may grow during the
-/// wait.
+/// Checks that a wait for the write budget ends as soon as the budget is available. This may be
+/// earlier than first estimated, because the controller's share of the write rate may grow
+/// during the wait.
 #[test]
 fn wait_for_the_write_budget_follows_the_current_share() {
     run_in_simulated_time(|| async {
@@ -163,8 +163,7 @@
         let start = Instant::now();
         let raise_share = async {
             sleep(Duration::from_secs(2)).await;
-            // The controller counts as one with writes to send, although it has not
-            // sent any during the wait.
+            // The waiting write counts as demand, although nothing was sent during the wait.
             assert!(state_client.demand() > 0.5, "{}", state_client.demand());
             state_client.set_write_rate(100.0);
         };
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -1,5 +1,8 @@
 //! A checker that reads every committed revision and verifies the invariants of shares,
-//! bookings and moves. It computes all sums itself, from the records alone.
+//! bookings and moves. It computes all sums from the records, independently of the program.
+//!
+//! Each move increases the generation of its team's share record by one. A generation is settled
+//! once no move of the team is pending.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,18 +17,18 @@
 
 use crate::stand_ins::{DeploymentOptions, Simulation};
 
-/// An invariant that can be violated.
+/// A violation of an invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// The shares of a team add up to more than its limit.
     AboveLimit,
-    /// All shares, or the pool, have more than the machines on record.
+    /// The sum of all shares, or the pool, exceeds the capacity of the machines on record.
     AboveMachines,
     /// More is booked against a share than it has.
     Overbooked,
-    /// A job changed in other ways when it was charged to another share.
+    /// Apart from its share, a job changed when a move charged it to another share.
     MovedJobChanged,
-    /// A share record changed in other ways than its moves request.
+    /// The change of a share record does not match the moves that were requested.
     WrongMove,
     /// The record of a move was changed or removed.
     MoveRewritten,
@@ -38,11 +41,11 @@
 pub struct Counts {
     pub revisions: usize,
     pub moves: usize,
-    /// Number of reassignments of a job with bookings to another share by a move.
+    /// Number of times that a move charged a job with bookings to another share.
     pub jobs_reassigned: usize,
     /// Number of generations that were settled.
     pub settled: usize,
-    /// Number of generations that were superseded by a later one before they were settled.
+    /// Number of moves that were requested before the previous generation was settled.
     pub superseded: usize,
     /// Number of machines that were removed from the records.
     pub machines_removed: usize,
@@ -110,7 +113,8 @@
         checker
     }
 
-    /// Returns a checker for the limits of this deployment, which is given commits by `observe`.
+    /// Returns a checker for the limits of this deployment. The caller passes each commit to
+    /// [`observe`](Self::observe).
     pub fn new(shape: &DeploymentOptions) -> Self {
         let limits = shape.teams.iter();
         Checker {
@@ -240,8 +244,9 @@
         self.violations.entry(violation).or_insert(description);
     }
 
-    /// Checks that a job that a move charges to another share is otherwise unchanged, and that
-    /// a commit that books tasks changes the share only when no earlier booking remains.
+    /// Applies a written job and checks the change of its share. If a move charges the job to
+    /// another share, nothing else of the job may change. A commit that books tasks may change
+    /// the share only if no earlier booking remains.
     fn apply_job(&mut self, id: &str, job: Option<Job>, books: bool, revision: u64) {
         let Some(job) = job else {
             self.jobs.remove(id);
@@ -275,8 +280,8 @@
         }
     }
 
-    /// Checks that the record of a move is written once and never changed or removed. Returns
-    /// a new record.
+    /// Applies the written record of a move, which must never be changed or removed later.
+    /// Returns the record if it is new.
     fn apply_move(
         &mut self,
         id: &str,
@@ -306,8 +311,8 @@
         self.machines.insert(shard.to_string(), resources.sum());
     }
 
-    /// Checks that the generation of a share record increases by one with each move and
-    /// otherwise not at all, and that each move changes the target amounts by its amount.
+    /// Checks that the generation of a share record increases by exactly one with each move, and
+    /// that each move changes the targets of its two shares by the amount that it moves.
     fn check_generations(
         &mut self,
         before: &BTreeMap<String, Share>,
--- a/tests/shares/checker_tests.rs
+++ b/tests/shares/checker_tests.rs
@@ -1,4 +1,5 @@
-//! Tests that the checker reports each kind of violation, and none without a violation.
+//! Tests that the checker reports each kind of violation, and reports nothing if no invariant is
+//! violated.
 
 use std::collections::BTreeMap;
 
--- a/tests/shares/churn.rs
+++ b/tests/shares/churn.rs
@@ -15,7 +15,7 @@
 use crate::setup::*;
 use crate::stand_ins::{Simulation, StateFault, job, run_in_simulated_time};
 
-/// A fault that is caused while a move is pending.
+/// A fault that the test injects while a move is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Fault {
     ControllerStops,
@@ -48,7 +48,7 @@
 /// Number of moves between two faults.
 const MOVES_PER_FAULT: usize = 8;
 
-/// Number of unfinished jobs at any time.
+/// Number of unfinished jobs that the test maintains.
 const OPEN_JOBS: usize = 24;
 
 /// The state of one run of the test.
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Submits jobs of all kinds up to the number of open jobs, and cancels some.
+    /// Submits jobs of all kinds until [`OPEN_JOBS`] are unfinished, and cancels some.
     async fn submit_and_cancel_jobs(&self) {
         while self.open_jobs.borrow().len() < OPEN_JOBS {
             let n = *self.submitted_count.borrow() + 1;
@@ -143,7 +143,7 @@
         panic!("{id} was not cancelled");
     }
 
-    /// Causes a fault while a move is pending, and ends the fault.
+    /// Injects a fault while a move is pending, and removes the fault afterwards.
     async fn cause_fault(&self, fault: Fault) {
         for _ in 0..20 {
             if self.checker.is_moving() {
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Fills the limits of both teams with services: whatever the shares are by then, each team
-    /// can use its whole limit.
+    /// Fills the limits of both teams with services. This checks that each team can use its whole
+    /// limit, however it is divided into shares by then.
     async fn fill_team_limits(&self) {
         let first_number = *self.submitted_count.borrow() + 1;
         // Services of four CPUs each, which together fill the limits.
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -46,8 +46,8 @@
     (stopped, task)
 }
 
-/// Lets the state service accept the change of the first team's accounting and refuse those of
-/// other teams.
+/// Makes the state service refuse every commit that changes a team's accounting, except the
+/// first.
 fn refuse_changes_after_the_first(simulation: &Simulation) {
     let has_changed = Cell::new(false);
     let gate = move |_: usize, body: &Value| {
@@ -81,7 +81,8 @@
 
 /// Returns whether share records or the pool are stored.
 fn has_shares(simulation: &Simulation) -> bool {
-    // Usage records remain stored after shares are disabled and no longer count.
+    // Usage records (`sh/use/`) are not checked: they stay stored after shares are disabled, but
+    // have no effect then.
     ["sh/share/", "sh/pool"]
         .iter()
         .any(|table| !simulation.state.records(table).is_empty())
@@ -161,7 +162,7 @@
         for id in arrays.await.expect("the load") {
             simulation.wait_for_stage(&id, "done", 120).await;
         }
-        // No booking was lost in the accounting: a job beyond the filled limit doesn't run.
+        // If the accounting had lost a booking, a job could run although the limit is filled.
         start_services(&simulation, 20, 6, "t").await;
         let job_beyond_limit = simulation.submit(job(40, "daemon", 1, 10.0)).await;
         sleep(secs(20.0)).await;
@@ -172,8 +173,8 @@
 }
 
 /// Controllers of an older version are replaced one after another. No records of shares are
-/// written before all controllers run the newer version, and a commit that an older one
-/// prepared before then fails.
+/// written before all controllers run the newer version. A commit that an older controller
+/// prepared before that fails if it arrives later.
 #[test]
 fn shares_are_not_written_while_older_versions_run() {
     run_in_simulated_time(|| async {
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -93,9 +93,9 @@
     .await;
 }
 
-/// Lets the state service accept the first transfer that reassigns jobs and refuse the later
-/// ones. Returns the flag that enables the refusals, and the controller that sent the first
-/// transfer.
+/// Makes the state service refuse every transfer that reassigns jobs, except the first. Returns
+/// the flag that enables the refusals, and a cell that will hold the controller that sent the
+/// first transfer.
 fn refuse_transfers_after_the_first(
     simulation: &Simulation,
 ) -> (Rc<Cell<bool>>, Rc<Cell<Option<usize>>>) {
@@ -185,7 +185,8 @@
 
         let cpus_after = [0, 1, 2].map(|i| granted_cpus(&checker, "t", i));
         assert_eq!(cpus_after[0], 0.0);
-        // A share may have grown in addition, to reassign a job that is larger than the move.
+        // A share may also have grown by more than the move, to take over a job that is larger
+        // than the moved amount.
         assert!(
             cpus_after[1] >= all - 8.0 && cpus_after[2] >= 8.0,
             "{cpus_after:?}"
--- a/tests/shares/main.rs
+++ b/tests/shares/main.rs
@@ -1,5 +1,6 @@
-//! Tests of shares of teams' limits: controllers book within their shares, and capacity moves
-//! between shares while jobs run.
+//! Tests of shares of teams' limits. A share is the part of a team's limit that one controller
+//! may have booked for the team. A move transfers capacity from the share of one controller to
+//! that of another while jobs run.
 
 mod checker;
 mod checker_tests;
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -30,8 +30,8 @@
     let counter = counts.clone();
     let observe = move |_: &_, keys: &[&str], _| {
         let writes_to = |table: &str| keys.iter().any(|key| key.starts_with(table));
-        // A commit with a booking also writes the usage record of the team or of the share
-        // that is charged.
+        // A commit with a booking also writes a usage record: that of the team or, with shares
+        // enabled, that of the charged share.
         if writes_to("sh/job/") && (writes_to("sh/team/") || writes_to("sh/use/")) {
             let (bookings, writes) = counter.get();
             let jobs = keys.iter().filter(|key| key.starts_with("sh/job/")).count();
@@ -85,8 +85,8 @@
     figures.get()
 }
 
-/// With shares, bookings of one team at several controllers write separate usage records and
-/// don't conflict on them, so that there are no more conflicts in all than without shares.
+/// With shares, bookings of one team at several controllers write separate usage records and do
+/// not conflict on them. In all, there must not be more conflicts than without shares.
 #[test]
 fn shares_cause_no_additional_conflicts() {
     for controllers in [3, 5] {
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -83,7 +83,8 @@
         sleep(secs(2.0)).await;
         let after = [source, destination, other].map(|i| granted_cpus(&checker, "t", i));
         assert_eq!([after[0], after[2]], [before[0] - 3.0, before[2]]);
-        // The share may have grown in addition, to reassign a job that is larger than the move.
+        // The share may also have grown by more than the moves, to take over a job that is larger
+        // than the moved amount.
         assert!(after[1] >= before[1] + 3.0, "{before:?} {after:?}");
         assert_eq!(checker.counts().moves, 2);
         checker.assert_no_violations("");
--- a/tests/shares/setup.rs
+++ b/tests/shares/setup.rs
@@ -68,7 +68,7 @@
         .await
 }
 
-/// Returns the CPUs that a controller may have booked for a team.
+/// Returns the CPUs that the share of a controller grants for a team.
 pub fn granted_cpus(checker: &Checker, team: &str, controller: usize) -> f64 {
     let share = checker.share(team).expect("a share record");
     share.granted_to(&format!("n{controller}")).cpus.units()
--- a/tests/stand_in_limits.rs
+++ b/tests/stand_in_limits.rs
@@ -1,5 +1,5 @@
-//! Tests of the limits that the simulated state service and cloud enforce by the protocol.
-//! Each limit gets one request that keeps to it and one that exceeds it.
+//! Tests that the simulated state service and cloud enforce the limits of the protocol. For each
+//! limit, the tests send one request that keeps to it and one that exceeds it.
 
 // Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
@@ -22,7 +22,8 @@
 /// Address from which the tests send requests.
 const CLIENT: &str = "10.3.0.9:1";
 
-/// A client of the stand-ins without the controllers' own rate and size limits.
+/// A client of the stand-ins. Unlike a controller, it does not limit the rate and size of its
+/// requests itself.
 struct UnthrottledClient(Client);
 
 impl UnthrottledClient {
@@ -59,8 +60,8 @@
     }
 }
 
-/// Starts a deployment without controllers whose state service has these limits, with a
-/// client.
+/// Starts a deployment without controllers whose state service has these limits. Returns it with
+/// a client.
 async fn world_with_limits(limits: StateLimits) -> (Rc<Simulation>, UnthrottledClient) {
     let simulation = Simulation::without_controllers(7, DeploymentOptions::default()).await;
     simulation.state.limits.set(limits);
