--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -228,8 +228,8 @@
     );
 }
 
-/// An overloaded controller sheds queries before other requests, but still answers for each
-/// job from time to time: a job without an answer for 75 s would count as forgotten.
+/// An overloaded controller sheds queries before other requests. It must still answer a query for
+/// each job from time to time, because a job without an answer for 75 s would count as forgotten.
 #[test]
 fn queries_are_shed_only_if_answered_recently() {
     let settings = settings();
--- a/tests/decisions/setup.rs
+++ b/tests/decisions/setup.rs
@@ -118,8 +118,8 @@
     PlacementHints::new(replica, "n0")
 }
 
-/// Returns a replica with the machine `m`, which controller `n0` has claimed with fencing
-/// token 5, and with a booking of task `job-1/0`, attempt 1, on it.
+/// Returns a replica with the machine `m`, claimed by controller `n0` with fencing token 5, on
+/// which attempt 1 of the task `job-1/0` is booked.
 pub fn replica_with_booking(kind: JobKind, edit_job: impl FnOnce(&mut Job)) -> Replica {
     let mut replica = replica_with_machine_types();
     let mut job = Job::new(job_spec(kind, 1, 1.0), 1);
--- a/tests/decisions/shards.rs
+++ b/tests/decisions/shards.rs
@@ -148,9 +148,9 @@
         .expect("a machine")
 }
 
-/// Two controllers record the same machine based on different states of their replicas: shards
-/// were filled, emptied or created in between. The commit that is applied second must fail, or
-/// the machine would be recorded in two shards.
+/// Two controllers record the same machine. Their replicas differ, because shards were filled,
+/// emptied or created in between. The commit that is applied second must fail, or the machine
+/// would be recorded in two shards.
 #[test]
 fn concurrent_commits_put_a_new_machine_into_one_shard() {
     type Change = fn(&mut OwnerShards);
--- a/tests/decisions/workers.rs
+++ b/tests/decisions/workers.rs
@@ -544,8 +544,8 @@
     let lease = Duration::from_secs(10);
     let start = Instant::now();
     let mut owned_worker = OwnedWorker::new(5, 1, start);
-    // Seconds, epoch, sequence, whether it is a heartbeat, whether the worker counts as
-    // unreachable.
+    // Each status has the time in seconds, the epoch, the sequence number, whether it came in a
+    // heartbeat, and whether the worker counts as unreachable after it.
     for (seconds, epoch, sequence, is_heartbeat, is_unreachable) in [
         (1.0, 1, 1, true, false),
         (5.0, 1, 2, false, false),
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -393,7 +393,7 @@
     assert_round_trip(&formats(), FORMATS_RECORD);
 }
 
-/// The compact encoding omits free resources, which no version reads.
+/// The compact encoding omits the free resources, because no version reads them.
 #[test]
 fn zone_shard_encodings_are_unchanged() {
     assert_round_trip(&zone_shard_with_free_resources(), ZONE_SHARD);
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -77,9 +77,9 @@
     }
 }
 
-/// Checks that the launch limit, which is the maximum age of a view from which tasks are
-/// launched, is two normal intervals between barriers, but at least a sixteenth and at
-/// most a quarter of the lease.
+/// Checks the launch limit: the maximum age of a view from which tasks are launched. The limit is
+/// two normal intervals between barriers, but at least a sixteenth and at most a quarter of the
+/// lease.
 #[test]
 fn launch_limit_is_a_small_multiple_of_the_barrier_interval() {
     // Each case has the lease and the cancellation limit in seconds, and the requests per second.
@@ -110,8 +110,8 @@
     }
 }
 
-/// Checks that a call is not sent after its send deadline, even if its answer deadline is
-/// far away, and that an answer which arrives after the send deadline is accepted.
+/// Checks that a call is not sent after its send deadline, even if the deadline for its answer is
+/// far away. An answer that arrives after the send deadline must still be accepted.
 #[test]
 fn call_is_not_sent_after_its_send_deadline() {
     // Each case has a name, the send and answer deadlines in seconds from now, and whether the
@@ -185,7 +185,7 @@
     refused_s: f64,
     cancelled_s: f64,
 ) -> RefusedOwner {
-    // Longer than the lease, but shorter than the time after which the owner may treat
+    // The machines hang for longer than their lease, but not so long that the owner may treat
     // the lease as expired.
     const HANG_S: f64 = 10.3;
     let simulation = Simulation::new(seed).await;
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -305,8 +305,8 @@
             let dependent_job =
                 crate::stand_ins::with_dependencies(job(6, "batch", 2, 1.0), &[&long_job]);
             simulation.register_job(&dependent_job);
-            // Checks the stored formats and that dependencies are refused, while `seconds`
-            // pass.
+            // Checks for `seconds` that production can read every stored record. Then checks
+            // that jobs with dependencies are refused and that the new formats are not in use.
             let check_while_old = async |seconds: u32| {
                 for _ in 0..seconds * 4 {
                     assert_eq!(
--- a/tests/limits/production_records.rs
+++ b/tests/limits/production_records.rs
@@ -49,8 +49,8 @@
     decode_and_check_round_trip::<ProvisioningRequest>(PROVISIONING_REQUEST);
     decode_and_check_round_trip::<MachineTypesRecord>(TYPES);
     decode_and_check_round_trip::<ControllerRecord>(FLEET_LEADER);
-    // The compact encoding restores the same bytes. Only the free resources of a zone shard
-    // are lost, which no version reads.
+    // The compact encoding restores the same bytes, except for the free resources of a zone
+    // shard. It omits them, because no version reads them.
     let decoded: Job = decode(encoding::encode_job(&job));
     assert_eq!(serde_json::to_string(&decoded).expect("text"), JOB);
     let decoded: MachineShard = decode(encoding::encode_machine_shard(&machine_shard));
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -17,8 +17,8 @@
 use shelfhoist::state::records::*;
 
 /// A machine shard whose compact encoding still exceeds the limit is split in the commit that
-/// writes it. No machine is lost, duplicated or changed, whichever of the two records is
-/// applied first.
+/// writes the shard. No machine is lost, duplicated or changed, whichever of the two resulting
+/// records the replica applies first.
 #[test]
 fn oversized_machine_shard_is_split_in_one_commit() {
     let mut replica = production_replica(1, 60);
@@ -155,8 +155,9 @@
     assert_eq!(nonempty.count(), 1, "after {merges}");
 }
 
-/// A gang is placed in two zone shards at most, because one commit of four writes also
-/// contains the job and its team. A service may be placed over several commits.
+/// A gang is placed in at most two zone shards: it must be booked in one commit, and two of the
+/// commit's four writes are those of the job and its team. A service may be booked in several
+/// commits.
 #[test]
 fn gang_is_placed_in_at_most_two_zone_shards() {
     let mut shape = deployment();
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -24,9 +24,9 @@
     queries_immediately: bool,
 }
 
-/// Checks that no rule is broken when the leader restarts, is killed, freezes or is
-/// refused by the state service ten times in two minutes, and jobs are cancelled at the
-/// same moments.
+/// Checks that no rule is broken when the leader changes ten times in two minutes and jobs are
+/// cancelled at the same moments. For each change, the leader restarts, is killed, freezes or is
+/// refused by the state service.
 #[test]
 fn rules_hold_when_jobs_are_cancelled_during_leader_changes() {
     let base = FaultCase {
@@ -144,8 +144,8 @@
     heal_and_check(simulation, name, &ids).await;
 }
 
-/// Delays the commands to all busy workers; one of them also hangs, or its messages
-/// are blocked in one direction.
+/// Delays the commands to all busy workers. Depending on the case and the number of the change,
+/// one of them also hangs, and messages from or to it are blocked.
 fn disturb_workers(simulation: &Rc<Simulation>, case: FaultCase, change: u32) {
     let busy_workers = simulation.busy_workers();
     for worker in &busy_workers {
@@ -173,8 +173,8 @@
     id
 }
 
-/// Restarts the leader, kills it, freezes it, or lets the state service refuse it, in
-/// turn; some of the changes happen during an outage of the state service.
+/// Restarts the leader, kills it, freezes it, or makes the state service refuse it, depending on
+/// the number of the change. Some of the changes happen during an outage of the state service.
 async fn stop_leader(simulation: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -20,8 +20,8 @@
     hang_s: f64,
     commands_delayed_s: f64,
     slow_s: f64,
-    /// Delay of the state service's answers to the leader, in seconds, beginning some
-    /// seconds before the refusal.
+    /// Delay of the state service's answers to the leader, in seconds. The delay begins some
+    /// seconds before the refusal and ends with its start.
     slow_leader_s: f64,
     /// Fraction of the commits that are applied late.
     late_commits: f64,
@@ -148,9 +148,9 @@
     ]
 }
 
-/// Checks that the tasks of jobs cancelled at another controller end although the leader
-/// never learns of the cancellations: the state service first refuses only the leader,
-/// and is then unavailable to all for longer than `cancel_s`.
+/// Checks that the tasks of a job end in time if the job is cancelled at another controller and
+/// the leader never learns of it. The state service first refuses only the leader, and is then
+/// unavailable to all controllers for longer than `cancel_s`.
 #[test]
 fn jobs_cancelled_elsewhere_end_in_time_during_an_outage() {
     for (n, case) in fault_cases().into_iter().enumerate() {
@@ -172,8 +172,8 @@
     }
 }
 
-/// Lets the state service refuse the leader, cancels jobs at another controller, and
-/// then makes the state service unavailable to all.
+/// Makes the state service refuse the leader, cancels jobs at other controllers, and then makes
+/// the state service unavailable to all controllers.
 async fn refuse_leader_before_outage(simulation: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
     let leader = simulation.controller_with_most_machines();
     let busy_workers = simulation.busy_workers();
@@ -241,8 +241,8 @@
     );
 }
 
-/// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
-/// freezes the leader meanwhile if the case includes that.
+/// Makes the state service unavailable for more than twice `cancel_s`. If the case says so, the
+/// leader is restarted or frozen during the outage, or the state service recovers shortly.
 async fn run_outage(simulation: &Rc<Simulation>, leader: usize, case: FaultCase) {
     simulation.state.fault.set(StateFault::Outage);
     let start = Instant::now();
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -1,5 +1,6 @@
-//! Two or more faults at a time, against stand-ins that check every answer and every
-//! task against the rules of the protocol, in simulated time.
+//! Tests of two or more simultaneous faults, in simulated time. Stand-ins take the place of the
+//! state service, the cloud, the workers and the users, and check every answer and every task
+//! against the rules of the protocol.
 
 // Each test target uses only some of the stand-ins.
 #[allow(dead_code)]
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,6 +1,6 @@
-//! Jobs that depend on other jobs, against stand-ins, in simulated time. The stand-ins
-//! check that no task starts before the jobs that its job awaits are done, that no answer
-//! is older than an earlier one, and that the dependents of a cancelled job are reported as
+//! Tests of jobs that depend on other jobs, with stand-ins, in simulated time. The stand-ins
+//! check that no task starts before the dependencies of its job are done, that no answer is
+//! older than an earlier one, and that the dependents of a cancelled job are reported as
 //! cancelled in time.
 
 #[allow(dead_code)]
@@ -44,8 +44,8 @@
     pending.into_iter().filter_map(|(_, r)| r).collect()
 }
 
-/// Waits until the controllers accept jobs with dependencies, which they do once every
-/// controller is known to read the newer formats.
+/// Waits until the controllers accept jobs with dependencies. They do so once every controller is
+/// known to read the newer formats.
 async fn wait_for_upgrade(simulation: &Simulation) {
     let first = simulation.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
@@ -319,8 +319,8 @@
     }
 }
 
-/// Checks a cancellation that races with the completion of the last task: if the
-/// cancellation is first, the dependent is cancelled too; otherwise the dependent runs.
+/// Checks a cancellation that races with the completion of the job's last task. If the
+/// cancellation is first, the dependent job is cancelled, too. Otherwise the dependent runs.
 #[test]
 fn cancellation_races_with_the_last_task() {
     for n in 0..10u64 {
@@ -490,9 +490,8 @@
     });
 }
 
-/// Checks that no job with dependencies is accepted until every controller has been seen
-/// to run a newer release, as a controller of the earlier release does not support
-/// `awaits`.
+/// Checks that no job with dependencies is accepted until every controller has been seen to run a
+/// newer release. A controller of the earlier release does not support the field `awaits`.
 #[test]
 fn dependencies_are_refused_until_all_controllers_are_upgraded() {
     run_in_simulated_time(|| async {
--- a/tests/pipelines_requests.rs
+++ b/tests/pipelines_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of users while controllers cannot serve them, and records that controllers
-//! cannot read, against stand-ins, in simulated time.
+//! Tests of users' requests while controllers cannot serve them, and of records that controllers
+//! cannot read, with stand-ins, in simulated time.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -38,8 +38,8 @@
 const REQUESTS: [Request; 3] = [Request::Submission, Request::Query, Request::Cancellation];
 
 impl Request {
-    /// Sends the request to a controller; returns the answer and the response time. A
-    /// submission is of a new job; queries and cancellations concern the job `existing`.
+    /// Sends the request to a controller, and returns the answer and the response time. A
+    /// submission is for a new job; a query or cancellation is for the job `existing`.
     async fn send(self, simulation: &Simulation, i: usize, existing: &str) -> (Response, Duration) {
         let user = Net::Simulated(simulation.simulated_network.clone(), addr("10.3.0.9:1"));
         let client = Client::new(user, Duration::from_secs(1));
@@ -156,8 +156,9 @@
     }
 }
 
-/// Checks that the response time of a request is limited, however many attempts it
-/// includes, when the state service answers a controller more slowly than users wait.
+/// Checks that the response time of a request is limited when the state service answers a
+/// controller more slowly than users wait. The number of attempts at the state service must make
+/// no difference.
 #[test]
 fn response_time_is_limited_when_the_state_service_is_slow() {
     for request in REQUESTS {
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -1,7 +1,6 @@
-//! Jobs that depend on other jobs, while answers are lost or late, controllers restart and
-//! the state service refuses some or all controllers, against stand-ins, in simulated time.
-//! The stand-ins check every start of a task and every answer against the rules of the
-//! protocol.
+//! Tests of jobs that depend on other jobs, with stand-ins, in simulated time. Meanwhile answers
+//! are lost or late, controllers restart, and the state service refuses some or all controllers.
+//! The stand-ins check every start of a task and every answer against the rules of the protocol.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -34,8 +33,8 @@
     }
 }
 
-/// Waits until the controllers accept jobs with dependencies, which they do once every
-/// controller is known to read the newer formats.
+/// Waits until the controllers accept jobs with dependencies. They do so once every controller is
+/// known to read the newer formats.
 async fn wait_for_upgrade(simulation: &Simulation) {
     let first = simulation.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -152,8 +152,8 @@
     simulation.violations()
 }
 
-/// Runs each case both ways, and asserts that the checker reports the case's rule for the
-/// violation only.
+/// Runs each case with and without its violation. Asserts that the checker reports the case's
+/// rule for the violation, and reports nothing without it.
 pub fn check_cases(cases: Vec<Case>) {
     for case in cases {
         run_in_simulated_time(|| async {
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// Guards against a checker that stops after its first report: a second violation must be
-/// reported, too.
+/// Checks that a second violation is reported, too. This fails if the checker stops after its
+/// first report.
 #[test]
 fn second_violation_is_reported() {
     run_in_simulated_time(|| async {
--- a/tests/service/machines.rs
+++ b/tests/service/machines.rs
@@ -185,9 +185,9 @@
     });
 }
 
-/// Checks that machines which never boot, all in one zone, are replaced once for each
-/// need and are returned, and that a job that can run in no other zone causes no endless
-/// series of rentals and returns.
+/// Checks that machines which never boot are returned, and that each machine that is needed is
+/// replaced only once. All machines that never boot are in one zone. A job that can run in no
+/// other zone must not cause an endless series of rentals and returns.
 #[test]
 fn machines_that_never_boot_are_replaced_and_returned() {
     Scenario::new(60).run(|simulation| async move {
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -1,5 +1,5 @@
-//! The whole service against stand-ins for the state service, the cloud and the
-//! workers, in simulated time.
+//! Tests of the whole service in simulated time, with stand-ins for the state service, the cloud
+//! and the workers.
 
 #[allow(dead_code)]
 #[path = "../stand_ins/mod.rs"]
--- a/tests/service/partitions.rs
+++ b/tests/service/partitions.rs
@@ -40,8 +40,8 @@
     });
 }
 
-/// Checks that a partition between zones ends no task, as workers report to controllers
-/// of their own zone.
+/// Checks that a partition between zones ends no task. Workers send their heartbeats to controllers
+/// of their own zone, so the partition must not affect their leases.
 #[test]
 fn tasks_keep_running_while_zones_are_partitioned() {
     Scenario::new(11).run(|simulation| async move {
@@ -137,9 +137,9 @@
     }
 }
 
-/// Checks that a controller does not count the time for which it was frozen as time
-/// without reports from its workers. The workers have no other controller and report
-/// again within seconds, so their machines must be kept.
+/// Checks that a controller does not count the time for which it was frozen as time without
+/// heartbeats. There is no other controller, and the workers send heartbeats again within
+/// seconds after the freeze, so their machines must be kept.
 #[test]
 fn single_controller_keeps_its_machines_after_a_freeze() {
     Scenario::new(50)
--- a/tests/service/state_service.rs
+++ b/tests/service/state_service.rs
@@ -109,9 +109,8 @@
     });
 }
 
-/// Checks that a controller reads the records page by page after a watch answer that
-/// exceeds the maximum size of an answer. If it repeated the watch, it would get the same
-/// answer forever.
+/// Checks that a controller reads the records page by page after it gets a watch answer larger
+/// than it accepts. If it repeated the watch instead, it would get the same answer forever.
 #[test]
 fn oversized_watch_answer_is_replaced_by_paged_reads() {
     Scenario::new(17).run(|simulation| async move {
--- a/tests/shares/enabling.rs
+++ b/tests/shares/enabling.rs
@@ -1,5 +1,5 @@
 //! Tests that enable and disable the accounting by shares in a running deployment, while
-//! controllers fail and beside older versions.
+//! controllers fail or some controllers run an older version.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,8 +24,8 @@
     sleep(secs(3.0)).await;
 }
 
-/// Submits arrays and gangs at intervals until the returned flag is set. The task returns the
-/// ids of the jobs.
+/// Starts a task that submits arrays and gangs at intervals until the returned flag is set. The
+/// result of the task is the ids of the jobs.
 fn start_load(
     simulation: &Rc<Simulation>,
     first_number: u32,
@@ -95,9 +95,9 @@
     ids.iter().map(|id| (id.clone(), runs(id))).collect()
 }
 
-/// Shares are enabled, disabled and enabled again under load, and each time a controller is
-/// killed halfway. No service is changed, every array completes, and the team's limit is
-/// never exceeded.
+/// Shares are enabled, disabled and enabled again under load. Each time, a controller is killed
+/// when the accounting of only one of the two teams has changed. No service is changed, every
+/// array completes, and the team's limit is never exceeded.
 #[test]
 fn shares_are_enabled_and_disabled_under_load_while_controllers_fail() {
     run_in_simulated_time(|| async {
--- a/tests/shares/measurements.rs
+++ b/tests/shares/measurements.rs
@@ -1,6 +1,6 @@
 //! Measurements of the costs and savings of shares: the conflicts and writes for each booking
-//! and the duration of a move. The figures are printed, and the bounds that the design
-//! promises are asserted.
+//! and the duration of a move. The tests print the figures and assert the bounds that the design
+//! promises.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/tests/shares/moves.rs
+++ b/tests/shares/moves.rs
@@ -225,7 +225,7 @@
         assert_eq!(request_move(&simulation, 0, &request).await.0, 200);
         wait_until("the move is done", 30.0, || !checker.is_moving()).await;
         checker.assert_no_violations("");
-        // The checker can decode only records that controllers write, not the following one.
+        // The checker is removed, because it cannot decode the invalid record that follows.
         simulation.state.observers.borrow_mut().clear();
         simulation.state.write("sh/share/t", &json!("not a split"));
         start_services(&simulation, 5, 8, "t").await;
--- a/tests/shares/program.rs
+++ b/tests/shares/program.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// A controller that runs as a separate process. Dropping it sends a signal that the process
-/// cannot handle.
+/// A controller that runs as a separate process. Dropping this value kills the process without a
+/// shutdown.
 pub struct Controller(Child);
 
 impl Controller {
--- a/tests/stand_ins/faults.rs
+++ b/tests/stand_ins/faults.rs
@@ -10,8 +10,8 @@
 use super::state_service::{StateFault, StateFaultOptions};
 
 impl Simulation {
-    /// Cuts the connections between workers and the controllers of other zones. Connections
-    /// among controllers, and to the state service and the cloud, stay.
+    /// Cuts the connections between workers and the controllers of other zones. The controllers'
+    /// connections to each other, the state service and the cloud are not affected.
     pub fn partition_zones(&self) {
         for (w, _) in self.workers.borrow().values() {
             for i in (0..self.shape.controllers)
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,6 +1,7 @@
-//! Simulated counterparts of the controllers under test: state service, cloud, workers and
-//! users. They communicate by the protocol over a simulated network inside the process, in
-//! simulated time, and check the rules of the protocol that tests assert on.
+//! Stand-ins for everything that the controllers under test communicate with: the state service,
+//! the cloud, the workers and the users. They use the protocol over a simulated network inside
+//! the process, in simulated time. A rule checker observes them and reports violations of the
+//! protocol's rules.
 
 mod builder;
 mod cloud;
--- a/tests/stand_ins/rules.rs
+++ b/tests/stand_ins/rules.rs
@@ -21,8 +21,8 @@
 /// Maximum time between two polls of one series of failures. Users poll every 5 s.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(15);
 
-/// A rule whose violations the checker reports. Most are named by the protocol; those with
-/// a description follow from its text.
+/// A rule whose violations the checker reports. Most rules have a name in the protocol. The rules
+/// with a description here have none, but follow from the protocol's text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
     RanTwice,
@@ -34,13 +34,13 @@
     NotDone,
     WentBack,
     NothingRan,
-    /// A start of a task whose job was never submitted.
+    /// A task started although its job was never submitted.
     UnknownJob,
-    /// A start of a task before all dependencies of its job are done.
+    /// A task started before all dependencies of its job were done.
     TooEarly,
-    /// A job with a cancelled dependency that is not reported as cancelled in time.
+    /// A job was not reported as cancelled in time after one of its dependencies was cancelled.
     Orphaned,
-    /// A machine in two zone shards or two machine shards of the stored records.
+    /// A machine was in two zone shards or in two machine shards of the stored records.
     Misplaced,
 }
 
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Checks a job's placement constraints that relate its tasks to each other: all in one
-    /// zone, or at most half of them, rounded up, in each zone.
+    /// Checks the placement constraints that concern all tasks of a job together: all of them in
+    /// one zone, or at most half of them, rounded up, in each zone.
     fn check_zones(&self, task: &str, id: &str, job: &Value) {
         let lease = self.shape.lease();
         let workers = self.workers.borrow();
--- a/tests/stand_ins/users.rs
+++ b/tests/stand_ins/users.rs
@@ -55,8 +55,8 @@
         (status, response)
     }
 
-    /// Polls the job and repeats its submission at all controllers concurrently, five times
-    /// at intervals of a few milliseconds, in whatever stage the job is.
+    /// Polls the job and repeats its submission at all controllers concurrently, five times at
+    /// intervals of a few milliseconds. The job may be in any stage.
     pub async fn query_concurrently(self: &Rc<Self>, id: &str) {
         let job = self.jobs.borrow()[id].clone();
         let mut requests = Vec::new();
