--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Random sequences of decisions, each applied immediately. The invariants hold after each
-//! decision, capacity is refused only where there is none, and pending moves complete or are
-//! blocked only by bookings.
+//! Tests of random sequences of decisions, each applied immediately. The invariants must hold
+//! after each decision. A booking may be refused only if the team's limit or the machines have no
+//! free capacity for it. Pending moves must complete unless bookings block them.
 
 use std::collections::BTreeMap;
 
@@ -159,7 +159,8 @@
         share.as_ref().expect("a split")
     }
 
-    /// Books a job, and checks that it is refused only if the reference model refuses it.
+    /// Books a job, and checks that the booking is refused if and only if the reference model
+    /// refuses it.
     fn book(&mut self, team: usize, by: usize, need: Resources, is_admitted: bool) {
         let (name, controller) = (TeamName::from(TEAMS[team]), CONTROLLERS[by].into());
         match reserve(&self.ledger, &name, &controller, need, MANY_WRITES) {
--- a/tests/fleet/four_thousand.rs
+++ b/tests/fleet/four_thousand.rs
@@ -1,7 +1,7 @@
 //! Tests with 4,000 machines: the deployment starts, one controller takes over all machines,
 //! a fifth of the machines is lost at the same time, and all controllers restart. Every
-//! machine is claimed and listed and receives work, and no request exceeds the limits of the
-//! state service and of the cloud.
+//! machine must be claimed by a controller, be listed in a zone shard and receive work. No request
+//! may exceed the limits of the state service and of the cloud.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -90,9 +90,9 @@
         }
         wait_until_running_or_done(&simulation, &ids, lease_s * 6.0, "all on one controller").await;
 
-        // One controller takes over all machines because the network of the others is cut and
-        // connections to them hang. A worker that tries a controller that is cut off loses
-        // seconds of its lease.
+        // One controller takes over all machines because all connections of the others are cut.
+        // New connections to those controllers hang, so a worker loses seconds of its lease with
+        // each of them that it tries.
         for controller in 1..controllers {
             simulation.set_controller_partition(controller, true);
         }
--- a/tests/frame_digest.rs
+++ b/tests/frame_digest.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// Injects one fault after another, and removes each.
+/// Injects faults of the state service, the controllers, the network and the workers, one after
+/// another.
 async fn inject_faults(simulation: &Rc<Simulation>) {
     sleep(seconds(15.0)).await;
     inject_state_faults(simulation).await;
@@ -82,7 +83,8 @@
     inject_worker_faults(simulation).await;
 }
 
-/// Makes the state service lose responses, apply commits late, be unavailable and slow.
+/// Makes the state service lose responses, then apply commits late, then refuse all requests,
+/// then respond slowly and lose or delay random commits.
 async fn inject_state_faults(simulation: &Rc<Simulation>) {
     for trouble in [StateFault::LostResponses, StateFault::LateCommits] {
         simulation.state.fault.set(trouble);
--- a/tests/limits/lowered_limits.rs
+++ b/tests/limits/lowered_limits.rs
@@ -284,10 +284,9 @@
 }
 
 /// Controllers are upgraded one after another while jobs run, and one of them restarts with
-/// the older version before it is upgraded. Until the last controller is upgraded, every
-/// stored record can be read by the version in production. After that, the compact encodings
-/// are written, jobs with dependencies are accepted, and all jobs continue when the limits
-/// are lowered.
+/// the older version before it is upgraded. Until the last controller is upgraded, the version
+/// in production can read every stored record. After that, the controllers write the compact
+/// encodings and accept jobs with dependencies, and all jobs continue when the limits are lowered.
 #[test]
 fn controllers_are_upgraded_one_after_another() {
     for seed in [51, 52] {
--- a/tests/meetings/controllers_down.rs
+++ b/tests/meetings/controllers_down.rs
@@ -35,9 +35,9 @@
     }
 }
 
-/// Checks that no rule is broken when a zone with its controllers and machines is
-/// partitioned for longer than a lease, while jobs, some of them bound to that zone, are
-/// cancelled in the other zone.
+/// Checks that no rule is broken when a zone with its controllers and machines is partitioned for
+/// longer than a lease. Meanwhile jobs are cancelled in the other zone; some of them are bound to
+/// the partitioned zone.
 #[test]
 fn rules_hold_after_a_zone_is_partitioned_for_a_lease() {
     for (n, (zone, partition_s)) in [("b", 13.0), ("b", 45.0), ("a", 13.0), ("a", 45.0)]
@@ -70,9 +70,10 @@
     }
 }
 
-/// Checks that a leader which is partitioned from the state service and the other
-/// controllers neither reports outdated stages nor keeps cancelled tasks running. Workers
-/// and users still reach it, while jobs are cancelled at another controller.
+/// Checks that a leader without the state service and its peers neither reports outdated stages
+/// nor keeps cancelled tasks running. The state service refuses the leader, and its connections to
+/// the other controllers are cut. Workers and users still reach the leader while jobs are
+/// cancelled at another controller.
 #[test]
 fn leader_without_state_and_peers_reports_no_outdated_stage() {
     for (n, (partition_s, hang_s, outage)) in [
--- a/tests/meetings/load.rs
+++ b/tests/meetings/load.rs
@@ -9,9 +9,9 @@
 use crate::scenario::{cancel, heal_and_check, secs};
 use crate::stand_ins::{Scenario, Simulation, StateFaultOptions, Worker, job};
 
-/// Checks that no team exceeds its limit. Every team is at its limit and has more jobs in
-/// the queue; jobs are cancelled while their machines hang or are unreachable, and the
-/// leader changes.
+/// Checks that no team exceeds its limit. Every team is at its limit and has more jobs in the
+/// queue. Jobs are cancelled while their machines hang or are unreachable and while the leader
+/// changes.
 #[test]
 fn teams_never_exceed_their_limits() {
     let faults = [
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -33,9 +33,9 @@
     None
 }
 
-/// Ends all faults, then asserts that each job that was not cancelled runs or is done
-/// within 90 s, that every controller answers queries for all jobs, and that no rule
-/// was broken.
+/// Ends the faults that [`Simulation::clear_faults`] covers, which excludes cut connections. Then
+/// asserts that each job that was not cancelled runs or is done within 90 s, that every controller
+/// answers queries for all jobs, and that no rule was broken.
 pub async fn heal_and_check(simulation: &Rc<Simulation>, case: &str, ids: &[String]) {
     simulation.clear_faults();
     let start = Instant::now();
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -194,10 +194,10 @@
     }
 }
 
-/// Checks that a cancellation is final at each depth of a chain and during each fault.
-/// All controllers receive it concurrently. Once one of them has confirmed it, no
-/// controller may report an older stage of the job or of its dependents, and the jobs
-/// before it must continue.
+/// Checks that a cancellation is final at each depth of a chain and during each fault. All
+/// controllers receive the cancellation concurrently. Once one of them has confirmed it, no
+/// controller may report an older stage of the cancelled job or of its dependents. The jobs that
+/// the cancelled job depends on must continue.
 #[test]
 fn cancellation_at_each_depth_is_final_during_faults() {
     for (n, fault) in FAULTS.into_iter().enumerate() {
@@ -303,9 +303,9 @@
     }
 }
 
-/// Checks that a job which awaits a service waits while the service runs, uses no
-/// resources meanwhile, and is cancelled with the service. Users are not expected to
-/// submit such jobs.
+/// Checks a job that depends on a service: it waits as long as the service runs, uses no
+/// resources meanwhile, and is cancelled with the service. Users are not expected to submit such
+/// jobs.
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     run_in_simulated_time(|| async {
--- a/tests/shares/loopback.rs
+++ b/tests/shares/loopback.rs
@@ -1,5 +1,6 @@
-//! Test of three controllers that run as processes and use real sockets, with stand-in jobs.
-//! It asserts nothing about durations: every wait has a limit far beyond the time it needs.
+//! Test of three controllers that run as processes and use real sockets, with simulated jobs.
+//! It asserts nothing about durations: every wait has a limit far beyond the time that the wait
+//! needs.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/tests/shares/operators.rs
+++ b/tests/shares/operators.rs
@@ -1,5 +1,5 @@
-//! Tests of the operators' queries about shares, which any controller answers, and of the
-//! start of the program with a features file.
+//! Tests of the operators' queries about shares and of the start of the program with a features
+//! file. Any controller answers these queries.
 
 use serde_json::{Value, json};
 use shelfhoist::accounting::{MoveAnswer, ShareReport};
