--- a/crates/shares/tests/properties.rs
+++ b/crates/shares/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Random sequences of decisions, each applied immediately. The invariants hold after each
-//! decision, capacity is refused only where there is none, and pending moves complete or are
-//! blocked only by bookings.
+//! Tests of random sequences of decisions, each applied immediately. The invariants must hold
+//! after each decision. A booking may be refused only if the team's limit or the machines have no
+//! free capacity for it. Pending moves must complete unless bookings block them.
 
 use std::collections::BTreeMap;
 
@@ -159,7 +159,8 @@
         share.as_ref().expect("a split")
     }
 
-    /// Books a job, and checks that it is refused only if the reference model refuses it.
+    /// Books a job, and checks that the booking is refused if and only if the reference model
+    /// refuses it.
     fn book(&mut self, team: usize, by: usize, need: Resources, is_admitted: bool) {
         let (name, controller) = (TeamName::from(TEAMS[team]), CONTROLLERS[by].into());
         match reserve(&self.ledger, &name, &controller, need, MANY_WRITES) {
@@ -255,7 +256,8 @@
         true
     }
 
-    /// Removes a machine, after reducing the shares that use its capacity.
+    /// Removes a machine if `may_remove` is true, after reducing the shares that use the machine's
+    /// capacity.
     fn remove_machine(&mut self, may_remove: bool) {
         if !may_remove {
             return;
@@ -362,8 +364,8 @@
         }
     }
 
-    /// Checks that the pending moves complete in a bounded number of steps, except for those that
-    /// bookings block, and that all shares can be closed.
+    /// Checks that all pending moves complete in a bounded number of steps unless bookings block
+    /// them, and that all shares can be closed.
     fn teardown(mut system: System) {
         for (team, name) in TEAMS.iter().enumerate() {
             let mut steps = 0;
@@ -428,8 +430,8 @@
     assert_eq!(record.state(None), MoveState::Done);
 }
 
-/// A reservation that needs the free capacity of many teams is spread over several commits,
-/// each with no more writes than allowed.
+/// A reservation that needs the free capacity of many teams takes several commits. None of them
+/// has more writes than allowed.
 #[test]
 fn capacity_is_returned_by_many_teams_in_several_commits() {
     let mut ledger = Ledger {
--- a/tests/fleet/mass_failures.rs
+++ b/tests/fleet/mass_failures.rs
@@ -1,5 +1,5 @@
-//! Tests of mass failures, one after another, in fleets of the largest size that operators
-//! have described plus half as many machines.
+//! Tests of mass failures, one after another, in fleets that are half as large again as the
+//! largest that operators have described.
 
 use std::time::Duration;
 
@@ -90,9 +90,9 @@
         }
         wait_until_running_or_done(&simulation, &ids, lease_s * 6.0, "all on one controller").await;
 
-        // One controller takes over all machines because the network of the others is cut and
-        // connections to them hang. A worker that tries a controller that is cut off loses
-        // seconds of its lease.
+        // One controller takes over all machines because all connections of the others are cut.
+        // New connections to those controllers hang, so a worker loses seconds of its lease with
+        // each of them that it tries.
         for controller in 1..controllers {
             simulation.set_controller_partition(controller, true);
         }
@@ -140,8 +140,8 @@
         ids.extend(submit(&simulation, 5).await);
         wait_until_running_or_done(&simulation, &ids, lease_s * 10.0, "an outage").await;
 
-        // Every service is cancelled at two controllers, and every job is queried at a third:
-        // the repeated cancellation finds the service cancelled already.
+        // Every service is cancelled at two controllers, and every job is queried at a third.
+        // The second controller finds that the service is already cancelled.
         for id in &ids {
             if simulation.is_service(id) {
                 assert_eq!(
--- a/tests/limits/shards.rs
+++ b/tests/limits/shards.rs
@@ -17,8 +17,8 @@
 use shelfhoist::state::records::*;
 
 /// A machine shard whose compact encoding still exceeds the limit is split in the commit that
-/// writes it. No machine is lost, duplicated or changed, whichever of the two records is
-/// applied first.
+/// writes the shard. No machine is lost, duplicated or changed, whichever of the two resulting
+/// records the replica applies first.
 #[test]
 fn oversized_machine_shard_is_split_in_one_commit() {
     let mut replica = production_replica(1, 60);
@@ -155,8 +155,9 @@
     assert_eq!(nonempty.count(), 1, "after {merges}");
 }
 
-/// A gang is placed in two zone shards at most, because one commit of four writes also
-/// contains the job and its team. A service may be placed over several commits.
+/// A gang is placed in at most two zone shards: it must be booked in one commit, and two of the
+/// commit's four writes are those of the job and its team. A service may be booked in several
+/// commits.
 #[test]
 fn gang_is_placed_in_at_most_two_zone_shards() {
     let mut shape = deployment();
@@ -214,8 +215,8 @@
             AcceleratorProtection::Lax,
         );
         let Ok(places) = result else {
-            // The gang would need the free capacity of three zone shards, so that machines are
-            // rented for it.
+            // The gang would need the free capacity of three zone shards, which one commit
+            // cannot write. It waits until machines are rented for it.
             assert_eq!((kind, tasks), (JobKind::Gang, 9), "{result:?}");
             assert_eq!(result, Err(WaitReason::NoCapacity));
             continue;
@@ -227,7 +228,8 @@
         assert!(transaction.into_commit().1.len() <= settings.max_writes_per_commit());
         match kind {
             JobKind::Gang => assert_eq!((zone_shards.len(), booked), (2, 8)),
-            // Replicas of a service are booked one by one: the rest go into the next commit.
+            // Replicas of a service can be booked separately. The commit books those that fit, and
+            // the next commit books the rest.
             _ => assert!(
                 zone_shards.len() > 2 && (5..9).contains(&booked),
                 "{booked}"
--- a/tests/meetings/leader_changes.rs
+++ b/tests/meetings/leader_changes.rs
@@ -19,14 +19,14 @@
     slow_s: f64,
     blocks_messages_to_workers: bool,
     blocks_messages_from_workers: bool,
-    /// Outages of the state service, during some of the changes.
+    /// Whether the state service is down during some of the changes.
     outages: bool,
     queries_immediately: bool,
 }
 
-/// Checks that no rule is broken when the leader restarts, is killed, freezes or is
-/// refused by the state service ten times in two minutes, and jobs are cancelled at the
-/// same moments.
+/// Checks that no rule is broken when the leader changes ten times in two minutes and jobs are
+/// cancelled at the same moments. For each change, the leader restarts, is killed, freezes or is
+/// refused by the state service.
 #[test]
 fn rules_hold_when_jobs_are_cancelled_during_leader_changes() {
     let base = FaultCase {
@@ -122,7 +122,7 @@
     for change in 0..10u32 {
         let leader = simulation.controller_with_most_machines();
         disturb_workers(simulation, case, change);
-        // The new job is being scheduled when the leader stops.
+        // This job is still being scheduled when the leader stops.
         let new_id = submit_job(simulation, case, change).await;
         ids.push(new_id.clone());
         uncancelled.push(new_id);
@@ -144,8 +144,8 @@
     heal_and_check(simulation, name, &ids).await;
 }
 
-/// Delays the commands to all busy workers; one of them also hangs, or its messages
-/// are blocked in one direction.
+/// Delays the commands to all busy workers. Depending on the case and the number of the change,
+/// one of them also hangs, and messages from or to it are blocked.
 fn disturb_workers(simulation: &Rc<Simulation>, case: FaultCase, change: u32) {
     let busy_workers = simulation.busy_workers();
     for worker in &busy_workers {
@@ -173,8 +173,8 @@
     id
 }
 
-/// Restarts the leader, kills it, freezes it, or lets the state service refuse it, in
-/// turn; some of the changes happen during an outage of the state service.
+/// Restarts the leader, kills it, freezes it, or makes the state service refuse it, depending on
+/// the number of the change. Some of the changes happen during an outage of the state service.
 async fn stop_leader(simulation: &Rc<Simulation>, case: FaultCase, change: u32, leader: usize) {
     let outage = case.outages && change % 3 == 1;
     if outage {
@@ -225,9 +225,9 @@
     }
 }
 
-/// Checks that no job is reported as done before all of its tasks have completed. The
-/// tasks of each job complete far apart, under different leaders, and copies of reports
-/// reach the next leader late.
+/// Checks that no job is reported as done before all of its tasks have completed. The tasks of
+/// each job complete long after one another, under different leaders, and each new leader
+/// receives late copies of earlier heartbeats.
 #[test]
 fn job_is_done_only_after_its_tasks_completed_under_several_leaders() {
     for variant in 0..4u64 {
--- a/tests/meetings/leader_refused.rs
+++ b/tests/meetings/leader_refused.rs
@@ -13,27 +13,27 @@
     name: &'static str,
     /// Time for which only the leader is refused before jobs are cancelled, in seconds.
     leader_refused_s: f64,
-    /// Time from the confirmed cancellations to the outage for all, in seconds.
+    /// Time from the confirmed cancellations until the outage for all controllers, in seconds.
     outage_after_s: f64,
     /// Number of workers that receive neither answers nor commands.
     unreachable_workers: usize,
     hang_s: f64,
     commands_delayed_s: f64,
     slow_s: f64,
-    /// Delay of the state service's answers to the leader, in seconds, beginning some
-    /// seconds before the refusal.
+    /// Delay of the state service's answers to the leader, in seconds. The delay begins some
+    /// seconds before the refusal and ends with its start.
     slow_leader_s: f64,
     /// Fraction of the commits that are applied late.
     late_commits: f64,
     /// Time from the start of the outage to the restart of the old leader, in seconds;
     /// `None` for no restart.
     leader_restarts_s: Option<f64>,
-    /// Restart of all other controllers just before the outage.
+    /// Whether all other controllers are restarted just before the outage.
     others_restart: bool,
     /// Time for which the old leader is frozen, in seconds.
     leader_frozen_s: f64,
     peers_partitioned: bool,
-    /// Short recovery of the state service within the outage.
+    /// Whether the state service recovers for a short time during the outage.
     short_recovery: bool,
 }
 
@@ -148,13 +148,13 @@
     ]
 }
 
-/// Checks that the tasks of jobs cancelled at another controller end although the leader
-/// never learns of the cancellations: the state service first refuses only the leader,
-/// and is then unavailable to all for longer than `cancel_s`.
+/// Checks that the tasks of a job end in time if the job is cancelled at another controller and
+/// the leader never learns of it. The state service first refuses only the leader, and is then
+/// unavailable to all controllers for longer than `cancel_s`.
 #[test]
 fn jobs_cancelled_elsewhere_end_in_time_during_an_outage() {
     for (n, case) in fault_cases().into_iter().enumerate() {
-        // Leaves much or little of `cancel_s` after the end of a lease.
+        // With 30 s, much of `cancel_s` is left when a lease ends; with 14 s, little is left.
         for (variant, cancel_s) in [30.0, 14.0].into_iter().enumerate() {
             let seed = 300 + 20 * n as u64 + variant as u64;
             let scenario = Scenario::with_large_teams(seed).cancel_s(cancel_s);
@@ -172,8 +172,8 @@
     }
 }
 
-/// Lets the state service refuse the leader, cancels jobs at another controller, and
-/// then makes the state service unavailable to all.
+/// Makes the state service refuse the leader, cancels jobs at other controllers, and then makes
+/// the state service unavailable to all controllers.
 async fn refuse_leader_before_outage(simulation: &Rc<Simulation>, case: FaultCase, ids: &[String]) {
     let leader = simulation.controller_with_most_machines();
     let busy_workers = simulation.busy_workers();
@@ -241,8 +241,8 @@
     );
 }
 
-/// Makes the state service unavailable for more than twice `cancel_s`, and restarts or
-/// freezes the leader meanwhile if the case includes that.
+/// Makes the state service unavailable for more than twice `cancel_s`. If the case says so, the
+/// leader is restarted or frozen during the outage, or the state service recovers shortly.
 async fn run_outage(simulation: &Rc<Simulation>, leader: usize, case: FaultCase) {
     simulation.state.fault.set(StateFault::Outage);
     let start = Instant::now();
@@ -266,9 +266,9 @@
     sleep(total.saturating_sub(start.elapsed())).await;
 }
 
-/// Checks that the age of an answer that renews a lease counts from the moment its
-/// request was sent. The answers to the leader stay in flight for long, and the state
-/// service begins to refuse the leader at different moments of that time.
+/// Checks that an answer that renews a lease is as old as its request: its age counts from the
+/// moment at which the request was sent. The state service answers the leader slowly, and
+/// begins to refuse it at different moments while answers are in flight.
 #[test]
 fn age_of_an_answer_counts_from_its_request() {
     for variant in 0..8u32 {
--- a/tests/pipelines_troubles.rs
+++ b/tests/pipelines_troubles.rs
@@ -1,7 +1,6 @@
-//! Jobs that depend on other jobs, while answers are lost or late, controllers restart and
-//! the state service refuses some or all controllers, against stand-ins, in simulated time.
-//! The stand-ins check every start of a task and every answer against the rules of the
-//! protocol.
+//! Tests of jobs that depend on other jobs, with stand-ins, in simulated time. Meanwhile answers
+//! are lost or late, controllers restart, and the state service refuses some or all controllers.
+//! The stand-ins check every start of a task and every answer against the rules of the protocol.
 
 #[allow(dead_code)]
 mod stand_ins;
@@ -34,8 +33,8 @@
     }
 }
 
-/// Waits until the controllers accept jobs with dependencies, which they do once every
-/// controller is known to read the newer formats.
+/// Waits until the controllers accept jobs with dependencies. They do so once every controller is
+/// known to read the newer formats.
 async fn wait_for_upgrade(simulation: &Simulation) {
     let first = simulation.submit(job(900_000, "batch", 1, 0.5)).await;
     let probe = with_dependencies(job(900_001, "batch", 1, 0.5), &[&first]);
@@ -59,19 +58,19 @@
 /// A fault that occurs while a pipeline runs or is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
-    /// Commits that are applied but whose answers are lost.
+    /// Some commits are applied, but their answers are lost.
     LostAnswers,
-    /// Commits that are applied some seconds late.
+    /// Some commits are applied seconds late and get no answer.
     LateCommits,
-    /// Commits that are late or unanswered at random.
+    /// Commits are late or unanswered at random.
     MixedAnswers,
-    /// Copies of old reports that reach every controller.
+    /// Late copies of old heartbeats reach every controller.
     LateReportCopies,
-    /// Restarts of one controller after another.
+    /// The controllers restart one after another.
     Restarts,
-    /// Outage of the state service that is longer than a cancellation may take.
+    /// The state service is down for longer than a cancellation may take.
     LongOutage,
-    /// Refusal of a single controller by the state service, for the same time.
+    /// The state service refuses one controller for longer than a cancellation may take.
     OneRefused,
 }
 
@@ -195,10 +194,10 @@
     }
 }
 
-/// Checks that a cancellation is final at each depth of a chain and during each fault.
-/// All controllers receive it concurrently. Once one of them has confirmed it, no
-/// controller may report an older stage of the job or of its dependents, and the jobs
-/// before it must continue.
+/// Checks that a cancellation is final at each depth of a chain and during each fault. All
+/// controllers receive the cancellation concurrently. Once one of them has confirmed it, no
+/// controller may report an older stage of the cancelled job or of its dependents. The jobs that
+/// the cancelled job depends on must continue.
 #[test]
 fn cancellation_at_each_depth_is_final_during_faults() {
     for (n, fault) in FAULTS.into_iter().enumerate() {
@@ -266,9 +265,8 @@
     }
 }
 
-/// Checks that a cancellation which arrives after the job is done is answered with
-/// `done`, and that the dependents continue, at whichever controller it arrives and
-/// during each fault.
+/// Checks that a cancellation of a job that is already done is answered with `done`, and that the
+/// job's dependents continue. This must hold at every controller and during each fault.
 #[test]
 fn cancellation_of_a_done_job_ends_no_dependent() {
     for (n, fault) in [Fault::LostAnswers, Fault::Restarts, Fault::OneRefused]
@@ -305,9 +303,9 @@
     }
 }
 
-/// Checks that a job which awaits a service waits while the service runs, uses no
-/// resources meanwhile, and is cancelled with the service. Users are not expected to
-/// submit such jobs.
+/// Checks a job that depends on a service: it waits as long as the service runs, uses no
+/// resources meanwhile, and is cancelled with the service. Users are not expected to submit such
+/// jobs.
 #[test]
 fn job_that_awaits_a_service_waits_and_uses_no_resources() {
     run_in_simulated_time(|| async {
@@ -345,8 +343,8 @@
     });
 }
 
-/// Checks that an urgent job that waits for its dependency preempts no other job,
-/// although its team uses less than its guarantee. Once the job is ready, it does.
+/// Checks that an urgent job preempts no other job while it waits for its dependency, although
+/// its team uses less than its guarantee. Once the dependency is done, the job preempts others.
 #[test]
 fn waiting_job_preempts_no_other_job() {
     run_in_simulated_time(|| async {
@@ -391,9 +389,9 @@
     });
 }
 
-/// Checks that the time for which a job waits for its dependencies does not count as its
-/// own waiting time, neither at controllers that observed it throughout nor after a
-/// restart of all controllers.
+/// Checks that the time for which a job waits for its dependencies does not count as waiting
+/// time in the queue. This must hold at controllers that observed the job throughout, and after
+/// a restart of all controllers.
 #[test]
 fn waiting_time_counts_from_readiness() {
     for restarts in [false, true] {
--- a/tests/rule_checker/main.rs
+++ b/tests/rule_checker/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the stand-ins' rule checker. For each violation, the checker must report the
-//! rule, and must report nothing for the same history without the violation. A scripted
-//! controller sends the commands and the responses, since the program must not violate the
+//! Tests of the stand-ins' rule checker. The checker must report the rule that a history
+//! violates, and must report nothing for the same history without the violation. A scripted
+//! controller takes the place of the real program, because the program must never violate the
 //! rules.
 
 // Each test target uses only some of the stand-ins.
@@ -86,8 +86,8 @@
     }
 }
 
-/// Guards against a checker that stops after its first report: a second violation must be
-/// reported, too.
+/// Checks that a second violation is reported, too. This fails if the checker stops after its
+/// first report.
 #[test]
 fn second_violation_is_reported() {
     run_in_simulated_time(|| async {
