--- a/src/cloud/fleet_state.rs
+++ b/src/cloud/fleet_state.rs
@@ -61,7 +61,7 @@
     extended_at: Instant,
 }
 
-/// The workers that have requested a claim.
+// Methods for the workers that have requested a claim.
 impl FleetState {
     /// Records the status of a worker that requests a claim, without its tasks.
     pub fn record_claim_status(&mut self, status: &WorkerStatus) {
@@ -105,8 +105,8 @@
     }
 }
 
-/// The machines that are queued for draining, idle, without an owner, without a record, or
-/// gone.
+// Methods for the machines that are queued for draining, idle, without an owner, without a
+// record, or gone.
 impl FleetState {
     /// Queues a machine to be drained in the next pass.
     pub fn queue_drain(&mut self, id: &str) {
@@ -197,7 +197,7 @@
     }
 }
 
-/// The state lease of this controller.
+// Methods for the lease that this controller holds in the state service (`state_lease`).
 impl FleetState {
     /// Returns the ID of the state lease, unless it is known to have expired.
     #[must_use]
@@ -227,7 +227,7 @@
     }
 }
 
-/// The part of the state that is shown in reports.
+// Methods for the part of the state that is shown in reports.
 impl FleetState {
     /// Returns the offers that are backed off after a refusal by the cloud, in alphabetical
     /// order.
--- a/src/cloud/headroom.rs
+++ b/src/cloud/headroom.rs
@@ -7,8 +7,8 @@
 use crate::state::records::Job;
 use crate::state::replica::Replica;
 
-/// Returns the open jobs that need accelerators, except those that are suspected to be
-/// faulty.
+/// Returns the jobs in `Replica::open_jobs` (unfinished, with all dependencies done) that need
+/// accelerators, except those that are suspected to be faulty.
 pub(super) fn open_accelerator_jobs(replica: &Replica) -> impl Iterator<Item = &Job> {
     replica.open_jobs.iter().filter_map(|(_, id)| {
         let job = replica.jobs.get(id).map(|entry| &entry.value);
@@ -19,8 +19,8 @@
     })
 }
 
-/// Returns the number of slots that the policy requires to be free, or 0 if no job that needs
-/// accelerators is open.
+/// Returns the number of slots that the policy requires to be free. Returns 0 if
+/// `Replica::latest_gpu_spec` is `None` or if [`open_accelerator_jobs`] returns no job.
 pub(super) fn wanted_headroom_slots(settings: &Settings, replica: &Replica, plan: &Plan) -> usize {
     let Some(gpu_spec) = &replica.latest_gpu_spec else {
         return 0;
--- a/src/controller/state_sync.rs
+++ b/src/controller/state_sync.rs
@@ -13,9 +13,11 @@
     /// The revision that the replica has reached.
     pub(super) applied_revision: watch::Sender<u64>,
     pub(super) barriers: ReadBarriers,
-    /// Signal to abandon the current watch, which may be stuck, and to open a new one.
+    /// Notified when the current watch may be stuck. The watch loop then abandons it and opens
+    /// a new one.
     pub(super) reopen_watch: Notify,
-    /// Signal to open the next watch without a pause, as a caller waits for the replica.
+    /// Notified when a caller needs the replica to catch up. The watch loop then opens the next
+    /// watch without a pause.
     pub(super) expedite_watch: Notify,
 }
 
@@ -40,7 +42,8 @@
 /// started.
 #[derive(Debug, Default)]
 pub(super) struct ReadBarriers {
-    /// Signal to the loop that issues barriers that a caller waits for one.
+    /// Notified when a caller starts to wait for a barrier, or when launches are deferred
+    /// until the next one. Wakes the barrier loop before its idle interval ends.
     pub(super) requested: Notify,
     /// The number of the last barrier that was started.
     pub(super) started: Cell<u64>,
--- a/src/introspection/messages.rs
+++ b/src/introspection/messages.rs
@@ -66,19 +66,20 @@
     pub team: String,
     /// CPUs that the team's tasks use.
     pub cpus_used: f64,
-    /// CPUs that are guaranteed to the team.
+    /// CPUs that the team's quota in the settings guarantees to the team; 0 for no guarantee.
     pub cpus_guaranteed: f64,
-    /// Maximum CPUs that the team may use; 0 for no limit.
+    /// Maximum CPUs that the team may use by its quota; 0 for no limit.
     pub cpus_limit: f64,
-    /// CPUs that the team uses beyond its guarantee.
+    /// CPUs that the team's tasks use beyond the guaranteed CPUs.
     pub cpus_borrowed: f64,
     /// Accelerators that the team's tasks use.
     pub gpus_used: f64,
-    /// Accelerators that are guaranteed to the team.
+    /// Accelerators that the team's quota in the settings guarantees to the team; 0 for no
+    /// guarantee.
     pub gpus_guaranteed: f64,
-    /// Maximum accelerators that the team may use; 0 for no limit.
+    /// Maximum accelerators that the team may use by its quota; 0 for no limit.
     pub gpus_limit: f64,
-    /// Accelerators that the team uses beyond its guarantee.
+    /// Accelerators that the team's tasks use beyond the guaranteed accelerators.
     pub gpus_borrowed: f64,
     /// Number of the team's jobs that have waiting tasks.
     pub waiting_jobs: usize,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
 //! shelfhoist: a small cluster scheduler.
 //!
-//! Controllers keep all state in a key-value service. They place all tasks of a gang, zone
-//! by zone, in one conditional write, and control the workers that send heartbeats to
-//! them. `docs/design.md` names the published designs that this scheduler is based on.
+//! Controllers keep all state in a key-value service. A controller books all tasks of a
+//! gang in one conditional write. A gang that requires one zone waits until a zone has
+//! capacity for all its tasks; a gang that merely prefers one zone may be spread over several.
+//! Controllers receive the heartbeats of workers and send them the commands that start and
+//! stop tasks. `docs/design.md` names the published designs that this scheduler is based on.
 
 #![warn(missing_docs, unreachable_pub, clippy::expect_used)]
 
--- a/src/net.rs
+++ b/src/net.rs
@@ -43,8 +43,8 @@
 }
 
 impl SimulatedNetwork {
-    /// Partitions the route from `from` to `to`: connecting blocks, and so do reads and
-    /// writes of the client on open streams.
+    /// Partitions the route from `from` to `to`. Connection attempts of the client at `from`
+    /// hang, and so do its reads and writes on streams that are already open.
     pub fn partition(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.partitions.borrow_mut().insert(Route { from, to });
     }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,8 @@
-//! Preemption: stops running tasks to free capacity for jobs that fit on no machine.
+//! Preemption: stops running tasks to free capacity for jobs for which the machines have too
+//! little free capacity. A job may preempt work of a lower priority. A job within its team's
+//! guarantee may also preempt work that other teams run beyond their guarantees, except
+//! services. `preemption_candidates` defines these rules and the order of preemption, in
+//! which the lowest priority comes first.
 
 use std::collections::BTreeMap;
 
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -49,7 +49,8 @@
     /// The gossip address is also the address of the HTTP server.
     #[error("must differ from serve_on")]
     SameAsServeOn,
-    /// The number of controllers differs from the number of those that are listed.
+    /// `deployment.count` is not the number of controllers in `others` plus 1 for this
+    /// controller.
     #[error("is {count}, but others lists {others} other controllers")]
     ControllerCount {
         /// Number of controllers in `deployment.count`.
--- a/src/state/client/rate_limit.rs
+++ b/src/state/client/rate_limit.rs
@@ -14,8 +14,9 @@
 /// Length of the observation window, in response timeouts.
 const WINDOW_TIMEOUTS: u32 = 2;
 
-/// Time for which the controller keeps to the lower rates after it has detected them, in
-/// response timeouts. It equals four lease periods.
+/// Time, in response timeouts, for which the controller keeps to the lower rates after the last
+/// refusal that indicated them. This is four times a worker's lease (`lease_s`), unless the
+/// response timeout is clamped to its minimum or maximum.
 const REDUCTION_TIMEOUTS: u32 = 32;
 
 /// Observation window, in which refusals are counted.
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -118,7 +118,7 @@
 /// Page of the cloud's list of machines; the response to `GET /rentals`.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    /// Machines in the order of their ids; PROTOCOL's `bays`.
+    /// Machines, sorted by id. Called `bays` in PROTOCOL.
     #[serde(rename = "bays")]
     pub machines: Vec<ListedMachine>,
     /// True if there are further pages; PROTOCOL's `truncated`.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Messages of PROTOCOL, with one module for each peer of a controller.
+//! Messages of PROTOCOL, with one module for each peer of a controller. PROTOCOL is the
+//! external document that specifies the messages between a controller and its peers.
 //!
 //! The Rust names are the usual terms of cluster scheduling. `serde` renames map them to
 //! the names that PROTOCOL defines, which must not change. Where the two differ, the comment
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -31,7 +31,7 @@
 /// Page of records; the response to `GET /store?prefix=`.
 #[derive(Debug, Deserialize)]
 pub struct StoredRecordPage {
-    /// Records in the order of their keys; PROTOCOL's `pairs`.
+    /// Records, sorted by key; PROTOCOL's `pairs`.
     #[serde(rename = "pairs")]
     pub records: Vec<StoredRecord>,
     /// True if there are further pages; PROTOCOL's `truncated`.
--- a/src/workers/termination.rs
+++ b/src/workers/termination.rs
@@ -29,7 +29,9 @@
 pub struct Termination {
     /// Key of the attempt.
     pub key: AttemptKey,
-    /// Outcome of the attempt.
+    /// Outcome of the attempt: as the worker reported the end of the task, or
+    /// [`TaskOutcome::Lost`] if the controller itself found that the attempt does not run and
+    /// will not be launched.
     pub outcome: TaskOutcome,
 }
 
@@ -38,7 +40,7 @@
 /// same attempt there in between, so evidence from before the new claim is void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TerminationEvidence {
-    /// Outcome of the attempt.
+    /// Outcome of the attempt, as in [`Termination::outcome`].
     pub outcome: TaskOutcome,
     /// Fencing token of the claim under which the outcome was proven.
     pub fencing_token: u64,
--- a/tests/launches.rs
+++ b/tests/launches.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// Checks that without a recent barrier all launches are deferred, and all other commands are
-/// still sent.
+/// Checks that, if no read barrier has completed or the last one is too old, all `Start` commands
+/// are deferred, and all other commands are still sent.
 #[test]
 fn launches_are_deferred_without_a_recent_view() {
     use CommandAction::{Forget, Start, Stop};
--- a/tests/rule_checker/history.rs
+++ b/tests/rule_checker/history.rs
@@ -25,28 +25,28 @@
 /// A step of a history. Machines are given by number. A stage is the job's stage in the
 /// response; it may be empty for a status whose responses contain no stage.
 pub enum Step {
-    /// A user submits a job, and it is accepted.
+    /// Submits a job as a user. The response has status 201 (accepted).
     Submit(Value),
-    /// A user submits a job, and the response has this status.
+    /// Submits a job as a user. The response has this status.
     SubmitWithStatus(Value, u16),
-    /// A user polls a job, and the response has this status and stage.
+    /// Polls a job as a user. The response has this status and stage.
     Poll(&'static str, u16, &'static str),
-    /// A user cancels a job, and the response has this status and stage.
+    /// Cancels a job as a user. The response has this status and stage.
     Cancel(&'static str, u16, &'static str),
-    /// The controller commands a machine to start a task.
+    /// Sends a machine the controller's command to start a task.
     StartTask(usize, &'static str),
-    /// The controller commands a machine to stop a task.
+    /// Sends a machine the controller's command to stop a task.
     StopTask(usize, &'static str),
-    /// A machine hangs for this number of seconds.
+    /// Makes the worker of a machine hang for this number of seconds.
     HangMachine(usize, f64),
-    /// A machine is lost with all of its tasks.
+    /// Removes a machine with all of its tasks, as if it were lost.
     LoseMachine(usize),
-    /// A record is written to the state service under this key.
+    /// Writes a record to the state service under this key.
     WriteRecord(&'static str, Value),
-    /// A user polls each job every 5 s for this number of seconds. All responses about a job
-    /// have the status given for it.
+    /// Polls each job as a user every 5 s for this number of seconds. All responses about a
+    /// job have the status given for it.
     PollFor(f64, Vec<(&'static str, u16)>),
-    /// This number of seconds passes.
+    /// Advances the simulated clock by this number of seconds.
     Elapse(f64),
 }
 
--- a/tests/shares/checker.rs
+++ b/tests/shares/checker.rs
@@ -361,7 +361,8 @@
         }
     }
 
-    /// Records the durations of the moves that are settled now.
+    /// Records the durations of a team's newly settled moves: those in `requested` with a
+    /// generation of at most `settled`. Removes them from `requested`.
     fn record_settled(&mut self, team: &str, settled: u64) {
         let first = (team.to_string(), 0);
         let last = (team.to_string(), settled);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -127,8 +127,9 @@
         .len()
 }
 
-/// Runs jobs with specifications so long that they nearly fill a record of the upcoming size.
-/// After the limits are lowered, jobs are cancelled and the ends of their tasks are recorded.
+/// Runs jobs whose specifications alone take almost the upcoming maximum size of a record, so that
+/// their records exceed it while tasks run. After the limits are lowered, cancels some of the
+/// jobs and checks that the ends of their tasks are recorded; the other jobs must complete.
 /// `wait` is the time between the end of the upgrade and the lowering of the limits.
 fn cancel_long_records_after_lowering_limits(seed: u64, wait: Duration) {
     run_in_simulated_time(|| async move {
